--- /dev/null
+++ b/internal/frozen/backup_test.go
@@ -0,0 +1,110 @@
+package frozen
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"moorstack/internal/backups"
+	"moorstack/internal/conduct"
+	"moorstack/internal/control"
+	"moorstack/internal/duty"
+)
+
+// A backup is written as before, byte for byte, and one of before is read.
+func TestBackupOfBeforeIsRead(t *testing.T) {
+	s := newLog(t).state(t)
+	golden(t, "backup.txt", base64Lines(control.WriteBackup(s.Cluster(), s.History())))
+	raw := fromBase64(t, readText(t, "backup.txt"))
+	b, err := control.ReadBackup(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(b)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "backup.json", indented(t, text))
+	for at := range raw {
+		bad := bytes.Clone(raw)
+		bad[at] ^= 1 << (at % 8)
+		if _, err := control.ReadBackup(bad); err == nil {
+			t.Fatalf("a backup with byte %d flipped was read", at)
+		}
+	}
+	for _, size := range []int{0, 8, 15, len(raw) - 1} {
+		if _, err := control.ReadBackup(raw[:size]); err == nil {
+			t.Errorf("%d bytes of a backup were read", size)
+		}
+	}
+}
+
+// The directory of backups has the files that it had, and what is noted of a backup is what it was. The
+// fence that a program of before has left there holds.
+func TestBackupDirectoryIsAsBefore(t *testing.T) {
+	dir := backups.Dir{Path: t.TempDir(), Verify: func([]byte) error { return nil }}
+	keep := func(number uint64) (backups.Kept, error) {
+		return dir.Keep(backups.Request{Group: "g", Duty: "backup", Number: number,
+			Period:  time.Date(2026, 12, 1, 1, 0, 0, 0, time.UTC),
+			Content: []byte("content"), Keep: 2, May: func() bool { return true }})
+	}
+	kept, err := keep(7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	note, err := json.Marshal(kept)
+	const want = `{"period":"2026-12-01T01:00:00Z","file":"agreed-20261201T010000Z.backup","sha256":` +
+		`"ed7002b439e9ac845f22357d822bac1444730fbdb6016d3ec9432297b9ec9f73"}`
+	if err != nil || string(note) != want {
+		t.Errorf("the note is %s, %v; want %s", note, err, want)
+	}
+	const fence = `{"group":"g","numbers":{"backup":7}}`
+	if got, err := os.ReadFile(filepath.Join(dir.Path, "fence.json")); err != nil || string(got) != fence {
+		t.Errorf("the fence is %s, %v; want %s", got, err, fence)
+	}
+	older := []byte(`{"group":"g","numbers":{"backup":9,"other":3}}`)
+	if err := os.WriteFile(filepath.Join(dir.Path, "fence.json"), older, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var stale *duty.StaleError
+	if _, err := keep(8); !errors.As(err, &stale) || stale.Seen != 9 {
+		t.Errorf("a number older than the fence's writes: %v", err)
+	}
+}
+
+// The note of a rolling restart is written and read as before.
+func TestRollingRestartsNoteIsAsBefore(t *testing.T) {
+	for _, note := range []string{
+		`{"by":"ada","out":2,"within":300000000000,"alone":true,"undo":true,"standing":"halted",` +
+			`"why":"n2 is away","steps":[{"m":77,"n":"n1","z":"a","l":18364758544493064797},` +
+			`{"m":78,"n":"n2","p":1,"l":5,"a":true},{"m":79,"n":"n3","p":2},{"m":80,"n":"n4","p":3},` +
+			`{"m":81,"n":"n5","p":4}]}`,
+		`{"out":1,"within":1000000000,"standing":"rolling"}`,
+		`{"out":1,"within":1000000000,"standing":"stopped"}`,
+		`{"out":1,"within":1000000000,"standing":"done"}`,
+	} {
+		p, err := conduct.Read([]byte(note))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, err := p.Note(); err != nil || string(got) != note {
+			t.Errorf("got %s, %v\nwant %s", got, err, note)
+		}
+	}
+	p := conduct.Plan{By: "ada", Out: 2, Within: time.Minute, Alone: true, Undo: true, Standing: conduct.Rolling,
+		Why: "why", Steps: []conduct.Step{{Member: 1, Name: "n1", Zone: "a", Phase: conduct.Out, Life: 9,
+			Again: true}}}
+	const want = `{"by":"ada","out":2,"within":60000000000,"alone":true,"undo":true,"standing":"rolling",` +
+		`"why":"why","steps":[{"m":1,"n":"n1","z":"a","p":1,"l":9,"a":true}]}`
+	if got, err := p.Note(); err != nil || string(got) != want {
+		t.Errorf("got %s, %v\nwant %s", got, err, want)
+	}
+	// The standings and phases are compared by their words and numbers elsewhere.
+	if conduct.Stopped != "stopped" || conduct.Halted != "halted" || conduct.Done != "done" || conduct.Out != 1 {
+		t.Error("a standing or a phase has another word or number")
+	}
+}
