--- a/cmd/moorlab/main.go
+++ b/cmd/moorlab/main.go
@@ -30,9 +30,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{Use: "moorstack", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(newExperiment(), newDemo(), newLoad(), newPaper())
-	err := root.ExecuteContext(ctx)
+	err := newRoot().ExecuteContext(ctx)
 	if err == nil {
 		return
 	}
@@ -43,6 +41,13 @@
 	os.Exit(2)
 }
 
+// newRoot is the command that holds the others. It bears the name of the program that starts this one.
+func newRoot() *cobra.Command {
+	root := &cobra.Command{Use: "moorstack", SilenceUsage: true, SilenceErrors: true}
+	root.AddCommand(newExperiment(), newDemo(), newLoad(), newPaper())
+	return root
+}
+
 func newExperiment() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "experiment",
