--- /dev/null
+++ b/internal/frozen/encoded/encoded_test.go
@@ -0,0 +1,141 @@
+package encoded
+
+import (
+	"go/ast"
+	"go/constant"
+	"go/types"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"moorstack/internal/frozen/golden"
+)
+
+var formats = []string{"json", "toml", "xml", "parquet"}
+
+// A Go name that is encoded without a tag, and a tag that a rename takes along, would change what files,
+// stored data, processes and scripts read. So the keys of all that is encoded are compared with a text.
+func TestEncodedKeysAreFrozen(t *testing.T) {
+	t.Parallel()
+	all := packages(t)
+	var blocks []string
+	seen := map[string]*shapes{}
+	for _, format := range formats {
+		seen[format] = &shapes{format: format, seen: map[string]bool{}}
+	}
+	for _, r := range encodedTypes(all) {
+		if s := seen[r.format]; s != nil {
+			blocks = add(blocks, r.format, s.describe(r.typ))
+		} else {
+			t.Errorf("a value is encoded as %s, which is not frozen here", r.format)
+		}
+	}
+	// What is encoded where the types don't show it is found by its tags.
+	for _, c := range all {
+		if c.types.Name() == "schema" { // which has a text of its own
+			continue
+		}
+		for _, f := range c.files {
+			ast.Inspect(f, func(n ast.Node) bool {
+				if e, ok := n.(ast.Expr); ok {
+					blocks = c.byTag(e, seen, blocks)
+				}
+				return true
+			})
+		}
+	}
+	slices.Sort(blocks)
+	golden.Compare(t, "keys.txt", strings.Join(slices.Compact(blocks), "\n")+"\n")
+}
+
+func add(blocks []string, format, lines string) []string {
+	if !strings.Contains(lines, "\n") && !strings.Contains(lines, ".") && strings.HasPrefix(lines, "    ") {
+		return blocks // a plain value
+	}
+	return append(blocks, format+"\n"+lines)
+}
+
+// byTag describes a struct with tags that no encoder was seen to be given, and the keys of a map's literal.
+func (c *checked) byTag(e ast.Expr, seen map[string]*shapes, blocks []string) []string {
+	switch x := e.(type) {
+	case *ast.StructType:
+		u, ok := c.info.Types[x].Type.(*types.Struct)
+		if !ok {
+			return blocks
+		}
+		for _, format := range formats {
+			s := seen[format]
+			if hasTag(u, format) && !s.seen[identity(c.named(x, u))] {
+				blocks = add(blocks, format, s.describe(u))
+			}
+		}
+	case *ast.CompositeLit:
+		m, ok := c.info.Types[x].Type.(*types.Map)
+		if !ok || !types.IsInterface(m.Elem()) || len(x.Elts) == 0 {
+			return blocks
+		}
+		var keys []string
+		for _, elt := range x.Elts {
+			if v := c.info.Types[elt.(*ast.KeyValueExpr).Key].Value; v != nil {
+				keys = append(keys, "  "+constant.StringVal(v))
+			}
+		}
+		blocks = append(blocks, "map\n"+strings.Join(keys, "\n"))
+	}
+	return blocks
+}
+
+// named is the type that a struct is declared as, or the struct.
+func (c *checked) named(x *ast.StructType, u *types.Struct) types.Type {
+	for _, name := range c.types.Scope().Names() {
+		if tn, ok := c.types.Scope().Lookup(name).(*types.TypeName); ok && tn.Type().Underlying() == u {
+			return tn.Type()
+		}
+	}
+	return u
+}
+
+func hasTag(u *types.Struct, format string) bool {
+	for i := range u.NumFields() {
+		name, _, _ := strings.Cut(reflect.StructTag(u.Tag(i)).Get(format), ",")
+		if name != "" && name != "-" {
+			return true
+		}
+	}
+	return false
+}
+
+var variable = regexp.MustCompile(`^"[A-Z][A-Z0-9]*_[A-Z0-9_]+"$`)
+
+// The environment's variables are part of how others start the program.
+func TestEnvironmentIsFrozen(t *testing.T) {
+	t.Parallel()
+	var names []string
+	for _, c := range packages(t) {
+		if c.types.Name() == "schema" { // whose enumerations are written likewise
+			continue
+		}
+		for _, f := range c.files {
+			ast.Inspect(f, func(n ast.Node) bool {
+				switch x := n.(type) {
+				case *ast.BasicLit:
+					if variable.MatchString(x.Value) {
+						names = append(names, x.Value)
+					}
+				case *ast.CallExpr:
+					if fn := c.callee(x); fn != nil && strings.HasPrefix(fn.FullName(), "os.") &&
+						strings.HasSuffix(fn.Name(), "env") && len(x.Args) > 0 {
+						if v := c.info.Types[x.Args[0]].Value; v != nil {
+							names = append(names, v.ExactString())
+						}
+					}
+				}
+				return true
+			})
+		}
+	}
+	slices.Sort(names)
+	golden.Compare(t, "environment.txt", strings.Join(slices.Compact(names), "\n")+"\n")
+}
--- /dev/null
+++ b/internal/frozen/encoded/sinks_test.go
@@ -0,0 +1,124 @@
+package encoded
+
+import (
+	"go/ast"
+	"go/types"
+)
+
+// sink is a parameter whose values are encoded or decoded.
+type sink struct {
+	function string // as types.Func.FullName has it
+	param    int
+}
+
+// known are the functions of libraries that encode and decode, with the format's name.
+var known = map[sink]string{
+	{"encoding/json.Marshal", 0}:                            "json",
+	{"encoding/json.MarshalIndent", 0}:                      "json",
+	{"encoding/json.Unmarshal", 1}:                          "json",
+	{"(*encoding/json.Encoder).Encode", 0}:                  "json",
+	{"(*encoding/json.Decoder).Decode", 0}:                  "json",
+	{"github.com/BurntSushi/toml.Decode", 1}:                "toml",
+	{"github.com/BurntSushi/toml.Unmarshal", 1}:             "toml",
+	{"github.com/BurntSushi/toml.Marshal", 0}:               "toml",
+	{"(*github.com/BurntSushi/toml.Encoder).Encode", 0}:     "toml",
+	{"(*encoding/xml.Encoder).Encode", 0}:                   "xml",
+	{"encoding/xml.Marshal", 0}:                             "xml",
+	{"encoding/xml.MarshalIndent", 0}:                       "xml",
+	{"github.com/parquet-go/parquet-go.NewWriter", 1}:       "parquet",
+	{"(*encoding/gob.Encoder).Encode", 0}:                   "gob",
+	{"(*encoding/gob.Decoder).Decode", 0}:                   "gob",
+	{"github.com/parquet-go/parquet-go.WriteFile", 1}:       "parquet",
+	{"github.com/parquet-go/parquet-go.ReadFile", 1}:        "parquet",
+	{"github.com/parquet-go/parquet-go.NewReader", 1}:       "parquet",
+	{"(*github.com/parquet-go/parquet-go.Writer).Write", 0}: "parquet",
+}
+
+// root is a type that is encoded as a whole.
+type root struct {
+	format string
+	typ    types.Type
+}
+
+// encodedTypes finds the types of the values that reach an encoder or decoder, also through functions of
+// this module that hand on a parameter of theirs.
+func encodedTypes(all []*checked) []root {
+	var roots []root
+	sinks := map[sink]string{}
+	for s, format := range known {
+		sinks[s] = format
+	}
+	for before := 0; before != len(sinks); {
+		before = len(sinks)
+		roots = roots[:0]
+		for _, c := range all {
+			for _, f := range c.files {
+				for _, d := range f.Decls {
+					roots = c.calls(d, sinks, roots)
+				}
+			}
+		}
+	}
+	return roots
+}
+
+// calls looks at the calls within a declaration.
+func (c *checked) calls(d ast.Decl, sinks map[sink]string, roots []root) []root {
+	params := map[types.Object]sink{}
+	if f, ok := d.(*ast.FuncDecl); ok {
+		fn := c.info.Defs[f.Name].(*types.Func)
+		for i := range fn.Signature().Params().Len() {
+			params[fn.Signature().Params().At(i)] = sink{fn.FullName(), i}
+		}
+	}
+	ast.Inspect(d, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		fn := c.callee(call)
+		if fn == nil {
+			return true
+		}
+		for i, arg := range call.Args {
+			format, ok := sinks[sink{fn.FullName(), i}]
+			if !ok {
+				continue
+			}
+			typ := c.info.Types[arg].Type
+			if id, ok := arg.(*ast.Ident); ok && types.IsInterface(typ) {
+				if from, ok := params[c.info.Uses[id]]; ok {
+					sinks[from] = format
+				}
+			}
+			roots = append(roots, root{format, typ})
+		}
+		return true
+	})
+	return roots
+}
+
+// callee is the function that a call names, or nil.
+func (c *checked) callee(call *ast.CallExpr) *types.Func {
+	fun := ast.Unparen(call.Fun)
+	switch x := fun.(type) {
+	case *ast.IndexExpr: // with a type's name
+		fun = x.X
+	case *ast.IndexListExpr:
+		fun = x.X
+	}
+	var id *ast.Ident
+	switch x := fun.(type) {
+	case *ast.Ident:
+		id = x
+	case *ast.SelectorExpr:
+		id = x.Sel
+	default:
+		return nil
+	}
+	fn, _ := c.info.Uses[id].(*types.Func)
+	if fn != nil {
+		fn = fn.Origin()
+	}
+	return fn
+}
