--- /dev/null
+++ b/cmd/moorstack/frozen_answers_test.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os/exec"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"moorstack/internal/frozen/golden"
+	"moorstack/internal/schema"
+)
+
+// Operators' scripts speak to the second address: each call's line and all of its answer stay, and so do the
+// names of the figures and what the command makes of them.
+func TestCallsAreFrozen(t *testing.T) {
+	o := newOperated(t, 2, done)
+	o.dial().send(job("a", "quote", "4000m", "x")).want(200, "did x")
+	var b strings.Builder
+	for _, line := range []string{"status", "stats", " stats\t", "maint-on s-0000", "stats",
+		"maint-on s-0000", "maint-off s-0000", "maint-off s-0000", "maint-on s-none", "maint-off s-none",
+		"standby", "status", "standby", "active", "active", "status",
+		"", "maint-on", "maint-on a b", "standby now", "STATUS",
+		"stat\x00us", strings.Repeat("x", 513)} {
+		answer := call(t, o.admin, line+"\n")
+		fmt.Fprintf(&b, "%q\n  %q\n", line, answer)
+	}
+	for _, args := range []string{"status", "stats", "stats --output json", "maint-on s-none"} {
+		cmd := exec.Command(program, append([]string{"call", o.admin}, strings.Fields(args)...)...)
+		out, _ := cmd.CombinedOutput()
+		fmt.Fprintf(&b, "moorstack call ADDRESS %s\nexit code %d\n%s", args, cmd.ProcessState.ExitCode(), out)
+	}
+	golden.Compare(t, "calls.txt", b.String())
+}
+
+var (
+	figures = regexp.MustCompile(`[0-9a-f]{8,}|[0-9.]+(µs|ms|s\b|m\b)?`)
+	blanks  = regexp.MustCompile(` +`)
+)
+
+// unfigured is a text without what differs from run to run: figures, their units and the columns' widths.
+func unfigured(text string) string {
+	return blanks.ReplaceAllString(figures.ReplaceAllString(text, "#"), " ")
+}
+
+// What an instance that is a group by itself answers in tables, and the names of its counters, with figures
+// left out.
+func TestAnswersOfCommandsAreFrozen(t *testing.T) {
+	t.Parallel()
+	g := newGroup(t)
+	g.form("n1")
+	g.admits("n1")
+	g.sections("n1", `[section.duties]
+drill = "1"
+[section.schedule]
+"trigger.yearly" = "0 0 29 2 * zone=UTC class=trip-quote"
+`)
+	g.held("drill-1", 0, "n1")
+	eventually(t, "the triggers' owner knows the fleet's time", func() bool {
+		out := g.must("cluster", "status", "--config", "n1.toml")
+		return strings.Contains(unfigured(out), "fleet's time #")
+	})
+	var b strings.Builder
+	for _, c := range []string{"cluster status", "duty list", "duty show drill-1", "duty history drill-1",
+		"config history", "cluster roll show"} {
+		out, code := g.run(append(strings.Fields(c), "--config", "n1.toml")...)
+		fmt.Fprintf(&b, "moorstack %s\nexit code %d\n%s", c, code, unfigured(out))
+	}
+	var s schema.StatusReply
+	out := g.must("cluster", "status", "--output", "json", "--config", "n1.toml")
+	check(t, json.Unmarshal([]byte(out), &s))
+	fmt.Fprintf(&b, "counters %q\n", slices.Sorted(maps.Keys(s.Counters)))
+	golden.Compare(t, "answers.txt", b.String())
+}
