--- a/brain/admission.go
+++ b/balancer/admission.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Decisions: whether a request is worth its wait, or is refused.
 
--- a/brain/answers.go
+++ b/balancer/answers.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Decisions: final answers that no worker gives.
 
--- a/brain/api.go
+++ b/balancer/api.go
@@ -1,4 +1,4 @@
-// Package brain decides, for one dispatcher, which worker gets which job.
+// Package balancer decides, for one dispatcher, which worker gets which job.
 //
 // A [Balancer] is told what happens (a request arrives, an attempt ends, the
 // list of workers changes, a timer comes due) and answers by calling the
@@ -15,7 +15,7 @@
 //
 // What the host may rely on: one final answer for each Request (an Outcome with
 // Settled set, Refuse or Fail), no later than its deadline and the answer slack.
-package brain
+package balancer
 
 import "time"
 
--- a/brain/attempts.go
+++ b/balancer/attempts.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Decisions: which attempts the rules allow, and second copies.
 
--- a/brain/brain.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // The decisions. The interface (settings, events, actions) is in api.go.
 //
--- a/brain/draw.go
+++ b/balancer/draw.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Decisions: which worker a request goes to: the draw of d(N) and the load that it compares.
 
--- a/brain/events.go
+++ b/balancer/events.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // The events that the module takes, and what each changes.
 
--- a/brain/explain.go
+++ b/balancer/explain.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // What the module says of itself: its log line, and why a worker would be drawn or not.
 
--- a/brain/learn.go
+++ b/balancer/learn.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Decisions: what ends of attempts and load reports tell of workers.
 
--- a/brain/list.go
+++ b/balancer/list.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Decisions: how the list of workers is asked for, and who waits for it.
 
--- a/brain/memory.go
+++ b/balancer/memory.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // What one process of a dispatcher can tell the one that takes its place.
 
--- a/brain/probes.go
+++ b/balancer/probes.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Decisions: which workers are asked for their loads, and who waits for the answers.
 
--- a/brain/requests.go
+++ b/balancer/requests.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Requests and their attempts, from admission to the last end.
 
--- a/brain/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Decisions: how much a worker that has just started is given.
 
--- a/brain/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"math"
--- a/brain/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // What the module remembers. No decisions: those are in files of their own, which deploy/balancer.toml
 // lists.
--- a/cmd/moorlab/demo.go
+++ b/cmd/moorstack-lab/demo.go
@@ -16,9 +16,9 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/emulate"
-	"moorstack/internal/load"
-	"moorstack/internal/stage"
+	"moorstack/internal/verify/emulate"
+	"moorstack/internal/verify/emulate/loopback"
+	"moorstack/internal/verify/load"
 )
 
 // demoSettings are the deployment that the demo's node is told of.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := stage.Start(stage.Options{Node: address, Workers: 10, Zone: "ruwi", Kind: "any", Seed: 1,
+	s, err := loopback.Start(loopback.Options{Node: address, Workers: 10, Zone: "ruwi", Kind: "any", Seed: 1,
 		Spec: emulate.WorkerSpec{
 			Cores:     4,
 			Slots:     4,
--- a/cmd/moorlab/main.go
+++ b/cmd/moorstack-lab/main.go
@@ -18,7 +18,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/experiment"
+	"moorstack/internal/verify/experiment"
 )
 
 // version is the program's; a release sets it at link time.
--- a/cmd/moorlab/paper.go
+++ b/cmd/moorstack-lab/paper.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/emulate"
-	"moorstack/internal/experiment"
+	"moorstack/internal/verify/emulate"
+	"moorstack/internal/verify/experiment"
 )
 
 // paperRow is a point of the paper's claim.
--- a/cmd/moorstack/cluster.go
+++ b/cmd/moorstack/cluster.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/control"
+	"moorstack/internal/operate/controlapi"
 	"moorstack/internal/schema"
 )
 
@@ -270,7 +270,7 @@
 				if err != nil {
 					return err
 				}
-				if _, err := control.ReadBackup(b); err != nil {
+				if _, err := controlapi.ReadBackup(b); err != nil {
 					return exitError{exitInvalid, fmt.Errorf("%s: %w", from, err)}
 				}
 				in.Backup = b
@@ -352,7 +352,7 @@
 			if err != nil {
 				return err
 			}
-			b, err := control.ReadBackup(raw)
+			b, err := controlapi.ReadBackup(raw)
 			if err != nil {
 				return exitError{exitInvalid, fmt.Errorf("%s: %w", args[0], err)}
 			}
--- a/cmd/moorstack/config.go
+++ b/cmd/moorstack/config.go
@@ -16,19 +16,19 @@
 	"github.com/BurntSushi/toml"
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/control"
-	"moorstack/internal/expect"
+	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/node"
+	"moorstack/internal/operate/controlapi"
 	"moorstack/internal/schema"
 	"moorstack/internal/tomlfile"
+	"moorstack/internal/verify/expect"
 )
 
 // configFile is the configuration as people write it: the document and the revision that
 // it was made from.
 type configFile struct {
 	Revision uint64 `toml:"revision" json:"revision"`
-	agreement.Document
+	clusterstate.Document
 }
 
 func newConfig(g *global) *cobra.Command {
@@ -61,7 +61,7 @@
 }
 
 func fileOf(rev *schema.Revision) (*configFile, error) {
-	d, err := agreement.Decode(rev.Document)
+	d, err := clusterstate.Decode(rev.Document)
 	if err != nil {
 		return nil, err
 	}
@@ -183,7 +183,7 @@
 				if _, err := strconv.ParseUint(args[0], 10, 64); err != nil {
 					from, to = to, from // what the file would change
 				}
-				lines := agreement.Differences(&from.Document, &to.Document)
+				lines := clusterstate.Differences(&from.Document, &to.Document)
 				t := table{}
 				for _, l := range lines {
 					t.add(l)
@@ -319,7 +319,7 @@
 	c schema.ControlClient,
 	f *proposeFlags,
 	base uint64,
-	doc *agreement.Document,
+	doc *clusterstate.Document,
 	located func(string) string,
 ) error {
 	if err := expected(cmd, f.expect, doc); err != nil {
@@ -328,7 +328,7 @@
 	id := f.id
 	if id == "" {
 		var err error
-		if id, err = control.ChangeID(); err != nil {
+		if id, err = controlapi.ChangeID(); err != nil {
 			return err
 		}
 	}
@@ -433,7 +433,7 @@
 }
 
 // expected checks expectations under a document that has not been proposed yet.
-func expected(cmd *cobra.Command, files []string, doc *agreement.Document) error {
+func expected(cmd *cobra.Command, files []string, doc *clusterstate.Document) error {
 	failed := 0
 	for _, path := range files {
 		raw, err := os.ReadFile(path)
--- a/cmd/moorstack/config_change.go
+++ b/cmd/moorstack/config_change.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/agreement"
+	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/schema"
 )
 
@@ -176,7 +176,7 @@
 						note(rev.Note),
 					)
 					if before != nil {
-						for _, l := range agreement.Differences(&before.Document, &f.Document) {
+						for _, l := range clusterstate.Differences(&before.Document, &f.Document) {
 							fmt.Fprintln(cmd.OutOrStdout(), "  "+l)
 						}
 					}
--- a/cmd/moorstack/emulate.go
+++ b/cmd/moorstack/emulate.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/emulate"
+	"moorstack/internal/verify/emulate"
 )
 
 func newEmulate(g *global) *cobra.Command {
--- a/cmd/moorstack/expect.go
+++ b/cmd/moorstack/expect.go
@@ -14,10 +14,10 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/expect"
-	"moorstack/internal/platform"
-	"moorstack/internal/routing"
+	"moorstack/internal/frontend/platform"
+	"moorstack/internal/proxy/routing"
 	"moorstack/internal/schema"
+	"moorstack/internal/verify/expect"
 )
 
 type expectFlags struct {
--- a/cmd/moorstack/keys.go
+++ b/cmd/moorstack/keys.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/keys"
+	"moorstack/internal/operate/keys"
 )
 
 const day = 24 * time.Hour
--- a/cmd/moorstack/lab.go
+++ b/cmd/moorstack/lab.go
@@ -21,7 +21,7 @@
 			if err != nil {
 				return exitError{exitFailed, err}
 			}
-			lab := filepath.Join(filepath.Dir(self), "moorlab")
+			lab := filepath.Join(filepath.Dir(self), "moorstack-lab")
 			err = syscall.Exec(lab, append([]string{lab, name}, args...), os.Environ())
 			return exitError{
 				exitFailed,
--- a/cmd/moorstack/main.go
+++ b/cmd/moorstack/main.go
@@ -1,5 +1,5 @@
 // Moorstack is a broker's node: it takes jobs from clients and hands them to
-// workers. What goes where is package brain's to decide.
+// workers. What goes where is package balancer's to decide.
 //
 // Without arguments it is the platform's node. The other commands are for our own
 // installations; `moorstack help` lists them.
--- a/cmd/moorstack/prove.go
+++ b/cmd/moorstack/prove.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/prove"
+	"moorstack/internal/verify/simulation"
 )
 
 func newProve(g *global) *cobra.Command {
@@ -96,20 +96,20 @@
 
 // totals sums the stories of one size.
 type totals struct {
-	Instances  int            `json:"instances"`
-	Stories    int            `json:"stories"`
-	Events     int            `json:"events"`
-	Ticks      int64          `json:"ticks"`
-	Accepted   int            `json:"accepted"`
-	Refused    int            `json:"refused"`
-	Unknown    int            `json:"unknown"`
-	Reads      int            `json:"reads"`
-	Admitted   int            `json:"admitted"` // jobs
-	Acts       int            `json:"acts"`     // of holders of duties
-	Handed     int            `json:"hand_overs"`
-	Faults     map[string]int `json:"faults"`
-	Broken     []prove.Result `json:"broken,omitempty"`
-	WallSecond float64        `json:"wall_s"`
+	Instances  int                 `json:"instances"`
+	Stories    int                 `json:"stories"`
+	Events     int                 `json:"events"`
+	Ticks      int64               `json:"ticks"`
+	Accepted   int                 `json:"accepted"`
+	Refused    int                 `json:"refused"`
+	Unknown    int                 `json:"unknown"`
+	Reads      int                 `json:"reads"`
+	Admitted   int                 `json:"admitted"` // jobs
+	Acts       int                 `json:"acts"`     // of holders of duties
+	Handed     int                 `json:"hand_overs"`
+	Faults     map[string]int      `json:"faults"`
+	Broken     []simulation.Result `json:"broken,omitempty"`
+	WallSecond float64             `json:"wall_s"`
 }
 
 func proveStories(cmd *cobra.Command, g *global, f *proveFlags) error {
@@ -130,14 +130,14 @@
 		}
 		t := &totals{Instances: n, Faults: map[string]int{}}
 		began := time.Now()
-		options := func(seed uint64) prove.Options {
-			o := prove.Options{Instances: n, Seed: seed, Broken: f.broken}
+		options := func(seed uint64) simulation.Options {
+			o := simulation.Options{Instances: n, Seed: seed, Broken: f.broken}
 			if f.trace {
 				o.Trace = out
 			}
 			return o
 		}
-		prove.Many(first, count, runtime.NumCPU(), options, func(r prove.Result) {
+		simulation.Many(first, count, runtime.NumCPU(), options, func(r simulation.Result) {
 			t.add(r)
 			if terminal(os.Stderr) {
 				fmt.Fprintf(
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func (t *totals) add(r prove.Result) {
+func (t *totals) add(r simulation.Result) {
 	t.Stories++
 	t.Events += r.Events
 	t.Ticks += r.Ticks
--- a/cmd/moorstack/prove_cluster.go
+++ b/cmd/moorstack/prove_cluster.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/rig"
+	"moorstack/internal/verify/faultinjection"
 )
 
 type clusterFlags struct {
@@ -50,10 +50,10 @@
 
 The faults:
 
-` + rig.Faults() + `
+` + faultinjection.Faults() + `
 A fault may wait for a step of a change, of anybody or of the one named as in @staged:n2:
 
-` + rig.Steps() + `
+` + faultinjection.Steps() + `
 An instance is named n1, n2, ... or "leader", who leads when the fault comes; "it", whose step it
 was; "asked", whom the client has asked for the change. A story that breaks
 something is written to a file, with --shrink with the fewest lines that still do.
@@ -117,7 +117,7 @@
 		return fmt.Errorf("--triggers: %d is not from 0 to 1000", f.triggers)
 	case f.speed < 1 || f.speed > 600:
 		return fmt.Errorf("--speed: %v is not from 1 to 600", f.speed)
-	case f.oldRules != "" && !slices.Contains(rig.Names(f.processes), f.oldRules):
+	case f.oldRules != "" && !slices.Contains(faultinjection.Names(f.processes), f.oldRules):
 		return fmt.Errorf("--old-rules: there is no instance %q", f.oldRules)
 	case f.rolls < 0 || f.rolls >= f.processes:
 		return fmt.Errorf("--rolls: %d is not from 0 to %d, one less than --processes", f.rolls,
@@ -136,21 +136,21 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	names := rig.Names(f.processes)
-	var story []rig.Fault
+	names := faultinjection.Names(f.processes)
+	var story []faultinjection.Fault
 	switch {
 	case f.story != "":
 		raw, err := os.ReadFile(f.story)
 		if err != nil {
 			return err
 		}
-		if story, err = rig.ReadStory(f.story, raw, names); err != nil {
+		if story, err = faultinjection.ReadStory(f.story, raw, names); err != nil {
 			return err
 		}
 	case f.kills:
-		story = rig.Kills(f.seed, f.length)
+		story = faultinjection.Kills(f.seed, f.length)
 	case !f.quiet:
-		story = rig.Draw(f.seed, names, f.length)
+		story = faultinjection.Draw(f.seed, names, f.length)
 	}
 	dir := f.keep
 	if dir == "" {
@@ -167,7 +167,7 @@
 		return exitError{exitFailed, err}
 	}
 	if len(r.Violations) > 0 && f.shrink {
-		story = rig.Shrink(story, func(s []rig.Fault) bool {
+		story = faultinjection.Shrink(story, func(s []faultinjection.Fault) bool {
 			again, err := f.play(cmd, dir, s)
 			if err == nil && len(again.Violations) > 0 {
 				r = again
@@ -186,7 +186,7 @@
 		return exitError{exitFailed, err}
 	}
 	path := filepath.Join("found", fmt.Sprintf("story-%d-%d.txt", f.processes, f.seed))
-	if err := os.WriteFile(path, rig.WriteStory(story), 0o600); err != nil {
+	if err := os.WriteFile(path, faultinjection.WriteStory(story), 0o600); err != nil {
 		return exitError{exitFailed, err}
 	}
 	return exitError{exitFailed, fmt.Errorf("%d violations; the story is in %s: play it again with --story",
@@ -194,7 +194,7 @@
 }
 
 // play plays a story in a directory of its own.
-func (f *clusterFlags) play(cmd *cobra.Command, dir string, story []rig.Fault) (*rig.Result, error) {
+func (f *clusterFlags) play(cmd *cobra.Command, dir string, story []faultinjection.Fault) (*faultinjection.Result, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -207,9 +207,9 @@
 	if err != nil {
 		return nil, err
 	}
-	o := rig.Play{Story: story, For: f.length, Changes: f.changes, Options: rig.Options{Program: self,
+	o := faultinjection.Play{Story: story, For: f.length, Changes: f.changes, Options: faultinjection.Options{Program: self,
 		Dir:       at,
-		Instances: f.processes, Voters: f.voters, Tick: f.tick, Platform: rig.SamplePlatform(), Rate: f.rate,
+		Instances: f.processes, Voters: f.voters, Tick: f.tick, Platform: faultinjection.SamplePlatform(), Rate: f.rate,
 		Seed: f.seed, Drills: f.drills, Rolls: f.rolls, Wishes: f.story == "", Accounts: f.accounts,
 		Names:    f.names,
 		Triggers: f.triggers, Speed: f.speed,
@@ -222,7 +222,7 @@
 	if f.trace {
 		o.Trace = cmd.ErrOrStderr()
 	} else if terminal(os.Stderr) {
-		o.Progress = func(at time.Duration, r *rig.Result) {
+		o.Progress = func(at time.Duration, r *faultinjection.Result) {
 			fmt.Fprintf(os.Stderr, "\r%3.0f of %.0f s: %d faults, %d changes in force, %d withdrawn ",
 				at.Seconds(),
 				f.length.Seconds(), r.Faults, r.InForce, r.Withdrawn)
@@ -231,10 +231,10 @@
 	}
 	ctx, stop := context.WithTimeout(cmd.Context(), 2*f.length+5*time.Minute)
 	defer stop()
-	return rig.Run(ctx, o)
+	return faultinjection.Run(ctx, o)
 }
 
-func clusterTable(r *rig.Result) table {
+func clusterTable(r *faultinjection.Result) table {
 	t := table{head: []string{"", "P50", "P99", "MAX", "OF"}}
 	line := func(what string, v []time.Duration) {
 		q := func(q float64) string { return quantile(v, q).Round(10 * time.Microsecond).String() }
--- a/cmd/moorstack/remote.go
+++ b/cmd/moorstack/remote.go
@@ -12,15 +12,15 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"moorstack/internal/consensus"
-	"moorstack/internal/control"
+	"moorstack/internal/cluster/consensus"
 	"moorstack/internal/node"
+	"moorstack/internal/operate/controlapi"
 	"moorstack/internal/schema"
 )
 
 // remote is where the control service is that a command calls.
 type remote struct {
-	target control.Target
+	target controlapi.Target
 	config string
 }
 
@@ -48,7 +48,7 @@
 
 // call makes a client and has f use it, within the time that a command may take.
 func (r *remote) call(ctx context.Context, f func(context.Context, schema.ControlClient) error) error {
-	ctx, stop := control.Patience(ctx)
+	ctx, stop := controlapi.Patience(ctx)
 	defer stop()
 	return r.stream(ctx, f)
 }
@@ -79,7 +79,7 @@
 			return exitError{exitFailed, fmt.Errorf("no instance listens at %s: %w", t.Socket, err)}
 		}
 	}
-	c, end, err := control.Dial(t)
+	c, end, err := controlapi.Dial(t)
 	if err != nil {
 		return err
 	}
--- a/cmd/moorstack/roll.go
+++ b/cmd/moorstack/roll.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/conduct"
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/rollingrestart"
 	"moorstack/internal/schema"
 )
 
@@ -41,7 +41,7 @@
 	wish := func(kind schema.Operation_Kind, use, short, long string) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
-				op := &schema.Operation{Kind: kind, Name: duty.Roll, Out: uint32(max(out, 0)),
+				op := &schema.Operation{Kind: kind, Name: leasedtask.Roll, Out: uint32(max(out, 0)),
 					WithinNs: int64(within), Alone: op.Alone, Only: op.Only}
 				return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
 					done, err := c.Operate(ctx, op)
@@ -76,11 +76,11 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
-				all, d, err := duties(ctx, c, duty.Roll)
+				all, d, err := duties(ctx, c, leasedtask.Roll)
 				if err != nil {
 					return err
 				}
-				p, err := conduct.Read(d.Note)
+				p, err := rollingrestart.Read(d.Note)
 				if err != nil {
 					return exitError{exitFailed, err}
 				}
--- a/cmd/moorstack/root.go
+++ b/cmd/moorstack/root.go
@@ -9,9 +9,9 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/faktory"
+	"moorstack/internal/frontend/faktory"
+	"moorstack/internal/frontend/platform"
 	"moorstack/internal/node"
-	"moorstack/internal/platform"
 )
 
 // global are the flags of every command.
--- a/cmd/moorstack/store.go
+++ b/cmd/moorstack/store.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/store"
+	"moorstack/internal/storage/store"
 )
 
 func newStore(g *global) *cobra.Command {
--- a/cmd/drill/decode.go
+++ b/cmd/simadapter/decode.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-faster/jx"
 
-	"moorstack/brain"
-	"moorstack/internal/settings"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/settings"
 )
 
 // field is a bit for each event field that some event requires.
@@ -97,7 +97,7 @@
 	slot    int
 	form    int
 	by      int
-	rows    []brain.Worker
+	rows    []balancer.Worker
 	values  []value // of the load report
 }
 
@@ -108,8 +108,8 @@
 }
 
 // load gives the event's load report; the settings say what its free values hold.
-func (ev *event) load(names settings.ReportNames) brain.Report {
-	r := brain.NoReport
+func (ev *event) load(names settings.ReportNames) balancer.Report {
+	r := balancer.NoReport
 	for _, v := range ev.values {
 		names.Set(&r, v.name, v.v)
 	}
@@ -311,14 +311,14 @@
 	return it.Err()
 }
 
-func (d *decoder) entries() ([]brain.Worker, error) {
+func (d *decoder) entries() ([]balancer.Worker, error) {
 	it, err := d.jx.ArrIter()
 	if err != nil {
 		return nil, err
 	}
-	rows := []brain.Worker{}
+	rows := []balancer.Worker{}
 	for it.Next() {
-		w := brain.Worker{Size: 1}
+		w := balancer.Worker{Size: 1}
 		seen, err := d.entry(&w)
 		if err != nil {
 			return nil, fmt.Errorf("entry %d: %w", len(rows), err)
@@ -331,7 +331,7 @@
 	return rows, it.Err()
 }
 
-func (d *decoder) entry(w *brain.Worker) (seen bool, err error) {
+func (d *decoder) entry(w *balancer.Worker) (seen bool, err error) {
 	j := &d.jx
 	it, err := j.ObjIter()
 	if err != nil {
@@ -350,7 +350,7 @@
 			id = true
 			var u uint32
 			u, err = j.UInt32()
-			w.ID = brain.WorkerID(u)
+			w.ID = balancer.WorkerID(u)
 		case "rack_zone":
 			w.Zone, err = j.Int()
 		case "sku":
@@ -378,15 +378,15 @@
 	return id && health, it.Err()
 }
 
-func stateOf(health int) brain.State {
+func stateOf(health int) balancer.State {
 	switch health {
 	case 2:
-		return brain.Ready
+		return balancer.Ready
 	case 3:
-		return brain.Draining
+		return balancer.Draining
 	}
-	return brain.Removed
+	return balancer.Removed
 }
 
-var results = map[int]brain.Result{10: brain.OK, 20: brain.Error, 30: brain.Full, 40: brain.TimedOut,
-	50: brain.ConnectFailed, 60: brain.Reset, 70: brain.Cancelled, 80: brain.Moot}
+var results = map[int]balancer.Result{10: balancer.OK, 20: balancer.Error, 30: balancer.Full, 40: balancer.TimedOut,
+	50: balancer.ConnectFailed, 60: balancer.Reset, 70: balancer.Cancelled, 80: balancer.Moot}
--- a/internal/agreement/document.go
+++ b/internal/cluster/clusterstate/document.go
@@ -5,7 +5,7 @@
 // It is a state machine without I/O, clock or randomness: the same changes in the same
 // order give the same state, byte for byte, at every instance. Package consensus brings
 // the changes in that order.
-package agreement
+package clusterstate
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"fmt"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // Format is the newest form of the agreed state and its log that this program reads. An
@@ -108,9 +108,9 @@
 	return d, nil
 }
 
-var effects = map[string]brain.Effect{"retryable": brain.Safe, "dedup": brain.Keyed, "fragile": brain.Unsafe}
-var scopes = map[string]brain.Scope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone,
-	"cell": brain.ScopeCell}
+var effects = map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
+var scopes = map[string]balancer.Scope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone,
+	"cell": balancer.ScopeCell}
 
 func wordFor[V comparable](words map[string]V, v V) string {
 	for word, has := range words {
@@ -122,7 +122,7 @@
 }
 
 // FromSettings is the document that says what the settings say: a new group's first one.
-func FromSettings(s brain.Settings) *Document {
+func FromSettings(s balancer.Settings) *Document {
 	d := &Document{}
 	for _, c := range s.Classes {
 		k := Class{
@@ -135,7 +135,7 @@
 			LateShare: c.LateShare,
 			Attempts:  c.Attempts,
 		}
-		if c.Effect == brain.Keyed {
+		if c.Effect == balancer.Keyed {
 			k.KeyScope, k.Window = wordFor(scopes, c.Scope), Duration(c.Window)
 		}
 		d.Classes = append(d.Classes, k)
@@ -148,7 +148,7 @@
 
 // Onto puts the document's word over an instance's own settings. The classes and tenants
 // must be the same ones, in any order.
-func (d *Document) Onto(s brain.Settings) (brain.Settings, error) {
+func (d *Document) Onto(s balancer.Settings) (balancer.Settings, error) {
 	if len(d.Classes) != len(s.Classes) || len(d.Tenants) != len(s.Tenants) {
 		return s, fmt.Errorf(
 			"the document has %d classes and %d tenants, this instance's own settings %d and %d",
@@ -158,8 +158,8 @@
 			len(s.Tenants),
 		)
 	}
-	s.Classes = append([]brain.Class(nil), s.Classes...)
-	s.Tenants = append([]brain.Tenant(nil), s.Tenants...)
+	s.Classes = append([]balancer.Class(nil), s.Classes...)
+	s.Tenants = append([]balancer.Tenant(nil), s.Tenants...)
 	at := map[string]int{}
 	for i, c := range s.Classes {
 		at[c.Name] = i
@@ -170,7 +170,7 @@
 			return s, fmt.Errorf("this instance's own settings have no class %q", k.Name)
 		}
 		c := &s.Classes[i]
-		if c.Effect != effects[k.Effect] || c.Effect == brain.Keyed &&
+		if c.Effect != effects[k.Effect] || c.Effect == balancer.Keyed &&
 			(c.Scope != scopes[k.KeyScope] || c.Window != time.Duration(k.Window)) {
 			return s, fmt.Errorf(
 				"class %q: this instance's own settings say otherwise what may run again",
--- a/internal/agreement/image.go
+++ b/internal/cluster/clusterstate/image.go
@@ -1,11 +1,11 @@
-package agreement
+package clusterstate
 
 import (
 	"bytes"
 	"encoding/json"
 	"fmt"
 
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/rollout"
 )
 
 // image is a State as it is written, without the subjects' fields, which follow it.
--- a/internal/agreement/state.go
+++ b/internal/cluster/clusterstate/state.go
@@ -1,4 +1,4 @@
-package agreement
+package clusterstate
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/placement"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/rollout"
 )
 
 // What a State remembers at the most.
--- a/internal/agreement/subjects.go
+++ b/internal/cluster/clusterstate/subjects.go
@@ -1,52 +1,52 @@
-package agreement
+package clusterstate
 
 import (
 	"time"
 
-	"moorstack/internal/duty"
-	"moorstack/internal/membership"
-	"moorstack/internal/placement"
-	"moorstack/internal/ratelimit"
-	"moorstack/internal/rollout"
-	"moorstack/internal/schedule"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/membership"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/ratelimit"
+	"moorstack/internal/cluster/replicated"
+	"moorstack/internal/cluster/rollout"
+	"moorstack/internal/cluster/schedule"
+	"moorstack/internal/cluster/weights"
 	"moorstack/internal/schema"
-	"moorstack/internal/subject"
-	"moorstack/internal/weights"
 )
 
 // Subjects are what a group agrees on beside the document's classes and tenants, in the order in which
 // they stand in a state's image. A new one is a package and a line here.
-func Subjects() []subject.Subject {
-	return []subject.Subject{
-		subject.Words{Name: rollout.Section, From: 2, Rule: checkRollout},
-		duty.Subject{},
+func Subjects() []replicated.Subject {
+	return []replicated.Subject{
+		replicated.Words{Name: rollout.Section, From: 2, Rule: checkRollout},
+		leasedtask.Subject{},
 		schedule.Subject{},
 		weights.Subject{},
-		subject.Words{Name: ratelimit.Section, From: 4, Rule: ratelimit.Check},
-		subject.Words{Name: placement.Section, From: 5, Rule: checkWorkers},
-		subject.Words{Name: membership.Section, From: 7, Rule: membership.Check},
+		replicated.Words{Name: ratelimit.Section, From: 4, Rule: ratelimit.Check},
+		replicated.Words{Name: placement.Section, From: 5, Rule: checkWorkers},
+		replicated.Words{Name: membership.Section, From: 7, Rule: membership.Check},
 	}
 }
 
-func checkRollout(t subject.Terms) []string {
+func checkRollout(t replicated.Terms) []string {
 	_, wrong := rollout.ReadPolicy(t.Values)
 	return wrong
 }
 
-func checkWorkers(t subject.Terms) []string {
+func checkWorkers(t replicated.Terms) []string {
 	_, wrong := placement.ReadPolicy(t.Values)
 	return wrong
 }
 
 // All gives the subjects.
-func (r Rules) All() []subject.Subject {
+func (r Rules) All() []replicated.Subject {
 	if r.Subjects != nil {
 		return r.Subjects
 	}
 	return Subjects()
 }
 
-func (r Rules) subject(section string) subject.Subject {
+func (r Rules) subject(section string) replicated.Subject {
 	for _, x := range r.All() {
 		if x.Section() == section {
 			return x
@@ -82,8 +82,8 @@
 
 // statePart is a subject's part of the agreed state.
 type statePart struct {
-	subject.Subject
-	state subject.State
+	replicated.Subject
+	state replicated.State
 }
 
 func (r Rules) parts(after uint64) []statePart {
@@ -96,13 +96,13 @@
 	return list
 }
 
-func (r Rules) termsOf(d *Document, section string) subject.Terms {
-	t := subject.Terms{Values: d.Sections[section], Format: r.format}
+func (r Rules) termsOf(d *Document, section string) replicated.Terms {
+	t := replicated.Terms{Values: d.Sections[section], Format: r.format}
 	if t.Format == 0 {
 		t.Format = Format
 	}
 	for _, c := range d.Classes {
-		t.Classes = append(t.Classes, subject.Class{Name: c.Name, Effect: c.Effect, KeyScope: c.KeyScope,
+		t.Classes = append(t.Classes, replicated.Class{Name: c.Name, Effect: c.Effect, KeyScope: c.KeyScope,
 			GiveUp: time.Duration(c.GiveUp), Window: time.Duration(c.Window)})
 	}
 	for _, x := range d.Tenants {
@@ -112,7 +112,7 @@
 }
 
 // Part is a subject's part of the state, or nil. It must not be changed.
-func (s *State) Part(section string) subject.State {
+func (s *State) Part(section string) replicated.State {
 	for _, p := range s.parts {
 		if p.Section() == section {
 			return p.state
@@ -122,17 +122,17 @@
 }
 
 // Read takes a subject's word out of an entry, if it has one.
-func (s *State) Read(e *schema.Change) (subject.Word, bool) {
+func (s *State) Read(e *schema.Change) (replicated.Word, bool) {
 	for _, p := range s.parts {
 		if w, ok := p.state.Read(e); ok {
 			return w, true
 		}
 	}
-	return subject.Word{}, false
+	return replicated.Word{}, false
 }
 
 // Say applies a subject's word that is in the log.
-func (s *State) Say(w subject.Word) Outcome {
+func (s *State) Say(w replicated.Word) Outcome {
 	o := Outcome{Code: Accepted, Revision: s.Newest().Revision}
 	if known, ok := s.ids[w.ID]; ok && w.ID != "" {
 		return known
@@ -168,7 +168,9 @@
 }
 
 // Duties is who holds what. It must not be changed.
-func (s *State) Duties() *duty.State { return s.Part(duty.Section).(*duty.Agreed).State }
+func (s *State) Duties() *leasedtask.State {
+	return s.Part(leasedtask.Section).(*leasedtask.Agreed).State
+}
 
 // Schedule is which triggers have come how far. It must not be changed.
 func (s *State) Schedule() *schedule.State { return s.Part(schedule.Section).(*schedule.Agreed).State }
--- a/internal/agreement/validate.go
+++ b/internal/cluster/clusterstate/validate.go
@@ -1,4 +1,4 @@
-package agreement
+package clusterstate
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"moorstack/internal/subject"
+	"moorstack/internal/cluster/replicated"
 )
 
 // SectionRule checks a section that the program knows. It must be a pure function.
@@ -18,8 +18,8 @@
 type Rules struct {
 	// Sections are those with rules that no subject has. One that isn't named may hold anything.
 	Sections map[string]SectionRule
-	Subjects []subject.Subject // what is agreed on beside the document; nil: Subjects()
-	format   int               // of the group that judges; 0: what this program knows
+	Subjects []replicated.Subject // what is agreed on beside the document; nil: Subjects()
+	format   int                  // of the group that judges; 0: what this program knows
 }
 
 // longest is the longest time that a document may name.
--- a/internal/consensus/ask.go
+++ b/internal/cluster/consensus/ask.go
@@ -5,7 +5,7 @@
 	"maps"
 	"strings"
 
-	"moorstack/internal/agreement"
+	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/schema"
 )
 
@@ -51,17 +51,17 @@
 
 // Propose asks for a change, and waits until it is in force or is not to be; with noWait until
 // it begins to take hold.
-func (r *Runner) Propose(ctx context.Context, c agreement.Change, noWait bool) (agreement.Outcome, error) {
+func (r *Runner) Propose(ctx context.Context, c clusterstate.Change, noWait bool) (clusterstate.Outcome, error) {
 	a, err := r.ask(ctx, func() Ticket { return r.inst.Propose(c, noWait) })
 	if err != nil {
-		return agreement.Outcome{}, err
+		return clusterstate.Outcome{}, err
 	}
 	return a.Outcome, a.Err
 }
 
 // Check says what would become of a change now, as far as this instance knows.
-func (r *Runner) Check(ctx context.Context, c agreement.Change) (o agreement.Outcome, err error) {
-	err = r.View(ctx, func(s *agreement.State) { o = s.Check(c) })
+func (r *Runner) Check(ctx context.Context, c clusterstate.Change) (o clusterstate.Outcome, err error) {
+	err = r.View(ctx, func(s *clusterstate.State) { o = s.Check(c) })
 	return o, err
 }
 
@@ -75,7 +75,7 @@
 }
 
 // View calls f with the agreed state as far as this instance has it.
-func (r *Runner) View(ctx context.Context, f func(*agreement.State)) error {
+func (r *Runner) View(ctx context.Context, f func(*clusterstate.State)) error {
 	err := ErrNoGroup
 	if bad := r.do(ctx, func() {
 		if s := r.inst.State(); s != nil {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	if a.Err == nil && a.Outcome.Code != agreement.Accepted {
+	if a.Err == nil && a.Outcome.Code != clusterstate.Accepted {
 		return &RefusedError{Reason: strings.Join(a.Outcome.Problems, "; ")}
 	}
 	return a.Err
@@ -104,7 +104,7 @@
 func (r *Runner) Bootstrap(
 	ctx context.Context,
 	cluster, address string,
-	first *agreement.Document,
+	first *clusterstate.Document,
 	after uint64,
 ) error {
 	var err error
--- a/internal/consensus/drive.go
+++ b/internal/cluster/consensus/drive.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"moorstack/internal/store"
+	"moorstack/internal/storage/store"
 )
 
 // Log is where an instance's records go: a store.Store.
--- a/internal/consensus/instance.go
+++ b/internal/cluster/consensus/instance.go
@@ -37,16 +37,16 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/calendar"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/schema"
-	"moorstack/internal/store"
+	"moorstack/internal/storage/store"
 )
 
 // Config is how an instance is run. Times are counted in ticks.
 type Config struct {
-	Rules          agreement.Rules
+	Rules          clusterstate.Rules
 	ElectionTicks  int // without word of the leader, and up to twice as many: 10, if 0
 	HeartbeatTicks int // 1, if 0
 	PatienceTicks  int // a request that can't be decided by then is answered so: 50, if 0
@@ -91,7 +91,7 @@
 )
 
 // NotLeaderError says that only the leader can do it, and who that is.
-type NotLeaderError struct{ Leader agreement.Member }
+type NotLeaderError struct{ Leader clusterstate.Member }
 
 func (e *NotLeaderError) Error() string {
 	return fmt.Sprintf("only the leader can, which is %s", e.Leader.Name)
@@ -109,7 +109,7 @@
 type Answer struct {
 	Ticket  Ticket
 	Err     error
-	Outcome agreement.Outcome // of a proposal
+	Outcome clusterstate.Outcome // of a proposal
 }
 
 // Work is what must be written before Finish.
@@ -122,13 +122,13 @@
 type Effects struct {
 	Messages  []*pb.Message
 	Answers   []Answer
-	Revisions []agreement.Revision // newly in force, in order
-	Image     []byte               // for store.Snapshot: the store's records can go
+	Revisions []clusterstate.Revision // newly in force, in order
+	Image     []byte                  // for store.Snapshot: the store's records can go
 
-	Sessions []SessionMessage    // to other instances
-	Permit   *rollout.Permit     // whether the fronts may admit jobs, where that has changed
-	Stage    *agreement.Revision // the fronts must be made ready for this change; see Staged
-	Standing *Standing           // how it stands where something is owned by placement, likewise
+	Sessions []SessionMessage       // to other instances
+	Permit   *rollout.Permit        // whether the fronts may admit jobs, where that has changed
+	Stage    *clusterstate.Revision // the fronts must be made ready for this change; see Staged
+	Standing *Standing              // how it stands where something is owned by placement, likewise
 	// Told is what subjects have to say to the rest of the node, in order, after the standing. Whose a word
 	// is its type says.
 	Told []any
@@ -146,7 +146,7 @@
 	identity *schema.Identity
 	rn       *raft.RawNode // nil until it belongs to a group
 	storage  *raft.MemoryStorage
-	state    *agreement.State // nil until the first snapshot has come
+	state    *clusterstate.State // nil until the first snapshot has come
 	rng      *rand.Rand
 
 	ticks    uint64
@@ -175,7 +175,7 @@
 
 type outcome struct {
 	id  string
-	res agreement.Outcome
+	res clusterstate.Outcome
 }
 
 // The kinds of records in an instance's store.
@@ -244,7 +244,7 @@
 		return err
 	}
 	if meta := snap.GetMetadata(); meta.GetIndex() > 0 {
-		if i.state, err = agreement.Restore(i.cfg.Rules, snap.GetData()); err != nil {
+		if i.state, err = clusterstate.Restore(i.cfg.Rules, snap.GetData()); err != nil {
 			return err
 		}
 		i.conf, i.applied, i.imaged = meta.GetConfState(), meta.GetIndex(), meta.GetIndex()
@@ -269,12 +269,12 @@
 
 // Bootstrap makes a group of this instance alone, with a document. A group made from a
 // backup counts its revisions on from the backup's.
-func (i *Instance) Bootstrap(cluster, address string, first *agreement.Document, after uint64) error {
+func (i *Instance) Bootstrap(cluster, address string, first *clusterstate.Document, after uint64) error {
 	if i.identity.Cluster != "" {
 		return &RefusedError{"this instance belongs to a group already"}
 	}
-	state, err := agreement.New(i.cfg.Rules, cluster, first, after,
-		agreement.Member{ID: i.identity.Id, Name: i.identity.Name, Address: address})
+	state, err := clusterstate.New(i.cfg.Rules, cluster, first, after,
+		clusterstate.Member{ID: i.identity.Id, Name: i.identity.Name, Address: address})
 	if err != nil {
 		return &RefusedError{err.Error()}
 	}
@@ -459,7 +459,7 @@
 		if meta.GetIndex() == 0 || meta.GetTerm() == 0 || meta.GetConfState() == nil {
 			return errors.New("the snapshot is of nothing")
 		}
-		if _, err := agreement.Restore(i.cfg.Rules, m.GetSnapshot().GetData()); err != nil {
+		if _, err := clusterstate.Restore(i.cfg.Rules, m.GetSnapshot().GetData()); err != nil {
 			return err
 		}
 		return nil
--- a/internal/consensus/placement.go
+++ b/internal/cluster/consensus/placement.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/placement"
 )
 
 // Standing is how an instance stands where something is owned by placement.
--- a/internal/consensus/request.go
+++ b/internal/cluster/consensus/request.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"moorstack/internal/agreement"
+	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/schema"
 )
 
@@ -47,7 +47,7 @@
 	return r.ticket
 }
 
-func (i *Instance) answer(r *request, err error, o agreement.Outcome) {
+func (i *Instance) answer(r *request, err error, o clusterstate.Outcome) {
 	i.out.Answers = append(i.out.Answers, Answer{Ticket: r.ticket, Err: err, Outcome: o})
 }
 
@@ -71,11 +71,11 @@
 //
 // The answer comes when the change is in force, or is not to be; with noWait as soon as it
 // begins to take hold, with the code Accepted and the revision that it is to be.
-func (i *Instance) Propose(c agreement.Change, noWait bool) Ticket {
+func (i *Instance) Propose(c clusterstate.Change, noWait bool) Ticket {
 	r := &request{kind: proposing, id: c.ID, noWait: noWait}
 	ticket := i.admit(r)
 	if err := i.unfit(); err != nil {
-		i.answer(r, err, agreement.Outcome{})
+		i.answer(r, err, clusterstate.Outcome{})
 		return ticket
 	}
 	// An instance that lags may know an older revision than the change was made from. That
@@ -86,35 +86,35 @@
 		if len(old) > 0 {
 			i.answer(r, refuse("%s: runs an older program, which can't make itself ready for a change "+
 				"before it takes hold; renew or remove it first", strings.Join(old, ", ")),
-				agreement.Outcome{})
+				clusterstate.Outcome{})
 		} else {
 			i.answer(r, refuse("%s: not known yet to run a program that can make itself ready for a change "+
 				"before it takes hold; try again, or at the leader", strings.Join(silent, ", ")),
-				agreement.Outcome{})
+				clusterstate.Outcome{})
 		}
 		return ticket
 	} else if i.state.Format() < 2 {
 		i.answer(r, refuse("the group is about to have changes take hold everywhere at once; try again"),
-			agreement.Outcome{})
+			clusterstate.Outcome{})
 		return ticket
 	}
 	if _, known := i.state.Known(c.ID); known || c.Base <= newest || c.Document == nil {
 		// Hazard: another change that is pending here may have been withdrawn since, and this one,
 		// which comes again, be in the log already. Only the log can tell.
 		pending := c.Base == newest && c.Document != nil
-		if o := i.state.Check(c); known || o.Code != agreement.Accepted && !(pending &&
-			o.Code == agreement.Conflict) {
+		if o := i.state.Check(c); known || o.Code != clusterstate.Accepted && !(pending &&
+			o.Code == clusterstate.Conflict) {
 			i.answer(r, nil, o)
 			return ticket
 		}
 	}
 	if !utf8.ValidString(c.ID) || !utf8.ValidString(c.Author) || !utf8.ValidString(c.Note) {
-		i.answer(r, nil, agreement.Outcome{Code: agreement.Invalid, Revision: newest,
+		i.answer(r, nil, clusterstate.Outcome{Code: clusterstate.Invalid, Revision: newest,
 			Problems: []string{"id, author and note must be text"}})
 		return ticket
 	}
-	if len(c.Document.Encode()) > agreement.MaxDocument {
-		i.answer(r, nil, agreement.Outcome{Code: agreement.TooLarge, Revision: newest})
+	if len(c.Document.Encode()) > clusterstate.MaxDocument {
+		i.answer(r, nil, clusterstate.Outcome{Code: clusterstate.TooLarge, Revision: newest})
 		return ticket
 	}
 	r.data = encodeChange(c, i.state.Format())
@@ -129,7 +129,7 @@
 	r := &request{kind: reading}
 	ticket := i.admit(r)
 	if err := i.unfit(); err != nil {
-		i.answer(r, err, agreement.Outcome{})
+		i.answer(r, err, clusterstate.Outcome{})
 		return ticket
 	}
 	i.waiting = append(i.waiting, r)
@@ -195,7 +195,7 @@
 		}
 		if p, ok := i.pending(r); ok {
 			if r.noWait {
-				i.answer(r, nil, agreement.Outcome{Code: agreement.Accepted, Revision: p.Revision})
+				i.answer(r, nil, clusterstate.Outcome{Code: clusterstate.Accepted, Revision: p.Revision})
 				return true
 			}
 			// It is in the log, and has its bounds in time there. Hazard: an instance that is cut off
@@ -216,12 +216,12 @@
 		}
 	case reading:
 		if r.index > 0 && i.applied >= r.index {
-			i.answer(r, nil, agreement.Outcome{})
+			i.answer(r, nil, clusterstate.Outcome{})
 			return true
 		}
 	case transferring:
 		if s.Lead == r.target {
-			i.answer(r, nil, agreement.Outcome{})
+			i.answer(r, nil, clusterstate.Outcome{})
 			return true
 		}
 	}
@@ -230,7 +230,7 @@
 		if r.kind == reading {
 			err = ErrNoLeader
 		}
-		i.answer(r, err, agreement.Outcome{})
+		i.answer(r, err, clusterstate.Outcome{})
 		return true
 	}
 	// Hazard: what was handed to a leader that is no more, or got lost on the way, would
@@ -244,9 +244,9 @@
 }
 
 // pending is the change that a request is about, if it takes hold now.
-func (i *Instance) pending(r *request) (agreement.Revision, bool) {
+func (i *Instance) pending(r *request) (clusterstate.Revision, bool) {
 	if i.state == nil || r.kind != proposing || r.command {
-		return agreement.Revision{}, false
+		return clusterstate.Revision{}, false
 	}
 	p, ok := i.state.Pending()
 	return p, ok && p.ID == r.id
@@ -271,7 +271,7 @@
 		err = i.halted
 	}
 	if err != nil {
-		i.answer(r, err, agreement.Outcome{})
+		i.answer(r, err, clusterstate.Outcome{})
 		return ticket
 	}
 	i.waiting = append(i.waiting, r)
@@ -356,7 +356,7 @@
 	return nil
 }
 
-func (i *Instance) mayAdd(op *schema.Operation, m agreement.Member, known bool, number uint64) error {
+func (i *Instance) mayAdd(op *schema.Operation, m clusterstate.Member, known bool, number uint64) error {
 	switch {
 	case number == 0 || op.Name == "" || op.Address == "":
 		return refuse("a new instance needs a name, an address and its number")
@@ -381,7 +381,7 @@
 
 // mayPromote refuses to give a vote to one that lags or is silent: the group would need
 // it for its majorities at once.
-func (i *Instance) mayPromote(m agreement.Member) error {
+func (i *Instance) mayPromote(m clusterstate.Member) error {
 	if !slices.Contains(i.conf.GetLearners(), m.ID) {
 		return refuse("%s has a vote already", m.Name)
 	}
--- a/internal/consensus/runner.go
+++ b/internal/cluster/consensus/runner.go
@@ -12,17 +12,17 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/schema"
-	"moorstack/internal/store"
+	"moorstack/internal/storage/store"
 )
 
 // Transport carries messages to other instances. It must not block: a message that can't
 // be carried now is dropped, and Raft sends what matters again.
 type Transport interface {
-	Send(to agreement.Member, m *pb.Message)
-	SendSession(to agreement.Member, m *schema.SessionMessage)
+	Send(to clusterstate.Member, m *pb.Message)
+	SendSession(to clusterstate.Member, m *schema.SessionMessage)
 }
 
 // RunnerConfig is how a Runner is run.
@@ -33,12 +33,12 @@
 	Tick      time.Duration // 100 ms, if 0
 	Transport Transport
 	// Revision is told each revision that comes into force, in order, from the runner's goroutine.
-	Revision func(agreement.Revision)
+	Revision func(clusterstate.Revision)
 	// Permit is told, on the same goroutine, whenever it changes whether the fronts may admit. It
 	// must not wait; one that is closed for a change is answered by Closed.
 	Permit func(rollout.Permit)
 	// Stage is told of a change that the fronts must be made ready for; Staged is the answer.
-	Stage func(agreement.Revision)
+	Stage func(clusterstate.Revision)
 	// Standing is told, on the same goroutine, how this instance stands where something is owned by
 	// placement, whenever that changes. It must not wait.
 	Standing func(Standing)
@@ -57,7 +57,7 @@
 	ended  chan struct{}
 	stop   context.CancelFunc
 	answer map[Ticket]func(Answer)
-	reach  map[uint64]agreement.Member // who has sent something and isn't known as a member here
+	reach  map[uint64]clusterstate.Member // who has sent something and isn't known as a member here
 	status atomic.Pointer[Status]
 	failed error // why it has ended; good once ended is closed
 
@@ -79,7 +79,7 @@
 		cfg.Seed = rand.Uint64()
 	}
 	r := &Runner{cfg: cfg, calls: make(chan func(), 64), inbox: make(chan *pb.Message, 1024),
-		ended: make(chan struct{}), answer: map[Ticket]func(Answer){}, reach: map[uint64]agreement.Member{},
+		ended: make(chan struct{}), answer: map[Ticket]func(Answer){}, reach: map[uint64]clusterstate.Member{},
 		watchers: map[chan struct{}]bool{}}
 	saved := NewSaved()
 	var err error
@@ -100,9 +100,9 @@
 }
 
 // Agreed is the configuration that the directory has, for use before Start.
-func (r *Runner) Agreed() (agreement.Revision, bool) {
+func (r *Runner) Agreed() (clusterstate.Revision, bool) {
 	if r.inst.State() == nil {
-		return agreement.Revision{}, false
+		return clusterstate.Revision{}, false
 	}
 	return r.inst.State().Newest(), true
 }
@@ -215,7 +215,7 @@
 }
 
 // memberAt is the instance of a number. One that has none is counted as a dropped message.
-func (r *Runner) memberAt(id uint64) (to agreement.Member, ok bool) {
+func (r *Runner) memberAt(id uint64) (to clusterstate.Member, ok bool) {
 	if s := r.inst.State(); s != nil {
 		to, ok = s.Member(id)
 	}
@@ -270,7 +270,7 @@
 
 // Deliver takes a message of another instance. It never waits: where more has come than
 // can be taken, the message is dropped and counted.
-func (r *Runner) Deliver(from agreement.Member, m *pb.Message) {
+func (r *Runner) Deliver(from clusterstate.Member, m *pb.Message) {
 	if s := r.Status(); s.Revision == 0 {
 		r.post(func() {
 			if len(r.reach) < 64 {
@@ -287,7 +287,7 @@
 
 // DeliverSession takes another instance's word on sessions, and which format it reads. Like
 // Deliver it never waits.
-func (r *Runner) DeliverSession(from agreement.Member, m *schema.SessionMessage, format uint32) {
+func (r *Runner) DeliverSession(from clusterstate.Member, m *schema.SessionMessage, format uint32) {
 	r.post(func() {
 		if r.inst.Reads(from.ID, format); m == nil {
 			return
@@ -315,20 +315,20 @@
 }
 
 // Command puts an operator's word into the log and waits for what becomes of it.
-func (r *Runner) Command(ctx context.Context, c rollout.Command) (agreement.Outcome, error) {
+func (r *Runner) Command(ctx context.Context, c rollout.Command) (clusterstate.Outcome, error) {
 	a, err := r.ask(ctx, func() Ticket { return r.inst.Command(c) })
 	if err != nil {
-		return agreement.Outcome{}, err
+		return clusterstate.Outcome{}, err
 	}
 	return a.Outcome, a.Err
 }
 
 // Say puts a subject's word into the log, with its id in it, and waits for what becomes of it.
-func (r *Runner) Say(ctx context.Context, section string, e *schema.Change, id string) (agreement.Outcome,
+func (r *Runner) Say(ctx context.Context, section string, e *schema.Change, id string) (clusterstate.Outcome,
 	error) {
 	a, err := r.ask(ctx, func() Ticket { return r.inst.Say(section, e, id) })
 	if err != nil {
-		return agreement.Outcome{}, err
+		return clusterstate.Outcome{}, err
 	}
 	return a.Outcome, a.Err
 }
--- a/internal/consensus/saved.go
+++ b/internal/cluster/consensus/saved.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"moorstack/internal/schema"
-	"moorstack/internal/store"
+	"moorstack/internal/storage/store"
 )
 
 // Saved collects what an instance's store gives back. Its methods are store.Open's.
--- a/internal/consensus/session.go
+++ b/internal/cluster/consensus/session.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3"
 	"google.golang.org/protobuf/proto"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/schema"
 )
 
@@ -119,7 +119,7 @@
 		s := i.rn.BasicStatus()
 		i.ses.met = i.ses.met || s.Lead != raft.None
 		i.takeLead(s)
-		if i.state.Format() < agreement.Format {
+		if i.state.Format() < clusterstate.Format {
 			i.enter()
 		}
 		if i.state.Format() > 1 {
@@ -273,7 +273,7 @@
 		return
 	}
 	i.ses.entered = i.ticks
-	_ = i.rn.Propose(encode(&schema.Change{Format: agreement.Format, Enter: true}))
+	_ = i.rn.Propose(encode(&schema.Change{Format: clusterstate.Format, Enter: true}))
 }
 
 // unable names the members that are not known to read the newest format.
@@ -288,7 +288,7 @@
 	for _, m := range i.state.Members() {
 		format, heard := i.ses.formats[m.ID]
 		switch {
-		case m.ID == i.identity.Id || format >= agreement.Format:
+		case m.ID == i.identity.Id || format >= clusterstate.Format:
 		case heard:
 			old = append(old, m.Name)
 		default:
@@ -386,7 +386,7 @@
 	r := &request{kind: proposing, id: c.ID, command: true}
 	ticket := i.admit(r)
 	if err := i.unfit(); err != nil {
-		i.answer(r, err, agreement.Outcome{})
+		i.answer(r, err, clusterstate.Outcome{})
 		return ticket
 	}
 	r.data = encodeCommand(c)
@@ -403,7 +403,7 @@
 	Left     time.Duration
 	Epoch    uint64
 	Staged   string
-	Pending  *agreement.Revision
+	Pending  *clusterstate.Revision
 	Phase    rollout.Pending
 	Awaited  map[string]time.Duration // known to the leader only
 	Sessions []rollout.Session
--- a/internal/consensus/status.go
+++ b/internal/cluster/consensus/status.go
@@ -6,8 +6,8 @@
 
 	"go.etcd.io/raft/v3"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/placement"
 )
 
 // Status is how an instance stands.
@@ -34,7 +34,7 @@
 
 // MemberStatus is how a member stands, as far as this instance knows.
 type MemberStatus struct {
-	agreement.Member
+	clusterstate.Member
 	Voter  bool
 	Known  bool // Active and Match are: only the leader knows
 	Active bool
@@ -90,7 +90,7 @@
 
 // State is the agreed state as far as this instance knows it, or nil. It must not be
 // changed, and changes with the next Finish.
-func (i *Instance) State() *agreement.State { return i.state }
+func (i *Instance) State() *clusterstate.State { return i.state }
 
 // Applied is the last entry that the state holds.
 func (i *Instance) Applied() uint64 { return i.applied }
--- a/internal/consensus/subjects.go
+++ b/internal/cluster/consensus/subjects.go
@@ -4,20 +4,20 @@
 	"fmt"
 	"slices"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/replicated"
 	"moorstack/internal/schema"
-	"moorstack/internal/subject"
 )
 
 // subjectPart is an instance's part in a subject.
 type subjectPart struct {
-	subject.Subject
-	part subject.Part
+	replicated.Subject
+	part replicated.Part
 }
 
 func partsOf(c Config) []subjectPart {
-	own := subject.Own{Wall: c.Wall, Zones: c.Zones, Labels: c.Labels}
+	own := replicated.Own{Wall: c.Wall, Zones: c.Zones, Labels: c.Labels}
 	var list []subjectPart
 	for _, x := range c.Rules.All() {
 		if p := x.Part(own); p != nil {
@@ -28,9 +28,9 @@
 }
 
 // view is how this instance stands, as a subject's part sees it.
-func (i *Instance) view(p subjectPart) subject.View {
+func (i *Instance) view(p subjectPart) replicated.View {
 	x := &i.ses
-	v := subject.View{Now: x.now, State: i.state.Part(p.Section()), Applied: i.applied,
+	v := replicated.View{Now: x.now, State: i.state.Part(p.Section()), Applied: i.applied,
 		Lease: i.policy().Lease, Away: x.away, Group: group{i}, Self: i.identity.Id, Life: x.holder.Nonce()}
 	if epoch := x.holder.Epoch(); epoch != 0 && !i.gone() {
 		v.Own = placement.Seat{Member: i.identity.Id, Epoch: epoch}
@@ -44,11 +44,11 @@
 
 func (g group) Size() int { return g.i.state.Size() }
 
-func (g group) Members() []subject.Member {
+func (g group) Members() []replicated.Member {
 	x := &g.i.ses
-	var list []subject.Member
+	var list []replicated.Member
 	for _, m := range g.i.state.Members() {
-		one := subject.Member{Member: placement.Member{Seat: placement.Seat{Member: m.ID}, Name: m.Name},
+		one := replicated.Member{Member: placement.Member{Seat: placement.Seat{Member: m.ID}, Name: m.Name},
 			Voter: slices.Contains(g.i.conf.GetVoters(), m.ID)}
 		if x.leader != nil {
 			one.Well = x.leader.Well(x.now, m.ID, g.i.policy().Lease)
@@ -145,13 +145,13 @@
 	o := i.state.Say(w)
 	if w.ID != "" {
 		i.outcome = append(i.outcome, outcome{w.ID, o})
-	} else if o.Code != agreement.Accepted {
+	} else if o.Code != clusterstate.Accepted {
 		i.cfg.Log.WithField("why", o.Problems).Debug("a subject's word is void")
 	}
 }
 
 // knows says why a group does not know a subject yet.
-func (i *Instance) knows(x subject.Subject) error {
+func (i *Instance) knows(x replicated.Subject) error {
 	if i.state.Format() < x.Since() {
 		return refuse("an instance runs a program that knows no %s; renew it first", x.Section())
 	}
@@ -162,7 +162,7 @@
 func (i *Instance) operateSubject(r *request, op *schema.Operation) error {
 	id := fmt.Sprintf("wish/%x/%d/%d", i.identity.Id, i.ses.holder.Nonce(), r.ticket)
 	for _, p := range i.ses.parts {
-		o, ok := p.part.(subject.Operated)
+		o, ok := p.part.(replicated.Operated)
 		if !ok {
 			continue
 		}
@@ -194,7 +194,7 @@
 		}
 	}
 	if err != nil {
-		i.answer(r, err, agreement.Outcome{})
+		i.answer(r, err, clusterstate.Outcome{})
 		return ticket
 	}
 	r.data = encode(e)
--- a/internal/roster/roster.go
+++ b/internal/cluster/discovery/roster.go
@@ -7,7 +7,7 @@
 // has been silent. Where they are pushed, an agent on the node's own machine has the list, answers at
 // once and at no cost, and what it has counts as told: so it is asked, beside the watch, several times
 // within the grace that a drain has.
-package roster
+package discovery
 
 import (
 	"fmt"
--- a/internal/duty/duty.go
+++ b/internal/cluster/leasedtask/duty.go
@@ -9,7 +9,7 @@
 // The promises: no two hold a duty at the same time, by their own lights; and a receiver that has
 // seen a number refuses every earlier one (Fence), so that what a holder sent before it stood still
 // does nothing when it arrives.
-package duty
+package leasedtask
 
 import (
 	"fmt"
--- a/internal/duty/subject.go
+++ b/internal/cluster/leasedtask/subject.go
@@ -1,4 +1,4 @@
-package duty
+package leasedtask
 
 import (
 	"errors"
@@ -7,16 +7,16 @@
 	"strings"
 	"time"
 
-	"moorstack/internal/conduct"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/replicated"
+	"moorstack/internal/cluster/rollingrestart"
 	"moorstack/internal/schema"
-	"moorstack/internal/subject"
 )
 
 // Subject has a group agree on its duties.
 type Subject struct{}
 
-var _ subject.Subject = Subject{}
+var _ replicated.Subject = Subject{}
 
 // Section implements subject.Subject.
 func (Subject) Section() string { return Section }
@@ -25,7 +25,7 @@
 func (Subject) Since() int { return 3 }
 
 // Check implements subject.Subject.
-func (Subject) Check(t subject.Terms) []string {
+func (Subject) Check(t replicated.Terms) []string {
 	_, wrong := ReadPolicy(t.Values, t.Format)
 	return wrong
 }
@@ -34,10 +34,10 @@
 func (Subject) Has(e *schema.Change) bool { return e.Duty != nil }
 
 // State implements subject.Subject.
-func (Subject) State(after uint64) subject.State { return &Agreed{State: NewState(after)} }
+func (Subject) State(after uint64) replicated.State { return &Agreed{State: NewState(after)} }
 
 // Part implements subject.Subject.
-func (Subject) Part(o subject.Own) subject.Part {
+func (Subject) Part(o replicated.Own) replicated.Part {
 	return &part{wall: o.Wall, labels: o.Labels, words: map[uint64][]string{}}
 }
 
@@ -48,7 +48,7 @@
 }
 
 // Configure implements subject.State.
-func (a *Agreed) Configure(t subject.Terms) {
+func (a *Agreed) Configure(t replicated.Terms) {
 	p, _ := ReadPolicy(t.Values, t.Format)
 	a.Specs = p.Specs()
 }
@@ -62,8 +62,8 @@
 }
 
 // Image implements subject.State.
-func (a *Agreed) Image() []subject.Field {
-	return []subject.Field{{Name: "duties", Value: a.List()}, {Name: "number", Value: a.Number}}
+func (a *Agreed) Image() []replicated.Field {
+	return []replicated.Field{{Name: "duties", Value: a.List()}, {Name: "number", Value: a.Number}}
 }
 
 // Restore implements subject.State.
@@ -84,7 +84,7 @@
 }
 
 // Read implements subject.State.
-func (a *Agreed) Read(e *schema.Change) (w subject.Word, ok bool) {
+func (a *Agreed) Read(e *schema.Change) (w replicated.Word, ok bool) {
 	m := e.Duty
 	if m == nil {
 		return w, false
@@ -95,7 +95,7 @@
 	if m.Noted {
 		c.Note = append([]byte{}, m.Note...)
 	}
-	return subject.Word{ID: c.ID, Term: c.Term,
+	return replicated.Word{ID: c.ID, Term: c.Term,
 		// A holder's words are many, and harmless when they come again: only operators' are remembered.
 		Kept:   c.Kind >= HandOn,
 		Judged: c.Term != 0 || c.Kind.Judged(),
@@ -114,7 +114,7 @@
 
 // part is an instance's: what it holds itself, and as leader who is to hold what.
 type part struct {
-	subject.Idle
+	replicated.Idle
 	holder Holder
 	leader *Leader
 	last   []Held // as told last
@@ -125,7 +125,7 @@
 	words  map[uint64][]string // the labels that members have named, for the leader
 }
 
-var _ subject.Operated = (*part)(nil)
+var _ replicated.Operated = (*part)(nil)
 
 func (p *part) Lead(now time.Duration, term uint64) {
 	if p.leader = nil; term != 0 {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (p *part) Report(_ subject.View, r *schema.SessionReport) { r.Labels = p.labels }
+func (p *part) Report(_ replicated.View, r *schema.SessionReport) { r.Labels = p.labels }
 
 func (p *part) Heard(_ time.Duration, member uint64, r *schema.SessionReport) {
 	if len(p.words) > 1024 {
@@ -144,7 +144,7 @@
 
 // Grant names the entry that a member's state must have for a lease granted now to count for duties; 0: it
 // does not.
-func (p *part) Grant(v subject.View, member uint64, g *schema.SessionGrant) {
+func (p *part) Grant(v replicated.View, member uint64, g *schema.SessionGrant) {
 	if p.leader.Free(member, v.State.(*Agreed).State) {
 		g.Index = v.Applied
 	}
@@ -154,7 +154,7 @@
 	p.holder.Granted(g.Epoch, time.Duration(g.AskedNs), time.Duration(g.ForNs), g.Index, applied)
 }
 
-func (p *part) Judge(v subject.View) (words []*schema.Change) {
+func (p *part) Judge(v replicated.View) (words []*schema.Change) {
 	s := v.State.(*Agreed)
 	look := View{Now: v.Now, Lease: v.Lease, Specs: s.Specs, Over: v.Group.Out}
 	if len(s.Specs) == 0 && len(s.Duties) == 0 {
@@ -181,14 +181,14 @@
 }
 
 // Take takes whom to doubt.
-func (p *part) Take(_ subject.View, word any) {
+func (p *part) Take(_ replicated.View, word any) {
 	if d, ok := word.(Doubts); ok && d.Seq > p.doubts.Seq {
 		p.doubts = d
 	}
 }
 
 // member is a member as the duties' judgement sees it.
-func (p *part) member(v subject.View, m subject.Member) Member {
+func (p *part) member(v replicated.View, m replicated.Member) Member {
 	return Member{Seat: Seat(m.Seat), Name: m.Name, Well: m.Well, Doubted: p.doubts.Of[m.Seat.Member],
 		Away:   v.Group.Away(m.Seat.Member),
 		Labels: p.words[m.Seat.Member]}
@@ -204,7 +204,7 @@
 }
 
 // Act tells what this instance holds, and what was noted for all, when that has changed.
-func (p *part) Act(v subject.View) (told []any, _ []*schema.Change) {
+func (p *part) Act(v replicated.View) (told []any, _ []*schema.Change) {
 	told = p.plan(v)
 	p.holder.Applied(v.Applied)
 	var held []Held
@@ -218,7 +218,7 @@
 	return append(told, held), nil
 }
 
-func (p *part) plan(v subject.View) []any {
+func (p *part) plan(v replicated.View) []any {
 	d := v.State.(*Agreed).Duties[Roll]
 	if d == nil || d.Turn == p.noted.Turn {
 		return nil
@@ -228,7 +228,7 @@
 }
 
 // Operate puts an operator's wish into words, where it can be met.
-func (p *part) Operate(v subject.View, op *schema.Operation, id string) (*schema.Change, bool, error) {
+func (p *part) Operate(v replicated.View, op *schema.Operation, id string) (*schema.Change, bool, error) {
 	c := Command{ID: id, Duty: op.Name, Name: op.Author}
 	s := v.State.(*Agreed)
 	d := s.Duties[op.Name]
@@ -275,7 +275,7 @@
 
 // roll puts a wish of rolling restarts into the plan that is noted. Both are words under the holder's number,
 // and in the place of the note that was read: of two at the same time one is void.
-func (p *part) roll(v subject.View, op *schema.Operation, c *Command) error {
+func (p *part) roll(v replicated.View, op *schema.Operation, c *Command) error {
 	d := v.State.(*Agreed).Duties[Roll]
 	switch {
 	case d == nil:
@@ -283,21 +283,21 @@
 	case !d.Held():
 		return fmt.Errorf("nobody conducts at this moment; ask again")
 	}
-	plan, err := conduct.Read(d.Note)
+	plan, err := rollingrestart.Read(d.Note)
 	if err != nil {
 		return err
 	}
 	switch op.Kind {
 	case schema.Operation_ROLL_STOP:
-		plan, err = conduct.Stop(plan)
+		plan, err = rollingrestart.Stop(plan)
 	case schema.Operation_ROLL_RESUME:
-		plan, err = conduct.Resume(plan)
+		plan, err = rollingrestart.Resume(plan)
 	case schema.Operation_ROLL_UNDO:
-		plan, err = conduct.Undo(plan)
+		plan, err = rollingrestart.Undo(plan)
 	default:
-		var members []conduct.Member
+		var members []rollingrestart.Member
 		for _, m := range v.Group.Members() {
-			one := conduct.Member{ID: m.Seat.Member, Name: m.Name, Voter: m.Voter}
+			one := rollingrestart.Member{ID: m.Seat.Member, Name: m.Name, Voter: m.Voter}
 			for _, l := range p.words[m.Seat.Member] {
 				if zone, ok := strings.CutPrefix(l, Zone); ok {
 					one.Zone = zone
@@ -305,7 +305,7 @@
 			}
 			members = append(members, one)
 		}
-		plan, err = conduct.Start(plan, conduct.Wish{By: op.Author, Out: int(op.Out),
+		plan, err = rollingrestart.Start(plan, rollingrestart.Wish{By: op.Author, Out: int(op.Out),
 			Within: time.Duration(op.WithinNs), Alone: op.Alone, Only: op.Only}, members)
 	}
 	if err != nil {
@@ -316,7 +316,7 @@
 	return err
 }
 
-func (p *part) named(v subject.View, name string) (Member, bool) {
+func (p *part) named(v replicated.View, name string) (Member, bool) {
 	for _, m := range v.Group.Members() {
 		if m.Name == name {
 			return p.member(v, m), true
--- a/internal/lists/lists.go
+++ b/internal/cluster/listrelay/lists.go
@@ -1,7 +1,7 @@
 // Package lists has one instance of a group ask discovery, and give the list to the others. It is the
 // rules of that, without I/O, clock or goroutine: Keeper at the instance that asks, Follower at each
 // other. What crosses is discovery's own words: a whole list, or a change of one.
-package lists
+package listrelay
 
 import (
 	"fmt"
--- a/internal/lists/lists_test.go
+++ b/internal/cluster/listrelay/lists_test.go
@@ -1,4 +1,4 @@
-package lists
+package listrelay
 
 import (
 	"errors"
--- a/internal/membership/policy.go
+++ b/internal/cluster/membership/policy.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/subject"
+	"moorstack/internal/cluster/replicated"
 )
 
 // Section is the section of the agreed document that has instances probe each other.
@@ -43,7 +43,7 @@
 }
 
 // Check gives what is wrong with the section of a document.
-func Check(t subject.Terms) []string {
+func Check(t replicated.Terms) []string {
 	_, _, wrong := ReadPolicy(t.Values)
 	return wrong
 }
--- a/internal/ratelimit/authority.go
+++ b/internal/cluster/ratelimit/authority.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/placement"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/rollout"
 )
 
 // grant is one that the front has not acknowledged.
--- a/internal/ratelimit/cede.go
+++ b/internal/cluster/ratelimit/cede.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"moorstack/internal/placement"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/rollout"
 )
 
 // Ceded is a bucket as an owner leaves it.
--- a/internal/ratelimit/front.go
+++ b/internal/cluster/ratelimit/front.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/placement"
 )
 
 // Ask is a front's word to the authority of a bucket.
--- a/internal/ratelimit/policy.go
+++ b/internal/cluster/ratelimit/policy.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"moorstack/internal/subject"
+	"moorstack/internal/cluster/replicated"
 )
 
 // Section is the section of the agreed document that says what accounts may send.
@@ -212,7 +212,7 @@
 }
 
 // Check gives what is wrong with the section of a document.
-func Check(t subject.Terms) []string {
+func Check(t replicated.Terms) []string {
 	p, wrong := ReadPolicy(t.Values, t.ClassNames())
 	if len(wrong) > 0 || p.Account != Tenant {
 		return wrong
--- a/internal/ratelimit/recall.go
+++ b/internal/cluster/ratelimit/recall.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/placement"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/rollout"
 )
 
 // Left is a front's word to an owner: by this view it takes nothing more from those before it, and this is
--- a/internal/subject/subject.go
+++ b/internal/cluster/replicated/subject.go
@@ -9,13 +9,13 @@
 //
 // The rollout of changes is no subject: it is the ground that all of them stand on. It gives the sessions
 // that they hold by, and decides which document they go by.
-package subject
+package replicated
 
 import (
 	"time"
 
-	"moorstack/internal/calendar"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/placement"
 	"moorstack/internal/schema"
 )
 
--- a/internal/conduct/conduct.go
+++ b/internal/cluster/rollingrestart/conduct.go
@@ -10,7 +10,7 @@
 // reads of its step late goes late, and the life after it does not go again.
 //
 // The package is free of I/O, clocks and goroutines.
-package conduct
+package rollingrestart
 
 import (
 	"encoding/json"
--- a/internal/conduct/conductor.go
+++ b/internal/cluster/rollingrestart/conductor.go
@@ -1,4 +1,4 @@
-package conduct
+package rollingrestart
 
 import (
 	"fmt"
--- a/internal/schedule/codec.go
+++ b/internal/cluster/schedule/codec.go
@@ -1,8 +1,8 @@
 package schedule
 
 import (
-	"moorstack/internal/calendar"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/placement"
 	"moorstack/internal/schema"
 )
 
--- a/internal/schedule/leader.go
+++ b/internal/cluster/schedule/leader.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/placement"
 )
 
 // Reading is what an instance says of its clock and its rules.
--- a/internal/schedule/owner.go
+++ b/internal/cluster/schedule/owner.go
@@ -5,8 +5,8 @@
 	"maps"
 	"time"
 
-	"moorstack/internal/calendar"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/placement"
 )
 
 // How much one command holds, about, and how much is looked at in one turn.
--- a/internal/schedule/policy.go
+++ b/internal/cluster/schedule/policy.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"moorstack/internal/calendar"
+	"moorstack/internal/cluster/calendar"
 )
 
 // Section is the section of the agreed document that says which triggers there are.
--- a/internal/schedule/state.go
+++ b/internal/cluster/schedule/state.go
@@ -19,8 +19,8 @@
 	"maps"
 	"slices"
 
-	"moorstack/internal/calendar"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/placement"
 )
 
 // Seat is an instance's session.
--- a/internal/schedule/subject.go
+++ b/internal/cluster/schedule/subject.go
@@ -3,16 +3,16 @@
 import (
 	"time"
 
-	"moorstack/internal/calendar"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/replicated"
 	"moorstack/internal/schema"
-	"moorstack/internal/subject"
 )
 
 // Subject has a group agree on its triggers.
 type Subject struct{}
 
-var _ subject.Subject = Subject{}
+var _ replicated.Subject = Subject{}
 
 // Section implements subject.Subject.
 func (Subject) Section() string { return Section }
@@ -21,7 +21,7 @@
 func (Subject) Since() int { return 5 }
 
 // Check implements subject.Subject.
-func (Subject) Check(t subject.Terms) []string {
+func (Subject) Check(t replicated.Terms) []string {
 	_, wrong := ReadPolicy(t.Values, Names{Classes: t.ClassNames(), Tenants: t.Tenants})
 	return wrong
 }
@@ -30,19 +30,19 @@
 func (Subject) Has(e *schema.Change) bool { return e.Schedule != nil }
 
 // State implements subject.Subject.
-func (Subject) State(uint64) subject.State { return &Agreed{State: NewState()} }
+func (Subject) State(uint64) replicated.State { return &Agreed{State: NewState()} }
 
 // Part implements subject.Subject.
-func (Subject) Part(o subject.Own) subject.Part { return &part{own: o} }
+func (Subject) Part(o replicated.Own) replicated.Part { return &part{own: o} }
 
 // Agreed is the State as a subject's.
 type Agreed struct {
 	*State
-	classes []subject.Class
+	classes []replicated.Class
 }
 
 // Configure implements subject.State.
-func (a *Agreed) Configure(t subject.Terms) {
+func (a *Agreed) Configure(t replicated.Terms) {
 	p, _ := ReadPolicy(t.Values, Names{Classes: t.ClassNames(), Tenants: t.Tenants})
 	a.State.Configure(&p)
 	a.classes = t.Classes
@@ -52,8 +52,8 @@
 func (a *Agreed) Vacated(over func(placement.Seat) bool, _ string, _ int64) { a.State.Vacated(over) }
 
 // Image implements subject.State.
-func (a *Agreed) Image() []subject.Field {
-	return []subject.Field{{Name: "schedule", Value: a.Encoded()}}
+func (a *Agreed) Image() []replicated.Field {
+	return []replicated.Field{{Name: "schedule", Value: a.Encoded()}}
 }
 
 // Restore implements subject.State.
@@ -67,12 +67,12 @@
 }
 
 // Read implements subject.State.
-func (a *Agreed) Read(e *schema.Change) (subject.Word, bool) {
+func (a *Agreed) Read(e *schema.Change) (replicated.Word, bool) {
 	if e.Schedule == nil {
-		return subject.Word{}, false
+		return replicated.Word{}, false
 	}
 	c := decode(e.Schedule)
-	return subject.Word{Term: c.Term, Judged: c.Kind == Declare,
+	return replicated.Word{Term: c.Term, Judged: c.Kind == Declare,
 		Apply: func(func(placement.Seat) bool) error { return a.Apply(c) }}, true
 }
 
@@ -111,7 +111,7 @@
 
 // part is an instance's: what it owns itself, and as leader the fleet's time.
 type part struct {
-	own    subject.Own
+	own    replicated.Own
 	owner  *Owner
 	leader *Leader
 	all    bool          // after a snapshot: what this instance has must be told anew
@@ -140,7 +140,7 @@
 }
 
 // Report says what this instance's clock shows, and which zone rules it has.
-func (p *part) Report(v subject.View, r *schema.SessionReport) {
+func (p *part) Report(v replicated.View, r *schema.SessionReport) {
 	if p.own.Wall == nil {
 		return
 	}
@@ -157,13 +157,13 @@
 }
 
 // group is whom the leader's side judges.
-func (p *part) group(v subject.View) Group {
+func (p *part) group(v replicated.View) Group {
 	return Group{Members: v.Group.Seated(), Size: v.Group.Size(), Lease: v.Lease, Over: v.Group.Over(),
 		Away: v.Group.Away}
 }
 
 // Grant says the fleet's time, where it is needed and known.
-func (p *part) Grant(v subject.View, _ uint64, g *schema.SessionGrant) {
+func (p *part) Grant(v replicated.View, _ uint64, g *schema.SessionGrant) {
 	if s := v.State.(*Agreed); p.leader != nil && s.Policy().Version != 0 {
 		g.FleetNs = p.leader.Fleet(v.Now, s.State, p.group(v))
 	}
@@ -178,7 +178,7 @@
 }
 
 // Judge decides who may own shards.
-func (p *part) Judge(v subject.View) []*schema.Change {
+func (p *part) Judge(v replicated.View) []*schema.Change {
 	s := v.State.(*Agreed)
 	if s.Policy().Version == 0 && s.Version == 0 {
 		return nil
@@ -190,7 +190,7 @@
 }
 
 // Act does what is due in the shards that this instance owns, and tells what it is to fire.
-func (p *part) Act(v subject.View) (told []any, words []*schema.Change) {
+func (p *part) Act(v replicated.View) (told []any, words []*schema.Change) {
 	s := v.State.(*Agreed)
 	if s.Policy().Version == 0 && s.Version == 0 {
 		return nil, nil
@@ -227,7 +227,7 @@
 func (p *part) Skipped() { p.all = true }
 
 // Take notes what became of occurrences that this instance was to fire.
-func (p *part) Take(v subject.View, word any) {
+func (p *part) Take(v replicated.View, word any) {
 	results, _ := word.([]Outcome)
 	p.configured(v.State.(*Agreed))
 	for _, r := range results {
@@ -246,7 +246,7 @@
 }
 
 // Status implements subject.Part.
-func (p *part) Status(v subject.View) any {
+func (p *part) Status(v replicated.View) any {
 	s := v.State.(*Agreed)
 	if s.Policy().Version == 0 && s.Number == 0 {
 		return nil
--- a/internal/peers/peers.go
+++ b/internal/cluster/transport/peers.go
@@ -2,7 +2,7 @@
 //
 // A peer that is slow, silent or gone costs the others nothing: each has a queue of its
 // own with a bound, and what doesn't fit is dropped and counted. Raft sends again.
-package peers
+package transport
 
 import (
 	"context"
@@ -23,9 +23,9 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/keys"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/operate/keys"
 	"moorstack/internal/schema"
 )
 
@@ -40,7 +40,7 @@
 type Network struct {
 	keys    *keys.Store
 	log     logrus.FieldLogger
-	self    agreement.Member // its name and address; the number and the group come from the runner
+	self    clusterstate.Member // its name and address; the number and the group come from the runner
 	program string
 	from    string // the address that it calls from; empty: any
 
@@ -68,7 +68,7 @@
 // New makes the network of an instance of that name, which others reach at the address, and
 // which calls them from another one, if that is not empty.
 func New(k *keys.Store, name, address, from, program string, log logrus.FieldLogger) *Network {
-	return &Network{keys: k, log: log, self: agreement.Member{Name: name, Address: address}, program: program,
+	return &Network{keys: k, log: log, self: clusterstate.Member{Name: name, Address: address}, program: program,
 		from:  from,
 		links: map[string]*link{}}
 }
@@ -99,7 +99,7 @@
 // link is the way to one address.
 type link struct {
 	n     *Network
-	to    agreement.Member
+	to    clusterstate.Member
 	queue chan outgoing
 	bytes atomic.Int64
 	conn  *grpc.ClientConn
@@ -109,7 +109,7 @@
 var _ consensus.Transport = (*Network)(nil)
 
 // Send queues a message, or drops it. It never waits.
-func (n *Network) Send(to agreement.Member, m *pb.Message) {
+func (n *Network) Send(to clusterstate.Member, m *pb.Message) {
 	l, err := n.link(to)
 	if err != nil {
 		n.dropped.Add(1)
@@ -123,7 +123,7 @@
 }
 
 // SendSession queues a word on sessions, or drops it. It never waits.
-func (n *Network) SendSession(to agreement.Member, m *schema.SessionMessage) {
+func (n *Network) SendSession(to clusterstate.Member, m *schema.SessionMessage) {
 	l, err := n.link(to)
 	if err != nil {
 		n.dropped.Add(1)
@@ -156,7 +156,7 @@
 	}
 }
 
-func (n *Network) dial(to agreement.Member) (*grpc.ClientConn, error) {
+func (n *Network) dial(to clusterstate.Member) (*grpc.ClientConn, error) {
 	return grpc.NewClient(
 		"passthrough:///"+to.Address,
 		grpc.WithContextDialer(func(ctx context.Context, address string) (stdnet.Conn, error) {
@@ -181,7 +181,7 @@
 	)
 }
 
-func (n *Network) link(to agreement.Member) (*link, error) {
+func (n *Network) link(to clusterstate.Member) (*link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -228,7 +228,7 @@
 		Session:     o.session,
 		FromName:    n.self.Name,
 		FromAddress: n.self.Address,
-		Format:      agreement.Format,
+		Format:      clusterstate.Format,
 	}
 	var err error
 	if o.message != nil {
--- a/internal/peers/server.go
+++ b/internal/cluster/transport/server.go
@@ -1,4 +1,4 @@
-package peers
+package transport
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/keys"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/operate/keys"
 	"moorstack/internal/schema"
 )
 
@@ -104,12 +104,12 @@
 	gone := false
 	if st.Revision > 0 && !knows(st, e.From) {
 		// Asked only of those that the status doesn't name, which is rare.
-		_ = n.runner.View(ctx, func(a *agreement.State) { gone = a.Removed(e.From) })
+		_ = n.runner.View(ctx, func(a *clusterstate.State) { gone = a.Removed(e.From) })
 	}
 	if gone {
 		return refuse(codes.PermissionDenied, removed)
 	}
-	from := agreement.Member{ID: e.From, Name: e.FromName, Address: e.FromAddress}
+	from := clusterstate.Member{ID: e.From, Name: e.FromName, Address: e.FromAddress}
 	if e.Session != nil && e.Session.Rate != nil {
 		if n.rates != nil {
 			n.rates(e.From, e.Session.Rate)
@@ -128,7 +128,7 @@
 		}
 		return nil
 	}
-	if e.Session != nil || st.Rollout.Format < agreement.Format {
+	if e.Session != nil || st.Rollout.Format < clusterstate.Format {
 		n.runner.DeliverSession(from, e.Session, e.Format)
 	}
 	if e.Session == nil {
@@ -171,7 +171,7 @@
 func (s *server) Describe(context.Context, *schema.DescribeRequest) (*schema.Description, error) {
 	st := s.n.runner.Status()
 	out := &schema.Description{Id: st.ID, Name: st.Name, Cluster: st.Cluster, Program: s.n.program,
-		Format: agreement.Format, Life: st.Life}
+		Format: clusterstate.Format, Life: st.Life}
 	if s.n.fronts != nil {
 		s.n.fronts(out)
 	}
@@ -182,7 +182,7 @@
 func (n *Network) TellFronts(f func(*schema.Description)) { n.fronts = f }
 
 // Describe asks another instance how it stands.
-func (n *Network) Describe(ctx context.Context, to agreement.Member) (*schema.Description, error) {
+func (n *Network) Describe(ctx context.Context, to clusterstate.Member) (*schema.Description, error) {
 	// Over the connection that stands: a conductor asks ten times a second.
 	l, err := n.link(to)
 	if err != nil {
@@ -222,7 +222,7 @@
 
 // Lists asks an instance for discovery's list, and hands on what it tells until the context ends, the
 // other side does, or told returns an error.
-func (n *Network) Lists(ctx context.Context, of agreement.Member, told func(*schema.ListNews) error) error {
+func (n *Network) Lists(ctx context.Context, of clusterstate.Member, told func(*schema.ListNews) error) error {
 	conn, err := n.dial(of)
 	if err != nil {
 		return err
@@ -291,7 +291,7 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	conn, err := n.dial(agreement.Member{Name: op.Name, Address: op.Address})
+	conn, err := n.dial(clusterstate.Member{Name: op.Name, Address: op.Address})
 	if err != nil {
 		return 0, status.Error(codes.FailedPrecondition, err.Error())
 	}
--- a/internal/weights/weights.go
+++ b/internal/cluster/weights/weights.go
@@ -14,9 +14,9 @@
 	"strconv"
 	"strings"
 
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/replicated"
 	"moorstack/internal/schema"
-	"moorstack/internal/subject"
 )
 
 // Section is the section of the agreed document that names weights, and prefix begins its keys.
@@ -56,7 +56,7 @@
 // Subject has a group agree on weights.
 type Subject struct{}
 
-var _ subject.Subject = Subject{}
+var _ replicated.Subject = Subject{}
 
 // Section implements subject.Subject.
 func (Subject) Section() string { return Section }
@@ -65,7 +65,7 @@
 func (Subject) Since() int { return 6 }
 
 // Check implements subject.Subject.
-func (Subject) Check(t subject.Terms) []string {
+func (Subject) Check(t replicated.Terms) []string {
 	_, wrong := Read(t.Values)
 	return wrong
 }
@@ -74,10 +74,10 @@
 func (Subject) Has(*schema.Change) bool { return false }
 
 // State implements subject.Subject.
-func (Subject) State(uint64) subject.State { return &Agreed{} }
+func (Subject) State(uint64) replicated.State { return &Agreed{} }
 
 // Part implements subject.Subject.
-func (Subject) Part(subject.Own) subject.Part { return nil }
+func (Subject) Part(replicated.Own) replicated.Part { return nil }
 
 // Agreed is the agreed part.
 type Agreed struct {
@@ -86,7 +86,7 @@
 }
 
 // Configure implements subject.State.
-func (a *Agreed) Configure(t subject.Terms) {
+func (a *Agreed) Configure(t replicated.Terms) {
 	by, _ := Read(t.Values)
 	if !maps.Equal(by, a.By) {
 		a.By = by
@@ -103,7 +103,7 @@
 }
 
 // Read implements subject.State.
-func (a *Agreed) Read(*schema.Change) (subject.Word, bool) { return subject.Word{}, false }
+func (a *Agreed) Read(*schema.Change) (replicated.Word, bool) { return replicated.Word{}, false }
 
 // Seated implements subject.State.
 func (a *Agreed) Seated([]placement.Member) {}
@@ -112,12 +112,12 @@
 func (a *Agreed) Vacated(func(placement.Seat) bool, string, int64) {}
 
 // Image implements subject.State.
-func (a *Agreed) Image() []subject.Field {
-	f := subject.Field{Name: "weights"}
+func (a *Agreed) Image() []replicated.Field {
+	f := replicated.Field{Name: "weights"}
 	if a.Changes > 0 {
 		f.Value = a
 	}
-	return []subject.Field{f}
+	return []replicated.Field{f}
 }
 
 // Restore implements subject.State.
--- a/internal/faktory/config.go
+++ b/internal/frontend/faktory/config.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 	"moorstack/internal/tomlfile"
 )
 
@@ -52,12 +52,12 @@
 // else sends to them, and their load can be read here at no cost. They are not of
 // the platform's machine kinds. A worker fetches what it has room for, and so is
 // never cold in the sense of the fourth rule.
-func Settings(set brain.Settings) brain.Settings {
+func Settings(set balancer.Settings) balancer.Settings {
 	set.Me, set.Fleet, set.Kinds = 0, 1, 1
 	set.MustAsk, set.TellsStart, set.Progress = false, false, 0
 	set.Limits.Probes, set.ReportProbed = true, true
-	set.Size = brain.SizeNone
-	set.Classes = append([]brain.Class(nil), set.Classes...)
+	set.Size = balancer.SizeNone
+	set.Classes = append([]balancer.Class(nil), set.Classes...)
 	for i := range set.Classes {
 		set.Classes[i].Kind = -1
 	}
--- a/internal/faktory/conn.go
+++ b/internal/frontend/faktory/conn.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/net"
+	"moorstack/balancer"
+	"moorstack/internal/netio/eventloop"
 )
 
 const (
@@ -28,19 +28,19 @@
 // conn is a producer's or a worker's connection.
 type conn struct {
 	front    *Front
-	conn     *net.Conn
+	conn     *eventloop.Conn
 	salt     string
 	greeted  bool
 	session  *session // of a worker
 	fetching bool     // its FETCH waits
 	wants    map[string]bool
-	timer    *net.Timer
+	timer    *eventloop.Timer
 	scanned  int // input known to hold no line's end
 }
 
-var _ net.Handler = (*conn)(nil)
+var _ eventloop.Handler = (*conn)(nil)
 
-func (f *Front) accept(nc *net.Conn) {
+func (f *Front) accept(nc *eventloop.Conn) {
 	c := &conn{front: f, conn: nc}
 	nc.H = c
 	hi := map[string]any{"v": version}
@@ -80,10 +80,10 @@
 }
 
 // Up is never told: nothing is dialled.
-func (c *conn) Up(*net.Conn) {}
+func (c *conn) Up(*eventloop.Conn) {}
 
 // Ended is the end of the connection, from whichever side.
-func (c *conn) Ended(*net.Conn, error) {
+func (c *conn) Ended(*eventloop.Conn, error) {
 	c.timer.Stop()
 	if s := c.session; s != nil {
 		c.session = nil
@@ -95,7 +95,7 @@
 func (c *conn) next() { c.front.loop.After(0, func() { c.Data(c.conn) }) }
 
 // Data takes the commands one at a time.
-func (c *conn) Data(*net.Conn) {
+func (c *conn) Data(*eventloop.Conn) {
 	for !c.fetching && !c.conn.Closed() && !c.conn.Finished() {
 		in := c.conn.In()
 		i := bytes.IndexByte(in[c.scanned:], '\n')
@@ -242,10 +242,10 @@
 		return errors.New("a worker must give a wid in HELLO")
 	}
 	if name == "ACK" {
-		c.session.end(e.JID, brain.OK) // one that comes late is heard, and changes nothing
+		c.session.end(e.JID, balancer.OK) // one that comes late is heard, and changes nothing
 		return nil
 	}
-	if !c.session.end(e.JID, brain.Error) {
+	if !c.session.end(e.JID, balancer.Error) {
 		return fmt.Errorf("job not found %.60s", e.JID)
 	}
 	return nil
--- a/internal/faktory/front.go
+++ b/internal/frontend/faktory/front.go
@@ -9,20 +9,20 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/net"
-	"moorstack/internal/routing"
+	"moorstack/balancer"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/routing"
 )
 
 // Front is the Faktory front.
 type Front struct {
-	loop     *net.Loop
-	core     *core.Core
+	loop     *eventloop.Loop
+	core     *broker.Core
 	cfg      *Config
-	set      brain.Settings
+	set      balancer.Settings
 	log      logrus.FieldLogger
-	listener *net.Listener
+	listener *eventloop.Listener
 	classes  map[string]int
 	tenants  map[string]int
 	jobs     map[string]*job
@@ -30,13 +30,13 @@
 	held     int // bytes of the jobs that are open
 	lastCell int
 	draining bool
-	routes   *routing.Table // nil: jobs go where brain will
+	routes   *routing.Table // nil: jobs go where the balancer decides
 	began    time.Duration
 	counts   struct{ refused, served, failed, commands int }
 }
 
 // New makes the front of a core with these settings, which Settings has made.
-func New(loop *net.Loop, cfg *Config, set brain.Settings, log logrus.FieldLogger) (*Front, error) {
+func New(loop *eventloop.Loop, cfg *Config, set balancer.Settings, log logrus.FieldLogger) (*Front, error) {
 	f := &Front{loop: loop, cfg: cfg, set: set, log: log, classes: map[string]int{},
 		tenants: map[string]int{}, jobs: map[string]*job{}, sessions: map[string]*session{},
 		began: loop.Now()}
@@ -57,13 +57,13 @@
 }
 
 // Open begins to listen. The route set is empty until a worker fetches.
-func (f *Front) Open(c *core.Core) error {
+func (f *Front) Open(c *broker.Core) error {
 	f.core = c
-	f.core.RouteSet(brain.Whole, nil)
+	f.core.RouteSet(balancer.Whole, nil)
 	var err error
 	// Input that waits may take a quarter as much as the jobs held, or else a little for
 	// each connection and a few long lines.
-	limits := net.Limits{Connections: f.cfg.Connections,
+	limits := eventloop.Limits{Connections: f.cfg.Connections,
 		Bytes: max(f.cfg.Bytes/4, f.cfg.Connections<<12+4*f.cfg.LineBytes)}
 	f.listener, err = f.loop.Listen(f.cfg.Listen, limits, f.accept)
 	return err
@@ -73,7 +73,7 @@
 func (f *Front) SetRoutes(t *routing.Table) { f.routes = t }
 
 // Configure takes over the classes' times, from the next job on.
-func (f *Front) Configure(set brain.Settings) { f.set = set }
+func (f *Front) Configure(set balancer.Settings) { f.set = set }
 
 // Drain takes no more jobs, lets those taken end and their producers look the
 // answers up for a while, and calls done.
@@ -135,7 +135,7 @@
 	} `json:"custom"`
 }
 
-var _ core.Client = (*job)(nil)
+var _ broker.Client = (*job)(nil)
 
 // push takes a job, or says why not.
 func (f *Front) push(text []byte) error {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (f *Front) transaction(j *job) (t core.Transaction, d routing.Decision, err error) {
+func (f *Front) transaction(j *job) (t broker.Transaction, d routing.Decision, err error) {
 	if n := len(j.JID); n < 8 || n > 200 {
 		return t, d, fmt.Errorf("jid must have 8 to 200 characters")
 	}
@@ -215,7 +215,7 @@
 	if j.Queue == "" {
 		j.Queue = "default"
 	}
-	t = core.Transaction{ID: j.JID, Class: -1, Job: j, Slots: j.Custom.Slots, Account: j.Custom.Account,
+	t = broker.Transaction{ID: j.JID, Class: -1, Job: j, Slots: j.Custom.Slots, Account: j.Custom.Account,
 		Work: time.Duration(j.Custom.Cost * float64(time.Second))}
 	if class, ok := f.classes[j.Type]; ok {
 		t.Class = class
@@ -256,15 +256,15 @@
 }
 
 // Answer keeps the final answer for the producer to look up.
-func (j *job) Answer(a core.Answer) {
+func (j *job) Answer(a broker.Answer) {
 	j.over, j.updated = true, time.Now()
 	j.front.held -= len(j.text)
 	j.text = nil
 	switch a.Kind {
-	case core.Served:
+	case broker.Served:
 		j.state = success
 		j.front.counts.served++
-	case core.Busy:
+	case broker.Busy:
 		j.state, j.refused, j.retryAfter, j.why = failed, true, a.RetryAfter, a.Why
 		j.front.counts.refused++
 	default:
--- a/internal/faktory/session.go
+++ b/internal/frontend/faktory/session.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/net"
-	"moorstack/internal/slots"
+	"moorstack/balancer"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/slotmap"
 )
 
 // session is a worker: a process with one wid and all its connections. It is a next
@@ -24,20 +24,20 @@
 	listed   bool
 	quiet    bool
 	lost     bool
-	timer    *net.Timer // its silence
+	timer    *eventloop.Timer // its silence
 }
 
 // reservation is a branch at a worker.
 type reservation struct {
 	s     *session
 	job   *job
-	id    slots.ID
-	timer *net.Timer // the end of the reservation
+	id    slotmap.ID
+	timer *eventloop.Timer // the end of the reservation
 }
 
 var (
-	_ core.NextHop = (*session)(nil)
-	_ core.Running = (*reservation)(nil)
+	_ broker.NextHop = (*session)(nil)
+	_ broker.Running = (*reservation)(nil)
 )
 
 // join finds the session of a worker's connection, or begins it. Workers with the
@@ -72,13 +72,13 @@
 	})
 }
 
-func (s *session) tell(state brain.State) {
-	e := core.Entry{Name: s.wid, Zone: s.front.set.Zone, Cell: s.cell, State: state, Size: 1, Hop: s,
+func (s *session) tell(state balancer.State) {
+	e := broker.Entry{Name: s.wid, Zone: s.front.set.Zone, Cell: s.cell, State: state, Size: 1, Hop: s,
 		Labels: s.labels}
-	if state == brain.Removed {
+	if state == balancer.Removed {
 		e.Hop = nil
 	}
-	s.front.core.RouteSet(brain.Changes, []core.Entry{e})
+	s.front.core.RouteSet(balancer.Changes, []broker.Entry{e})
 }
 
 // drain is the worker's notice that it wants nothing new.
@@ -88,15 +88,15 @@
 	}
 	s.quiet = true
 	if s.listed {
-		s.tell(brain.Draining)
+		s.tell(balancer.Draining)
 	}
-	s.handBack(brain.Full)
+	s.handBack(balancer.Full)
 }
 
 // handBack ends what was assigned and never fetched: it never ran.
-func (s *session) handBack(res brain.Result) {
+func (s *session) handBack(res balancer.Result) {
 	for _, r := range s.assigned {
-		s.front.core.End(r.id, res, nil, brain.NoReport)
+		s.front.core.End(r.id, res, nil, balancer.NoReport)
 	}
 	s.assigned = nil
 }
@@ -110,12 +110,12 @@
 	s.timer.Stop()
 	delete(s.front.sessions, s.wid)
 	if s.listed {
-		s.tell(brain.Removed)
+		s.tell(balancer.Removed)
 	}
-	s.handBack(brain.ConnectFailed)
+	s.handBack(balancer.ConnectFailed)
 	for _, r := range s.reserved {
 		r.GiveUp()
-		s.front.core.End(r.id, brain.Reset, nil, brain.NoReport)
+		s.front.core.End(r.id, balancer.Reset, nil, balancer.NoReport)
 	}
 	for c := range s.conns {
 		c.timer.Stop()
@@ -134,7 +134,7 @@
 }
 
 // Start assigns a job to the worker; the next fitting FETCH takes it.
-func (s *session) Start(b core.Branch) core.Running {
+func (s *session) Start(b broker.Branch) broker.Running {
 	r := &reservation{s: s, job: b.Job.(*job), id: b.ID}
 	if !s.lost && !s.quiet && s.wants(r.job.Queue) {
 		for _, c := range s.parked {
@@ -149,7 +149,7 @@
 			return r
 		}
 	}
-	s.front.core.End(b.ID, brain.Full, nil, s.load())
+	s.front.core.End(b.ID, balancer.Full, nil, s.load())
 	return r
 }
 
@@ -179,7 +179,7 @@
 			s.hand(c, r)
 			return
 		}
-		s.front.core.End(r.id, brain.Cancelled, nil, s.load()) // another copy has ended it
+		s.front.core.End(r.id, balancer.Cancelled, nil, s.load()) // another copy has ended it
 		i--
 	}
 	s.parked = append(s.parked, c)
@@ -191,7 +191,7 @@
 	})
 	if !s.listed && !s.quiet {
 		s.listed = true
-		s.tell(brain.Ready)
+		s.tell(balancer.Ready)
 	}
 }
 
@@ -215,7 +215,7 @@
 	s.reserved[r.job.JID] = r
 	r.timer = s.front.loop.After(term, func() {
 		r.GiveUp()
-		s.front.core.End(r.id, brain.TimedOut, nil, s.load())
+		s.front.core.End(r.id, balancer.TimedOut, nil, s.load())
 	})
 	r.job.state, r.job.updated = working, time.Now()
 	c.bulk(r.job.text)
@@ -242,7 +242,7 @@
 
 // end takes an ACK or a FAIL. Only the worker that holds the reservation can end it,
 // and once: a late one leaves the first end as it is.
-func (s *session) end(jid string, res brain.Result) bool {
+func (s *session) end(jid string, res balancer.Result) bool {
 	r := s.reserved[jid]
 	if r == nil {
 		return false
@@ -253,14 +253,14 @@
 }
 
 // load is the worker's load: fetches that wait, and jobs that wait for one.
-func (s *session) load() brain.Report {
-	r := brain.NoReport
+func (s *session) load() balancer.Report {
+	r := balancer.NoReport
 	r.Told, r.FreeSlots, r.Queue = true, float64(len(s.parked)), float64(len(s.assigned))
 	return r
 }
 
 // Probe reads the load.
-func (s *session) Probe(done func(brain.Result, brain.Report)) { done(brain.OK, s.load()) }
+func (s *session) Probe(done func(balancer.Result, balancer.Report)) { done(balancer.OK, s.load()) }
 
 // CloseIdle has nothing to close: the connections are the worker's.
 func (s *session) CloseIdle() {}
--- a/internal/platform/config.go
+++ b/internal/frontend/platform/config.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/settings"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/settings"
 )
 
 // Config is what a node is told at its start.
@@ -174,7 +174,7 @@
 		return nil, fmt.Errorf("generation %d names no instances, and says that it is whole", s.Generation)
 	}
 	for i, l := range s.Instances {
-		if l.ID == "" || l.Address == "" && lifecycles[l.Lifecycle] != brain.Removed {
+		if l.ID == "" || l.Address == "" && lifecycles[l.Lifecycle] != balancer.Removed {
 			return nil, fmt.Errorf("generation %d: instance %d has no instanceId or no hostPort",
 				s.Generation, i)
 		}
@@ -193,7 +193,7 @@
 	StartedMS int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]brain.State{"SERVING": brain.Ready, "DRAINING": brain.Draining}
+var lifecycles = map[string]balancer.State{"SERVING": balancer.Ready, "DRAINING": balancer.Draining}
 
 // names finds the numbers of what the wire names.
 type names struct {
@@ -227,19 +227,19 @@
 }
 
 // tell hands a list to the core, with the next hops that its lines name.
-func (f *Front) tell(kind brain.ListKind, set *routeSet) {
-	entries := make([]core.Entry, 0, len(set.Instances))
-	if kind != brain.Changes {
+func (f *Front) tell(kind balancer.ListKind, set *routeSet) {
+	entries := make([]broker.Entry, 0, len(set.Instances))
+	if kind != balancer.Changes {
 		clear(f.lines)
 	}
 	named := map[string]bool{}
 	now := f.loop.Now()
 	step := time.Duration(time.Now().UnixNano()) - now
 	for _, l := range set.Instances {
-		e := core.Entry{Name: l.ID, Cell: l.Cell, State: lifecycles[l.Lifecycle], Size: l.Weight,
+		e := broker.Entry{Name: l.ID, Cell: l.Cell, State: lifecycles[l.Lifecycle], Size: l.Weight,
 			Zone: indexOf(f.names.zones, l.Zone), Kind: indexOf(f.names.kinds, l.Kind),
 			Since: f.starts.at(l.ID, time.Duration(l.StartedMS)*time.Millisecond, now, step)}
-		if e.State == brain.Removed {
+		if e.State == balancer.Removed {
 			f.remove(l.ID)
 			delete(f.lines, l.ID)
 		} else {
@@ -249,7 +249,7 @@
 		}
 		entries = append(entries, e)
 	}
-	if kind != brain.Changes {
+	if kind != balancer.Changes {
 		for id := range f.hops {
 			if !named[id] {
 				f.remove(id)
--- a/internal/platform/discovery.go
+++ b/internal/frontend/platform/discovery.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/net"
-	"moorstack/internal/roster"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/discovery"
+	"moorstack/internal/netio/eventloop"
 )
 
 const (
@@ -25,8 +25,8 @@
 // directory asks discovery for the route set.
 type directory struct {
 	front  *Front
-	rules  roster.Rules
-	told   roster.Told
+	rules  discovery.Rules
+	told   discovery.Told
 	wanted bool // the core wants a watch; a list that is pushed is always wanted
 	watch  *call
 	fed    bool // another instance asks, and gives the list to this one
@@ -36,8 +36,8 @@
 	// Where lists are pushed: the calls that are out beside the watch, the next one, and the answer
 	// that was taken last, since most say the same.
 	polls  map[*call]struct{}
-	next   *net.Timer
-	again  *net.Timer // begins the watch anew
+	next   *eventloop.Timer
+	again  *eventloop.Timer // begins the watch anew
 	last   []byte
 	failed bool // the last call did
 }
@@ -45,8 +45,8 @@
 func newDirectory(f *Front) *directory {
 	s := &f.cfg.Settings
 	return &directory{front: f, polls: map[*call]struct{}{},
-		told: roster.Told{Generation: f.cfg.Known.Generation},
-		rules: roster.Rules{Pushed: s.MembershipMode == "pushed", Grace: time.Duration(s.Contract.DrainGrace),
+		told: discovery.Told{Generation: f.cfg.Known.Generation},
+		rules: discovery.Rules{Pushed: s.MembershipMode == "pushed", Grace: time.Duration(s.Contract.DrainGrace),
 			Me: s.Me, Fleet: s.Fleet}}
 }
 
@@ -184,25 +184,25 @@
 // call is a call of discovery: a list, or a watch's lines.
 type call struct {
 	dir   *directory
-	conn  *net.Conn
-	in    net.Parser
+	conn  *eventloop.Conn
+	in    eventloop.Parser
 	text  []byte // of which the end has not come yet
 	began time.Duration
-	timer *net.Timer
+	timer *eventloop.Timer
 	ended bool
 }
 
-var _ net.Handler = (*call)(nil)
+var _ eventloop.Handler = (*call)(nil)
 
 func (d *directory) ask(target string) *call {
-	c := &call{dir: d, in: net.Parser{Response: true, Stream: true}, began: d.front.loop.Now()}
+	c := &call{dir: d, in: eventloop.Parser{Response: true, Stream: true}, began: d.front.loop.Now()}
 	conn, err := d.front.loop.Dial(d.front.cfg.Discovery, c)
 	if err != nil {
 		d.front.loop.After(0, func() { c.fail(err) }) // not from within the core's call
 		return c
 	}
 	c.conn = conn
-	c.conn.Write(net.AppendRequest(nil, "GET", target, d.front.cfg.Discovery, "", nil))
+	c.conn.Write(eventloop.AppendRequest(nil, "GET", target, d.front.cfg.Discovery, "", nil))
 	c.alive()
 	return c
 }
@@ -237,10 +237,10 @@
 	d.follow()
 }
 
-func (c *call) Up(*net.Conn) {}
+func (c *call) Up(*eventloop.Conn) {}
 
 // Data takes in what has come.
-func (c *call) Data(*net.Conn) {
+func (c *call) Data(*eventloop.Conn) {
 	headDone := c.in.HeadDone()
 	whole, err := c.in.Feed(c.conn.In())
 	if err == nil && c.in.HeadDone() && c.in.Status != 200 {
@@ -335,9 +335,9 @@
 
 func (d *directory) take(set *routeSet) {
 	d.front.start.release()
-	kind := brain.Changes
+	kind := balancer.Changes
 	if set.Reset {
-		kind = brain.Whole
+		kind = balancer.Whole
 	}
 	d.front.tell(kind, set)
 	d.front.starts.confirm(d.front.loop.Now())
@@ -353,7 +353,7 @@
 	delete(c.dir.polls, c)
 }
 
-func (c *call) Ended(_ *net.Conn, err error) {
+func (c *call) Ended(_ *eventloop.Conn, err error) {
 	if !c.ended && c.in.Ended() {
 		if c.values(true); !c.ended {
 			c.over()
@@ -390,7 +390,7 @@
 		return
 	}
 	d.front.log.WithError(err).Warn("a call of discovery has failed")
-	d.front.core.RouteSet(brain.Failed, nil)
+	d.front.core.RouteSet(balancer.Failed, nil)
 }
 
 func (c *call) close() {
--- a/internal/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"moorstack/internal/drain"
+	"moorstack/internal/proxy/drain"
 )
 
 var errNoHop = errors.New("no trip worker is known")
--- a/internal/platform/foster.go
+++ b/internal/frontend/platform/foster.go
@@ -5,9 +5,9 @@
 	"net/url"
 	"slices"
 
-	"moorstack/internal/core"
-	"moorstack/internal/handover"
-	"moorstack/internal/net"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/hotrestart"
 )
 
 // A foster is an open job that another process of the node took, and could not finish in
@@ -16,17 +16,17 @@
 // done is the other's to know.
 type foster struct {
 	hops  []string // that have it
-	timer *net.Timer
+	timer *eventloop.Timer
 }
 
 // GiveAway gives the open jobs that it can to another process, by give. What has an
 // attempt that no next hop has accepted yet, or waits for one, stays.
-func (f *Front) GiveAway(give func(j handover.Job, fd int) error) (given int) {
+func (f *Front) GiveAway(give func(j hotrestart.Job, fd int) error) (given int) {
 	for c := range f.clients {
 		if !c.waits || c.conn.Closed() || c.conn.Unsent() > 0 || len(c.conn.In()) > 0 {
 			continue
 		}
-		j := handover.Job{ID: c.id, Class: c.class}
+		j := hotrestart.Job{ID: c.id, Class: c.class}
 		accepted := true
 		if c.foster != nil {
 			j.Hops, j.Until = c.foster.hops, c.until
@@ -61,7 +61,7 @@
 }
 
 // Foster takes an open job with its client's connection.
-func (f *Front) Foster(j *handover.Job, fd int) error {
+func (f *Front) Foster(j *hotrestart.Job, fd int) error {
 	until := j.Until // an older process tells of no span
 	if j.Left > 0 {
 		until = f.loop.Now() + j.Left
@@ -75,7 +75,7 @@
 	c.conn = conn
 	f.clients[c] = struct{}{}
 	f.fosters[j.ID] = c
-	c.foster.timer = f.loop.At(until, func() { f.endFoster(c, core.Answer{Kind: core.Failed}) })
+	c.foster.timer = f.loop.At(until, func() { f.endFoster(c, broker.Answer{Kind: broker.Failed}) })
 	return nil
 }
 
@@ -86,7 +86,7 @@
 }
 
 // endFoster gives its final answer, once.
-func (f *Front) endFoster(c *client, a core.Answer) {
+func (f *Front) endFoster(c *client, a broker.Answer) {
 	f.unfoster(c)
 	c.Answer(a)
 }
@@ -100,12 +100,12 @@
 	}
 	switch {
 	case state == "done" && result != nil:
-		f.endFoster(c, core.Answer{Kind: core.Served, Result: []byte(*result)})
+		f.endFoster(c, broker.Answer{Kind: broker.Served, Result: []byte(*result)})
 	case state == "started" || state == "running":
 	default:
 		c.foster.hops = slices.DeleteFunc(c.foster.hops, func(h string) bool { return h == from })
 		if len(c.foster.hops) == 0 {
-			f.endFoster(c, core.Answer{Kind: core.Failed})
+			f.endFoster(c, broker.Answer{Kind: broker.Failed})
 		}
 	}
 	return true
@@ -115,8 +115,8 @@
 func (f *Front) abandon(c *client) {
 	for _, name := range c.foster.hops {
 		if h := f.hops[name]; h != nil {
-			request := net.AppendRequest(nil, "DELETE", "/jobs/"+url.PathEscape(c.id), h.address, "", nil)
-			f.loop.After(calling, h.ask(request, func(*net.Message, []byte, bool) {}))
+			request := eventloop.AppendRequest(nil, "DELETE", "/jobs/"+url.PathEscape(c.id), h.address, "", nil)
+			f.loop.After(calling, h.ask(request, func(*eventloop.Message, []byte, bool) {}))
 		}
 	}
 	f.unfoster(c)
--- a/internal/platform/front.go
+++ b/internal/frontend/platform/front.go
@@ -11,12 +11,12 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/drain"
-	"moorstack/internal/figures"
-	"moorstack/internal/net"
-	"moorstack/internal/routing"
+	"moorstack/balancer"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/drain"
+	"moorstack/internal/proxy/metrics"
+	"moorstack/internal/proxy/routing"
 )
 
 const (
@@ -26,12 +26,12 @@
 
 // Front is the platform's front.
 type Front struct {
-	loop     *net.Loop
-	core     *core.Core
+	loop     *eventloop.Loop
+	core     *broker.Core
 	cfg      *Config
 	names    names
 	log      logrus.FieldLogger
-	listener *net.Listener
+	listener *eventloop.Listener
 	relays                      // what passes between this process and one beside it
 	lines    map[string]line    // the list, as discovery words it
 	fosters  map[string]*client // jobs that another process took, by their ids
@@ -39,9 +39,9 @@
 	clients  map[*client]struct{}
 	drain    drain.Drain
 	ends     time.Duration // when the process was asked to end
-	counts   figures.Counts
+	counts   metrics.Counts
 	account  string         // the header that names a job's account; empty: none does
-	routes   *routing.Table // nil: jobs go where brain will
+	routes   *routing.Table // nil: jobs go where the balancer decides
 	dir      *directory
 	start    startList
 	starts   starts
@@ -49,23 +49,23 @@
 }
 
 // New makes the front. Open begins its service, once it has its core.
-func New(loop *net.Loop, cfg *Config, log logrus.FieldLogger) *Front {
+func New(loop *eventloop.Loop, cfg *Config, log logrus.FieldLogger) *Front {
 	f := &Front{loop: loop, cfg: cfg, names: namesOf(&cfg.Settings), log: log, hops: map[string]*nextHop{},
 		clients: map[*client]struct{}{}}
 	f.brokeAt = -mistrust
 	f.fosters = map[string]*client{}
 	f.lines, f.relays.waiting = map[string]line{}, map[uint64]*client{}
-	f.counts.Classes = make([]figures.Class, len(cfg.Settings.Classes))
+	f.counts.Classes = make([]metrics.Class, len(cfg.Settings.Classes))
 	f.dir = newDirectory(f)
 	f.start.front = f
 	return f
 }
 
 // Directory is where the core asks for the route set.
-func (f *Front) Directory() core.Directory { return f.dir }
+func (f *Front) Directory() broker.Directory { return f.dir }
 
 // Open gives the core what is known of the next hops and begins to listen.
-func (f *Front) Open(c *core.Core) error {
+func (f *Front) Open(c *broker.Core) error {
 	f.core = c
 	f.start.begin()
 	var err error
@@ -78,12 +78,12 @@
 // branches, probes and discovery. A quarter of the memory may hold what has come in;
 // results, the jobs under way and the collector's slack need the rest. Two processes of
 // one node have half of that each.
-func (f *Front) limits() net.Limits {
+func (f *Front) limits() eventloop.Limits {
 	most, parts := f.cfg.Limits, 1
 	if f.shared {
 		parts = 2
 	}
-	return net.Limits{Connections: (most.Sockets*3/4 - most.Others) / parts,
+	return eventloop.Limits{Connections: (most.Sockets*3/4 - most.Others) / parts,
 		Bytes: int(most.MemoryMB<<20/4) / parts, Share: f.cfg.Upgrades()}
 }
 
@@ -93,7 +93,7 @@
 // SetAccount has jobs be of the account that this header names; empty: of none.
 func (f *Front) SetAccount(header string) { f.account = header }
 
-func (f *Front) accept(c *net.Conn) {
+func (f *Front) accept(c *eventloop.Conn) {
 	cl := &client{front: f, conn: c, opened: f.loop.Now()}
 	f.clients[cl] = struct{}{}
 	c.H = cl
@@ -102,8 +102,8 @@
 // client is a connection that was accepted: a client's, or a next hop's call-back.
 type client struct {
 	front *Front
-	conn  *net.Conn
-	in    net.Parser
+	conn  *eventloop.Conn
+	in    eventloop.Parser
 	id    string // of the transaction it waits for
 	class int    // its class
 	rule  string // by which it was routed, if by any
@@ -122,20 +122,20 @@
 	used   bool // a whole message has come on it
 }
 
-var _ net.Handler = (*client)(nil)
-var _ core.Client = (*client)(nil)
-var _ core.Leaver = (*client)(nil)
+var _ eventloop.Handler = (*client)(nil)
+var _ broker.Client = (*client)(nil)
+var _ broker.Leaver = (*client)(nil)
 
-func (c *client) Up(*net.Conn) {}
+func (c *client) Up(*eventloop.Conn) {}
 
 // Data reads requests one at a time: a pipelined one waits until the one before
 // it has its answer.
-func (c *client) Data(*net.Conn) {
+func (c *client) Data(*eventloop.Conn) {
 	for !c.waits && !c.relayed && !c.last && !c.conn.Closed() && len(c.conn.In()) > 0 {
 		whole, err := c.in.Feed(c.conn.In())
 		if err == nil && !whole && c.conn.Full() {
 			// Hazard: a body in chunks of a byte is mostly framing, and would wait here unread.
-			err = &net.BadMessage{Status: 413, Reason: "the framing of the body is too large"}
+			err = &eventloop.BadMessage{Status: 413, Reason: "the framing of the body is too large"}
 		}
 		if err != nil {
 			c.refuse(err)
@@ -167,7 +167,7 @@
 // refuse ends a connection whose input can't be read on.
 func (c *client) refuse(err error) {
 	status := 400
-	if b, ok := err.(*net.BadMessage); ok {
+	if b, ok := err.(*eventloop.BadMessage); ok {
 		status = b.Status
 	}
 	c.reject(status, err)
@@ -181,7 +181,7 @@
 }
 
 func (c *client) respond(status int, extra string, body []byte) {
-	c.conn.Write(net.AppendResponse(nil, status, c.last, extra, body))
+	c.conn.Write(eventloop.AppendResponse(nil, status, c.last, extra, body))
 	if c.last {
 		c.conn.Finish()
 		c.gone()
@@ -190,7 +190,7 @@
 	c.conn.Idle()
 }
 
-func (c *client) handle(m *net.Message, body []byte) {
+func (c *client) handle(m *eventloop.Message, body []byte) {
 	path, _, _ := strings.Cut(m.Target, "?")
 	switch {
 	case m.Method == "POST" && path == callBack:
@@ -230,7 +230,7 @@
 	body        []byte
 }
 
-func (c *client) begin(m *net.Message, body []byte) {
+func (c *client) begin(m *eventloop.Message, body []byte) {
 	t, d, err := c.front.transaction(m, body)
 	// Hazard: a request that was sent ahead has waited here for the answer to the one before it.
 	t.Left -= c.front.loop.Now() - c.conn.Heard()
@@ -246,7 +246,7 @@
 		return
 	}
 	if err == nil && c.front.elsewhere(t.ID) {
-		err = core.ErrKnown
+		err = broker.ErrKnown
 	}
 	if err == nil {
 		c.id, c.waits = t.ID, true
@@ -256,19 +256,19 @@
 		c.waits = false
 	}
 	status := 400
-	if err == core.ErrKnown {
+	if err == broker.ErrKnown {
 		status = 409
 	}
 	c.reject(status, err)
 }
 
 // transaction reads what the headers say of a job.
-func (f *Front) transaction(m *net.Message, body []byte) (t core.Transaction, d routing.Decision, err error) {
+func (f *Front) transaction(m *eventloop.Message, body []byte) (t broker.Transaction, d routing.Decision, err error) {
 	j := &job{target: m.Target, key: m.Get("Idempotency-Key"), body: body}
 	t.ID, t.Job = m.Get("X-Request-ID"), j
 	// Hazard: on what a next hop can't read it closes the connection, which counts as a
 	// reset and against it, and for a job that may be repeated at the next one, too.
-	if !net.Plain(t.ID) || len(t.ID) > 200 {
+	if !eventloop.Plain(t.ID) || len(t.ID) > 200 {
 		return t, d, fmt.Errorf("X-Request-ID is missing, too long or no plain text")
 	}
 	class := m.Get("X-Priority-Class")
@@ -312,7 +312,7 @@
 }
 
 // decide has the rules say where the job goes, and checks what depends on its class.
-func (f *Front) decide(m *net.Message, t *core.Transaction, j *job) (d routing.Decision, err error) {
+func (f *Front) decide(m *eventloop.Message, t *broker.Transaction, j *job) (d routing.Decision, err error) {
 	if f.routes != nil {
 		path, _, _ := strings.Cut(m.Target, "?")
 		about := routing.Job{Front: "http", Class: t.Class, Tenant: t.Tenant, Host: m.Get("Host"), Path: path,
@@ -327,7 +327,7 @@
 		}
 	}
 	// Hazard: without its key, a repeat of a keyed job is not known for one, and runs again.
-	if d.Refused == "" && f.cfg.Settings.Classes[t.Class].Effect == "dedup" && !net.Plain(j.key) {
+	if d.Refused == "" && f.cfg.Settings.Classes[t.Class].Effect == "dedup" && !eventloop.Plain(j.key) {
 		return d, fmt.Errorf("Idempotency-Key is missing or no plain text")
 	}
 	return d, nil
@@ -352,14 +352,14 @@
 }
 
 // Answer writes the transaction's final answer.
-func (c *client) Answer(a core.Answer) {
+func (c *client) Answer(a broker.Answer) {
 	c.waits = false
 	c.leave()
 	switch n := c.front.count(c.class); a.Kind {
-	case core.Served:
+	case broker.Served:
 		n.Succeeded++
 		c.respond(200, "", a.Result)
-	case core.Busy:
+	case broker.Busy:
 		n.Declined++
 		why := a.Why
 		if c.rule != "" && why == "" {
@@ -410,7 +410,7 @@
 }
 
 // Ended tells the core that a client has gone before its answer.
-func (c *client) Ended(*net.Conn, error) {
+func (c *client) Ended(*eventloop.Conn, error) {
 	if c.gone(); c.waits {
 		c.waits = false
 		c.front.counts.Left++
@@ -448,7 +448,7 @@
 	if f.fostered(e.ID, e.From, e.State, e.Result) {
 		return true
 	}
-	report := brain.NoReport
+	report := balancer.NoReport
 	for name, v := range e.Load {
 		f.names.report.Set(&report, name, v)
 	}
@@ -456,15 +456,15 @@
 	case "done":
 		if e.Result == nil {
 			f.log.WithField("from", e.From).Warn("a call-back that is done and has no result")
-			return f.core.EndAt(e.ID, e.From, brain.Error, nil, report)
+			return f.core.EndAt(e.ID, e.From, balancer.Error, nil, report)
 		}
-		return f.core.EndAt(e.ID, e.From, brain.OK, []byte(*e.Result), report)
+		return f.core.EndAt(e.ID, e.From, balancer.OK, []byte(*e.Result), report)
 	case "failed":
-		return f.core.EndAt(e.ID, e.From, brain.Error, nil, report)
+		return f.core.EndAt(e.ID, e.From, balancer.Error, nil, report)
 	case "returned":
-		return f.core.EndAt(e.ID, e.From, brain.Full, nil, report)
+		return f.core.EndAt(e.ID, e.From, balancer.Full, nil, report)
 	case "lost":
-		return f.core.EndAt(e.ID, e.From, brain.Reset, nil, report)
+		return f.core.EndAt(e.ID, e.From, balancer.Reset, nil, report)
 	case "started", "running":
 		return f.core.Progress(e.ID, e.From, e.State == "started", e.Share)
 	}
--- a/internal/platform/nexthop.go
+++ b/internal/frontend/platform/nexthop.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/net"
+	"moorstack/balancer"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
 )
 
 // probing is how long a probe may take; what comes later tells of a load long past.
@@ -39,15 +39,15 @@
 	idle    []*exchange // the one used last at the end
 }
 
-var _ core.NextHop = (*nextHop)(nil)
+var _ broker.NextHop = (*nextHop)(nil)
 
 // exchange is a request on a connection of its own, and its answer. A connection
 // carries one at a time.
 type exchange struct {
 	hop     *nextHop
-	conn    *net.Conn
-	in      net.Parser
-	timer   *net.Timer
+	conn    *eventloop.Conn
+	in      eventloop.Parser
+	timer   *eventloop.Timer
 	address string
 	busy    bool
 	kept    bool // the connection has carried a request before this one
@@ -55,10 +55,10 @@
 	// compose words the request when the connection can take it; nil: nobody waits for it any more.
 	compose func() []byte
 	// done is told once: the answer, or nil and whether the request never went out whole.
-	done func(m *net.Message, body []byte, unsent bool)
+	done func(m *eventloop.Message, body []byte, unsent bool)
 }
 
-var _ net.Handler = (*exchange)(nil)
+var _ eventloop.Handler = (*exchange)(nil)
 
 // send writes a request on an idle connection or, if it must be fresh or there is none,
 // on a new one. An attempt is counted once the kernel has the whole of it.
@@ -66,7 +66,7 @@
 // Hazard: a new connection may come up late. What the request says of time must be true when it is
 // written, and its client may have left meanwhile.
 func (h *nextHop) send(compose func() []byte, fresh, attempt bool,
-	done func(*net.Message, []byte, bool)) *exchange {
+	done func(*eventloop.Message, []byte, bool)) *exchange {
 	var x *exchange
 	for !fresh && len(h.idle) > 0 && x == nil {
 		last := len(h.idle) - 1
@@ -80,7 +80,7 @@
 		}
 	}
 	if x == nil {
-		x = &exchange{hop: h, address: h.address, in: net.Parser{Response: true}}
+		x = &exchange{hop: h, address: h.address, in: eventloop.Parser{Response: true}}
 		conn, err := h.front.loop.Dial(h.address, x)
 		if err != nil {
 			h.front.log.WithError(err).Warn("a next hop can't be dialled")
@@ -125,10 +125,10 @@
 // ask sends what does no harm twice, and so once more on a new connection if a kept one
 // breaks under it: that tells of the connection, not of the next hop. It returns what
 // ends the call without telling.
-func (h *nextHop) ask(request []byte, done func(*net.Message, []byte, bool)) (end func()) {
+func (h *nextHop) ask(request []byte, done func(*eventloop.Message, []byte, bool)) (end func()) {
 	var x *exchange
 	compose := func() []byte { return request }
-	x = h.send(compose, false, false, func(m *net.Message, body []byte, unsent bool) {
+	x = h.send(compose, false, false, func(m *eventloop.Message, body []byte, unsent bool) {
 		if m == nil && x != nil && x.kept && x.broke {
 			x = h.send(compose, true, false, done)
 			return
@@ -159,13 +159,13 @@
 }
 
 // Up ends the wait for the connection.
-func (x *exchange) Up(*net.Conn) {
+func (x *exchange) Up(*eventloop.Conn) {
 	x.timer.Stop()
 	x.write()
 }
 
 // Data reads the answer.
-func (x *exchange) Data(*net.Conn) {
+func (x *exchange) Data(*eventloop.Conn) {
 	if !x.busy {
 		x.close() // nothing was asked
 		return
@@ -192,7 +192,7 @@
 }
 
 // finish hands the answer over and keeps the connection for the next request.
-func (x *exchange) finish(m *net.Message, body []byte) {
+func (x *exchange) finish(m *eventloop.Message, body []byte) {
 	x.busy = false
 	done := x.done
 	x.done = nil
@@ -217,7 +217,7 @@
 }
 
 // Ended is the end of the connection from the other side.
-func (x *exchange) Ended(*net.Conn, error) {
+func (x *exchange) Ended(*eventloop.Conn, error) {
 	if x.busy && x.in.Ended() {
 		m, body := x.in.Message, x.in.Body(x.conn.In())
 		x.busy = false
@@ -271,14 +271,14 @@
 	x        *exchange
 	job      string
 	accepted bool
-	timer    *net.Timer // for the 202
+	timer    *eventloop.Timer // for the 202
 }
 
 // Start sends a job.
-func (h *nextHop) Start(b core.Branch) core.Running {
+func (h *nextHop) Start(b broker.Branch) broker.Running {
 	br := &branch{hop: h, job: b.Name}
 	br.x = h.send(func() []byte { return h.attempt(b) }, h.front.mistrusts(), true,
-		func(m *net.Message, body []byte, unsent bool) {
+		func(m *eventloop.Message, body []byte, unsent bool) {
 			br.timer.Stop()
 			if m != nil && m.Status == 202 {
 				br.accepted = true // its end comes as a call-back
@@ -291,7 +291,7 @@
 		// went into one would be waited for until the client's time is up.
 		br.timer = h.front.loop.After(accepting*h.front.connectTimeout(), func() {
 			br.x.close()
-			h.front.core.End(b.ID, brain.Reset, nil, brain.NoReport)
+			h.front.core.End(b.ID, balancer.Reset, nil, balancer.NoReport)
 		})
 	}
 	return br
@@ -302,7 +302,7 @@
 const reserve = 10 * time.Millisecond
 
 // attempt words the request of a branch as of now; nil: its client has left, or its time is up.
-func (h *nextHop) attempt(b core.Branch) []byte {
+func (h *nextHop) attempt(b broker.Branch) []byte {
 	left := b.Limit - h.front.loop.Now()
 	left -= min(reserve, left/10)
 	if left <= 0 || !h.front.core.Wanted(b.ID) {
@@ -313,23 +313,23 @@
 	if j.key != "" {
 		extra += "Idempotency-Key: " + j.key + "\r\n"
 	}
-	return net.AppendRequest(nil, "POST", j.target, h.address, extra, j.body)
+	return eventloop.AppendRequest(nil, "POST", j.target, h.address, extra, j.body)
 }
 
 // resultOf is the protocol's table of what comes back. Only what proves that the
 // job never ran may say so.
-func resultOf(m *net.Message, unsent bool) brain.Result {
+func resultOf(m *eventloop.Message, unsent bool) balancer.Result {
 	switch {
 	case m == nil && unsent:
-		return brain.ConnectFailed
+		return balancer.ConnectFailed
 	case m == nil:
-		return brain.Reset
+		return balancer.Reset
 	case (m.Status == 503 || m.Status == 504) && m.Get("X-Not-Processed") == "1":
-		return brain.Full
+		return balancer.Full
 	case m.Status >= 400 && m.Status < 500 && m.Status != 408 && m.Status != 429:
-		return brain.Rejected // it says that the job is at fault, not the next hop
+		return balancer.Rejected // it says that the job is at fault, not the next hop
 	}
-	return brain.Error
+	return balancer.Error
 }
 
 // GiveUp tells the next hop that nobody waits: by a call once it has taken the
@@ -342,53 +342,53 @@
 		}
 		return
 	}
-	request := net.AppendRequest(nil, "DELETE", "/jobs/"+url.PathEscape(b.job), b.hop.address, "", nil)
+	request := eventloop.AppendRequest(nil, "DELETE", "/jobs/"+url.PathEscape(b.job), b.hop.address, "", nil)
 	// Hazard: jobs are given up at machines that have vanished, and each call would hold
 	// its connection for ever.
-	b.hop.front.loop.After(calling, b.hop.ask(request, func(*net.Message, []byte, bool) {}))
+	b.hop.front.loop.After(calling, b.hop.ask(request, func(*eventloop.Message, []byte, bool) {}))
 }
 
 // Probe asks for the load report.
-func (h *nextHop) Probe(done func(brain.Result, brain.Report)) {
+func (h *nextHop) Probe(done func(balancer.Result, balancer.Report)) {
 	answered := false
-	tell := func(res brain.Result, r brain.Report) {
+	tell := func(res balancer.Result, r balancer.Report) {
 		if !answered {
 			answered = true
 			done(res, r)
 		}
 	}
-	var timer *net.Timer
-	end := h.ask(net.AppendRequest(nil, "GET", "/_load", h.address, "", nil),
-		func(m *net.Message, body []byte, unsent bool) {
+	var timer *eventloop.Timer
+	end := h.ask(eventloop.AppendRequest(nil, "GET", "/_load", h.address, "", nil),
+		func(m *eventloop.Message, body []byte, unsent bool) {
 			timer.Stop()
 			switch {
 			case m == nil:
-				tell(resultOf(m, unsent), brain.NoReport)
+				tell(resultOf(m, unsent), balancer.NoReport)
 			case m.Status != 200:
-				tell(brain.Error, brain.NoReport)
+				tell(balancer.Error, balancer.NoReport)
 			default:
-				tell(brain.OK, h.front.parseLoad(string(body)))
+				tell(balancer.OK, h.front.parseLoad(string(body)))
 			}
 		})
 	if !answered {
 		timer = h.front.loop.After(probing, func() {
 			end()
-			tell(brain.TimedOut, brain.NoReport)
+			tell(balancer.TimedOut, balancer.NoReport)
 		})
 	}
 }
 
 // loadOf is the load report that an answer carries.
-func (f *Front) loadOf(m *net.Message) brain.Report {
+func (f *Front) loadOf(m *eventloop.Message) balancer.Report {
 	if m == nil {
-		return brain.NoReport
+		return balancer.NoReport
 	}
 	return f.parseLoad(m.Get("X-Server-Load"))
 }
 
 // parseLoad reads a load report, as an object or as "TEXT name=value, name=value".
-func (f *Front) parseLoad(s string) brain.Report {
-	r := brain.NoReport
+func (f *Front) parseLoad(s string) balancer.Report {
+	r := balancer.NoReport
 	s = strings.TrimSpace(s)
 	if strings.HasPrefix(s, "{") {
 		var values map[string]float64
--- a/internal/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/handover"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/hotrestart"
 )
 
 // Beside is the other process of this node, while one takes the other's place.
@@ -153,10 +153,10 @@
 }
 
 // Starts are the workers' starts, as they are known here.
-func (f *Front) Starts() map[string]handover.Start {
-	starts := make(map[string]handover.Start, len(f.starts.known))
+func (f *Front) Starts() map[string]hotrestart.Start {
+	starts := make(map[string]hotrestart.Start, len(f.starts.known))
 	for name, s := range f.starts.known {
-		starts[name] = handover.Start{Said: s.said, At: s.at}
+		starts[name] = hotrestart.Start{Said: s.said, At: s.at}
 	}
 	return starts
 }
@@ -176,7 +176,7 @@
 
 // OpenOn is Open for a process that takes another one's place: with that one's listening socket and state,
 // whose times are by this one's clock, and what its core has told.
-func (f *Front) OpenOn(c *core.Core, fd int, s *handover.State, p core.Passed) error {
+func (f *Front) OpenOn(c *broker.Core, fd int, s *hotrestart.State, p broker.Passed) error {
 	known := routeSet{Generation: s.Generation, Reset: true}
 	if err := json.Unmarshal(s.Instances, &known.Instances); err != nil {
 		return err
@@ -184,7 +184,7 @@
 	f.starts.recall(s.Starts)
 	f.cfg.Known, f.dir.told.Generation = known, s.Generation
 	f.core, f.shared = c, true
-	f.tell(brain.Cached, &f.cfg.Known)
+	f.tell(balancer.Cached, &f.cfg.Known)
 	c.Recall(p)
 	var err error
 	f.listener, err = f.loop.ListenOn(fd, f.limits(), f.accept)
--- a/internal/platform/startlist.go
+++ b/internal/frontend/platform/startlist.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/net"
+	"moorstack/balancer"
+	"moorstack/internal/netio/eventloop"
 )
 
 // unconfirmedFor is how long a node without a word from discovery waits before it serves by the
@@ -21,13 +21,13 @@
 type startList struct {
 	front   *Front
 	pending bool
-	timer   *net.Timer
+	timer   *eventloop.Timer
 }
 
 // begin starts the core without workers and waits for discovery.
 func (s *startList) begin() {
 	s.pending = true
-	s.front.core.RouteSet(brain.Cached, nil)
+	s.front.core.RouteSet(balancer.Cached, nil)
 	if len(s.front.cfg.Known.Instances) == 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 	}
 	s.pending = false
 	s.timer.Stop()
-	s.front.tell(brain.Cached, &s.front.cfg.Known)
+	s.front.tell(balancer.Cached, &s.front.cfg.Known)
 }
 
 // unconfirmed is the configured list while it waits for discovery.
@@ -61,6 +61,6 @@
 func (s *startList) confirm() {
 	if s.pending {
 		s.release()
-		s.front.core.RouteSet(brain.Changes, nil)
+		s.front.core.RouteSet(balancer.Changes, nil)
 	}
 }
--- a/internal/platform/starts.go
+++ b/internal/frontend/platform/starts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"moorstack/internal/handover"
+	"moorstack/internal/proxy/hotrestart"
 )
 
 const (
@@ -50,7 +50,7 @@
 }
 
 // recall takes over the starts that another process knew.
-func (s *starts) recall(starts map[string]handover.Start) {
+func (s *starts) recall(starts map[string]hotrestart.Start) {
 	s.known = make(map[string]start, len(starts))
 	for name, k := range starts {
 		s.known[name] = start{k.Said, k.At}
