--- a/internal/net/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/slots"
+	"moorstack/internal/proxy/slotmap"
 )
 
 // Handler is told what happens on a connection. None of it is called after Close.
@@ -66,7 +66,7 @@
 	loop *Loop
 	from *Listener
 	fd   int
-	id   slots.ID
+	id   slotmap.ID
 	buf  []byte
 	mid  int // input is buf[:mid], output is buf[mid:]
 
--- a/internal/net/conn_test.go
+++ b/internal/netio/eventloop/conn_test.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/net/kernel"
+	"moorstack/internal/netio/kernel"
 )
 
 // echo takes a line as a message, and answers it when the test says so, or at once.
--- a/internal/net/http_test.go
+++ b/internal/netio/eventloop/http_test.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"fmt"
--- a/internal/net/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/slots"
+	"moorstack/internal/proxy/slotmap"
 )
 
 // Limits are what a listener's connections may take together.
@@ -24,7 +24,7 @@
 type Listener struct {
 	loop   *Loop
 	fd     int
-	id     slots.ID
+	id     slotmap.ID
 	limits Limits
 	open   int
 	bytes  int // of its connections' buffers
--- a/internal/net/look.go
+++ b/internal/netio/eventloop/look.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 // Looks at what the kernel holds for a connection, without waiting for the loop to tell.
 
--- a/internal/net/loop.go
+++ b/internal/netio/eventloop/loop.go
@@ -3,7 +3,7 @@
 // and an HTTP/1.1 parser that takes its input in any pieces.
 //
 // Everything runs on the goroutine that calls Loop.Run, but for Loop.Post.
-package net
+package eventloop
 
 import (
 	"container/heap"
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/net/kernel"
-	"moorstack/internal/slots"
+	"moorstack/internal/netio/kernel"
+	"moorstack/internal/proxy/slotmap"
 )
 
 // Timer is a deadline that hangs in the loop's heap.
@@ -56,7 +56,7 @@
 type Loop struct {
 	system   kernel.System
 	ep, wake int
-	sources  slots.Table[source]
+	sources  slotmap.Table[source]
 	timers   deadlines
 	started  time.Time
 	origin   time.Duration
@@ -186,7 +186,7 @@
 func (l *Loop) take(e *unix.EpollEvent) {
 	// An earlier event of this batch may have closed what this one is about, and its slot may be in use
 	// again: then the generation misses.
-	if s, ok := l.sources.Get(slots.Of(uint32(e.Fd), uint32(e.Pad))); ok {
+	if s, ok := l.sources.Get(slotmap.Of(uint32(e.Fd), uint32(e.Pad))); ok {
 		s.ready(e.Events)
 	}
 }
@@ -200,11 +200,11 @@
 	return int(min(max(left+time.Millisecond-1, 0)/time.Millisecond, 60_000))
 }
 
-func event(events uint32, id slots.ID) *unix.EpollEvent {
+func event(events uint32, id slotmap.ID) *unix.EpollEvent {
 	return &unix.EpollEvent{Events: events, Fd: int32(id.Index()), Pad: int32(id.Generation())}
 }
 
-func (l *Loop) watch(fd int, events uint32, s source) (slots.ID, error) {
+func (l *Loop) watch(fd int, events uint32, s source) (slotmap.ID, error) {
 	id := l.sources.Add(s)
 	if err := l.system.Control(l.ep, unix.EPOLL_CTL_ADD, fd, event(events, id)); err != nil {
 		l.sources.Remove(id)
--- a/internal/net/passing.go
+++ b/internal/netio/eventloop/passing.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 // Descriptors that pass between processes, with connections or for them.
 
--- a/internal/net/system_test.go
+++ b/internal/netio/eventloop/system_test.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/net/faultnet"
+	"moorstack/internal/netio/faultnet"
 )
 
 // lines answers each line that comes.
--- a/internal/net/faultnet/faultnet.go
+++ b/internal/netio/faultnet/faultnet.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/net/kernel"
+	"moorstack/internal/netio/kernel"
 )
 
 // Call names a system call.
--- a/internal/node/backups.go
+++ b/internal/node/backups.go
@@ -7,18 +7,18 @@
 	"fmt"
 	"time"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/backups"
-	"moorstack/internal/consensus"
-	"moorstack/internal/control"
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/operate/backups"
+	"moorstack/internal/operate/controlapi"
 )
 
 // labels are what this instance has that duties ask for, and where it is.
 func (c *ServeConfig) labels(zone string) []string {
-	list := []string{duty.Zone + zone}
+	list := []string{leasedtask.Zone + zone}
 	if c.Duties.Backups != "" {
-		list = append(list, duty.CanBackup)
+		list = append(list, leasedtask.CanBackup)
 	}
 	return list
 }
@@ -27,7 +27,7 @@
 // clock, and nothing else does: that no two write at once is the duty's and the directory's to see to.
 func (k *keeper) backups(ctx context.Context, t *turn) error {
 	dir := backups.Dir{Path: k.i.cfg.Duties.Backups, Verify: func(b []byte) error {
-		_, err := control.ReadBackup(b)
+		_, err := controlapi.ReadBackup(b)
 		return err
 	}}
 	for {
@@ -45,11 +45,11 @@
 // backup writes the backup of this period, unless it is noted to be there.
 func (k *keeper) backup(ctx context.Context, t *turn, dir backups.Dir) error {
 	var cluster string
-	var p duty.Policy
+	var p leasedtask.Policy
 	var content []byte
 	r := k.i.runner
-	if err := r.View(ctx, func(s *agreement.State) {
-		p, _ = duty.ReadPolicy(s.Newest().Document.Sections[duty.Section], agreement.Format)
+	if err := r.View(ctx, func(s *clusterstate.State) {
+		p, _ = leasedtask.ReadPolicy(s.Newest().Document.Sections[leasedtask.Section], clusterstate.Format)
 	}); err != nil || p.Every == 0 {
 		return nil // the group has just lost it
 	}
@@ -68,14 +68,14 @@
 	if err := r.Barrier(ctx); err != nil {
 		return nil // the lease ends, or a leader comes
 	}
-	if err := r.View(ctx, func(s *agreement.State) {
-		cluster, content = s.Cluster(), control.WriteBackup(s.Cluster(), s.History())
+	if err := r.View(ctx, func(s *clusterstate.State) {
+		cluster, content = s.Cluster(), controlapi.WriteBackup(s.Cluster(), s.History())
 	}); err != nil {
 		return nil
 	}
 	kept, err := dir.Keep(backups.Request{Group: cluster, Duty: t.duty, Number: t.number, Period: period,
 		Content: content, Keep: p.Keep, May: func() bool { return t.May(consensus.Boottime()) }})
-	var stale *duty.StaleError
+	var stale *leasedtask.StaleError
 	switch {
 	case errors.As(err, &stale) || errors.Is(err, backups.ErrOver):
 		k.log.WithError(err).Warn("a backup is not written: this instance holds the duty no more")
@@ -87,9 +87,9 @@
 	if err != nil {
 		return err
 	}
-	o, err := k.say(ctx, duty.Command{Kind: duty.Note, Duty: t.duty, Number: t.number, Turn: held.Turn,
+	o, err := k.say(ctx, leasedtask.Command{Kind: leasedtask.Note, Duty: t.duty, Number: t.number, Turn: held.Turn,
 		Note: note})
-	if err == nil && o.Code == agreement.Accepted {
+	if err == nil && o.Code == clusterstate.Accepted {
 		k.log.WithField("file", kept.File).Info("a backup is kept")
 	}
 	return nil // without an answer the next look tells
--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -13,10 +13,10 @@
 	"github.com/sirupsen/logrus"
 	"google.golang.org/grpc/status"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/conduct"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/rollingrestart"
 	"moorstack/internal/schema"
 )
 
@@ -37,7 +37,7 @@
 
 // conduct is the work of the duty that takes the instances out one after another.
 func (k *keeper) conduct(ctx context.Context, t *turn) error {
-	c := conduct.NewConductor()
+	c := rollingrestart.NewConductor()
 	for {
 		if err := k.step(ctx, t, c); err != nil && ctx.Err() == nil {
 			return err
@@ -52,9 +52,9 @@
 
 // step notes what is to be done next, if anything is. What it notes counts once it is agreed on: who is to
 // go reads it there (leaves), and goes by that.
-func (k *keeper) step(ctx context.Context, t *turn, c *conduct.Conductor) error {
+func (k *keeper) step(ctx context.Context, t *turn, c *rollingrestart.Conductor) error {
 	held := t.now()
-	plan, err := conduct.Read(held.Note)
+	plan, err := rollingrestart.Read(held.Note)
 	if err != nil || !plan.Under() {
 		return err
 	}
@@ -70,9 +70,9 @@
 	if err != nil {
 		return err
 	}
-	o, err := k.say(ctx, duty.Command{Kind: duty.Note, Duty: t.duty, Number: t.number, Turn: held.Turn,
+	o, err := k.say(ctx, leasedtask.Command{Kind: leasedtask.Note, Duty: t.duty, Number: t.number, Turn: held.Turn,
 		Note: note})
-	if err == nil && o.Code == agreement.Accepted {
+	if err == nil && o.Code == clusterstate.Accepted {
 		k.log.WithFields(logrus.Fields{"duty": t.duty, "number": t.number}).Info(
 			"a rolling restart is " + next.Progress())
 	}
@@ -80,14 +80,14 @@
 }
 
 // see looks at all instances: at their sessions in the agreed state, and at what each says of itself.
-func (i *Instance) see(ctx context.Context) ([]conduct.Seen, error) {
+func (i *Instance) see(ctx context.Context) ([]rollingrestart.Seen, error) {
 	st := i.runner.Status()
-	var list []conduct.Seen
+	var list []rollingrestart.Seen
 	var newest uint64
-	err := i.runner.View(ctx, func(s *agreement.State) {
+	err := i.runner.View(ctx, func(s *clusterstate.State) {
 		newest = s.Newest().Revision
 		for _, m := range st.Members {
-			one := conduct.Seen{Member: m.ID, Name: m.Name, Voter: m.Voter,
+			one := rollingrestart.Seen{Member: m.ID, Name: m.Name, Voter: m.Voter,
 				Last: m.ID == st.ID || m.ID == st.Leader, Why: "it has no session"}
 			if x := s.Rollout().Sessions[m.ID]; x.Open {
 				one.Life = x.Nonce
@@ -112,7 +112,7 @@
 }
 
 // ask asks an instance how it stands, and says what is wrong with it.
-func (i *Instance) ask(ctx context.Context, m agreement.Member, life, newest uint64) (zone, why string) {
+func (i *Instance) ask(ctx context.Context, m clusterstate.Member, life, newest uint64) (zone, why string) {
 	d, err := i.network.Describe(ctx, m)
 	switch {
 	case err != nil:
@@ -170,8 +170,8 @@
 // noted takes the plan as it is agreed on, on the runner's goroutine.
 //
 // Hazard: it may be read late, or again after a start. The step is for one life of the instance.
-func (l *leaves) noted(n duty.Noted) {
-	plan, err := conduct.Read(n.Note)
+func (l *leaves) noted(n leasedtask.Noted) {
+	plan, err := rollingrestart.Read(n.Note)
 	if err != nil || !plan.Go(n.Self, n.Life) || l.out.Swap(true) {
 		return
 	}
--- a/internal/node/followers.go
+++ b/internal/node/followers.go
@@ -1,18 +1,18 @@
 package node
 
 import (
-	"moorstack/brain"
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
-	"moorstack/internal/schedule"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/schedule"
 )
 
 // follower is a part of a node that goes by the agreed document and by who is there.
 type follower interface {
 	// read takes in what a document that is in force says. The function that it gives takes that over, in
 	// the turn in which the fronts run it.
-	read(d *agreement.Document, set brain.Settings) func()
+	read(d *clusterstate.Document, set balancer.Settings) func()
 	// stands takes the agreement's word on who is there. It is called on the runner's goroutine.
 	stands(s consensus.Standing)
 }
@@ -20,7 +20,7 @@
 // bearer is a follower that can't keep every document that is valid.
 type bearer interface {
 	// bears says why a document can't be kept here.
-	bears(d *agreement.Document) error
+	bears(d *clusterstate.Document) error
 }
 
 // followers are those that there are, in the order in which they are told.
@@ -29,7 +29,7 @@
 }
 
 // bears says why this instance can't keep what a document says.
-func (i *Instance) bears(d *agreement.Document) error {
+func (i *Instance) bears(d *clusterstate.Document) error {
 	if err := i.bearsLease(d); err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 }
 
 // read has the followers take in a document, and gives what takes it over.
-func (i *Instance) read(d *agreement.Document, set brain.Settings) func() {
+func (i *Instance) read(d *clusterstate.Document, set balancer.Settings) func() {
 	var turns []func()
 	for _, f := range i.followers() {
 		turns = append(turns, f.read(d, set))
@@ -66,9 +66,9 @@
 // told takes what the subjects have to say. It is called on the runner's goroutine.
 func (i *Instance) told(word any) {
 	switch word := word.(type) {
-	case duty.Noted:
+	case leasedtask.Noted:
 		i.leaves.noted(word)
-	case []duty.Held:
+	case []leasedtask.Held:
 		i.keeper.tell(word)
 	case schedule.Clock:
 		i.plans.dated(word)
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"moorstack/internal/consensus"
-	"moorstack/internal/core"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/rollout"
+	"moorstack/internal/proxy/broker"
 )
 
 // gate lets jobs in while this instance may admit them. It belongs to the node's loop; only
@@ -23,7 +23,7 @@
 	shares  *shares
 }
 
-var _ core.Gate = (*gate)(nil)
+var _ broker.Gate = (*gate)(nil)
 
 // closed is the gate of an instance that has not heard from its group.
 func closed() *gate {
@@ -31,7 +31,7 @@
 }
 
 // Admit implements core.Gate.
-func (g *gate) Admit(t *core.Transaction) (core.Refusal, bool) {
+func (g *gate) Admit(t *broker.Transaction) (broker.Refusal, bool) {
 	// Hazard: the process may have stood still for long, with this job in its buffers. The clock
 	// is read here and now, whatever any timer has said, and this moment is when the job is
 	// admitted or not.
@@ -44,10 +44,10 @@
 		if g.journal != nil {
 			fmt.Fprintf(g.journal, "%d admit %d %s\n", now, g.running, t.ID)
 		}
-		return core.Refusal{}, true
+		return broker.Refusal{}, true
 	}
 	g.refused.Add(1)
-	return core.Refusal{Why: g.why(), After: g.after()}, false
+	return broker.Refusal{Why: g.why(), After: g.after()}, false
 }
 
 func (g *gate) why() string {
--- a/internal/node/instance.go
+++ b/internal/node/instance.go
@@ -12,15 +12,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/agreement"
-	"moorstack/internal/calendar"
-	"moorstack/internal/consensus"
-	"moorstack/internal/control"
-	"moorstack/internal/keys"
-	"moorstack/internal/peers"
-	"moorstack/internal/rollout"
-	"moorstack/internal/routing"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/rollout"
+	"moorstack/internal/cluster/transport"
+	"moorstack/internal/operate/controlapi"
+	"moorstack/internal/operate/keys"
+	"moorstack/internal/proxy/routing"
 	"moorstack/internal/schema"
 	"moorstack/internal/tomlfile"
 )
@@ -32,15 +32,15 @@
 	log     logrus.FieldLogger
 	program string
 	node    *Node
-	own     brain.Settings // what this instance's own files say
+	own     balancer.Settings // what this instance's own files say
 	names   routing.Names
 	file    string // of its own rules, if it has one
 	runner  *consensus.Runner
-	network *peers.Network
-	control *control.Server
+	network *transport.Network
+	control *controlapi.Server
 	parts   []part
-	latest  chan agreement.Revision // of which only the newest counts
-	pending chan agreement.Revision // likewise: to be made ready for
+	latest  chan clusterstate.Revision // of which only the newest counts
+	pending chan clusterstate.Revision // likewise: to be made ready for
 	gate    *gate
 	keeper  *keeper
 	lists   *hub
@@ -54,13 +54,13 @@
 
 	mu      sync.Mutex
 	running uint64
-	current agreement.Revision
+	current clusterstate.Revision
 	problem string
 	staged  string // the change that terms are for
 	terms   Terms
 }
 
-var _ control.Host = (*Instance)(nil)
+var _ controlapi.Host = (*Instance)(nil)
 
 // part is what has been started, and how it is stopped.
 type part struct {
@@ -88,8 +88,8 @@
 // NewInstance builds an instance and opens all that listens. Where that fails half-way, what
 // had been started is stopped.
 func NewInstance(cfg *ServeConfig, program string, log logrus.FieldLogger) (*Instance, error) {
-	i := &Instance{cfg: cfg, log: log, program: program, latest: make(chan agreement.Revision, 1),
-		pending: make(chan agreement.Revision, 1), gate: closed()}
+	i := &Instance{cfg: cfg, log: log, program: program, latest: make(chan clusterstate.Revision, 1),
+		pending: make(chan clusterstate.Revision, 1), gate: closed()}
 	i.keeper, i.rates, i.plans = newKeeper(i), newRates(i), newTriggers(i)
 	i.shares, i.words, i.leaves = newShares(i), newWitnesses(i), newLeaves(i)
 	i.beliefs = newBeliefs(i)
@@ -133,7 +133,7 @@
 	if _, err := i.ownRoutes(); err != nil {
 		return err
 	}
-	i.network = peers.New(k, cfg.Name, cfg.Peers.Advertise, cfg.Peers.From, i.program, log.WithField("part",
+	i.network = transport.New(k, cfg.Name, cfg.Peers.Advertise, cfg.Peers.From, i.program, log.WithField("part",
 		"peers"))
 	i.started("the peers' network", func() error { i.network.Close(); return nil })
 	wall, err := cfg.wallClock()
@@ -147,8 +147,8 @@
 		Config: consensus.Config{Rules: Rules(), Log: log.WithField("part", "agreement"), Wall: wall,
 			Zones: i.zones, Labels: cfg.labels(i.zone())}, Name: cfg.Name,
 		Dir: filepath.Join(cfg.Data, "agreement"), Tick: time.Duration(cfg.Peers.Tick), Transport: i.network,
-		Revision: func(r agreement.Revision) { offer(i.latest, r) },
-		Stage:    func(r agreement.Revision) { offer(i.pending, r) }, Permit: i.permitted,
+		Revision: func(r clusterstate.Revision) { offer(i.latest, r) },
+		Stage:    func(r clusterstate.Revision) { offer(i.pending, r) }, Permit: i.permitted,
 		Standing: i.stands, Told: i.told})
 	if err != nil {
 		return err
@@ -209,7 +209,7 @@
 	}
 	server := i.network.Server()
 	i.started("the peers' service", func() error { server.Stop(); _ = l.Close(); return nil })
-	i.control = control.New(i, i.log.WithField("part", "control"))
+	i.control = controlapi.New(i, i.log.WithField("part", "control"))
 	i.started("the operators' service", func() error { i.control.Stop(); return nil })
 	if err := i.control.ServeSocket(i.cfg.Control.Socket); err != nil {
 		return err
@@ -241,7 +241,7 @@
 }
 
 // offer hands a revision on without waiting: who takes them takes the newest.
-func offer(c chan agreement.Revision, r agreement.Revision) {
+func offer(c chan clusterstate.Revision, r clusterstate.Revision) {
 	for {
 		select {
 		case c <- r:
@@ -293,7 +293,7 @@
 }
 
 // stage makes everything ready for a change, so that the switch takes one turn of the loop.
-func (i *Instance) stage(r agreement.Revision) {
+func (i *Instance) stage(r clusterstate.Revision) {
 	i.gate.note("staging %s", r.ID)
 	t, err := i.termsOf(r.Document)
 	if err == nil {
@@ -317,7 +317,7 @@
 }
 
 // bearsLease says why this instance can't keep what the document says of leases.
-func (i *Instance) bearsLease(d *agreement.Document) error {
+func (i *Instance) bearsLease(d *clusterstate.Document) error {
 	p, _ := rollout.ReadPolicy(d.Sections[rollout.Section])
 	if err := p.Bears(time.Duration(i.cfg.Peers.Tick)); err != nil {
 		return tomlfile.At(i.cfg.path, i.cfg.raw, "peers.tick", "%v", err)
@@ -326,7 +326,7 @@
 }
 
 // termsOf fits a document to this instance's own files.
-func (i *Instance) termsOf(d *agreement.Document) (t Terms, err error) {
+func (i *Instance) termsOf(d *clusterstate.Document) (t Terms, err error) {
 	if t.Settings, err = d.Onto(i.own); err != nil {
 		return t, fmt.Errorf("%s: %w", i.cfg.Front.Platform, err)
 	}
@@ -335,7 +335,7 @@
 }
 
 // apply puts a revision in force at the fronts.
-func (i *Instance) apply(r agreement.Revision, configure func(Terms) error) {
+func (i *Instance) apply(r clusterstate.Revision, configure func(Terms) error) {
 	i.mu.Lock()
 	t, ready := i.terms, i.staged == r.ID && r.ID != ""
 	i.staged, i.terms = "", Terms{}
@@ -375,7 +375,7 @@
 }
 
 // agreedNow is the revision that the fronts run last.
-func (i *Instance) agreedNow() (agreement.Revision, bool) {
+func (i *Instance) agreedNow() (clusterstate.Revision, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.current, i.running > 0
@@ -397,7 +397,9 @@
 }
 
 // First implements control.Host.
-func (i *Instance) First() (*agreement.Document, error) { return agreement.FromSettings(i.own), nil }
+func (i *Instance) First() (*clusterstate.Document, error) {
+	return clusterstate.FromSettings(i.own), nil
+}
 
 // Address implements control.Host.
 func (i *Instance) Address() string { return i.cfg.Peers.Advertise }
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -9,9 +9,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
 )
 
 // keeper has this instance do the work of the duties that it holds, and give them back.
@@ -23,7 +23,7 @@
 	over chan struct{} // closed once run has ended
 
 	mu    sync.Mutex
-	held  []duty.Held // as told last
+	held  []leasedtask.Held // as told last
 	turns map[string]*turn
 	made  uint64
 
@@ -38,8 +38,8 @@
 	stop   context.CancelFunc
 
 	mu   sync.Mutex
-	held duty.Held // renewed with each lease
-	left bool      // it acts no more
+	held leasedtask.Held // renewed with each lease
+	left bool            // it acts no more
 }
 
 // work is what is done in a duty: until its context ends, or it fails. It looks at May before each
@@ -54,7 +54,7 @@
 }
 
 // now is the holding as it is known now.
-func (t *turn) now() duty.Held {
+func (t *turn) now() leasedtask.Held {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.held
@@ -66,7 +66,7 @@
 }
 
 // tell takes the agreement's word on what this instance holds. It never waits.
-func (k *keeper) tell(held []duty.Held) {
+func (k *keeper) tell(held []leasedtask.Held) {
 	k.mu.Lock()
 	k.held = held
 	// A lease that was renewed counts at once, for the turns that are under way.
@@ -85,14 +85,14 @@
 }
 
 // holds is what this instance holds.
-func (k *keeper) holds() []duty.Held {
+func (k *keeper) holds() []leasedtask.Held {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.held
 }
 
 // Holds implements control.Host.
-func (i *Instance) Holds() []duty.Held { return i.keeper.holds() }
+func (i *Instance) Holds() []leasedtask.Held { return i.keeper.holds() }
 
 func (k *keeper) run() {
 	defer close(k.over)
@@ -110,7 +110,7 @@
 func (k *keeper) follow() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	holds := map[string]duty.Held{}
+	holds := map[string]leasedtask.Held{}
 	for _, h := range k.held {
 		holds[h.Duty] = h
 	}
@@ -152,7 +152,7 @@
 	if why == "" {
 		why = "it ends"
 	}
-	k.giveBack(t, duty.Command{Kind: duty.Release, Duty: t.duty, Number: t.number, Reason: why,
+	k.giveBack(t, leasedtask.Command{Kind: leasedtask.Release, Duty: t.duty, Number: t.number, Reason: why,
 		Failed: err != nil})
 	k.mu.Lock()
 	delete(k.turns, t.duty)
@@ -165,7 +165,7 @@
 }
 
 // giveBack says that a duty is held no more, until the agreed state says so too.
-func (k *keeper) giveBack(t *turn, c duty.Command) {
+func (k *keeper) giveBack(t *turn, c leasedtask.Command) {
 	for k.holdsYet(t) {
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 		_, err := k.say(ctx, c)
@@ -190,13 +190,13 @@
 }
 
 // say puts a holder's word into the log.
-func (k *keeper) say(ctx context.Context, c duty.Command) (agreement.Outcome, error) {
+func (k *keeper) say(ctx context.Context, c leasedtask.Command) (clusterstate.Outcome, error) {
 	k.mu.Lock()
 	k.made++
 	c.ID = fmt.Sprintf("duty/%s/%d/%d", k.i.cfg.Name, c.Number, k.made)
 	k.mu.Unlock()
 	c.AtMS = time.Now().UnixMilli()
-	return k.i.runner.Say(ctx, duty.Section, duty.Encode(c), c.ID)
+	return k.i.runner.Say(ctx, leasedtask.Section, leasedtask.Encode(c), c.ID)
 }
 
 // patience is how long an instance that ends takes for handing on what it holds.
@@ -247,15 +247,15 @@
 // work is what is done in the duty of a name.
 func (k *keeper) work(name string) work {
 	var n int
-	if _, err := fmt.Sscanf(name, duty.Drill, &n); err == nil {
+	if _, err := fmt.Sscanf(name, leasedtask.Drill, &n); err == nil {
 		return k.drill
 	}
 	switch name {
-	case duty.Backup:
+	case leasedtask.Backup:
 		return k.backups
-	case duty.Roll:
+	case leasedtask.Roll:
 		return k.conduct
-	case duty.List:
+	case leasedtask.List:
 		return k.i.lists.keep
 	}
 	return func(context.Context, *turn) error { return fmt.Errorf("this program knows no duty %q", name) }
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -10,10 +10,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
-	"moorstack/internal/lists"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/listrelay"
 	"moorstack/internal/schema"
 )
 
@@ -29,13 +29,13 @@
 	deaf  atomic.Bool // the keeper's own watch is down
 	mu    sync.Mutex
 	turn  *turn // of the duty, while it is held here
-	told  lists.Keeper
-	heard map[chan lists.News]bool // by whom, while it is
+	told  listrelay.Keeper
+	heard map[chan listrelay.News]bool // by whom, while it is
 }
 
 func newHub(i *Instance) *hub {
 	h := &hub{i: i, log: i.log.WithField("part", "list"), over: make(chan struct{}),
-		heard: map[chan lists.News]bool{}}
+		heard: map[chan listrelay.News]bool{}}
 	h.ctx, h.end = context.WithCancel(context.Background())
 	return h
 }
@@ -61,7 +61,7 @@
 // keep is the duty's work: what discovery tells this instance is told to the others.
 func (h *hub) keep(ctx context.Context, t *turn) error {
 	h.mu.Lock()
-	h.turn, h.told = t, lists.Keeper{}
+	h.turn, h.told = t, listrelay.Keeper{}
 	h.mu.Unlock()
 	h.deaf.Store(true) // until discovery has spoken
 	if err := h.onLoop(ctx, func() {
@@ -85,7 +85,7 @@
 // watch waits until the duty ends, or discovery has not spoken to this instance for long: then it is
 // for another to try, and meanwhile each asks by itself.
 func (h *hub) watch(ctx context.Context) error {
-	tick := time.NewTicker(lists.Beat)
+	tick := time.NewTicker(listrelay.Beat)
 	defer tick.Stop()
 	for spoke := time.Now(); ; {
 		select {
@@ -100,7 +100,7 @@
 		if watched {
 			spoke = time.Now()
 		}
-		if time.Since(spoke) > 2*lists.Silence {
+		if time.Since(spoke) > 2*listrelay.Silence {
 			return errors.New("discovery does not speak to this instance")
 		}
 		// Hazard: its beats would say that nothing has changed, and it does not know.
@@ -131,9 +131,9 @@
 
 // tell tells another instance the list, until this one keeps it no more.
 func (h *hub) tell(ctx context.Context, send func(*schema.ListNews) error) error {
-	c := make(chan lists.News, 256)
+	c := make(chan listrelay.News, 256)
 	var t *turn
-	var first lists.News
+	var first listrelay.News
 	var err error
 	// The whole list and the changes after it are taken up in one turn: none is missed between.
 	if bad := h.onLoop(ctx, func() {
@@ -143,7 +143,7 @@
 			err = errNotKept
 			return
 		}
-		first = lists.News{Number: t.number, Whole: true}
+		first = listrelay.News{Number: t.number, Whole: true}
 		if first.Generation, first.Text, err = h.i.node.front.WholeList(); err == nil {
 			h.heard[c] = true
 		}
@@ -155,7 +155,7 @@
 		defer h.mu.Unlock()
 		delete(h.heard, c)
 	}()
-	beat := time.NewTicker(lists.Beat)
+	beat := time.NewTicker(listrelay.Beat)
 	defer beat.Stop()
 	var newest int64
 	for n, ok := first, true; ; {
@@ -176,7 +176,7 @@
 			if h.deaf.Load() {
 				return errNotKept
 			}
-			n = lists.News{Number: t.number, Generation: newest, Previous: newest}
+			n = listrelay.News{Number: t.number, Generation: newest, Previous: newest}
 		}
 	}
 }
@@ -185,7 +185,7 @@
 // that fails.
 func (h *hub) follow() {
 	defer close(h.over)
-	f := lists.NewFollower(consensus.Boottime(), rand.Float64())
+	f := listrelay.NewFollower(consensus.Boottime(), rand.Float64())
 	alone := true
 	for h.ctx.Err() == nil {
 		keeper, number, ok := h.keeperNow()
@@ -205,7 +205,7 @@
 }
 
 // alone goes back to asking discovery, where it is time: at once where nobody keeps the list.
-func (h *hub) alone(f *lists.Follower, nobody bool, alone *bool) {
+func (h *hub) alone(f *listrelay.Follower, nobody bool, alone *bool) {
 	if *alone || !nobody && !f.Alone(consensus.Boottime()) {
 		return
 	}
@@ -218,11 +218,11 @@
 
 // keeperNow is who keeps the list, unless that is this instance, or nobody, or the configuration has
 // no such duty.
-func (h *hub) keeperNow() (m agreement.Member, number uint64, ok bool) {
+func (h *hub) keeperNow() (m clusterstate.Member, number uint64, ok bool) {
 	ctx, stop := context.WithTimeout(h.ctx, time.Second)
 	defer stop()
-	_ = h.i.runner.View(ctx, func(s *agreement.State) {
-		d := s.Duties().Duties[duty.List]
+	_ = h.i.runner.View(ctx, func(s *clusterstate.State) {
+		d := s.Duties().Duties[leasedtask.List]
 		if d == nil || !d.Held() || d.Of == h.i.cfg.Name {
 			return
 		}
@@ -233,11 +233,11 @@
 }
 
 // listen takes what a keeper tells, until it is silent or says what can't be.
-func (h *hub) listen(f *lists.Follower, keeper agreement.Member, alone *bool) error {
+func (h *hub) listen(f *listrelay.Follower, keeper clusterstate.Member, alone *bool) error {
 	ctx, stop := context.WithCancelCause(h.ctx)
 	defer stop(nil)
 	silent := errors.New("the keeper is silent")
-	late := time.AfterFunc(lists.Silence, func() { stop(silent) })
+	late := time.AfterFunc(listrelay.Silence, func() { stop(silent) })
 	defer late.Stop()
 	go func() {
 		// Another may keep it by now, and this one go on telling for as long as it does not know.
@@ -247,13 +247,13 @@
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(lists.Beat):
+			case <-time.After(listrelay.Beat):
 			}
 		}
 	}()
 	return h.i.network.Lists(ctx, keeper, func(m *schema.ListNews) error {
-		late.Reset(lists.Silence)
-		take, err := f.Told(consensus.Boottime(), lists.News{Number: m.Number, Generation: m.Generation,
+		late.Reset(listrelay.Silence)
+		take, err := f.Told(consensus.Boottime(), listrelay.News{Number: m.Number, Generation: m.Generation,
 			Previous: m.Previous, Whole: m.Whole, Text: m.Text})
 		if err != nil || !take && !*alone {
 			return err
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -6,13 +6,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/control"
-	"moorstack/internal/duty"
-	"moorstack/internal/membership"
-	"moorstack/internal/net"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/membership"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/operate/controlapi"
 	"moorstack/internal/schema"
 )
 
@@ -23,7 +23,7 @@
 	log     logrus.FieldLogger
 	machine *membership.Machine // nil: instances don't probe each other
 	policy  membership.Policy
-	timer   *net.Timer
+	timer   *eventloop.Timer
 	members time.Duration // when the group's members were looked at last
 	said    uint64        // words on whom to doubt
 	// news is what the machine counted when it was published last, if it was.
@@ -41,7 +41,7 @@
 func newBeliefs(i *Instance) *beliefs { return &beliefs{i: i, log: i.log.WithField("part", "members")} }
 
 // read implements follower.
-func (b *beliefs) read(d *agreement.Document, _ brain.Settings) func() {
+func (b *beliefs) read(d *clusterstate.Document, _ balancer.Settings) func() {
 	p, on, _ := membership.ReadPolicy(d.Sections[membership.Section])
 	return func() { b.configure(p, on) }
 }
@@ -97,7 +97,7 @@
 	if len(out) == 0 {
 		return
 	}
-	to := map[membership.ID]agreement.Member{}
+	to := map[membership.ID]clusterstate.Member{}
 	for _, m := range b.i.runner.Status().Members {
 		to[membership.ID(m.ID)] = m.Member
 	}
@@ -167,7 +167,7 @@
 	b.mu.Unlock()
 	if !same {
 		b.said++
-		b.i.runner.Take(duty.Section, duty.Doubts{Seq: b.said, Of: doubts})
+		b.i.runner.Take(leasedtask.Section, leasedtask.Doubts{Seq: b.said, Of: doubts})
 	}
 }
 
@@ -182,7 +182,7 @@
 }
 
 // Seems implements control.Host.
-func (i *Instance) Seems(id uint64) (s control.Seeming, known bool) {
+func (i *Instance) Seems(id uint64) (s controlapi.Seeming, known bool) {
 	b := i.beliefs
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -191,7 +191,7 @@
 		return s, false
 	}
 	now := consensus.Boottime()
-	s = control.Seeming{State: x.State.String(), For: now - x.Since}
+	s = controlapi.Seeming{State: x.State.String(), For: now - x.Since}
 	if !x.Here {
 		s.Unreached = now - x.HereSince
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,15 +13,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/admin"
-	"moorstack/internal/core"
-	"moorstack/internal/faktory"
-	"moorstack/internal/handover"
-	"moorstack/internal/net"
-	"moorstack/internal/platform"
-	"moorstack/internal/resident"
-	"moorstack/internal/routing"
+	"moorstack/balancer"
+	"moorstack/internal/frontend/faktory"
+	"moorstack/internal/frontend/platform"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/operate/adminproto"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/hotrestart"
+	"moorstack/internal/proxy/memtrim"
+	"moorstack/internal/proxy/routing"
 )
 
 // Options are what a node is built from.
@@ -29,8 +29,8 @@
 	Platform *platform.Config
 	Faktory  *faktory.Config // nil: this front is off
 	Log      logrus.FieldLogger
-	Gate     core.Gate // before the module, in all fronts; nil: none
-	Procs    int       // goroutines that run at once; 1, if 0: the loop does all the work
+	Gate     broker.Gate // before the module, in all fronts; nil: none
+	Procs    int         // goroutines that run at once; 1, if 0: the loop does all the work
 }
 
 // Node is a node that serves.
@@ -43,7 +43,7 @@
 	// that ends.
 	Idle func(bool)
 
-	loop  *net.Loop
+	loop  *eventloop.Loop
 	log   logrus.FieldLogger
 	front *platform.Front
 	cores []hosted
@@ -55,12 +55,12 @@
 
 // hosted is a core and how the node's settings are fitted to its front.
 type hosted struct {
-	*core.Core
+	*broker.Core
 	front string
 	table *routing.Table // by which its front routes; nil: by none
-	fit   func(brain.Settings) brain.Settings
+	fit   func(balancer.Settings) balancer.Settings
 	// told, where it is set, is the front's word of settings that its core has taken over.
-	told   func(brain.Settings)
+	told   func(balancer.Settings)
 	routes func(*routing.Table)
 }
 
@@ -71,9 +71,9 @@
 }
 
 // clock is the loop's clock as the core takes it.
-type clock struct{ *net.Loop }
+type clock struct{ *eventloop.Loop }
 
-func (c clock) At(at time.Duration, f func()) core.Timer { return c.Loop.At(at, f) }
+func (c clock) At(at time.Duration, f func()) broker.Timer { return c.Loop.At(at, f) }
 
 // New builds a node and opens its fronts. Nothing is served before Run.
 func New(o Options) (*Node, error) {
@@ -87,13 +87,13 @@
 	runtime.GOMAXPROCS(max(o.Procs, 1))
 	memory := cfg.Limits.MemoryMB << 20 * 6 / 10
 	debug.SetMemoryLimit(memory)
-	loop, err := net.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{loop: loop, log: o.Log, memory: memory}
-	var place handover.Place
-	var offered *handover.Offered
+	var place hotrestart.Place
+	var offered *hotrestart.Offered
 	began, strange := loop.Now(), false
 	if cfg.Upgrades() && o.Faktory == nil {
 		place, offered, strange = join(cfg, o.Log)
@@ -105,14 +105,14 @@
 		cfg.Limits.Others = o.Faktory.Connections
 	}
 	n.front = platform.New(loop, cfg, o.Log)
-	c, err := core.New(set, cfg.SeedNumber(), clock{loop}, n.front.Directory(), o.Log)
+	c, err := broker.New(set, cfg.SeedNumber(), clock{loop}, n.front.Directory(), o.Log)
 	if err != nil {
 		return nil, err
 	}
 	c.Guard(o.Gate)
 	n.cores = append(
 		n.cores,
-		hosted{Core: c, front: "http", fit: func(s brain.Settings) brain.Settings { return s },
+		hosted{Core: c, front: "http", fit: func(s balancer.Settings) balancer.Settings { return s },
 			routes: n.front.SetRoutes},
 	)
 	if offered != nil {
@@ -142,7 +142,7 @@
 		n.drain = func(done func()) { other.Drain(func() { n.front.Drain(done) }) }
 	}
 	if cfg.Admin != "" {
-		if _, err := admin.Listen(loop, cfg.Admin, operators{n}); err != nil {
+		if _, err := adminproto.Listen(loop, cfg.Admin, operators{n}); err != nil {
 			return nil, fmt.Errorf("the second address (admin_addr): %w", err)
 		}
 	}
@@ -152,15 +152,15 @@
 
 // openFaktory opens the second front. It has a route set of its own, and so a core
 // of its own: jobs of the one protocol can't be worked on in the other.
-func (n *Node) openFaktory(cfg *faktory.Config, set brain.Settings, seed uint64,
-	gate core.Gate) (*faktory.Front, error) {
+func (n *Node) openFaktory(cfg *faktory.Config, set balancer.Settings, seed uint64,
+	gate broker.Gate) (*faktory.Front, error) {
 	set = faktory.Settings(set)
 	log := n.log.WithField("front", "faktory")
 	front, err := faktory.New(n.loop, cfg, set, log)
 	if err != nil {
 		return nil, err
 	}
-	c, err := core.New(set, seed, clock{n.loop}, nil, log)
+	c, err := broker.New(set, seed, clock{n.loop}, nil, log)
 	if err != nil {
 		return nil, err
 	}
@@ -213,7 +213,7 @@
 		open += n.cores[i].Waiting()
 	}
 	if sent == before && open == 0 {
-		if _, err := resident.GiveBack(); err != nil {
+		if _, err := memtrim.GiveBack(); err != nil {
 			n.log.WithError(err).Debug("memory is not given back")
 			return // nor will it be
 		}
@@ -224,8 +224,8 @@
 // Terms are what a running node can take over: the classes and tenants of settings, and
 // the rules by which jobs are routed.
 type Terms struct {
-	Settings brain.Settings
-	Routes   *routing.Table // nil: jobs go where brain will
+	Settings balancer.Settings
+	Routes   *routing.Table // nil: jobs go where the balancer decides
 	Revision func()         // called in the turn that takes them over; may be nil
 }
 
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -1,14 +1,14 @@
 package node
 
 import (
-	"moorstack/internal/admin"
-	"moorstack/internal/core"
+	"moorstack/internal/operate/adminproto"
+	"moorstack/internal/proxy/broker"
 )
 
 // operators is the node as those see it who call at the second address.
 type operators struct{ *Node }
 
-var _ admin.Node = operators{}
+var _ adminproto.Node = operators{}
 
 func (o operators) Figures(dst []byte) []byte { return o.front.Figures(dst) }
 
@@ -54,7 +54,7 @@
 			return nil
 		}
 	}
-	return core.ErrUnlisted
+	return broker.ErrUnlisted
 }
 
 func (o operators) Standby() error {
--- a/internal/node/preview.go
+++ b/internal/node/preview.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/calendar"
-	"moorstack/internal/placement"
-	"moorstack/internal/weights"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/weights"
 )
 
 // mostLines is how many triggers, or accounts, a preview names.
@@ -17,7 +17,7 @@
 
 // Preview implements control.Host: what a document would do, a line each: when triggers come next, what
 // accounts may send where, and what changes hands.
-func (i *Instance) Preview(d *agreement.Document, from time.Time) ([]string, error) {
+func (i *Instance) Preview(d *clusterstate.Document, from time.Time) ([]string, error) {
 	lines, err := i.nextOf(d, from)
 	if err != nil {
 		return nil, err
@@ -26,7 +26,7 @@
 }
 
 // accountsOf says what accounts may send, and what each instance may admit of it by itself.
-func accountsOf(d *agreement.Document) (lines []string) {
+func accountsOf(d *clusterstate.Document) (lines []string) {
 	p := limitsOf(d)
 	names := slices.Sorted(maps.Keys(p.Accounts))
 	for _, name := range names[:min(len(names), mostLines)] {
@@ -42,7 +42,7 @@
 }
 
 // ownersOf says what other weights would have change hands, of the instances that are there now.
-func (i *Instance) ownersOf(d *agreement.Document) (lines []string) {
+func (i *Instance) ownersOf(d *clusterstate.Document) (lines []string) {
 	now := i.runner.Status().View
 	then := placement.View{Members: slices.Clone(now.Members)}
 	by, _ := weights.Read(d.Sections[weights.Section])
@@ -67,7 +67,7 @@
 }
 
 // nextOf says when each trigger of a document comes next.
-func (i *Instance) nextOf(d *agreement.Document, from time.Time) ([]string, error) {
+func (i *Instance) nextOf(d *clusterstate.Document, from time.Time) ([]string, error) {
 	p := triggersOf(d)
 	plans, err := p.Plans(i.zones)
 	if err != nil || len(plans) == 0 {
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -8,13 +8,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/core"
-	"moorstack/internal/net"
-	"moorstack/internal/placement"
-	"moorstack/internal/ratelimit"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/ratelimit"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
 	"moorstack/internal/schema"
 )
 
@@ -28,7 +28,7 @@
 	table     *placement.Table
 	standing  consensus.Standing
 	own       placement.Seat // as it was when the table was told
-	timer     *net.Timer
+	timer     *eventloop.Timer
 	refused   atomic.Uint64
 	since     map[ratelimit.Key]uint64 // refused since the last line of the log
 	logged    time.Duration
@@ -53,12 +53,12 @@
 }
 
 // limitsOf is what a document says of rates. It has been validated.
-func limitsOf(d *agreement.Document) ratelimit.Policy {
+func limitsOf(d *clusterstate.Document) ratelimit.Policy {
 	p, _ := ratelimit.ReadPolicy(d.Sections[ratelimit.Section], classesOf(d))
 	return p
 }
 
-func classesOf(d *agreement.Document) []string {
+func classesOf(d *clusterstate.Document) []string {
 	var names []string
 	for _, c := range d.Classes {
 		names = append(names, c.Name)
@@ -67,7 +67,7 @@
 }
 
 // read implements follower.
-func (r *rates) read(d *agreement.Document, _ brain.Settings) func() {
+func (r *rates) read(d *clusterstate.Document, _ balancer.Settings) func() {
 	p := limitsOf(d)
 	return func() { r.configure(p) }
 }
@@ -128,9 +128,9 @@
 }
 
 // take admits a job by its account's rate, or says when to come back.
-func (r *rates) take(now time.Duration, t *core.Transaction) (core.Refusal, bool) {
+func (r *rates) take(now time.Duration, t *broker.Transaction) (broker.Refusal, bool) {
 	if !r.front.Limited() {
-		return core.Refusal{}, true
+		return broker.Refusal{}, true
 	}
 	account, class := t.Account, r.i.names.Classes[t.Class]
 	if r.front.Policy().Account == ratelimit.Tenant {
@@ -146,13 +146,13 @@
 		if r.i.gate.journal != nil {
 			fmt.Fprintf(r.i.gate.journal, "%d rate %q %q\n", now, account, class)
 		}
-		return core.Refusal{}, true
+		return broker.Refusal{}, true
 	}
 	r.refused.Add(1)
 	if len(r.since) < mostNamed || r.since[no.Key] > 0 {
 		r.since[no.Key]++
 	}
-	return core.Refusal{Why: fmt.Sprintf("account %q has used its rate", no.Key), After: no.After}, false
+	return broker.Refusal{Why: fmt.Sprintf("account %q has used its rate", no.Key), After: no.After}, false
 }
 
 // tick says what is to be said of slices.
@@ -271,7 +271,7 @@
 func (r *rates) send(to placement.Seat, m *schema.RateMessage) {
 	for _, x := range r.i.runner.Status().Members {
 		if x.ID == to.Member {
-			to := agreement.Member{ID: x.ID, Name: x.Name, Address: x.Address}
+			to := clusterstate.Member{ID: x.ID, Name: x.Name, Address: x.Address}
 			r.i.network.SendSession(to, &schema.SessionMessage{Rate: m})
 			return
 		}
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/core"
-	"moorstack/internal/routing"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/routing"
 	"moorstack/internal/schema"
 )
 
@@ -18,11 +18,11 @@
 
 // Rules are what all instances check documents by. Zones and kinds are each instance's
 // own, and not checked here.
-func Rules() agreement.Rules {
-	return agreement.Rules{Sections: map[string]agreement.SectionRule{RoutesSection: checkRoutes}}
+func Rules() clusterstate.Rules {
+	return clusterstate.Rules{Sections: map[string]clusterstate.SectionRule{RoutesSection: checkRoutes}}
 }
 
-func checkRoutes(d *agreement.Document, values map[string]string) []string {
+func checkRoutes(d *clusterstate.Document, values map[string]string) []string {
 	var wrong []string
 	for key := range values {
 		if key != "toml" {
@@ -49,7 +49,7 @@
 
 // routes compiles the rules of an agreed document, or this instance's own where the group
 // has agreed on none.
-func (i *Instance) routes(d *agreement.Document) (*routing.Table, error) {
+func (i *Instance) routes(d *clusterstate.Document) (*routing.Table, error) {
 	section, ok := d.Sections[RoutesSection]
 	if !ok {
 		return i.ownRoutes()
@@ -158,7 +158,7 @@
 	if r, ok := d.Route.(*routing.Route); ok && r != nil {
 		pools = r.Pools()
 	}
-	t := core.Transaction{Class: d.Class, Tenant: max(j.Tenant, 0), Work: j.Cost, Route: d.Route,
+	t := broker.Transaction{Class: d.Class, Tenant: max(j.Tenant, 0), Work: j.Cost, Route: d.Route,
 		Attempts: d.Attempts, Left: i.own.Classes[d.Class].Deadline}
 	for n, pool := range pools {
 		tier := &schema.Tier{Pool: pool, Out: map[string]string{}}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -7,9 +7,9 @@
 	"path/filepath"
 	"time"
 
-	"moorstack/internal/faktory"
-	"moorstack/internal/keys"
-	"moorstack/internal/platform"
+	"moorstack/internal/frontend/faktory"
+	"moorstack/internal/frontend/platform"
+	"moorstack/internal/operate/keys"
 	"moorstack/internal/tomlfile"
 )
 
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -6,12 +6,12 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/net"
-	"moorstack/internal/placement"
-	"moorstack/internal/rollout"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/rollout"
+	"moorstack/internal/netio/eventloop"
 )
 
 // shares are an instance's part in what the group shares of workers: which ones it uses, and which part
@@ -20,13 +20,13 @@
 	i        *Instance
 	log      logrus.FieldLogger
 	policy   placement.Policy
-	set      brain.Settings // as the fronts run them, parts apart
+	set      balancer.Settings // as the fronts run them, parts apart
 	standing consensus.Standing
 	view     placement.View
 	parts    placement.Parts
 	part     [3]int // me, of, and whether there is one, as the module was told last
 	noted    string
-	timer    *net.Timer
+	timer    *eventloop.Timer
 	turn     int // of what is being worked out; older ones come too late
 }
 
@@ -34,13 +34,13 @@
 	return &shares{i: i, log: i.log.WithField("part", "shares")}
 }
 
-func sharesOf(d *agreement.Document) placement.Policy {
+func sharesOf(d *clusterstate.Document) placement.Policy {
 	p, _ := placement.ReadPolicy(d.Sections[placement.Section])
 	return p
 }
 
 // configure takes over what the configuration in force says, in the turn in which the fronts run it.
-func (s *shares) configure(p placement.Policy, set brain.Settings) {
+func (s *shares) configure(p placement.Policy, set balancer.Settings) {
 	was := s.policy
 	s.policy, s.set, s.part = p, set, [3]int{}
 	s.apportion()
@@ -54,7 +54,7 @@
 }
 
 // read implements follower.
-func (s *shares) read(d *agreement.Document, set brain.Settings) func() {
+func (s *shares) read(d *clusterstate.Document, set balancer.Settings) func() {
 	p := sharesOf(d)
 	return func() { s.configure(p, set) }
 }
--- a/internal/node/testclock.go
+++ b/internal/node/testclock.go
@@ -6,8 +6,8 @@
 	"os"
 	"time"
 
-	"moorstack/internal/calendar"
-	"moorstack/internal/consensus"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/consensus"
 )
 
 // TestClocks is the variable of the environment without which a configuration that names a test clock is
--- a/internal/node/triggers.go
+++ b/internal/node/triggers.go
@@ -10,13 +10,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/core"
-	"moorstack/internal/net"
-	"moorstack/internal/platform"
-	"moorstack/internal/schedule"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/schedule"
+	"moorstack/internal/frontend/platform"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
 )
 
 // triggers fire what this instance has intended. All but the counters belongs to the node's loop: a job
@@ -31,7 +31,7 @@
 	known    map[uint64]*firing // by number, until the outcome is told
 	waiting  []*firing          // to be begun, the first first
 	results  []schedule.Outcome
-	timer    *net.Timer
+	timer    *eventloop.Timer
 	begun    atomic.Uint64
 	early    bool // a turn is asked for
 	leaving  bool // the node is about to end: what has not been handed in is given back
@@ -61,13 +61,13 @@
 }
 
 // triggersOf is what a document says of triggers. It has been validated.
-func triggersOf(d *agreement.Document) schedule.Policy {
+func triggersOf(d *clusterstate.Document) schedule.Policy {
 	p, _ := schedule.ReadPolicy(d.Sections[schedule.Section], schedule.Names{Classes: classesOf(d),
 		Tenants: tenantsOf(d)})
 	return p
 }
 
-func tenantsOf(d *agreement.Document) []string {
+func tenantsOf(d *clusterstate.Document) []string {
 	var names []string
 	for _, t := range d.Tenants {
 		names = append(names, t.Name)
@@ -76,7 +76,7 @@
 }
 
 // configure takes over what the configuration in force says, in the turn in which the fronts run it.
-func (t *triggers) configure(p *schedule.Policy, d *agreement.Document) {
+func (t *triggers) configure(p *schedule.Policy, d *clusterstate.Document) {
 	t.giveUp = map[string]time.Duration{}
 	for _, c := range d.Classes {
 		t.giveUp[c.Name] = time.Duration(c.GiveUp)
@@ -91,13 +91,13 @@
 }
 
 // read implements follower.
-func (t *triggers) read(d *agreement.Document, _ brain.Settings) func() {
+func (t *triggers) read(d *clusterstate.Document, _ balancer.Settings) func() {
 	p := triggersOf(d)
 	return func() { t.configure(&p, d) }
 }
 
 // bears says why this instance can't keep the triggers of a document.
-func (t *triggers) bears(d *agreement.Document) error {
+func (t *triggers) bears(d *clusterstate.Document) error {
 	p := triggersOf(d)
 	if _, err := p.Plans(t.i.zones); err != nil {
 		return fmt.Errorf("section %q: %w", schedule.Section, err)
@@ -232,7 +232,7 @@
 		Repeat: f.Repeat || f.tries > 1}, f)
 	if err != nil {
 		f.open = false
-		if !errors.Is(err, core.ErrKnown) {
+		if !errors.Is(err, broker.ErrKnown) {
 			t.log.WithError(err).Error("an occurrence can't be fired")
 		}
 		t.i.gate.note("answer %q %d busy", f.Key(), f.Number)
@@ -253,14 +253,14 @@
 }
 
 // Answer implements core.Client: what became of the job.
-func (f *firing) Answer(a core.Answer) {
+func (f *firing) Answer(a broker.Answer) {
 	f.open = false
-	word := map[core.Kind]string{core.Served: "served", core.Busy: "busy", core.Failed: "failed"}[a.Kind]
+	word := map[broker.Kind]string{broker.Served: "served", broker.Busy: "busy", broker.Failed: "failed"}[a.Kind]
 	f.t.i.gate.note("answer %q %d %s", f.Key(), f.Number, word)
 	switch a.Kind {
-	case core.Served:
+	case broker.Served:
 		f.t.end(f, schedule.Done)
-	case core.Busy:
+	case broker.Busy:
 		// It surely never ran.
 		f.t.later(f, a.RetryAfter)
 	default:
--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -9,10 +9,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/internal/core"
-	"moorstack/internal/handover"
-	"moorstack/internal/net"
-	"moorstack/internal/platform"
+	"moorstack/internal/frontend/platform"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/hotrestart"
 )
 
 var (
@@ -23,11 +23,11 @@
 // upgrade carries out what the machine of the handover says.
 type upgrade struct {
 	*Node
-	place   handover.Place
-	machine *handover.Machine
-	link    *handover.Link     // with the other process; nil: there is none
-	inlet   *net.Listener      // where the next process asks; nil: not open
-	held    map[string]float64 // what the successor was told of our unfinished jobs
+	place   hotrestart.Place
+	machine *hotrestart.Machine
+	link    *hotrestart.Link    // with the other process; nil: there is none
+	inlet   *eventloop.Listener // where the next process asks; nil: not open
+	held    map[string]float64  // what the successor was told of our unfinished jobs
 }
 
 var _ platform.Beside = (*upgrade)(nil)
@@ -35,12 +35,12 @@
 // join looks for a process whose place this one takes. Whatever is in the way, the node
 // starts: alone if no other is there, else beside it at a socket of its own, and strange
 // is true.
-func join(cfg *platform.Config, log logrus.FieldLogger) (handover.Place, *handover.Offered, bool) {
-	place := handover.At(os.Getenv("TMPDIR"), cfg.Listen)
+func join(cfg *platform.Config, log logrus.FieldLogger) (hotrestart.Place, *hotrestart.Offered, bool) {
+	place := hotrestart.At(os.Getenv("TMPDIR"), cfg.Listen)
 	offered, err := place.Join(cfg.Name, cfg.Listen)
-	strange := err != nil && !errors.Is(err, handover.ErrAlone)
+	strange := err != nil && !errors.Is(err, hotrestart.ErrAlone)
 	switch {
-	case errors.Is(err, handover.ErrAlone):
+	case errors.Is(err, hotrestart.ErrAlone):
 	case err != nil:
 		log.WithError(err).Warn("the process before this one can't be taken over from; serving beside it")
 	default:
@@ -51,23 +51,23 @@
 
 // begin sets the handover up for a node that is open. Offered is nil for one that found
 // no other process.
-func (n *Node) begin(place handover.Place, offered *handover.Offered, began time.Duration) error {
-	u := &upgrade{Node: n, place: place, machine: handover.Old()}
+func (n *Node) begin(place hotrestart.Place, offered *hotrestart.Offered, began time.Duration) error {
+	u := &upgrade{Node: n, place: place, machine: hotrestart.Old()}
 	n.upgrade = u
 	if offered == nil {
 		u.next()
 		return nil
 	}
-	u.machine = handover.New(began)
+	u.machine = hotrestart.New(began)
 	var err error
-	if u.link, err = handover.Connect(n.loop, offered.Conn, u.said, u.gone); err != nil {
+	if u.link, err = hotrestart.Connect(n.loop, offered.Conn, u.said, u.gone); err != nil {
 		return err
 	}
 	u.share(true)
-	u.link.Send(handover.Message{Type: handover.IsTake})
-	n.loop.After(handover.LetBy, func() {
-		if u.machine.Phase() == handover.Taking {
-			u.step(handover.Late)
+	u.link.Send(hotrestart.Message{Type: hotrestart.IsTake})
+	n.loop.After(hotrestart.LetBy, func() {
+		if u.machine.Phase() == hotrestart.Taking {
+			u.step(hotrestart.Late)
 		}
 	})
 	return nil
@@ -94,8 +94,8 @@
 
 // asked takes the connection of a process that may want this one's place. It says so with
 // its first message.
-func (u *upgrade) asked(c *net.Conn) {
-	handover.Accept(c, u.said, u.gone)
+func (u *upgrade) asked(c *eventloop.Conn) {
+	hotrestart.Accept(c, u.said, u.gone)
 }
 
 // share has the limits be for two processes, or for one.
@@ -109,17 +109,17 @@
 	debug.SetMemoryLimit(u.memory / parts)
 }
 
-func (u *upgrade) gone(l *handover.Link, err error) {
+func (u *upgrade) gone(l *hotrestart.Link, err error) {
 	if l != u.link {
 		return // one that was refused, or said nothing
 	}
 	u.log.WithError(err).WithField("phase", u.machine.Phase().String()).Info("the other process is gone")
-	u.step(handover.Gone)
+	u.step(hotrestart.Gone)
 }
 
 // said takes a message.
-func (u *upgrade) said(l *handover.Link, m *handover.Message) {
-	if m.Type == handover.IsHello {
+func (u *upgrade) said(l *hotrestart.Link, m *hotrestart.Message) {
+	if m.Type == hotrestart.IsHello {
 		u.hello(l)
 		return
 	}
@@ -128,21 +128,21 @@
 		return
 	}
 	switch m.Type {
-	case handover.IsTake:
-		u.step(handover.Take)
-	case handover.IsTaken:
+	case hotrestart.IsTake:
+		u.step(hotrestart.Take)
+	case hotrestart.IsTaken:
 		u.front.Theirs(m.IDs)
-		u.step(handover.Taken)
-	case handover.IsEmpty:
-		u.step(handover.Empty)
-	case handover.IsCall:
+		u.step(hotrestart.Taken)
+	case hotrestart.IsEmpty:
+		u.step(hotrestart.Empty)
+	case hotrestart.IsCall:
 		u.front.Called(m.Body)
-		u.link.Send(handover.Message{Type: handover.IsHeard, Number: m.Number})
-	case handover.IsHeard:
+		u.link.Send(hotrestart.Message{Type: hotrestart.IsHeard, Number: m.Number})
+	case hotrestart.IsHeard:
 		u.front.Heard(m.Number)
-	case handover.IsBegun:
+	case hotrestart.IsBegun:
 		u.front.Theirs(m.IDs)
-	case handover.IsJob:
+	case hotrestart.IsJob:
 		fd, ok := l.TakeFD()
 		if !ok {
 			u.log.Error("an open job came without its client's connection")
@@ -151,31 +151,31 @@
 		if err := u.front.Foster(m.Job, fd); err != nil {
 			u.log.WithError(err).Error("an open job is lost")
 		}
-	case handover.IsHeld:
+	case hotrestart.IsHeld:
 		u.cores[0].Beside(m.Held)
-	case handover.IsBan:
+	case hotrestart.IsBan:
 		u.banned(m.Ban)
 	}
 }
 
-func (u *upgrade) hello(l *handover.Link) {
+func (u *upgrade) hello(l *hotrestart.Link) {
 	was := u.link
-	for _, e := range u.machine.Step(handover.Asked) {
-		if e == handover.Refuse {
+	for _, e := range u.machine.Step(hotrestart.Asked) {
+		if e == hotrestart.Refuse {
 			l.Refuse("the process is " + u.machine.Phase().String())
 			continue
 		}
 		u.link = l
 		if err := u.offer(); err != nil {
 			u.log.WithError(err).Error("the state can't be passed on")
-			u.step(handover.Gone)
+			u.step(hotrestart.Gone)
 			return
 		}
 		u.share(true)
-		u.loop.After(handover.TakeBy, func() {
-			if u.link == l && u.machine.Phase() == handover.Offering {
+		u.loop.After(hotrestart.TakeBy, func() {
+			if u.link == l && u.machine.Phase() == hotrestart.Offering {
 				u.log.Warn("the process that asked for this one's place does not serve in time")
-				u.step(handover.Late)
+				u.step(hotrestart.Late)
 			}
 		})
 	}
@@ -194,21 +194,21 @@
 	if err != nil {
 		return err
 	}
-	s := &handover.State{Generation: generation, Instances: list, Known: passed.Known, Module: passed.Module,
+	s := &hotrestart.State{Generation: generation, Instances: list, Known: passed.Known, Module: passed.Module,
 		Now: u.loop.Now(), Starts: u.front.Starts()}
 	s.Discovery, s.Written = u.front.Discovery()
 	for name, since := range passed.Bans {
-		s.Bans = append(s.Bans, handover.Ban{Name: name, Out: true, Since: since})
+		s.Bans = append(s.Bans, hotrestart.Ban{Name: name, Out: true, Since: since})
 	}
 	for name, t := range passed.Back {
-		s.Bans = append(s.Bans, handover.Ban{Name: name, Since: t[0], Ended: t[1]})
+		s.Bans = append(s.Bans, hotrestart.Ban{Name: name, Since: t[0], Ended: t[1]})
 	}
 	return u.link.Offer(s, u.front.Socket())
 }
 
 // passed is a state as the core takes it.
-func passed(s *handover.State) core.Passed {
-	p := core.Passed{Known: s.Known, Bans: map[string]time.Duration{},
+func passed(s *hotrestart.State) broker.Passed {
+	p := broker.Passed{Known: s.Known, Bans: map[string]time.Duration{},
 		Back: map[string][2]time.Duration{}, Module: s.Module}
 	for _, b := range s.Bans {
 		if b.Out {
@@ -221,22 +221,22 @@
 }
 
 // step has the machine take an event, and does what it says.
-func (u *upgrade) step(event handover.Event) {
+func (u *upgrade) step(event hotrestart.Event) {
 	before := u.machine.Phase()
 	for _, e := range u.machine.Step(event) {
 		switch e {
-		case handover.LetGo:
+		case hotrestart.LetGo:
 			u.front.LetGo()
-			u.link.Send(handover.Message{Type: handover.IsTaken, IDs: u.cores[0].Open()})
+			u.link.Send(hotrestart.Message{Type: hotrestart.IsTaken, IDs: u.cores[0].Open()})
 			u.poll()
-		case handover.Resume:
+		case hotrestart.Resume:
 			u.front.TakeBack()
-		case handover.Grow:
+		case hotrestart.Grow:
 			u.share(false)
 			u.cores[0].Beside(nil)
-		case handover.Next:
+		case hotrestart.Next:
 			u.next()
-		case handover.Hangup:
+		case hotrestart.Hangup:
 			if u.link != nil {
 				u.link.Close()
 				u.link = nil
@@ -251,20 +251,20 @@
 // poll tells the successor what this process has unfinished, and once it owes no client
 // anything.
 func (u *upgrade) poll() {
-	if u.machine.Phase() != handover.Handed || u.link == nil {
+	if u.machine.Phase() != hotrestart.Handed || u.link == nil {
 		return
 	}
 	if held := u.cores[0].Held(); !maps.Equal(held, u.held) {
 		u.held = held
-		u.link.Send(handover.Message{Type: handover.IsHeld, Held: held})
+		u.link.Send(hotrestart.Message{Type: hotrestart.IsHeld, Held: held})
 	}
-	if end := u.front.Ends(); end > 0 && u.loop.Now() >= end+handover.GiveAfter {
+	if end := u.front.Ends(); end > 0 && u.loop.Now() >= end+hotrestart.GiveAfter {
 		if n := u.front.GiveAway(u.link.Job); n > 0 {
 			u.log.WithField("jobs", n).Info("open jobs are the other process's now")
 		}
 	}
 	if u.front.Alone() {
-		u.link.Send(handover.Message{Type: handover.IsEmpty})
+		u.link.Send(hotrestart.Message{Type: hotrestart.IsEmpty})
 		return
 	}
 	u.loop.After(20*time.Millisecond, u.poll)
@@ -272,25 +272,25 @@
 
 // Relay passes a next hop's call-back on.
 func (u *upgrade) Relay(number uint64, body []byte) {
-	u.link.Send(handover.Message{Type: handover.IsCall, Number: number, Body: body})
+	u.link.Send(hotrestart.Message{Type: hotrestart.IsCall, Number: number, Body: body})
 }
 
 // Begun tells of a transaction that the other process must not begin.
 func (u *upgrade) Begun(id string) {
 	// The state is told before the ids that are open: what begins until then is among them.
-	if p := u.machine.Phase(); p == handover.Handed || p == handover.Beside || p == handover.Taking {
-		u.link.Send(handover.Message{Type: handover.IsBegun, IDs: []string{id}})
+	if p := u.machine.Phase(); p == hotrestart.Handed || p == hotrestart.Beside || p == hotrestart.Taking {
+		u.link.Send(hotrestart.Message{Type: hotrestart.IsBegun, IDs: []string{id}})
 	}
 }
 
 // tell passes an operator's word on to the other process, for both still give out work.
 func (u *upgrade) tell(id string, out bool) {
 	if u != nil && u.link != nil {
-		u.link.Send(handover.Message{Type: handover.IsBan, Ban: &handover.Ban{Name: id, Out: out}})
+		u.link.Send(hotrestart.Message{Type: hotrestart.IsBan, Ban: &hotrestart.Ban{Name: id, Out: out}})
 	}
 }
 
-func (u *upgrade) banned(b *handover.Ban) {
+func (u *upgrade) banned(b *hotrestart.Ban) {
 	for _, c := range u.cores {
 		if b.Out {
 			c.Ban(b.Name)
--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -8,11 +8,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/net"
-	"moorstack/internal/placement"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/netio/eventloop"
 	"moorstack/internal/schema"
 )
 
@@ -33,7 +33,7 @@
 	witness *placement.Witness
 	shunned map[string]bool
 	count   atomic.Int64
-	timer   *net.Timer
+	timer   *eventloop.Timer
 }
 
 func newWitnesses(i *Instance) *witnesses {
@@ -59,7 +59,7 @@
 }
 
 // read implements follower.
-func (w *witnesses) read(d *agreement.Document, _ brain.Settings) func() {
+func (w *witnesses) read(d *clusterstate.Document, _ balancer.Settings) func() {
 	p := sharesOf(d)
 	return func() { w.configure(p) }
 }
@@ -80,10 +80,10 @@
 	w.witness.View(placement.Of(w.view), w.own)
 }
 
-func (w *witnesses) end(name string, res brain.Result) {
+func (w *witnesses) end(name string, res balancer.Result) {
 	switch res {
-	case brain.OK, brain.Error, brain.TimedOut, brain.ConnectFailed, brain.Reset:
-		w.witness.End(consensus.Boottime(), name, res != brain.OK)
+	case balancer.OK, balancer.Error, balancer.TimedOut, balancer.ConnectFailed, balancer.Reset:
+		w.witness.End(consensus.Boottime(), name, res != balancer.OK)
 	}
 }
 
@@ -100,7 +100,7 @@
 		}
 		for _, x := range w.i.runner.Status().Members {
 			if x.ID != w.own.Member {
-				to := agreement.Member{ID: x.ID, Name: x.Name, Address: x.Address}
+				to := clusterstate.Member{ID: x.ID, Name: x.Name, Address: x.Address}
 				w.i.network.SendSession(to, &schema.SessionMessage{Witness: m})
 			}
 		}
--- a/internal/admin/call.go
+++ b/internal/operate/adminproto/call.go
@@ -2,7 +2,7 @@
 // connection, one answer that begins with ACK or NAK. It reads a call, has the node
 // carry it out through Node, and writes the answer. It keeps no state and decides
 // nothing.
-package admin
+package adminproto
 
 import (
 	"bytes"
--- a/internal/admin/call_test.go
+++ b/internal/operate/adminproto/call_test.go
@@ -1,4 +1,4 @@
-package admin
+package adminproto
 
 import (
 	"errors"
--- a/internal/admin/server.go
+++ b/internal/operate/adminproto/server.go
@@ -1,10 +1,10 @@
-package admin
+package adminproto
 
 import (
 	"bytes"
 	"time"
 
-	"moorstack/internal/net"
+	"moorstack/internal/netio/eventloop"
 )
 
 // Limits are what callers may take of the node's descriptors. They are no part of what
@@ -19,9 +19,9 @@
 )
 
 // Listen opens the second address for a node.
-func Listen(loop *net.Loop, address string, n Node) (*net.Listener, error) {
-	limits := net.Limits{Connections: Connections, Bytes: held, Patience: patience}
-	return loop.Listen(address, limits, func(c *net.Conn) { c.H = &caller{node: n} })
+func Listen(loop *eventloop.Loop, address string, n Node) (*eventloop.Listener, error) {
+	limits := eventloop.Limits{Connections: Connections, Bytes: held, Patience: patience}
+	return loop.Listen(address, limits, func(c *eventloop.Conn) { c.H = &caller{node: n} })
 }
 
 // caller is a connection to the second address.
@@ -30,13 +30,13 @@
 	done bool
 }
 
-var _ net.Handler = (*caller)(nil)
+var _ eventloop.Handler = (*caller)(nil)
 
-func (*caller) Up(*net.Conn)           {}
-func (*caller) Ended(*net.Conn, error) {}
+func (*caller) Up(*eventloop.Conn)           {}
+func (*caller) Ended(*eventloop.Conn, error) {}
 
 // Data answers once the line has come whole, in however many pieces, and closes.
-func (c *caller) Data(conn *net.Conn) {
+func (c *caller) Data(conn *eventloop.Conn) {
 	if c.done {
 		return
 	}
--- a/internal/backups/backups.go
+++ b/internal/operate/backups/backups.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/leasedtask"
 )
 
 // Dir is a directory of backups.
@@ -118,7 +118,7 @@
 		return fmt.Errorf("%s is of the group %s, not %s; give each its own directory, or remove it", path,
 			f.Group, r.Group)
 	}
-	numbers := duty.NewFence(f.Numbers)
+	numbers := leasedtask.NewFence(f.Numbers)
 	if err := numbers.Admit(r.Duty, r.Number); err != nil {
 		return err
 	}
--- a/internal/backups/backups_test.go
+++ b/internal/operate/backups/backups_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/leasedtask"
 )
 
 func TestDirectory(t *testing.T) {
@@ -35,7 +35,7 @@
 		t.Errorf("%+v %v", again, err)
 	}
 	// One that stood still between its look and its write is refused, and changes nothing.
-	var stale *duty.StaleError
+	var stale *leasedtask.StaleError
 	if _, err := ask(7, 2, "whole 2"); !errors.As(err, &stale) || stale.Seen != 8 {
 		t.Errorf("an old number writes: %v", err)
 	}
--- a/internal/control/backup.go
+++ b/internal/operate/controlapi/backup.go
@@ -1,4 +1,4 @@
-package control
+package controlapi
 
 import (
 	"crypto/rand"
@@ -9,7 +9,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"moorstack/internal/agreement"
+	"moorstack/internal/cluster/clusterstate"
 )
 
 // Backup is the agreed configuration with its history, in a file.
@@ -17,8 +17,8 @@
 // The file: "MOORBACK", the format (4 bytes, little-endian), CRC32C of what follows
 // (4 bytes), JSON. It holds no keys and no members: a group made from it has its own.
 type Backup struct {
-	Cluster   string               `json:"cluster"`
-	Revisions []agreement.Revision `json:"revisions"` // oldest first
+	Cluster   string                  `json:"cluster"`
+	Revisions []clusterstate.Revision `json:"revisions"` // oldest first
 }
 
 const backupMagic, backupFormat = "MOORBACK", 1
@@ -26,7 +26,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // WriteBackup gives the file's content.
-func WriteBackup(cluster string, revisions []agreement.Revision) []byte {
+func WriteBackup(cluster string, revisions []clusterstate.Revision) []byte {
 	body, err := json.Marshal(Backup{cluster, revisions})
 	if err != nil {
 		panic(err) // documents in the state can be written
--- a/internal/control/client.go
+++ b/internal/operate/controlapi/client.go
@@ -1,4 +1,4 @@
-package control
+package controlapi
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"moorstack/internal/keys"
+	"moorstack/internal/operate/keys"
 	"moorstack/internal/schema"
 )
 
--- a/internal/control/config.go
+++ b/internal/operate/controlapi/config.go
@@ -1,4 +1,4 @@
-package control
+package controlapi
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
 	"moorstack/internal/schema"
 )
 
-func revision(r agreement.Revision, document bool) *schema.Revision {
+func revision(r clusterstate.Revision, document bool) *schema.Revision {
 	m := &schema.Revision{Revision: r.Revision, Id: r.ID, Author: r.Author, Note: r.Note, AtMs: r.AtMS,
 		ForceMs: r.ForceMS}
 	if document {
@@ -36,7 +36,7 @@
 		}
 	}
 	var out *schema.Revision
-	err := r.View(ctx, func(st *agreement.State) {
+	err := r.View(ctx, func(st *clusterstate.State) {
 		if in.Revision == 0 {
 			out = revision(st.Newest(), true)
 		} else if rev, ok := st.At(in.Revision); ok {
@@ -62,7 +62,7 @@
 	ctx, stop := context.WithTimeout(ctx, patience)
 	defer stop()
 	out := &schema.HistoryReply{}
-	err := s.host.Runner().View(ctx, func(st *agreement.State) {
+	err := s.host.Runner().View(ctx, func(st *clusterstate.State) {
 		h := st.History()
 		out.Oldest = h[0].Revision
 		for i := len(h) - 1; i >= 0 && (in.Most == 0 || len(out.Revisions) < int(in.Most)); i-- {
@@ -88,7 +88,7 @@
 		}
 		var due []*schema.Revision
 		oldest := uint64(0)
-		err := r.View(stream.Context(), func(st *agreement.State) {
+		err := r.View(stream.Context(), func(st *clusterstate.State) {
 			h := st.History()
 			if next == 0 {
 				next = st.Newest().Revision
@@ -123,29 +123,29 @@
 	}
 }
 
-var codesOf = map[agreement.Code]schema.ProposeReply_Code{agreement.Accepted: schema.ProposeReply_ACCEPTED,
-	agreement.Conflict: schema.ProposeReply_CONFLICT, agreement.Invalid: schema.ProposeReply_INVALID,
-	agreement.TooLarge: schema.ProposeReply_TOO_LARGE, agreement.Unchanged: schema.ProposeReply_UNCHANGED,
-	agreement.Withdrawn: schema.ProposeReply_WITHDRAWN}
+var codesOf = map[clusterstate.Code]schema.ProposeReply_Code{clusterstate.Accepted: schema.ProposeReply_ACCEPTED,
+	clusterstate.Conflict: schema.ProposeReply_CONFLICT, clusterstate.Invalid: schema.ProposeReply_INVALID,
+	clusterstate.TooLarge: schema.ProposeReply_TOO_LARGE, clusterstate.Unchanged: schema.ProposeReply_UNCHANGED,
+	clusterstate.Withdrawn: schema.ProposeReply_WITHDRAWN}
 
 // Propose implements schema.ControlServer. What became of the change is in the reply; an
 // error means that nothing was tried.
 func (s *Server) Propose(ctx context.Context, in *schema.ProposeRequest) (*schema.ProposeReply, error) {
 	// A change has its bounds in time in the log; the caller says how long it waits.
 	name, _ := who(ctx)
-	if len(in.Document) > agreement.MaxDocument {
+	if len(in.Document) > clusterstate.MaxDocument {
 		return &schema.ProposeReply{Code: schema.ProposeReply_TOO_LARGE, Problems: []string{
 			fmt.Sprintf(
 				"the document has %d bytes, %d are allowed",
 				len(in.Document),
-				agreement.MaxDocument,
+				clusterstate.MaxDocument,
 			)}}, nil
 	}
-	doc, err := agreement.Decode(in.Document)
+	doc, err := clusterstate.Decode(in.Document)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	c := agreement.Change{
+	c := clusterstate.Change{
 		ID:       in.Id,
 		Base:     in.Base,
 		Author:   name,
@@ -156,18 +156,18 @@
 	r := s.host.Runner()
 	if c.Base == 0 {
 		if err := r.Barrier(ctx); err == nil {
-			_ = r.View(ctx, func(st *agreement.State) { c.Base = st.Newest().Revision })
+			_ = r.View(ctx, func(st *clusterstate.State) { c.Base = st.Newest().Revision })
 		}
 	}
 	out := &schema.ProposeReply{}
-	if err := r.View(ctx, func(st *agreement.State) { compare(out, st, c) }); err != nil {
+	if err := r.View(ctx, func(st *clusterstate.State) { compare(out, st, c) }); err != nil {
 		return nil, failure(err)
 	}
-	var o agreement.Outcome
+	var o clusterstate.Outcome
 	if in.DryRun {
-		if o, err = r.Check(ctx, c); err == nil && o.Code == agreement.Accepted {
+		if o, err = r.Check(ctx, c); err == nil && o.Code == clusterstate.Accepted {
 			if out.Next, err = s.host.Preview(doc, time.Now()); err != nil {
-				o, err = agreement.Outcome{Code: agreement.Invalid, Revision: o.Revision,
+				o, err = clusterstate.Outcome{Code: clusterstate.Invalid, Revision: o.Revision,
 					Problems: []string{err.Error()}}, nil
 			}
 		}
@@ -178,14 +178,14 @@
 	switch {
 	case err == nil:
 		out.Code, out.Revision, out.Problems = codesOf[o.Code], o.Revision, o.Problems
-		if o.Code == agreement.Accepted && in.NoWait && !in.DryRun {
+		if o.Code == clusterstate.Accepted && in.NoWait && !in.DryRun {
 			if r.Status().Revision < o.Revision {
 				out.Code = schema.ProposeReply_BEGUN
 			}
 		}
-		if o.Code == agreement.Conflict {
+		if o.Code == clusterstate.Conflict {
 			// Another change may have come first only now.
-			_ = r.View(ctx, func(st *agreement.State) { compare(out, st, c) })
+			_ = r.View(ctx, func(st *clusterstate.State) { compare(out, st, c) })
 		}
 	case errors.As(err, &refused):
 		out.Code, out.Revision, out.Problems = schema.ProposeReply_INVALID, r.Status().Revision,
@@ -208,14 +208,14 @@
 }
 
 // compare says what a change changes, and what others have changed since its base.
-func compare(out *schema.ProposeReply, st *agreement.State, c agreement.Change) {
+func compare(out *schema.ProposeReply, st *clusterstate.State, c clusterstate.Change) {
 	out.Changes, out.Meanwhile = nil, nil
 	base, ok := st.At(c.Base)
 	if !ok {
 		return
 	}
-	out.Changes = agreement.Differences(base.Document, c.Document)
+	out.Changes = clusterstate.Differences(base.Document, c.Document)
 	if newest := st.Newest(); newest.Revision != base.Revision {
-		out.Meanwhile = agreement.Differences(base.Document, newest.Document)
+		out.Meanwhile = clusterstate.Differences(base.Document, newest.Document)
 	}
 }
--- a/internal/control/duty.go
+++ b/internal/operate/controlapi/duty.go
@@ -1,4 +1,4 @@
-package control
+package controlapi
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"maps"
 	"slices"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
 	"moorstack/internal/schema"
 )
 
@@ -16,7 +16,7 @@
 func (s *Server) Duties(ctx context.Context, _ *schema.DutiesRequest) (*schema.DutiesReply, error) {
 	st := s.host.Runner().Status()
 	out := &schema.DutiesReply{CutOff: st.CutOff}
-	err := s.host.Runner().View(ctx, func(a *agreement.State) {
+	err := s.host.Runner().View(ctx, func(a *clusterstate.State) {
 		out.Number = a.Duties().Number
 		name := func(member uint64) string {
 			if m, ok := a.Member(member); ok {
@@ -41,7 +41,7 @@
 	return out, nil
 }
 
-func describeDuty(d *duty.Duty, name func(uint64) string) *schema.Duty {
+func describeDuty(d *leasedtask.Duty, name func(uint64) string) *schema.Duty {
 	out := &schema.Duty{Name: d.Name, Holder: d.Of, Number: d.Number, Note: d.Note, Leaving: d.Leaving,
 		Paused: d.Paused}
 	if d.To != 0 {
--- a/internal/control/owners.go
+++ b/internal/operate/controlapi/owners.go
@@ -1,11 +1,11 @@
-package control
+package controlapi
 
 import (
 	"slices"
 	"sync"
 
-	"moorstack/internal/consensus"
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/placement"
 	"moorstack/internal/schema"
 )
 
--- a/internal/control/rollout.go
+++ b/internal/operate/controlapi/rollout.go
@@ -1,4 +1,4 @@
-package control
+package controlapi
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/schema"
 )
 
@@ -125,7 +125,7 @@
 	if err != nil {
 		return failure(err)
 	}
-	if o.Code != agreement.Accepted {
+	if o.Code != clusterstate.Accepted {
 		return failure(&consensus.RefusedError{Reason: errors.Join(problems(o)...).Error()})
 	}
 	name, _ := who(ctx)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func problems(o agreement.Outcome) []error {
+func problems(o clusterstate.Outcome) []error {
 	list := []error{errors.New(o.Code.String())}
 	if len(o.Problems) > 0 {
 		list = list[:0]
--- a/internal/control/schedule.go
+++ b/internal/operate/controlapi/schedule.go
@@ -1,11 +1,11 @@
-package control
+package controlapi
 
 import (
 	"fmt"
 	"time"
 
-	"moorstack/internal/consensus"
-	"moorstack/internal/schedule"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/schedule"
 	"moorstack/internal/schema"
 )
 
--- a/internal/control/seeming.go
+++ b/internal/operate/controlapi/seeming.go
@@ -1,4 +1,4 @@
-package control
+package controlapi
 
 import (
 	"slices"
--- a/internal/control/server.go
+++ b/internal/operate/controlapi/server.go
@@ -1,7 +1,7 @@
 // Package control is the operators' service: gRPC on a unix socket, whose file's owner is
 // an operator, and where configured on an address under TLS with certificates of two
 // roles, reader and operator.
-package control
+package controlapi
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
-	"moorstack/internal/keys"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/operate/keys"
 	"moorstack/internal/schema"
 )
 
@@ -32,16 +32,16 @@
 	// Running says which revision the fronts run, and why not the agreed one.
 	Running() (revision uint64, problem string)
 	// First is the document that a new group begins with: what this instance's own settings say.
-	First() (*agreement.Document, error)
+	First() (*clusterstate.Document, error)
 	Address() string
 	Program() string
 	Counters() map[string]uint64
 	Tick() time.Duration
 	ExplainRoute(*schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error)
 	// Next says when the triggers of a document come next.
-	Preview(*agreement.Document, time.Time) ([]string, error)
+	Preview(*clusterstate.Document, time.Time) ([]string, error)
 	// Holds is which duties this instance holds, as it knows.
-	Holds() []duty.Held
+	Holds() []leasedtask.Held
 	// Seems is what is believed of a member, if instances probe each other.
 	Seems(member uint64) (Seeming, bool)
 }
@@ -240,7 +240,7 @@
 func (s *Server) Init(ctx context.Context, in *schema.InitRequest) (*schema.StatusReply, error) {
 	ctx, stop := context.WithTimeout(ctx, patience)
 	defer stop()
-	doc, after, err := (*agreement.Document)(nil), uint64(0), error(nil)
+	doc, after, err := (*clusterstate.Document)(nil), uint64(0), error(nil)
 	if len(in.Backup) > 0 {
 		var b *Backup
 		if b, err = ReadBackup(in.Backup); err == nil {
@@ -303,7 +303,7 @@
 		return nil, failure(err)
 	}
 	out := &schema.BackupReply{}
-	err := r.View(ctx, func(st *agreement.State) {
+	err := r.View(ctx, func(st *clusterstate.State) {
 		out.Backup, out.Revision = WriteBackup(st.Cluster(), st.History()), st.Newest().Revision
 	})
 	return out, failure(err)
--- a/internal/core/actions.go
+++ b/internal/proxy/broker/actions.go
@@ -1,18 +1,18 @@
-package core
+package broker
 
 import (
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // actions is what the module has its host do.
 type actions struct{ *Core }
 
-var _ brain.Actions = actions{}
+var _ balancer.Actions = actions{}
 
 // Send starts a branch. One that can't be started ends as never sent.
-func (c actions) Send(id brain.RequestID, w brain.WorkerID, until time.Duration) {
+func (c actions) Send(id balancer.RequestID, w balancer.WorkerID, until time.Duration) {
 	t := c.open[id]
 	if t == nil {
 		return
@@ -36,36 +36,36 @@
 	h.out++
 	switch {
 	case t.client == nil || !known || b.n >= max(c.set.Limits.Attempts, 1):
-		c.end(b, brain.Moot, nil, brain.NoReport)
+		c.end(b, balancer.Moot, nil, balancer.NoReport)
 		return
 	case until <= now:
-		c.end(b, brain.TimedOut, nil, brain.NoReport)
+		c.end(b, balancer.TimedOut, nil, balancer.NoReport)
 		return
 	}
 	// Hazard: a worker, or the way to it, that says nothing holds a transaction for ever.
-	b.timer = c.clock.At(until, func() { c.giveUp(b, brain.TimedOut) })
+	b.timer = c.clock.At(until, func() { c.giveUp(b, balancer.TimedOut) })
 	b.running = h.Start(Branch{ID: b.id, Job: t.Job, Name: t.ID, Limit: until})
 }
 
-func (c *Core) giveUp(b *branch, res brain.Result) {
+func (c *Core) giveUp(b *branch, res balancer.Result) {
 	if b.ended {
 		return
 	}
 	if b.running != nil {
 		b.running.GiveUp()
 	}
-	c.end(b, res, nil, brain.NoReport)
+	c.end(b, res, nil, balancer.NoReport)
 }
 
 // Refuse gives a busy answer.
-func (c actions) Refuse(id brain.RequestID, retryAfter time.Duration) {
+func (c actions) Refuse(id balancer.RequestID, retryAfter time.Duration) {
 	c.final(id, Answer{Kind: Busy, RetryAfter: retryAfter})
 }
 
 // Fail gives a failure.
-func (c actions) Fail(id brain.RequestID) { c.final(id, Answer{Kind: Failed}) }
+func (c actions) Fail(id balancer.RequestID) { c.final(id, Answer{Kind: Failed}) }
 
-func (c *Core) final(id brain.RequestID, a Answer) {
+func (c *Core) final(id balancer.RequestID, a Answer) {
 	if t := c.open[id]; t != nil {
 		c.answer(t, a)
 		c.forget(t)
@@ -73,20 +73,20 @@
 }
 
 // Cancel gives a branch up.
-func (c actions) Cancel(id brain.RequestID, attempt int) {
+func (c actions) Cancel(id balancer.RequestID, attempt int) {
 	if t := c.open[id]; t != nil && attempt >= 0 && attempt < len(t.branches) {
-		c.giveUp(t.branches[attempt], brain.Cancelled)
+		c.giveUp(t.branches[attempt], balancer.Cancelled)
 	}
 }
 
 // Probe asks a next hop for its load.
-func (c actions) Probe(w brain.WorkerID) {
+func (c actions) Probe(w balancer.WorkerID) {
 	h := c.hops[w]
 	if h == nil || h.NextHop == nil {
 		return
 	}
 	began := c.clock.Now()
-	h.Probe(func(res brain.Result, r brain.Report) {
+	h.Probe(func(res balancer.Result, r balancer.Report) {
 		c.do(func() {
 			now := c.clock.Now()
 			c.bal.Probed(now, w, res, now-began, r)
@@ -119,7 +119,7 @@
 func (c actions) Tell(int, []byte) {}
 
 // CloseIdle closes a next hop's idle connections.
-func (c actions) CloseIdle(w brain.WorkerID) {
+func (c actions) CloseIdle(w balancer.WorkerID) {
 	if h := c.hops[w]; h != nil && h.NextHop != nil {
 		h.NextHop.CloseIdle()
 	}
--- a/internal/core/ban.go
+++ b/internal/proxy/broker/ban.go
@@ -1,10 +1,10 @@
-package core
+package broker
 
 import (
 	"errors"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // ErrUnlisted is the answer to a ban of a next hop that was never in the route set.
@@ -39,14 +39,14 @@
 }
 
 // over gives a line of the route set as the module is to see it.
-func (b *bans) over(name string, w brain.Worker) brain.Worker {
+func (b *bans) over(name string, w balancer.Worker) balancer.Worker {
 	if _, out := b.out[name]; out {
-		if w.State == brain.Ready {
-			w.State = brain.Draining
+		if w.State == balancer.Ready {
+			w.State = balancer.Draining
 		}
 		return w
 	}
-	if t, ok := b.back[name]; ok && w.State != brain.Removed {
+	if t, ok := b.back[name]; ok && w.State != balancer.Removed {
 		// Hazard: it was restarted during its ban and is cold, and the list, which is late,
 		// does not tell so yet. Until it does, it counts as started when it was put back.
 		if w.Since > t.began {
@@ -105,7 +105,7 @@
 	}
 	w := c.over(name, h.listed)
 	c.do(func() {
-		c.bal.Members(c.clock.Now(), brain.Changes, []brain.Worker{w})
+		c.bal.Members(c.clock.Now(), balancer.Changes, []balancer.Worker{w})
 		if back {
 			c.bal.Owe(id)
 		}
--- a/internal/core/core.go
+++ b/internal/proxy/broker/core.go
@@ -7,7 +7,7 @@
 //
 // All calls come from one goroutine. Any of them may be made from within a call
 // that the core itself makes: what it leads to waits its turn.
-package core
+package broker
 
 import (
 	"errors"
@@ -17,8 +17,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/slots"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/slotmap"
 )
 
 // Clock is where time and deadlines come from.
@@ -71,9 +71,9 @@
 	Repeat  bool
 	Job     any // what the front gives its next hops to work on
 
-	Route    brain.Route   // nil: any next hop
-	Attempts int           // within the class's; 0: as many
-	Limit    time.Duration // of each branch, within Left; 0: none of its own
+	Route    balancer.Route // nil: any next hop
+	Attempts int            // within the class's; 0: as many
+	Limit    time.Duration  // of each branch, within Left; 0: none of its own
 }
 
 // NextHop is a worker as a front reaches it.
@@ -82,14 +82,14 @@
 	// been told by the limit, the core ends the branch and gives it up.
 	Start(b Branch) Running
 	// Probe asks for the load and calls done once.
-	Probe(done func(brain.Result, brain.Report))
+	Probe(done func(balancer.Result, balancer.Report))
 	// CloseIdle drops what is held open to the worker and not in use.
 	CloseIdle()
 }
 
 // Branch is one attempt of a transaction at one next hop.
 type Branch struct {
-	ID    slots.ID
+	ID    slotmap.ID
 	Job   any
 	Name  string        // the transaction's ID
 	Limit time.Duration // the clock time at which it is given up
@@ -104,7 +104,7 @@
 type Entry struct {
 	Name             string
 	Zone, Kind, Cell int
-	State            brain.State
+	State            balancer.State
 	Size             float64
 	Labels           []string
 	Since            time.Duration // on the core's clock; 0: long ago
@@ -142,7 +142,7 @@
 }
 
 type branch struct {
-	id      slots.ID
+	id      slotmap.ID
 	t       *transaction
 	n       int
 	hop     *hop
@@ -154,32 +154,32 @@
 
 type hop struct {
 	NextHop
-	id   brain.WorkerID
+	id   balancer.WorkerID
 	name string
 	zone string
 	out  int
 	gone bool
 
-	listed brain.Worker // as the route set has it, bans apart
+	listed balancer.Worker // as the route set has it, bans apart
 }
 
 // Core drives one balancer.
 type Core struct {
-	bal      *brain.Balancer
+	bal      *balancer.Balancer
 	late     lateJudge // the same; nil: it can't be asked
-	set      brain.Settings
+	set      balancer.Settings
 	clock    Clock
 	dir      Directory
 	log      logrus.FieldLogger
-	open     map[brain.RequestID]*transaction
-	branches slots.Table[*branch]
-	hops     map[brain.WorkerID]*hop
-	ids      map[string]brain.WorkerID
+	open     map[balancer.RequestID]*transaction
+	branches slotmap.Table[*branch]
+	hops     map[balancer.WorkerID]*hop
+	ids      map[string]balancer.WorkerID
 	bans     bans
 	uses     map[string]bool // who is given work; nil: all
 	shuns    map[string]bool // who is given nothing for now, by others' word
 	onList   func()          // after each change of the route set; may be nil
-	onEnd    func(name string, res brain.Result)
+	onEnd    func(name string, res balancer.Result)
 	gate     Gate // nil: all are let in
 	waiting  int  // transactions without their final answer
 	queue    []func()
@@ -187,11 +187,11 @@
 }
 
 // New makes a core with settings that are its own.
-func New(set brain.Settings, seed uint64, clock Clock, dir Directory, log logrus.FieldLogger) (*Core, error) {
-	c := &Core{set: set, clock: clock, dir: dir, log: log, open: map[brain.RequestID]*transaction{},
-		hops: map[brain.WorkerID]*hop{}, ids: map[string]brain.WorkerID{}, bans: newBans()}
+func New(set balancer.Settings, seed uint64, clock Clock, dir Directory, log logrus.FieldLogger) (*Core, error) {
+	c := &Core{set: set, clock: clock, dir: dir, log: log, open: map[balancer.RequestID]*transaction{},
+		hops: map[balancer.WorkerID]*hop{}, ids: map[string]balancer.WorkerID{}, bans: newBans()}
 	var err error
-	c.bal, err = brain.New(set, seed, actions{c})
+	c.bal, err = balancer.New(set, seed, actions{c})
 	c.late, _ = any(c.bal).(lateJudge)
 	return c, err
 }
@@ -200,11 +200,11 @@
 func (c *Core) Guard(g Gate) { c.gate = g }
 
 // CanConfigure says whether Configure may be called with the settings.
-func (c *Core) CanConfigure(set brain.Settings) error { return c.bal.CanConfigure(set) }
+func (c *Core) CanConfigure(set balancer.Settings) error { return c.bal.CanConfigure(set) }
 
 // Configure takes over the classes and the tenants of the settings, which CanConfigure
 // has approved. A transaction that is open keeps the class that it came with.
-func (c *Core) Configure(set brain.Settings) {
+func (c *Core) Configure(set balancer.Settings) {
 	c.do(func() { c.bal.Configure(set) })
 }
 
@@ -239,7 +239,7 @@
 
 // Begin takes a transaction. Unless it returns an error, the client is answered once.
 func (c *Core) Begin(t Transaction, client Client) error {
-	id := brain.RequestID(t.ID)
+	id := balancer.RequestID(t.ID)
 	if c.open[id] != nil {
 		return ErrKnown
 	}
@@ -255,7 +255,7 @@
 	c.waiting++
 	c.do(func() {
 		now := c.clock.Now()
-		c.bal.Request(now, brain.Request{ID: id, Class: t.Class, Tenant: t.Tenant, Left: tr.deadline - now,
+		c.bal.Request(now, balancer.Request{ID: id, Class: t.Class, Tenant: t.Tenant, Left: tr.deadline - now,
 			Work: t.Work, Slots: t.Slots, Memory: t.Memory, Repeat: t.Repeat, Route: t.Route,
 			Attempts: t.Attempts})
 	})
@@ -264,9 +264,9 @@
 
 // Explain says of each next hop, by name, whether a transaction that came now would be
 // drawn for it at a tier of its route, and why not.
-func (c *Core) Explain(t Transaction, tier int) map[string]brain.Verdict {
-	out := map[string]brain.Verdict{}
-	for _, v := range c.bal.Explain(c.clock.Now(), brain.Request{Class: t.Class, Tenant: t.Tenant,
+func (c *Core) Explain(t Transaction, tier int) map[string]balancer.Verdict {
+	out := map[string]balancer.Verdict{}
+	for _, v := range c.bal.Explain(c.clock.Now(), balancer.Request{Class: t.Class, Tenant: t.Tenant,
 		Left: t.Left, Work: t.Work, Slots: t.Slots, Memory: t.Memory, Route: t.Route,
 		Attempts: t.Attempts}, tier) {
 		if h := c.hops[v.Worker.ID]; h != nil {
@@ -278,14 +278,14 @@
 
 // Gone says that a transaction's client has left. It is not answered any more.
 func (c *Core) Gone(id string) {
-	t := c.open[brain.RequestID(id)]
+	t := c.open[balancer.RequestID(id)]
 	if t == nil || t.client == nil {
 		return
 	}
 	t.client = nil
 	c.waiting--
 	c.do(func() {
-		c.bal.Gone(c.clock.Now(), brain.RequestID(id))
+		c.bal.Gone(c.clock.Now(), balancer.RequestID(id))
 		c.forget(t)
 	})
 }
@@ -293,18 +293,18 @@
 // lateJudge is a module that can be asked again about an attempt that is written late. Modules of the past,
 // which are played against today's, can't.
 type lateJudge interface {
-	StillAllowed(now time.Duration, id brain.RequestID, attempt int) bool
+	StillAllowed(now time.Duration, id balancer.RequestID, attempt int) bool
 }
 
 // Wanted says whether a branch may still be sent: it has not ended, its worker takes work, its class allows
 // it now, and its client has not left.
-func (c *Core) Wanted(id slots.ID) bool {
+func (c *Core) Wanted(id slotmap.ID) bool {
 	b, ok := c.branches.Get(id)
-	if !ok || b.hop.gone || c.over(b.hop.name, b.hop.listed).State != brain.Ready {
+	if !ok || b.hop.gone || c.over(b.hop.name, b.hop.listed).State != balancer.Ready {
 		return false
 	}
 	// Within the module's own call it has only just decided.
-	if c.late != nil && !c.busy && !c.late.StillAllowed(c.clock.Now(), brain.RequestID(b.t.ID), b.n) {
+	if c.late != nil && !c.busy && !c.late.StillAllowed(c.clock.Now(), balancer.RequestID(b.t.ID), b.n) {
 		return false
 	}
 	return c.stays(b.t) && !b.ended
@@ -319,15 +319,15 @@
 }
 
 // End tells the end of a branch. One that has ended already stays as it ended.
-func (c *Core) End(id slots.ID, res brain.Result, result []byte, report brain.Report) {
+func (c *Core) End(id slotmap.ID, res balancer.Result, result []byte, report balancer.Report) {
 	if b, ok := c.branches.Get(id); ok {
 		c.end(b, res, result, report)
 	}
 }
 
 // EndAt tells the end of the branch that a transaction has at a next hop, if it has one.
-func (c *Core) EndAt(id, name string, res brain.Result, result []byte, report brain.Report) bool {
-	if t := c.open[brain.RequestID(id)]; t != nil {
+func (c *Core) EndAt(id, name string, res balancer.Result, result []byte, report balancer.Report) bool {
+	if t := c.open[balancer.RequestID(id)]; t != nil {
 		for _, b := range t.branches {
 			if !b.ended && b.hop.name == name {
 				c.end(b, res, result, report)
@@ -340,14 +340,14 @@
 
 // Progress tells how a branch that is out goes on, if the transaction has one there.
 func (c *Core) Progress(id, name string, started bool, share float64) bool {
-	t := c.open[brain.RequestID(id)]
+	t := c.open[balancer.RequestID(id)]
 	if t == nil {
 		return false
 	}
 	for _, b := range t.branches {
 		if !b.ended && b.hop.name == name {
 			c.do(func() {
-				c.bal.Progress(c.clock.Now(), brain.Note{ID: brain.RequestID(id), Attempt: b.n,
+				c.bal.Progress(c.clock.Now(), balancer.Note{ID: balancer.RequestID(id), Attempt: b.n,
 					Worker: b.hop.id, Started: started, Done: share})
 			})
 			return true
@@ -356,7 +356,7 @@
 	return false
 }
 
-func (c *Core) end(b *branch, res brain.Result, result []byte, report brain.Report) {
+func (c *Core) end(b *branch, res balancer.Result, result []byte, report balancer.Report) {
 	t := b.t
 	b.ended = true
 	if b.timer != nil {
@@ -369,12 +369,12 @@
 		c.onEnd(b.hop.name, res)
 	}
 	c.drop(b.hop)
-	if res == brain.OK {
+	if res == balancer.OK {
 		c.answer(t, Answer{Kind: Served, Result: result})
 	}
 	c.do(func() {
 		now := c.clock.Now()
-		c.bal.Outcome(now, brain.Outcome{ID: brain.RequestID(t.ID), Attempt: b.n, Worker: b.hop.id,
+		c.bal.Outcome(now, balancer.Outcome{ID: balancer.RequestID(t.ID), Attempt: b.n, Worker: b.hop.id,
 			Result: res, Took: now - b.sent, Settled: t.client == nil, Report: report})
 		c.forget(t)
 	})
@@ -392,14 +392,14 @@
 // forget drops a transaction that is answered and has no branch out.
 func (c *Core) forget(t *transaction) {
 	if t.client == nil && t.out == 0 {
-		delete(c.open, brain.RequestID(t.ID))
+		delete(c.open, balancer.RequestID(t.ID))
 	}
 }
 
 // RouteSet takes news of the next hops.
-func (c *Core) RouteSet(kind brain.ListKind, entries []Entry) {
-	named := map[brain.WorkerID]bool{}
-	list := make([]brain.Worker, 0, len(entries))
+func (c *Core) RouteSet(kind balancer.ListKind, entries []Entry) {
+	named := map[balancer.WorkerID]bool{}
+	list := make([]balancer.Worker, 0, len(entries))
 	for _, e := range entries {
 		id := c.idOf(e.Name)
 		named[id] = true
@@ -411,14 +411,14 @@
 		if e.Hop != nil {
 			h.NextHop = e.Hop
 		}
-		h.gone, h.zone = e.State == brain.Removed, strconv.Itoa(e.Zone)
-		h.listed = brain.Worker{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State,
+		h.gone, h.zone = e.State == balancer.Removed, strconv.Itoa(e.Zone)
+		h.listed = balancer.Worker{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State,
 			Size: e.Size, Since: e.Since, Labels: e.Labels}
 		c.bans.listed(e.Name)
 		list = append(list, c.over(e.Name, h.listed))
 	}
 	for id, h := range c.hops {
-		if (kind == brain.Whole || kind == brain.Cached) && !named[id] {
+		if (kind == balancer.Whole || kind == balancer.Cached) && !named[id] {
 			h.gone = true
 		}
 	}
@@ -443,13 +443,13 @@
 
 // idOf is the number by which the module knows a next hop. It must be the same at
 // every node and after a restart: the module takes turns by it.
-func (c *Core) idOf(name string) brain.WorkerID {
+func (c *Core) idOf(name string) balancer.WorkerID {
 	if id, ok := c.ids[name]; ok {
 		return id
 	}
 	sum := fnv.New32a()
 	sum.Write([]byte(name))
-	id := brain.WorkerID(sum.Sum32())
+	id := balancer.WorkerID(sum.Sum32())
 	for c.hops[id] != nil {
 		id++
 	}
--- a/internal/core/pass.go
+++ b/internal/proxy/broker/pass.go
@@ -1,9 +1,9 @@
-package core
+package broker
 
 import (
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // What passes from one process of a node to the one that takes its place.
@@ -13,7 +13,7 @@
 	Known  []string // next hops that were ever listed
 	Bans   map[string]time.Duration
 	Back   map[string][2]time.Duration // put back, and not listed as started since
-	Module brain.Memory
+	Module balancer.Memory
 }
 
 // Pass gives what another process must know.
@@ -83,7 +83,7 @@
 // Outs gives the branches that are out of a transaction whose client waits, and when the
 // client gives up.
 func (c *Core) Outs(id string) (until time.Duration, outs []Out) {
-	t := c.open[brain.RequestID(id)]
+	t := c.open[balancer.RequestID(id)]
 	if t == nil || t.client == nil {
 		return 0, nil
 	}
@@ -97,7 +97,7 @@
 
 // Leave ends a transaction here that goes on at another process, with what is out of it.
 func (c *Core) Leave(id string) {
-	if t := c.open[brain.RequestID(id)]; t != nil {
+	if t := c.open[balancer.RequestID(id)]; t != nil {
 		for _, b := range t.branches {
 			b.running = nil // nobody gives it up
 		}
--- a/internal/core/subset.go
+++ b/internal/proxy/broker/subset.go
@@ -1,7 +1,7 @@
-package core
+package broker
 
 import (
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // Next hops beyond the subset that this core uses are listed, and to the module they are draining:
@@ -17,7 +17,7 @@
 func (c *Core) Listings() []Listing {
 	var list []Listing
 	for _, h := range c.hops {
-		if !h.gone && h.listed.State == brain.Ready {
+		if !h.gone && h.listed.State == balancer.Ready {
 			list = append(list, Listing{h.name, h.zone})
 		}
 	}
@@ -36,7 +36,7 @@
 }
 
 // OnEnd has f be called with the end of each branch. It must not call back.
-func (c *Core) OnEnd(f func(name string, res brain.Result)) { c.onEnd = f }
+func (c *Core) OnEnd(f func(name string, res balancer.Result)) { c.onEnd = f }
 
 // Shun has the core give nothing to the named next hops until it is called again.
 func (c *Core) Shun(names map[string]bool) {
@@ -61,10 +61,10 @@
 }
 
 // over gives a line of the route set as the module is to see it.
-func (c *Core) over(name string, w brain.Worker) brain.Worker {
+func (c *Core) over(name string, w balancer.Worker) balancer.Worker {
 	w = c.bans.over(name, w)
-	if (c.uses != nil && !c.uses[name] || c.shuns[name]) && w.State == brain.Ready {
-		w.State = brain.Draining
+	if (c.uses != nil && !c.uses[name] || c.shuns[name]) && w.State == balancer.Ready {
+		w.State = balancer.Draining
 	}
 	return w
 }
--- a/internal/handover/link.go
+++ b/internal/proxy/hotrestart/link.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/net"
+	"moorstack/internal/netio/eventloop"
 )
 
 // longest is the longest path that a Unix address holds.
@@ -47,7 +47,7 @@
 
 // Listen waits there for the process that will take this one's place, and takes the
 // place of whoever waited there before.
-func (p Place) Listen(loop *net.Loop, accept func(*net.Conn)) (*net.Listener, error) {
+func (p Place) Listen(loop *eventloop.Loop, accept func(*eventloop.Conn)) (*eventloop.Listener, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
@@ -76,7 +76,7 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("the place for the next process, %s: %w", filepath.Join(p.dir, p.name), err)
 	}
-	return loop.ListenOn(fd, net.Limits{Connections: 2, Bytes: 2 * MaxMessage}, accept)
+	return loop.ListenOn(fd, eventloop.Limits{Connections: 2, Bytes: 2 * MaxMessage}, accept)
 }
 
 // Offered is what a process gets from the one whose place it takes.
@@ -190,23 +190,23 @@
 
 // Link is the connection of the two processes, on the loop of one.
 type Link struct {
-	conn *net.Conn
+	conn *eventloop.Conn
 	line []byte
 	said func(*Link, *Message)
 	gone func(*Link, error)
 }
 
-var _ net.Handler = (*Link)(nil)
+var _ eventloop.Handler = (*Link)(nil)
 
 // Accept makes a link of a connection that was accepted.
-func Accept(conn *net.Conn, said func(*Link, *Message), gone func(*Link, error)) *Link {
+func Accept(conn *eventloop.Conn, said func(*Link, *Message), gone func(*Link, error)) *Link {
 	l := &Link{conn: conn, said: said, gone: gone}
 	conn.H = l
 	return l
 }
 
 // Connect makes a link of the connection that Join has made.
-func Connect(loop *net.Loop, fd int, said func(*Link, *Message), gone func(*Link, error)) (*Link, error) {
+func Connect(loop *eventloop.Loop, fd int, said func(*Link, *Message), gone func(*Link, error)) (*Link, error) {
 	l := &Link{said: said, gone: gone}
 	var err error
 	if l.conn, err = loop.Adopt(fd, l); err == nil {
@@ -243,10 +243,10 @@
 func (l *Link) Close() { l.conn.Close() }
 
 // Up is of no concern: the connection is there.
-func (*Link) Up(*net.Conn) {}
+func (*Link) Up(*eventloop.Conn) {}
 
 // Data takes whole messages, however they were cut.
-func (l *Link) Data(c *net.Conn) {
+func (l *Link) Data(c *eventloop.Conn) {
 	c.Taken() // whoever says hello and then little is not shed for it; TakeBy ends that
 	l.line = append(l.line, c.In()...)
 	c.Use(len(c.In()))
@@ -269,7 +269,7 @@
 }
 
 // Ended is the end from the other side.
-func (l *Link) Ended(_ *net.Conn, err error) { l.gone(l, err) }
+func (l *Link) Ended(_ *eventloop.Conn, err error) { l.gone(l, err) }
 
 func (l *Link) fail(err error) {
 	l.conn.Close()
--- a/internal/handover/link_test.go
+++ b/internal/proxy/hotrestart/link_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"strings"
@@ -7,12 +7,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/net"
+	"moorstack/internal/netio/eventloop"
 )
 
 // pair is a loop, and a connection of which it is to have the first end.
-func pair(t *testing.T) (*net.Loop, [2]int) {
-	loop, err := net.New()
+func pair(t *testing.T) (*eventloop.Loop, [2]int) {
+	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/machine.go
+++ b/internal/proxy/hotrestart/machine.go
@@ -5,7 +5,7 @@
 // The machine is free of I/O and of any clock; Link and Join are the thin driver on one
 // Unix socket in the folder that both processes are given. docs/upgrade.md has the time
 // line.
-package handover
+package hotrestart
 
 import "time"
 
--- a/internal/handover/message.go
+++ b/internal/proxy/hotrestart/message.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // Version is of the messages. Processes of different ones don't speak to each other:
@@ -60,7 +60,7 @@
 	Written    string          `json:"written"`   // as the file gave it last
 	Known      []string        `json:"known"`     // next hops that were ever listed
 	Bans       []Ban           `json:"bans"`
-	Module     brain.Memory    `json:"module"`
+	Module     balancer.Memory `json:"module"`
 	// Now is the sender's clock as it sent this; 0: an older process did not say. Times here are by it.
 	Now    time.Duration    `json:"now,omitempty"`
 	Starts map[string]Start `json:"starts,omitempty"` // of workers, by their names
@@ -99,7 +99,7 @@
 }
 
 // shift moves all times of a module's memory by so much. Those that are not set were never, or long ago.
-func shift(m *brain.Memory, by time.Duration) {
+func shift(m *balancer.Memory, by time.Duration) {
 	move := func(t *time.Duration) {
 		if *t > 0 {
 			*t += by
--- a/internal/handover/rebase_test.go
+++ b/internal/proxy/hotrestart/rebase_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // stateAt is a state with a time in every place that has one, all a minute before the sender's clock.
@@ -14,9 +14,9 @@
 	at := now - time.Minute
 	return &State{Now: now, Bans: []Ban{{Name: "a", Out: true, Since: at}, {Name: "b", Since: at, Ended: at}},
 		Starts: map[string]Start{"a": {Said: 7, At: at}},
-		Module: brain.Memory{WaitT: at, Surveyed: at, Allowances: []brain.Allowed{{Left: 3, At: at}},
-			Workers: map[brain.WorkerID]brain.WorkerMemory{1: {Pace: 1, WaitT: at, IllT: at, Since: at,
-				Sent: []brain.Spent{{At: at, Work: 2}}}}}}
+		Module: balancer.Memory{WaitT: at, Surveyed: at, Allowances: []balancer.Allowed{{Left: 3, At: at}},
+			Workers: map[balancer.WorkerID]balancer.WorkerMemory{1: {Pace: 1, WaitT: at, IllT: at, Since: at,
+				Sent: []balancer.Spent{{At: at, Work: 2}}}}}}
 }
 
 // The wall clock is stepped between the starts of two processes of a node, by seconds or an hour, either way:
--- a/internal/resident/resident.go
+++ b/internal/proxy/memtrim/resident.go
@@ -2,7 +2,7 @@
 //
 // The kernel maps a program's file by windows of 64 KiB round each page that is touched. What start-up
 // code and its tables have touched stays mapped, and counts as resident, though nothing at rest needs it.
-package resident
+package memtrim
 
 import (
 	"bufio"
--- a/internal/resident/resident_test.go
+++ b/internal/proxy/memtrim/resident_test.go
@@ -1,4 +1,4 @@
-package resident
+package memtrim
 
 import (
 	"os"
--- a/internal/figures/figures.go
+++ b/internal/proxy/metrics/figures.go
@@ -8,7 +8,7 @@
 // whose id is in use, is no job. So at any time
 //
 //	taken = succeeded + declined + aborted + outstanding + those whose client had gone.
-package figures
+package metrics
 
 import "strconv"
 
--- a/internal/figures/figures_test.go
+++ b/internal/proxy/metrics/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"encoding/json"
--- a/internal/routing/file.go
+++ b/internal/proxy/routing/file.go
@@ -1,6 +1,6 @@
 // Package routing decides which workers a job may go to, in which order, and on what
 // terms, by rules that operators write. It narrows and orders; which of the workers left
-// gets the job is package brain's to decide, and none of brain's bars is lifted here.
+// gets the job is package balancer's to decide, and none of balancer's bars is lifted here.
 //
 // It has no I/O, clock or goroutine: a Table is made once from a file's text and is the
 // same for all who read it, until another takes its place as one whole.
--- a/internal/routing/routing_test.go
+++ b/internal/proxy/routing/routing_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 var site = Names{Classes: []string{"quote", "book", "dialysis"}, Tenants: []string{"muscat", "batinah"},
@@ -224,7 +224,7 @@
 		t.Fatal(err)
 	}
 	r := table.Decide(&Job{}).Route
-	for want, w := range map[int]brain.Worker{
+	for want, w := range map[int]balancer.Worker{
 		0: {Zone: 1, Kind: 0, Labels: []string{"x", "new"}}, 1: {Zone: 1, Kind: 1},
 		-1: {Zone: 0, Kind: 0, Labels: []string{"new"}}} {
 		if got := r.Tier(&w); got != want {
@@ -238,7 +238,7 @@
 
 // The shown rules are right.
 func TestShownRules(t *testing.T) {
-	raw, err := os.ReadFile("../../deploy/routes.toml")
+	raw, err := os.ReadFile("../../../deploy/routes.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routing/table.go
+++ b/internal/proxy/routing/table.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // Job is what rules can know of a job.
@@ -30,12 +30,12 @@
 
 // Decision is what the rules say of a job.
 type Decision struct {
-	Rule       *Rule // nil: none matched, and the job goes where brain will
+	Rule       *Rule // nil: none matched, and the job goes where the balancer decides
 	Class      int   // the job's, or the rule's for one that names none
 	Refused    string
 	RetryAfter time.Duration
-	Route      brain.Route // nil: any worker
-	Attempts   int         // 0: the class's
+	Route      balancer.Route // nil: any worker
+	Attempts   int            // 0: the class's
 	Timeout    time.Duration
 }
 
@@ -233,7 +233,7 @@
 	labels       []string
 }
 
-func (p *pool) has(w *brain.Worker) bool {
+func (p *pool) has(w *balancer.Worker) bool {
 	if p.zones != nil && (w.Zone < 0 || w.Zone >= len(p.zones) || !p.zones[w.Zone]) {
 		return false
 	}
@@ -251,20 +251,20 @@
 	return true
 }
 
-// Route is an order of pools. It is brain's Route: a worker that is in several stands
+// Route is an order of pools. It is balancer's Route: a worker that is in several stands
 // where it is wanted most.
 type Route struct {
 	pools []*pool
 	spill string
 }
 
-var _ brain.Route = (*Route)(nil)
+var _ balancer.Route = (*Route)(nil)
 
-// Tiers implements brain.Route.
+// Tiers implements balancer.Route.
 func (r *Route) Tiers() int { return len(r.pools) }
 
-// Tier implements brain.Route.
-func (r *Route) Tier(w *brain.Worker) int {
+// Tier implements balancer.Route.
+func (r *Route) Tier(w *balancer.Worker) int {
 	for i, p := range r.pools {
 		if p.has(w) {
 			return i
@@ -273,7 +273,7 @@
 	return -1
 }
 
-// Spills implements brain.Route.
+// Spills implements balancer.Route.
 func (r *Route) Spills(_ int, busy bool) bool {
 	return r.spill == "busy" || r.spill == "empty" && !busy
 }
@@ -291,7 +291,7 @@
 func (t *Table) HasPool(name string) bool { return t.pools[name] != nil }
 
 // InPool says whether a worker is in a pool.
-func (t *Table) InPool(name string, w *brain.Worker) bool {
+func (t *Table) InPool(name string, w *balancer.Worker) bool {
 	return t.pools[name] != nil && t.pools[name].has(w)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/proxy/settings/settings.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // Settings is the object as the wire words it. It is read once for each start,
@@ -97,11 +97,11 @@
 }
 
 var (
-	effects = map[string]brain.Effect{"retryable": brain.Safe, "dedup": brain.Keyed, "fragile": brain.Unsafe}
-	scopes  = map[string]brain.Scope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone,
-		"cell": brain.ScopeCell}
-	sizes = map[string]brain.SizeMeaning{"": brain.SizeNone, "silent": brain.SizeNone,
-		"nominal": brain.SizeNominal, "rough": brain.SizeRough, "live": brain.SizeLive}
+	effects = map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
+	scopes  = map[string]balancer.Scope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone,
+		"cell": balancer.ScopeCell}
+	sizes = map[string]balancer.SizeMeaning{"": balancer.SizeNone, "silent": balancer.SizeNone,
+		"nominal": balancer.SizeNominal, "rough": balancer.SizeRough, "live": balancer.SizeLive}
 )
 
 // ReportNames says in words what the two free values of a load report hold.
@@ -113,7 +113,7 @@
 // Set puts a value of a load report in its place. What the module has no place
 // for is passed over. The settings and both wires use the same words: a real
 // worker's report was seen to be "TEXT pending=0, served_ps=0, svc_ms=0, x0=7.255".
-func (n ReportNames) Set(r *brain.Report, name string, v float64) {
+func (n ReportNames) Set(r *balancer.Report, name string, v float64) {
 	switch name {
 	case "x0":
 		n.free(r, n.x0, v)
@@ -133,7 +133,7 @@
 	r.Told = true
 }
 
-func (ReportNames) free(r *brain.Report, what string, v float64) {
+func (ReportNames) free(r *balancer.Report, what string, v float64) {
 	switch what {
 	case "free slots":
 		r.FreeSlots = v
@@ -152,8 +152,8 @@
 }
 
 // Brain gives the settings in the module's form.
-func (p *Settings) Brain() (brain.Settings, error) {
-	s := brain.Settings{
+func (p *Settings) Brain() (balancer.Settings, error) {
+	s := balancer.Settings{
 		Me: p.Me, Fleet: p.Fleet, Zone: p.AZ, Zones: len(p.Zones), Kinds: len(p.Kinds),
 		MustAsk:      p.MembershipMode == "on_request",
 		WorthByWork:  p.WorthBy == "work",
@@ -162,14 +162,14 @@
 		Progress:     time.Duration(p.Extra.Progress),
 		Tick:         time.Duration(p.Granularity),
 		ReportProbed: p.Report.How == "pull",
-		Limits: brain.Limits{
+		Limits: balancer.Limits{
 			Attempts: p.Limits.TryLimit, Cancel: p.Limits.Cancel, Probes: p.Limits.Probes,
 			Peers: p.Limits.Peers, RetryAfter: p.Limits.RetryAfter, SecondCopies: p.Limits.SecondCopies,
 			ConnectTimeout: time.Duration(p.Limits.ConnectTimeout),
 			ConnIdle:       time.Duration(p.Limits.ConnIdle),
 			MaxRetryAfter:  time.Duration(p.Limits.MaxRetryAfter),
 		},
-		Rules: brain.Rules{
+		Rules: balancer.Rules{
 			AnswerSlack: time.Duration(p.Contract.AnswerSlack), AskEvery: time.Duration(p.Contract.AskEvery),
 			DrainGrace: time.Duration(p.Contract.DrainGrace), ColdShare: p.Contract.ColdShare,
 			Cold: time.Duration(p.Contract.Cold), OverloadFactor: p.Contract.OverloadFactor,
@@ -177,18 +177,18 @@
 			FreeFurther: p.Contract.FreeResends, FurtherShare: p.Contract.RepeatRatio,
 			FullUnproven: p.Contract.FullUnproven,
 		},
-		Goal: brain.Goal{Whole: p.Blend.Whole, WorstWindow: p.Blend.Window, WorstClass: p.Blend.Class,
+		Goal: balancer.Goal{Whole: p.Blend.Whole, WorstWindow: p.Blend.Window, WorstClass: p.Blend.Class,
 			WorstTenant: p.Blend.Tenant, Punctual: p.Blend.Punctual, MissAllowed: p.Blend.MissAllowed},
-		Prices: brain.Prices{CrossZone: p.Prices.CrossZone, Waste: p.Prices.Waste,
+		Prices: balancer.Prices{CrossZone: p.Prices.CrossZone, Waste: p.Prices.Waste,
 			Connection: p.Prices.Connection, Handshake: p.Prices.Handshake, Probe: p.Prices.Probe,
 			Peer: p.Prices.Peer, LateFail: p.Prices.LateFail},
 	}
 	var ok bool
 	if s.Size, ok = sizes[p.Weights]; !ok {
-		s.Size = brain.SizeNone
+		s.Size = balancer.SizeNone
 	}
 	for i, c := range p.Classes {
-		class := brain.Class{Name: c.Name, Aim: time.Duration(c.SLO), Deadline: time.Duration(c.GiveUp),
+		class := balancer.Class{Name: c.Name, Aim: time.Duration(c.SLO), Deadline: time.Duration(c.GiveUp),
 			Worth: c.Credit, LateShare: c.LateShare, Stream: c.Stream, Window: time.Duration(c.Window),
 			Kind: -1}
 		if class.Effect, ok = effects[c.Effect]; !ok {
@@ -211,7 +211,7 @@
 		s.Classes = append(s.Classes, class)
 	}
 	for _, t := range p.Tenants {
-		s.Tenants = append(s.Tenants, brain.Tenant{Name: t.Name, Share: t.Share, Allowance: t.Allowance})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Share: t.Share, Allowance: t.Allowance})
 	}
 	return s, nil
 }
--- a/internal/slots/slots.go
+++ b/internal/proxy/slotmap/slots.go
@@ -2,7 +2,7 @@
 //
 // Each use of a slot has a generation of its own, and an ID holds both. An ID
 // that outlived what it named finds nothing, never what has taken the slot since.
-package slots
+package slotmap
 
 // ID names one use of one slot. The zero ID names nothing.
 type ID uint64
--- a/internal/store/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -14,7 +14,7 @@
 	"strings"
 	"syscall"
 
-	"moorstack/internal/store"
+	"moorstack/internal/storage/store"
 )
 
 // FS is the file system of one machine.
--- a/internal/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"testing"
 
-	"moorstack/internal/store"
-	"moorstack/internal/store/faultfs"
+	"moorstack/internal/storage/faultfs"
+	"moorstack/internal/storage/store"
 )
 
 const dir = "/d"
--- a/internal/versus/calendar_test.go
+++ b/internal/verify/compat/calendar_test.go
@@ -1,4 +1,4 @@
-package versus
+package compat
 
 import (
 	"archive/zip"
@@ -16,7 +16,7 @@
 
 	"github.com/robfig/cron/v3"
 
-	"moorstack/internal/calendar"
+	"moorstack/internal/cluster/calendar"
 )
 
 func set(list ...int) map[int]bool {
--- a/internal/versus/modules_test.go
+++ b/internal/verify/compat/modules_test.go
@@ -1,13 +1,15 @@
-package versus
+package compat
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -35,17 +37,23 @@
 		length, part, size)
 }
 
-// build makes the program of today with the module of a commit; empty: today's.
+// lastWithBrain is the last commit whose decision module is called brain. Earlier modules are built into its
+// program, for they know neither the new names nor the new folders; the program decides and emulates as then.
+const lastWithBrain = "ed6dd0a"
+
+// build makes the program of today, or the one of lastWithBrain with the module of an earlier commit.
 func build(t *testing.T, root, commit, to string) {
 	t.Helper()
 	dir := t.TempDir()
 	script := `git -C "$0" ls-files -z -co --exclude-standard -- ':!journal' |
 		(cd "$0" && xargs -0 cp --parents -t "$1")`
 	if commit != "" {
-		script += ` && rm -rf "$1/brain" && git -C "$0" archive "$2" brain | tar x -C "$1"`
+		script = `git -C "$0" archive "$4" | tar x -C "$1" --exclude=journal && rm -rf "$1/brain" &&
+			git -C "$0" archive "$2" brain | tar x -C "$1"`
 	}
 	script += ` && cd "$1" && go build -o "$3" ./cmd/moorstack`
-	if out, err := exec.Command("sh", "-c", script, root, dir, commit, to).CombinedOutput(); err != nil {
+	arguments := []string{"-c", script, root, dir, commit, to, lastWithBrain}
+	if out, err := exec.Command("sh", arguments...).CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v: %s", commit, err, out)
 	}
 }
@@ -77,7 +85,7 @@
 // It is worse for real where most workers come back cold at once before many nodes: its budgets for them add
 // up, and those of the module before pushed cold workers over.
 func TestModulesOnPairedDays(t *testing.T) {
-	root, err := filepath.Abs("../..")
+	root, err := filepath.Abs("../../..")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +97,7 @@
 	if os.Getenv("VERSUS") != "" {
 		seeds = 200
 	}
-	for _, commit := range earlier {
+	for _, commit := range append(slices.Collect(maps.Values(earlier)), lastWithBrain) {
 		if err := exec.Command("git", "-C", root, "cat-file", "-e", commit+"^{commit}").Run(); err != nil {
 			t.Skipf("the module of %s is not in this checkout: %v", commit, err)
 		}
--- a/internal/versus/placement_test.go
+++ b/internal/verify/compat/placement_test.go
@@ -1,4 +1,4 @@
-package versus
+package compat
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"moorstack/internal/placement"
+	"moorstack/internal/cluster/placement"
 )
 
 // owning is a way to say which of n instances owns a shard; the last is the one that joins or leaves.
--- a/internal/versus/walker.go
+++ b/internal/verify/compat/walker.go
@@ -1,12 +1,12 @@
 // Package versus plays two ways of doing one thing against each other: what stands here beside a plain
 // way, a library's, or what stood at an earlier commit. A pair's outcome says what differs, and whether
 // that is explained.
-package versus
+package compat
 
 import (
 	"time"
 
-	"moorstack/internal/calendar"
+	"moorstack/internal/cluster/calendar"
 )
 
 // Walker finds occurrences in the plainest way: it looks at every minute. It shares nothing with package
--- a/internal/emulate/client.go
+++ b/internal/verify/emulate/client.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/broker"
 )
 
 // group is the clients of one team in one zone.
@@ -69,7 +69,7 @@
 		for _, m := range g.spec.Mix {
 			g.total += m
 		}
-		g.tenant = slices.IndexFunc(w.set.Tenants, func(t brain.Tenant) bool { return t.Name == g.spec.Team })
+		g.tenant = slices.IndexFunc(w.set.Tenants, func(t balancer.Tenant) bool { return t.Name == g.spec.Team })
 	}
 	at, pick := g.habits.Float64()*g.total, 0
 	for pick < len(g.spec.Mix)-1 && at >= g.spec.Mix[pick] {
@@ -129,7 +129,7 @@
 		r.id = fmt.Sprintf("%s.%d", r.key, try)
 		r.outs = r.outs[:0]
 		c := &waiter{r: r, try: try, n: n}
-		err := n.core.Begin(core.Transaction{ID: r.id, Class: r.index, Tenant: max(r.g.tenant, 0), Left: left,
+		err := n.core.Begin(broker.Transaction{ID: r.id, Class: r.index, Tenant: max(r.g.tenant, 0), Left: left,
 			Work: time.Duration(r.size * 1e9), Slots: 1, Repeat: try > 1, Job: r}, c)
 		if err != nil {
 			w.watch.violate(r, "a new id is said to be open: %v", err)
@@ -162,7 +162,7 @@
 func (c *waiter) over() bool { return c.answers > 0 || c.r.ended || c.r.tries != c.try }
 
 // Answer implements core.Client.
-func (c *waiter) Answer(a core.Answer) {
+func (c *waiter) Answer(a broker.Answer) {
 	r, w := c.r, c.r.w
 	w.watch.answered(c, a)
 	w.Clock.After(w.latency(c.n.zone, c.n.zone), func() {
@@ -170,9 +170,9 @@
 			return
 		}
 		switch a.Kind {
-		case core.Served:
+		case broker.Served:
 			r.end("served")
-		case core.Busy:
+		case broker.Busy:
 			w.rows.refusals++
 			r.again(a.RetryAfter)
 		default:
--- a/internal/emulate/clock.go
+++ b/internal/verify/emulate/clock.go
@@ -1,5 +1,5 @@
 // Package emulate is a model world in virtual time: workers, a list service, clients and
-// troubles round real nodes, which are the real core, brain and rules through their
+// troubles round real nodes, which are the real core, balancer and rules through their
 // interfaces. The same scenario and seed give the same run, event by event.
 //
 // docs/emulator.md says what is modelled, what is not, and how it can mislead.
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"moorstack/internal/core"
+	"moorstack/internal/proxy/broker"
 )
 
 // Clock is virtual time: a queue of what is due, in order of time and then of asking. The
@@ -52,10 +52,10 @@
 func (c *Clock) Events() uint64 { return c.count }
 
 // At implements core.Clock: f runs at the time, or next if that is past.
-func (c *Clock) At(at time.Duration, f func()) core.Timer { return c.at(at, f) }
+func (c *Clock) At(at time.Duration, f func()) broker.Timer { return c.at(at, f) }
 
 // After runs f after d.
-func (c *Clock) After(d time.Duration, f func()) core.Timer { return c.at(c.now+d, f) }
+func (c *Clock) After(d time.Duration, f func()) broker.Timer { return c.at(c.now+d, f) }
 
 func (c *Clock) at(at time.Duration, f func()) handle {
 	var d *due
--- a/internal/emulate/emulate_test.go
+++ b/internal/verify/emulate/emulate_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/broker"
 )
 
 // queueing runs a worker alone under Poisson arrivals of exponential work, and gives the
@@ -32,7 +32,7 @@
 			return
 		}
 		size, came, warm := sizes.ExpFloat64(), clock.now, made > jobs/10
-		k.Take("", "", size, true, func(brain.Result) {
+		k.Take("", "", size, true, func(balancer.Result) {
 			if warm {
 				sum += (clock.now - came).Seconds() - size
 				n++
@@ -123,7 +123,7 @@
 	}
 }
 
-// Whatever goes wrong, the real core and brain keep the rules, and all jobs come to an end.
+// Whatever goes wrong, the real core and balancer keep the rules, and all jobs come to an end.
 func TestRulesHoldInEveryTrouble(t *testing.T) {
 	size := map[string]float64{
 		"slow":        6,
@@ -177,7 +177,7 @@
 	}
 }
 
-var served = core.Answer{Kind: core.Served}
+var served = broker.Answer{Kind: broker.Served}
 
 // A watcher that sees nothing proves nothing: each rule's breach is seen.
 func TestWatcherSees(t *testing.T) {
@@ -224,7 +224,7 @@
 		k.Crash()
 		k.Start()
 		for range 30 {
-			k.Take("", "", 1, aware, func(brain.Result) {})
+			k.Take("", "", 1, aware, func(balancer.Result) {})
 		}
 		w.watch.end()
 		if said := len(w.watch.broken) > 0; !k.fell || said != aware {
@@ -312,7 +312,7 @@
 // by an older and narrower rule, while turns and the others' steady parts did not fit into a window together.
 // The others do, by the rule of today, where turns are not kept or each node's part is three times as much.
 func TestStormsOfManyNodes(t *testing.T) {
-	const file = "../../experiments/small.toml"
+	const file = "../../../experiments/small.toml"
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulate/list.go
+++ b/internal/verify/emulate/list.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/roster"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/discovery"
+	"moorstack/internal/proxy/broker"
 )
 
 // How the list comes to nodes.
@@ -35,11 +35,11 @@
 type change struct {
 	version int
 	at      time.Duration // when it may be told
-	entry   core.Entry
+	entry   broker.Entry
 }
 
-func (s *listService) entry(k *Worker, state brain.State) core.Entry {
-	e := core.Entry{Name: k.Name, Zone: k.Zone, Kind: k.Kind, Cell: k.Cell, State: state,
+func (s *listService) entry(k *Worker, state balancer.State) broker.Entry {
+	e := broker.Entry{Name: k.Name, Zone: k.Zone, Kind: k.Kind, Cell: k.Cell, State: state,
 		Size: float64(k.Spec.Cores) * k.Spec.Speed}
 	if k.started > 0 {
 		e.Since = k.started + epoch
@@ -48,21 +48,21 @@
 }
 
 // snapshot is the whole list as it was told up to a version; 0: as it is now.
-func (s *listService) snapshot(int) []core.Entry {
+func (s *listService) snapshot(int) []broker.Entry {
 	if s.byName == nil {
 		s.byName = map[string]*Worker{}
 		for _, k := range s.w.workers {
 			s.byName[k.Name] = k
 		}
 	}
-	var list []core.Entry
+	var list []broker.Entry
 	for _, k := range s.w.workers {
 		switch {
 		case k.down:
 		case k.drains:
-			list = append(list, s.entry(k, brain.Draining))
+			list = append(list, s.entry(k, balancer.Draining))
 		default:
-			list = append(list, s.entry(k, brain.Ready))
+			list = append(list, s.entry(k, balancer.Ready))
 		}
 	}
 	return list
@@ -70,12 +70,12 @@
 
 // changed notes that a worker has started, drains or is gone; watchers hear of it late.
 func (s *listService) changed(k *Worker) {
-	state := brain.Ready
+	state := balancer.Ready
 	switch {
 	case k.down:
-		state = brain.Removed
+		state = balancer.Removed
 	case k.drains:
-		state = brain.Draining
+		state = balancer.Draining
 	}
 	s.version++
 	e := s.entry(k, state)
@@ -92,32 +92,32 @@
 				s.counts(d, version, e)
 				continue
 			}
-			d.tell(brain.Changes, []core.Entry{e})
+			d.tell(balancer.Changes, []broker.Entry{e})
 		}
 		if s.w.sc.List == pushed && !s.down {
-			s.agents([]core.Entry{e})
+			s.agents([]broker.Entry{e})
 		}
 	})
 }
 
 // agents notes that what the agents beside the nodes have counts as told.
-func (s *listService) agents(entries []core.Entry) {
+func (s *listService) agents(entries []broker.Entry) {
 	for _, n := range s.w.nodes {
 		if n != nil && !n.down {
-			s.w.watch.told(n, brain.Changes, entries)
+			s.w.watch.told(n, balancer.Changes, entries)
 		}
 	}
 }
 
 // counts has what a deaf watch misses count as told after missed, heard or not, if it still holds.
-func (s *listService) counts(d *directory, version int, e core.Entry) {
+func (s *listService) counts(d *directory, version int, e broker.Entry) {
 	if s.w.sc.List == pushed {
 		return // it counts already
 	}
 	n, life := d.n, d.life
 	s.w.Clock.at(max(d.since+missed, s.w.Clock.now), func() {
 		if n.life == life && !n.down && s.latest[e.Name] == version {
-			s.w.watch.told(n, brain.Changes, []core.Entry{e})
+			s.w.watch.told(n, balancer.Changes, []broker.Entry{e})
 		}
 	})
 }
@@ -157,14 +157,14 @@
 	since time.Duration // when that began
 }
 
-var _ core.Directory = (*directory)(nil)
+var _ broker.Directory = (*directory)(nil)
 
 func (d *directory) alive() bool { return d.n.life == d.life && !d.n.down }
 
 // rules are how fresh the list is kept, as the real front has them.
-func (d *directory) rules() roster.Rules {
+func (d *directory) rules() discovery.Rules {
 	set := &d.n.w.set
-	return roster.Rules{Pushed: !set.MustAsk, Grace: set.Rules.DrainGrace, Me: d.n.number, Fleet: set.Fleet}
+	return discovery.Rules{Pushed: !set.MustAsk, Grace: set.Rules.DrainGrace, Me: d.n.number, Fleet: set.Fleet}
 }
 
 // open begins to follow a list that is pushed, as the real front does.
@@ -173,7 +173,7 @@
 		return
 	}
 	if s := d.n.w.list; !s.down { // a new process is told from its first moment
-		d.n.w.watch.told(d.n, brain.Changes, s.snapshot(0))
+		d.n.w.watch.told(d.n, balancer.Changes, s.snapshot(0))
 	}
 	d.Watch(true)
 	d.poll()
@@ -199,12 +199,12 @@
 	d.Watch(true)
 }
 
-func (d *directory) tell(kind brain.ListKind, entries []core.Entry) {
+func (d *directory) tell(kind balancer.ListKind, entries []broker.Entry) {
 	if !d.alive() {
 		return
 	}
 	d.n.w.rows.lines += len(entries)
-	if kind != brain.Changes {
+	if kind != balancer.Changes {
 		clear(d.n.known)
 	}
 	d.n.learn(entries)
@@ -228,7 +228,7 @@
 			})
 			return
 		}
-		d.n.core.RouteSet(brain.Failed, nil)
+		d.n.core.RouteSet(balancer.Failed, nil)
 	})
 }
 
@@ -254,7 +254,7 @@
 			return
 		}
 		s.watches = append(s.watches, d)
-		d.tell(brain.Whole, s.snapshot(0))
+		d.tell(balancer.Whole, s.snapshot(0))
 	})
 }
 
@@ -269,7 +269,7 @@
 	}
 	w.Clock.at(w.Clock.now+time.Duration(w.sc.Far)*2, func() {
 		if d.alive() && !w.list.down {
-			d.tell(brain.Whole, w.list.snapshot(0))
+			d.tell(balancer.Whole, w.list.snapshot(0))
 		}
 	})
 }
--- a/internal/stage/stage.go
+++ b/internal/verify/emulate/loopback/stage.go
@@ -1,7 +1,7 @@
 // Package stage plays the emulator's workers and the list service over loopback sockets, in
 // real time, round a real node: the same model of a worker as in virtual time, spoken to
 // by the platform's protocol.
-package stage
+package loopback
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"sync"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/emulate"
+	"moorstack/balancer"
+	"moorstack/internal/verify/emulate"
 )
 
 // Options are what is played.
@@ -167,7 +167,7 @@
 func (w *worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/_load":
-		var rep brain.Report
+		var rep balancer.Report
 		w.s.model(func() { rep = w.model.Report() })
 		fmt.Fprintf(rw, "TEXT pending=%.2f, x0=%.2f", rep.Queue, rep.FreeSlots)
 	case r.Method == http.MethodDelete && strings.HasPrefix(r.URL.Path, "/jobs/"):
@@ -206,9 +206,9 @@
 			size = v
 		}
 	}
-	atOnce, now := true, brain.OK
+	atOnce, now := true, balancer.OK
 	w.s.model(func() {
-		done := func(res brain.Result) {
+		done := func(res balancer.Result) {
 			if atOnce {
 				now = res
 				return
@@ -216,20 +216,20 @@
 			delete(w.giveUp, id)
 			go w.callBack(id, res)
 		}
-		now = brain.Moot // not ended yet
+		now = balancer.Moot // not ended yet
 		giveUp := w.model.Take(r.Header.Get("Idempotency-Key"), r.Header.Get("X-Priority-Class"), size,
 			true, done)
-		if atOnce = false; now == brain.Moot {
+		if atOnce = false; now == balancer.Moot {
 			w.giveUp[id] = giveUp
 		}
 	})
 	switch now {
-	case brain.Moot:
+	case balancer.Moot:
 		rw.WriteHeader(http.StatusAccepted)
-	case brain.Full:
+	case balancer.Full:
 		rw.Header().Set("X-Not-Processed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
-	case brain.OK:
+	case balancer.OK:
 		rw.WriteHeader(http.StatusAccepted)
 		go w.callBack(id, now)
 	default:
@@ -238,14 +238,14 @@
 }
 
 // callBack tells the node what has become of a job, until it is heard.
-func (w *worker) callBack(id string, res brain.Result) {
+func (w *worker) callBack(id string, res balancer.Result) {
 	event := map[string]string{"id": id, "from": w.name, "state": "failed"}
 	switch res {
-	case brain.OK:
+	case balancer.OK:
 		event["state"], event["result"] = "done", "done by "+w.name
-	case brain.Reset:
+	case balancer.Reset:
 		event["state"] = "lost"
-	case brain.Full:
+	case balancer.Full:
 		event["state"] = "returned"
 	}
 	b, err := json.Marshal(event)
--- a/internal/emulate/operate.go
+++ b/internal/verify/emulate/operate.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/core"
+	"moorstack/internal/proxy/broker"
 )
 
 // What operators and the platform do to a node that serves: workers taken out and put
@@ -79,7 +79,7 @@
 	old.replaced = true
 	n := &Node{w: w, number: old.number, zone: old.zone, life: old.life, back: old.back}
 	w.nodes[old.number] = n
-	known := slices.SortedFunc(maps.Values(old.known), func(a, b core.Entry) int {
+	known := slices.SortedFunc(maps.Values(old.known), func(a, b broker.Entry) int {
 		if a.Name < b.Name {
 			return -1
 		}
--- a/internal/emulate/scenario.go
+++ b/internal/verify/emulate/scenario.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 	"moorstack/internal/tomlfile"
 )
 
@@ -209,7 +209,7 @@
 	return s.checkGroups(fill)
 }
 
-var effects = map[string]brain.Effect{"retryable": brain.Safe, "dedup": brain.Keyed, "fragile": brain.Unsafe}
+var effects = map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
 
 func (s *Scenario) checkGroups(fill func(*Duration, time.Duration)) error {
 	for i := range s.Workers {
@@ -302,9 +302,9 @@
 }
 
 // settings are what each node is told.
-func (s *Scenario) settings() brain.Settings {
+func (s *Scenario) settings() balancer.Settings {
 	probes := s.Probes == nil || *s.Probes
-	set := brain.Settings{
+	set := balancer.Settings{
 		Fleet:        s.Nodes,
 		Zones:        len(s.Zones),
 		Kinds:        len(s.Workers),
@@ -312,13 +312,13 @@
 		WorthByWork:  true,
 		Tick:         5 * time.Millisecond,
 		ReportProbed: probes,
-		Goal: brain.Goal{Whole: 0.6, WorstClass: 0.2, WorstTenant: 0.1,
+		Goal: balancer.Goal{Whole: 0.6, WorstClass: 0.2, WorstTenant: 0.1,
 			WorstWindow: 0.1},
-		Limits: brain.Limits{Attempts: 5, Cancel: true, Probes: probes, RetryAfter: true, SecondCopies: true,
+		Limits: balancer.Limits{Attempts: 5, Cancel: true, Probes: probes, RetryAfter: true, SecondCopies: true,
 			ConnectTimeout: time.Duration(
 				s.Connect,
 			), ConnIdle: 15 * time.Second, MaxRetryAfter: 2 * time.Second},
-		Rules: brain.Rules{
+		Rules: balancer.Rules{
 			AnswerSlack:    20 * time.Millisecond,
 			AskEvery:       10 * time.Second,
 			DrainGrace:     time.Duration(s.DrainGrace),
@@ -328,7 +328,7 @@
 			Fall:           time.Second,
 		},
 		OverShare: 0.1,
-		Prices:    brain.Prices{CrossZone: 0.02, Waste: 0.3, Probe: 0.002, LateFail: 0.03},
+		Prices:    balancer.Prices{CrossZone: 0.02, Waste: 0.3, Probe: 0.002, LateFail: 0.03},
 	}
 	for i := range s.Workers {
 		set.Rules.Cold = max(set.Rules.Cold, time.Duration(s.Workers[i].Cold))
@@ -337,16 +337,16 @@
 	for _, c := range s.Classes {
 		set.Classes = append(
 			set.Classes,
-			brain.Class{Name: c.Name, Aim: time.Duration(c.Aim), Stretch: c.Stretch,
+			balancer.Class{Name: c.Name, Aim: time.Duration(c.Aim), Stretch: c.Stretch,
 				Deadline: time.Duration(
 					c.GiveUp,
 				), Worth: c.Worth, LateShare: c.LateShare, Effect: effects[c.Effect],
-				Scope: brain.ScopeCell, Window: time.Duration(c.Window), Kind: -1},
+				Scope: balancer.ScopeCell, Window: time.Duration(c.Window), Kind: -1},
 		)
 	}
 	for _, g := range s.Clients {
-		if !slices.ContainsFunc(set.Tenants, func(t brain.Tenant) bool { return t.Name == g.Team }) {
-			set.Tenants = append(set.Tenants, brain.Tenant{Name: g.Team})
+		if !slices.ContainsFunc(set.Tenants, func(t balancer.Tenant) bool { return t.Name == g.Team }) {
+			set.Tenants = append(set.Tenants, balancer.Tenant{Name: g.Team})
 		}
 	}
 	return set
--- a/internal/emulate/watch.go
+++ b/internal/verify/emulate/watch.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/broker"
 )
 
 // watcher holds every run to the rules: one final answer for each try, before its client
@@ -79,10 +79,10 @@
 func place(n *Node, name string) string { return fmt.Sprintf("%d/%d/%s", n.number, n.life, name) }
 
 // told notes what a node has been told of the list.
-func (v *watcher) told(n *Node, kind brain.ListKind, entries []core.Entry) {
+func (v *watcher) told(n *Node, kind balancer.ListKind, entries []broker.Entry) {
 	for _, e := range entries {
 		at := place(n, e.Name)
-		if e.State == brain.Ready {
+		if e.State == balancer.Ready {
 			delete(v.drains, at)
 			v.starts[at] = e.Since
 		} else if _, known := v.drains[at]; !known {
@@ -130,7 +130,7 @@
 }
 
 // answered checks that a try has one final answer, and in time.
-func (v *watcher) answered(c *waiter, a core.Answer) {
+func (v *watcher) answered(c *waiter, a broker.Answer) {
 	r := c.r
 	if c.answers++; c.answers > 1 {
 		v.violate(r, "a second final answer")
@@ -138,7 +138,7 @@
 	if v.w.Clock.now > r.until+grace {
 		v.violate(r, "answered %.3f s after the client gave up", (v.w.Clock.now - r.until).Seconds())
 	}
-	if a.Kind == core.Served && r.runs == 0 {
+	if a.Kind == broker.Served && r.runs == 0 {
 		v.violate(r, "served, and no worker has run it")
 	}
 }
--- a/internal/emulate/worker.go
+++ b/internal/verify/emulate/worker.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"moorstack/brain"
+	"moorstack/balancer"
 )
 
 // WorkerSpec is a kind of worker.
@@ -45,7 +45,7 @@
 	greyBy  float64
 	failing float64 // a trouble: the share of jobs that fail at once
 	lossy   bool    // cut off: nothing comes in or goes out
-	report  brain.Report
+	report  balancer.Report
 	told    time.Duration
 	pod     *pod
 	taken   []coldWork
@@ -59,7 +59,7 @@
 type task struct {
 	key   string
 	size  float64 // seconds at speed 1
-	done  func(brain.Result)
+	done  func(balancer.Result)
 	until float64 // of Worker.work, at which it ends
 	index int
 	began time.Duration
@@ -96,7 +96,7 @@
 type repeat struct {
 	at      time.Duration
 	over    bool
-	waiting []func(brain.Result)
+	waiting []func(balancer.Result)
 }
 
 type coldWork struct {
@@ -107,7 +107,7 @@
 
 // NewWorker makes a worker that has been up for long.
 func NewWorker(clock *Clock, rng *rand.Rand, name string, spec WorkerSpec) *Worker {
-	return &Worker{Name: name, Spec: spec, clock: clock, rng: rng, slow: 1, report: brain.NoReport,
+	return &Worker{Name: name, Spec: spec, clock: clock, rng: rng, slow: 1, report: balancer.NoReport,
 		jobs: &jobMean{}}
 }
 
@@ -158,21 +158,21 @@
 	for len(w.running) > 0 && w.running[0].until <= w.work+1e-9 {
 		t := heap.Pop(&w.running).(*task)
 		w.served += t.size
-		w.finish(t, brain.OK)
+		w.finish(t, balancer.OK)
 		w.admit()
 	}
 	w.plan()
 }
 
-func (w *Worker) finish(t *task, res brain.Result) {
+func (w *Worker) finish(t *task, res balancer.Result) {
 	if w.pod != nil && t.key != "" {
 		if r := w.pod.seen[t.key]; r != nil && !r.over {
-			r.over = res == brain.OK
+			r.over = res == balancer.OK
 			for _, f := range r.waiting {
 				f(res)
 			}
 			r.waiting = nil
-			if res != brain.OK {
+			if res != balancer.OK {
 				delete(w.pod.seen, t.key)
 			}
 		}
@@ -206,23 +206,23 @@
 
 // Take takes a job, or hands it back by done(Full). What is returned gives it up. Aware says
 // that whoever sends it has been told of the worker's last start.
-func (w *Worker) Take(key, class string, size float64, aware bool, done func(brain.Result)) (giveUp func()) {
+func (w *Worker) Take(key, class string, size float64, aware bool, done func(balancer.Result)) (giveUp func()) {
 	none := func() {}
 	if w.down || w.fell {
-		done(brain.ConnectFailed)
+		done(balancer.ConnectFailed)
 		return none
 	}
 	w.jobs.add(size)
 	w.cold(size, aware)
 	if w.failing > 0 && w.rng.Float64() < w.failing {
-		done(brain.Error)
+		done(balancer.Error)
 		return none
 	}
 	if w.pod != nil && key != "" {
 		if r := w.pod.seen[key]; r != nil && w.clock.now-r.at < w.pod.window {
 			// A repeat: it is not run again, and has the first one's result.
 			if r.over {
-				done(brain.OK)
+				done(balancer.OK)
 			} else {
 				r.waiting = append(r.waiting, done)
 			}
@@ -230,7 +230,7 @@
 		}
 	}
 	if len(w.running) >= w.Spec.Slots && w.Queue() >= w.Spec.Room || w.drains {
-		done(brain.Full)
+		done(balancer.Full)
 		return none
 	}
 	if w.pod != nil && key != "" {
@@ -329,7 +329,7 @@
 			if w.pod != nil && t.key != "" {
 				delete(w.pod.seen, t.key)
 			}
-			t.done(brain.Reset)
+			t.done(balancer.Reset)
 		}
 	}
 }
@@ -348,10 +348,10 @@
 }
 
 // Report is the load as a probe tells it: as it was when it was last made anew.
-func (w *Worker) Report() brain.Report {
+func (w *Worker) Report() balancer.Report {
 	if !w.report.Told || w.clock.now-w.told >= w.Spec.Refresh {
 		noisy := func(v float64) float64 { return math.Max(0, v*(1+w.Spec.Noise*w.rng.NormFloat64())) }
-		r := brain.NoReport
+		r := balancer.NoReport
 		r.Told, r.Queue = true, noisy(float64(w.Queue()))
 		r.FreeSlots = noisy(float64(w.Spec.Slots - len(w.running)))
 		w.report, w.told = r, w.clock.now
--- a/internal/emulate/world.go
+++ b/internal/verify/emulate/world.go
@@ -9,9 +9,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/placement"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/proxy/broker"
 )
 
 // World is a run of a scenario.
@@ -20,7 +20,7 @@
 	sc      *Scenario
 	streams Streams
 	sizes   jobMean
-	set     brain.Settings
+	set     balancer.Settings
 	workers []*Worker
 	list    *listService
 	nodes   []*Node
@@ -111,13 +111,13 @@
 	return d + time.Duration(float64(d)*0.2*w.net.Float64())
 }
 
-// Node is a real node: the real core and brain, reached by model links.
+// Node is a real node: the real core and balancer, reached by model links.
 type Node struct {
 	w      *World
 	number int
 	zone   int
 	life   int
-	core   *core.Core
+	core   *broker.Core
 	clock  *nodeClock
 	hops   map[string]*link
 	down   bool
@@ -126,8 +126,8 @@
 
 	waiters []*waiter // clients that wait here, and some that do no more
 
-	known    map[string]core.Entry // the list as it was told
-	replaced bool                  // another process has taken its place
+	known    map[string]broker.Entry // the list as it was told
+	replaced bool                    // another process has taken its place
 }
 
 // nodeClock is the world's clock for one life of a node: what an earlier life set is void.
@@ -144,7 +144,7 @@
 const epoch = 24 * time.Hour
 
 // At implements core.Clock.
-func (c *nodeClock) At(at time.Duration, f func()) core.Timer {
+func (c *nodeClock) At(at time.Duration, f func()) broker.Timer {
 	return c.c.at(at-epoch, func() {
 		if c.node.life == c.life && !c.node.down {
 			f()
@@ -153,7 +153,7 @@
 }
 
 // start begins a life of the node with a list that it knew.
-func (n *Node) start(known []core.Entry) {
+func (n *Node) start(known []broker.Entry) {
 	n.life++
 	n.down, n.back = false, n.w.Clock.now
 	n.clock = &nodeClock{&n.w.Clock, n, n.life}
@@ -164,16 +164,16 @@
 	seed := n.w.streams.Of("node", n.number<<16+n.life).Uint64()
 	var err error
 	dir := &directory{n: n, life: n.life}
-	if n.core, err = core.New(set, seed, n.clock, dir, n.w.log); err != nil {
+	if n.core, err = broker.New(set, seed, n.clock, dir, n.w.log); err != nil {
 		panic(fmt.Sprintf("emulate: a node can't be made: %v", err)) // check has tried it
 	}
 	if n.w.sc.Subset > 0 {
 		n.core.OnList(n.choose)
 	}
-	n.known = map[string]core.Entry{}
+	n.known = map[string]broker.Entry{}
 	n.learn(known)
-	n.w.watch.told(n, brain.Cached, known)
-	n.core.RouteSet(brain.Cached, n.entries(known))
+	n.w.watch.told(n, balancer.Cached, known)
+	n.core.RouteSet(balancer.Cached, n.entries(known))
 	dir.open()
 }
 
@@ -191,20 +191,20 @@
 }
 
 // learn keeps what the node was told of the list.
-func (n *Node) learn(list []core.Entry) {
+func (n *Node) learn(list []broker.Entry) {
 	for _, e := range list {
-		if n.known[e.Name] = e; e.State == brain.Removed {
+		if n.known[e.Name] = e; e.State == balancer.Removed {
 			delete(n.known, e.Name)
 		}
 	}
 }
 
 // entries gives a list the links of this node.
-func (n *Node) entries(list []core.Entry) []core.Entry {
+func (n *Node) entries(list []broker.Entry) []broker.Entry {
 	out := slices.Clone(list)
 	for i := range out {
 		e := &out[i]
-		if e.State == brain.Removed {
+		if e.State == balancer.Removed {
 			continue
 		}
 		l := n.hops[e.Name]
@@ -242,20 +242,20 @@
 	worker *Worker
 }
 
-var _ core.NextHop = (*link)(nil)
+var _ broker.NextHop = (*link)(nil)
 
 func (l *link) alive() bool { return l.n.life == l.life && !l.n.down }
 
 // branch is an attempt on its way, at the worker, or on its way back.
 type branch struct {
 	l      *link
-	b      core.Branch
+	b      broker.Branch
 	giveUp func()
 	over   bool
 }
 
 // Start implements core.NextHop.
-func (l *link) Start(b core.Branch) core.Running {
+func (l *link) Start(b broker.Branch) broker.Running {
 	w := l.n.w
 	j := b.Job.(*request)
 	w.watch.sent(l.n, l.worker, j)
@@ -272,18 +272,18 @@
 		}
 		life := l.worker.life
 		br.giveUp = l.worker.Take(key, j.class.Name, j.size, aware,
-			func(res brain.Result) { br.back(res, life) })
+			func(res balancer.Result) { br.back(res, life) })
 	})
 	return br
 }
 
-func (br *branch) back(res brain.Result, life int) {
+func (br *branch) back(res balancer.Result, life int) {
 	l := br.l
 	w := l.n.w
-	if res == brain.OK {
+	if res == balancer.OK {
 		w.watch.ran(br.b.Job.(*request))
 	}
-	if l.worker.lossy && res != brain.ConnectFailed {
+	if l.worker.lossy && res != balancer.ConnectFailed {
 		return
 	}
 	home := w.latency(l.worker.Zone, l.n.zone)
@@ -292,7 +292,7 @@
 			return
 		}
 		br.over = true
-		l.n.core.End(br.b.ID, res, nil, brain.NoReport)
+		l.n.core.End(br.b.ID, res, nil, balancer.NoReport)
 	})
 }
 
@@ -311,11 +311,11 @@
 }
 
 // Probe implements core.NextHop.
-func (l *link) Probe(done func(brain.Result, brain.Report)) {
+func (l *link) Probe(done func(balancer.Result, balancer.Report)) {
 	w := l.n.w
 	w.rows.probes++
 	d := w.latency(l.n.zone, l.worker.Zone)
-	told := func(after time.Duration, res brain.Result, r brain.Report) {
+	told := func(after time.Duration, res balancer.Result, r balancer.Report) {
 		w.Clock.at(w.Clock.now+after, func() {
 			if l.alive() {
 				done(res, r)
@@ -324,11 +324,11 @@
 	}
 	switch {
 	case l.worker.lossy:
-		told(time.Duration(w.sc.Connect), brain.TimedOut, brain.NoReport)
+		told(time.Duration(w.sc.Connect), balancer.TimedOut, balancer.NoReport)
 	case l.worker.down:
-		told(2*d, brain.ConnectFailed, brain.NoReport)
+		told(2*d, balancer.ConnectFailed, balancer.NoReport)
 	default:
-		told(2*d, brain.OK, l.worker.Report())
+		told(2*d, balancer.OK, l.worker.Report())
 	}
 }
 
--- a/internal/expect/expect_test.go
+++ b/internal/verify/expect/expect_test.go
@@ -13,11 +13,11 @@
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
 
-	"moorstack/brain"
-	"moorstack/internal/routing"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/routing"
 )
 
-const shown = "../../deploy/expectations/sunday.toml"
+const shown = "../../../deploy/expectations/sunday.toml"
 
 func read(t testing.TB, text string, change ...string) (*Suite, error) {
 	t.Helper()
@@ -78,7 +78,7 @@
 
 // A broken rule fails the run, and the failure names it.
 func TestBrokenRuleIsNamed(t *testing.T) {
-	rules, err := os.ReadFile("../../deploy/routes.toml")
+	rules, err := os.ReadFile("../../../deploy/routes.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-// Whatever the rules, no attempt goes where core or brain bar it, nor outside the pools.
+// Whatever the rules, no attempt goes where core or balancer bar it, nor outside the pools.
 func TestNoRuleSetLiftsABar(t *testing.T) {
 	s, err := read(t, sunday(t))
 	if err != nil {
@@ -208,9 +208,9 @@
 		pod := -1000
 		for n, h := range w.attempts {
 			entry := h.entry()
-			bw := brain.Worker{Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, Labels: entry.Labels}
+			bw := balancer.Worker{Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, Labels: entry.Labels}
 			switch {
-			case h.state != brain.Ready || drained[h.worker.Name]:
+			case h.state != balancer.Ready || drained[h.worker.Name]:
 				t.Fatalf("attempt %d goes to a worker that drains", n)
 			case h.worker.Age > 0 && time.Duration(h.worker.Age) < 24*time.Second:
 				t.Fatalf("attempt %d goes to a cold worker without a budget", n)
@@ -218,7 +218,7 @@
 				t.Fatalf("attempt %d goes outside the pools", n)
 			case n > 0 && d.Attempts > 0 && n >= d.Attempts:
 				t.Fatalf("%d attempts of %d", n+1, d.Attempts)
-			case pod != -1000 && s.set.Classes[d.Class].Effect == brain.Keyed && h.worker.Cell != pod:
+			case pod != -1000 && s.set.Classes[d.Class].Effect == balancer.Keyed && h.worker.Cell != pod:
 				t.Fatalf("attempt %d of a keyed job that may have run leaves its pod", n)
 			}
 			if h.reach && h.answers == "error" { // one that can't be reached has run nothing
@@ -255,7 +255,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := os.ReadFile(filepath.Join("../../deploy", "routes.toml"))
+	raw, err := os.ReadFile(filepath.Join("../../../deploy", "routes.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/expect/file.go
+++ b/internal/verify/expect/file.go
@@ -1,5 +1,5 @@
 // Package expect checks where jobs would go, with no traffic: the real rules, the real
-// core and the real brain in virtual time, with stand-in next hops and no socket.
+// core and the real balancer in virtual time, with stand-in next hops and no socket.
 package expect
 
 import (
@@ -7,9 +7,9 @@
 	"path/filepath"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/platform"
-	"moorstack/internal/routing"
+	"moorstack/balancer"
+	"moorstack/internal/frontend/platform"
+	"moorstack/internal/proxy/routing"
 	"moorstack/internal/tomlfile"
 )
 
@@ -17,7 +17,7 @@
 type File struct {
 	Version  int      `toml:"version"` // 1
 	Platform string   `toml:"platform"`
-	Rules    string   `toml:"rules"` // empty: jobs go where brain will
+	Rules    string   `toml:"rules"` // empty: jobs go where the balancer decides
 	Zone     string   `toml:"zone"`  // of the node that is asked; the platform file's, if not given
 	Seed     uint64   `toml:"seed"`
 	Workers  []Worker `toml:"worker"`
@@ -123,7 +123,7 @@
 	Path     string
 	raw      []byte
 	platform *platform.Config
-	set      brain.Settings
+	set      balancer.Settings
 	names    routing.Names
 	table    *routing.Table
 	rules    *routing.File
@@ -221,7 +221,7 @@
 			return s.wrong("worker", i, "%s: there is no zone %q", w.Name, w.Zone)
 		case index(s.names.Kinds, w.Kind) < 0:
 			return s.wrong("worker", i, "%s: there is no kind %q", w.Name, w.Kind)
-		case lifecycles[w.Lifecycle] == brain.Removed:
+		case lifecycles[w.Lifecycle] == balancer.Removed:
 			return s.wrong("worker", i, "%s: lifecycle: %q is not SERVING or DRAINING", w.Name, w.Lifecycle)
 		case w.Age < 0 || w.Free < 0 || w.Queue < 0:
 			return s.wrong("worker", i, "%s: age, free or queue is below 0", w.Name)
@@ -266,7 +266,7 @@
 	return nil
 }
 
-var lifecycles = map[string]brain.State{"": brain.Ready, "SERVING": brain.Ready, "DRAINING": brain.Draining}
+var lifecycles = map[string]balancer.State{"": balancer.Ready, "SERVING": balancer.Ready, "DRAINING": balancer.Draining}
 
 func (s *Suite) linkExpect(i int, seen map[string]bool) error {
 	e := &s.Expects[i]
--- a/internal/expect/mutate.go
+++ b/internal/verify/expect/mutate.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"moorstack/internal/routing"
+	"moorstack/internal/proxy/routing"
 )
 
 // Mutant is the rules with one of them broken, and whether some expectation fails for it.
--- a/internal/expect/run.go
+++ b/internal/verify/expect/run.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"moorstack/brain"
-	"moorstack/internal/agreement"
-	"moorstack/internal/core"
-	"moorstack/internal/routing"
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/routing"
 	"moorstack/internal/tomlfile"
 )
 
@@ -207,9 +207,9 @@
 		return
 	}
 	switch w.answer.Kind {
-	case core.Served:
+	case broker.Served:
 		t.served++
-	case core.Busy:
+	case broker.Busy:
 		t.refused++
 		if t.earliest < 0 || w.answer.RetryAfter < t.earliest {
 			t.earliest = w.answer.RetryAfter
@@ -232,7 +232,7 @@
 
 func (s *Suite) within(w *Worker, where Where) bool {
 	if where.Pool != "" {
-		bw := brain.Worker{
+		bw := balancer.Worker{
 			Zone:   index(s.names.Zones, w.Zone),
 			Kind:   index(s.names.Kinds, w.Kind),
 			Cell:   w.Cell,
@@ -423,7 +423,7 @@
 }
 
 // Under puts an agreed document's classes and tenants over the deployment's.
-func (s *Suite) Under(doc *agreement.Document) error {
+func (s *Suite) Under(doc *clusterstate.Document) error {
 	set, err := doc.Onto(s.set)
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Path, err)
--- a/internal/expect/world.go
+++ b/internal/verify/expect/world.go
@@ -7,9 +7,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"moorstack/brain"
-	"moorstack/internal/core"
-	"moorstack/internal/routing"
+	"moorstack/balancer"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/routing"
 )
 
 // clock is virtual time: what is due runs in its order, and nothing waits.
@@ -45,7 +45,7 @@
 
 func (c *clock) Now() time.Duration { return c.now }
 
-func (c *clock) At(at time.Duration, f func()) core.Timer {
+func (c *clock) At(at time.Duration, f func()) broker.Timer {
 	c.seq++
 	t := &timer{at: max(at, c.now), seq: c.seq, f: f}
 	heap.Push(&c.queue, t)
@@ -81,10 +81,10 @@
 type world struct {
 	s        *Suite
 	clock    clock
-	core     *core.Core
+	core     *broker.Core
 	hops     map[string]*hop
 	attempts []*hop
-	answer   *core.Answer
+	answer   *broker.Answer
 	answered time.Duration
 }
 
@@ -92,30 +92,30 @@
 type hop struct {
 	w       *world
 	worker  *Worker
-	state   brain.State
+	state   balancer.State
 	reach   bool
 	answers string
 }
 
-var _ core.NextHop = (*hop)(nil)
+var _ broker.NextHop = (*hop)(nil)
 
 // Start implements core.NextHop.
-func (h *hop) Start(b core.Branch) core.Running {
+func (h *hop) Start(b broker.Branch) broker.Running {
 	h.w.attempts = append(h.w.attempts, h)
-	took, res := h.w.cost(b), brain.OK
+	took, res := h.w.cost(b), balancer.OK
 	switch {
 	case !h.reach:
-		took, res = connecting, brain.ConnectFailed
+		took, res = connecting, balancer.ConnectFailed
 	case h.answers == "error":
-		took, res = failing, brain.Error
+		took, res = failing, balancer.Error
 	case h.answers == "full":
-		took, res = failing, brain.Full
+		took, res = failing, balancer.Full
 	}
-	h.w.clock.At(h.w.clock.now+took, func() { h.w.core.End(b.ID, res, []byte("done"), brain.NoReport) })
+	h.w.clock.At(h.w.clock.now+took, func() { h.w.core.End(b.ID, res, []byte("done"), balancer.NoReport) })
 	return abandoned{}
 }
 
-func (w *world) cost(b core.Branch) time.Duration {
+func (w *world) cost(b broker.Branch) time.Duration {
 	if t, ok := b.Job.(*Job); ok && t.Cost > 0 {
 		return time.Duration(t.Cost)
 	}
@@ -127,24 +127,24 @@
 func (abandoned) GiveUp() {}
 
 // Probe implements core.NextHop.
-func (h *hop) Probe(done func(brain.Result, brain.Report)) {
+func (h *hop) Probe(done func(balancer.Result, balancer.Report)) {
 	h.w.clock.At(h.w.clock.now+probing, func() {
 		if !h.reach {
-			done(brain.ConnectFailed, brain.NoReport)
+			done(balancer.ConnectFailed, balancer.NoReport)
 			return
 		}
-		r := brain.NoReport
+		r := balancer.NoReport
 		r.Told, r.FreeSlots, r.Queue = true, h.worker.Free, h.worker.Queue
-		done(brain.OK, r)
+		done(balancer.OK, r)
 	})
 }
 
 // CloseIdle implements core.NextHop.
 func (h *hop) CloseIdle() {}
 
-func (h *hop) entry() core.Entry {
+func (h *hop) entry() broker.Entry {
 	w := h.worker
-	e := core.Entry{
+	e := broker.Entry{
 		Name:   w.Name,
 		Zone:   index(h.w.s.names.Zones, w.Zone),
 		Kind:   index(h.w.s.names.Kinds, w.Kind),
@@ -191,10 +191,10 @@
 func (s *Suite) newWorld(e *Expect, seed uint64) (*world, error) {
 	w := &world{s: s, clock: clock{now: origin}, hops: map[string]*hop{}}
 	var err error
-	if w.core, err = core.New(s.set, seed, &w.clock, nil, silent); err != nil {
+	if w.core, err = broker.New(s.set, seed, &w.clock, nil, silent); err != nil {
 		return nil, err
 	}
-	var entries []core.Entry
+	var entries []broker.Entry
 	for _, worker := range s.rosters[e.Roster] {
 		h := &hop{
 			w:      w,
@@ -205,7 +205,7 @@
 		w.hops[worker.Name] = h
 		entries = append(entries, h.entry())
 	}
-	w.core.RouteSet(brain.Whole, entries)
+	w.core.RouteSet(balancer.Whole, entries)
 	for _, v := range e.Events {
 		w.clock.At(origin+time.Duration(v.At), func() { w.happen(v) })
 	}
@@ -236,23 +236,23 @@
 	if v.Lifecycle != "" {
 		h.state = lifecycles[v.Lifecycle]
 		e := h.entry()
-		if e.State == brain.Removed {
+		if e.State == balancer.Removed {
 			e.Hop = nil
 		}
-		w.core.RouteSet(brain.Changes, []core.Entry{e})
+		w.core.RouteSet(balancer.Changes, []broker.Entry{e})
 	}
 }
 
 // Answer implements core.Client.
-func (w *world) Answer(a core.Answer) { w.answer, w.answered = &a, w.clock.now }
+func (w *world) Answer(a broker.Answer) { w.answer, w.answered = &a, w.clock.now }
 
 // transaction is the job as the core takes it.
-func (s *Suite) transaction(j *Job, d routing.Decision) core.Transaction {
+func (s *Suite) transaction(j *Job, d routing.Decision) broker.Transaction {
 	left := time.Duration(j.Timeout)
 	if left == 0 {
 		left = s.set.Classes[d.Class].Deadline
 	}
-	return core.Transaction{
+	return broker.Transaction{
 		ID:       "expectation",
 		Class:    d.Class,
 		Tenant:   max(index(s.names.Tenants, j.Tenant), 0),
--- a/internal/experiment/plan.go
+++ b/internal/verify/experiment/plan.go
@@ -14,8 +14,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"moorstack/internal/emulate"
 	"moorstack/internal/tomlfile"
+	"moorstack/internal/verify/emulate"
 )
 
 // Plan is an experiment as people write it.
--- a/internal/experiment/run.go
+++ b/internal/verify/experiment/run.go
@@ -13,7 +13,7 @@
 
 	"github.com/parquet-go/parquet-go"
 
-	"moorstack/internal/emulate"
+	"moorstack/internal/verify/emulate"
 )
 
 // Schema is the version of the tables' columns. Readers refuse a newer one; columns are
--- a/internal/rig/clock.go
+++ b/internal/verify/faultinjection/clock.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"moorstack/internal/consensus"
+	"moorstack/internal/cluster/consensus"
 )
 
 // clockFile is what an instance's test clock reads.
--- a/internal/rig/fleet.go
+++ b/internal/verify/faultinjection/fleet.go
@@ -2,7 +2,7 @@
 // with a link for each ordered pair that can be cut, delayed or broken either way, processes
 // that are stopped and killed, jobs meanwhile, and an audit of what they all did in the order
 // of the clock that they share.
-package rig
+package faultinjection
 
 import (
 	"context"
@@ -22,12 +22,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"moorstack/internal/control"
-	"moorstack/internal/emulate"
-	"moorstack/internal/keys"
 	"moorstack/internal/node"
+	"moorstack/internal/operate/controlapi"
+	"moorstack/internal/operate/keys"
 	"moorstack/internal/schema"
-	"moorstack/internal/stage"
+	"moorstack/internal/verify/emulate"
+	"moorstack/internal/verify/emulate/loopback"
 )
 
 // Options are what a fleet is made of.
@@ -64,7 +64,7 @@
 	file, sock  string
 	log         *os.File
 	journal     *journal
-	stage       *stage.Stage
+	stage       *loopback.Stage
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
@@ -186,7 +186,7 @@
 	}
 	discovery := ""
 	if f.o.Rate > 0 {
-		if p.stage, err = stage.Start(stage.Options{Node: p.Front, Workers: 2, Zone: "z", Kind: "k",
+		if p.stage, err = loopback.Start(loopback.Options{Node: p.Front, Workers: 2, Zone: "z", Kind: "k",
 			Seed: f.o.Seed, TookBy: f.taken,
 			Spec: emulate.WorkerSpec{Cores: 8, Slots: 64, Room: 256, Speed: 1, Cold: time.Millisecond,
 				ColdShare: 1, Refresh: 200 * time.Millisecond}}); err != nil {
@@ -245,7 +245,7 @@
 	p.cmd, p.stalled = cmd, false
 	if p.Client == nil {
 		var err error
-		if p.Client, p.end, err = control.Dial(control.Target{Socket: p.sock}); err != nil {
+		if p.Client, p.end, err = controlapi.Dial(controlapi.Target{Socket: p.sock}); err != nil {
 			return err
 		}
 	}
--- a/internal/rig/rates.go
+++ b/internal/verify/faultinjection/rates.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"moorstack/internal/ratelimit"
+	"moorstack/internal/cluster/ratelimit"
 )
 
 // rateWords is the section on rates that the rig agrees on: as many accounts as wanted, of small and of
--- a/internal/rig/rolls.go
+++ b/internal/verify/faultinjection/rolls.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"moorstack/internal/conduct"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/rollingrestart"
 	"moorstack/internal/schema"
 )
 
@@ -19,7 +19,7 @@
 const backWithin = 15 * time.Second
 
 // plan asks any instance how the rolling restart stands, and who conducts.
-func (p *play) plan(ctx context.Context) (plan conduct.Plan, conductor string, ok bool) {
+func (p *play) plan(ctx context.Context) (plan rollingrestart.Plan, conductor string, ok bool) {
 	for _, x := range p.List {
 		if !x.Up() {
 			continue
@@ -30,8 +30,8 @@
 			continue
 		}
 		for _, d := range all.Duties {
-			if d.Name == duty.Roll {
-				plan, err = conduct.Read(d.Note)
+			if d.Name == leasedtask.Roll {
+				plan, err = rollingrestart.Read(d.Note)
 				return plan, d.Holder, err == nil
 			}
 		}
@@ -53,18 +53,18 @@
 		if !ok {
 			continue
 		}
-		if under && plan.Standing == conduct.Done {
+		if under && plan.Standing == rollingrestart.Done {
 			p.trace(began, "rolling restart: %s", plan.Progress())
 			p.mu.Lock()
 			p.res.Rolls++
 			p.mu.Unlock()
 		}
 		under = plan.Under()
-		op := schema.Operation{Name: duty.Roll, Out: uint32(p.Rolls), WithinNs: int64(backWithin)}
+		op := schema.Operation{Name: leasedtask.Roll, Out: uint32(p.Rolls), WithinNs: int64(backWithin)}
 		switch {
 		case !plan.Under():
 			op.Kind = schema.Operation_ROLL
-		case plan.Standing != conduct.Rolling:
+		case plan.Standing != rollingrestart.Rolling:
 			op.Kind = schema.Operation_ROLL_RESUME
 		case p.Wishes && rng.IntN(40) == 0:
 			if op.Kind = schema.Operation_ROLL_STOP; rng.IntN(2) == 0 {
@@ -92,17 +92,17 @@
 		}
 		out := 0
 		for _, s := range plan.Steps {
-			if s.Phase == conduct.Out {
+			if s.Phase == rollingrestart.Out {
 				out++
 			}
 		}
-		if plan.Standing == conduct.Rolling || plan.Standing == conduct.Halted {
+		if plan.Standing == rollingrestart.Rolling || plan.Standing == rollingrestart.Halted {
 			for _, x := range p.List {
 				_, _ = x.Client.Operate(ctx, &schema.Operation{Kind: schema.Operation_ROLL_STOP,
-					Name: duty.Roll})
+					Name: leasedtask.Roll})
 			}
 		}
-		if out > 0 || plan.Standing == conduct.Rolling {
+		if out > 0 || plan.Standing == rollingrestart.Rolling {
 			return fmt.Errorf("%s", plan.Progress())
 		}
 		return nil
--- a/internal/rig/run.go
+++ b/internal/verify/faultinjection/run.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"bytes"
@@ -14,15 +14,15 @@
 	"sync"
 	"time"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
-	"moorstack/internal/membership"
-	"moorstack/internal/placement"
-	"moorstack/internal/ratelimit"
-	"moorstack/internal/schedule"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/membership"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/ratelimit"
+	"moorstack/internal/cluster/schedule"
+	"moorstack/internal/cluster/weights"
 	"moorstack/internal/schema"
-	"moorstack/internal/weights"
 )
 
 // Play is what a story is played with.
@@ -218,7 +218,7 @@
 func (p *play) change(ctx context.Context, began time.Time, n int) error {
 	id := fmt.Sprintf("change-%d", n)
 	var base uint64
-	var doc *agreement.Document
+	var doc *clusterstate.Document
 	at := time.Now()
 	// A change may wait as long as the story lasts: then all is well, and it must be decided.
 	for try := 0; ; try++ {
@@ -243,7 +243,7 @@
 		if doc == nil {
 			rev, err := x.Client.GetConfig(call, &schema.GetConfigRequest{})
 			if err == nil {
-				doc, err = agreement.Decode(rev.Document)
+				doc, err = clusterstate.Decode(rev.Document)
 			}
 			if err != nil {
 				stop()
@@ -255,12 +255,12 @@
 				doc.Sections = map[string]map[string]string{}
 			}
 			if p.Drills > 0 {
-				doc.Sections[duty.Section] = map[string]string{"drill": strconv.Itoa(p.Drills)}
+				doc.Sections[leasedtask.Section] = map[string]string{"drill": strconv.Itoa(p.Drills)}
 			}
 			if p.Rolls > 0 {
 				words := map[string]string{"roll": "on"}
-				maps.Copy(words, doc.Sections[duty.Section])
-				doc.Sections[duty.Section] = words
+				maps.Copy(words, doc.Sections[leasedtask.Section])
+				doc.Sections[leasedtask.Section] = words
 			}
 			if p.Accounts > 0 {
 				words := rateWords(p.Accounts, p.Instances, n/30)
--- a/internal/rig/story_test.go
+++ b/internal/verify/faultinjection/story_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"moorstack/internal/ratelimit"
+	"moorstack/internal/cluster/ratelimit"
 )
 
 func TestStoriesAreReadAndRefused(t *testing.T) {
--- a/internal/rig/tell.go
+++ b/internal/verify/faultinjection/tell.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/leasedtask"
 	"moorstack/internal/schema"
 )
 
@@ -135,7 +135,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 		defer stop()
 		_, _ = x.Client.Operate(ctx, &schema.Operation{Kind: schema.Operation_HAND_ON,
-			Name: fmt.Sprintf(duty.Drill, 1), By: x.Name})
+			Name: fmt.Sprintf(leasedtask.Drill, 1), By: x.Name})
 	case "full":
 		x := p.Named(who[0])
 		if err := p.Fill(x); err != nil {
--- a/internal/rig/triggers.go
+++ b/internal/verify/faultinjection/triggers.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"cmp"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"moorstack/internal/calendar"
-	"moorstack/internal/schedule"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/schedule"
 )
 
 var classNames = []string{"trip-quote", "trip-book", "trip-once"}
--- a/internal/load/load.go
+++ b/internal/verify/load/load.go
@@ -17,7 +17,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"moorstack/internal/stage"
+	"moorstack/internal/verify/emulate/loopback"
 )
 
 // Class is a class of jobs that are sent.
@@ -68,7 +68,7 @@
 }
 
 func (o *Options) check() error {
-	if err := stage.Loopback(o.Address); err != nil {
+	if err := loopback.Loopback(o.Address); err != nil {
 		return err
 	}
 	switch {
--- a/internal/explore/explore.go
+++ b/internal/verify/modelcheck/explore.go
@@ -1,6 +1,6 @@
 // Package explore visits every state of a small model, by all processors, without a path to each: what
 // it shows is that no order of events leads to a wrong one.
-package explore
+package modelcheck
 
 import (
 	"runtime"
--- a/internal/prove/front.go
+++ b/internal/verify/simulation/front.go
@@ -1,12 +1,12 @@
-package prove
+package simulation
 
 import (
 	"time"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/rollout"
 )
 
 // unit is the world's least time, as instances' clocks tell it.
@@ -64,7 +64,7 @@
 		m.later(int64(1+w.rng.IntN(6)), func() { m.run(r) })
 	}
 	for _, word := range e.Told {
-		held, ok := word.([]duty.Held)
+		held, ok := word.([]leasedtask.Held)
 		if !ok {
 			continue
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (m *machine) run(r agreement.Revision) {
+func (m *machine) run(r clusterstate.Revision) {
 	if r.Revision > m.front.running {
 		m.front.running = r.Revision
 		m.live().Running(r.Revision)
--- a/internal/prove/machine.go
+++ b/internal/verify/simulation/machine.go
@@ -1,4 +1,4 @@
-package prove
+package simulation
 
 import (
 	"crypto/sha256"
@@ -6,10 +6,10 @@
 	"fmt"
 	"time"
 
-	"moorstack/internal/consensus"
-	"moorstack/internal/rollout"
-	"moorstack/internal/store"
-	"moorstack/internal/store/faultfs"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/rollout"
+	"moorstack/internal/storage/faultfs"
+	"moorstack/internal/storage/store"
 )
 
 // machine is where an instance runs, or doesn't.
--- a/internal/prove/practice.go
+++ b/internal/verify/simulation/practice.go
@@ -1,17 +1,17 @@
-package prove
+package simulation
 
 import (
 	"fmt"
 	"strconv"
 
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
 )
 
 // practice is what a machine does with the duties that it holds: it acts whenever it may, notes how
 // often, and gives them back when it is asked to.
 type practice struct {
-	held    []duty.Held
+	held    []leasedtask.Held
 	leaving map[uint64]bool // numbers that it gives back
 }
 
@@ -23,7 +23,7 @@
 
 // holds takes the instance's word. Words may overtake each other here, as they may not at a loop:
 // one that holds less than it knows does no harm, and an old number is of no use.
-func (m *machine) holds(held []duty.Held) {
+func (m *machine) holds(held []leasedtask.Held) {
 	m.duties.held = held
 	if m.duties.leaving == nil {
 		m.duties.leaving = map[uint64]bool{}
@@ -37,16 +37,16 @@
 }
 
 // release gives a duty back: from here on it does not act in it.
-func (m *machine) release(h duty.Held) {
+func (m *machine) release(h leasedtask.Held) {
 	m.duties.leaving[h.Number] = true
-	m.word(duty.Command{Kind: duty.Release, Duty: h.Duty, Number: h.Number, Reason: h.Leaving,
+	m.word(leasedtask.Command{Kind: leasedtask.Release, Duty: h.Duty, Number: h.Number, Reason: h.Leaving,
 		Failed: m.w.rng.IntN(8) == 0}, func(consensus.Answer) {
 		m.later(int64(50+m.w.rng.IntN(100)), func() { m.repeat(h) })
 	})
 }
 
 // repeat gives it back once more, where that has not come about.
-func (m *machine) repeat(h duty.Held) {
+func (m *machine) repeat(h leasedtask.Held) {
 	for _, x := range m.duties.held {
 		if x.Number == h.Number {
 			m.release(x)
@@ -55,10 +55,10 @@
 	}
 }
 
-func (m *machine) word(c duty.Command, then func(consensus.Answer)) {
+func (m *machine) word(c leasedtask.Command, then func(consensus.Answer)) {
 	m.w.made++
 	c.ID = fmt.Sprintf("duty-%d", m.w.made)
-	t := m.live().Say(duty.Section, duty.Encode(c), c.ID)
+	t := m.live().Say(leasedtask.Section, leasedtask.Encode(c), c.ID)
 	m.answers[t] = then
 	m.drive()
 }
@@ -70,8 +70,8 @@
 			m.act(h)
 		}
 		if w := m.w; !w.calm && w.rng.IntN(300) == 0 {
-			kind := []duty.Kind{duty.HandOn, duty.HandOn, duty.Pause, duty.Resume, duty.Resume}[w.rng.IntN(5)]
-			m.word(duty.Command{Kind: kind, Duty: fmt.Sprintf(duty.Drill, 1+w.rng.IntN(3)), Name: "op",
+			kind := []leasedtask.Kind{leasedtask.HandOn, leasedtask.HandOn, leasedtask.Pause, leasedtask.Resume, leasedtask.Resume}[w.rng.IntN(5)]
+			m.word(leasedtask.Command{Kind: kind, Duty: fmt.Sprintf(leasedtask.Drill, 1+w.rng.IntN(3)), Name: "op",
 				Reason: "by wish", To: w.machines[w.rng.IntN(len(w.machines))].number},
 				func(consensus.Answer) {})
 		}
@@ -83,7 +83,7 @@
 
 // act does a step of a duty, if the machine may. No receiver may see an older number after a newer
 // one, nor one number from two machines; and who begins must have every note that was agreed on.
-func (m *machine) act(h duty.Held) {
+func (m *machine) act(h leasedtask.Held) {
 	w := m.w
 	if m.duties.leaving[h.Number] || !h.May(m.local()) {
 		return
@@ -105,7 +105,7 @@
 	}
 	if !w.calm && w.rng.IntN(40) == 0 {
 		next := note + 1
-		m.word(duty.Command{Kind: duty.Note, Duty: h.Duty, Number: h.Number, Turn: h.Turn,
+		m.word(leasedtask.Command{Kind: leasedtask.Note, Duty: h.Duty, Number: h.Number, Turn: h.Turn,
 			Note: []byte(strconv.Itoa(next))}, func(a consensus.Answer) {
 			if a.Err == nil && a.Outcome.Code == 0 {
 				w.noted[h.Duty] = max(w.noted[h.Duty], next)
--- a/internal/prove/prove_test.go
+++ b/internal/verify/simulation/prove_test.go
@@ -1,4 +1,4 @@
-package prove
+package simulation
 
 import (
 	"bytes"
--- a/internal/prove/story.go
+++ b/internal/verify/simulation/story.go
@@ -1,4 +1,4 @@
-package prove
+package simulation
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/schema"
 )
 
@@ -290,7 +290,7 @@
 		w.made++
 		base := state.Newest().Revision
 		id := fmt.Sprintf("c%d-%d", n, w.made)
-		c := agreement.Change{
+		c := clusterstate.Change{
 			ID:       id,
 			Base:     base,
 			Author:   id,
@@ -337,7 +337,7 @@
 	w.after(tick, look)
 }
 
-func (w *world) propose(n int, m *machine, c agreement.Change, call int64, left int) {
+func (w *world) propose(n int, m *machine, c clusterstate.Change, call int64, left int) {
 	done := false
 	again := func(why string) {
 		if left > 0 && !w.calm {
@@ -364,13 +364,13 @@
 		o := a.Outcome
 		w.trace("client %d is told by %s: %s is %v, revision %d", n, m.name, c.ID, o.Code, o.Revision)
 		switch o.Code {
-		case agreement.Accepted:
+		case clusterstate.Accepted:
 			w.res.Accepted++
 			w.acked[c.ID] = o.Revision
 			w.record(n, input{true, c.Base, c.ID}, output{accepted: true, revision: o.Revision}, call)
-		case agreement.Withdrawn:
+		case clusterstate.Withdrawn:
 			w.res.Withdrawn++
-		case agreement.Conflict:
+		case clusterstate.Conflict:
 			w.res.Refused++
 			if o.Revision == c.Base {
 				break // another change took hold, and may be in force or not
@@ -385,7 +385,7 @@
 	m.drive()
 }
 
-func (w *world) unknown(n int, c agreement.Change, call int64) {
+func (w *world) unknown(n int, c clusterstate.Change, call int64) {
 	w.res.Unknown++
 	w.history = append(
 		w.history,
@@ -458,10 +458,10 @@
 		}
 	}
 	ok := false
-	c := agreement.Change{ID: "last", Base: lead.inst.State().Newest().Revision,
+	c := clusterstate.Change{ID: "last", Base: lead.inst.State().Newest().Revision,
 		Document: w.document(1 << 20)}
 	t := lead.live().Propose(c, false)
-	lead.answers[t] = func(a consensus.Answer) { ok = a.Err == nil && a.Outcome.Code == agreement.Accepted }
+	lead.answers[t] = func(a consensus.Answer) { ok = a.Err == nil && a.Outcome.Code == clusterstate.Accepted }
 	lead.drive()
 	w.run(400)
 	if !ok {
--- a/internal/prove/world.go
+++ b/internal/verify/simulation/world.go
@@ -4,7 +4,7 @@
 //
 // A seed is a whole story. The same seed plays the same story, so that a failure found
 // at night can be looked at in the morning.
-package prove
+package simulation
 
 import (
 	"cmp"
@@ -20,12 +20,12 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"moorstack/internal/agreement"
-	"moorstack/internal/consensus"
-	"moorstack/internal/duty"
-	"moorstack/internal/rollout"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/schema"
-	"moorstack/internal/store/faultfs"
+	"moorstack/internal/storage/faultfs"
 )
 
 // Options are what a story is told by.
@@ -198,12 +198,12 @@
 }
 
 // document is a valid one that is unlike others.
-func (w *world) document(n int) *agreement.Document {
-	d := &agreement.Document{
-		Classes: []agreement.Class{{Name: "c", Effect: "retryable", GiveUp: 5e9, Aim: 1e9,
+func (w *world) document(n int) *clusterstate.Document {
+	d := &clusterstate.Document{
+		Classes: []clusterstate.Class{{Name: "c", Effect: "retryable", GiveUp: 5e9, Aim: 1e9,
 			Worth: float64(n)}},
 	}
-	d.Sections = map[string]map[string]string{duty.Section: {"drill": "3"}}
+	d.Sections = map[string]map[string]string{leasedtask.Section: {"drill": "3"}}
 	if w.o.Seed%4 == 3 {
 		d.Sections[rollout.Section] = map[string]string{"cut_off": rollout.Serve}
 	}
