--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -31,7 +31,7 @@
 	}
 	if q.excess {
 		// Hazard: what one tenant sends beyond its share takes the room of all others.
-		value, less = value*b.set.OverShare, 0
+		value, less = value*b.set.OverQuotaWeight, 0
 	}
 	for i, v := range values {
 		switch {
@@ -48,21 +48,21 @@
 // claim takes a request from what is left of its tenant's allowance, or marks it as excess. A dispatcher's
 // part of the allowance is its share among all, or as much as the other tenants use of theirs here.
 func (b *Balancer) claim(now time.Duration, q *request) {
-	if q.Tenant < 0 || q.Tenant >= len(b.tenants) || b.set.OverShare >= 1 ||
-		b.set.Tenants[q.Tenant].Allowance <= 0 {
+	if q.Tenant < 0 || q.Tenant >= len(b.tenants) || b.set.OverQuotaWeight >= 1 ||
+		b.set.Tenants[q.Tenant].QuotaPerSecond <= 0 {
 		return // not limited
 	}
 	asked, allowed := 0.0, 0.0
 	for i, t := range b.tenants {
 		if i != q.Tenant {
 			asked += t.asked
-			allowed += b.set.Tenants[i].Allowance
+			allowed += b.set.Tenants[i].QuotaPerSecond
 		}
 	}
 	t := &b.tenants[q.Tenant]
-	part := max(1/float64(b.set.Fleet), asked/max(allowed*b.watched, tiny))
-	rate := b.set.Tenants[q.Tenant].Allowance * part
-	t.left = min(t.left+rate*(now-t.at).Seconds(), max(rate*b.set.Rules.Cold.Seconds(), spare))
+	part := max(1/float64(b.set.DispatcherCount), asked/max(allowed*b.watched, tiny))
+	rate := b.set.Tenants[q.Tenant].QuotaPerSecond * part
+	t.left = min(t.left+rate*(now-t.at).Seconds(), max(rate*b.set.Rules.SlowStartWindow.Seconds(), spare))
 	t.at = now
 	t.asked++
 	if q.excess = t.left < 1; !q.excess {
@@ -73,13 +73,13 @@
 // slack is the wait at w that leaves a usual job of the class in time.
 func (b *Balancer) slack(now time.Duration, class int, w *worker) float64 {
 	c := &b.set.Classes[class]
-	return max(0, c.Aim.Seconds()+(c.Stretch-b.paceOf(now, w))*b.usual[class]/2)
+	return max(0, c.LatencyObjective.Seconds()+(c.ObjectiveStretch-b.paceOf(now, w))*b.usual[class]/2)
 }
 
 // waitAt is the wait to be expected at w, from the jobs held there.
 func (b *Balancer) waitAt(now time.Duration, w *worker) float64 {
 	k := b.slotsOf(w)
-	if b.set.TellsStart && b.slots[w.Kind] < 1 {
+	if b.set.ReportsStart && b.slots[w.Kind] < 1 {
 		return b.seenWait(now, w) // hazard: slots never reported read as one, and all is refused
 	}
 	return max(0, b.held(now, w)+1-k) / k * b.mean * b.paceOf(now, w)
@@ -89,15 +89,15 @@
 func (b *Balancer) rate() []float64 {
 	total, worst := 0.0, math.Inf(1)
 	for i, t := range b.tallies {
-		total += t.asked * b.set.Classes[i].Worth
+		total += t.asked * b.set.Classes[i].PriorityWeight
 		worst = min(worst, t.share())
 	}
 	for i, t := range b.tallies {
-		v := b.set.Goal.Whole * b.set.Classes[i].Worth / max(total, tiny)
+		v := b.set.Goal.Overall * b.set.Classes[i].PriorityWeight / max(total, tiny)
 		if t.share() == worst {
 			v += b.set.Goal.WorstClass / max(t.asked, tiny)
 		}
-		if !b.set.WorthByWork {
+		if !b.set.WeightByWork {
 			v /= max(b.usual[i], tiny)
 		}
 		b.values[i] = v
@@ -110,7 +110,7 @@
 
 // units is what a request counts for in the goal.
 func (b *Balancer) units(q *request) float64 {
-	if !b.set.WorthByWork {
+	if !b.set.WeightByWork {
 		return 1
 	}
 	return b.cost(q)
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -8,7 +8,7 @@
 
 func TestRefusesWithoutWorkers(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole)
+	r.members(ListFull)
 	for class := range 3 {
 		r.request(job(class, class))
 		if got := r.reqs[job(class, class).ID].final; got != "refused" {
@@ -25,14 +25,14 @@
 // Hazard: load above capacity. Jobs that would be late are refused, and the less worthy first.
 func TestOverloadIsRefused(t *testing.T) {
 	set := testSettings()
-	set.TellsStart = true
-	set.Classes[safeClass].Worth = 10
+	set.ReportsStart = true
+	set.Classes[safeClass].PriorityWeight = 10
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(1)...)
+	r.members(ListFull, fleet(1)...)
 	n := 0
 	for range 20 { // it runs jobs of 200 ms
 		for class := range 3 {
-			r.serve(n, 1, class, 200*time.Millisecond, NoReport)
+			r.serve(n, 1, class, 200*time.Millisecond, NoLoadReport)
 			n++
 		}
 	}
@@ -58,7 +58,7 @@
 // Hazard: the count knows only own jobs. Where a job of ours waits, others' jobs must be.
 func TestWaitsSeenCount(t *testing.T) {
 	r := startsTold(t, 2)
-	r.serve(0, 20, safeClass, 50*time.Millisecond, NoReport)
+	r.serve(0, 20, safeClass, 50*time.Millisecond, NoLoadReport)
 	r.request(job(20, safeClass))
 	slow := r.last().w
 	r.pass(150 * time.Millisecond)
@@ -133,10 +133,10 @@
 // jobs go on; while nothing waits nobody is refused.
 func TestExcessOfATenantRanksLast(t *testing.T) {
 	set := testSettings()
-	set.TellsStart, set.OverShare, set.Classes = true, 0.05, set.Classes[:1]
-	set.Tenants = []Tenant{{Share: 0.5, Allowance: 4}, {Share: 0.5, Allowance: 4}}
+	set.ReportsStart, set.OverQuotaWeight, set.Classes = true, 0.05, set.Classes[:1]
+	set.Tenants = []Tenant{{CapacityShare: 0.5, QuotaPerSecond: 4}, {CapacityShare: 0.5, QuotaPerSecond: 4}}
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(2)...)
+	r.members(ListFull, fleet(2)...)
 	n := 0
 	send := func(tenant int) string {
 		q := job(n, safeClass)
@@ -177,10 +177,10 @@
 func TestLateJobGoesOn(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		set := testSettings()
-		set.Limits.Attempts = 5
+		set.Limits.MaxAttempts = 5
 		r := newRecorder(t, set)
-		r.members(Whole, fleet(2)...) // of one cell
-		r.serve(0, 20, keyedClass, 100*time.Millisecond, NoReport)
+		r.members(ListFull, fleet(2)...) // of one cell
+		r.serve(0, 20, keyedClass, 100*time.Millisecond, NoLoadReport)
 		r.request(job(100, keyedClass))
 		lost := len(r.sends) - 1
 		r.pass(1500 * time.Millisecond) // the aim is 0.2 s and twice the running time
@@ -189,7 +189,7 @@
 				w.others = 10
 			}
 		}
-		r.end(&r.sends[lost], Reset)
+		r.end(&r.sends[lost], ConnectionReset)
 		again := len(r.sends) == lost+2
 		if final := r.reqs["r100"].final; again == busy || busy != (final == "failed") {
 			t.Errorf("busy %v: sent again %v, final answer %q", busy, again, final)
@@ -201,10 +201,10 @@
 // the next gap from the others.
 func TestExcessStaysOutOfACrowd(t *testing.T) {
 	set := testSettings()
-	set.OverShare, set.Classes, set.TellsStart = 0.05, set.Classes[:1], true
-	set.Tenants = []Tenant{{Share: 0.5, Allowance: 1}, {Share: 0.5, Allowance: 100}}
+	set.OverQuotaWeight, set.Classes, set.ReportsStart = 0.05, set.Classes[:1], true
+	set.Tenants = []Tenant{{CapacityShare: 0.5, QuotaPerSecond: 1}, {CapacityShare: 0.5, QuotaPerSecond: 100}}
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(8)...)
+	r.members(ListFull, fleet(8)...)
 	r.b.tenants[0].at = r.now // its allowance is used up
 	send := func(n, tenant int) *recSend {
 		q := job(n, safeClass)
@@ -228,7 +228,7 @@
 	for i := range 5 {
 		send(100+i, 1)
 		for id := r.last().id; r.reqs[id].final == ""; {
-			r.end(r.last(), Full)
+			r.end(r.last(), WorkerFull)
 		}
 	}
 	r.pass(3 * time.Second)
@@ -244,14 +244,14 @@
 func TestTurnedAwayAsAWait(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		set := testSettings()
-		set.TellsStart = told
+		set.ReportsStart = told
 		r := newRecorder(t, set)
-		r.members(Whole, fleet(8)...)
-		r.serve(0, 20, safeClass, time.Second, NoReport)
+		r.members(ListFull, fleet(8)...)
+		r.serve(0, 20, safeClass, time.Second, NoLoadReport)
 		r.pass(10 * time.Second)
 		for i := range 6 {
 			r.request(job(100+i, safeClass))
-			r.end(r.last(), Full)
+			r.end(r.last(), WorkerFull)
 		}
 		if got := r.b.usualWait(r.now) > 0; got != told {
 			t.Errorf("starts told %v: a wait is usual %v", told, got)
@@ -262,9 +262,9 @@
 // A tenant without an allowance is not limited, whatever it sends.
 func TestTenantWithoutAllowance(t *testing.T) {
 	set := testSettings()
-	set.OverShare, set.Tenants = 0.05, []Tenant{{Share: 1}}
+	set.OverQuotaWeight, set.Tenants = 0.05, []Tenant{{CapacityShare: 1}}
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(2)...)
+	r.members(ListFull, fleet(2)...)
 	for i := range 20 {
 		r.request(job(i, safeClass))
 		if r.b.open[job(i, safeClass).ID].excess {
--- a/balancer/answers.go
+++ b/balancer/answers.go
@@ -14,7 +14,7 @@
 	}
 	q.over = true
 	b.refused++
-	b.act.Refuse(q.ID, b.spread(b.set.Limits.MaxRetryAfter/8))
+	b.act.Reject(q.ID, b.spread(b.set.Limits.MaxRetryAfter/8))
 	b.forget(q)
 }
 
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -15,11 +15,11 @@
 		return false
 	}
 	// Hazard: a draining worker gets new work.
-	if w.State != Ready || c.Kind >= 0 && c.Kind != w.Kind || !q.onRoute(w) {
+	if w.State != Ready || c.WorkerKind >= 0 && c.WorkerKind != w.Kind || !q.onRoute(w) {
 		return false
 	}
 	// Hazard: two attempts out at once.
-	if q.out > 0 && !b.set.Limits.SecondCopies {
+	if q.out > 0 && !b.set.Limits.HedgedRequests {
 		return false
 	}
 	if len(q.tries) > 0 && !b.mayGoOn(now) {
@@ -34,7 +34,8 @@
 			continue
 		}
 		// Hazard: this attempt may have run, or runs: its effect could happen twice.
-		if c.Effect == Unsafe || c.Effect == Keyed && (!t.inWindow(now, c) || !sameGroup(c, t.w, w)) {
+		if c.Idempotency == NonIdempotent ||
+			c.Idempotency == IdempotentByKey && (!t.inWindow(now, c) || !sameGroup(c, t.w, w)) {
 			return false
 		}
 	}
@@ -44,7 +45,7 @@
 // inWindow reports whether repeats of an attempt that may have run are still dropped by its group.
 //
 // Hazard: the process is held up between reading its clock and writing.
-func (t *attempt) inWindow(now time.Duration, c *Class) bool { return now-t.sent+stall < c.Window }
+func (t *attempt) inWindow(now time.Duration, c *Class) bool { return now-t.sent+stall < c.KeyWindow }
 
 // StillAllowed reports whether an attempt that was begun, and has not been written yet, may still be.
 //
@@ -56,7 +57,7 @@
 	}
 	for i := range q.tries {
 		t := &q.tries[i]
-		if i != n && q.class.Effect == Keyed && t.mayHaveRun() && !t.inWindow(now, q.class) {
+		if i != n && q.class.Idempotency == IdempotentByKey && t.mayHaveRun() && !t.inWindow(now, q.class) {
 			return false
 		}
 	}
@@ -69,17 +70,21 @@
 // edge counts against us: a further attempt is still in it, a request is not.
 func (b *Balancer) mayGoOn(now time.Duration) bool {
 	rules := &b.set.Rules
-	if rules.Budget <= 0 {
+	if rules.RetryBudgetWindow <= 0 {
 		return true
 	}
-	taken, further := b.taken.since(now-rules.Budget), b.further.since(now-rules.Budget-1)
-	return float64(further+1) <= rules.FreeFurther+rules.FurtherShare*float64(taken)
+	taken, further := b.taken.since(
+		now-rules.RetryBudgetWindow,
+	), b.further.since(
+		now-rules.RetryBudgetWindow-1,
+	)
+	return float64(further+1) <= rules.RetryBudgetBase+rules.RetryBudgetShare*float64(taken)
 }
 
 // send is the one place that starts an attempt.
 func (b *Balancer) send(now time.Duration, q *request, w *worker) {
 	if len(q.tries) > 0 {
-		b.further.since(now - b.set.Rules.Budget - 1)
+		b.further.since(now - b.set.Rules.RetryBudgetWindow - 1)
 		b.further = append(b.further, now)
 	}
 	q.tries = append(q.tries, attempt{w: w, sent: now})
@@ -90,7 +95,9 @@
 		b.owing--
 	}
 	if b.warmth(now, w) < 1 {
-		oldest := now - b.set.Rules.Fall*time.Duration(b.longestTurn()) // as far as any turn reaches
+		oldest := now - b.set.Rules.OverloadWindow*time.Duration(
+			b.longestTurn(),
+		) // as far as any turn reaches
 		w.sent = append(keep(w.sent, func(l load) bool { return l.at > oldest }), load{now, b.effort(q)})
 	}
 	b.act.Send(q.ID, w.ID, 0)
@@ -99,7 +106,7 @@
 // proves reports whether an end proves that the job never ran. Hazard: a worker may also turn away what
 // it had begun.
 func (b *Balancer) proves(r Result) bool {
-	return r.Unrun() && !(r == Full && b.set.Rules.FullUnproven)
+	return r.NeverRan() && !(r == WorkerFull && b.set.Rules.FullMayHaveRun)
 }
 
 // stop gives up what is still out of a request that is over, as far as that is allowed.
@@ -107,7 +114,7 @@
 // Hazard: jobs whose clients have left, and the slower of two copies, take the room of others.
 func (b *Balancer) stop(q *request) {
 	for i := range q.tries {
-		if !q.tries[i].ended && b.set.Limits.Cancel {
+		if !q.tries[i].ended && b.set.Limits.CanCancel {
 			b.act.Cancel(q.ID, i)
 		}
 	}
@@ -116,7 +123,7 @@
 // refusable reports whether telling the client that another try is harmless is true.
 func (b *Balancer) refusable(q *request) bool {
 	c := q.class
-	if c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
+	if c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
 		return true
 	}
 	return !slices.ContainsFunc(q.tries, attempt.mayHaveRun)
@@ -127,7 +134,8 @@
 // Hazard: a copy of a job that only waits takes the room of others, and both run if a cancel stops nothing.
 func (b *Balancer) hedge(now time.Duration) {
 	for _, q := range b.list {
-		if !q.over && q.out == 1 && q.class.Effect != Unsafe && b.silent(now, q.tries[len(q.tries)-1].w) {
+		if !q.over && q.out == 1 && q.class.Idempotency != NonIdempotent &&
+			b.silent(now, q.tries[len(q.tries)-1].w) {
 			b.try(now, q)
 		}
 	}
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -16,17 +16,17 @@
 		cell   bool // the second send stays in the cell
 		answer string
 	}{
-		{"safe after an error goes on", safeClass, Error, 2, false, ""},
-		{"keyed after an error goes on in its cell", keyedClass, Error, 2, true, ""},
-		{"unsafe after an error is failed", unsafeClass, Error, 1, false, "failed"},
-		{"unsafe after a reset is failed", unsafeClass, Reset, 1, false, "failed"},
-		{"unsafe turned away goes on", unsafeClass, Full, 2, false, ""},
+		{"safe after an error goes on", safeClass, ServerError, 2, false, ""},
+		{"keyed after an error goes on in its cell", keyedClass, ServerError, 2, true, ""},
+		{"unsafe after an error is failed", unsafeClass, ServerError, 1, false, "failed"},
+		{"unsafe after a reset is failed", unsafeClass, ConnectionReset, 1, false, "failed"},
+		{"unsafe turned away goes on", unsafeClass, WorkerFull, 2, false, ""},
 		{"unsafe without a connection goes on", unsafeClass, ConnectFailed, 2, false, ""},
-		{"keyed turned away goes anywhere", keyedClass, Full, 2, false, ""},
+		{"keyed turned away goes anywhere", keyedClass, WorkerFull, 2, false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRecorder(t, testSettings())
-			r.members(Whole, fleet(8)...)
+			r.members(ListFull, fleet(8)...)
 			r.request(job(0, c.class))
 			first := r.last().w
 			r.end(r.last(), c.res)
@@ -44,10 +44,10 @@
 // A keyed job goes again only while its group remembers the first attempt.
 func TestKeyedWindow(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(8)...)
+	r.members(ListFull, fleet(8)...)
 	r.request(job(0, keyedClass))
-	r.pass(r.set.Classes[keyedClass].Window)
-	r.end(r.last(), Error)
+	r.pass(r.set.Classes[keyedClass].KeyWindow)
+	r.end(r.last(), ServerError)
 	if len(r.sends) != 1 || r.reqs["r0"].final != "failed" {
 		t.Errorf("%d sends, answer %q; want one, failed", len(r.sends), r.reqs["r0"].final)
 	}
@@ -55,13 +55,13 @@
 
 func TestTryLimit(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(8)...)
+	r.members(ListFull, fleet(8)...)
 	r.request(job(0, safeClass))
 	for r.reqs["r0"].final == "" {
 		r.end(r.last(), ConnectFailed)
 	}
-	if len(r.sends) != r.set.Limits.Attempts {
-		t.Errorf("%d sends, want %d", len(r.sends), r.set.Limits.Attempts)
+	if len(r.sends) != r.set.Limits.MaxAttempts {
+		t.Errorf("%d sends, want %d", len(r.sends), r.set.Limits.MaxAttempts)
 	}
 }
 
@@ -82,9 +82,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.TellsStart, set.Limits.SecondCopies, set.Progress = true, c.copies, 200*time.Millisecond
+			set.ReportsStart, set.Limits.HedgedRequests, set.ProgressInterval = true, c.copies,
+				200*time.Millisecond
 			r := newRecorder(t, set)
-			r.members(Whole, fleet(4)...)
+			r.members(ListFull, fleet(4)...)
 			r.request(job(0, c.class))
 			first := *r.last()
 			r.start(&first)
@@ -113,9 +114,9 @@
 // longer wait makes more copies.
 func TestNoCopiesOfJobsThatOnlyWait(t *testing.T) {
 	set := testSettings()
-	set.TellsStart, set.Limits.SecondCopies, set.Progress = true, true, 200*time.Millisecond
+	set.ReportsStart, set.Limits.HedgedRequests, set.ProgressInterval = true, true, 200*time.Millisecond
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(2)...)
+	r.members(ListFull, fleet(2)...)
 	for i := range 6 {
 		r.request(job(i, safeClass))
 	}
@@ -142,11 +143,11 @@
 		final string
 	}{{2, ""}, {2, ""}, {1, "failed"}} {
 		set := testSettings()
-		set.Rules.FullUnproven = true
+		set.Rules.FullMayHaveRun = true
 		r := newRecorder(t, set)
-		r.members(Whole, fleet(8)...)
+		r.members(ListFull, fleet(8)...)
 		r.request(job(0, class))
-		r.end(r.last(), Full)
+		r.end(r.last(), WorkerFull)
 		if len(r.sends) != want.sends || r.reqs["r0"].final != want.final {
 			t.Errorf("class %d: %d sends, answer %q; want %d, %q", class, len(r.sends), r.reqs["r0"].final,
 				want.sends, want.final)
@@ -158,9 +159,9 @@
 // room for are made.
 func TestBudgetOfFurtherAttempts(t *testing.T) {
 	set := testSettings()
-	set.Rules.Budget, set.Rules.FreeFurther, set.Rules.FurtherShare = 2*time.Second, 4, 0.1
+	set.Rules.RetryBudgetWindow, set.Rules.RetryBudgetBase, set.Rules.RetryBudgetShare = 2*time.Second, 4, 0.1
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(8)...)
+	r.members(ListFull, fleet(8)...)
 	for i := range 400 {
 		r.request(job(i, safeClass))
 		for r.reqs[job(i, safeClass).ID].final == "" {
@@ -181,10 +182,10 @@
 func TestStopsWhatNobodyWaitsFor(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		set := testSettings()
-		set.TellsStart, set.Limits.SecondCopies, set.Limits.Cancel = true, true, allowed
-		set.Progress = 200 * time.Millisecond
+		set.ReportsStart, set.Limits.HedgedRequests, set.Limits.CanCancel = true, true, allowed
+		set.ProgressInterval = 200 * time.Millisecond
 		r := newRecorder(t, set)
-		r.members(Whole, fleet(4)...)
+		r.members(ListFull, fleet(4)...)
 		r.request(job(0, safeClass))
 		r.start(r.last())
 		r.pass(time.Second) // a second copy goes out
@@ -193,9 +194,9 @@
 		}
 		r.end(&r.sends[1], OK)
 		r.request(job(1, safeClass))
-		r.b.Gone(r.now, "r1")
+		r.b.ClientDisconnected(r.now, "r1")
 		r.reqs["r1"].final = "gone"
-		r.b.Gone(r.now, "r1")
+		r.b.ClientDisconnected(r.now, "r1")
 		want := []string{"r0/0", "r1/0"}
 		if !allowed {
 			want = nil
@@ -210,9 +211,9 @@
 func TestRejectedJob(t *testing.T) {
 	for class := range testSettings().Classes {
 		r := newRecorder(t, testSettings())
-		r.members(Whole, fleet(4)...)
+		r.members(ListFull, fleet(4)...)
 		r.request(job(0, class))
-		r.end(r.last(), Rejected)
+		r.end(r.last(), Unprocessable)
 		if q := r.reqs["r0"]; q.final != "failed" || len(r.sends) != 1 {
 			t.Errorf("class %d: %q after %d sends, want failed after 1", class, q.final, len(r.sends))
 		}
@@ -227,12 +228,12 @@
 // A request that ends while it waits for loads is forgotten, and its place is not used by another too early.
 func TestGoneWhileAsking(t *testing.T) {
 	set := testSettings()
-	set.ReportProbed, set.Fleet = true, 100
+	set.LoadReportsByCheck, set.DispatcherCount = true, 100
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(40)...)
+	r.members(ListFull, fleet(40)...)
 	r.pass(time.Minute)
 	r.request(job(0, safeClass))
-	r.b.Gone(r.now, "r0")
+	r.b.ClientDisconnected(r.now, "r0")
 	r.reqs["r0"].final = "gone"
 	r.request(job(1, safeClass))
 	r.pass(time.Second)
@@ -249,13 +250,13 @@
 		sends int
 	}{{-10 * time.Millisecond, 2}, {10 * time.Millisecond, 1}} {
 		r := newRecorder(t, testSettings())
-		r.members(Whole, fleet(4)...)
-		window := r.set.Classes[keyedClass].Window
+		r.members(ListFull, fleet(4)...)
+		window := r.set.Classes[keyedClass].KeyWindow
 		q := job(0, keyedClass)
-		q.Left = 10 * window
+		q.Timeout = 10 * window
 		r.request(q)
 		r.pass(window - stall + c.after)
-		r.end(&r.sends[0], Reset)
+		r.end(&r.sends[0], ConnectionReset)
 		if len(r.sends) != c.sends {
 			t.Errorf("%v from a stall before the window's end: %d sends, want %d", c.after, len(r.sends),
 				c.sends)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -65,12 +65,12 @@
 
 // sweepEvery is the time between sweeps: an overdue answer must fall into the slack.
 func (b *Balancer) sweepEvery() time.Duration {
-	return max(b.set.Rules.AnswerSlack/2, b.set.Tick, time.Millisecond)
+	return max(b.set.Rules.ResponseSlack/2, b.set.MinEventInterval, time.Millisecond)
 }
 
 // sweep does what no event calls for.
 func (b *Balancer) sweep(now time.Duration) {
-	if b.set.TellsStart {
+	if b.set.ReportsStart {
 		for _, q := range b.list {
 			for i := range q.tries {
 				if t := &q.tries[i]; !t.ended && t.start == 0 {
@@ -96,7 +96,7 @@
 
 // survey keeps the averages, which go back a warm-up. Hazard: each sweep looks at every worker of many.
 func (b *Balancer) survey(now time.Duration) {
-	past := max(b.set.Rules.Cold, time.Second)
+	past := max(b.set.Rules.SlowStartWindow, time.Second)
 	if now < b.surveyed+past/64 {
 		return
 	}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -18,20 +18,40 @@
 
 // testSettings is a deployment that allows everything and has one class of each effect.
 func testSettings() Settings {
-	class := func(e Effect, sc Scope) Class {
-		return Class{Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Worth: 1,
-			LateShare: 0.3, Effect: e, Scope: sc, Window: 2 * time.Second, Kind: -1}
+	class := func(e Idempotency, sc KeyScope) Class {
+		return Class{
+			LatencyObjective: 200 * time.Millisecond,
+			ObjectiveStretch: 2,
+			Timeout:          5 * time.Second,
+			PriorityWeight:   1,
+			LateShare:        0.3,
+			Idempotency:      e,
+			KeyScope:         sc,
+			KeyWindow:        2 * time.Second,
+			WorkerKind:       -1,
+		}
 	}
 	return Settings{
-		Fleet:   1,
-		Classes: []Class{class(Safe, ScopeAll), class(Keyed, ScopeCell), class(Unsafe, ScopeAll)},
-		Limits: Limits{Attempts: 3, Cancel: true, Probes: true, Peers: true, SecondCopies: true,
-			MaxRetryAfter: time.Second},
-		Rules: Rules{AnswerSlack: 20 * time.Millisecond, AskEvery: 10 * time.Second,
-			DrainGrace: time.Second, ColdShare: 0.2, Cold: 10 * time.Second, OverloadFactor: 3,
-			Fall: 2 * time.Second},
-		Goal: Goal{Whole: 1},
-		Tick: time.Millisecond,
+		DispatcherCount: 1,
+		Classes: []Class{
+			class(Idempotent, ScopeAll),
+			class(IdempotentByKey, ScopeCell),
+			class(NonIdempotent, ScopeAll),
+		},
+		Limits: Limits{
+			MaxAttempts:    3,
+			CanCancel:      true,
+			HealthChecks:   true,
+			PeerMessages:   true,
+			HedgedRequests: true,
+			MaxRetryAfter:  time.Second,
+		},
+		Rules: Rules{ResponseSlack: 20 * time.Millisecond, ListPollInterval: 10 * time.Second,
+			DrainGrace: time.Second, SlowStartMinShare: 0.2, SlowStartWindow: 10 * time.Second,
+			OverloadFactor: 3,
+			OverloadWindow: 2 * time.Second},
+		Goal:             Goal{Overall: 1},
+		MinEventInterval: time.Millisecond,
 	}
 }
 
@@ -45,13 +65,13 @@
 }
 
 func job(i, class int) Request {
-	return Request{ID: RequestID(fmt.Sprintf("r%d", i)), Class: class, Left: 5 * time.Second}
+	return Request{ID: RequestID(fmt.Sprintf("r%d", i)), Class: class, Timeout: 5 * time.Second}
 }
 
 // hinted is a safe job that tells a tenth of a second's work.
 func hinted(i int) Request {
 	q := job(i, safeClass)
-	q.Work = 100 * time.Millisecond
+	q.ExpectedWork = 100 * time.Millisecond
 	return q
 }
 
@@ -59,16 +79,16 @@
 func startsTold(t *testing.T, n int) *recorder {
 	t.Helper()
 	set := testSettings()
-	set.TellsStart = true
+	set.ReportsStart = true
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(n)...)
+	r.members(ListFull, fleet(n)...)
 	return r
 }
 
 // freeSlots is a load report that tells nothing else.
-func freeSlots(n float64) Report {
-	rep := NoReport
-	rep.Told, rep.FreeSlots = true, n
+func freeSlots(n float64) LoadReport {
+	rep := NoLoadReport
+	rep.Received, rep.FreeSlots = true, n
 	return rep
 }
 
@@ -83,7 +103,7 @@
 // With all slots known and nothing waiting, the jobs go where the fewest are.
 func TestFewestWins(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(2)...)
+	r.members(ListFull, fleet(2)...)
 	for i := range 8 {
 		r.request(job(i, safeClass))
 	}
@@ -98,7 +118,7 @@
 
 func TestTiesAreSpreadEvenly(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(4)...)
+	r.members(ListFull, fleet(4)...)
 	count := map[WorkerID]int{}
 	const rounds = 2000
 	for i := range rounds {
@@ -116,9 +136,9 @@
 }
 
 func TestCountsReturnToZero(t *testing.T) {
-	for res := OK; res <= Moot; res++ {
+	for res := OK; res <= NotSent; res++ {
 		r := newRecorder(t, testSettings())
-		r.members(Whole, fleet(3)...)
+		r.members(ListFull, fleet(3)...)
 		for class := range 3 {
 			q := job(class, class)
 			q.Slots = 2
@@ -144,12 +164,12 @@
 	r := newRecorder(t, testSettings())
 	list := fleet(3)
 	list[2].State = Draining
-	r.members(Whole, list...)
+	r.members(ListFull, list...)
 	r.pass(20 * time.Second)
 	if len(r.logs) > 0 {
 		t.Errorf("logged %q without a refusal", r.logs)
 	}
-	r.members(Whole)
+	r.members(ListFull)
 	for i := range 300 {
 		r.request(job(i, safeClass))
 		r.pass(100 * time.Millisecond)
@@ -166,7 +186,7 @@
 func TestOverdueIsAnswered(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.silent = true
-	r.members(Whole, fleet(2)...)
+	r.members(ListFull, fleet(2)...)
 	for class := range 3 {
 		r.request(job(class, class))
 	}
@@ -180,7 +200,7 @@
 
 // drive sends n hinted jobs gap apart from job from on, ends each attempt after 90 ms with rep,
 // and counts the jobs that each worker got.
-func drive(r *recorder, from, n int, gap time.Duration, rep Report) map[WorkerID]int {
+func drive(r *recorder, from, n int, gap time.Duration, rep LoadReport) map[WorkerID]int {
 	got := map[WorkerID]int{}
 	for i := range n {
 		r.request(hinted(from + i))
@@ -201,12 +221,12 @@
 		do   func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"Classes[1].Deadline", func(s *Settings) { s.Classes[1].Deadline = 0 }},
-		{"Classes[0].Kind", func(s *Settings) { s.Classes[0].Kind = 7 }},
-		{"Limits.Attempts", func(s *Settings) { s.Limits.Attempts = -1 }},
-		{"Rules.ColdShare", func(s *Settings) { s.Rules.ColdShare = 2 }},
-		{"Me", func(s *Settings) { s.Me = 1 }},
-		{"Zone", func(s *Settings) { s.Zones, s.Zone = 2, 2 }},
+		{"Classes[1].Deadline", func(s *Settings) { s.Classes[1].Timeout = 0 }},
+		{"Classes[0].Kind", func(s *Settings) { s.Classes[0].WorkerKind = 7 }},
+		{"Limits.Attempts", func(s *Settings) { s.Limits.MaxAttempts = -1 }},
+		{"Rules.ColdShare", func(s *Settings) { s.Rules.SlowStartMinShare = 2 }},
+		{"Me", func(s *Settings) { s.DispatcherIndex = 1 }},
+		{"Zone", func(s *Settings) { s.ZoneCount, s.Zone = 2, 2 }},
 	} {
 		set := testSettings()
 		c.do(&set)
@@ -222,20 +242,20 @@
 // Odd events change no count and break no rule.
 func TestOddEvents(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(2)...)
+	r.members(ListFull, fleet(2)...)
 	r.request(job(0, unsafeClass))
 	s := r.last()
-	r.b.Request(r.now, job(0, unsafeClass))                           // the same ID
-	r.b.Outcome(r.now, Outcome{ID: "nobody"})                         // unknown
-	r.b.Outcome(r.now, Outcome{ID: s.id, Attempt: 9, Result: Error})  // unknown attempt
-	r.b.Progress(r.now, Note{ID: s.id, Attempt: -1, Started: true})   // unknown attempt
-	r.b.Progress(r.now, Note{ID: "nobody", Started: true})            // unknown
-	r.b.Probed(r.now, 9999, OK, 0, NoReport)                          // unknown worker
-	r.b.Timer(r.now, 12345)                                           // unknown timer
-	r.b.Gone(r.now, "nobody")                                         // unknown
-	r.end(s, OK)                                                      // the one that counts
-	r.b.Outcome(r.now, Outcome{ID: s.id, Worker: s.w, Result: Error}) // repeated
-	r.request(Request{ID: "late", Class: unsafeClass})                // no time left
+	r.b.Submit(r.now, job(0, unsafeClass))                                              // the same ID
+	r.b.AttemptEnded(r.now, AttemptOutcome{ID: "nobody"})                               // unknown
+	r.b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Attempt: 9, Result: ServerError})  // unknown attempt
+	r.b.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: -1, Started: true}) // unknown attempt
+	r.b.AttemptProgressed(r.now, AttemptProgress{ID: "nobody", Started: true})          // unknown
+	r.b.HealthChecked(r.now, 9999, OK, 0, NoLoadReport)                                 // unknown worker
+	r.b.TimerFired(r.now, 12345)                                                        // unknown timer
+	r.b.ClientDisconnected(r.now, "nobody")                                             // unknown
+	r.end(s, OK)                                                                        // the one that counts
+	r.b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Worker: s.w, Result: ServerError}) // repeated
+	r.request(Request{ID: "late", Class: unsafeClass})                                  // no time left
 	for _, w := range r.b.workers {
 		if w.own != 0 {
 			t.Errorf("worker %d holds %v", w.ID, w.own)
@@ -250,19 +270,19 @@
 func fuzzRun(t *testing.T, data []byte) {
 	set := testSettings()
 	if len(data) > 0 {
-		set.Limits.SecondCopies = data[0]&1 != 0
-		set.TellsStart = data[0]&2 != 0
-		set.ReportProbed = data[0]&4 != 0
-		set.MustAsk = data[0]&8 != 0
+		set.Limits.HedgedRequests = data[0]&1 != 0
+		set.ReportsStart = data[0]&2 != 0
+		set.LoadReportsByCheck = data[0]&4 != 0
+		set.ListOnRequest = data[0]&8 != 0
 	}
 	r := newRecorder(t, set)
-	r.members(Cached, fleet(4)...)
+	r.members(ListCached, fleet(4)...)
 	for i := 0; i+1 < len(data); i += 2 {
 		x := int(data[i+1])
 		switch data[i] % 8 {
 		case 0, 1:
 			q := job(i, x%3)
-			q.Slots, q.Left = float64(x%4), time.Duration(x)*20*time.Millisecond
+			q.Slots, q.Timeout = float64(x%4), time.Duration(x)*20*time.Millisecond
 			r.request(q)
 		case 2, 3:
 			if n := len(r.sends); n > 0 {
@@ -273,16 +293,16 @@
 		case 4:
 			r.pass(time.Duration(x) * 10 * time.Millisecond)
 		case 5:
-			r.members(Changes, Worker{ID: WorkerID(100 + x%6), Cell: x % 3, State: State(x / 8 % 3),
-				Since: time.Duration(x/32%2) * r.now})
+			r.members(ListDelta, Worker{ID: WorkerID(100 + x%6), Cell: x % 3, State: WorkerState(x / 8 % 3),
+				StartedAt: time.Duration(x/32%2) * r.now})
 		case 6:
 			if n := len(r.sends); n > 0 {
 				r.start(&r.sends[n-1-x%n])
 			}
 		case 7:
 			rep := freeSlots(float64(x % 5))
-			rep.Queue = float64(x / 8 % 5)
-			r.b.Probed(r.now, WorkerID(100+x%6), OK, 0, rep)
+			rep.QueueLength = float64(x / 8 % 5)
+			r.b.HealthChecked(r.now, WorkerID(100+x%6), OK, 0, rep)
 		}
 	}
 	r.pass(6 * time.Second)
@@ -312,7 +332,7 @@
 func TestDeterminism(t *testing.T) {
 	play := func() []recSend {
 		r := newRecorder(t, testSettings())
-		r.members(Whole, fleet(9)...)
+		r.members(ListFull, fleet(9)...)
 		for i := range 300 {
 			r.request(job(i, i%3))
 			r.pass(3 * time.Millisecond)
@@ -331,9 +351,9 @@
 func TestHomes(t *testing.T) {
 	met := func(me int) map[WorkerID]int {
 		set := testSettings()
-		set.Me, set.Fleet = me, 16
+		set.DispatcherIndex, set.DispatcherCount = me, 16
 		r := newRecorder(t, set)
-		r.members(Whole, fleet(16)...)
+		r.members(ListFull, fleet(16)...)
 		got := map[WorkerID]int{}
 		for i := range 200 {
 			r.request(job(i, safeClass))
@@ -362,30 +382,42 @@
 
 // A change of the classes under load: what is open keeps its terms, what comes has the new.
 func TestConfigureKeepsOpenRequests(t *testing.T) {
-	r := newRecorder(t, Settings{Classes: []Class{{Name: "c", Deadline: 10 * time.Second, Aim: time.Second,
-		Worth: 1, Attempts: 2, Kind: -1}}, Limits: Limits{Attempts: 5}, Kinds: 1})
+	r := newRecorder(
+		t,
+		Settings{Classes: []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: time.Second,
+			PriorityWeight: 1, MaxAttempts: 2, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 5},
+			WorkerKinds: 1},
+	)
 	b := r.b
 	set := b.set
-	set.Classes = []Class{{Name: "c", Deadline: 10 * time.Second, Aim: 2 * time.Second, Worth: 7, Kind: -1}}
-	r.members(Whole, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}, Worker{ID: 3, State: Ready})
-	r.request(Request{ID: "old", Left: 10 * time.Second})
+	set.Classes = []Class{
+		{
+			Name:             "c",
+			Timeout:          10 * time.Second,
+			LatencyObjective: 2 * time.Second,
+			PriorityWeight:   7,
+			WorkerKind:       -1,
+		},
+	}
+	r.members(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}, Worker{ID: 3, State: Ready})
+	r.request(Request{ID: "old", Timeout: 10 * time.Second})
 	if err := b.CanConfigure(set); err != nil {
 		t.Fatal(err)
 	}
 	b.Configure(set)
-	r.request(Request{ID: "new", Left: 10 * time.Second})
+	r.request(Request{ID: "new", Timeout: 10 * time.Second})
 	if got := b.attempts(b.open["old"]); got != 2 {
 		t.Errorf("an open request has %d attempts, came with 2", got)
 	}
 	if got := b.attempts(b.open["new"]); got != 5 {
 		t.Errorf("a new request has %d attempts, not the 5 of the limits", got)
 	}
-	if b.open["old"].class.Worth != 1 || b.open["new"].class.Worth != 7 {
+	if b.open["old"].class.PriorityWeight != 1 || b.open["new"].class.PriorityWeight != 7 {
 		t.Error("a request does not have the class that it came with")
 	}
 	for _, spoil := range []func(*Class){
-		func(c *Class) { c.Effect = Unsafe }, func(c *Class) { c.Name = "d" },
-		func(c *Class) { c.Window = time.Hour }, func(c *Class) { c.Deadline = -1 }} {
+		func(c *Class) { c.Idempotency = NonIdempotent }, func(c *Class) { c.Name = "d" },
+		func(c *Class) { c.KeyWindow = time.Hour }, func(c *Class) { c.Timeout = -1 }} {
 		bad := set
 		bad.Classes = append([]Class(nil), set.Classes...)
 		spoil(&bad.Classes[0])
@@ -401,38 +433,38 @@
 	set := testSettings()
 	first := newRecorder(t, set)
 	list := fleet(3)
-	first.members(Whole, list...)
+	first.members(ListFull, list...)
 	for i := range 200 {
 		first.now += 20 * time.Millisecond
 		first.request(job(i, safeClass))
 		if s := first.last(); s.w == list[0].ID {
-			first.end(s, Error)
+			first.end(s, ServerError)
 			first.now += time.Millisecond
 			continue
 		}
 		first.end(first.last(), OK)
 	}
 	cold := list[2]
-	cold.Since = first.now
-	first.members(Changes, cold)
+	cold.StartedAt = first.now
+	first.members(ListDelta, cold)
 	first.b.byID[cold.ID].sent = []load{{first.now, 7}}
 	for range 3 {
 		first.b.fails(first.now, first.b.byID[list[0].ID])
 	}
 	first.request(job(1000, safeClass))
 
-	raw, err := json.Marshal(first.b.Memory())
+	raw, err := json.Marshal(first.b.Learned())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m LearnedState
 	if err := json.Unmarshal(raw, &m); err != nil {
 		t.Fatal(err)
 	}
 	second := newSeeded(t, set, 2)
 	second.now = first.now
-	second.members(Cached, list[0], list[1], cold)
-	second.b.Recall(second.now, m)
+	second.members(ListCached, list[0], list[1], cold)
+	second.b.RestoreLearned(second.now, m)
 	if w := second.b.byID[cold.ID]; len(w.sent) != 1 || w.sent[0].work != 7 {
 		t.Errorf("what was spent on the cold worker: %v", w.sent)
 	}
@@ -440,15 +472,15 @@
 		t.Error("the failing worker is trusted")
 	}
 	out := 0.0
-	for id, n := range first.b.Held() {
-		second.b.Beside(id, n)
+	for id, n := range first.b.InFlight() {
+		second.b.SetOtherInFlight(id, n)
 		out += second.b.held(second.now, second.b.byID[id])
 	}
 	if out != 1 || second.b.mean != first.b.mean || second.b.ratio != first.b.ratio {
 		t.Errorf("%v jobs are out, the usual time is %v, was %v", out, second.b.mean, first.b.mean)
 	}
-	for id := range first.b.Held() { // and they end
-		second.b.Beside(id, 0)
+	for id := range first.b.InFlight() { // and they end
+		second.b.SetOtherInFlight(id, 0)
 		if n := second.b.held(second.now, second.b.byID[id]); n != 0 {
 			t.Errorf("%v jobs are out of a process that has none", n)
 		}
@@ -456,18 +488,18 @@
 	// Hazard: the other process's clock is ahead, and an illness grows with time.
 	behind := newSeeded(t, set, 3)
 	behind.now = first.now - time.Minute
-	behind.members(Cached, list[0], list[1], cold)
-	behind.b.Recall(behind.now, m)
+	behind.members(ListCached, list[0], list[1], cold)
+	behind.b.RestoreLearned(behind.now, m)
 	if ill := behind.b.illness(behind.now, behind.b.byID[list[0].ID]); ill > 1 {
 		t.Errorf("by a clock that is behind a worker is ill by %v", ill)
 	}
-	second.b.Recall(second.now, Memory{Ratio: 1, Usual: []float64{1}}) // of other settings
+	second.b.RestoreLearned(second.now, LearnedState{Ratio: 1, Usual: []float64{1}}) // of other settings
 	// A process of before the hints' measure tells no full workers, and counts by how long jobs run.
 	m.Full, m.Loads[0], m.Ratio = nil, [2]float64{8, 4}, 2
 	older := newSeeded(t, set, 4)
 	older.now = first.now
-	older.members(Cached, list[0], list[1], cold)
-	older.b.Recall(older.now, m)
+	older.members(ListCached, list[0], list[1], cold)
+	older.b.RestoreLearned(older.now, m)
 	if rate, sent := older.b.warmRate(0), older.b.byID[cold.ID].sent[0].work; rate != 1 || sent != 3.5 {
 		t.Errorf("from an older process a warm worker bears %v, want 1; 7 spent are %v, want 3.5", rate, sent)
 	}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -10,14 +10,14 @@
 type idle struct{ to WorkerID }
 
 func (h *idle) Send(_ RequestID, w WorkerID, _ time.Duration) { h.to = w }
-func (*idle) Refuse(RequestID, time.Duration)                 {}
+func (*idle) Reject(RequestID, time.Duration)                 {}
 func (*idle) Fail(RequestID)                                  {}
 func (*idle) Cancel(RequestID, int)                           {}
-func (*idle) Probe(WorkerID)                                  {}
-func (*idle) Watch(bool)                                      {}
-func (*idle) Fetch()                                          {}
-func (*idle) After(time.Duration, uint64)                     {}
-func (*idle) Tell(int, []byte)                                {}
+func (*idle) CheckHealth(WorkerID)                            {}
+func (*idle) WatchList(bool)                                  {}
+func (*idle) FetchList()                                      {}
+func (*idle) SetTimer(time.Duration, uint64)                  {}
+func (*idle) SendPeer(int, []byte)                            {}
 func (*idle) CloseIdle(WorkerID)                              {}
 func (*idle) Log(string)                                      {}
 
@@ -26,10 +26,21 @@
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			host := &idle{}
-			bal, err := New(Settings{Kinds: 1, Zones: 1, Fleet: 1, Limits: Limits{Attempts: 5},
-				Classes: []Class{{Name: "c", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1,
-					Kind: -1}},
-				Goal: Goal{Whole: 1}}, 1, host)
+			bal, err := New(
+				Settings{WorkerKinds: 1, ZoneCount: 1, DispatcherCount: 1, Limits: Limits{MaxAttempts: 5},
+					Classes: []Class{
+						{
+							Name:             "c",
+							LatencyObjective: time.Second,
+							Timeout:          5 * time.Second,
+							PriorityWeight:   1,
+							WorkerKind:       -1,
+						},
+					},
+					Goal: Goal{Overall: 1}},
+				1,
+				host,
+			)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -38,13 +49,16 @@
 				list[i] = Worker{ID: WorkerID(i + 1), State: Ready, Size: 1}
 			}
 			now := time.Hour
-			bal.Members(now, Whole, list)
+			bal.UpdateWorkers(now, ListFull, list)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 100 * time.Microsecond
-				bal.Request(now, Request{ID: "r", Left: 5 * time.Second})
-				bal.Outcome(now, Outcome{ID: "r", Worker: host.to, Result: OK, Took: time.Millisecond,
-					Settled: true, Report: NoReport})
+				bal.Submit(now, Request{ID: "r", Timeout: 5 * time.Second})
+				bal.AttemptEnded(
+					now,
+					AttemptOutcome{ID: "r", Worker: host.to, Result: OK, Took: time.Millisecond,
+						Responded: true, Report: NoLoadReport},
+				)
 			}
 		})
 	}
--- a/balancer/configure.go
+++ b/balancer/configure.go
@@ -17,16 +17,16 @@
 	b := &Balancer{
 		set: set, act: act, rng: rand.New(rand.NewPCG(seed, 0)),
 		byID: map[WorkerID]*worker{}, open: map[RequestID]*request{},
-		loads: make([]kindLoad, set.Kinds), slots: make([]float64, set.Kinds),
+		loads: make([]kindLoad, set.WorkerKinds), slots: make([]float64, set.WorkerKinds),
 		usual: make([]float64, len(set.Classes)), tallies: make([]tally, len(set.Classes)),
 		values:   make([]float64, len(set.Classes)),
-		patience: set.Classes[0].Deadline, ratio: 1, tenants: make([]allowance, len(set.Tenants)),
+		patience: set.Classes[0].Timeout, ratio: 1, tenants: make([]allowance, len(set.Tenants)),
 	}
-	for range set.Kinds {
+	for range set.WorkerKinds {
 		b.paces = append(b.paces, 1)
 	}
 	for _, c := range set.Classes {
-		b.patience = min(b.patience, c.Deadline)
+		b.patience = min(b.patience, c.Timeout)
 	}
 	return b, nil
 }
@@ -42,8 +42,10 @@
 	}
 	for i, c := range set.Classes {
 		was := &b.set.Classes[i]
-		if c.Name != was.Name || c.Effect != was.Effect || c.Scope != was.Scope || c.Kind != was.Kind ||
-			c.Stream != was.Stream || c.Window != was.Window {
+		if c.Name != was.Name || c.Idempotency != was.Idempotency || c.KeyScope != was.KeyScope ||
+			c.WorkerKind != was.WorkerKind ||
+			c.Streaming != was.Streaming ||
+			c.KeyWindow != was.KeyWindow {
 			return fmt.Errorf("class %q: name, effect, scope, window, kind and stream can't change", was.Name)
 		}
 	}
@@ -62,11 +64,11 @@
 	b.set.Classes = slices.Clone(set.Classes)
 	b.set.Tenants = slices.Clone(set.Tenants)
 	// Dispatchers that agree with each other come and go, and their parts with them.
-	b.set.Me, b.set.Fleet = set.Me, max(set.Fleet, 1)
+	b.set.DispatcherIndex, b.set.DispatcherCount = set.DispatcherIndex, max(set.DispatcherCount, 1)
 	b.set.Rules.OverloadFactor = set.Rules.OverloadFactor
-	b.patience = b.set.Classes[0].Deadline
+	b.patience = b.set.Classes[0].Timeout
 	for _, c := range b.set.Classes {
-		b.patience = min(b.patience, c.Deadline)
+		b.patience = min(b.patience, c.Timeout)
 	}
 }
 
@@ -79,15 +81,20 @@
 		return errors.New("settings: Classes: none given")
 	}
 	for i, c := range s.Classes {
-		if c.Deadline <= 0 {
-			return fmt.Errorf("settings: Classes[%d].Deadline: %v is not positive", i, c.Deadline)
+		if c.Timeout <= 0 {
+			return fmt.Errorf("settings: Classes[%d].Deadline: %v is not positive", i, c.Timeout)
 		}
-		if c.Aim < 0 || c.Stretch < 0 || c.Worth < 0 || c.Window < 0 ||
-			c.Effect > Unsafe || c.Scope > ScopeCell || c.Attempts < 0 {
+		if c.LatencyObjective < 0 || c.ObjectiveStretch < 0 || c.PriorityWeight < 0 || c.KeyWindow < 0 ||
+			c.Idempotency > NonIdempotent || c.KeyScope > ScopeCell || c.MaxAttempts < 0 {
 			return fmt.Errorf("settings: Classes[%d]: a value is out of range", i)
 		}
-		if c.Kind < -1 || c.Kind >= s.Kinds && c.Kind > 0 {
-			return fmt.Errorf("settings: Classes[%d].Kind: %d is not one of %d kinds", i, c.Kind, s.Kinds)
+		if c.WorkerKind < -1 || c.WorkerKind >= s.WorkerKinds && c.WorkerKind > 0 {
+			return fmt.Errorf(
+				"settings: Classes[%d].Kind: %d is not one of %d kinds",
+				i,
+				c.WorkerKind,
+				s.WorkerKinds,
+			)
 		}
 	}
 	r := &s.Rules
@@ -95,21 +102,23 @@
 		name string
 		bad  bool
 	}{
-		{"Limits.Attempts", s.Limits.Attempts < 0}, {"Limits.MaxRetryAfter", s.Limits.MaxRetryAfter < 0},
-		{"Rules.AnswerSlack", r.AnswerSlack < 0}, {"Rules.AskEvery", r.AskEvery < 0},
-		{"Rules.ColdShare", r.ColdShare < 0 || r.ColdShare > 1}, {"Rules.Cold", r.Cold < 0},
-		{"Rules.OverloadFactor", r.OverloadFactor < 0}, {"Rules.Fall", r.Fall < 0},
-		{"Rules.Budget", r.Budget < 0}, {"Rules.FreeFurther", r.FreeFurther < 0},
-		{"Rules.FurtherShare", r.FurtherShare < 0},
-		{"Fleet", s.Fleet < 0}, {"Me", s.Me < 0 || s.Fleet > 0 && s.Me >= s.Fleet},
-		{"Zone", s.Zone < 0 || s.Zones > 0 && s.Zone >= s.Zones}, {"Kinds", s.Kinds < 0},
+		{"Limits.Attempts", s.Limits.MaxAttempts < 0}, {"Limits.MaxRetryAfter", s.Limits.MaxRetryAfter < 0},
+		{"Rules.AnswerSlack", r.ResponseSlack < 0}, {"Rules.AskEvery", r.ListPollInterval < 0},
+		{"Rules.ColdShare", r.SlowStartMinShare < 0 || r.SlowStartMinShare > 1}, {"Rules.Cold",
+			r.SlowStartWindow < 0},
+		{"Rules.OverloadFactor", r.OverloadFactor < 0}, {"Rules.Fall", r.OverloadWindow < 0},
+		{"Rules.Budget", r.RetryBudgetWindow < 0}, {"Rules.FreeFurther", r.RetryBudgetBase < 0},
+		{"Rules.FurtherShare", r.RetryBudgetShare < 0},
+		{"Fleet", s.DispatcherCount < 0}, {"Me", s.DispatcherIndex < 0 || s.DispatcherCount > 0 &&
+			s.DispatcherIndex >= s.DispatcherCount},
+		{"Zone", s.Zone < 0 || s.ZoneCount > 0 && s.Zone >= s.ZoneCount}, {"Kinds", s.WorkerKinds < 0},
 	} {
 		if v.bad {
 			return fmt.Errorf("%s: out of range", v.name)
 		}
 	}
-	s.Fleet = max(s.Fleet, 1)
-	s.Kinds = max(s.Kinds, 1)
-	s.Limits.Attempts = max(s.Limits.Attempts, 1)
+	s.DispatcherCount = max(s.DispatcherCount, 1)
+	s.WorkerKinds = max(s.WorkerKinds, 1)
+	s.Limits.MaxAttempts = max(s.Limits.MaxAttempts, 1)
 	return nil
 }
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -91,7 +91,7 @@
 func (b *Balancer) load(now time.Duration, w *worker, q *request) float64 {
 	n := (b.held(now, w) + q.size()*b.paceOf(now, w) + home*w.away) / b.slotsOf(w)
 	if w.Zone != b.set.Zone {
-		n += min(far*b.set.Prices.CrossZone, farthest)
+		n += min(far*b.set.Costs.CrossZone, farthest)
 	}
 	return n
 }
@@ -101,13 +101,13 @@
 // Hazard: with many dispatchers each has a job or two out, all its counts are zero, and what it saw
 // of a worker is long past. Near home it meets the same few workers again.
 func (b *Balancer) settle() {
-	_, point := math.Modf(float64(b.set.Me) * math.Phi) // spreads any run of numbers evenly
+	_, point := math.Modf(float64(b.set.DispatcherIndex) * math.Phi) // spreads any run of numbers evenly
 	total, end, number := map[int]float64{}, map[int]float64{}, map[int]float64{}
 	for _, w := range b.workers {
 		total[w.Zone] += w.Size
 		number[w.Zone]++
 	}
-	unseen := 1 - 1/float64(b.set.Fleet) // a dispatcher alone sees all and needs no home
+	unseen := 1 - 1/float64(b.set.DispatcherCount) // a dispatcher alone sees all and needs no home
 	for _, w := range b.workers {
 		end[w.Zone] += w.Size
 		_, away := math.Modf(1 + end[w.Zone]/max(total[w.Zone], tiny) - point)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Members takes news of the list of workers.
-func (b *Balancer) Members(now time.Duration, kind ListKind, list []Worker) {
+// UpdateWorkers takes news of the list of workers.
+func (b *Balancer) UpdateWorkers(now time.Duration, kind ListUpdateKind, list []Worker) {
 	if !b.started {
 		b.started, b.startedAt, b.surveyed = true, now, now
-		b.act.After(b.sweepEvery(), sweepToken)
+		b.act.SetTimer(b.sweepEvery(), sweepToken)
 		switch wait := b.firstAsk(); {
-		case b.set.MustAsk && wait > 0:
-			b.act.After(wait, askToken)
-		case b.set.MustAsk:
-			b.act.Watch(true)
+		case b.set.ListOnRequest && wait > 0:
+			b.act.SetTimer(wait, askToken)
+		case b.set.ListOnRequest:
+			b.act.WatchList(true)
 		}
 	}
-	if kind == Failed {
-		b.act.After(b.askAgain(), askToken)
+	if kind == ListUnavailable {
+		b.act.SetTimer(b.askAgain(), askToken)
 		b.asks++
 		return
 	}
-	if kind != Cached {
+	if kind != ListCached {
 		b.asks = 0
 	}
-	b.listed = b.listed || kind != Cached || len(list) > 0
-	if kind != Changes {
+	b.listed = b.listed || kind != ListCached || len(list) > 0
+	if kind != ListDelta {
 		for _, w := range b.workers {
 			w.State = Removed
 		}
@@ -38,15 +38,15 @@
 	}
 	b.prune()
 	b.settle()
-	if kind != Cached {
+	if kind != ListCached {
 		b.release(now)
 	}
 }
 
-// Request takes a new request and sends, refuses or fails it.
-func (b *Balancer) Request(now time.Duration, r Request) {
+// Submit takes a new request and sends, refuses or fails it.
+func (b *Balancer) Submit(now time.Duration, r Request) {
 	if q := b.admit(now, r); q != nil {
-		b.taken.since(now - b.set.Rules.Budget)
+		b.taken.since(now - b.set.Rules.RetryBudgetWindow)
 		b.taken = append(b.taken, now)
 		b.tallies[q.Class].asked += b.units(q)
 		b.arrived++
@@ -58,8 +58,8 @@
 	}
 }
 
-// Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+// AttemptEnded takes the end of an attempt.
+func (b *Balancer) AttemptEnded(now time.Duration, o AttemptOutcome) {
 	q, t := b.attempt(o.ID, o.Attempt)
 	if t == nil || t.ended {
 		return
@@ -69,13 +69,13 @@
 	if t.start > 0 {
 		t.w.running--
 	}
-	if o.Result == OK || o.Result == Error || o.Result == Full {
+	if o.Result == OK || o.Result == ServerError || o.Result == WorkerFull {
 		t.w.heard = now // the others are no word of its own
 	}
 	q.out--
 	b.learn(now, q, t, &o)
 	t.w.own -= q.size()
-	if o.Settled && !q.over {
+	if o.Responded && !q.over {
 		q.over = true
 		b.stop(q)
 	}
@@ -83,15 +83,15 @@
 		b.forget(q)
 		return
 	}
-	if o.Result == Rejected {
+	if o.Result == Unprocessable {
 		b.fail(q)
 		return
 	}
 	b.place(now, q)
 }
 
-// Progress takes news of an attempt that is out.
-func (b *Balancer) Progress(now time.Duration, n Note) {
+// AttemptProgressed takes news of an attempt that is out.
+func (b *Balancer) AttemptProgressed(now time.Duration, n AttemptProgress) {
 	_, t := b.attempt(n.ID, n.Attempt)
 	if t == nil || t.ended {
 		return
@@ -106,8 +106,14 @@
 	b.meets(now, t.w.wait)
 }
 
-// Probed takes what a probe found.
-func (b *Balancer) Probed(now time.Duration, id WorkerID, res Result, took time.Duration, r Report) {
+// HealthChecked takes what a probe found.
+func (b *Balancer) HealthChecked(
+	now time.Duration,
+	id WorkerID,
+	res Result,
+	took time.Duration,
+	r LoadReport,
+) {
 	switch w := b.byID[id]; {
 	case w == nil:
 	case res == OK:
@@ -132,8 +138,8 @@
 	b.release(now)
 }
 
-// Peer takes a message from another dispatcher: the worker that has just failed it.
-func (b *Balancer) Peer(now time.Duration, from int, data []byte) {
+// ReceivePeer takes a message from another dispatcher: the worker that has just failed it.
+func (b *Balancer) ReceivePeer(now time.Duration, from int, data []byte) {
 	if len(data) != 4 {
 		return
 	}
@@ -142,28 +148,28 @@
 	}
 }
 
-// Timer takes a timer that has come due.
-func (b *Balancer) Timer(now time.Duration, token uint64) {
+// TimerFired takes a timer that has come due.
+func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	switch token {
 	case sweepToken:
 		b.sweep(now)
-		b.act.After(b.sweepEvery(), sweepToken)
+		b.act.SetTimer(b.sweepEvery(), sweepToken)
 	case askToken:
-		b.act.Watch(true)
+		b.act.WatchList(true)
 	}
 }
 
-// Streaming takes the start of a streamed answer: the client owns the attempt from now on, and the
+// StreamStarted takes the start of a streamed answer: the client owns the attempt from now on, and the
 // request is over as if it had left.
-func (b *Balancer) Streaming(now time.Duration, id RequestID, attempt int) {
+func (b *Balancer) StreamStarted(now time.Duration, id RequestID, attempt int) {
 	if q := b.open[id]; q != nil {
 		q.over = true
 		b.forget(q)
 	}
 }
 
-// Gone takes the end of a request whose client has left.
-func (b *Balancer) Gone(now time.Duration, id RequestID) {
+// ClientDisconnected takes the end of a request whose client has left.
+func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	if q := b.open[id]; q != nil && !q.over {
 		q.over = true
 		b.stop(q)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -14,28 +14,29 @@
 	p.sent = w
 	fmt.Printf("send %s to worker %d\n", id, w)
 }
-func (p *printer) Refuse(id balancer.RequestID, after time.Duration) {
+func (p *printer) Reject(id balancer.RequestID, after time.Duration) {
 	fmt.Println("refuse", id, after > 0)
 }
-func (p *printer) Fail(id balancer.RequestID)          { fmt.Println("fail", id) }
-func (p *printer) Cancel(id balancer.RequestID, n int) {}
-func (p *printer) Probe(w balancer.WorkerID)           {}
-func (p *printer) Watch(on bool)                       {}
-func (p *printer) Fetch()                              {}
-func (p *printer) After(d time.Duration, token uint64) {}
-func (p *printer) Tell(peer int, data []byte)          {}
-func (p *printer) CloseIdle(w balancer.WorkerID)       {}
-func (p *printer) Log(text string)                     {}
+func (p *printer) Fail(id balancer.RequestID)             { fmt.Println("fail", id) }
+func (p *printer) Cancel(id balancer.RequestID, n int)    {}
+func (p *printer) CheckHealth(w balancer.WorkerID)        {}
+func (p *printer) WatchList(on bool)                      {}
+func (p *printer) FetchList()                             {}
+func (p *printer) SetTimer(d time.Duration, token uint64) {}
+func (p *printer) SendPeer(peer int, data []byte)         {}
+func (p *printer) CloseIdle(w balancer.WorkerID)          {}
+func (p *printer) Log(text string)                        {}
 
 // A dispatcher tells the balancer what happens and does what it is asked.
 func Example() {
 	settings := balancer.Settings{
 		Classes: []balancer.Class{{
-			Name: "resize", Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second,
-			Worth: 1, Effect: balancer.Safe, Kind: -1,
+			Name: "resize", LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2,
+			Timeout:        5 * time.Second,
+			PriorityWeight: 1, Idempotency: balancer.Idempotent, WorkerKind: -1,
 		}},
-		Limits: balancer.Limits{Attempts: 3, RetryAfter: true, MaxRetryAfter: time.Second},
-		Goal:   balancer.Goal{Whole: 1},
+		Limits: balancer.Limits{MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second},
+		Goal:   balancer.Goal{Overall: 1},
 	}
 	host := &printer{}
 	b, err := balancer.New(settings, 1, host)
@@ -44,12 +45,15 @@
 		return
 	}
 	now := time.Second
-	b.Request(now, balancer.Request{ID: "a", Left: 5 * time.Second}) // no worker is known yet
-	b.Members(now, balancer.Whole, []balancer.Worker{{ID: 7, State: balancer.Ready}})
-	b.Request(now, balancer.Request{ID: "b", Left: 5 * time.Second})
+	b.Submit(now, balancer.Request{ID: "a", Timeout: 5 * time.Second}) // no worker is known yet
+	b.UpdateWorkers(now, balancer.ListFull, []balancer.Worker{{ID: 7, State: balancer.Ready}})
+	b.Submit(now, balancer.Request{ID: "b", Timeout: 5 * time.Second})
 	now += 50 * time.Millisecond
-	b.Outcome(now, balancer.Outcome{ID: "b", Worker: host.sent, Result: balancer.OK, Settled: true,
-		Report: balancer.NoReport})
+	b.AttemptEnded(
+		now,
+		balancer.AttemptOutcome{ID: "b", Worker: host.sent, Result: balancer.OK, Responded: true,
+			Report: balancer.NoLoadReport},
+	)
 	// Output:
 	// refuse a true
 	// send b to worker 7
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Distrusted is how many ready workers are left out of draws by choice. Where none is
+// EjectedCount is how many ready workers are left out of draws by choice. Where none is
 // trusted, all are drawn.
-func (b *Balancer) Distrusted(now time.Duration) int {
+func (b *Balancer) EjectedCount(now time.Duration) int {
 	ready, ill := 0, 0
 	for _, w := range b.workers {
 		if w.State == Ready {
@@ -49,7 +49,7 @@
 // Verdict says how a worker stands for a request.
 type Verdict struct {
 	Worker Worker
-	Why    string // why the request may not go there now; empty: it may
+	Reason string // why the request may not go there now; empty: it may
 }
 
 // Explain says of each worker, by ID, whether a request that came now would be drawn for
@@ -57,7 +57,7 @@
 func (b *Balancer) Explain(now time.Duration, r Request, tier int) []Verdict {
 	r.Class = min(max(r.Class, 0), len(b.set.Classes)-1)
 	q := &request{Request: r, class: &b.set.Classes[r.Class], tier: tier, anyone: true,
-		deadline: now + r.Left, came: now}
+		deadline: now + r.Timeout, came: now}
 	trusted := slices.ContainsFunc(
 		b.workers,
 		func(w *worker) bool { return b.may(now, q, w) && b.trusted(now, q, w) },
@@ -67,19 +67,19 @@
 		v := Verdict{Worker: w.Worker}
 		switch {
 		case w.State == Draining:
-			v.Why = "it drains"
+			v.Reason = "it drains"
 		case w.State != Ready:
-			v.Why = "it is gone"
-		case q.class.Kind >= 0 && q.class.Kind != w.Kind:
-			v.Why = "the class wants another kind"
+			v.Reason = "it is gone"
+		case q.class.WorkerKind >= 0 && q.class.WorkerKind != w.Kind:
+			v.Reason = "the class wants another kind"
 		case !q.onRoute(w):
-			v.Why = "the rule puts it elsewhere or nowhere"
+			v.Reason = "the rule puts it elsewhere or nowhere"
 		case !b.coldRoom(now, w, b.effort(q)):
-			v.Why = "it is cold and its budget has no room"
+			v.Reason = "it is cold and its budget has no room"
 		case !b.may(now, q, w):
-			v.Why = "the time is up"
+			v.Reason = "the time is up"
 		case trusted && !b.trusted(now, q, w):
-			v.Why = "it has failed lately, and others have not"
+			v.Reason = "it has failed lately, and others have not"
 		}
 		list = append(list, v)
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -10,7 +10,7 @@
 // trusted reports whether w is well enough for q to be drawn; if no worker is, all are drawn. Hazard: one
 // that errors at once, or can't be reached, keeps a low count and wins until its record is minded.
 func (b *Balancer) trusted(now time.Duration, q *request, w *worker) bool {
-	if q.class.Effect == Unsafe {
+	if q.class.Idempotency == NonIdempotent {
 		return b.illness(now, w) < suspect/2
 	}
 	return b.illness(now, w) < suspect
@@ -33,5 +33,5 @@
 
 // silent reports whether w runs a job of ours and has told nothing for long.
 func (b *Balancer) silent(now time.Duration, w *worker) bool {
-	return w.running > 0 && b.set.Progress > 0 && now-w.heard > quiet*b.set.Progress
+	return w.running > 0 && b.set.ProgressInterval > 0 && now-w.heard > quiet*b.set.ProgressInterval
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -8,7 +8,7 @@
 // Hazard: a worker that errors at once reads zero and wins every draw.
 func TestFailingWorkerIsLeftOut(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(4)...)
+	r.members(ListFull, fleet(4)...)
 	bad := 0
 	for i := range 200 {
 		r.request(job(i, unsafeClass))
@@ -16,7 +16,7 @@
 		res := OK
 		if s.w == 100 {
 			bad++
-			res = Error
+			res = ServerError
 		}
 		r.pass(5 * time.Millisecond)
 		r.end(s, res)
@@ -38,10 +38,10 @@
 // If all workers fail, jobs still go out.
 func TestAllSuspect(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(3)...)
+	r.members(ListFull, fleet(3)...)
 	for i := range 60 {
 		r.request(job(i, unsafeClass))
-		r.end(r.last(), Error)
+		r.end(r.last(), ServerError)
 	}
 	before := len(r.sends)
 	r.request(job(60, unsafeClass))
@@ -53,9 +53,9 @@
 // Hazard: a silent worker keeps its count and wins draws until its first attempt times out.
 func TestSilentWorkerIsNotDrawn(t *testing.T) {
 	set := testSettings()
-	set.TellsStart, set.Progress = true, 200*time.Millisecond
+	set.ReportsStart, set.ProgressInterval = true, 200*time.Millisecond
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(4)...)
+	r.members(ListFull, fleet(4)...)
 	r.request(job(0, safeClass))
 	silent := r.last().w
 	r.start(r.last())
@@ -71,20 +71,20 @@
 // Hazard: each of many dispatchers loses some jobs to a failing worker before it knows.
 func TestFailureToldToPeers(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(2)...)
+	r.members(ListFull, fleet(2)...)
 	bad := r.work[100].ID
-	r.b.Peer(r.now, 3, []byte{0, 0, 0, byte(bad)})
+	r.b.ReceivePeer(r.now, 3, []byte{0, 0, 0, byte(bad)})
 	for i := range 20 {
 		r.request(job(i, unsafeClass))
 		if s := r.last(); s.w == bad {
 			t.Fatal("an unsafe job went to a worker that had just failed another dispatcher's")
 		}
 	}
-	r.end(r.last(), Error)
+	r.end(r.last(), ServerError)
 	if len(r.tells) != 1 || string(r.tells[0]) != "\x00\x00\x00\x65" {
 		t.Errorf("told %q after a failure, want the worker's ID", r.tells)
 	}
-	r.b.Peer(r.now, 3, []byte("?")) // not ours: no harm
+	r.b.ReceivePeer(r.now, 3, []byte("?")) // not ours: no harm
 	r.request(job(100, safeClass))
 	r.end(r.last(), ConnectFailed)
 	if len(r.tells) != 1 {
@@ -96,11 +96,11 @@
 func TestOwedWorkerGetsAJob(t *testing.T) {
 	for _, owed := range []bool{true, false} {
 		set := testSettings()
-		set.Rules.Cold, set.Rules.ColdShare = 20*time.Second, 0.12
-		set.Rules.OverloadFactor, set.Rules.Fall = 3, time.Second
+		set.Rules.SlowStartWindow, set.Rules.SlowStartMinShare = 20*time.Second, 0.12
+		set.Rules.OverloadFactor, set.Rules.OverloadWindow = 3, time.Second
 		r := newRecorder(t, set)
 		list := fleet(4)
-		r.members(Whole, list...)
+		r.members(ListFull, list...)
 		run := func(from, n int) (got int) {
 			for i := range n {
 				r.now += 50 * time.Millisecond
@@ -115,10 +115,10 @@
 		}
 		run(0, 100)
 		back := list[0]
-		back.Since = r.now
-		r.members(Changes, back)
+		back.StartedAt = r.now
+		r.members(ListDelta, back)
 		if owed {
-			r.b.Owe(back.ID)
+			r.b.EndMaintenance(back.ID)
 		}
 		if got := run(1000, 1); (got == 1) != owed {
 			t.Errorf("owed %v: the first job went there %d times", owed, got)
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -8,21 +8,21 @@
 )
 
 // learn takes what the end of an attempt tells of its worker.
-func (b *Balancer) learn(now time.Duration, q *request, t *attempt, o *Outcome) {
+func (b *Balancer) learn(now time.Duration, q *request, t *attempt, o *AttemptOutcome) {
 	w := t.w
 	b.report(w, &o.Report)
 	switch o.Result {
-	case Error, Reset, ConnectFailed:
+	case ServerError, ConnectionReset, ConnectFailed:
 		b.fails(now, w)
 		// Hazard: each of many would lose unsafe jobs to w before it knows. A broken path may be ours alone.
-		if o.Result == Error && b.set.Limits.Peers {
-			b.act.Tell(Everyone, w.name())
+		if o.Result == ServerError && b.set.Limits.PeerMessages {
+			b.act.SendPeer(AllPeers, w.name())
 		}
 		return
-	case Full:
+	case WorkerFull:
 		// Its queue is full: the wait there is a running time at least.
 		w.wait, w.waitT = max(b.seenWait(now, w), b.mean*b.paceOf(now, w)), now
-		if b.set.TellsStart { // hazard: else no job is seen to meet none, and only bad news comes in
+		if b.set.ReportsStart { // hazard: else no job is seen to meet none, and only bad news comes in
 			b.meets(now, w.wait)
 		}
 		return
@@ -37,7 +37,7 @@
 	ran := (now - max(t.sent, t.start)).Seconds()
 	usual := &b.usual[q.Class]
 	*usual = cmp.Or(*usual, ran)
-	if hint := q.Work.Seconds(); hint > 0 {
+	if hint := q.ExpectedWork.Seconds(); hint > 0 {
 		b.ratio += slow * (min(ran/hint, outlier) - b.ratio)
 	}
 	expect := max(b.expect(q), tiny)
@@ -50,7 +50,7 @@
 	*usual += slow * (ran - *usual)
 	b.mean += slow * (ran - b.mean)
 	c := q.class
-	if (now - q.came).Seconds() <= c.Aim.Seconds()+c.Stretch*ran {
+	if (now - q.came).Seconds() <= c.LatencyObjective.Seconds()+c.ObjectiveStretch*ran {
 		b.tallies[q.Class].served += b.units(q)
 	}
 }
@@ -59,15 +59,15 @@
 //
 // Hazard: reports in answers come only from where jobs go, so that all follow the same stale news and
 // refuse by it, and get no other: they count little. Probes ask every worker alike and count more.
-func (b *Balancer) report(w *worker, r *Report) {
-	if !r.Told || r.FreeSlots < 0 {
+func (b *Balancer) report(w *worker, r *LoadReport) {
+	if !r.Received || r.FreeSlots < 0 {
 		return
 	}
 	b.slots[w.Kind] = max(b.slots[w.Kind], r.FreeSlots)
 	w.full = r.FreeSlots <= nearly*b.slots[w.Kind]
-	held := b.slots[w.Kind] - r.FreeSlots + max(r.Queue, 0)
+	held := b.slots[w.Kind] - r.FreeSlots + max(r.QueueLength, 0)
 	weight := slow
-	if b.set.ReportProbed {
+	if b.set.LoadReportsByCheck {
 		weight = blend
 	}
 	if b.blind {
--- a/balancer/learn_test.go
+++ b/balancer/learn_test.go
@@ -9,7 +9,7 @@
 // Reports of free slots make a busy worker count as busy.
 func TestReportsOfOthers(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(2)...)
+	r.members(ListFull, fleet(2)...)
 	busy := 0
 	for i := range 200 {
 		r.request(job(i, safeClass))
@@ -37,11 +37,11 @@
 	}{{"probed", true, 0}, {"in answers", false, 3}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.ReportProbed = c.probed
+			set.LoadReportsByCheck = c.probed
 			r := newRecorder(t, set)
-			r.members(Whole, fleet(2)...)
+			r.members(ListFull, fleet(2)...)
 			for _, free := range []float64{8, 0, 0, 0} {
-				r.b.Probed(r.now, 100, OK, time.Millisecond, freeSlots(free))
+				r.b.HealthChecked(r.now, 100, OK, time.Millisecond, freeSlots(free))
 			}
 			there := 0
 			for i := range 5 {
@@ -65,9 +65,9 @@
 	}{{"probed", true, true, 6}, {"in answers", false, true, 0}, {"forbidden", true, false, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.ReportProbed, set.Limits.Probes = c.probed, c.allowed
+			set.LoadReportsByCheck, set.Limits.HealthChecks = c.probed, c.allowed
 			r := newRecorder(t, set)
-			r.members(Whole, fleet(3)...)
+			r.members(ListFull, fleet(3)...)
 			for i := range 6 {
 				r.request(job(i, safeClass))
 				r.pass(time.Millisecond)
@@ -101,13 +101,13 @@
 	}{{"all answer", 3}, {"two answer", 2}, {"none answers", 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.ReportProbed, set.Fleet = true, 100
+			set.LoadReportsByCheck, set.DispatcherCount = true, 100
 			r := newRecorder(t, set)
-			r.members(Whole, fleet(40)...)
+			r.members(ListFull, fleet(40)...)
 			for i := range 30 { // rare requests: each worker is met twice a minute
 				r.request(job(i, safeClass))
 				for _, w := range r.asked[len(r.asked)-min(choices, len(r.asked)):] {
-					r.b.Probed(r.now, w, OK, 0, freeSlots(4))
+					r.b.HealthChecked(r.now, w, OK, 0, freeSlots(4))
 				}
 				r.pass(time.Second)
 				r.end(r.last(), OK)
@@ -118,9 +118,9 @@
 				t.Fatalf("%d workers asked and %d sends, want %d and none yet", n, len(r.sends)-sent, choices)
 			}
 			for i, w := range r.asked[asked : asked+c.answers] {
-				r.b.Probed(r.now, w, OK, 0, freeSlots(float64(2*i)))
+				r.b.HealthChecked(r.now, w, OK, 0, freeSlots(float64(2*i)))
 			}
-			r.pass(set.Classes[safeClass].Aim/brief + r.b.sweepEvery())
+			r.pass(set.Classes[safeClass].LatencyObjective/brief + r.b.sweepEvery())
 			if len(r.sends) != sent+1 {
 				t.Fatalf("%d sends, want one", len(r.sends)-sent)
 			}
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -10,17 +10,21 @@
 // dispatchers start at once. The list's service takes calls in turn, also those that it has turned away
 // meanwhile, and so falls behind for as long as they come back soon. Each has its own time, by its number.
 func (b *Balancer) firstAsk() time.Duration {
-	if b.set.Fleet < many {
+	if b.set.DispatcherCount < many {
 		return 0
 	}
-	return b.patience / firstAsks * time.Duration(b.set.Me) / time.Duration(b.set.Fleet)
+	return b.patience / firstAsks * time.Duration(
+		b.set.DispatcherIndex,
+	) / time.Duration(
+		b.set.DispatcherCount,
+	)
 }
 
 // askAgain is the wait before the list is asked for again, longer each time. Hazards: without a
 // subscription drains go unheard; all that ask at once keep the list's service down.
 func (b *Balancer) askAgain() time.Duration {
 	wait := b.spread(b.patience/16) << min(b.asks, 4)
-	if b.set.Fleet >= many {
+	if b.set.DispatcherCount >= many {
 		wait += time.Duration(b.rng.Int64N(int64(b.patience)))
 	}
 	if wait > longestAsk {
--- a/balancer/list_test.go
+++ b/balancer/list_test.go
@@ -11,13 +11,13 @@
 		name string
 		tell func(r *recorder)
 	}{
-		{"draining", func(r *recorder) { r.members(Changes, Worker{ID: 100, State: Draining}) }},
-		{"gone", func(r *recorder) { r.members(Changes, Worker{ID: 100, State: Removed}) }},
-		{"left out", func(r *recorder) { r.members(Whole, fleet(2)[1]) }},
+		{"draining", func(r *recorder) { r.members(ListDelta, Worker{ID: 100, State: Draining}) }},
+		{"gone", func(r *recorder) { r.members(ListDelta, Worker{ID: 100, State: Removed}) }},
+		{"left out", func(r *recorder) { r.members(ListFull, fleet(2)[1]) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRecorder(t, testSettings())
-			r.members(Whole, fleet(2)...)
+			r.members(ListFull, fleet(2)...)
 			c.tell(r)
 			r.pass(r.set.Rules.DrainGrace + time.Second)
 			for i := range 20 {
@@ -37,22 +37,22 @@
 
 func TestListMustBeAskedFor(t *testing.T) {
 	set := testSettings()
-	set.MustAsk = true
+	set.ListOnRequest = true
 	r := newRecorder(t, set)
-	r.members(Cached, fleet(2)...)
+	r.members(ListCached, fleet(2)...)
 	if r.watch != 1 {
 		t.Fatalf("%d calls at the start, want 1", r.watch)
 	}
 	var calls []time.Duration
 	for range 5 {
 		began, before := r.now, r.watch
-		r.b.Members(r.now, Failed, nil)
+		r.b.UpdateWorkers(r.now, ListUnavailable, nil)
 		for r.watch == before && r.now < began+time.Minute {
 			r.pass(10 * time.Millisecond)
 		}
 		calls = append(calls, r.now-began)
 	}
-	if calls[0] >= set.Rules.AskEvery || calls[3] <= calls[0] {
+	if calls[0] >= set.Rules.ListPollInterval || calls[3] <= calls[0] {
 		t.Errorf("waits after failures: %v; want short, then longer", calls)
 	}
 }
@@ -65,10 +65,10 @@
 		var last time.Duration
 		for me := range fleet {
 			set := testSettings()
-			set.MustAsk, set.Fleet, set.Me = true, fleet, me
+			set.ListOnRequest, set.DispatcherCount, set.DispatcherIndex = true, fleet, me
 			r := newRecorder(t, set)
 			began := r.now
-			r.members(Cached)
+			r.members(ListCached)
 			for r.watch == 0 {
 				r.pass(time.Millisecond)
 			}
@@ -79,7 +79,7 @@
 			t.Errorf("of %d dispatchers one waits for %v", fleet, last)
 		}
 		for at, n := range asked {
-			if fleet >= many && (n > 1 || at > testSettings().Classes[0].Deadline/firstAsks) {
+			if fleet >= many && (n > 1 || at > testSettings().Classes[0].Timeout/firstAsks) {
 				t.Errorf("%d of %d dispatchers ask after %v", n, fleet, at)
 			}
 		}
@@ -89,35 +89,35 @@
 // Requests that come before the first list wait for it, but only for a part of their time.
 func TestRequestsWaitForTheFirstList(t *testing.T) {
 	set := testSettings()
-	set.MustAsk = true
+	set.ListOnRequest = true
 	r := newRecorder(t, set)
-	r.members(Cached)
+	r.members(ListCached)
 	early := job(0, 0)
 	r.request(early)
 	r.pass(100 * time.Millisecond)
 	if got := r.reqs[early.ID].final; got != "" || len(r.sends) != 0 {
 		t.Fatalf("before the list: %q, %d sends", got, len(r.sends))
 	}
-	r.members(Whole, fleet(3)...)
+	r.members(ListFull, fleet(3)...)
 	if len(r.sends) != 1 {
 		t.Fatalf("%d sends with the list there", len(r.sends))
 	}
 
 	r = newRecorder(t, set)
-	r.members(Cached)
+	r.members(ListCached)
 	late := job(0, 0)
-	late.Left = time.Second
+	late.Timeout = time.Second
 	r.request(late)
-	r.pass(late.Left/firstList + 100*time.Millisecond)
+	r.pass(late.Timeout/firstList + 100*time.Millisecond)
 	if got := r.reqs[late.ID].final; got != "refused" {
 		t.Errorf("after half of its time without a list: %q", got)
 	}
 	left := job(1, 0)
 	r = newRecorder(t, set)
-	r.members(Cached)
+	r.members(ListCached)
 	r.request(left)
-	r.b.Gone(r.now, left.ID)
-	r.members(Whole, fleet(3)...)
+	r.b.ClientDisconnected(r.now, left.ID)
+	r.members(ListFull, fleet(3)...)
 	if len(r.sends) != 0 {
 		t.Error("a request whose client has left is sent once the list is there")
 	}
@@ -128,12 +128,12 @@
 func TestListIsAskedForAfterALongOutage(t *testing.T) {
 	for _, fleet := range []int{1, many, 300} {
 		set := testSettings()
-		set.MustAsk, set.Fleet = true, fleet
+		set.ListOnRequest, set.DispatcherCount = true, fleet
 		r := newRecorder(t, set)
-		r.members(Cached)
+		r.members(ListCached)
 		for range 40 {
 			asked, began := r.watch, r.now
-			r.members(Failed)
+			r.members(ListUnavailable)
 			for r.watch == asked {
 				r.pass(10 * time.Millisecond)
 			}
--- a/balancer/memory.go
+++ b/balancer/memory.go
@@ -4,46 +4,46 @@
 
 import "time"
 
-// Memory is what a dispatcher has learned. It holds no request.
-type Memory struct {
+// LearnedState is what a dispatcher has learned. It holds no request.
+type LearnedState struct {
 	Loads, Full, Tallies [][2]float64 // Full is the part of Loads at full workers; an older process has none
 	Slots, Paces, Usual  []float64
 	Mean, Ratio, Arrived float64
 	Efforts              float64 // of the arrived; an older process has none
 	Watched, Wait, Crowd float64
 	WaitT, Surveyed      time.Duration
-	Allowances           []Allowed
-	Workers              map[WorkerID]WorkerMemory
+	Allowances           []TenantQuota
+	Workers              map[WorkerID]WorkerRecord
 }
 
-// Allowed is what a tenant may still send, and has asked for.
-type Allowed struct {
+// TenantQuota is what a tenant may still send, and has asked for.
+type TenantQuota struct {
 	Left, Asked float64
 	At          time.Duration
 }
 
-// WorkerMemory is what it believes of a worker.
-type WorkerMemory struct {
+// WorkerRecord is what it believes of a worker.
+type WorkerRecord struct {
 	Others, Pace, Wait, Ill float64
 	WaitT, IllT             time.Duration
 	Since                   time.Duration // of the start that Sent was sent to
-	Sent                    []Spent       // to a cold worker
+	Sent                    []SentWork    // to a cold worker
 	Owed                    bool
 }
 
-// Spent is work sent to a cold worker.
-type Spent struct {
+// SentWork is work sent to a cold worker.
+type SentWork struct {
 	At   time.Duration
 	Work float64
 }
 
-// Memory gives what the dispatcher has learned. Its unfinished jobs are not in it: they
+// Learned gives what the dispatcher has learned. Its unfinished jobs are not in it: they
 // end one by one, and whoever recalls this is told of them by Beside.
-func (b *Balancer) Memory() Memory {
-	m := Memory{Slots: b.slots, Paces: b.paces, Usual: b.usual, Mean: b.mean, Ratio: b.ratio,
+func (b *Balancer) Learned() LearnedState {
+	m := LearnedState{Slots: b.slots, Paces: b.paces, Usual: b.usual, Mean: b.mean, Ratio: b.ratio,
 		Arrived: b.arrived, Efforts: b.efforts, Watched: b.watched, Wait: b.wait, Crowd: b.crowd,
 		WaitT:    b.waitT,
-		Surveyed: b.surveyed, Workers: make(map[WorkerID]WorkerMemory, len(b.workers))}
+		Surveyed: b.surveyed, Workers: make(map[WorkerID]WorkerRecord, len(b.workers))}
 	for _, l := range b.loads {
 		m.Loads = append(m.Loads, [2]float64{l.work, l.seconds})
 		m.Full = append(m.Full, [2]float64{l.fullWork, l.fullSeconds})
@@ -52,26 +52,26 @@
 		m.Tallies = append(m.Tallies, [2]float64{t.asked, t.served})
 	}
 	for _, t := range b.tenants {
-		m.Allowances = append(m.Allowances, Allowed{t.left, t.asked, t.at})
+		m.Allowances = append(m.Allowances, TenantQuota{t.left, t.asked, t.at})
 	}
 	for _, w := range b.workers {
-		k := WorkerMemory{Others: w.others, Pace: w.pace, Wait: w.wait, Ill: w.ill,
-			WaitT: w.waitT, IllT: w.illT, Since: w.Since, Owed: w.owed}
+		k := WorkerRecord{Others: w.others, Pace: w.pace, Wait: w.wait, Ill: w.ill,
+			WaitT: w.waitT, IllT: w.illT, Since: w.StartedAt, Owed: w.owed}
 		for _, l := range w.sent {
-			k.Sent = append(k.Sent, Spent{l.at, l.work})
+			k.Sent = append(k.Sent, SentWork{l.at, l.work})
 		}
 		m.Workers[w.ID] = k
 	}
 	return m
 }
 
-// Recall takes over what another process of this dispatcher has learned, after Members
+// RestoreLearned takes over what another process of this dispatcher has learned, after Members
 // and before any request. What does not fit these settings is left out.
 //
 // Hazard: a dispatcher that starts with nothing does not know what was just spent on cold
 // workers, nor which ones fail. Another process's clock may be ahead of this one's, and
 // what is to fade with time would grow.
-func (b *Balancer) Recall(now time.Duration, m Memory) {
+func (b *Balancer) RestoreLearned(now time.Duration, m LearnedState) {
 	unit := 1.0 // of cold workers' work
 	if len(m.Full) != len(m.Loads) && m.Ratio > 0 {
 		unit = 1 / m.Ratio // hazard: an older process counts it as long as jobs run, not by their hints
@@ -108,9 +108,9 @@
 		w.others, w.pace, w.wait, w.ill = k.Others, k.Pace, k.Wait, k.Ill
 		w.waitT, w.illT = min(k.WaitT, now), min(k.IllT, now)
 		if k.Owed {
-			b.Owe(w.ID)
+			b.EndMaintenance(w.ID)
 		}
-		if w.Since == k.Since {
+		if w.StartedAt == k.Since {
 			for _, s := range k.Sent {
 				w.sent = append(w.sent, load{min(s.At, now), s.Work * unit})
 			}
@@ -118,8 +118,8 @@
 	}
 }
 
-// Held gives, by worker, what the dispatcher has unfinished there.
-func (b *Balancer) Held() map[WorkerID]float64 {
+// InFlight gives, by worker, what the dispatcher has unfinished there.
+func (b *Balancer) InFlight() map[WorkerID]float64 {
 	held := map[WorkerID]float64{}
 	for _, w := range b.workers {
 		if w.own > 0 {
@@ -129,12 +129,12 @@
 	return held
 }
 
-// Beside tells what another process of this dispatcher, whose memory it recalled, has
+// SetOtherInFlight tells what another process of this dispatcher, whose memory it recalled, has
 // unfinished at a worker.
 //
 // Hazard: taken as jobs of unknown others they fade only as reports come, while this
 // process's own rise in their place: workers look full, and jobs are refused.
-func (b *Balancer) Beside(id WorkerID, held float64) {
+func (b *Balancer) SetOtherInFlight(id WorkerID, held float64) {
 	if w := b.byID[id]; w != nil {
 		w.beside = held
 	}
--- a/balancer/probes.go
+++ b/balancer/probes.go
@@ -17,7 +17,7 @@
 		b.asking = append(b.asking, q)
 		return true
 	}
-	b.blind = b.set.ReportProbed && b.set.Limits.Probes &&
+	b.blind = b.set.LoadReportsByCheck && b.set.Limits.HealthChecks &&
 		float64(len(b.workers))*b.watched > b.arrived*b.patience.Seconds()*stale
 	if !b.blind {
 		return false
@@ -27,7 +27,7 @@
 		w := b.least(now, q, draw[i:])
 		q.asked = append(q.asked, w)
 		w.asked = now
-		b.act.Probe(w.ID)
+		b.act.CheckHealth(w.ID)
 	}
 	if q.holding = len(q.asked) > 0; q.holding {
 		b.asking = append(b.asking, q)
@@ -38,7 +38,7 @@
 // release places the requests that have heard from all asked, or have waited long enough.
 func (b *Balancer) release(now time.Duration) {
 	b.asking = keep(b.asking, func(q *request) bool {
-		wait := q.class.Aim / brief
+		wait := q.class.LatencyObjective / brief
 		if !q.over && (b.awaitsList(now, q) || q.heard < len(q.asked) && now-q.heldT < wait) {
 			return true
 		}
@@ -53,7 +53,7 @@
 
 // askLoads probes the worker with the oldest news, where reports come no other way: one a request.
 func (b *Balancer) askLoads(now time.Duration) {
-	if !b.set.ReportProbed || !b.set.Limits.Probes {
+	if !b.set.LoadReportsByCheck || !b.set.Limits.HealthChecks {
 		return
 	}
 	var oldest *worker
@@ -64,6 +64,6 @@
 	}
 	if oldest != nil {
 		oldest.asked = now
-		b.act.Probe(oldest.ID)
+		b.act.CheckHealth(oldest.ID)
 	}
 }
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -85,9 +85,9 @@
 }
 
 // members tells the balancer of workers.
-func (r *recorder) members(kind ListKind, list ...Worker) {
+func (r *recorder) members(kind ListUpdateKind, list ...Worker) {
 	r.t.Helper()
-	if kind == Whole || kind == Cached {
+	if kind == ListFull || kind == ListCached {
 		for _, w := range r.work {
 			if w.left < 0 {
 				w.left = r.now
@@ -100,7 +100,7 @@
 			w = &recWorker{left: -1}
 			r.work[e.ID] = w
 		}
-		if w.Since != e.Since {
+		if w.StartedAt != e.StartedAt {
 			w.cold = nil
 		}
 		was := w.left
@@ -113,15 +113,15 @@
 			}
 		}
 	}
-	r.b.Members(r.now, kind, list)
+	r.b.UpdateWorkers(r.now, kind, list)
 }
 
 // request hands a request in.
 func (r *recorder) request(q Request) {
 	r.t.Helper()
-	r.reqs[q.ID] = &recReq{Request: q, deadline: r.now + q.Left}
+	r.reqs[q.ID] = &recReq{Request: q, deadline: r.now + q.Timeout}
 	r.taken = append(r.taken, r.now)
-	r.b.Request(r.now, q)
+	r.b.Submit(r.now, q)
 }
 
 // last is the latest send.
@@ -134,26 +134,26 @@
 }
 
 // end ends a send.
-func (r *recorder) end(s *recSend, res Result) { r.endWith(s, res, NoReport) }
+func (r *recorder) end(s *recSend, res Result) { r.endWith(s, res, NoLoadReport) }
 
-func (r *recorder) endWith(s *recSend, res Result, rep Report) {
+func (r *recorder) endWith(s *recSend, res Result, rep LoadReport) {
 	r.t.Helper()
 	s.ended, s.result = true, res
 	q := r.reqs[s.id]
 	if res == OK && q.final == "" {
 		q.final = "served"
 	}
-	r.b.Outcome(r.now, Outcome{ID: s.id, Attempt: s.attempt, Worker: s.w, Result: res,
-		Took: r.now - s.at, Settled: q.final != "", Report: rep})
+	r.b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Attempt: s.attempt, Worker: s.w, Result: res,
+		Took: r.now - s.at, Responded: q.final != "", Report: rep})
 }
 
 // start tells that a send's job has started.
 func (r *recorder) start(s *recSend) {
-	r.b.Progress(r.now, Note{ID: s.id, Attempt: s.attempt, Worker: s.w, Started: true})
+	r.b.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: s.attempt, Worker: s.w, Started: true})
 }
 
 // serve has n jobs of a class, numbered from first on, start at once and end well, one after another.
-func (r *recorder) serve(first, n, class int, took time.Duration, rep Report) {
+func (r *recorder) serve(first, n, class int, took time.Duration, rep LoadReport) {
 	r.t.Helper()
 	for i := range n {
 		r.request(job(first+i, class))
@@ -165,7 +165,7 @@
 
 // note has a worker tell that it still works on an attempt.
 func (r *recorder) note(s *recSend) {
-	r.b.Progress(r.now, Note{ID: s.id, Attempt: s.attempt, Worker: s.w})
+	r.b.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: s.attempt, Worker: s.w})
 }
 
 // pass lets time go by, with the timers that come due and the time-outs at deadlines.
@@ -186,7 +186,7 @@
 		r.timer = append(r.timer[:next], r.timer[next+1:]...)
 		r.now = max(r.now, t.at)
 		r.timeouts()
-		r.b.Timer(r.now, t.token)
+		r.b.TimerFired(r.now, t.token)
 		r.overdue()
 	}
 	r.now = until
@@ -206,7 +206,7 @@
 func (r *recorder) overdue() {
 	r.t.Helper()
 	for _, q := range r.reqs {
-		if q.final == "" && r.now > q.deadline+r.set.Rules.AnswerSlack {
+		if q.final == "" && r.now > q.deadline+r.set.Rules.ResponseSlack {
 			r.breaks("no answer in time for " + string(q.ID))
 		}
 	}
@@ -223,7 +223,7 @@
 	if q.final != "" {
 		r.breaks("sent after the final answer")
 	}
-	if len(q.sends) >= r.set.Limits.Attempts {
+	if len(q.sends) >= r.set.Limits.MaxAttempts {
 		r.breaks("more attempts than the limit")
 	}
 	if len(q.sends) > 0 {
@@ -232,16 +232,16 @@
 	}
 	for _, i := range q.sends {
 		s := r.sends[i]
-		if !s.ended && !r.set.Limits.SecondCopies {
+		if !s.ended && !r.set.Limits.HedgedRequests {
 			r.breaks("two attempts out at once")
 		}
 		if r.unrun(s) {
 			continue
 		}
-		if c.Effect == Unsafe {
+		if c.Idempotency == NonIdempotent {
 			r.breaks("an unsafe job that may have run was sent again")
 		}
-		if c.Effect == Keyed && (r.now-s.at >= c.Window || !r.grouped(c, s.w, to)) {
+		if c.Idempotency == IdempotentByKey && (r.now-s.at >= c.KeyWindow || !r.grouped(c, s.w, to)) {
 			r.breaks("a keyed job that may have run was sent outside its group or window")
 		}
 	}
@@ -255,32 +255,32 @@
 
 // unrun reports whether a send's end proves that its job never ran.
 func (r *recorder) unrun(s recSend) bool {
-	return s.ended && s.result.Unrun() && !(s.result == Full && r.set.Rules.FullUnproven)
+	return s.ended && s.result.NeverRan() && !(s.result == WorkerFull && r.set.Rules.FullMayHaveRun)
 }
 
 // budget asserts the rule of further attempts over the window that ends now.
 func (r *recorder) budget() {
 	r.t.Helper()
 	ru := r.set.Rules
-	if ru.Budget <= 0 {
+	if ru.RetryBudgetWindow <= 0 {
 		return
 	}
 	within := func(times []time.Duration) (n float64) {
 		for _, at := range times {
-			if r.now-at < ru.Budget {
+			if r.now-at < ru.RetryBudgetWindow {
 				n++
 			}
 		}
 		return n
 	}
-	if within(r.further) > ru.FreeFurther+ru.FurtherShare*within(r.taken) {
+	if within(r.further) > ru.RetryBudgetBase+ru.RetryBudgetShare*within(r.taken) {
 		r.breaks("an attempt beyond the budget")
 	}
 }
 
 func (r *recorder) grouped(c Class, a, b WorkerID) bool {
 	x, y := r.work[a], r.work[b]
-	switch c.Scope {
+	switch c.KeyScope {
 	case ScopeZone:
 		return x.Zone == y.Zone
 	case ScopeCell:
@@ -294,19 +294,21 @@
 func (r *recorder) cold(w *recWorker, q *recReq) {
 	r.t.Helper()
 	ru := r.set.Rules
-	age := r.now - w.Since
-	if w.limit == 0 || w.Since <= 0 || age >= ru.Cold {
+	age := r.now - w.StartedAt
+	if w.limit == 0 || w.StartedAt <= 0 || age >= ru.SlowStartWindow {
 		return
 	}
-	w.cold = append(w.cold, recCold{r.now, q.Work.Seconds() * max(q.Slots, 1)})
+	w.cold = append(w.cold, recCold{r.now, q.ExpectedWork.Seconds() * max(q.Slots, 1)})
 	sum := 0.0
 	for _, c := range w.cold {
-		if r.now-c.at < ru.Fall {
+		if r.now-c.at < ru.OverloadWindow {
 			sum += c.work
 		}
 	}
-	share := ru.ColdShare + (1-ru.ColdShare)*float64(age)/float64(ru.Cold)
-	if sum > ru.OverloadFactor*share*w.limit*ru.Fall.Seconds()/float64(max(r.set.Fleet, 1)) {
+	share := ru.SlowStartMinShare + (1-ru.SlowStartMinShare)*float64(age)/float64(ru.SlowStartWindow)
+	if sum > ru.OverloadFactor*share*w.limit*ru.OverloadWindow.Seconds()/float64(
+		max(r.set.DispatcherCount, 1),
+	) {
 		r.breaks("a cold worker was pushed over")
 	}
 }
@@ -324,15 +326,16 @@
 	return q
 }
 
-// Refuse asserts rules 1 and 2.
-func (r *recorder) Refuse(id RequestID, retryAfter time.Duration) {
+// Reject asserts rules 1 and 2.
+func (r *recorder) Reject(id RequestID, retryAfter time.Duration) {
 	r.t.Helper()
 	q := r.finish(id, "refused")
 	r.waits = append(r.waits, retryAfter)
 	c := r.set.Classes[q.Class]
 	for _, i := range q.sends {
 		s := r.sends[i]
-		if r.unrun(s) || c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
+		if r.unrun(s) || c.Idempotency == Idempotent ||
+			c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
 			continue
 		}
 		r.breaks("a job that may have run was refused as harmless to repeat")
@@ -345,29 +348,29 @@
 // Cancel checks that the attempt exists.
 func (r *recorder) Cancel(id RequestID, attempt int) {
 	r.t.Helper()
-	if q := r.reqs[id]; q == nil || attempt < 0 || attempt >= len(q.sends) || !r.set.Limits.Cancel {
+	if q := r.reqs[id]; q == nil || attempt < 0 || attempt >= len(q.sends) || !r.set.Limits.CanCancel {
 		r.t.Fatalf("Cancel(%s, %d): not allowed", id, attempt)
 	}
 	r.cancels = append(r.cancels, fmt.Sprint(id, "/", attempt))
 }
 
-// Probe checks that probes are allowed.
-func (r *recorder) Probe(w WorkerID) {
+// CheckHealth checks that probes are allowed.
+func (r *recorder) CheckHealth(w WorkerID) {
 	r.t.Helper()
-	if !r.set.Limits.Probes || r.work[w] == nil {
+	if !r.set.Limits.HealthChecks || r.work[w] == nil {
 		r.t.Fatalf("Probe(%d): not allowed", w)
 	}
 	r.asked = append(r.asked, w)
 }
 
-// Watch counts calls.
-func (r *recorder) Watch(on bool) { r.watch++ }
+// WatchList counts calls.
+func (r *recorder) WatchList(on bool) { r.watch++ }
 
-// Fetch is not used yet.
-func (r *recorder) Fetch() {}
+// FetchList is not used yet.
+func (r *recorder) FetchList() {}
 
-// After keeps a timer.
-func (r *recorder) After(d time.Duration, token uint64) {
+// SetTimer keeps a timer.
+func (r *recorder) SetTimer(d time.Duration, token uint64) {
 	r.t.Helper()
 	if d <= 0 {
 		r.t.Fatalf("After(%v): a timer without a wait never rests", d)
@@ -375,10 +378,10 @@
 	r.timer = append(r.timer, recTimer{r.now + d, token})
 }
 
-// Tell checks that peers are allowed.
-func (r *recorder) Tell(peer int, data []byte) {
+// SendPeer checks that peers are allowed.
+func (r *recorder) SendPeer(peer int, data []byte) {
 	r.t.Helper()
-	if !r.set.Limits.Peers || len(data) > 256 {
+	if !r.set.Limits.PeerMessages || len(data) > 256 {
 		r.t.Fatal("Tell: not allowed")
 	}
 	r.tells = append(r.tells, data)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -18,8 +18,8 @@
 // attempts is how many a request may have: the least of what the deployment, its class
 // and its route say.
 func (b *Balancer) attempts(q *request) int {
-	n := b.set.Limits.Attempts
-	for _, most := range [...]int{q.class.Attempts, q.Attempts} {
+	n := b.set.Limits.MaxAttempts
+	for _, most := range [...]int{q.class.MaxAttempts, q.MaxAttempts} {
 		if most > 0 {
 			n = min(n, most)
 		}
@@ -42,7 +42,7 @@
 	if q.Route == nil {
 		return false
 	}
-	if q.tier+1 < q.Route.Tiers() && q.Route.Spills(q.tier, busy) {
+	if q.tier+1 < q.Route.TierCount() && q.Route.SpillsOver(q.tier, busy) {
 		q.tier++
 		return true
 	}
@@ -61,7 +61,7 @@
 	q := b.newRequest()
 	r.Class = min(max(r.Class, 0), len(b.set.Classes)-1)
 	q.class = &b.set.Classes[r.Class]
-	q.Request, q.came, q.deadline, q.index = r, now, now+r.Left, len(b.list)
+	q.Request, q.came, q.deadline, q.index = r, now, now+r.Timeout, len(b.list)
 	b.open[r.ID] = q
 	b.list = append(b.list, q)
 	return q
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -10,11 +10,11 @@
 // warmth is the share of its capacity that w has at least, by its age.
 func (b *Balancer) warmth(now time.Duration, w *worker) float64 {
 	r := &b.set.Rules
-	if w.Since <= 0 || now-w.Since >= r.Cold {
+	if w.StartedAt <= 0 || now-w.StartedAt >= r.SlowStartWindow {
 		return 1
 	}
-	age := float64(max(now-w.Since, 0)) / float64(r.Cold)
-	return max(r.ColdShare+(1-r.ColdShare)*age, tiny)
+	age := float64(max(now-w.StartedAt, 0)) / float64(r.SlowStartWindow)
+	return max(r.SlowStartMinShare+(1-r.SlowStartMinShare)*age, tiny)
 }
 
 // coldRoom reports whether a cold worker's budget has room for work.
@@ -24,7 +24,7 @@
 // dispatchers together keep to the whole. Without anything to go by the budget is nothing.
 func (b *Balancer) coldRoom(now time.Duration, w *worker, work float64) bool {
 	rules, warmth := &b.set.Rules, b.warmth(now, w)
-	if warmth == 1 || rules.OverloadFactor <= 0 || rules.Fall <= 0 {
+	if warmth == 1 || rules.OverloadFactor <= 0 || rules.OverloadWindow <= 0 {
 		return true
 	}
 	// Hazard: a cold worker bears so many usual requests, and so much work. Where most requests are far
@@ -37,7 +37,7 @@
 	}
 	sum, number := work, 1.0
 	for _, l := range w.sent {
-		if now-l.at < rules.Fall*time.Duration(turn.windows) {
+		if now-l.at < rules.OverloadWindow*time.Duration(turn.windows) {
 			sum += l.work
 			number++
 		}
@@ -49,8 +49,8 @@
 // the rule leaves for chance.
 func (b *Balancer) coldPart(w *worker, warmth, mean float64) float64 {
 	rules := &b.set.Rules
-	part := rules.OverloadFactor * warmth * b.warmRate(w.Kind) * rules.Fall.Seconds()
-	if requests := part * float64(b.set.Fleet) / max(mean, tiny); mean > 0 && requests > 0 {
+	part := rules.OverloadFactor * warmth * b.warmRate(w.Kind) * rules.OverloadWindow.Seconds()
+	if requests := part * float64(b.set.DispatcherCount) / max(mean, tiny); mean > 0 && requests > 0 {
 		part *= 1 + chance(requests)/2/requests
 	}
 	return part
@@ -82,7 +82,7 @@
 	}
 	// Any window can meet two turns, beside what all others spend without turns. One whose part is never
 	// enough without turns has only them, and two may take the whole of what it has.
-	n := float64(b.set.Fleet)
+	n := float64(b.set.DispatcherCount)
 	steady := (1 + 1/max(n, 2)) / 2
 	inTurn := (1 - steady*(n-2)/n) / 2
 	if part*steady < mean {
@@ -99,7 +99,7 @@
 }
 
 // longestTurn is the most windows among which dispatchers take turns; one alone takes none.
-func (b *Balancer) longestTurn() int { return 2*b.set.Fleet - 1 }
+func (b *Balancer) longestTurn() int { return 2*b.set.DispatcherCount - 1 }
 
 // longerTurn is the next number of windows in a turn: 1, 2, 3, 4, 6, 8, 12 and so on.
 func longerTurn(windows int) int {
@@ -111,7 +111,7 @@
 
 // hasTurn reports whether this dispatcher's turn at w is now, by the worker's age, which all know alike.
 func (b *Balancer) hasTurn(now time.Duration, w *worker, windows int) bool {
-	return (int((now-w.Since)/b.set.Rules.Fall)+int(w.ID)+b.set.Me)%windows == 0
+	return (int((now-w.StartedAt)/b.set.Rules.OverloadWindow)+int(w.ID)+b.set.DispatcherIndex)%windows == 0
 }
 
 // warmRate is the work that a warm worker of kind k finishes from this dispatcher each second.
@@ -157,8 +157,8 @@
 
 // expect is the seconds that q is expected to run at the usual pace: by its hint, else by its class.
 func (b *Balancer) expect(q *request) float64 {
-	if q.Work > 0 && b.ratio > 0 {
-		return q.Work.Seconds() * b.ratio
+	if q.ExpectedWork > 0 && b.ratio > 0 {
+		return q.ExpectedWork.Seconds() * b.ratio
 	}
 	if b.usual[q.Class] > 0 {
 		return b.usual[q.Class]
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -12,16 +12,16 @@
 func TestColdWorkerIsNotRushed(t *testing.T) {
 	set := testSettings()
 	r := newRecorder(t, set)
-	r.members(Whole, fleet(4)...)
-	drive(r, 0, 400, 31*time.Millisecond, NoReport) // four warm workers of capacity 1 bear 0.8 each
-	r.members(Changes, Worker{ID: 200, State: Ready, Since: r.now})
+	r.members(ListFull, fleet(4)...)
+	drive(r, 0, 400, 31*time.Millisecond, NoLoadReport) // four warm workers of capacity 1 bear 0.8 each
+	r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now})
 	r.work[200].limit = 1
-	if drive(r, 400, 400, 25*time.Millisecond, NoReport)[200] == 0 {
+	if drive(r, 400, 400, 25*time.Millisecond, NoLoadReport)[200] == 0 {
 		t.Error("the new worker never got a job while it warmed up")
 	}
 	// Hazard: what was sent to it is gone through at each request, and must not grow with its age.
 	sent := r.b.byID[200].sent
-	if from, to := sent[0].at, sent[len(sent)-1].at; to-from >= set.Rules.Fall {
+	if from, to := sent[0].at, sent[len(sent)-1].at; to-from >= set.Rules.OverloadWindow {
 		t.Errorf("sends over %v are kept, want under a window", to-from)
 	}
 }
@@ -30,20 +30,20 @@
 // another kind gives the new ones work within what the rule allows, not nothing until they are warm.
 func TestColdKindWithoutRecordBorrows(t *testing.T) {
 	set := testSettings()
-	set.Kinds = 2
+	set.WorkerKinds = 2
 	r := newRecorder(t, set)
 	warm := fleet(4)
 	for i := range warm {
 		warm[i].Kind = 1
 	}
-	r.members(Whole, warm...)
-	drive(r, 0, 400, 31*time.Millisecond, NoReport)
-	news := []Worker{{ID: 10, State: Ready, Since: r.now, Size: 1},
-		{ID: 11, State: Ready, Since: r.now, Size: 1}}
-	r.members(Whole, append(warm[:2:2], news...)...) // two of kind 0, never seen, take two places
+	r.members(ListFull, warm...)
+	drive(r, 0, 400, 31*time.Millisecond, NoLoadReport)
+	news := []Worker{{ID: 10, State: Ready, StartedAt: r.now, Size: 1},
+		{ID: 11, State: Ready, StartedAt: r.now, Size: 1}}
+	r.members(ListFull, append(warm[:2:2], news...)...) // two of kind 0, never seen, take two places
 	r.work[10].limit, r.work[11].limit = 1, 1
 	// Five seconds: half of Cold, so that no worker of kind 0 is warm meanwhile.
-	if got := drive(r, 400, 160, 31*time.Millisecond, NoReport); got[10]+got[11] == 0 {
+	if got := drive(r, 400, 160, 31*time.Millisecond, NoLoadReport); got[10]+got[11] == 0 {
 		t.Error("no worker of the kind without a record got a job while it warmed up")
 	}
 }
@@ -52,13 +52,13 @@
 // took while they were nearly full, and not only the little that they take on average; it is kept.
 func TestColdBudgetByWhatFullOnesTake(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(Whole, fleet(4)...)
+	r.members(ListFull, fleet(4)...)
 	drive(r, 0, 100, 250*time.Millisecond, freeSlots(4)) // four slots each; a tenth of one is taken
 	full := drive(r, 100, 400, 8*time.Millisecond, freeSlots(0))
 	if full[100] == 0 {
 		t.Fatal("the warm workers were never full")
 	}
-	r.members(Changes, Worker{ID: 200, State: Ready, Since: r.now, Size: 1})
+	r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
 	r.work[200].limit = 4 // slot-seconds a second, when warm: what the recorder holds it to
 	got := drive(r, 500, 200, 5*time.Millisecond, freeSlots(4))[200]
 	if got < 16 {
@@ -71,16 +71,16 @@
 func TestColdBudgetForgetsAFloodsWaits(t *testing.T) {
 	jobs := func(flood float64) (n int) {
 		r := newRecorder(t, testSettings())
-		r.members(Whole, fleet(4)...)
+		r.members(ListFull, fleet(4)...)
 		r.b.ratio = flood
 		for i := range 400 {
 			q := &request{Request: hinted(i), class: &r.b.set.Classes[safeClass]}
 			r.b.loads[0].add(r.b.effort(q), 0.1, true)
 		}
 		r.b.ratio = 1
-		r.members(Changes, Worker{ID: 200, State: Ready, Since: r.now, Size: 1})
+		r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
 		w, q := r.b.byID[200], &request{Request: hinted(400), class: &r.b.set.Classes[safeClass]}
-		for now := r.now + r.set.Rules.Cold/2; r.b.coldRoom(now, w, r.b.effort(q)); n++ {
+		for now := r.now + r.set.Rules.SlowStartWindow/2; r.b.coldRoom(now, w, r.b.effort(q)); n++ {
 			w.sent = append(w.sent, load{now, r.b.effort(q)})
 		}
 		return n
@@ -95,12 +95,12 @@
 func TestColdBudgetCountsRequests(t *testing.T) {
 	allowed := func(work float64) (n int) {
 		r := newRecorder(t, testSettings())
-		r.members(Whole, fleet(4)...)
+		r.members(ListFull, fleet(4)...)
 		r.b.loads[0].add(400, 100, false) // a warm worker finishes the work of four usual requests a second
 		r.b.arrived, r.b.efforts = 100, 100
-		r.members(Changes, Worker{ID: 200, State: Ready, Since: r.now, Size: 1})
+		r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
 		w := r.b.byID[200]
-		for now := r.now + r.set.Rules.Cold/2; r.b.coldRoom(now, w, work); n++ {
+		for now := r.now + r.set.Rules.SlowStartWindow/2; r.b.coldRoom(now, w, work); n++ {
 			w.sent = append(w.sent, load{now, work})
 		}
 		return n
@@ -134,8 +134,8 @@
 // sent over the whole warm-up.
 func greedy(t *testing.T, size int, allowed float64, uneven bool) (most, used float64) {
 	set := testSettings()
-	set.Fleet = size
-	fall := set.Rules.Fall
+	set.DispatcherCount = size
+	fall := set.Rules.OverloadWindow
 	cold := Worker{ID: 200, State: Ready, Size: 1}
 	var all []*recorder
 	whole, shares := 0.0, make([]float64, size)
@@ -147,10 +147,10 @@
 		whole += shares[i]
 	}
 	for i := range size {
-		set.Me = i
+		set.DispatcherIndex = i
 		r := newRecorder(t, set)
-		cold.Since = r.now
-		r.members(Whole, append(fleet(4), cold)...)
+		cold.StartedAt = r.now
+		r.members(ListFull, append(fleet(4), cold)...)
 		rate := allowed / fall.Seconds() / set.Rules.OverloadFactor * shares[i] / whole
 		r.b.loads[0].add(rate*100, 100, false) // a usual request is one unit of work
 		r.b.arrived, r.b.efforts = 100, 100
@@ -161,7 +161,7 @@
 	var sent []time.Duration
 	total, bearable := 0.0, 0.0
 	first := all[0]
-	for now := cold.Since; now < cold.Since+set.Rules.Cold; now += fall / steps {
+	for now := cold.StartedAt; now < cold.StartedAt+set.Rules.SlowStartWindow; now += fall / steps {
 		for _, i := range rng.Perm(size) {
 			b := all[i].b
 			w := b.byID[cold.ID]
@@ -189,8 +189,8 @@
 func TestColdWorkerWithoutKnowledge(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	list := fleet(2)
-	list[0].Since = r.now
-	r.members(Cached, list...)
+	list[0].StartedAt = r.now
+	r.members(ListCached, list...)
 	for i := range 50 {
 		r.request(job(i, safeClass))
 	}
@@ -209,23 +209,23 @@
 	var at []time.Duration // the sends to the cold worker, by its age
 	for me := range many {
 		set := testSettings()
-		set.Me, set.Fleet, set.Rules.AnswerSlack = me, many, 200*time.Millisecond
+		set.DispatcherIndex, set.DispatcherCount, set.Rules.ResponseSlack = me, many, 200*time.Millisecond
 		ru = set.Rules
 		r := newSeeded(t, set, uint64(me))
-		r.members(Whole, fleet(4)...)
+		r.members(ListFull, fleet(4)...)
 		for i := range 40 { // each bears a fortieth of four warm workers' load of 0.8
 			r.request(hinted(i))
 			r.pass(100 * time.Millisecond)
 			r.end(r.last(), OK)
 			r.pass(1150 * time.Millisecond)
 		}
-		r.members(Changes, Worker{ID: 200, State: Ready, Since: r.now})
+		r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now})
 		r.pass(5 * time.Second)
-		r.members(Whole, Worker{ID: 200, State: Ready, Since: r.work[200].Since})
+		r.members(ListFull, Worker{ID: 200, State: Ready, StartedAt: r.work[200].StartedAt})
 		for i := range 80 {
 			r.request(hinted(1000 + i))
 			if s := r.last(); !s.ended {
-				at = append(at, r.now-r.work[200].Since)
+				at = append(at, r.now-r.work[200].StartedAt)
 				r.end(s, OK)
 			}
 			r.pass(50 * time.Millisecond)
@@ -238,12 +238,12 @@
 	for i, from := range at {
 		n := 0
 		for _, a := range at[i:] {
-			if a-from < ru.Fall {
+			if a-from < ru.OverloadWindow {
 				n++
 			}
 		}
-		share := ru.ColdShare + (1-ru.ColdShare)*float64(from)/float64(ru.Cold)
-		if limit := ru.OverloadFactor * share * ru.Fall.Seconds() / 0.1; float64(n) > limit {
+		share := ru.SlowStartMinShare + (1-ru.SlowStartMinShare)*float64(from)/float64(ru.SlowStartWindow)
+		if limit := ru.OverloadFactor * share * ru.OverloadWindow.Seconds() / 0.1; float64(n) > limit {
 			t.Fatalf("%d jobs in a window from age %v, want at most %.0f", n, from, limit)
 		}
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -154,10 +154,10 @@
 	further   recent        // attempts beyond the first of a request, for the same
 }
 
-// Owe takes word that operators have put a worker back which they had taken out. It was
+// EndMaintenance takes word that operators have put a worker back which they had taken out. It was
 // restarted meanwhile: what was believed of the process before is forgotten, and it is
 // owed a job.
-func (b *Balancer) Owe(id WorkerID) {
+func (b *Balancer) EndMaintenance(id WorkerID) {
 	w := b.byID[id]
 	if w == nil {
 		return
@@ -194,18 +194,18 @@
 		b.byID[e.ID] = w
 		b.workers = append(b.workers, w)
 	}
-	if w.Since != e.Since {
+	if w.StartedAt != e.StartedAt {
 		w.sent = w.sent[:0]
 	}
 	w.Worker = e
-	w.Kind = min(max(w.Kind, 0), b.set.Kinds-1)
-	if b.set.Size == SizeNone || b.set.Size == SizeLive || w.Size <= 0 {
+	w.Kind = min(max(w.Kind, 0), b.set.WorkerKinds-1)
+	if b.set.SizeMeaning == SizeNone || b.set.SizeMeaning == SizeLive || w.Size <= 0 {
 		w.Size = 1 // it tells nothing of the machine
 	}
 }
 
 func sameGroup(c *Class, a, w *worker) bool {
-	switch c.Scope {
+	switch c.KeyScope {
 	case ScopeZone:
 		return a.Zone == w.Zone
 	case ScopeCell:
--- a/cmd/moorstack/cluster.go
+++ b/cmd/moorstack/cluster.go
@@ -270,7 +270,7 @@
 				if err != nil {
 					return err
 				}
-				if _, err := controlapi.ReadBackup(b); err != nil {
+				if _, err := controlapi.DecodeBackup(b); err != nil {
 					return exitError{exitInvalid, fmt.Errorf("%s: %w", from, err)}
 				}
 				in.Backup = b
@@ -352,7 +352,7 @@
 			if err != nil {
 				return err
 			}
-			b, err := controlapi.ReadBackup(raw)
+			b, err := controlapi.DecodeBackup(raw)
 			if err != nil {
 				return exitError{exitInvalid, fmt.Errorf("%s: %w", args[0], err)}
 			}
@@ -361,7 +361,7 @@
 				f.note = fmt.Sprintf(
 					"restored from a backup of group %s, revision %d",
 					b.Cluster,
-					old.Revision,
+					old.Number,
 				)
 			}
 			return r.within(cmd.Context(), f.patience(), func(ctx context.Context,
--- a/cmd/moorstack/config.go
+++ b/cmd/moorstack/config.go
@@ -61,7 +61,7 @@
 }
 
 func fileOf(rev *schema.Revision) (*configFile, error) {
-	d, err := clusterstate.Decode(rev.Document)
+	d, err := clusterstate.DecodeDocument(rev.Document)
 	if err != nil {
 		return nil, err
 	}
@@ -183,7 +183,7 @@
 				if _, err := strconv.ParseUint(args[0], 10, 64); err != nil {
 					from, to = to, from // what the file would change
 				}
-				lines := clusterstate.Differences(&from.Document, &to.Document)
+				lines := clusterstate.Diff(&from.Document, &to.Document)
 				t := table{}
 				for _, l := range lines {
 					t.add(l)
@@ -290,7 +290,7 @@
 				base = f.base
 			}
 			if base == 0 {
-				return tomlfile.At(
+				return tomlfile.ErrorAt(
 					args[0],
 					raw,
 					"revision",
@@ -328,7 +328,7 @@
 	id := f.id
 	if id == "" {
 		var err error
-		if id, err = controlapi.ChangeID(); err != nil {
+		if id, err = controlapi.NewChangeID(); err != nil {
 			return err
 		}
 	}
@@ -440,20 +440,20 @@
 		if err != nil {
 			return err
 		}
-		s, err := expect.Read(path, raw, func(rules string) ([]byte, error) {
+		s, err := expect.Load(path, raw, func(rules string) ([]byte, error) {
 			if section, ok := doc.Sections[node.RoutesSection]; ok {
 				return []byte(section["toml"]), nil
 			}
 			return os.ReadFile(rules)
 		})
 		if err == nil {
-			err = s.Under(doc)
+			err = s.ApplyDocument(doc)
 		}
 		if err != nil {
 			return exitError{exitInvalid, err}
 		}
 		for _, r := range s.Run(nil) {
-			if !r.OK() {
+			if !r.Passed() {
 				failed++
 				printFailure(cmd, r)
 			}
--- a/cmd/moorstack/config_change.go
+++ b/cmd/moorstack/config_change.go
@@ -176,7 +176,7 @@
 						note(rev.Note),
 					)
 					if before != nil {
-						for _, l := range clusterstate.Differences(&before.Document, &f.Document) {
+						for _, l := range clusterstate.Diff(&before.Document, &f.Document) {
 							fmt.Fprintln(cmd.OutOrStdout(), "  "+l)
 						}
 					}
--- a/cmd/moorstack/duty_test.go
+++ b/cmd/moorstack/duty_test.go
@@ -163,7 +163,7 @@
 	g.must("cluster", "add", "n3", g.addr["n3"], "--promote", "--config", "n1.toml")
 	g.sections("n1", "[section.duties]\nbackup_every = \"1s\"\nbackup_keep = \"5\"\n")
 	dir := backups.Dir{Path: filepath.Join(g.dir, "kept"), Verify: func(b []byte) error {
-		_, err := controlapi.ReadBackup(b)
+		_, err := controlapi.DecodeBackup(b)
 		return err
 	}}
 	for range 3 {
@@ -185,7 +185,7 @@
 	}
 	// What is noted is what is there, and whole.
 	d := g.held(dutyBackup, 0, all...)
-	var kept backups.Kept
+	var kept backups.Result
 	check(t, json.Unmarshal(d.Note, &kept))
 	list, err := dir.List()
 	if err != nil || len(list) == 0 || len(list) > 5 {
@@ -197,7 +197,7 @@
 			t.Errorf("%s: %v, %v", name, err, dir.Verify(b))
 		}
 	}
-	_, err = dir.Keep(backups.Request{Group: "another", Duty: dutyBackup, Number: 1 << 60,
+	_, err = dir.Write(backups.WriteRequest{Group: "another", Task: dutyBackup, FencingToken: 1 << 60,
 		Period: time.Now()})
 	if err == nil || !strings.Contains(err.Error(), "is of the group") {
 		t.Errorf("another group writes: %v", err)
--- a/cmd/moorstack/expect.go
+++ b/cmd/moorstack/expect.go
@@ -55,7 +55,7 @@
 				if err != nil {
 					return err
 				}
-				s, err := expect.Read(path, raw, os.ReadFile)
+				s, err := expect.Load(path, raw, os.ReadFile)
 				if err != nil {
 					return err
 				}
@@ -110,7 +110,7 @@
 	failed := 0
 	for _, s := range suites {
 		for _, r := range s.Run(filter) {
-			if !r.OK() {
+			if !r.Passed() {
 				failed++
 			}
 			all = append(all, r)
@@ -128,7 +128,7 @@
 	} else {
 		t := table{}
 		for _, r := range all {
-			if r.OK() {
+			if r.Passed() {
 				t.add("ok", r.Name, r.Rule)
 				continue
 			}
@@ -151,7 +151,7 @@
 }
 
 func printFailure(cmd *cobra.Command, r expect.Result) {
-	if r.OK() {
+	if r.Passed() {
 		return
 	}
 	out := cmd.OutOrStdout()
@@ -186,7 +186,7 @@
 	s := suite{Name: "expectations", Tests: len(all), Failures: failed, Time: took.Seconds()}
 	for _, r := range all {
 		c := testcase{Name: r.Name, Class: r.File}
-		if !r.OK() {
+		if !r.Passed() {
 			c.Failure = &failure{r.Failures[0], strings.Join(append(r.Failures, r.Trace...), "\n")}
 		}
 		s.Cases = append(s.Cases, c)
@@ -220,11 +220,11 @@
 	for _, s := range suites {
 		for _, m := range s.Mutate() {
 			all = append(all, m)
-			if m.Killed == "" {
+			if m.KilledBy == "" {
 				survivors++
-				m.Killed = "NOBODY"
+				m.KilledBy = "NOBODY"
 			}
-			t.add(m.Rule, m.What, m.Killed)
+			t.add(m.Rule, m.Mutation, m.KilledBy)
 		}
 	}
 	t.add("", "", "")
@@ -256,25 +256,25 @@
 			return err
 		}
 	}
-	changes, jobs, err := expect.Against(names, files[0], files[1], 100)
+	changes, jobs, err := expect.CompareRules(names, files[0], files[1], 100)
 	if err != nil {
 		return err
 	}
 	t := table{head: []string{"JOB", "WAS", "NOW"}}
 	for _, c := range changes {
-		t.add(c.Job, c.Was, c.Now)
+		t.add(c.Job, c.Before, c.After)
 	}
 	t.add(fmt.Sprintf("%d jobs made, %d ways changed", jobs, len(changes)))
 	return g.print(cmd.OutOrStdout(), changes, t)
 }
 
 // namesOf reads what a deployment calls its classes, tenants, zones and kinds.
-func namesOf(path string) (routing.Names, error) {
+func namesOf(path string) (routing.KnownNames, error) {
 	cfg, err := platform.ReadConfigFile(path)
 	if err != nil {
-		return routing.Names{}, err
+		return routing.KnownNames{}, err
 	}
-	names := routing.Names{Zones: cfg.Settings.Zones, Kinds: cfg.Settings.Kinds}
+	names := routing.KnownNames{Zones: cfg.Settings.Zones, Kinds: cfg.Settings.Kinds}
 	for _, c := range cfg.Settings.Classes {
 		names.Classes = append(names.Classes, c.Name)
 	}
@@ -293,7 +293,7 @@
 		Example: "  moorstack route check deploy/routes.toml --platform deploy/expectations/site.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var names routing.Names
+			var names routing.KnownNames
 			var err error
 			if platformFile != "" {
 				if names, err = namesOf(platformFile); err != nil {
--- a/cmd/moorstack/keys.go
+++ b/cmd/moorstack/keys.go
@@ -77,7 +77,7 @@
 			if days < 1 {
 				return fmt.Errorf("--days: %d is not a number of days", days)
 			}
-			ca, err := keys.Read(filepath.Join(dir, "ca.crt"), filepath.Join(dir, "ca.key"))
+			ca, err := keys.ReadKeyPair(filepath.Join(dir, "ca.crt"), filepath.Join(dir, "ca.key"))
 			if err != nil {
 				return exitError{exitFailed, fmt.Errorf("the authority: %w", err)}
 			}
@@ -98,7 +98,7 @@
 	}
 	cmd.Flags().StringVar(&dir, "dir", "keys", "where the authority is")
 	cmd.Flags().StringVar(&out, "out", "", "where the files go, if not there")
-	cmd.Flags().StringVar(&role, "role", string(keys.Instance), "instance, operator or reader")
+	cmd.Flags().StringVar(&role, "role", string(keys.RoleInstance), "instance, operator or reader")
 	cmd.Flags().IntVar(&days, "days", 365, "how long it is good for, at the most as long as the authority")
 	cmd.Flags().BoolVar(&replace, "replace", false, "write over files that are there, to rotate the keys")
 	return cmd
@@ -122,7 +122,7 @@
 			t := table{head: []string{"FILE", "NAME", "ROLE", "EXPIRES", ""}}
 			now := time.Now()
 			for _, path := range args {
-				p, err := keys.Read(path, path)
+				p, err := keys.ReadKeyPair(path, path)
 				if err != nil {
 					return exitError{exitFailed, err}
 				}
--- a/cmd/moorstack/prove.go
+++ b/cmd/moorstack/prove.go
@@ -131,13 +131,13 @@
 		t := &totals{Instances: n, Faults: map[string]int{}}
 		began := time.Now()
 		options := func(seed uint64) simulation.Options {
-			o := simulation.Options{Instances: n, Seed: seed, Broken: f.broken}
+			o := simulation.Options{Instances: n, Seed: seed, AcknowledgeBeforeSync: f.broken}
 			if f.trace {
 				o.Trace = out
 			}
 			return o
 		}
-		simulation.Many(first, count, runtime.NumCPU(), options, func(r simulation.Result) {
+		simulation.RunSeeds(first, count, runtime.NumCPU(), options, func(r simulation.Result) {
 			t.add(r)
 			if terminal(os.Stderr) {
 				fmt.Fprintf(
@@ -173,13 +173,13 @@
 	t.Stories++
 	t.Events += r.Events
 	t.Ticks += r.Ticks
-	t.Accepted += r.Accepted
-	t.Refused += r.Refused
-	t.Unknown += r.Unknown
+	t.Accepted += r.ChangesAccepted
+	t.Refused += r.ChangesRejected
+	t.Unknown += r.ChangesUnknown
 	t.Reads += r.Reads
-	t.Admitted += r.Admitted
-	t.Acts += r.Acts
-	t.Handed += r.Handed
+	t.Admitted += r.JobsAdmitted
+	t.Acts += r.TaskActions
+	t.Handed += r.TaskTransfers
 	for name, n := range r.Faults {
 		t.Faults[name] += n
 	}
--- a/cmd/moorstack/prove_cluster.go
+++ b/cmd/moorstack/prove_cluster.go
@@ -194,7 +194,11 @@
 }
 
 // play plays a story in a directory of its own.
-func (f *clusterFlags) play(cmd *cobra.Command, dir string, story []faultinjection.Fault) (*faultinjection.Result, error) {
+func (f *clusterFlags) play(
+	cmd *cobra.Command,
+	dir string,
+	story []faultinjection.Fault,
+) (*faultinjection.Result, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -207,13 +211,19 @@
 	if err != nil {
 		return nil, err
 	}
-	o := faultinjection.Play{Story: story, For: f.length, Changes: f.changes, Options: faultinjection.Options{Program: self,
-		Dir:       at,
-		Instances: f.processes, Voters: f.voters, Tick: f.tick, Platform: faultinjection.SamplePlatform(), Rate: f.rate,
-		Seed: f.seed, Drills: f.drills, Rolls: f.rolls, Wishes: f.story == "", Accounts: f.accounts,
-		Names:    f.names,
-		Triggers: f.triggers, Speed: f.speed,
-		OldRules: f.oldRules, Older: f.older}}
+	o := faultinjection.Play{
+		Story:   story,
+		For:     f.length,
+		Changes: f.changes,
+		Options: faultinjection.Options{Program: self,
+			Dir:       at,
+			Instances: f.processes, Voters: f.voters, Tick: f.tick,
+			Platform: faultinjection.SamplePlatform(), Rate: f.rate,
+			Seed: f.seed, Drills: f.drills, Rolls: f.rolls, Wishes: f.story == "", Accounts: f.accounts,
+			Names:    f.names,
+			Triggers: f.triggers, Speed: f.speed,
+			OldRules: f.oldRules, Older: f.older},
+	}
 	if f.clock != "" {
 		if o.Clock, err = time.Parse(time.RFC3339, f.clock); err != nil {
 			return nil, fmt.Errorf("--clock: %w", err)
--- a/cmd/moorstack/remote.go
+++ b/cmd/moorstack/remote.go
@@ -40,7 +40,7 @@
 		"",
 		"the control `address`, under TLS; it needs the four flags below",
 	)
-	f.StringVar(&r.target.Name, "instance", "", "with --address: the `name` of the instance there")
+	f.StringVar(&r.target.InstanceName, "instance", "", "with --address: the `name` of the instance there")
 	f.StringVar(&r.target.Keys.CA, "ca", "", "with --address: the authority's certificate `file`")
 	f.StringVar(&r.target.Keys.Cert, "cert", "", "with --address: the caller's certificate `file`")
 	f.StringVar(&r.target.Keys.Key, "key", "", "with --address: the caller's key `file`")
@@ -48,7 +48,7 @@
 
 // call makes a client and has f use it, within the time that a command may take.
 func (r *remote) call(ctx context.Context, f func(context.Context, schema.ControlClient) error) error {
-	ctx, stop := controlapi.Patience(ctx)
+	ctx, stop := controlapi.WithCallTimeout(ctx)
 	defer stop()
 	return r.stream(ctx, f)
 }
--- a/cmd/moorstack/roll.go
+++ b/cmd/moorstack/roll.go
@@ -41,8 +41,14 @@
 	wish := func(kind schema.Operation_Kind, use, short, long string) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
-				op := &schema.Operation{Kind: kind, Name: leasedtask.Roll, Out: uint32(max(out, 0)),
-					WithinNs: int64(within), Alone: op.Alone, Only: op.Only}
+				op := &schema.Operation{
+					Kind:     kind,
+					Name:     leasedtask.RollingRestartTask,
+					Out:      uint32(max(out, 0)),
+					WithinNs: int64(within),
+					Alone:    op.Alone,
+					Only:     op.Only,
+				}
 				return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
 					done, err := c.Operate(ctx, op)
 					return g.done(cmd, done, err)
@@ -76,18 +82,18 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
-				all, d, err := duties(ctx, c, leasedtask.Roll)
+				all, d, err := duties(ctx, c, leasedtask.RollingRestartTask)
 				if err != nil {
 					return err
 				}
-				p, err := rollingrestart.Read(d.Note)
+				p, err := rollingrestart.DecodePlan(d.Note)
 				if err != nil {
 					return exitError{exitFailed, err}
 				}
 				t := table{head: []string{"INSTANCE", "ZONE", "STANDING"}}
 				for _, s := range p.Steps {
 					text := s.Phase.String()
-					if s.Again {
+					if s.RestartAgain {
 						text += ", to go once more"
 					}
 					t.add(s.Name, dash(s.Zone), text)
--- a/cmd/moorstack/roll_test.go
+++ b/cmd/moorstack/roll_test.go
@@ -11,7 +11,7 @@
 )
 
 // rolled waits until a rolling restart stands so, and says how it does.
-func (g *group) rolled(standing rollingrestart.Standing, at ...string) (p rollingrestart.Plan) {
+func (g *group) rolled(standing rollingrestart.Status, at ...string) (p rollingrestart.Plan) {
 	g.t.Helper()
 	defer func() {
 		if g.t.Failed() {
@@ -25,7 +25,7 @@
 		for _, n := range at {
 			out, code := g.run("cluster", "roll", "show", "--output", "json", "--config", n+".toml")
 			p = rollingrestart.Plan{}
-			if code == 0 && json.Unmarshal([]byte(out), &p) == nil && p.Standing == standing {
+			if code == 0 && json.Unmarshal([]byte(out), &p) == nil && p.Status == standing {
 				return true
 			}
 		}
@@ -52,12 +52,12 @@
 	roll(exitFailed, `the configuration has no conductor: say roll = "on" in the section "duties"`, "start")
 	g.sections("n1", "[section.duties]\nroll = \"on\"\ndrill = \"1\"\n")
 	g.admits(all...)
-	g.held(leasedtask.Roll, 0, all...)
+	g.held(leasedtask.RollingRestartTask, 0, all...)
 	roll(exitFailed, `the group has no instance "n7"; n1, n2, n3 are`, "start", "--only", "n7")
 	roll(exitFailed, "nothing is to be stopped", "stop")
 	roll(0, "taken out one after another", "start", "--within", "2s")
 	p := g.rolled(rollingrestart.Halted, all...)
-	if !strings.HasPrefix(p.Why, "n3 is not back within 2s: it has no session") {
+	if !strings.HasPrefix(p.HaltReason, "n3 is not back within 2s: it has no session") {
 		t.Fatalf("it is %s", p.Progress())
 	}
 	g.kill("n3", syscall.SIGTERM) // it has ended: this waits for it
@@ -71,7 +71,7 @@
 	g.rolled(rollingrestart.Done, all...)
 	roll(exitFailed, "nothing is to be resumed: done: 3 back", "resume")
 	roll(0, "the last first", "undo")
-	conductor := g.held(leasedtask.Roll, 0, all...).Holder
+	conductor := g.held(leasedtask.RollingRestartTask, 0, all...).Holder
 	g.kill(conductor, syscall.SIGKILL)
 	g.start(conductor)
 	if p := g.rolled(rollingrestart.Done, all...); !p.Undo || p.Steps[0].Name != "n3" {
--- a/cmd/moorstack/serve.go
+++ b/cmd/moorstack/serve.go
@@ -55,7 +55,7 @@
 				return exitError{exitFailed, err}
 			}
 			switch err := i.Run(signals); {
-			case errors.Is(err, node.ErrAnew):
+			case errors.Is(err, node.ErrRestart):
 				return anew()
 			case err != nil:
 				return exitError{exitFailed, err}
--- a/cmd/moorstack/store.go
+++ b/cmd/moorstack/store.go
@@ -33,10 +33,10 @@
 				t.add("snapshot", fmt.Sprintf("%s, %d bytes", r.Snapshot, r.SnapshotBytes))
 			}
 			t.add("segments", r.Segments)
-			t.add("records", fmt.Sprintf("%d after the snapshot; next is %d", r.Records, r.Next))
+			t.add("records", fmt.Sprintf("%d after the snapshot; next is %d", r.Records, r.NextSeq))
 			t.add("bytes", r.Bytes)
-			if r.Torn != "" {
-				t.add("torn end", r.Torn)
+			if r.TornTail != "" {
+				t.add("torn end", r.TornTail)
 			}
 			t.add("verdict", "whole")
 			return g.print(cmd.OutOrStdout(), r, t)
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -108,8 +108,8 @@
 }
 
 // load gives the event's load report; the settings say what its free values hold.
-func (ev *event) load(names settings.ReportNames) balancer.Report {
-	r := balancer.NoReport
+func (ev *event) load(names settings.LoadReportFields) balancer.LoadReport {
+	r := balancer.NoLoadReport
 	for _, v := range ev.values {
 		names.Set(&r, v.name, v.v)
 	}
@@ -367,7 +367,7 @@
 		case "up_since":
 			var t int64
 			t, err = j.Int64()
-			w.Since = time.Duration(t)
+			w.StartedAt = time.Duration(t)
 		default:
 			err = j.Skip()
 		}
@@ -378,7 +378,7 @@
 	return id && health, it.Err()
 }
 
-func stateOf(health int) balancer.State {
+func stateOf(health int) balancer.WorkerState {
 	switch health {
 	case 2:
 		return balancer.Ready
@@ -388,5 +388,13 @@
 	return balancer.Removed
 }
 
-var results = map[int]balancer.Result{10: balancer.OK, 20: balancer.Error, 30: balancer.Full, 40: balancer.TimedOut,
-	50: balancer.ConnectFailed, 60: balancer.Reset, 70: balancer.Cancelled, 80: balancer.Moot}
+var results = map[int]balancer.Result{
+	10: balancer.OK,
+	20: balancer.ServerError,
+	30: balancer.WorkerFull,
+	40: balancer.TimedOut,
+	50: balancer.ConnectFailed,
+	60: balancer.ConnectionReset,
+	70: balancer.Cancelled,
+	80: balancer.NotSent,
+}
--- a/cmd/simadapter/drill_test.go
+++ b/cmd/simadapter/drill_test.go
@@ -181,12 +181,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := p.Brain()
+	set, err := p.Balancer()
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := balancer.Rules{Budget: 5 * time.Second, FreeFurther: 5, FurtherShare: 0.03, FullUnproven: true}
-	if set.Rules != rules || set.Goal.Punctual != 0.2 || set.Goal.MissAllowed != 0.02 {
+	rules := balancer.Rules{
+		RetryBudgetWindow: 5 * time.Second,
+		RetryBudgetBase:   5,
+		RetryBudgetShare:  0.03,
+		FullMayHaveRun:    true,
+	}
+	if set.Rules != rules || set.Goal.OnTime != 0.2 || set.Goal.AllowedMissShare != 0.02 {
 		t.Errorf("rules %+v, goal %+v", set.Rules, set.Goal)
 	}
 }
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -14,7 +14,7 @@
 type instance struct {
 	who   string
 	out   *jx.Writer
-	names settings.ReportNames
+	names settings.LoadReportFields
 	bal   *balancer.Balancer
 }
 
@@ -51,8 +51,8 @@
 	in.end()
 }
 
-// Refuse writes overload_reply.
-func (in *instance) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+// Reject writes overload_reply.
+func (in *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	in.start("overload_reply")
 	in.handle(id)
 	if retryAfter > 0 {
@@ -76,29 +76,29 @@
 	in.end()
 }
 
-// Probe writes sample.
-func (in *instance) Probe(w balancer.WorkerID) {
+// CheckHealth writes sample.
+func (in *instance) CheckHealth(w balancer.WorkerID) {
 	in.start("sample")
 	in.number(`,"worker":`, int64(w))
 	in.end()
 }
 
-// Watch writes watch.
-func (in *instance) Watch(on bool) {
+// WatchList writes watch.
+func (in *instance) WatchList(on bool) {
 	in.start("watch")
 	in.out.RawStr(`,"enable":`)
 	in.out.Bool(on)
 	in.end()
 }
 
-// Fetch writes get_list.
-func (in *instance) Fetch() {
+// FetchList writes get_list.
+func (in *instance) FetchList() {
 	in.start("get_list")
 	in.end()
 }
 
-// After writes after, with the token as decimal text.
-func (in *instance) After(d time.Duration, token uint64) {
+// SetTimer writes after, with the token as decimal text.
+func (in *instance) SetTimer(d time.Duration, token uint64) {
 	in.start("after")
 	in.number(`,"delay":`, int64(d))
 	in.out.RawStr(`,"mark":"`)
@@ -107,8 +107,8 @@
 	in.end()
 }
 
-// Tell writes signal.
-func (in *instance) Tell(peer int, data []byte) {
+// SendPeer writes signal.
+func (in *instance) SendPeer(peer int, data []byte) {
 	in.start("signal")
 	in.number(`,"dest":`, int64(peer))
 	in.out.RawStr(`,"raw":`)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -125,11 +125,11 @@
 	if err != nil {
 		return fmt.Errorf("spawn: %w", err)
 	}
-	set, err := p.Brain()
+	set, err := p.Balancer()
 	if err != nil {
 		return fmt.Errorf("spawn: %w", err)
 	}
-	in := &instance{who: string(ev.who), out: &s.out, names: p.Names()}
+	in := &instance{who: string(ev.who), out: &s.out, names: p.LoadReportFields()}
 	if in.bal, err = balancer.New(set, ev.seed, in); err != nil {
 		return fmt.Errorf("spawn: %w", err)
 	}
@@ -148,43 +148,49 @@
 	case "sync":
 		return s.sync(in, ev)
 	case "new_request":
-		in.bal.Request(s.now, balancer.Request{
+		in.bal.Submit(s.now, balancer.Request{
 			ID: balancer.RequestID(ev.handle), Class: ev.class, Tenant: ev.tenant,
-			Left: time.Duration(ev.left), Work: hint(ev), Slots: ev.slots, Memory: ev.memory,
-			Repeat: ev.flags&2 != 0,
+			Timeout: time.Duration(ev.left), ExpectedWork: hint(ev), Slots: ev.slots, Memory: ev.memory,
+			IsRetry: ev.flags&2 != 0,
 		})
 	case "aborted":
-		in.bal.Gone(s.now, balancer.RequestID(ev.handle))
+		in.bal.ClientDisconnected(s.now, balancer.RequestID(ev.handle))
 	case "outcome":
 		res, ok := results[ev.result]
 		if !ok {
 			return fmt.Errorf("unknown result %d", ev.result)
 		}
-		in.bal.Outcome(s.now, balancer.Outcome{
+		in.bal.AttemptEnded(s.now, balancer.AttemptOutcome{
 			ID: balancer.RequestID(ev.handle), Attempt: ev.attempt, Worker: balancer.WorkerID(ev.worker),
-			Result: res, Took: time.Duration(ev.took), Settled: ev.settled, Report: ev.load(in.names),
+			Result: res, Took: time.Duration(ev.took), Responded: ev.settled, Report: ev.load(in.names),
 		})
 	case "interim":
-		in.bal.Progress(s.now, balancer.Note{
+		in.bal.AttemptProgressed(s.now, balancer.AttemptProgress{
 			ID: balancer.RequestID(ev.handle), Attempt: ev.attempt, Worker: balancer.WorkerID(ev.worker),
-			Started: ev.sort == 1, Done: ev.level,
+			Started: ev.sort == 1, Fraction: ev.level,
 		})
 	case "established":
-		in.bal.Streaming(s.now, balancer.RequestID(ev.handle), ev.attempt)
+		in.bal.StreamStarted(s.now, balancer.RequestID(ev.handle), ev.attempt)
 	case "probe_done":
 		res, ok := results[ev.result]
 		if !ok {
 			return fmt.Errorf("unknown result %d", ev.result)
 		}
-		in.bal.Probed(s.now, balancer.WorkerID(ev.worker), res, time.Duration(ev.took), ev.load(in.names))
+		in.bal.HealthChecked(
+			s.now,
+			balancer.WorkerID(ev.worker),
+			res,
+			time.Duration(ev.took),
+			ev.load(in.names),
+		)
 	case "note_from":
-		in.bal.Peer(s.now, ev.by, ev.raw)
+		in.bal.ReceivePeer(s.now, ev.by, ev.raw)
 	case "elapsed":
 		token, err := tokenOf(ev.mark)
 		if err != nil {
 			return fmt.Errorf("mark %q is none of ours", ev.mark)
 		}
-		in.bal.Timer(s.now, token)
+		in.bal.TimerFired(s.now, token)
 	}
 	return nil
 }
@@ -197,21 +203,26 @@
 	return time.Duration(ev.work)
 }
 
-var listKinds = []balancer.ListKind{balancer.Changes, balancer.Whole, balancer.Cached, balancer.Failed}
+var listKinds = []balancer.ListUpdateKind{
+	balancer.ListDelta,
+	balancer.ListFull,
+	balancer.ListCached,
+	balancer.ListUnavailable,
+}
 
 func (s *server) sync(in *instance, ev *event) error {
 	if ev.form < 0 || ev.form >= len(listKinds) {
 		return fmt.Errorf("unknown form %d", ev.form)
 	}
 	kind := listKinds[ev.form]
-	if kind == balancer.Failed {
-		in.bal.Members(s.now, kind, nil)
+	if kind == balancer.ListUnavailable {
+		in.bal.UpdateWorkers(s.now, kind, nil)
 		return nil
 	}
 	list, ok := s.lists[ev.slot]
 	if !ok || ev.has&fSlot == 0 {
 		return fmt.Errorf("no list in slot %d", ev.slot)
 	}
-	in.bal.Members(s.now, kind, list)
+	in.bal.UpdateWorkers(s.now, kind, list)
 	return nil
 }
--- a/internal/cluster/calendar/next.go
+++ b/internal/cluster/calendar/next.go
@@ -1,19 +1,19 @@
 package calendar
 
 // Next is the first occurrence after an instant; false: there is none within some years.
-func (p *Plan) Next(after int64) (Occurrence, bool) {
-	if p.every > 0 && !p.rules.OnTheWall {
-		at := (floorDiv(after, p.every) + 1) * p.every
-		y, m, d := dateOf(floorDiv(at, daySecs))
-		secs := int(at - floorDiv(at, daySecs)*daySecs)
-		return Occurrence{At: at, Wall: at, Name: name(y, m, d, secs, 0)}, true
-	}
-	most := after + horizon
+func (p *Recurrence) Next(after int64) (Occurrence, bool) {
+	if p.intervalSeconds > 0 && !p.rules.WallClockIntervals {
+		at := (floorDiv(after, p.intervalSeconds) + 1) * p.intervalSeconds
+		y, m, d := dateOfDay(floorDiv(at, secondsPerDay))
+		secs := int(at - floorDiv(at, secondsPerDay)*secondsPerDay)
+		return Occurrence{At: at, WallClock: at, LocalTime: newLocalTime(y, m, d, secs, 0)}, true
+	}
+	most := after + searchHorizonSeconds
 	periods := p.zone.periods
-	for i := p.zone.index(after); i < len(periods) && periods[i].start <= most; i++ {
+	for i := p.zone.periodIndex(after); i < len(periods) && periods[i].start <= most; i++ {
 		lower := max(after+1, periods[i].start)
-		o, ok := p.natural(i, lower, most)
-		if moved, is := p.moved(i, lower); is && (!ok || moved.At < o.At) {
+		o, ok := p.nextExisting(i, lower, most)
+		if moved, is := p.nextInGap(i, lower); is && (!ok || moved.At < o.At) {
 			o, ok = moved, true
 		}
 		if ok {
@@ -23,19 +23,19 @@
 	return Occurrence{}, false
 }
 
-// natural is the first occurrence in a period whose local time is there as the expression gives it.
-func (p *Plan) natural(i int, lower, most int64) (Occurrence, bool) {
+// nextExisting is the first occurrence in a period whose local time is there as the expression gives it.
+func (p *Recurrence) nextExisting(i int, lower, most int64) (Occurrence, bool) {
 	now := p.zone.periods[i]
 	civil := lower + now.offset
 	limit := min(now.end, most) + now.offset
 	for {
-		c, day, ok := p.civilFrom(civil, limit)
+		c, day, ok := p.nextCivil(civil, limit)
 		if !ok {
 			return Occurrence{}, false
 		}
-		o := Occurrence{At: c - now.offset, Wall: c}
-		if day.moved {
-			o.Deed = MovedDay
+		o := Occurrence{At: c - now.offset, WallClock: c}
+		if day.adjusted {
+			o.Adjustment = AdjustedMissingDay
 		}
 		fold := uint64(0)
 		if i > 0 {
@@ -45,7 +45,7 @@
 					civil = now.start + was.offset
 					continue
 				}
-				fold, o.Deed = 1, Second
+				fold, o.Adjustment = 1, SecondOccurrence
 			}
 		}
 		if fold == 0 && p.rules.Fold == SecondFold && i+1 < len(p.zone.periods) {
@@ -54,14 +54,14 @@
 				return Occurrence{}, false
 			}
 		}
-		o.Name = name(day.y, day.m, day.d, int(c-floorDiv(c, daySecs)*daySecs), fold)
+		o.LocalTime = newLocalTime(day.y, day.m, day.d, int(c-floorDiv(c, secondsPerDay)*secondsPerDay), fold)
 		return o, true
 	}
 }
 
-// moved is the first occurrence that comes in a period because the shift at its start leaves its local
+// nextInGap is the first occurrence that comes in a period because the shift at its start leaves its local
 // time out. One that would come at the instant of another of the plan's is that other one.
-func (p *Plan) moved(i int, lower int64) (Occurrence, bool) {
+func (p *Recurrence) nextInGap(i int, lower int64) (Occurrence, bool) {
 	if i == 0 || p.rules.Gap == SkipGap {
 		return Occurrence{}, false
 	}
@@ -74,7 +74,7 @@
 		from = max(from, lower+was.offset)
 	}
 	for {
-		c, day, ok := p.civilFrom(from, to)
+		c, day, ok := p.nextCivil(from, to)
 		at := c - was.offset
 		if p.rules.Gap == AfterGap {
 			at = now.start
@@ -82,87 +82,93 @@
 		if !ok || at >= now.end {
 			return Occurrence{}, false
 		}
-		if n, is := p.natural(i, at, at+1); is && n.At == at {
+		if n, is := p.nextExisting(i, at, at+1); is && n.At == at {
 			if p.rules.Gap == AfterGap {
 				return Occurrence{}, false
 			}
 			from = c + 1
 			continue
 		}
-		return Occurrence{At: at, Wall: at + now.offset, Deed: MovedGap,
-			Name: name(day.y, day.m, day.d, int(c-floorDiv(c, daySecs)*daySecs), 0)}, true
+		return Occurrence{At: at, WallClock: at + now.offset, Adjustment: AdjustedGap,
+			LocalTime: newLocalTime(
+				day.y,
+				day.m,
+				day.d,
+				int(c-floorDiv(c, secondsPerDay)*secondsPerDay),
+				0,
+			)}, true
 	}
 }
 
-// day is a local date, by the name that the expression has for it.
-type day struct {
-	y, m, d int
-	moved   bool
+// matchedDate is a local date, by the name that the expression has for it.
+type matchedDate struct {
+	y, m, d  int
+	adjusted bool
 }
 
-// civilFrom is the first local time at or after c, and before limit, at which the plan comes if local
+// nextCivil is the first local time at or after c, and before limit, at which the plan comes if local
 // time ran on evenly.
-func (p *Plan) civilFrom(c, limit int64) (int64, day, bool) {
-	number := floorDiv(c, daySecs)
-	secs := int(c - number*daySecs)
-	y, m, d := dateOf(number)
-	for number*daySecs < limit {
-		if day, ok := p.day(y, m, d); ok {
-			if s := p.timeFrom(secs); s >= 0 {
-				c := number*daySecs + int64(s)
+func (p *Recurrence) nextCivil(c, limit int64) (int64, matchedDate, bool) {
+	number := floorDiv(c, secondsPerDay)
+	secs := int(c - number*secondsPerDay)
+	y, m, d := dateOfDay(number)
+	for number*secondsPerDay < limit {
+		if day, ok := p.matchDay(y, m, d); ok {
+			if s := p.nextTimeOfDay(secs); s >= 0 {
+				c := number*secondsPerDay + int64(s)
 				return c, day, c < limit
 			}
 		}
 		secs = 0
-		if !p.monthCounts(y, m) {
-			number += int64(daysIn(y, m) - d + 1)
-			d = daysIn(y, m) + 1
+		if !p.monthMayMatch(y, m) {
+			number += int64(daysInMonth(y, m) - d + 1)
+			d = daysInMonth(y, m) + 1
 		} else {
 			number++
 			d++
 		}
-		if d > daysIn(y, m) {
+		if d > daysInMonth(y, m) {
 			if d, m = 1, m+1; m > 12 {
 				m, y = 1, y+1
 			}
 		}
 	}
-	return 0, day{}, false
+	return 0, matchedDate{}, false
 }
 
-// monthCounts says whether any day of a month may be one of the plan's.
-func (p *Plan) monthCounts(y, m int) bool {
-	if p.every > 0 || has(p.month, m) {
+// monthMayMatch says whether any day of a month may be one of the plan's.
+func (p *Recurrence) monthMayMatch(y, m int) bool {
+	if p.intervalSeconds > 0 || hasBit(p.months, m) {
 		return true
 	}
 	before := m - 1
 	if before == 0 {
 		before = 12
 	}
-	return has(p.month, before) && (p.rules.Leap == NextDay || p.rules.Short == NextDay)
+	return hasBit(p.months, before) && (p.rules.LeapDay == NextDay || p.rules.ShortMonth == NextDay)
 }
 
-// day says whether a date is one of the plan's, and by which name: its own, or that of a day that the
+// matchDay says whether a date is one of the plan's, and by which name: its own, or that of a day that the
 // month, or the one before, lacks.
-func (p *Plan) day(y, m, d int) (day, bool) {
-	if p.every > 0 {
-		return day{y, m, d, false}, true
-	}
-	if has(p.month, m) {
-		dom := has(p.dom, d) || p.last && d == daysIn(y, m)
-		weekday := int((dayNumber(y, m, d)%7 + 11) % 7)
-		dow := has(p.dow, weekday)
+func (p *Recurrence) matchDay(y, m, d int) (matchedDate, bool) {
+	if p.intervalSeconds > 0 {
+		return matchedDate{y, m, d, false}, true
+	}
+	if hasBit(p.months, m) {
+		dom := hasBit(p.daysOfMonth, d) || p.includesLastDay && d == daysInMonth(y, m)
+		weekday := int((daysSinceEpoch(y, m, d)%7 + 11) % 7)
+		dow := hasBit(p.daysOfWeek, weekday)
 		// As cron has it: where both are restricted, either will do.
-		if p.dom&star != 0 || p.dow&star != 0 {
+		if p.daysOfMonth&unrestrictedBit != 0 || p.daysOfWeek&unrestrictedBit != 0 {
 			if dom && dow {
-				return day{y, m, d, false}, true
+				return matchedDate{y, m, d, false}, true
 			}
 		} else if dom || dow {
-			return day{y, m, d, false}, true
+			return matchedDate{y, m, d, false}, true
 		}
-		if d == daysIn(y, m) {
-			if e := p.lacks(y, m, LastDay); e > 0 {
-				return day{y, m, e, true}, true
+		if d == daysInMonth(y, m) {
+			if e := p.firstMissingDay(y, m, LastDay); e > 0 {
+				return matchedDate{y, m, e, true}, true
 			}
 		}
 	}
@@ -171,24 +177,25 @@
 		if pm == 0 {
 			py, pm = y-1, 12
 		}
-		if has(p.month, pm) {
-			if e := p.lacks(py, pm, NextDay); e > 0 {
-				return day{py, pm, e, true}, true
+		if hasBit(p.months, pm) {
+			if e := p.firstMissingDay(py, pm, NextDay); e > 0 {
+				return matchedDate{py, pm, e, true}, true
 			}
 		}
 	}
-	return day{}, false
+	return matchedDate{}, false
 }
 
-// lacks is the first day that the plan names and a month lacks, where the rule for it is the given one.
-func (p *Plan) lacks(y, m int, rule DayRule) int {
-	if p.dom&star != 0 {
+// firstMissingDay is the first day that the plan names and a month lacks, where the rule for it is the given
+// one.
+func (p *Recurrence) firstMissingDay(y, m int, rule MissingDayRule) int {
+	if p.daysOfMonth&unrestrictedBit != 0 {
 		return 0
 	}
-	for e := from(p.dom, daysIn(y, m)+1); e > 0; e = from(p.dom, e+1) {
-		of := p.rules.Short
+	for e := nextBit(p.daysOfMonth, daysInMonth(y, m)+1); e > 0; e = nextBit(p.daysOfMonth, e+1) {
+		of := p.rules.ShortMonth
 		if m == 2 && e == 29 {
-			of = p.rules.Leap
+			of = p.rules.LeapDay
 		}
 		if of == rule {
 			return e
@@ -197,34 +204,34 @@
 	return 0
 }
 
-// timeFrom is the first second of a day, at or after the given one, at which the plan comes; -1: none.
-func (p *Plan) timeFrom(secs int) int {
-	if p.every > 0 {
-		n := (int64(secs) + p.every - 1) / p.every * p.every
-		if n >= daySecs {
+// nextTimeOfDay is the first second of a day, at or after the given one, at which the plan comes; -1: none.
+func (p *Recurrence) nextTimeOfDay(secs int) int {
+	if p.intervalSeconds > 0 {
+		n := (int64(secs) + p.intervalSeconds - 1) / p.intervalSeconds * p.intervalSeconds
+		if n >= secondsPerDay {
 			return -1
 		}
 		return int(n)
 	}
 	h, m, s := secs/3600, secs/60%60, secs%60
-	hour := from(p.hour, h)
+	hour := nextBit(p.hours, h)
 	if hour < 0 {
 		return -1
 	}
 	if hour == h {
-		minute := from(p.minute, m)
+		minute := nextBit(p.minutes, m)
 		if minute == m {
-			if second := from(p.second, s); second >= 0 {
+			if second := nextBit(p.seconds, s); second >= 0 {
 				return hour*3600 + minute*60 + second
 			}
-			minute = from(p.minute, m+1)
+			minute = nextBit(p.minutes, m+1)
 		}
 		if minute >= 0 {
-			return hour*3600 + minute*60 + from(p.second, 0)
+			return hour*3600 + minute*60 + nextBit(p.seconds, 0)
 		}
-		if hour = from(p.hour, h+1); hour < 0 {
+		if hour = nextBit(p.hours, h+1); hour < 0 {
 			return -1
 		}
 	}
-	return hour*3600 + from(p.minute, 0)*60 + from(p.second, 0)
+	return hour*3600 + nextBit(p.minutes, 0)*60 + nextBit(p.seconds, 0)
 }
--- a/internal/cluster/calendar/calendar.go
+++ b/internal/cluster/calendar/recurrence.go
@@ -19,14 +19,14 @@
 	"github.com/robfig/cron/v3"
 )
 
-// DayRule is what becomes of a day that the month lacks.
-type DayRule uint8
+// MissingDayRule is what becomes of a day that the month lacks.
+type MissingDayRule uint8
 
 // The rules for days.
 const (
-	SkipDay DayRule = iota // there is no occurrence in that month
-	LastDay                // it comes on the month's last day
-	NextDay                // it comes on the first of the next month
+	SkipDay MissingDayRule = iota // there is no occurrence in that month
+	LastDay                       // it comes on the month's last day
+	NextDay                       // it comes on the first of the next month
 )
 
 // GapRule is what becomes of a local time that a shift of the clocks leaves out.
@@ -51,44 +51,44 @@
 
 // Rules are what an expression leaves open. The zero value is the default.
 type Rules struct {
-	Leap  DayRule // of 29 February in a year that has none
-	Short DayRule // of other days that a month lacks
-	Gap   GapRule
-	Fold  FoldRule
-	// OnTheWall has intervals be counted from each local midnight, and not in elapsed time.
-	OnTheWall bool
+	LeapDay    MissingDayRule // of 29 February in a year that has none
+	ShortMonth MissingDayRule // of other days that a month lacks
+	Gap        GapRule
+	Fold       FoldRule
+	// WallClockIntervals has intervals be counted from each local midnight, and not in elapsed time.
+	WallClockIntervals bool
 }
 
 // The words for the rules, as files have them.
 var (
-	DayWords  = []string{"skip", "last", "next"}
-	GapWords  = []string{"after", "shift", "skip"}
-	FoldWords = []string{"first", "second", "both"}
+	MissingDayRuleNames = []string{"skip", "last", "next"}
+	GapRuleNames        = []string{"after", "shift", "skip"}
+	FoldRuleNames       = []string{"first", "second", "both"}
 )
 
 const (
-	star    = 1 << 63 // in a field: it was not restricted
-	daySecs = 24 * 60 * 60
+	unrestrictedBit = 1 << 63 // in a field: it was not restricted
+	secondsPerDay   = 24 * 60 * 60
 )
 
-// Plan is an expression in a zone, with rules.
-type Plan struct {
-	second, minute, hour, dom, month, dow uint64
+// Recurrence is an expression in a zone, with rules.
+type Recurrence struct {
+	seconds, minutes, hours, daysOfMonth, months, daysOfWeek uint64
 
-	last  bool  // the month's last day is among the days
-	every int64 // seconds; 0: it goes by the fields
-	zone  *Zone
-	rules Rules
+	includesLastDay bool  // the month's last day is among the days
+	intervalSeconds int64 // seconds; 0: it goes by the fields
+	zone            *Zone
+	rules           Rules
 }
 
-// horizon is how far a walk looks, in seconds: from 1896 to 1904, and from 2096 to 2104, there are eight
-// years between two 29ths of February, and one that falls into a gap may be left out.
-const horizon = 17 * 366 * daySecs
+// searchHorizonSeconds is how far a walk looks, in seconds: from 1896 to 1904, and from 2096 to 2104, there
+// are eight years between two 29ths of February, and one that falls into a gap may be left out.
+const searchHorizonSeconds = 17 * 366 * secondsPerDay
 
 // Parse reads an expression: five fields as cron has them, six with seconds before them, L for the
 // month's last day, or @daily and its like, or "@every 90m".
-func Parse(expr string, zone *Zone, rules Rules) (*Plan, error) {
-	p := &Plan{zone: zone, rules: rules}
+func Parse(expr string, zone *Zone, rules Rules) (*Recurrence, error) {
+	p := &Recurrence{zone: zone, rules: rules}
 	// Hazard: the parser would take a zone of its own from here.
 	if strings.Contains(expr, "TZ=") {
 		return nil, fmt.Errorf("the zone is given by zone=, not within the expression")
@@ -99,7 +99,7 @@
 	}
 	only := false
 	if len(fields) == 5 || len(fields) == 6 {
-		only = p.takeLast(fields)
+		only = p.extractLastDay(fields)
 	}
 	parser := cron.NewParser(cron.SecondOptional | cron.Minute | cron.Hour | cron.Dom | cron.Month |
 		cron.Dow | cron.Descriptor)
@@ -110,15 +110,15 @@
 	}
 	switch s := s.(type) {
 	case cron.ConstantDelaySchedule:
-		if p.every = int64(s.Delay / time.Second); p.every > 366*daySecs ||
-			rules.OnTheWall && p.every > daySecs {
+		if p.intervalSeconds = int64(s.Delay / time.Second); p.intervalSeconds > 366*secondsPerDay ||
+			rules.WallClockIntervals && p.intervalSeconds > secondsPerDay {
 			return nil, fmt.Errorf("an interval of %v is too long; 24h on the wall, and 8784h in elapsed "+
 				"time, are the most", s.Delay)
 		}
 	case *cron.SpecSchedule:
-		p.second, p.minute, p.hour, p.month, p.dow = s.Second, s.Minute, s.Hour, s.Month, s.Dow
-		if p.dom = s.Dom; only {
-			p.dom = 0
+		p.seconds, p.minutes, p.hours, p.months, p.daysOfWeek = s.Second, s.Minute, s.Hour, s.Month, s.Dow
+		if p.daysOfMonth = s.Dom; only {
+			p.daysOfMonth = 0
 		}
 	default:
 		return nil, fmt.Errorf("%q is no expression that is known here", expr)
@@ -129,78 +129,78 @@
 	return p, nil
 }
 
-// takeLast takes L, which the parser does not know, out of the day of the month, and says whether it was
-// alone there.
-func (p *Plan) takeLast(fields []string) (only bool) {
+// extractLastDay takes L, which the parser does not know, out of the day of the month, and says whether it
+// was alone there.
+func (p *Recurrence) extractLastDay(fields []string) (only bool) {
 	at := len(fields) - 3
 	var rest []string
 	for _, part := range strings.Split(fields[at], ",") {
 		if part == "L" {
-			p.last = true
+			p.includesLastDay = true
 		} else {
 			rest = append(rest, part)
 		}
 	}
-	if fields[at] = strings.Join(rest, ","); p.last && len(rest) == 0 {
+	if fields[at] = strings.Join(rest, ","); p.includesLastDay && len(rest) == 0 {
 		fields[at], only = "1", true
 	}
 	return only
 }
 
 // Zone is where the plan counts.
-func (p *Plan) Zone() *Zone { return p.zone }
+func (p *Recurrence) Zone() *Zone { return p.zone }
 
-// Deed is what the rules did to an occurrence.
-type Deed uint8
+// Adjustment is what the rules did to an occurrence.
+type Adjustment uint8
 
 // What rules do.
 const (
-	Plain    Deed = iota
-	MovedDay      // the month lacks its day
-	MovedGap      // its local time is left out
-	Second        // the second of two
+	Unadjusted         Adjustment = iota
+	AdjustedMissingDay            // the month lacks its day
+	AdjustedGap                   // its local time is left out
+	SecondOccurrence              // the second of two
 )
 
-func (d Deed) String() string {
+func (d Adjustment) String() string {
 	return [...]string{"", "the month lacks its day", "its local time is left out",
 		"the second of two"}[min(int(d), 3)]
 }
 
 // Occurrence is one time at which a plan comes.
 type Occurrence struct {
-	At   int64 // Unix seconds
-	Wall int64 // what local clocks show then, as seconds since 1970 there
-	Name Name
-	Deed Deed
+	At         int64 // Unix seconds
+	WallClock  int64 // what local clocks show then, as seconds since 1970 there
+	LocalTime  LocalTime
+	Adjustment Adjustment
 }
 
-// Name is what people call an occurrence: the local date and time that the expression gave, which need
+// LocalTime is what people call an occurrence: the local date and time that the expression gave, which need
 // not exist, and the fold. It is a number, so that thousands are short in a log.
-type Name uint64
+type LocalTime uint64
 
-// name makes a Name.
-func name(y, m, d, secs int, fold uint64) Name {
-	return Name(((uint64(y)*16+uint64(m))*32+uint64(d))*daySecs*2 + uint64(secs)*2 + fold)
+// newLocalTime makes a Name.
+func newLocalTime(y, m, d, secs int, fold uint64) LocalTime {
+	return LocalTime(((uint64(y)*16+uint64(m))*32+uint64(d))*secondsPerDay*2 + uint64(secs)*2 + fold)
 }
 
-// Fold says whether it is the second of two.
-func (n Name) Fold() bool { return n&1 == 1 }
+// InSecondFold says whether it is the second of two.
+func (n LocalTime) InSecondFold() bool { return n&1 == 1 }
 
 // String writes it, as in 2026-03-29T02:30, with ~2 where it is the second of two.
-func (n Name) String() string {
-	secs, rest := int(n/2%daySecs), n/2/daySecs
+func (n LocalTime) String() string {
+	secs, rest := int(n/2%secondsPerDay), n/2/secondsPerDay
 	s := fmt.Sprintf("%04d-%02d-%02dT%02d:%02d", rest/512, rest/32%16, rest%32, secs/3600, secs/60%60)
 	if secs%60 != 0 {
 		s += fmt.Sprintf(":%02d", secs%60)
 	}
-	if n.Fold() {
+	if n.InSecondFold() {
 		s += "~2"
 	}
 	return s
 }
 
-// daysIn is how many days a month has.
-func daysIn(y, m int) int {
+// daysInMonth is how many days a month has.
+func daysInMonth(y, m int) int {
 	switch m {
 	case 2:
 		if y%4 == 0 && (y%100 != 0 || y%400 == 0) {
@@ -213,9 +213,9 @@
 	return 31
 }
 
-// dayNumber is the number of days from 1970 to a date (Hinnant, "chrono-compatible low-level date
+// daysSinceEpoch is the number of days from 1970 to a date (Hinnant, "chrono-compatible low-level date
 // algorithms").
-func dayNumber(y, m, d int) int64 {
+func daysSinceEpoch(y, m, d int) int64 {
 	if m <= 2 {
 		y--
 	}
@@ -225,8 +225,8 @@
 	return era*146097 + yoe*365 + yoe/4 - yoe/100 + doy - 719468
 }
 
-// dateOf is the date of a day's number.
-func dateOf(n int64) (y, m, d int) {
+// dateOfDay is the date of a day's number.
+func dateOfDay(n int64) (y, m, d int) {
 	n += 719468
 	era := floorDiv(n, 146097)
 	doe := n - era*146097
@@ -252,12 +252,12 @@
 	return q
 }
 
-// has says whether a bit of a field is set.
-func has(field uint64, n int) bool { return field>>uint(n)&1 == 1 }
+// hasBit says whether a bit of a field is set.
+func hasBit(field uint64, n int) bool { return field>>uint(n)&1 == 1 }
 
-// from gives the first bit of a field that is set at n or above, or -1.
-func from(field uint64, n int) int {
-	if rest := field &^ star >> uint(n) << uint(n); rest != 0 {
+// nextBit gives the first bit of a field that is set at n or above, or -1.
+func nextBit(field uint64, n int) int {
+	if rest := field &^ unrestrictedBit >> uint(n) << uint(n); rest != 0 {
 		return bits.TrailingZeros64(rest)
 	}
 	return -1
--- a/internal/cluster/calendar/calendar_test.go
+++ b/internal/cluster/calendar/recurrence_test.go
@@ -8,7 +8,7 @@
 
 func zone(t testing.TB, name string) *Zone {
 	t.Helper()
-	z, err := NewZones().Zone(name)
+	z, err := NewZoneDB().Lookup(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,16 +68,16 @@
 			[]string{"2026-02-15T01:30Z 2026-02-15T02:30", "2026-02-16T02:30Z 2026-02-16T02:30"}},
 		{"29 February", "Asia/Muscat", "0 6 29 2 *", Rules{}, "2026-01-01T00:00Z",
 			[]string{"2028-02-29T02:00Z 2028-02-29T06:00", "2032-02-29T02:00Z 2032-02-29T06:00"}},
-		{"29 February", "Asia/Muscat", "0 6 29 2 *", Rules{Leap: LastDay}, "2026-01-01T00:00Z",
+		{"29 February", "Asia/Muscat", "0 6 29 2 *", Rules{LeapDay: LastDay}, "2026-01-01T00:00Z",
 			[]string{"2026-02-28T02:00Z 2026-02-29T06:00", "2027-02-28T02:00Z 2027-02-29T06:00",
 				"2028-02-29T02:00Z 2028-02-29T06:00"}},
-		{"29 February", "Asia/Muscat", "0 6 29 2 *", Rules{Leap: NextDay}, "2027-01-01T00:00Z",
+		{"29 February", "Asia/Muscat", "0 6 29 2 *", Rules{LeapDay: NextDay}, "2027-01-01T00:00Z",
 			[]string{"2027-03-01T02:00Z 2027-02-29T06:00", "2028-02-29T02:00Z 2028-02-29T06:00"}},
 		{"a year of a hundred", "UTC", "0 6 29 2 *", Rules{}, "2096-03-01T00:00Z",
 			[]string{"2104-02-29T06:00Z 2104-02-29T06:00"}},
 		{"a year of four hundred", "UTC", "0 6 29 2 *", Rules{}, "1999-03-01T00:00Z",
 			[]string{"2000-02-29T06:00Z 2000-02-29T06:00"}},
-		{"days that a month lacks", "UTC", "0 6 30,31 * *", Rules{Short: LastDay}, "2026-01-31T12:00Z",
+		{"days that a month lacks", "UTC", "0 6 30,31 * *", Rules{ShortMonth: LastDay}, "2026-01-31T12:00Z",
 			[]string{"2026-02-28T06:00Z 2026-02-30T06:00", "2026-03-30T06:00Z 2026-03-30T06:00",
 				"2026-03-31T06:00Z 2026-03-31T06:00", "2026-04-30T06:00Z 2026-04-30T06:00"}},
 		{"the last day", "UTC", "0 6 L * *", Rules{}, "2027-12-31T12:00Z",
@@ -87,7 +87,7 @@
 			[]string{"2027-02-01T06:00Z 2027-02-01T06:00", "2027-02-28T06:00Z 2027-02-28T06:00"}},
 		{"in elapsed time", "Europe/Berlin", "@every 90m", Rules{}, "2026-03-29T00:00Z",
 			[]string{"2026-03-29T01:30Z 2026-03-29T01:30", "2026-03-29T03:00Z 2026-03-29T03:00"}},
-		{"on the wall", "Europe/Berlin", "@every 90m", Rules{OnTheWall: true}, "2026-03-29T00:00Z",
+		{"on the wall", "Europe/Berlin", "@every 90m", Rules{WallClockIntervals: true}, "2026-03-29T00:00Z",
 			[]string{"2026-03-29T00:30Z 2026-03-29T01:30", "2026-03-29T01:00Z 2026-03-29T03:00",
 				"2026-03-29T02:30Z 2026-03-29T04:30"}},
 		{"with seconds", "UTC", "*/20 * * * * *", Rules{}, "2026-03-29T00:00Z",
@@ -101,12 +101,12 @@
 		from := at(c.from)
 		for _, want := range c.want {
 			o, ok := p.Next(from)
-			got := time.Unix(o.At, 0).UTC().Format("2006-01-02T15:04Z ") + o.Name.String()
+			got := time.Unix(o.At, 0).UTC().Format("2006-01-02T15:04Z ") + o.LocalTime.String()
 			if !ok || got != want {
 				t.Errorf("%s: %s in %s: %s, %v; wanted %s", c.what, c.expr, c.zone, got, ok, want)
 			}
-			if wall := p.Zone().Wall(o.At); wall != o.Wall && p.every == 0 {
-				t.Errorf("%s: the wall shows %d, said was %d", got, wall, o.Wall)
+			if wall := p.Zone().WallClock(o.At); wall != o.WallClock && p.intervalSeconds == 0 {
+				t.Errorf("%s: the wall shows %d, said was %d", got, wall, o.WallClock)
 			}
 			from = o.At
 		}
@@ -130,11 +130,11 @@
 		}
 	}
 	// With a rule for the day it comes.
-	if _, err := Parse("0 6 30 2 *", UTC(), Rules{Short: LastDay}); err != nil {
+	if _, err := Parse("0 6 30 2 *", UTC(), Rules{ShortMonth: LastDay}); err != nil {
 		t.Error(err)
 	}
 	for _, name := range []string{"", "Local", "Mars/Olympus", "../etc/passwd"} {
-		if _, err := NewZones().Zone(name); err == nil {
+		if _, err := NewZoneDB().Lookup(name); err == nil {
 			t.Errorf("%q is taken for a zone", name)
 		}
 	}
@@ -142,18 +142,18 @@
 
 // The version tells rules apart by what they say.
 func TestVersion(t *testing.T) {
-	a, b := NewZones(), NewZones()
+	a, b := NewZoneDB(), NewZoneDB()
 	names := []string{"Europe/Berlin", "Asia/Muscat"}
-	if a.Version(names) != b.Version([]string{"Asia/Muscat", "Europe/Berlin"}) {
+	if a.RulesVersion(names) != b.RulesVersion([]string{"Asia/Muscat", "Europe/Berlin"}) {
 		t.Error("the same rules have two versions")
 	}
-	other := ZonesBy(func(name string) (*time.Location, error) {
+	other := NewZoneDBWithLoader(func(name string) (*time.Location, error) {
 		if name == "Asia/Muscat" {
 			return time.FixedZone(name, 3*3600), nil
 		}
 		return time.LoadLocation(name)
 	})
-	if a.Version(names) == other.Version(names) {
+	if a.RulesVersion(names) == other.RulesVersion(names) {
 		t.Error("other rules have the same version")
 	}
 }
--- a/internal/cluster/calendar/zone.go
+++ b/internal/cluster/calendar/zone.go
@@ -22,8 +22,8 @@
 type period struct{ start, end, offset int64 }
 
 var (
-	firstKnown = time.Date(1900, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
-	lastKnown  = time.Date(2110, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
+	rulesFrom  = time.Date(1900, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
+	rulesUntil = time.Date(2110, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
 )
 
 // UTC is the zone without rules.
@@ -34,8 +34,8 @@
 // NewZone reads the rules out of a location.
 func NewZone(loc *time.Location) *Zone {
 	z := &Zone{name: loc.String()}
-	at := firstKnown
-	for at < lastKnown {
+	at := rulesFrom
+	for at < rulesUntil {
 		t := time.Unix(at, 0).In(loc)
 		_, offset := t.Zone()
 		start, end := t.ZoneBounds()
@@ -52,7 +52,7 @@
 		}
 		// Hazard: past the last change that is written out, the library tells the end of a year that a
 		// rule is for, and it may be the very instant that it was asked for.
-		next := at + daySecs
+		next := at + secondsPerDay
 		if end.IsZero() {
 			break
 		}
@@ -68,8 +68,8 @@
 // Name is the zone's.
 func (z *Zone) Name() string { return z.name }
 
-// index is the period that an instant is in.
-func (z *Zone) index(t int64) int {
+// periodIndex is the period that an instant is in.
+func (z *Zone) periodIndex(t int64) int {
 	i, ok := slices.BinarySearchFunc(z.periods, t, func(p period, t int64) int {
 		switch {
 		case p.start < t:
@@ -85,29 +85,29 @@
 	return i
 }
 
-// Wall is what local clocks show at an instant.
-func (z *Zone) Wall(t int64) int64 { return t + z.periods[z.index(t)].offset }
+// WallClock is what local clocks show at an instant.
+func (z *Zone) WallClock(t int64) int64 { return t + z.periods[z.periodIndex(t)].offset }
 
-// Zones loads zones, each once. It may be used from several goroutines.
-type Zones struct {
+// ZoneDB loads zones, each once. It may be used from several goroutines.
+type ZoneDB struct {
 	mu    sync.Mutex
-	known map[string]*Zone
+	cache map[string]*Zone
 	load  func(string) (*time.Location, error)
 }
 
-// NewZones uses the machine's rules, or those that the program has in it.
-func NewZones() *Zones { return &Zones{known: map[string]*Zone{}, load: time.LoadLocation} }
+// NewZoneDB uses the machine's rules, or those that the program has in it.
+func NewZoneDB() *ZoneDB { return &ZoneDB{cache: map[string]*Zone{}, load: time.LoadLocation} }
 
-// ZonesBy uses the given rules: other ones, for tests.
-func ZonesBy(load func(string) (*time.Location, error)) *Zones {
-	return &Zones{known: map[string]*Zone{}, load: load}
+// NewZoneDBWithLoader uses the given rules: other ones, for tests.
+func NewZoneDBWithLoader(load func(string) (*time.Location, error)) *ZoneDB {
+	return &ZoneDB{cache: map[string]*Zone{}, load: load}
 }
 
-// Zone is the zone of a name, as in "Asia/Muscat".
-func (z *Zones) Zone(name string) (*Zone, error) {
+// Lookup is the zone of a name, as in "Asia/Muscat".
+func (z *ZoneDB) Lookup(name string) (*Zone, error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if zone := z.known[name]; zone != nil {
+	if zone := z.cache[name]; zone != nil {
 		return zone, nil
 	}
 	// Hazard: "Local" is whatever the machine is set to, and differs from instance to instance.
@@ -119,20 +119,20 @@
 		return nil, fmt.Errorf("%q is no zone that the rules here know", name)
 	}
 	zone := NewZone(loc)
-	z.known[name] = zone
+	z.cache[name] = zone
 	return zone, nil
 }
 
-// Version is a number for the rules of the named zones: equal rules have equal ones, wherever they were
+// RulesVersion is a number for the rules of the named zones: equal rules have equal ones, wherever they were
 // read from. A zone that is not known here counts as one without rules.
 //
 // Hazard: a release's name ("2026a") says what somebody has packed, with or without changes, and a
 // program can't read it off the rules that it uses. So the rules themselves are counted.
-func (z *Zones) Version(names []string) uint64 {
+func (z *ZoneDB) RulesVersion(names []string) uint64 {
 	h := xxhash.New()
 	for _, name := range slices.Sorted(slices.Values(names)) {
 		_, _ = h.WriteString(name)
-		zone, err := z.Zone(name)
+		zone, err := z.Lookup(name)
 		if err != nil {
 			continue
 		}
--- a/internal/cluster/clusterstate/document.go
+++ b/internal/cluster/clusterstate/document.go
@@ -16,23 +16,23 @@
 	"moorstack/balancer"
 )
 
-// Format is the newest form of the agreed state and its log that this program reads. An
+// LatestFormat is the newest form of the agreed state and its log that this program reads. An
 // instance that meets a newer one stops applying changes rather than reading it in part.
 //
 // Format 1 is a group in which a change is in force when it is agreed on. In one of format 2
 // it takes hold as package rollout says, one of format 3 has duties, one of format 4 keeps rates over
 // all fronts, one of format 5 has triggers, one of format 6 weights of its instances, and one of format 7 a
 // conductor of rolling restarts, and probes. A group goes to a newer one once all its instances can.
-const Format = 7
+const LatestFormat = 7
 
 // Bounds on a document. A change beyond them is refused before it is proposed.
 const (
-	MaxDocument = 256 << 10 // bytes, as JSON
-	maxClasses  = 256
-	maxTenants  = 10_000
-	maxSections = 64
-	maxKeys     = 4096
-	maxName     = 128 // bytes, of any name
+	MaxDocumentBytes = 256 << 10 // bytes, as JSON
+	maxClasses       = 256
+	maxTenants       = 10_000
+	maxSections      = 64
+	maxKeys          = 4096
+	maxName          = 128 // bytes, of any name
 )
 
 // Duration is a time span, written as in "1.5s".
@@ -65,26 +65,26 @@
 	// All, zone or cell; for dedup.
 	KeyScope string `toml:"key_scope,omitempty,omitzero" json:"key_scope,omitempty"`
 	// For how long repeats are dropped; for dedup.
-	Window Duration `toml:"window,omitempty,omitzero" json:"window,omitempty"`
+	DedupWindow Duration `toml:"window,omitempty,omitzero" json:"window,omitempty"`
 	// The client's patience over all its tries.
-	GiveUp Duration `toml:"give_up" json:"give_up"`
+	Deadline Duration `toml:"give_up" json:"give_up"`
 	// An answer within it earns the whole worth.
-	Aim Duration `toml:"aim" json:"aim"`
-	// Stretch: the aim grows by this many times the job's own work.
-	Stretch float64 `toml:"aim_stretch,omitempty,omitzero" json:"aim_stretch,omitempty"`
-	Worth   float64 `toml:"worth" json:"worth"`
+	LatencyObjective Duration `toml:"aim" json:"aim"`
+	// ObjectiveStretch: the aim grows by this many times the job's own work.
+	ObjectiveStretch float64 `toml:"aim_stretch,omitempty,omitzero" json:"aim_stretch,omitempty"`
+	PriorityWeight   float64 `toml:"worth" json:"worth"`
 	// Of the worth, after the aim.
-	LateShare float64 `toml:"late_share,omitempty,omitzero" json:"late_share,omitempty"`
+	LateWeightShare float64 `toml:"late_share,omitempty,omitzero" json:"late_share,omitempty"`
 	// 0: as many as the deployment allows.
-	Attempts int `toml:"attempts,omitempty,omitzero" json:"attempts,omitempty"`
+	MaxAttempts int `toml:"attempts,omitempty,omitzero" json:"attempts,omitempty"`
 }
 
 // Tenant is a team that shares the workers.
 type Tenant struct {
 	Name  string  `toml:"name" json:"name"`
-	Share float64 `toml:"share" json:"share"`
+	Quota float64 `toml:"share" json:"share"`
 	// Requests a second, over all instances.
-	Allowance float64 `toml:"allowance_per_s,omitempty,omitzero" json:"allowance_per_s,omitempty"`
+	RateLimit float64 `toml:"allowance_per_s,omitempty,omitzero" json:"allowance_per_s,omitempty"`
 }
 
 // Encode gives the document's one form in bytes: equal documents have equal bytes.
@@ -96,9 +96,9 @@
 	return b
 }
 
-// Decode reads what Encode wrote. A field that it doesn't know is an error: to pass over
+// DecodeDocument reads what Encode wrote. A field that it doesn't know is an error: to pass over
 // it would be to agree on something else than the others.
-func Decode(b []byte) (*Document, error) {
+func DecodeDocument(b []byte) (*Document, error) {
 	d := &Document{}
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
@@ -108,9 +108,18 @@
 	return d, nil
 }
 
-var effects = map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
-var scopes = map[string]balancer.Scope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone,
-	"cell": balancer.ScopeCell}
+var effects = map[string]balancer.Idempotency{
+	"retryable": balancer.Idempotent,
+	"dedup":     balancer.IdempotentByKey,
+	"fragile":   balancer.NonIdempotent,
+}
+
+var scopes = map[string]balancer.KeyScope{
+	"":     balancer.ScopeAll,
+	"all":  balancer.ScopeAll,
+	"zone": balancer.ScopeZone,
+	"cell": balancer.ScopeCell,
+}
 
 func wordFor[V comparable](words map[string]V, v V) string {
 	for word, has := range words {
@@ -121,34 +130,37 @@
 	return ""
 }
 
-// FromSettings is the document that says what the settings say: a new group's first one.
-func FromSettings(s balancer.Settings) *Document {
+// DocumentFromSettings is the document that says what the settings say: a new group's first one.
+func DocumentFromSettings(s balancer.Settings) *Document {
 	d := &Document{}
 	for _, c := range s.Classes {
 		k := Class{
-			Name:      c.Name,
-			Effect:    wordFor(effects, c.Effect),
-			GiveUp:    Duration(c.Deadline),
-			Aim:       Duration(c.Aim),
-			Stretch:   c.Stretch,
-			Worth:     c.Worth,
-			LateShare: c.LateShare,
-			Attempts:  c.Attempts,
+			Name:             c.Name,
+			Effect:           wordFor(effects, c.Idempotency),
+			Deadline:         Duration(c.Timeout),
+			LatencyObjective: Duration(c.LatencyObjective),
+			ObjectiveStretch: c.ObjectiveStretch,
+			PriorityWeight:   c.PriorityWeight,
+			LateWeightShare:  c.LateShare,
+			MaxAttempts:      c.MaxAttempts,
 		}
-		if c.Effect == balancer.Keyed {
-			k.KeyScope, k.Window = wordFor(scopes, c.Scope), Duration(c.Window)
+		if c.Idempotency == balancer.IdempotentByKey {
+			k.KeyScope, k.DedupWindow = wordFor(scopes, c.KeyScope), Duration(c.KeyWindow)
 		}
 		d.Classes = append(d.Classes, k)
 	}
 	for _, t := range s.Tenants {
-		d.Tenants = append(d.Tenants, Tenant{Name: t.Name, Share: t.Share, Allowance: t.Allowance})
+		d.Tenants = append(
+			d.Tenants,
+			Tenant{Name: t.Name, Quota: t.CapacityShare, RateLimit: t.QuotaPerSecond},
+		)
 	}
 	return d
 }
 
-// Onto puts the document's word over an instance's own settings. The classes and tenants
+// ApplyTo puts the document's word over an instance's own settings. The classes and tenants
 // must be the same ones, in any order.
-func (d *Document) Onto(s balancer.Settings) (balancer.Settings, error) {
+func (d *Document) ApplyTo(s balancer.Settings) (balancer.Settings, error) {
 	if len(d.Classes) != len(s.Classes) || len(d.Tenants) != len(s.Tenants) {
 		return s, fmt.Errorf(
 			"the document has %d classes and %d tenants, this instance's own settings %d and %d",
@@ -170,15 +182,19 @@
 			return s, fmt.Errorf("this instance's own settings have no class %q", k.Name)
 		}
 		c := &s.Classes[i]
-		if c.Effect != effects[k.Effect] || c.Effect == balancer.Keyed &&
-			(c.Scope != scopes[k.KeyScope] || c.Window != time.Duration(k.Window)) {
+		if c.Idempotency != effects[k.Effect] || c.Idempotency == balancer.IdempotentByKey &&
+			(c.KeyScope != scopes[k.KeyScope] || c.KeyWindow != time.Duration(k.DedupWindow)) {
 			return s, fmt.Errorf(
 				"class %q: this instance's own settings say otherwise what may run again",
 				k.Name,
 			)
 		}
-		c.Deadline, c.Aim, c.Stretch = time.Duration(k.GiveUp), time.Duration(k.Aim), k.Stretch
-		c.Worth, c.LateShare, c.Attempts = k.Worth, k.LateShare, k.Attempts
+		c.Timeout, c.LatencyObjective, c.ObjectiveStretch = time.Duration(
+			k.Deadline,
+		), time.Duration(
+			k.LatencyObjective,
+		), k.ObjectiveStretch
+		c.PriorityWeight, c.LateShare, c.MaxAttempts = k.PriorityWeight, k.LateWeightShare, k.MaxAttempts
 	}
 	clear(at)
 	for i, t := range s.Tenants {
@@ -189,7 +205,7 @@
 		if !ok {
 			return s, fmt.Errorf("this instance's own settings have no tenant %q", k.Name)
 		}
-		s.Tenants[i].Share, s.Tenants[i].Allowance = k.Share, k.Allowance
+		s.Tenants[i].CapacityShare, s.Tenants[i].QuotaPerSecond = k.Quota, k.RateLimit
 	}
 	return s, nil
 }
--- a/internal/cluster/clusterstate/schedule_test.go
+++ b/internal/cluster/clusterstate/schedule_snapshot_test.go
@@ -24,9 +24,9 @@
 		}
 		r := s
 		now, version := int64(1_800_000_000), s.Schedule().Policy().Version
-		seat := func() schedule.Seat {
+		seat := func() schedule.Session {
 			x := s.rollout.Sessions[uint64(1+rng.IntN(3))]
-			return schedule.Seat{Member: x.Member, Epoch: x.Epoch}
+			return schedule.Session{Member: x.Member, Epoch: x.Epoch}
 		}
 		for range 200 {
 			if rng.IntN(5) == 0 {
@@ -36,44 +36,55 @@
 			}
 			now += int64(rng.IntN(60))
 			var session rollout.Command
-			c := schedule.Command{Seat: seat(), Version: version, Zones: 1, Now: now}
+			c := schedule.Command{
+				Session:          seat(),
+				PolicyVersion:    version,
+				ZoneRulesVersion: 1,
+				ClusterTime:      now,
+			}
 			switch rng.IntN(6) {
 			case 0:
-				session = rollout.Command{Kind: rollout.Open, Member: uint64(1 + rng.IntN(3)),
-					Nonce: rng.Uint64()}
+				session = rollout.Command{Kind: rollout.OpenSession, Member: uint64(1 + rng.IntN(3)),
+					Incarnation: rng.Uint64()}
 			case 1:
-				session = rollout.Command{Kind: rollout.Lapse, Seats: []rollout.Seat{{Member: c.Seat.Member,
-					Epoch: c.Seat.Epoch}}}
+				session = rollout.Command{
+					Kind: rollout.ExpireSessions,
+					Sessions: []rollout.SessionID{{Member: c.Session.Member,
+						Epoch: c.Session.Epoch}},
+				}
 			case 2:
-				c.Kind = schedule.Declare
+				c.Kind = schedule.DeclarePolicy
 			case 3:
-				c.Kind = schedule.Settle
-				for _, i := range s.Schedule().OpenItems() {
-					c.Seat = i.Seat
-					c.Numbers, c.Results = append(c.Numbers, i.Number), append(c.Results, schedule.Done)
+				c.Kind = schedule.RecordResults
+				for _, i := range s.Schedule().OpenFirings() {
+					c.Session = i.Session
+					c.Numbers, c.Results = append(c.Numbers, i.Number), append(c.Results, schedule.Succeeded)
 				}
 			default:
-				c.Kind = schedule.Intend
+				c.Kind = schedule.IntendFirings
 				for n, trigger := range s.Schedule().Policy().Triggers {
 					shard := placement.ShardOf(trigger.Name)
-					c.Steps = append(c.Steps, schedule.Step{Shard: shard,
-						Version: s.Schedule().Shards[shard].Version})
-					c.Dues = append(c.Dues, schedule.Due{Trigger: n, Name: 1000, At: now - 1, Wall: now - 1})
+					c.Advances = append(c.Advances, schedule.ShardAdvance{Shard: shard,
+						FromVersion: s.Schedule().Shards[shard].Version})
+					c.Occurrences = append(
+						c.Occurrences,
+						schedule.DueOccurrence{Trigger: n, LocalTime: 1000, At: now - 1, WallClock: now - 1},
+					)
 				}
 			}
 			for _, x := range []*State{s, r} {
 				if session.Kind != rollout.None {
-					x.Command(session)
+					x.ApplyRollout(session)
 				} else {
-					_ = x.Scheduled(c)
+					_ = x.ApplySchedule(c)
 				}
-				x.Settled()
+				x.UpdateOwners()
 			}
 			if !bytes.Equal(s.Encode(), r.Encode()) {
 				t.Fatalf("seed %d, after %v %+v:\n%s\n%s", seed, session.Kind, c, s.Encode(), r.Encode())
 			}
 		}
-		if s.Schedule().Number == 0 {
+		if s.Schedule().LastNumber == 0 {
 			t.Error("nothing was intended")
 		}
 	}
--- a/internal/cluster/clusterstate/image.go
+++ b/internal/cluster/clusterstate/snapshot.go
@@ -18,10 +18,10 @@
 	Removed []uint64   `json:"removed,omitempty"`
 
 	// From format 2 on.
-	Sessions []rollout.Session `json:"sessions,omitempty"`
-	Epoch    uint64            `json:"epoch,omitempty"`
-	Phase    *rollout.Pending  `json:"phase,omitempty"`
-	Pending  *Revision         `json:"pending,omitempty"`
+	Sessions []rollout.Session      `json:"sessions,omitempty"`
+	Epoch    uint64                 `json:"epoch,omitempty"`
+	Phase    *rollout.PendingChange `json:"phase,omitempty"`
+	Pending  *Revision              `json:"pending,omitempty"`
 }
 
 type idImage struct {
@@ -38,7 +38,7 @@
 		Members:  s.Members(),
 		Removed:  s.removed,
 		Sessions: s.rollout.List(),
-		Epoch:    s.rollout.Epoch,
+		Epoch:    s.rollout.LastEpoch,
 		Phase:    s.rollout.Pending,
 		Pending:  s.pending,
 	}
@@ -47,7 +47,7 @@
 	}
 	b := written(im)
 	for _, p := range s.parts {
-		for _, f := range p.state.Image() {
+		for _, f := range p.state.Snapshot() {
 			switch value := written(f.Value); string(value) {
 			case "null", "0", "[]", "{}", `""`:
 			default:
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	for _, p := range parts {
-		for _, f := range p.state.Image() {
+		for _, f := range p.state.Snapshot() {
 			if text, ok := all[f.Name]; ok {
 				own[f.Name] = text
 				delete(all, f.Name)
@@ -102,19 +102,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("reading an agreed state: %w", err)
 	}
-	if im.Format < 1 || im.Format > Format {
-		return nil, fmt.Errorf("an agreed state of format %d; this program reads 1 to %d", im.Format, Format)
+	if im.Format < 1 || im.Format > LatestFormat {
+		return nil, fmt.Errorf(
+			"an agreed state of format %d; this program reads 1 to %d",
+			im.Format,
+			LatestFormat,
+		)
 	}
 	if (im.Phase == nil) != (im.Pending == nil) || im.Pending != nil && im.Pending.Document == nil {
 		return nil, fmt.Errorf("reading an agreed state: half a change is pending")
 	}
-	if len(im.History) == 0 || len(im.IDs) > MaxIDs {
+	if len(im.History) == 0 || len(im.IDs) > MaxOutcomes {
 		return nil, fmt.Errorf("reading an agreed state: %d revisions, %d ids", len(im.History), len(im.IDs))
 	}
 	s := &State{rules: rules, cluster: im.Cluster, ids: map[string]Outcome{}, members: map[uint64]Member{},
 		removed: im.Removed, format: im.Format, pending: im.Pending,
-		rollout: &rollout.State{Sessions: map[uint64]rollout.Session{}, Epoch: im.Epoch, Pending: im.Phase},
-		parts:   parts}
+		rollout: &rollout.State{
+			Sessions:  map[uint64]rollout.Session{},
+			LastEpoch: im.Epoch,
+			Pending:   im.Phase,
+		},
+		parts: parts}
 	read := func(field string, into any) (bool, error) {
 		text, ok := fields[field]
 		if !ok {
@@ -132,10 +140,10 @@
 	}
 	last := uint64(0)
 	for _, r := range im.History {
-		if r.Document == nil || r.Revision <= last {
-			return nil, fmt.Errorf("reading an agreed state: revision %d after %d", r.Revision, last)
+		if r.Document == nil || r.Number <= last {
+			return nil, fmt.Errorf("reading an agreed state: revision %d after %d", r.Number, last)
 		}
-		last = r.Revision
+		last = r.Number
 		s.push(r)
 	}
 	s.plan()
@@ -146,6 +154,6 @@
 		s.members[m.ID] = m
 	}
 	// Hazard: the first entry after a snapshot must find the same owners as where there was none.
-	s.Settled()
+	s.UpdateOwners()
 	return s, nil
 }
--- a/internal/cluster/clusterstate/validate.go
+++ b/internal/cluster/clusterstate/validate.go
@@ -11,15 +11,15 @@
 	"moorstack/internal/cluster/replicated"
 )
 
-// SectionRule checks a section that the program knows. It must be a pure function.
-type SectionRule func(d *Document, values map[string]string) []string
+// SectionValidator checks a section that the program knows. It must be a pure function.
+type SectionValidator func(d *Document, values map[string]string) []string
 
 // Rules are what documents are checked by. Every instance of a group must have the same.
 type Rules struct {
 	// Sections are those with rules that no subject has. One that isn't named may hold anything.
-	Sections map[string]SectionRule
-	Subjects []replicated.Subject // what is agreed on beside the document; nil: Subjects()
-	format   int                  // of the group that judges; 0: what this program knows
+	Sections map[string]SectionValidator
+	Types    []replicated.StateMachineType // what is agreed on beside the document; nil: Subjects()
+	format   int                           // of the group that judges; 0: what this program knows
 }
 
 // longest is the longest time that a document may name.
@@ -58,13 +58,13 @@
 			p.add(at, "there are two of this name")
 		}
 		seen[t.Name] = true
-		if !(t.Share >= 0 && t.Share <= 1) {
-			p.add(at, "share: %v is not from 0 to 1", t.Share)
+		if !(t.Quota >= 0 && t.Quota <= 1) {
+			p.add(at, "share: %v is not from 0 to 1", t.Quota)
 		} else {
-			sum += t.Share
+			sum += t.Quota
 		}
-		if !(t.Allowance >= 0 && t.Allowance < 1e9) {
-			p.add(at, "allowance_per_s: %v is not a number of requests a second", t.Allowance)
+		if !(t.RateLimit >= 0 && t.RateLimit < 1e9) {
+			p.add(at, "allowance_per_s: %v is not a number of requests a second", t.RateLimit)
 		}
 	}
 	if sum > 1+1e-9 {
@@ -92,7 +92,7 @@
 			continue
 		}
 		delete(old, c.Name)
-		if c.Effect != o.Effect || c.KeyScope != o.KeyScope || c.Window != o.Window {
+		if c.Effect != o.Effect || c.KeyScope != o.KeyScope || c.DedupWindow != o.DedupWindow {
 			p.add(
 				fmt.Sprintf("class %q", c.Name),
 				"effect, key_scope and window can't change while instances run: open jobs may have run",
@@ -137,29 +137,29 @@
 	if _, ok := scopes[c.KeyScope]; !ok {
 		p.add(at, "key_scope: %q is not all, zone or cell", c.KeyScope)
 	}
-	if c.Effect != "dedup" && (c.KeyScope != "" || c.Window != 0) {
+	if c.Effect != "dedup" && (c.KeyScope != "" || c.DedupWindow != 0) {
 		p.add(at, "key_scope and window belong to the effect dedup")
 	}
-	if c.Effect == "dedup" && (c.Window <= 0 || time.Duration(c.Window) > longest) {
-		p.add(at, "window: %v is not above 0 and up to %v", c.Window, longest)
+	if c.Effect == "dedup" && (c.DedupWindow <= 0 || time.Duration(c.DedupWindow) > longest) {
+		p.add(at, "window: %v is not above 0 and up to %v", c.DedupWindow, longest)
 	}
-	if c.GiveUp <= 0 || time.Duration(c.GiveUp) > longest {
-		p.add(at, "give_up: %v is not above 0 and up to %v", c.GiveUp, longest)
+	if c.Deadline <= 0 || time.Duration(c.Deadline) > longest {
+		p.add(at, "give_up: %v is not above 0 and up to %v", c.Deadline, longest)
 	}
-	if c.Aim < 0 || c.Aim > c.GiveUp {
-		p.add(at, "aim: %v is not from 0 to give_up, %v", c.Aim, c.GiveUp)
+	if c.LatencyObjective < 0 || c.LatencyObjective > c.Deadline {
+		p.add(at, "aim: %v is not from 0 to give_up, %v", c.LatencyObjective, c.Deadline)
 	}
-	if !(c.Stretch >= 0 && c.Stretch <= 1000) {
-		p.add(at, "aim_stretch: %v is not from 0 to 1000", c.Stretch)
+	if !(c.ObjectiveStretch >= 0 && c.ObjectiveStretch <= 1000) {
+		p.add(at, "aim_stretch: %v is not from 0 to 1000", c.ObjectiveStretch)
 	}
-	if !(c.Worth >= 0 && c.Worth <= 1e9) {
-		p.add(at, "worth: %v is not from 0 to 1e9", c.Worth)
+	if !(c.PriorityWeight >= 0 && c.PriorityWeight <= 1e9) {
+		p.add(at, "worth: %v is not from 0 to 1e9", c.PriorityWeight)
 	}
-	if !(c.LateShare >= 0 && c.LateShare <= 1) {
-		p.add(at, "late_share: %v is not from 0 to 1", c.LateShare)
+	if !(c.LateWeightShare >= 0 && c.LateWeightShare <= 1) {
+		p.add(at, "late_share: %v is not from 0 to 1", c.LateWeightShare)
 	}
-	if c.Attempts < 0 || c.Attempts > 100 {
-		p.add(at, "attempts: %d is not from 0 to 100", c.Attempts)
+	if c.MaxAttempts < 0 || c.MaxAttempts > 100 {
+		p.add(at, "attempts: %d is not from 0 to 100", c.MaxAttempts)
 	}
 }
 
@@ -183,7 +183,7 @@
 			}
 		}
 		if x := r.subject(name); x != nil {
-			for _, why := range x.Check(r.termsOf(d, name)) {
+			for _, why := range x.Validate(r.termsOf(d, name)) {
 				p.add(at, "%s", why)
 			}
 		}
@@ -207,8 +207,8 @@
 	return ""
 }
 
-// Differences says, a line each, what is different in b.
-func Differences(a, b *Document) []string {
+// Diff says, a line each, what is different in b.
+func Diff(a, b *Document) []string {
 	var p problems
 	classes := map[string]Class{}
 	for _, c := range a.Classes {
@@ -223,13 +223,13 @@
 		}
 		p.differ(at, "effect", o.Effect, c.Effect)
 		p.differ(at, "key_scope", o.KeyScope, c.KeyScope)
-		p.differ(at, "window", o.Window, c.Window)
-		p.differ(at, "give_up", o.GiveUp, c.GiveUp)
-		p.differ(at, "aim", o.Aim, c.Aim)
-		p.differ(at, "aim_stretch", o.Stretch, c.Stretch)
-		p.differ(at, "worth", o.Worth, c.Worth)
-		p.differ(at, "late_share", o.LateShare, c.LateShare)
-		p.differ(at, "attempts", o.Attempts, c.Attempts)
+		p.differ(at, "window", o.DedupWindow, c.DedupWindow)
+		p.differ(at, "give_up", o.Deadline, c.Deadline)
+		p.differ(at, "aim", o.LatencyObjective, c.LatencyObjective)
+		p.differ(at, "aim_stretch", o.ObjectiveStretch, c.ObjectiveStretch)
+		p.differ(at, "worth", o.PriorityWeight, c.PriorityWeight)
+		p.differ(at, "late_share", o.LateWeightShare, c.LateWeightShare)
+		p.differ(at, "attempts", o.MaxAttempts, c.MaxAttempts)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		p.add(fmt.Sprintf("class %q", name), "removed")
@@ -245,8 +245,8 @@
 			p.add(at, "added")
 			continue
 		}
-		p.differ(at, "share", o.Share, t.Share)
-		p.differ(at, "allowance_per_s", o.Allowance, t.Allowance)
+		p.differ(at, "share", o.Quota, t.Quota)
+		p.differ(at, "allowance_per_s", o.RateLimit, t.RateLimit)
 	}
 	for _, name := range slices.Sorted(maps.Keys(tenants)) {
 		p.add(fmt.Sprintf("tenant %q", name), "removed")
@@ -313,11 +313,11 @@
 // finite guards Encode: JSON has no word for the other numbers.
 func (d *Document) finite() bool {
 	for _, c := range d.Classes {
-		if bad(c.Stretch) || bad(c.Worth) || bad(c.LateShare) {
+		if bad(c.ObjectiveStretch) || bad(c.PriorityWeight) || bad(c.LateWeightShare) {
 			return false
 		}
 	}
-	return !slices.ContainsFunc(d.Tenants, func(t Tenant) bool { return bad(t.Share) || bad(t.Allowance) })
+	return !slices.ContainsFunc(d.Tenants, func(t Tenant) bool { return bad(t.Quota) || bad(t.RateLimit) })
 }
 
 func bad(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) }
--- a/internal/cluster/clusterstate/weights_test.go
+++ b/internal/cluster/clusterstate/weights_test.go
@@ -21,31 +21,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	last := s.View().Number
+	last := s.PlacementView().Number
 	for n, w := range []string{"3", "1", "1.5"} {
-		force(s, Change{ID: w, Base: uint64(n + 1), Document: weighed(w)})
-		if v := s.View(); v.Number <= last {
+		force(s, Change{ID: w, BaseRevision: uint64(n + 1), Document: weighed(w)})
+		if v := s.PlacementView(); v.Number <= last {
 			t.Errorf("with a weight of %s the view %d comes after %d", w, v.Number, last)
 		}
-		last = s.View().Number
+		last = s.PlacementView().Number
 	}
-	s.Command(rollout.Command{Kind: rollout.Open, Member: 1, Name: "n1", Nonce: 7})
-	if v := s.View(); len(v.Members) != 1 || v.Members[0].Weight != 1.5 || v.Number <= last {
+	s.ApplyRollout(rollout.Command{Kind: rollout.OpenSession, Member: 1, Name: "n1", Incarnation: 7})
+	if v := s.PlacementView(); len(v.Members) != 1 || v.Members[0].Weight != 1.5 || v.Number <= last {
 		t.Fatalf("%+v", v)
 	}
-	last = s.View().Number
+	last = s.PlacementView().Number
 	r, err := Restore(Rules{}, s.Encode())
-	if err != nil || r.View().Number != last || !bytes.Equal(r.Encode(), s.Encode()) {
-		t.Errorf("restored, the view is %+v, %v; it was %d", r.View(), err, last)
+	if err != nil || r.PlacementView().Number != last || !bytes.Equal(r.Encode(), s.Encode()) {
+		t.Errorf("restored, the view is %+v, %v; it was %d", r.PlacementView(), err, last)
 	}
-	old := strings.Replace(string(s.Encode()), fmt.Sprintf(`"format":%d`, Format), `"format":5`, 1)
+	old := strings.Replace(string(s.Encode()), fmt.Sprintf(`"format":%d`, LatestFormat), `"format":5`, 1)
 	old = old[:strings.Index(old, `,"weights":`)] + "}"
-	if r, err = Restore(Rules{}, []byte(old)); err != nil || r.View().Members[0].Weight != 0 {
+	if r, err = Restore(Rules{}, []byte(old)); err != nil || r.PlacementView().Members[0].Weight != 0 {
 		t.Fatalf("a group of format 5 goes by weights: %v", err)
 	}
-	before := r.View().Number
-	r.Enter()
-	if v := r.View(); v.Members[0].Weight != 1.5 || v.Number <= before {
+	before := r.PlacementView().Number
+	r.UpgradeFormat()
+	if v := r.PlacementView(); v.Members[0].Weight != 1.5 || v.Number <= before {
 		t.Errorf("once all know weights, the view %d after %d has %+v", v.Number, before, v.Members)
 	}
 }
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -28,7 +28,7 @@
 
 func document(worth float64) *clusterstate.Document {
 	return &clusterstate.Document{
-		Classes: []clusterstate.Class{{Name: "c", Effect: "retryable", GiveUp: 5e9, Worth: worth}},
+		Classes: []clusterstate.Class{{Name: "c", Effect: "retryable", Deadline: 5e9, PriorityWeight: worth}},
 	}
 }
 
@@ -37,38 +37,42 @@
 	*Instance
 	fs      *faultfs.FS
 	log     *store.Store
-	answers map[Ticket]Answer
+	answers map[RequestID]Response
 }
 
 func open(t testing.TB, fs *faultfs.FS) *alone { return openBy(t, fs, clusterstate.Rules{}) }
 
 func openBy(t testing.TB, fs *faultfs.FS, rules clusterstate.Rules) *alone {
 	t.Helper()
-	saved := NewSaved()
-	log, err := store.Open("/d", store.Options{FS: fs}, saved.Image, saved.Record)
+	saved := NewRecoveredState()
+	log, err := store.Open("/d", store.Options{FS: fs}, saved.RestoreSnapshot, saved.ReplayRecord)
 	if err != nil {
 		t.Fatal(err)
 	}
-	i, err := New(Config{Rules: rules, Log: quiet(), Seed: 1, SnapshotEvery: 7, KeepEntries: 2}, saved, 77,
-		"n1")
+	i, err := New(
+		Config{Rules: rules, Logger: quiet(), Seed: 1, SnapshotCount: 7, SnapshotCatchUpEntries: 2},
+		saved,
+		77,
+		"n1",
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &alone{i, fs, log, map[Ticket]Answer{}}
+	return &alone{i, fs, log, map[RequestID]Response{}}
 }
 
 func (a *alone) drive(t testing.TB) {
 	t.Helper()
 	var fronts []func() // what the fronts say to what they were told
-	if err := Drive(a.Instance, a.log, func() time.Duration { return 0 }, func(e Effects) {
-		for _, x := range e.Answers {
-			a.answers[x.Ticket] = x
+	if err := ProcessReady(a.Instance, a.log, func() time.Duration { return 0 }, func(e Effects) {
+		for _, x := range e.Responses {
+			a.answers[x.RequestID] = x
 		}
 		if r := e.Stage; r != nil {
-			fronts = append(fronts, func() { a.Staged(r.ID, nil) })
+			fronts = append(fronts, func() { a.ReportStaged(r.ChangeID, nil) })
 		}
 		if p := e.Permit; p != nil && p.Change != "" {
-			fronts = append(fronts, func() { a.Closed(p.Change, p.Attempt) })
+			fronts = append(fronts, func() { a.ReportAdmissionClosed(p.Change, p.Attempt) })
 		}
 	}); err != nil {
 		t.Fatal(err)
@@ -88,8 +92,8 @@
 	return a
 }
 
-func (a *alone) propose(t testing.TB, id string, base uint64, worth float64) Answer {
-	ticket := a.Propose(clusterstate.Change{ID: id, Base: base, Document: document(worth)}, false)
+func (a *alone) propose(t testing.TB, id string, base uint64, worth float64) Response {
+	ticket := a.Propose(clusterstate.Change{ID: id, BaseRevision: base, Document: document(worth)}, false)
 	a.drive(t)
 	return a.answers[ticket]
 }
@@ -100,11 +104,12 @@
 	for n := range 40 {
 		worth := float64(n + 2)
 		got := a.propose(t, "x"+string(rune('a'+n)), uint64(n+1), worth)
-		if got.Err != nil || got.Outcome.Code != clusterstate.Accepted || got.Outcome.Revision != uint64(n+2) {
+		if got.Err != nil || got.Outcome.Code != clusterstate.Accepted ||
+			got.Outcome.Revision != uint64(n+2) {
 			t.Fatalf("change %d: %+v", n, got)
 		}
 		if n%3 == 0 {
-			a.fs.Crash()
+			a.fs.LosePower()
 			a = open(t, a.fs)
 			// It has not been elected again, but knows what it knew.
 			if got := a.propose(t, "y", uint64(n+2), 0); !errors.Is(got.Err, ErrNoLeader) {
@@ -132,7 +137,7 @@
 	} {
 		ticket := a.Operate(op, 99)
 		a.drive(t)
-		var refused *RefusedError
+		var refused *RejectedError
 		if got := a.answers[ticket].Err; !errors.As(got, &refused) || got.Error() != want {
 			t.Errorf("%v: %v", op.Kind, got)
 		}
@@ -206,10 +211,10 @@
 			a.Tick()
 			a.drive(t)
 		}
-		if r := a.State().Newest(); r.Revision < 1 {
-			t.Errorf("revision %d is left", r.Revision)
+		if r := a.State().CurrentRevision(); r.Number < 1 {
+			t.Errorf("revision %d is left", r.Number)
 		}
-		a.fs.Crash()
+		a.fs.LosePower()
 		open(t, a.fs) // and what it wrote can be read
 	})
 }
@@ -218,8 +223,8 @@
 // to know staging, by its name; then it goes to the new format by itself.
 func TestOlderProgramInTheGroup(t *testing.T) {
 	a := lead(t)
-	a.state.ApplyMembers([]clusterstate.Member{{ID: 88, Name: "old", Address: "127.0.0.1:8"}}, nil)
-	image := strings.Replace(string(a.state.Encode()), fmt.Sprintf(`"format":%d`, clusterstate.Format),
+	a.state.ApplyMembership([]clusterstate.Member{{ID: 88, Name: "old", Address: "127.0.0.1:8"}}, nil)
+	image := strings.Replace(string(a.state.Encode()), fmt.Sprintf(`"format":%d`, clusterstate.LatestFormat),
 		`"format":1`, 1)
 	image = regexp.MustCompile(`,"sessions":\[.*?\],"epoch":\d+`).ReplaceAllString(image, "")
 	old, err := clusterstate.Restore(clusterstate.Rules{}, []byte(image))
@@ -238,21 +243,21 @@
 	if got.Err == nil || !strings.Contains(got.Err.Error(), "old: not known yet to run a program") {
 		t.Fatalf("with an older program: %+v", got)
 	}
-	a.Reads(88, 1)
+	a.ObserveFormat(88, 1)
 	got = a.propose(t, "x", 1, 5)
 	if got.Err == nil || !strings.Contains(got.Err.Error(), "old: runs an older program") {
 		t.Fatalf("with an older program that has spoken: %+v", got)
 	}
-	if a.State().Format() != 1 || a.State().Newest().Revision != 1 {
+	if a.State().Format() != 1 || a.State().CurrentRevision().Number != 1 {
 		t.Fatal("the group has changed all the same")
 	}
-	a.Reads(88, clusterstate.Format)
+	a.ObserveFormat(88, clusterstate.LatestFormat)
 	tick()
-	if a.State().Format() != clusterstate.Format {
+	if a.State().Format() != clusterstate.LatestFormat {
 		t.Fatal("the group does not go to the new format")
 	}
 	for _, x := range a.State().Rollout().List() {
-		if !x.Open || !x.Loose {
+		if !x.Open || !x.Unleased {
 			t.Errorf("one that served before has %+v", x)
 		}
 	}
@@ -262,10 +267,10 @@
 func TestRequestAtARemovedInstanceIsAnswered(t *testing.T) {
 	a := lead(t)
 	a.state.Rollout().Sessions[88] = rollout.Session{Member: 88, Name: "n2", Epoch: 99, Open: true,
-		Loose: true}
-	ticket := a.Propose(clusterstate.Change{ID: "x", Base: 1, Document: document(2)}, false)
+		Unleased: true}
+	ticket := a.Propose(clusterstate.Change{ID: "x", BaseRevision: 1, Document: document(2)}, false)
 	wait := func() {
-		for range a.cfg.PatienceTicks + 2 {
+		for range a.cfg.RequestTimeoutTicks + 2 {
 			a.Tick()
 			a.drive(t)
 		}
@@ -274,9 +279,9 @@
 	if got, ok := a.answers[ticket]; ok {
 		t.Fatalf("while it waits for n2: %+v", got)
 	}
-	a.state.ApplyMembers(nil, []uint64{77})
+	a.state.ApplyMembership(nil, []uint64{77})
 	wait()
-	if got := a.answers[ticket]; !errors.Is(got.Err, ErrUnknown) {
+	if got := a.answers[ticket]; !errors.Is(got.Err, ErrOutcomeUnknown) {
 		t.Errorf("removed: %+v", got)
 	}
 }
--- a/internal/cluster/consensus/instance.go
+++ b/internal/cluster/consensus/instance.go
@@ -46,18 +46,18 @@
 
 // Config is how an instance is run. Times are counted in ticks.
 type Config struct {
-	Rules          clusterstate.Rules
-	ElectionTicks  int // without word of the leader, and up to twice as many: 10, if 0
-	HeartbeatTicks int // 1, if 0
-	PatienceTicks  int // a request that can't be decided by then is answered so: 50, if 0
-	SnapshotEvery  uint64
-	KeepEntries    uint64 // behind a snapshot, for those who lag a little
-	Seed           uint64
-	Log            logrus.FieldLogger
-	TickLength     time.Duration    // 100 ms, if 0
-	Wall           func() time.Time // told to people, and the fleet's time is made of it; may be nil
-	Zones          *calendar.Zones  // the rules for triggers; nil: those that are here
-	Labels         []string         // what this instance has that duties ask for
+	Rules                  clusterstate.Rules
+	ElectionTicks          int // without word of the leader, and up to twice as many: 10, if 0
+	HeartbeatTicks         int // 1, if 0
+	RequestTimeoutTicks    int // a request that can't be decided by then is answered so: 50, if 0
+	SnapshotCount          uint64
+	SnapshotCatchUpEntries uint64 // behind a snapshot, for those who lag a little
+	Seed                   uint64
+	Logger                 logrus.FieldLogger
+	TickInterval           time.Duration    // 100 ms, if 0
+	WallClock              func() time.Time // told to people, and the fleet's time is made of it; may be nil
+	Zones                  *calendar.ZoneDB // the rules for triggers; nil: those that are here
+	Labels                 []string         // what this instance has that duties ask for
 }
 
 func (c Config) filled() Config {
@@ -68,15 +68,15 @@
 	}
 	fill(&c.ElectionTicks, 10)
 	fill(&c.HeartbeatTicks, 1)
-	fill(&c.PatienceTicks, 50)
-	if c.TickLength <= 0 {
-		c.TickLength = 100 * time.Millisecond
+	fill(&c.RequestTimeoutTicks, 50)
+	if c.TickInterval <= 0 {
+		c.TickInterval = 100 * time.Millisecond
 	}
-	if c.SnapshotEvery == 0 {
-		c.SnapshotEvery = 200
+	if c.SnapshotCount == 0 {
+		c.SnapshotCount = 200
 	}
-	if c.KeepEntries == 0 {
-		c.KeepEntries = 50
+	if c.SnapshotCatchUpEntries == 0 {
+		c.SnapshotCatchUpEntries = 50
 	}
 	return c
 }
@@ -84,10 +84,12 @@
 // Why a request is not carried out.
 var (
 	ErrNoGroup  = errors.New("this instance belongs to no group yet")
-	ErrNoLeader = errors.New("no leader is known: this instance is cut off, or the group has no majority")
-	ErrUnknown  = errors.New("it could not be decided in time; it may still come into force")
-	ErrRemoved  = errors.New("this instance has been removed from its group")
-	ErrHalted   = errors.New("this instance has stopped taking part in the agreement")
+	ErrNoLeader = errors.New(
+		"no leader is known: this instance is cut off, or the group has no majority",
+	)
+	ErrOutcomeUnknown = errors.New("it could not be decided in time; it may still come into force")
+	ErrRemoved        = errors.New("this instance has been removed from its group")
+	ErrHalted         = errors.New("this instance has stopped taking part in the agreement")
 )
 
 // NotLeaderError says that only the leader can do it, and who that is.
@@ -97,23 +99,23 @@
 	return fmt.Sprintf("only the leader can, which is %s", e.Leader.Name)
 }
 
-// RefusedError is a membership operation that would do harm or makes no sense.
-type RefusedError struct{ Reason string }
+// RejectedError is a membership operation that would do harm or makes no sense.
+type RejectedError struct{ Reason string }
 
-func (e *RefusedError) Error() string { return e.Reason }
+func (e *RejectedError) Error() string { return e.Reason }
 
-// Ticket names a request until its Answer.
-type Ticket uint64
+// RequestID names a request until its Answer.
+type RequestID uint64
 
-// Answer ends a request, once.
-type Answer struct {
-	Ticket  Ticket
-	Err     error
-	Outcome clusterstate.Outcome // of a proposal
+// Response ends a request, once.
+type Response struct {
+	RequestID RequestID
+	Err       error
+	Outcome   clusterstate.Outcome // of a proposal
 }
 
-// Work is what must be written before Finish.
-type Work struct {
+// Ready is what must be written before Finish.
+type Ready struct {
 	Records []store.Record
 	Sync    bool
 }
@@ -121,17 +123,17 @@
 // Effects are what follows from the inputs.
 type Effects struct {
 	Messages  []*pb.Message
-	Answers   []Answer
+	Responses []Response
 	Revisions []clusterstate.Revision // newly in force, in order
-	Image     []byte                  // for store.Snapshot: the store's records can go
-
-	Sessions []SessionMessage       // to other instances
-	Permit   *rollout.Permit        // whether the fronts may admit jobs, where that has changed
-	Stage    *clusterstate.Revision // the fronts must be made ready for this change; see Staged
-	Standing *Standing              // how it stands where something is owned by placement, likewise
-	// Told is what subjects have to say to the rest of the node, in order, after the standing. Whose a word
-	// is its type says.
-	Told []any
+	Snapshot  []byte                  // for store.Snapshot: the store's records can go
+
+	SessionMessages []SessionMessage       // to other instances
+	Permit          *rollout.Permit        // whether the fronts may admit jobs, where that has changed
+	Stage           *clusterstate.Revision // the fronts must be made ready for this change; see Staged
+	ClusterView     *ClusterView           // how it stands where something is owned by placement, likewise
+	// Notifications is what subjects have to say to the rest of the node, in order, after the standing.
+	// Whose a word is its type says.
+	Notifications []any
 }
 
 // SessionMessage is a word on sessions to another instance.
@@ -161,16 +163,16 @@
 	imaged      uint64 // the index of the last snapshot
 	conf        *pb.ConfState
 	// reshaped: the members have changed since the last snapshot.
-	reshaped bool
-	told     uint64 // the revision told last
-	ready    *raft.Ready
-	unsaved  []store.Record // of the identity, before anything else
-	out      Effects
-	outcome  []outcome // of this Ready, until it is finished
-	waiting  []*request
-	ticket   Ticket
-	removed  bool
-	halted   error
+	reshaped     bool
+	told         uint64 // the revision told last
+	pendingReady *raft.Ready
+	unsaved      []store.Record // of the identity, before anything else
+	out          Effects
+	outcome      []outcome // of this Ready, until it is finished
+	waiting      []*request
+	ticket       RequestID
+	removed      bool
+	halted       error
 }
 
 type outcome struct {
@@ -189,7 +191,7 @@
 // New makes an instance from what its store gave back. One whose store is empty is a new
 // instance under the given number, which must have been drawn at random: a number is
 // never used again, so that an instance whose disk was wiped has no vote under the old one.
-func New(cfg Config, saved *Saved, number uint64, name string) (*Instance, error) {
+func New(cfg Config, saved *RecoveredState, number uint64, name string) (*Instance, error) {
 	cfg = cfg.filled()
 	i := &Instance{cfg: cfg, identity: saved.identity, storage: saved.storage, heard: map[uint64]uint64{}}
 	if i.identity == nil {
@@ -207,7 +209,7 @@
 		)
 	}
 	i.rng = rand.New(rand.NewPCG(cfg.Seed, i.identity.Id))
-	i.ses.holder = rollout.NewHolder(i.identity.Id, i.rng.Uint64()|1)
+	i.ses.holder = rollout.NewLeaseHolder(i.identity.Id, i.rng.Uint64()|1)
 	i.ses.waiting, i.ses.formats = map[uint64]rollout.Report{}, map[uint64]uint32{}
 	i.ses.parts, i.ses.aways = partsOf(cfg), map[uint64]bool{}
 	if i.identity.Cluster == "" {
@@ -256,7 +258,7 @@
 		ID: i.identity.Id, ElectionTick: i.cfg.ElectionTicks, HeartbeatTick: i.cfg.HeartbeatTicks,
 		Storage: i.storage, Applied: i.applied, MaxSizePerMsg: 1 << 20, MaxCommittedSizePerReady: 4 << 20,
 		MaxUncommittedEntriesSize: 8 << 20, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
-		StepDownOnRemoval: true, Logger: raftLog{i.cfg.Log},
+		StepDownOnRemoval: true, Logger: raftLog{i.cfg.Logger},
 	})
 	if err == nil {
 		i.sessions() // the fronts are told why they may not admit yet
@@ -271,12 +273,12 @@
 // backup counts its revisions on from the backup's.
 func (i *Instance) Bootstrap(cluster, address string, first *clusterstate.Document, after uint64) error {
 	if i.identity.Cluster != "" {
-		return &RefusedError{"this instance belongs to a group already"}
+		return &RejectedError{"this instance belongs to a group already"}
 	}
 	state, err := clusterstate.New(i.cfg.Rules, cluster, first, after,
 		clusterstate.Member{ID: i.identity.Id, Name: i.identity.Name, Address: address})
 	if err != nil {
-		return &RefusedError{err.Error()}
+		return &RejectedError{err.Error()}
 	}
 	// The group begins with a snapshot: there are no entries that made it.
 	snap := &pb.Snapshot{Data: state.Encode(), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1),
@@ -317,7 +319,7 @@
 		return nil
 	}
 	if i.identity.Cluster != "" || cluster == "" {
-		return &RefusedError{fmt.Sprintf("this instance belongs to group %s already", i.identity.Cluster)}
+		return &RejectedError{fmt.Sprintf("this instance belongs to group %s already", i.identity.Cluster)}
 	}
 	i.identity.Cluster = cluster
 	i.saveIdentity()
@@ -360,12 +362,12 @@
 }
 
 func (i *Instance) gone() bool {
-	return i.removed || i.state != nil && i.state.Removed(i.identity.Id)
+	return i.removed || i.state != nil && i.state.WasRemoved(i.identity.Id)
 }
 
-// ToldRemoved is the word of another member that this one has been removed, for one that
+// ReportRemoved is the word of another member that this one has been removed, for one that
 // was cut off when it happened and would ask for votes for ever.
-func (i *Instance) ToldRemoved() { i.removed = true }
+func (i *Instance) ReportRemoved() { i.removed = true }
 
 // guarded keeps a broken log or message from ending the process: the node serves on with
 // the configuration that it has, and says that it takes no part any more.
@@ -381,10 +383,10 @@
 func (i *Instance) halt(err error) {
 	if i.halted == nil {
 		i.halted = err
-		i.cfg.Log.WithError(err).Error("the agreement has stopped here")
+		i.cfg.Logger.WithError(err).Error("the agreement has stopped here")
 	}
 	for _, r := range i.waiting {
-		i.out.Answers = append(i.out.Answers, Answer{Ticket: r.ticket, Err: i.halted})
+		i.out.Responses = append(i.out.Responses, Response{RequestID: r.ticket, Err: i.halted})
 	}
 	i.waiting = nil
 }
@@ -428,7 +430,7 @@
 	if m.GetFrom() == i.identity.Id || m.GetFrom() == raft.None || raft.IsLocalMsgTarget(m.GetFrom()) {
 		return fmt.Errorf("the message is from %x", m.GetFrom())
 	}
-	if i.state != nil && i.state.Removed(m.GetFrom()) {
+	if i.state != nil && i.state.WasRemoved(m.GetFrom()) {
 		return ErrRemoved
 	}
 	switch m.GetType() {
@@ -475,8 +477,8 @@
 	return fmt.Errorf("a message of the kind %v does not come from another instance", m.GetType())
 }
 
-// SnapshotSent says whether a snapshot reached the one it was for.
-func (i *Instance) SnapshotSent(to uint64, ok bool) {
+// ReportSnapshot says whether a snapshot reached the one it was for.
+func (i *Instance) ReportSnapshot(to uint64, ok bool) {
 	if i.rn == nil {
 		return
 	}
@@ -487,8 +489,8 @@
 	i.guarded(func() { i.rn.ReportSnapshot(to, status) })
 }
 
-// Unreachable says that messages to an instance do not get through.
-func (i *Instance) Unreachable(id uint64) {
+// ReportUnreachable says that messages to an instance do not get through.
+func (i *Instance) ReportUnreachable(id uint64) {
 	if i.rn != nil {
 		i.guarded(func() { i.rn.ReportUnreachable(id) })
 	}
