--- a/internal/cluster/consensus/subjects.go
+++ b/internal/cluster/consensus/participants.go
@@ -12,15 +12,15 @@
 
 // subjectPart is an instance's part in a subject.
 type subjectPart struct {
-	replicated.Subject
-	part replicated.Part
+	replicated.StateMachineType
+	part replicated.Participant
 }
 
 func partsOf(c Config) []subjectPart {
-	own := replicated.Own{Wall: c.Wall, Zones: c.Zones, Labels: c.Labels}
+	own := replicated.LocalInfo{WallClock: c.WallClock, TimeZones: c.Zones, Labels: c.Labels}
 	var list []subjectPart
-	for _, x := range c.Rules.All() {
-		if p := x.Part(own); p != nil {
+	for _, x := range c.Rules.StateMachineTypes() {
+		if p := x.NewParticipant(own); p != nil {
 			list = append(list, subjectPart{x, p})
 		}
 	}
@@ -28,13 +28,21 @@
 }
 
 // view is how this instance stands, as a subject's part sees it.
-func (i *Instance) view(p subjectPart) replicated.View {
+func (i *Instance) view(p subjectPart) replicated.InstanceView {
 	x := &i.ses
-	v := replicated.View{Now: x.now, State: i.state.Part(p.Section()), Applied: i.applied,
-		Lease: i.policy().Lease, Away: x.away, Group: group{i}, Self: i.identity.Id, Life: x.holder.Nonce()}
+	v := replicated.InstanceView{
+		Now:           x.now,
+		StateMachine:  i.state.StateMachine(p.Section()),
+		AppliedIndex:  i.applied,
+		LeaseDuration: i.policy().Lease,
+		Departing:     x.away,
+		Group:         group{i},
+		MemberID:      i.identity.Id,
+		Incarnation:   x.holder.Incarnation(),
+	}
 	if epoch := x.holder.Epoch(); epoch != 0 && !i.gone() {
-		v.Own = placement.Seat{Member: i.identity.Id, Epoch: epoch}
-		v.Until = x.seats.right.Until(epoch, v.Lease)
+		v.Session = placement.Session{Member: i.identity.Id, Epoch: epoch}
+		v.OwnershipExpiresAt = x.seats.right.ExpiresAt(epoch, v.LeaseDuration)
 	}
 	return v
 }
@@ -48,12 +56,14 @@
 	x := &g.i.ses
 	var list []replicated.Member
 	for _, m := range g.i.state.Members() {
-		one := replicated.Member{Member: placement.Member{Seat: placement.Seat{Member: m.ID}, Name: m.Name},
-			Voter: slices.Contains(g.i.conf.GetVoters(), m.ID)}
+		one := replicated.Member{
+			Member: placement.Member{Session: placement.Session{Member: m.ID}, Name: m.Name},
+			Voter:  slices.Contains(g.i.conf.GetVoters(), m.ID),
+		}
 		if x.leader != nil {
-			one.Well = x.leader.Well(x.now, m.ID, g.i.policy().Lease)
+			one.Healthy = x.leader.Healthy(x.now, m.ID, g.i.policy().Lease)
 		}
-		if s := g.i.state.Rollout().Sessions[m.ID]; s.Open && !s.Loose {
+		if s := g.i.state.Rollout().Sessions[m.ID]; s.Open && !s.Unleased {
 			one.Epoch = s.Epoch
 		}
 		list = append(list, one)
@@ -61,20 +71,20 @@
 	return list
 }
 
-func (g group) Seated() []placement.Member { return g.i.state.Seated() }
+func (g group) EligibleOwners() []placement.Member { return g.i.state.EligibleOwners() }
 
-func (g group) Away(member uint64) bool { return g.i.ses.aways[member] }
+func (g group) Departing(member uint64) bool { return g.i.ses.aways[member] }
 
-func (g group) Out(member uint64) bool {
+func (g group) Expired(member uint64) bool {
 	x := &g.i.ses
-	return x.leader != nil && x.leader.Out(x.now, member, g.i.policy())
+	return x.leader != nil && x.leader.LeaseExpired(x.now, member, g.i.policy())
 }
 
-func (g group) Over() []placement.Seat {
-	var list []placement.Seat
+func (g group) ExpiredSessions() []placement.Session {
+	var list []placement.Session
 	for _, s := range g.i.state.Rollout().List() {
-		if !s.Open && g.Out(s.Member) {
-			list = append(list, placement.Seat{Member: s.Member, Epoch: s.Epoch})
+		if !s.Open && g.Expired(s.Member) {
+			list = append(list, placement.Session{Member: s.Member, Epoch: s.Epoch})
 		}
 	}
 	return list
@@ -83,10 +93,10 @@
 // judgeSubjects has the leader's side of each subject judge.
 func (i *Instance) judgeSubjects() {
 	for _, p := range i.ses.parts {
-		if i.state.Format() < p.Since() {
+		if i.state.Format() < p.SinceFormat() {
 			continue
 		}
-		for _, e := range p.part.Judge(i.view(p)) {
+		for _, e := range p.part.LeaderCommands(i.view(p)) {
 			_ = i.rn.Propose(encode(e)) // dropped, it is asked for again
 		}
 	}
@@ -95,8 +105,8 @@
 // actSubjects has each subject's part do what is its to do.
 func (i *Instance) actSubjects() {
 	for _, p := range i.ses.parts {
-		told, words := p.part.Act(i.view(p))
-		i.out.Told = append(i.out.Told, told...)
+		told, words := p.part.Advance(i.view(p))
+		i.out.Notifications = append(i.out.Notifications, told...)
 		for _, e := range words {
 			_ = i.rn.Propose(encode(e)) // dropped, it is asked for again
 		}
@@ -111,48 +121,48 @@
 	}
 	x.aways[member] = r.Away
 	for _, p := range x.parts {
-		p.part.Heard(x.now, member, r)
+		p.part.ObserveReport(x.now, member, r)
 	}
 }
 
-// Take gives a subject's part what the rest of the node has to say.
-func (i *Instance) Take(section string, word any) {
+// NotifyParticipant gives a subject's part what the rest of the node has to say.
+func (i *Instance) NotifyParticipant(section string, word any) {
 	if i.state == nil || i.halted != nil {
 		return
 	}
 	for _, p := range i.ses.parts {
 		if p.Section() == section {
-			p.part.Take(i.view(p), word)
+			p.part.Receive(i.view(p), word)
 		}
 	}
 	i.sessions()
 }
 
-// Away says whether this instance is about to end, and so hands on what it holds.
-func (i *Instance) Away(away bool) {
+// SetDeparting says whether this instance is about to end, and so hands on what it holds.
+func (i *Instance) SetDeparting(away bool) {
 	i.ses.away = away
-	i.ses.holder.Again()
+	i.ses.holder.ReportNow()
 	i.sessions()
 }
 
 // applyWord applies a subject's word in the log.
 func (i *Instance) applyWord(e *schema.Change) {
-	w, ok := i.state.Read(e)
+	w, ok := i.state.DecodeCommand(e)
 	// Hazard: as with sessions, a deposed leader's judgement is void.
-	if !ok || w.Judged && w.Term != i.appliedTerm {
+	if !ok || w.LeaderDecision && w.Term != i.appliedTerm {
 		return
 	}
-	o := i.state.Say(w)
+	o := i.state.ApplyCommand(w)
 	if w.ID != "" {
 		i.outcome = append(i.outcome, outcome{w.ID, o})
 	} else if o.Code != clusterstate.Accepted {
-		i.cfg.Log.WithField("why", o.Problems).Debug("a subject's word is void")
+		i.cfg.Logger.WithField("why", o.Problems).Debug("a subject's word is void")
 	}
 }
 
 // knows says why a group does not know a subject yet.
-func (i *Instance) knows(x replicated.Subject) error {
-	if i.state.Format() < x.Since() {
+func (i *Instance) knows(x replicated.StateMachineType) error {
+	if i.state.Format() < x.SinceFormat() {
 		return refuse("an instance runs a program that knows no %s; renew it first", x.Section())
 	}
 	return nil
@@ -160,13 +170,13 @@
 
 // operateSubject puts an operator's wish into the log, where it can be met.
 func (i *Instance) operateSubject(r *request, op *schema.Operation) error {
-	id := fmt.Sprintf("wish/%x/%d/%d", i.identity.Id, i.ses.holder.Nonce(), r.ticket)
+	id := fmt.Sprintf("wish/%x/%d/%d", i.identity.Id, i.ses.holder.Incarnation(), r.ticket)
 	for _, p := range i.ses.parts {
-		o, ok := p.part.(replicated.Operated)
+		o, ok := p.part.(replicated.OperatorControlled)
 		if !ok {
 			continue
 		}
-		e, mine, err := o.Operate(i.view(p), op, id)
+		e, mine, err := o.CommandFor(i.view(p), op, id)
 		if !mine {
 			continue
 		}
@@ -183,8 +193,8 @@
 	return refuse("%v is no operation that this program knows", op.Kind)
 }
 
-// Say puts a subject's word into the log: a holder's, or an operator's. Its id must be in it.
-func (i *Instance) Say(section string, e *schema.Change, id string) Ticket {
+// ProposeCommand puts a subject's word into the log: a holder's, or an operator's. Its id must be in it.
+func (i *Instance) ProposeCommand(section string, e *schema.Change, id string) RequestID {
 	r := &request{kind: proposing, id: id, command: true}
 	ticket := i.admit(r)
 	err := i.unfit()
--- a/internal/cluster/consensus/subjects_test.go
+++ b/internal/cluster/consensus/participants_test.go
@@ -15,26 +15,36 @@
 
 // tally is a subject that nothing in the program knows: it counts, one a word, up to the length of what
 // its section says. Its words stand in a field that the schema does not have, as a later program's would.
-type tally struct{ replicated.Words }
+type tally struct{ replicated.SectionOnly }
 
 type tallied struct{ till, n int }
 
-type tallier struct{ replicated.Idle }
+type tallier struct{ replicated.NoopParticipant }
 
 func more(e *schema.Change) bool {
 	return len(e.ProtoReflect().GetUnknown()) > 0
 }
 
-func (tally) Has(e *schema.Change) bool                             { return more(e) }
-func (tally) State(uint64) replicated.State                         { return &tallied{} }
-func (tally) Part(replicated.Own) replicated.Part                   { return tallier{} }
-func (s *tallied) Configure(t replicated.Terms)                     { s.till = len(t.Values["till"]) }
-func (s *tallied) Seated([]placement.Member)                        {}
-func (tallier) Status(v replicated.View) any                        { return v.State.(*tallied).n }
-func (s *tallied) Vacated(func(placement.Seat) bool, string, int64) {}
+func (tally) OwnsEntry(e *schema.Change) bool                            { return more(e) }
+func (tally) NewStateMachine(uint64) replicated.StateMachine             { return &tallied{} }
+func (tally) NewParticipant(replicated.LocalInfo) replicated.Participant { return tallier{} }
 
-func (s *tallied) Image() []replicated.Field {
-	return []replicated.Field{{Name: "tally", Value: s.n}}
+func (s *tallied) Configure(
+	t replicated.Config,
+) {
+	s.till = len(t.Values["till"])
+}
+func (s *tallied) SetOwners([]placement.Member) {}
+
+func (tallier) Status(
+	v replicated.InstanceView,
+) any {
+	return v.StateMachine.(*tallied).n
+}
+func (s *tallied) SessionsExpired(func(placement.Session) bool, string, int64) {}
+
+func (s *tallied) Snapshot() []replicated.SnapshotField {
+	return []replicated.SnapshotField{{Name: "tally", Value: s.n}}
 }
 
 func (s *tallied) Restore(read func(string, any) (bool, error)) error {
@@ -42,15 +52,15 @@
 	return err
 }
 
-func (s *tallied) Read(e *schema.Change) (replicated.Word, bool) {
-	return replicated.Word{Apply: func(func(placement.Seat) bool) error { s.n++; return nil }}, more(e)
+func (s *tallied) Decode(e *schema.Change) (replicated.Command, bool) {
+	return replicated.Command{Apply: func(func(placement.Session) bool) error { s.n++; return nil }}, more(e)
 }
 
-func (tallier) Act(v replicated.View) ([]any, []*schema.Change) {
-	if s := v.State.(*tallied); s.n >= s.till || v.Now >= v.Until {
+func (tallier) Advance(v replicated.InstanceView) ([]any, []*schema.Change) {
+	if s := v.StateMachine.(*tallied); s.n >= s.till || v.Now >= v.OwnershipExpiresAt {
 		return nil, nil
 	}
-	e := &schema.Change{Format: clusterstate.Format}
+	e := &schema.Change{Format: clusterstate.LatestFormat}
 	e.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 99, protowire.VarintType), 1))
 	return nil, []*schema.Change{e}
 }
@@ -58,13 +68,15 @@
 // A new subject is a package and a line in the list: its words go through the log and its state through
 // snapshots and restarts, and a program that does not know it takes no part rather than a part of it.
 func TestANewSubjectIsALineInTheList(t *testing.T) {
-	rules := clusterstate.Rules{Subjects: append(clusterstate.Subjects(), tally{replicated.Words{Name: "tally",
-		From: clusterstate.Format, Rule: func(v replicated.Terms) []string {
-			if len(v.Values["till"]) > 40 {
-				return []string{"till: it is too long"}
-			}
-			return nil
-		}}})}
+	rules := clusterstate.Rules{
+		Types: append(clusterstate.StateMachineTypes(), tally{replicated.SectionOnly{SectionName: "tally",
+			FirstFormat: clusterstate.LatestFormat, Validator: func(v replicated.Config) []string {
+				if len(v.Values["till"]) > 40 {
+					return []string{"till: it is too long"}
+				}
+				return nil
+			}}}),
+	}
 	till := func(n int) *clusterstate.Document {
 		d := document(1)
 		d.Sections = map[string]map[string]string{"tally": {"till": strings.Repeat("x", n)}}
@@ -82,17 +94,17 @@
 			a.Tick()
 			a.drive(t)
 		}
-		n := a.Status().Subjects["tally"].(int)
-		if was := a.State().Part("tally").(*tallied); n != was.n || n < 30 {
+		n := a.Status().Participants["tally"].(int)
+		if was := a.State().StateMachine("tally").(*tallied); n != was.n || n < 30 {
 			t.Fatalf("life %d: it has counted to %d, its state says %d", life, n, was.n)
 		}
 		image := a.State().Encode()
 		if _, err := clusterstate.Restore(clusterstate.Rules{}, image); err == nil {
 			t.Error("a program that does not know it reads its state")
 		}
-		a.fs.Crash()
+		a.fs.LosePower()
 		a = openBy(t, a.fs, rules)
-		if got := a.State().Part("tally").(*tallied).n; got > n || got < n-7 {
+		if got := a.State().StateMachine("tally").(*tallied).n; got > n || got < n-7 {
 			t.Fatalf("life %d: %d are left of %d", life, got, n) // the log's end is agreed on anew
 		}
 	}
--- a/internal/cluster/consensus/drive.go
+++ b/internal/cluster/consensus/process_ready.go
@@ -7,21 +7,21 @@
 	"moorstack/internal/storage/store"
 )
 
-// Log is where an instance's records go: a store.Store.
-type Log interface {
+// LogStore is where an instance's records go: a store.Store.
+type LogStore interface {
 	Append(...store.Record) (uint64, error)
 	Sync() error
-	Snapshot([]byte) error
+	WriteSnapshot([]byte) error
 }
 
-// Drive carries out what an instance wants done after an input: it writes, syncs, and
+// ProcessReady carries out what an instance wants done after an input: it writes, syncs, and
 // only then has the effects carried out. After an error the instance must not be used.
 //
 // Hazard: the writing may take long, and what is granted after it must not be counted from
 // before it. So the clock is read again.
-func Drive(i *Instance, log Log, clock func() time.Duration, carry func(Effects)) error {
+func ProcessReady(i *Instance, log LogStore, clock func() time.Duration, carry func(Effects)) error {
 	for {
-		work, ok := i.Next()
+		work, ok := i.Ready()
 		if !ok {
 			return nil
 		}
@@ -37,10 +37,10 @@
 				return fmt.Errorf("writing the agreement's log: %w", err)
 			}
 		}
-		i.Clock(clock())
-		effects := i.Finish()
-		if effects.Image != nil {
-			if err := log.Snapshot(effects.Image); err != nil {
+		i.SetClock(clock())
+		effects := i.Advance()
+		if effects.Snapshot != nil {
+			if err := log.WriteSnapshot(effects.Snapshot); err != nil {
 				return fmt.Errorf("writing the agreement's snapshot: %w", err)
 			}
 		}
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -13,9 +13,9 @@
 	"moorstack/internal/storage/store"
 )
 
-// Next gives what must be written next, if there is anything to be done.
-func (i *Instance) Next() (work Work, ok bool) {
-	if i.ready != nil {
+// Ready gives what must be written next, if there is anything to be done.
+func (i *Instance) Ready() (work Ready, ok bool) {
+	if i.pendingReady != nil {
 		panic("consensus: Next before Finish")
 	}
 	if len(i.unsaved) > 0 {
@@ -29,7 +29,7 @@
 			}
 			rd := i.rn.Ready()
 			ok = true
-			i.ready = &rd
+			i.pendingReady = &rd
 			i.save(&work, &rd)
 		})
 	}
@@ -37,14 +37,16 @@
 }
 
 func (e *Effects) empty() bool {
-	return len(e.Messages) == 0 && len(e.Answers) == 0 && len(e.Revisions) == 0 && e.Image == nil &&
-		len(e.Sessions) == 0 && e.Permit == nil && e.Stage == nil && e.Standing == nil && len(e.Told) == 0
+	return len(e.Messages) == 0 && len(e.Responses) == 0 && len(e.Revisions) == 0 && e.Snapshot == nil &&
+		len(
+			e.SessionMessages,
+		) == 0 && e.Permit == nil && e.Stage == nil && e.ClusterView == nil && len(e.Notifications) == 0
 }
 
 // save makes records of what must outlive the process. The order matters where the end of
 // them is lost: a snapshot before the entries after it, and the word that entries are
 // agreed on after the entries.
-func (i *Instance) save(work *Work, rd *raft.Ready) {
+func (i *Instance) save(work *Ready, rd *raft.Ready) {
 	add := func(kind uint8, m proto.Message) {
 		b, err := proto.Marshal(m)
 		if err != nil {
@@ -65,10 +67,10 @@
 	work.Sync = work.Sync || rd.MustSync
 }
 
-// Finish follows the writing of what Next gave.
-func (i *Instance) Finish() Effects {
-	if rd := i.ready; rd != nil {
-		i.ready = nil
+// Advance follows the writing of what Next gave.
+func (i *Instance) Advance() Effects {
+	if rd := i.pendingReady; rd != nil {
+		i.pendingReady = nil
 		i.guarded(func() { i.finish(rd) })
 		i.sessions()
 	}
@@ -117,7 +119,7 @@
 	i.look()
 	// Hazard: Raft passes over a snapshot in which the one that gets it is no member yet, so
 	// that a new member would wait for ever for the next one.
-	if i.reshaped || i.applied-i.imaged >= i.cfg.SnapshotEvery {
+	if i.reshaped || i.applied-i.imaged >= i.cfg.SnapshotCount {
 		i.image()
 	}
 }
@@ -145,7 +147,7 @@
 		for _, m := range mc.Put {
 			put = append(put, clusterstate.Member{ID: m.Id, Name: m.Name, Address: m.Address})
 		}
-		i.state.ApplyMembers(put, mc.Drop)
+		i.state.ApplyMembership(put, mc.Drop)
 		i.outcome = append(i.outcome, outcome{id: mc.Change})
 	default:
 		panic(fmt.Sprintf("entry %d is of the kind %v, which nobody proposes", e.GetIndex(), e.GetType()))
@@ -162,25 +164,25 @@
 	}
 	switch {
 	case m.Enter:
-		i.state.Enter()
+		i.state.UpgradeFormat()
 	case m.Command != nil:
 		i.applyCommand(m.Command)
-	case i.cfg.Rules.Spoken(m):
+	case i.cfg.Rules.HasCommand(m):
 		i.applyWord(m)
 	default:
-		if o, ok := i.state.Apply(c); ok {
+		if o, ok := i.state.ApplyChange(c); ok {
 			i.outcome = append(i.outcome, outcome{c.ID, o})
 		}
 	}
 	i.seat()
-	i.state.Settled()
+	i.state.UpdateOwners()
 	i.tell()
 }
 
 // tell tells the newest revision, if it has not been told.
 func (i *Instance) tell() {
-	if r := i.state.Newest(); r.Revision > i.told {
-		i.told = r.Revision
+	if r := i.state.CurrentRevision(); r.Number > i.told {
+		i.told = r.Number
 		i.out.Revisions = append(i.out.Revisions, r)
 	}
 }
@@ -192,9 +194,9 @@
 		panic(err)
 	}
 	i.imaged, i.reshaped = i.applied, false
-	if first, _ := i.storage.FirstIndex(); i.applied > i.cfg.KeepEntries &&
-		i.applied-i.cfg.KeepEntries > first {
-		if err := i.storage.Compact(i.applied - i.cfg.KeepEntries); err != nil {
+	if first, _ := i.storage.FirstIndex(); i.applied > i.cfg.SnapshotCatchUpEntries &&
+		i.applied-i.cfg.SnapshotCatchUpEntries > first {
+		if err := i.storage.Compact(i.applied - i.cfg.SnapshotCatchUpEntries); err != nil {
 			panic(err)
 		}
 	}
@@ -219,7 +221,7 @@
 		}
 	}
 	if err == nil {
-		i.out.Image, err = proto.Marshal(im)
+		i.out.Snapshot, err = proto.Marshal(im)
 	}
 	if err != nil {
 		panic(err)
@@ -234,8 +236,8 @@
 }
 
 func encodeChange(c clusterstate.Change, format int) []byte {
-	return encode(&schema.Change{Id: c.ID, Base: c.Base, Author: c.Author, Note: c.Note,
-		AtMs: c.At.UnixMilli(), Format: uint32(format), Document: c.Document.Encode()})
+	return encode(&schema.Change{Id: c.ID, Base: c.BaseRevision, Author: c.Author, Note: c.Note,
+		AtMs: c.ProposedAt.UnixMilli(), Format: uint32(format), Document: c.Document.Encode()})
 }
 
 // decode reads what is in the log: a change, or the message that holds something else.
@@ -244,26 +246,26 @@
 	if err := proto.Unmarshal(b, m); err != nil {
 		return nil, clusterstate.Change{}, fmt.Errorf("a change in the log can't be read: %w", err)
 	}
-	if m.Format > clusterstate.Format {
+	if m.Format > clusterstate.LatestFormat {
 		return nil, clusterstate.Change{}, fmt.Errorf(
 			"a change in the log has format %d; this program reads %d and must be renewed",
 			m.Format,
-			clusterstate.Format,
+			clusterstate.LatestFormat,
 		)
 	}
-	if m.Command != nil || m.Enter || i.cfg.Rules.Spoken(m) {
+	if m.Command != nil || m.Enter || i.cfg.Rules.HasCommand(m) {
 		return m, clusterstate.Change{}, nil
 	}
-	doc, err := clusterstate.Decode(m.Document)
+	doc, err := clusterstate.DecodeDocument(m.Document)
 	if err != nil {
 		return nil, clusterstate.Change{}, err
 	}
 	return m, clusterstate.Change{
-		ID:       m.Id,
-		Base:     m.Base,
-		Author:   m.Author,
-		Note:     m.Note,
-		At:       time.UnixMilli(m.AtMs),
-		Document: doc,
+		ID:           m.Id,
+		BaseRevision: m.Base,
+		Author:       m.Author,
+		Note:         m.Note,
+		ProposedAt:   time.UnixMilli(m.AtMs),
+		Document:     doc,
 	}, nil
 }
--- a/internal/cluster/consensus/saved.go
+++ b/internal/cluster/consensus/recovered_state.go
@@ -12,43 +12,43 @@
 	"moorstack/internal/storage/store"
 )
 
-// Saved collects what an instance's store gives back. Its methods are store.Open's.
-type Saved struct {
+// RecoveredState collects what an instance's store gives back. Its methods are store.Open's.
+type RecoveredState struct {
 	identity *schema.Identity
 	hard     *pb.HardState
 	storage  *raft.MemoryStorage
 }
 
-// NewSaved is for an empty store or one to be read.
-func NewSaved() *Saved { return &Saved{storage: raft.NewMemoryStorage()} }
+// NewRecoveredState is for an empty store or one to be read.
+func NewRecoveredState() *RecoveredState { return &RecoveredState{storage: raft.NewMemoryStorage()} }
 
-// Image reads the snapshot of the store.
-func (s *Saved) Image(b []byte) error {
+// RestoreSnapshot reads the snapshot of the store.
+func (s *RecoveredState) RestoreSnapshot(b []byte) error {
 	var im schema.Image
 	if err := proto.Unmarshal(b, &im); err != nil {
 		return fmt.Errorf("the image can't be read: %w", err)
 	}
 	s.identity = im.Identity
 	if len(im.HardState) > 0 {
-		if err := s.Record(store.Record{Kind: recHardState, Data: im.HardState}); err != nil {
+		if err := s.ReplayRecord(store.Record{Kind: recHardState, Data: im.HardState}); err != nil {
 			return err
 		}
 	}
 	if len(im.Snapshot) > 0 {
-		if err := s.Record(store.Record{Kind: recSnapshot, Data: im.Snapshot}); err != nil {
+		if err := s.ReplayRecord(store.Record{Kind: recSnapshot, Data: im.Snapshot}); err != nil {
 			return err
 		}
 	}
 	for _, e := range im.Entries {
-		if err := s.Record(store.Record{Kind: recEntry, Data: e}); err != nil {
+		if err := s.ReplayRecord(store.Record{Kind: recEntry, Data: e}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Record reads a record of the store.
-func (s *Saved) Record(r store.Record) error {
+// ReplayRecord reads a record of the store.
+func (s *RecoveredState) ReplayRecord(r store.Record) error {
 	switch r.Kind {
 	case recIdentity:
 		s.identity = &schema.Identity{}
--- a/internal/cluster/consensus/request.go
+++ b/internal/cluster/consensus/request.go
@@ -18,7 +18,7 @@
 
 // request waits for its answer.
 type request struct {
-	ticket Ticket
+	ticket RequestID
 	kind   requestKind
 	id     string // of the change, or of the read
 	data   []byte // of a proposal, to go in again under another leader
@@ -41,14 +41,14 @@
 	transferring
 )
 
-func (i *Instance) admit(r *request) Ticket {
+func (i *Instance) admit(r *request) RequestID {
 	i.ticket++
-	r.ticket, r.until = i.ticket, i.ticks+uint64(i.cfg.PatienceTicks)
+	r.ticket, r.until = i.ticket, i.ticks+uint64(i.cfg.RequestTimeoutTicks)
 	return r.ticket
 }
 
 func (i *Instance) answer(r *request, err error, o clusterstate.Outcome) {
-	i.out.Answers = append(i.out.Answers, Answer{Ticket: r.ticket, Err: err, Outcome: o})
+	i.out.Responses = append(i.out.Responses, Response{RequestID: r.ticket, Err: err, Outcome: o})
 }
 
 // unfit says why this instance can't take part, if so.
@@ -71,7 +71,7 @@
 //
 // The answer comes when the change is in force, or is not to be; with noWait as soon as it
 // begins to take hold, with the code Accepted and the revision that it is to be.
-func (i *Instance) Propose(c clusterstate.Change, noWait bool) Ticket {
+func (i *Instance) Propose(c clusterstate.Change, noWait bool) RequestID {
 	r := &request{kind: proposing, id: c.ID, noWait: noWait}
 	ticket := i.admit(r)
 	if err := i.unfit(); err != nil {
@@ -80,7 +80,7 @@
 	}
 	// An instance that lags may know an older revision than the change was made from. That
 	// is no conflict yet; where the change is in the log, all will see it alike.
-	newest := i.state.Newest().Revision
+	newest := i.state.CurrentRevision().Number
 	if old, silent := i.olderOnes(); i.state.Format() < 2 && len(old)+len(silent) > 0 {
 		// One that knows no staging would run the change as soon as it is agreed on.
 		if len(old) > 0 {
@@ -98,11 +98,11 @@
 			clusterstate.Outcome{})
 		return ticket
 	}
-	if _, known := i.state.Known(c.ID); known || c.Base <= newest || c.Document == nil {
+	if _, known := i.state.OutcomeOf(c.ID); known || c.BaseRevision <= newest || c.Document == nil {
 		// Hazard: another change that is pending here may have been withdrawn since, and this one,
 		// which comes again, be in the log already. Only the log can tell.
-		pending := c.Base == newest && c.Document != nil
-		if o := i.state.Check(c); known || o.Code != clusterstate.Accepted && !(pending &&
+		pending := c.BaseRevision == newest && c.Document != nil
+		if o := i.state.CheckChange(c); known || o.Code != clusterstate.Accepted && !(pending &&
 			o.Code == clusterstate.Conflict) {
 			i.answer(r, nil, o)
 			return ticket
@@ -113,7 +113,7 @@
 			Problems: []string{"id, author and note must be text"}})
 		return ticket
 	}
-	if len(c.Document.Encode()) > clusterstate.MaxDocument {
+	if len(c.Document.Encode()) > clusterstate.MaxDocumentBytes {
 		i.answer(r, nil, clusterstate.Outcome{Code: clusterstate.TooLarge, Revision: newest})
 		return ticket
 	}
@@ -123,9 +123,9 @@
 	return ticket
 }
 
-// Read asks for a moment from which on this instance has all that was agreed on when the
+// ReadIndex asks for a moment from which on this instance has all that was agreed on when the
 // request came. Its answer has no outcome.
-func (i *Instance) Read() Ticket {
+func (i *Instance) ReadIndex() RequestID {
 	r := &request{kind: reading}
 	ticket := i.admit(r)
 	if err := i.unfit(); err != nil {
@@ -195,13 +195,13 @@
 		}
 		if p, ok := i.pending(r); ok {
 			if r.noWait {
-				i.answer(r, nil, clusterstate.Outcome{Code: clusterstate.Accepted, Revision: p.Revision})
+				i.answer(r, nil, clusterstate.Outcome{Code: clusterstate.Accepted, Revision: p.Number})
 				return true
 			}
 			// It is in the log, and has its bounds in time there. Hazard: an instance that is cut off
 			// or was removed does not hear of its end, and would wait for ever.
 			if s.Lead != raft.None && !i.gone() {
-				r.until = max(r.until, i.ticks+uint64(i.cfg.PatienceTicks))
+				r.until = max(r.until, i.ticks+uint64(i.cfg.RequestTimeoutTicks))
 			}
 			if i.ticks < r.until {
 				return false
@@ -209,7 +209,7 @@
 		}
 		if r.kind == proposing && i.state != nil {
 			// It may have come with a snapshot.
-			if o, ok := i.state.Known(r.id); ok {
+			if o, ok := i.state.OutcomeOf(r.id); ok {
 				i.answer(r, nil, o)
 				return true
 			}
@@ -226,7 +226,7 @@
 		}
 	}
 	if i.ticks >= r.until {
-		err := ErrUnknown
+		err := ErrOutcomeUnknown
 		if r.kind == reading {
 			err = ErrNoLeader
 		}
@@ -248,13 +248,13 @@
 	if i.state == nil || r.kind != proposing || r.command {
 		return clusterstate.Revision{}, false
 	}
-	p, ok := i.state.Pending()
-	return p, ok && p.ID == r.id
+	p, ok := i.state.PendingRevision()
+	return p, ok && p.ChangeID == r.id
 }
 
 // Operate changes the members or the leader. Only the leader does it; the number of a new
 // instance must be known, for it is the instance that chose it.
-func (i *Instance) Operate(op *schema.Operation, number uint64) Ticket {
+func (i *Instance) Operate(op *schema.Operation, number uint64) RequestID {
 	r := &request{kind: moving}
 	ticket := i.admit(r)
 	err := i.unfit()
@@ -279,7 +279,7 @@
 	return ticket
 }
 
-func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
+func refuse(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
 
 func (i *Instance) operate(r *request, op *schema.Operation, number uint64) error {
 	switch op.Kind {
@@ -288,7 +288,7 @@
 	default:
 		return i.operateSubject(r, op)
 	}
-	m, known := i.state.MemberNamed(op.Name)
+	m, known := i.state.MemberByName(op.Name)
 	if op.Kind != schema.Operation_ADD && !known {
 		return refuse("the group has no instance %q", op.Name)
 	}
@@ -326,7 +326,7 @@
 		change(pb.ConfChangeType_ConfChangeRemoveNode, m.ID)
 		mc.Drop = []uint64{m.ID}
 	case schema.Operation_REPLACE:
-		by, ok := i.state.MemberNamed(op.By)
+		by, ok := i.state.MemberByName(op.By)
 		if !ok {
 			return refuse("the group has no instance %q", op.By)
 		}
@@ -368,7 +368,7 @@
 			m.Name,
 			m.ID,
 		)
-	case i.state.Removed(number):
+	case i.state.WasRemoved(number):
 		return refuse("the instance %x was removed before; start it on an empty directory", number)
 	}
 	for _, o := range i.state.Members() {
--- a/internal/cluster/consensus/runner.go
+++ b/internal/cluster/consensus/runner.go
@@ -32,19 +32,19 @@
 	Dir       string
 	Tick      time.Duration // 100 ms, if 0
 	Transport Transport
-	// Revision is told each revision that comes into force, in order, from the runner's goroutine.
-	Revision func(clusterstate.Revision)
-	// Permit is told, on the same goroutine, whenever it changes whether the fronts may admit. It
+	// OnRevision is told each revision that comes into force, in order, from the runner's goroutine.
+	OnRevision func(clusterstate.Revision)
+	// OnPermit is told, on the same goroutine, whenever it changes whether the fronts may admit. It
 	// must not wait; one that is closed for a change is answered by Closed.
-	Permit func(rollout.Permit)
-	// Stage is told of a change that the fronts must be made ready for; Staged is the answer.
-	Stage func(clusterstate.Revision)
-	// Standing is told, on the same goroutine, how this instance stands where something is owned by
+	OnPermit func(rollout.Permit)
+	// OnStage is told of a change that the fronts must be made ready for; Staged is the answer.
+	OnStage func(clusterstate.Revision)
+	// OnClusterView is told, on the same goroutine, how this instance stands where something is owned by
 	// placement, whenever that changes. It must not wait.
-	Standing func(Standing)
-	// Told is told, on the same goroutine, what subjects have to say: whose a word is its type says. It
-	// must not wait.
-	Told func(word any)
+	OnClusterView func(ClusterView)
+	// OnNotification is told, on the same goroutine, what subjects have to say: whose a word is its type
+	// says. It must not wait.
+	OnNotification func(word any)
 }
 
 // Runner is an instance with a clock, a disk and a network. One goroutine drives it.
@@ -56,7 +56,7 @@
 	inbox  chan *pb.Message
 	ended  chan struct{}
 	stop   context.CancelFunc
-	answer map[Ticket]func(Answer)
+	answer map[RequestID]func(Response)
 	reach  map[uint64]clusterstate.Member // who has sent something and isn't known as a member here
 	status atomic.Pointer[Status]
 	failed error // why it has ended; good once ended is closed
@@ -72,23 +72,25 @@
 	if cfg.Tick <= 0 {
 		cfg.Tick = 100 * time.Millisecond
 	}
-	if cfg.TickLength = cfg.Tick; cfg.Wall == nil {
-		cfg.Wall = time.Now
+	if cfg.TickInterval = cfg.Tick; cfg.WallClock == nil {
+		cfg.WallClock = time.Now
 	}
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
 	}
 	r := &Runner{cfg: cfg, calls: make(chan func(), 64), inbox: make(chan *pb.Message, 1024),
-		ended: make(chan struct{}), answer: map[Ticket]func(Answer){}, reach: map[uint64]clusterstate.Member{},
+		ended: make(
+			chan struct{},
+		), answer: map[RequestID]func(Response){}, reach: map[uint64]clusterstate.Member{},
 		watchers: map[chan struct{}]bool{}}
-	saved := NewSaved()
+	saved := NewRecoveredState()
 	var err error
 	options := store.Options{SegmentBytes: 16 << 20}
-	if r.store, err = store.Open(cfg.Dir, options, saved.Image, saved.Record); err != nil {
+	if r.store, err = store.Open(cfg.Dir, options, saved.RestoreSnapshot, saved.ReplayRecord); err != nil {
 		return nil, err
 	}
-	if tear := r.store.Torn(); tear != nil {
-		cfg.Log.WithField("torn", tear.String()).
+	if tear := r.store.TornTail(); tear != nil {
+		cfg.Logger.WithField("torn", tear.String()).
 			Warn("the end of the log was cut off: it was never acknowledged")
 	}
 	if r.inst, err = New(cfg.Config, saved, rand.Uint64()>>1|1, cfg.Name); err != nil {
@@ -99,12 +101,12 @@
 	return r, nil
 }
 
-// Agreed is the configuration that the directory has, for use before Start.
-func (r *Runner) Agreed() (clusterstate.Revision, bool) {
+// CommittedRevision is the configuration that the directory has, for use before Start.
+func (r *Runner) CommittedRevision() (clusterstate.Revision, bool) {
 	if r.inst.State() == nil {
 		return clusterstate.Revision{}, false
 	}
-	return r.inst.State().Newest(), true
+	return r.inst.State().CurrentRevision(), true
 }
 
 // Start begins to take part.
@@ -123,8 +125,8 @@
 	return r.store.Close()
 }
 
-// Ended is closed when the runner has ended, also by itself: then Err says why.
-func (r *Runner) Ended() <-chan struct{} { return r.ended }
+// Done is closed when the runner has ended, also by itself: then Err says why.
+func (r *Runner) Done() <-chan struct{} { return r.ended }
 
 // Err says why the runner ended by itself, once Ended is closed.
 func (r *Runner) Err() error { return r.failed }
@@ -133,15 +135,15 @@
 	defer func() {
 		close(r.ended)
 		for _, f := range r.answer {
-			f(Answer{Err: ErrUnknown})
+			f(Response{Err: ErrOutcomeUnknown})
 		}
 	}()
 	ticker := time.NewTicker(r.cfg.Tick)
 	defer ticker.Stop()
 	for {
-		if err := Drive(r.inst, r.store, Boottime, r.carry); err != nil {
+		if err := ProcessReady(r.inst, r.store, BootTime, r.carry); err != nil {
 			r.failed = err
-			r.cfg.Log.WithError(err).Error("the agreement has stopped here: its disk fails")
+			r.cfg.Logger.WithError(err).Error("the agreement has stopped here: its disk fails")
 			return
 		}
 		r.publish()
@@ -149,13 +151,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			r.inst.Clock(Boottime())
+			r.inst.SetClock(BootTime())
 			r.inst.Tick()
 		case f := <-r.calls:
-			r.inst.Clock(Boottime())
+			r.inst.SetClock(BootTime())
 			f()
 		case m := <-r.inbox:
-			r.inst.Clock(Boottime())
+			r.inst.SetClock(BootTime())
 			r.step(m)
 			// What came meanwhile shares the next sync.
 			for range len(r.inbox) {
@@ -168,7 +170,7 @@
 func (r *Runner) step(m *pb.Message) {
 	if err := r.inst.Step(m); err != nil {
 		r.refused.Add(1)
-		r.cfg.Log.WithError(err).
+		r.cfg.Logger.WithError(err).
 			WithField("from", fmt.Sprintf("%x", m.GetFrom())).
 			Debug("a message is refused")
 	}
@@ -176,39 +178,43 @@
 
 func (r *Runner) carry(e Effects) {
 	for _, rev := range e.Revisions {
-		r.cfg.Log.WithFields(logrus.Fields{"revision": rev.Revision, "author": rev.Author, "change": rev.ID}).
-			Info("a configuration is agreed on")
-		if r.cfg.Revision != nil {
-			r.cfg.Revision(rev)
+		r.cfg.Logger.WithFields(
+			logrus.Fields{"revision": rev.Number, "author": rev.Author, "change": rev.ChangeID},
+		).
+			Info(
+				"a configuration is agreed on",
+			)
+		if r.cfg.OnRevision != nil {
+			r.cfg.OnRevision(rev)
 		}
 	}
-	if e.Stage != nil && r.cfg.Stage != nil {
-		r.cfg.Stage(*e.Stage)
+	if e.Stage != nil && r.cfg.OnStage != nil {
+		r.cfg.OnStage(*e.Stage)
 	}
-	if e.Standing != nil && r.cfg.Standing != nil {
-		r.cfg.Standing(*e.Standing)
+	if e.ClusterView != nil && r.cfg.OnClusterView != nil {
+		r.cfg.OnClusterView(*e.ClusterView)
 	}
-	for _, word := range e.Told {
-		if r.cfg.Told != nil {
-			r.cfg.Told(word)
+	for _, word := range e.Notifications {
+		if r.cfg.OnNotification != nil {
+			r.cfg.OnNotification(word)
 		}
 	}
-	if e.Permit != nil && r.cfg.Permit != nil {
-		r.cfg.Permit(*e.Permit)
+	if e.Permit != nil && r.cfg.OnPermit != nil {
+		r.cfg.OnPermit(*e.Permit)
 	}
 	for _, m := range e.Messages {
 		if to, ok := r.memberAt(m.GetTo()); ok {
 			r.cfg.Transport.Send(to, m)
 		}
 	}
-	for _, m := range e.Sessions {
+	for _, m := range e.SessionMessages {
 		if to, ok := r.memberAt(m.To); ok {
 			r.cfg.Transport.SendSession(to, m.Message)
 		}
 	}
-	for _, a := range e.Answers {
-		if f := r.answer[a.Ticket]; f != nil {
-			delete(r.answer, a.Ticket)
+	for _, a := range e.Responses {
+		if f := r.answer[a.RequestID]; f != nil {
+			delete(r.answer, a.RequestID)
 			f(a)
 		}
 	}
@@ -233,7 +239,7 @@
 	s := r.inst.Status()
 	was := r.status.Swap(&s)
 	if was != nil && (was.Role != s.Role || was.Leader != s.Leader) && r.inst.rn != nil {
-		r.cfg.Log.WithFields(logrus.Fields{"role": s.Role, "leader": r.nameOf(s.Leader), "term": s.Term}).
+		r.cfg.Logger.WithFields(logrus.Fields{"role": s.Role, "leader": r.nameOf(s.Leader), "term": s.Term}).
 			Info("the roles have changed")
 	}
 	if was == nil || was.Revision != s.Revision || was.Applied != s.Applied {
@@ -289,63 +295,68 @@
 // Deliver it never waits.
 func (r *Runner) DeliverSession(from clusterstate.Member, m *schema.SessionMessage, format uint32) {
 	r.post(func() {
-		if r.inst.Reads(from.ID, format); m == nil {
+		if r.inst.ObserveFormat(from.ID, format); m == nil {
 			return
 		}
 		if err := r.inst.StepSession(from.ID, m); err != nil {
 			r.refused.Add(1)
-			r.cfg.Log.WithError(err).WithField("from", from.Name).Debug("a word on sessions is refused")
+			r.cfg.Logger.WithError(err).WithField("from", from.Name).Debug("a word on sessions is refused")
 		}
 	})
 }
 
-// Staged says that the fronts are ready for a change, or why they can't be.
-func (r *Runner) Staged(change string, problems []string) {
-	go r.do(context.Background(), func() { r.inst.Staged(change, problems) })
+// ReportStaged says that the fronts are ready for a change, or why they can't be.
+func (r *Runner) ReportStaged(change string, problems []string) {
+	go r.do(context.Background(), func() { r.inst.ReportStaged(change, problems) })
 }
 
-// Closed says that the fronts have ceased to admit for a change.
-func (r *Runner) Closed(change string, attempt int) {
-	go r.do(context.Background(), func() { r.inst.Closed(change, attempt) })
+// ReportAdmissionClosed says that the fronts have ceased to admit for a change.
+func (r *Runner) ReportAdmissionClosed(change string, attempt int) {
+	go r.do(context.Background(), func() { r.inst.ReportAdmissionClosed(change, attempt) })
 }
 
-// Runs says which revision the fronts run.
-func (r *Runner) Runs(revision uint64) {
-	go r.do(context.Background(), func() { r.inst.Running(revision) })
+// ReportRunningRevision says which revision the fronts run.
+func (r *Runner) ReportRunningRevision(revision uint64) {
+	go r.do(context.Background(), func() { r.inst.ReportRunningRevision(revision) })
 }
 
-// Command puts an operator's word into the log and waits for what becomes of it.
-func (r *Runner) Command(ctx context.Context, c rollout.Command) (clusterstate.Outcome, error) {
-	a, err := r.ask(ctx, func() Ticket { return r.inst.Command(c) })
+// ProposeRolloutCommand puts an operator's word into the log and waits for what becomes of it.
+func (r *Runner) ProposeRolloutCommand(ctx context.Context, c rollout.Command) (clusterstate.Outcome, error) {
+	a, err := r.ask(ctx, func() RequestID { return r.inst.ProposeRolloutCommand(c) })
 	if err != nil {
 		return clusterstate.Outcome{}, err
 	}
 	return a.Outcome, a.Err
 }
 
-// Say puts a subject's word into the log, with its id in it, and waits for what becomes of it.
-func (r *Runner) Say(ctx context.Context, section string, e *schema.Change, id string) (clusterstate.Outcome,
+// ProposeCommand puts a subject's word into the log, with its id in it, and waits for what becomes of it.
+func (r *Runner) ProposeCommand(
+	ctx context.Context,
+	section string,
+	e *schema.Change,
+	id string,
+) (clusterstate.Outcome,
 	error) {
-	a, err := r.ask(ctx, func() Ticket { return r.inst.Say(section, e, id) })
+	a, err := r.ask(ctx, func() RequestID { return r.inst.ProposeCommand(section, e, id) })
 	if err != nil {
 		return clusterstate.Outcome{}, err
 	}
 	return a.Outcome, a.Err
 }
 
-// Take gives a subject what the rest of the node has to say. It does not wait.
-func (r *Runner) Take(section string, word any) {
-	go r.do(context.Background(), func() { r.inst.Take(section, word) })
+// NotifyParticipant gives a subject what the rest of the node has to say. It does not wait.
+func (r *Runner) NotifyParticipant(section string, word any) {
+	go r.do(context.Background(), func() { r.inst.NotifyParticipant(section, word) })
 }
 
-// Away says whether this instance is about to end, and so hands on what it holds.
-func (r *Runner) Away(ctx context.Context, away bool) error {
-	return r.do(ctx, func() { r.inst.Away(away) })
+// SetDeparting says whether this instance is about to end, and so hands on what it holds.
+func (r *Runner) SetDeparting(ctx context.Context, away bool) error {
+	return r.do(ctx, func() { r.inst.SetDeparting(away) })
 }
 
-// Boottime is the clock of leases: it goes on while the process or the machine stands still,
+// BootTime is the clock of leases: it goes on while the process or the machine stands still,
 // and nobody sets it. Processes of one machine share it.
-func Boottime() time.Duration {
+func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(fmt.Sprintf("consensus: no boottime clock: %v", err))
--- a/internal/cluster/consensus/ask.go
+++ b/internal/cluster/consensus/runner_requests.go
@@ -36,38 +36,42 @@
 }
 
 // ask makes a request and waits for its answer.
-func (r *Runner) ask(ctx context.Context, f func() Ticket) (Answer, error) {
-	c := make(chan Answer, 1)
-	if err := r.do(ctx, func() { r.answer[f()] = func(a Answer) { c <- a } }); err != nil {
-		return Answer{}, err
+func (r *Runner) ask(ctx context.Context, f func() RequestID) (Response, error) {
+	c := make(chan Response, 1)
+	if err := r.do(ctx, func() { r.answer[f()] = func(a Response) { c <- a } }); err != nil {
+		return Response{}, err
 	}
 	select {
 	case a := <-c:
 		return a, nil
 	case <-ctx.Done():
-		return Answer{}, ErrUnknown
+		return Response{}, ErrOutcomeUnknown
 	}
 }
 
 // Propose asks for a change, and waits until it is in force or is not to be; with noWait until
 // it begins to take hold.
-func (r *Runner) Propose(ctx context.Context, c clusterstate.Change, noWait bool) (clusterstate.Outcome, error) {
-	a, err := r.ask(ctx, func() Ticket { return r.inst.Propose(c, noWait) })
+func (r *Runner) Propose(
+	ctx context.Context,
+	c clusterstate.Change,
+	noWait bool,
+) (clusterstate.Outcome, error) {
+	a, err := r.ask(ctx, func() RequestID { return r.inst.Propose(c, noWait) })
 	if err != nil {
 		return clusterstate.Outcome{}, err
 	}
 	return a.Outcome, a.Err
 }
 
-// Check says what would become of a change now, as far as this instance knows.
-func (r *Runner) Check(ctx context.Context, c clusterstate.Change) (o clusterstate.Outcome, err error) {
-	err = r.View(ctx, func(s *clusterstate.State) { o = s.Check(c) })
+// CheckChange says what would become of a change now, as far as this instance knows.
+func (r *Runner) CheckChange(ctx context.Context, c clusterstate.Change) (o clusterstate.Outcome, err error) {
+	err = r.View(ctx, func(s *clusterstate.State) { o = s.CheckChange(c) })
 	return o, err
 }
 
 // Barrier waits until this instance has all that was agreed on before the call.
 func (r *Runner) Barrier(ctx context.Context) error {
-	a, err := r.ask(ctx, r.inst.Read)
+	a, err := r.ask(ctx, r.inst.ReadIndex)
 	if err != nil {
 		return err
 	}
@@ -90,12 +94,12 @@
 
 // Operate changes the members, the leader or a duty, if this instance leads.
 func (r *Runner) Operate(ctx context.Context, op *schema.Operation, number uint64) error {
-	a, err := r.ask(ctx, func() Ticket { return r.inst.Operate(op, number) })
+	a, err := r.ask(ctx, func() RequestID { return r.inst.Operate(op, number) })
 	if err != nil {
 		return err
 	}
 	if a.Err == nil && a.Outcome.Code != clusterstate.Accepted {
-		return &RefusedError{Reason: strings.Join(a.Outcome.Problems, "; ")}
+		return &RejectedError{Reason: strings.Join(a.Outcome.Problems, "; ")}
 	}
 	return a.Err
 }
@@ -132,15 +136,15 @@
 	return r.do(ctx, func() {})
 }
 
-// SnapshotSent, Unreachable and ToldRemoved are the transport's word on what became of
+// ReportSnapshot, Unreachable and ToldRemoved are the transport's word on what became of
 // messages.
-func (r *Runner) SnapshotSent(to uint64, ok bool) { r.post(func() { r.inst.SnapshotSent(to, ok) }) }
+func (r *Runner) ReportSnapshot(to uint64, ok bool) { r.post(func() { r.inst.ReportSnapshot(to, ok) }) }
 
-// Unreachable says that an instance can't be reached.
-func (r *Runner) Unreachable(id uint64) { r.post(func() { r.inst.Unreachable(id) }) }
+// ReportUnreachable says that an instance can't be reached.
+func (r *Runner) ReportUnreachable(id uint64) { r.post(func() { r.inst.ReportUnreachable(id) }) }
 
-// ToldRemoved says that another member knows this one to be removed.
-func (r *Runner) ToldRemoved() { r.post(r.inst.ToldRemoved) }
+// ReportRemoved says that another member knows this one to be removed.
+func (r *Runner) ReportRemoved() { r.post(r.inst.ReportRemoved) }
 
 // Watch gives a channel that is written to when the state has changed, and its end.
 func (r *Runner) Watch() (<-chan struct{}, func()) {
--- a/internal/cluster/consensus/session.go
+++ b/internal/cluster/consensus/session.go
@@ -16,7 +16,7 @@
 // sessions are an instance's part in the rollout: its own lease, and as leader those of all.
 type sessions struct {
 	now    time.Duration
-	holder *rollout.Holder
+	holder *rollout.LeaseHolder
 	leader *rollout.Leader // nil unless it leads, and has applied an entry of its term
 	lead   uint64          // to whom was reported last
 	met    bool            // it has heard from a leader since it started
@@ -42,27 +42,27 @@
 	aways map[uint64]bool // which members have said so, for the leader
 }
 
-// Clock tells the time before an input: on a clock that goes on while the process, or the
+// SetClock tells the time before an input: on a clock that goes on while the process, or the
 // machine, stands still, and that nobody sets.
-func (i *Instance) Clock(now time.Duration) { i.ses.now = max(i.ses.now, now) }
+func (i *Instance) SetClock(now time.Duration) { i.ses.now = max(i.ses.now, now) }
 
-// Staged says that the fronts are ready to switch to a change, or why they can't.
-func (i *Instance) Staged(change string, problems []string) {
-	i.ses.holder.Staged(change, problems)
+// ReportStaged says that the fronts are ready to switch to a change, or why they can't.
+func (i *Instance) ReportStaged(change string, problems []string) {
+	i.ses.holder.SetStaged(change, problems)
 	i.sessions()
 }
 
-// Closed says that the fronts have ceased to admit for a change.
-func (i *Instance) Closed(change string, attempt int) {
-	i.ses.holder.Closed(change, attempt)
+// ReportAdmissionClosed says that the fronts have ceased to admit for a change.
+func (i *Instance) ReportAdmissionClosed(change string, attempt int) {
+	i.ses.holder.SetAdmissionClosed(change, attempt)
 	i.sessions()
 }
 
-// Running says which revision the fronts run.
-func (i *Instance) Running(revision uint64) { i.ses.holder.Running(revision) }
+// ReportRunningRevision says which revision the fronts run.
+func (i *Instance) ReportRunningRevision(revision uint64) { i.ses.holder.SetRunningRevision(revision) }
 
-// Reads says which format an instance reads, by its own word.
-func (i *Instance) Reads(member uint64, format uint32) {
+// ObserveFormat says which format an instance reads, by its own word.
+func (i *Instance) ObserveFormat(member uint64, format uint32) {
 	if len(i.ses.formats) < 1024 {
 		i.ses.formats[member] = format
 	}
@@ -77,16 +77,17 @@
 		return i.halted
 	}
 	if r := m.Report; r != nil {
-		if i.state.Removed(from) {
+		if i.state.WasRemoved(from) {
 			return ErrRemoved
 		}
 		if r.Nonce == 0 {
 			return fmt.Errorf("a report of no life of an instance")
 		}
-		i.reported(rollout.Report{Member: from, Nonce: r.Nonce, Epoch: r.Epoch,
-			Asked:  time.Duration(r.AskedNs),
-			Staged: r.Staged, Refused: r.Refused, Closed: r.Closed, Attempt: int(r.Attempt),
-			Running: r.Running})
+		i.reported(rollout.Report{Member: from, Incarnation: r.Nonce, Epoch: r.Epoch,
+			RequestedAt:  time.Duration(r.AskedNs),
+			StagedChange: r.Staged, Problems: r.Refused, AdmissionClosedFor: r.Closed,
+			Attempt:         int(r.Attempt),
+			RunningRevision: r.Running})
 		i.heardOf(from, r)
 	}
 	if g := m.Grant; g != nil {
@@ -103,12 +104,14 @@
 	if i.ses.leader == nil {
 		return // who asks will ask again
 	}
-	i.ses.leader.Heard(i.ses.now, r)
+	i.ses.leader.ObserveReport(i.ses.now, r)
 	i.ses.waiting[r.Member] = r
 }
 
 // policy is how changes take hold now.
-func (i *Instance) policy() rollout.Policy { return i.state.Policy().For(i.cfg.TickLength) }
+func (i *Instance) policy() rollout.Policy {
+	return i.state.RolloutPolicy().WithDefaults(i.cfg.TickInterval)
+}
 
 // sessions does what follows from the last input.
 func (i *Instance) sessions() {
@@ -119,18 +122,18 @@
 		s := i.rn.BasicStatus()
 		i.ses.met = i.ses.met || s.Lead != raft.None
 		i.takeLead(s)
-		if i.state.Format() < clusterstate.Format {
+		if i.state.Format() < clusterstate.LatestFormat {
 			i.enter()
 		}
 		if i.state.Format() > 1 {
-			i.ses.holder.Follow(i.state.Rollout())
+			i.ses.holder.ObserveState(i.state.Rollout())
 			i.report(s)
 			if i.ses.leader != nil {
 				i.confirm()
 				i.judge()
 			}
 		} else if i.ses.met {
-			i.ses.holder.Old()
+			i.ses.holder.SetUnleased()
 		}
 		i.tellPermit()
 		i.actSubjects()
@@ -147,18 +150,18 @@
 	case !leads && x.leader != nil:
 		x.leader = nil
 		for _, p := range x.parts {
-			p.part.Lead(x.now, 0)
+			p.part.BecomeLeader(x.now, 0)
 		}
 		clear(x.waiting)
 		x.asked, x.read, x.index = nil, "", 0
 	case leads && (x.leader == nil || x.leader.Term() != s.GetTerm()):
 		x.leader = rollout.NewLeader(x.now, s.GetTerm())
 		for _, p := range x.parts {
-			p.part.Lead(x.now, s.GetTerm())
+			p.part.BecomeLeader(x.now, s.GetTerm())
 		}
 		clear(x.waiting)
 		x.asked, x.read, x.index = nil, "", 0
-		x.holder.Again()
+		x.holder.ReportNow()
 	}
 }
 
@@ -170,19 +173,28 @@
 	}
 	if x.lead != s.Lead {
 		x.lead = s.Lead
-		x.holder.Again()
+		x.holder.ReportNow()
 	}
 	if s.Lead == i.identity.Id && x.leader == nil {
 		return
 	}
-	r, due := x.holder.Report(x.now, i.policy())
+	r, due := x.holder.NextReport(x.now, i.policy())
 	if !due {
 		return
 	}
-	m := &schema.SessionReport{Nonce: r.Nonce, Epoch: r.Epoch, AskedNs: int64(r.Asked), Staged: r.Staged,
-		Refused: r.Refused, Closed: r.Closed, Attempt: int64(r.Attempt), Running: r.Running, Away: x.away}
+	m := &schema.SessionReport{
+		Nonce:   r.Incarnation,
+		Epoch:   r.Epoch,
+		AskedNs: int64(r.RequestedAt),
+		Staged:  r.StagedChange,
+		Refused: r.Problems,
+		Closed:  r.AdmissionClosedFor,
+		Attempt: int64(r.Attempt),
+		Running: r.RunningRevision,
+		Away:    x.away,
+	}
 	for _, p := range x.parts {
-		p.part.Report(i.view(p), m)
+		p.part.FillReport(i.view(p), m)
 	}
 	if s.Lead == i.identity.Id {
 		i.reported(r)
@@ -193,17 +205,21 @@
 }
 
 func (i *Instance) say(to uint64, m *schema.SessionMessage) {
-	i.out.Sessions = append(i.out.Sessions, SessionMessage{to, m})
+	i.out.SessionMessages = append(i.out.SessionMessages, SessionMessage{to, m})
 }
 
 // granted takes a lease, from a leader that had applied the log so far.
 func (i *Instance) granted(m *schema.SessionGrant) {
 	x := &i.ses
-	g := rollout.Grant{Epoch: m.Epoch, Asked: time.Duration(m.AskedNs), For: time.Duration(m.ForNs)}
-	x.holder.Granted(g)
-	x.seats.right.Granted(g.Epoch, g.Asked, g.For, m.Applied, i.applied)
+	g := rollout.Grant{
+		Epoch:       m.Epoch,
+		RequestedAt: time.Duration(m.AskedNs),
+		Duration:    time.Duration(m.ForNs),
+	}
+	x.holder.ObserveGrant(g)
+	x.seats.right.ObserveGrant(g.Epoch, g.RequestedAt, g.Duration, m.Applied, i.applied)
 	for _, p := range x.parts {
-		p.part.Granted(x.now, m, i.applied)
+		p.part.ObserveGrant(x.now, m, i.applied)
 	}
 }
 
@@ -218,10 +234,10 @@
 				continue
 			}
 			lease := x.leader.Grant(x.now, r, i.state.Rollout(), i.policy())
-			g := &schema.SessionGrant{Epoch: lease.Epoch, AskedNs: int64(lease.Asked),
-				ForNs: int64(lease.For), Applied: i.applied}
+			g := &schema.SessionGrant{Epoch: lease.Epoch, AskedNs: int64(lease.RequestedAt),
+				ForNs: int64(lease.Duration), Applied: i.applied}
 			for _, p := range x.parts {
-				p.part.Grant(i.view(p), member.ID, g)
+				p.part.FillGrant(i.view(p), member.ID, g)
 			}
 			if member.ID == i.identity.Id {
 				i.granted(g)
@@ -246,7 +262,7 @@
 	clear(x.waiting)
 	x.reads++
 	b := append([]byte("lease"), binary.BigEndian.AppendUint64(nil, i.identity.Id)...)
-	b = binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, i.ses.holder.Nonce()), x.reads)
+	b = binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, i.ses.holder.Incarnation()), x.reads)
 	x.read, x.readAt, x.index = string(b), i.ticks, 0
 	i.rn.ReadIndex(b)
 }
@@ -258,9 +274,9 @@
 	for _, m := range i.state.Members() {
 		names[m.ID] = m.Name
 	}
-	for _, c := range x.leader.Look(x.now, i.state.Rollout(), i.policy(), names) {
-		if c.Kind == rollout.Decide && i.cfg.Wall != nil {
-			c.AtMS = i.cfg.Wall().UnixMilli()
+	for _, c := range x.leader.Evaluate(x.now, i.state.Rollout(), i.policy(), names) {
+		if c.Kind == rollout.Commit && i.cfg.WallClock != nil {
+			c.AtMS = i.cfg.WallClock().UnixMilli()
 		}
 		_ = i.rn.Propose(encodeCommand(c)) // dropped, it is asked for again
 	}
@@ -273,7 +289,7 @@
 		return
 	}
 	i.ses.entered = i.ticks
-	_ = i.rn.Propose(encode(&schema.Change{Format: clusterstate.Format, Enter: true}))
+	_ = i.rn.Propose(encode(&schema.Change{Format: clusterstate.LatestFormat, Enter: true}))
 }
 
 // unable names the members that are not known to read the newest format.
@@ -288,7 +304,7 @@
 	for _, m := range i.state.Members() {
 		format, heard := i.ses.formats[m.ID]
 		switch {
-		case m.ID == i.identity.Id || format >= clusterstate.Format:
+		case m.ID == i.identity.Id || format >= clusterstate.LatestFormat:
 		case heard:
 			old = append(old, m.Name)
 		default:
@@ -301,17 +317,17 @@
 // tellPermit tells the fronts whether they may admit, when that has changed.
 func (i *Instance) tellPermit() {
 	x := &i.ses
-	revision := i.state.Newest().Revision
+	revision := i.state.CurrentRevision().Number
 	p := rollout.Permit{Revision: revision}
 	switch {
 	case i.gone():
-		p.Why = ErrRemoved.Error()
+		p.ClosedReason = ErrRemoved.Error()
 	case i.state.Format() > 1:
 		p = x.holder.Permit(i.state.Rollout(), revision, i.policy())
 	case x.met:
-		p.Open, p.Forever = true, true
+		p.Open, p.NoExpiry = true, true
 	default:
-		p.Why = "this instance has not heard from its group since it started"
+		p.ClosedReason = "this instance has not heard from its group since it started"
 	}
 	if x.told && p == x.permit {
 		return
@@ -322,41 +338,41 @@
 
 // stage has the fronts be made ready for a change.
 func (i *Instance) stage() {
-	r, ok := i.state.Pending()
+	r, ok := i.state.PendingRevision()
 	if !ok {
 		i.ses.staging = ""
 		return
 	}
-	if i.ses.staging == r.ID {
+	if i.ses.staging == r.ChangeID {
 		return
 	}
-	i.ses.staging = r.ID
+	i.ses.staging = r.ChangeID
 	i.out.Stage = &r
 }
 
 func (i *Instance) applyCommand(m *schema.Command) {
 	c := rollout.Command{Kind: rollout.Kind(m.Kind), ID: m.Id, Term: m.Term, Change: m.Change,
-		Attempt: int(m.Attempt), Member: m.Member, Name: m.Name, Nonce: m.Nonce, Reason: m.Reason,
+		Attempt: int(m.Attempt), Member: m.Member, Name: m.Name, Incarnation: m.Nonce, Reason: m.Reason,
 		AtMS: m.AtMs}
 	for _, s := range m.Seats {
-		c.Seats = append(c.Seats, rollout.Seat{Member: s.Member, Epoch: s.Epoch})
+		c.Sessions = append(c.Sessions, rollout.SessionID{Member: s.Member, Epoch: s.Epoch})
 	}
 	// Hazard: a leader that has been deposed between its look and its word hands the word on to
 	// the next one, which may have granted since what the word counts as over.
-	if c.Kind.Judged() && c.Term != i.appliedTerm {
+	if c.Kind.LeaderDecision() && c.Term != i.appliedTerm {
 		return
 	}
-	if c.Kind == rollout.Open {
+	if c.Kind == rollout.OpenSession {
 		if _, ok := i.state.Member(c.Member); !ok {
 			return
 		}
 	}
-	o, decided := i.state.Command(c)
+	o, decided := i.state.ApplyRollout(c)
 	if c.ID != "" {
 		i.outcome = append(i.outcome, outcome{c.ID, o})
 	}
 	if decided != "" {
-		if known, ok := i.state.Known(decided); ok {
+		if known, ok := i.state.OutcomeOf(decided); ok {
 			i.outcome = append(i.outcome, outcome{decided, known})
 		}
 	}
@@ -366,8 +382,8 @@
 func encodeCommand(c rollout.Command) []byte {
 	m := &schema.Command{Kind: uint32(c.Kind), Id: c.ID, Term: c.Term, Change: c.Change,
 		Attempt: int64(c.Attempt),
-		Member:  c.Member, Name: c.Name, Nonce: c.Nonce, Reason: c.Reason, AtMs: c.AtMS}
-	for _, s := range c.Seats {
+		Member:  c.Member, Name: c.Name, Nonce: c.Incarnation, Reason: c.Reason, AtMs: c.AtMS}
+	for _, s := range c.Sessions {
 		m.Seats = append(m.Seats, &schema.Seat{Member: s.Member, Epoch: s.Epoch})
 	}
 	return encode(&schema.Change{Format: 2, Command: m})
@@ -381,8 +397,8 @@
 	return b
 }
 
-// Command puts an operator's word into the log: a withdrawal, or an instance set aside.
-func (i *Instance) Command(c rollout.Command) Ticket {
+// ProposeRolloutCommand puts an operator's word into the log: a withdrawal, or an instance set aside.
+func (i *Instance) ProposeRolloutCommand(c rollout.Command) RequestID {
 	r := &request{kind: proposing, id: c.ID, command: true}
 	ticket := i.admit(r)
 	if err := i.unfit(); err != nil {
@@ -395,37 +411,44 @@
 	return ticket
 }
 
-// Rollout is how sessions and the pending change stand, as far as this instance knows.
-type Rollout struct {
-	Format   int
-	Policy   rollout.Policy
-	Permit   rollout.Permit
-	Left     time.Duration
-	Epoch    uint64
-	Staged   string
-	Pending  *clusterstate.Revision
-	Phase    rollout.Pending
-	Awaited  map[string]time.Duration // known to the leader only
-	Sessions []rollout.Session
-	Running  map[uint64]uint64 // by member; known to the leader only
-	Ready    map[uint64]string // the change that each has staged; likewise
+// RolloutStatus is how sessions and the pending change stand, as far as this instance knows.
+type RolloutStatus struct {
+	Format           int
+	Policy           rollout.Policy
+	Permit           rollout.Permit
+	LeaseRemaining   time.Duration
+	SessionEpoch     uint64
+	Staged           string
+	Pending          *clusterstate.Revision
+	PendingPhase     rollout.PendingChange
+	AwaitedMembers   map[string]time.Duration // known to the leader only
+	Sessions         []rollout.Session
+	RunningRevisions map[uint64]uint64 // by member; known to the leader only
+	StagedChanges    map[uint64]string // the change that each has staged; likewise
 }
 
-func (i *Instance) rollout() Rollout {
-	var out Rollout
+func (i *Instance) rollout() RolloutStatus {
+	var out RolloutStatus
 	if i.state == nil {
 		return out
 	}
 	x := &i.ses
-	out = Rollout{Format: i.state.Format(), Policy: i.policy(), Permit: x.permit, Left: x.holder.Left(x.now,
-		i.policy()),
-		Epoch: x.holder.Epoch(), Staged: x.holder.Ready(), Sessions: i.state.Rollout().List()}
-	if r, ok := i.state.Pending(); ok {
-		out.Pending, out.Phase = &r, *i.state.Rollout().Pending
+	out = RolloutStatus{
+		Format: i.state.Format(),
+		Policy: i.policy(),
+		Permit: x.permit,
+		LeaseRemaining: x.holder.LeaseRemaining(x.now,
+			i.policy()),
+		SessionEpoch: x.holder.Epoch(),
+		Staged:       x.holder.StagedChange(),
+		Sessions:     i.state.Rollout().List(),
+	}
+	if r, ok := i.state.PendingRevision(); ok {
+		out.Pending, out.PendingPhase = &r, *i.state.Rollout().Pending
 	}
 	if x.leader != nil {
-		out.Awaited = x.leader.Awaited(x.now, i.state.Rollout(), i.policy())
-		out.Running, out.Ready = x.leader.Word()
+		out.AwaitedMembers = x.leader.AwaitedMembers(x.now, i.state.Rollout(), i.policy())
+		out.RunningRevisions, out.StagedChanges = x.leader.LatestReports()
 	}
 	return out
 }
--- a/internal/cluster/consensus/status.go
+++ b/internal/cluster/consensus/status.go
@@ -12,54 +12,54 @@
 
 // Status is how an instance stands.
 type Status struct {
-	ID       uint64
-	Name     string
-	Cluster  string
-	Role     string
-	Leader   uint64
-	Term     uint64
-	Commit   uint64
-	Applied  uint64
-	Revision uint64
-	CutOff   bool
-	Contact  uint64 // ticks since the leader, or as leader a majority, was heard of
-	Joint    bool
-	Members  []MemberStatus
-	Halted   error
-	Rollout  Rollout
-	View     placement.View // who may own what by placement
-	Subjects map[string]any // how each stands that has something to say, by its section
-	Life     uint64         // the number that its process drew when it started
+	ID                uint64
+	Name              string
+	Cluster           string
+	Role              string
+	Leader            uint64
+	Term              uint64
+	Commit            uint64
+	Applied           uint64
+	Revision          uint64
+	NoLeader          bool
+	TicksSinceContact uint64 // ticks since the leader, or as leader a majority, was heard of
+	JointConsensus    bool
+	Members           []MemberStatus
+	Halted            error
+	Rollout           RolloutStatus
+	PlacementView     placement.View // who may own what by placement
+	Participants      map[string]any // how each stands that has something to say, by its section
+	Incarnation       uint64         // the number that its process drew when it started
 }
 
 // MemberStatus is how a member stands, as far as this instance knows.
 type MemberStatus struct {
 	clusterstate.Member
-	Voter  bool
-	Known  bool // Active and Match are: only the leader knows
-	Active bool
-	Match  uint64
+	Voter         bool
+	ProgressKnown bool // Active and Match are: only the leader knows
+	Active        bool
+	Match         uint64
 }
 
 // Status says how the instance stands.
 func (i *Instance) Status() Status {
 	st := Status{
-		ID:      i.identity.Id,
-		Name:    i.identity.Name,
-		Cluster: i.identity.Cluster,
-		Role:    "waiting",
-		CutOff:  true,
-		Halted:  i.halted,
+		ID:       i.identity.Id,
+		Name:     i.identity.Name,
+		Cluster:  i.identity.Cluster,
+		Role:     "waiting",
+		NoLeader: true,
+		Halted:   i.halted,
 	}
 	if i.rn == nil {
 		return st
 	}
 	s := i.rn.Status()
 	st.Leader, st.Term, st.Commit, st.Applied = s.Lead, s.GetTerm(), s.GetCommit(), i.applied
-	st.CutOff, st.Contact = s.Lead == raft.None, i.ticks-i.contact
+	st.NoLeader, st.TicksSinceContact = s.Lead == raft.None, i.ticks-i.contact
 	st.Role = map[raft.StateType]string{raft.StateLeader: "leader", raft.StateFollower: "follower",
 		raft.StateCandidate: "candidate", raft.StatePreCandidate: "pre-candidate"}[s.RaftState]
-	st.Joint = len(i.conf.GetVotersOutgoing()) > 0
+	st.JointConsensus = len(i.conf.GetVotersOutgoing()) > 0
 	if st.Role == "follower" && !i.votes() {
 		st.Role = "learner"
 	}
@@ -69,13 +69,13 @@
 	if i.state == nil {
 		return st
 	}
-	st.Revision = i.state.Newest().Revision
-	st.Rollout, st.Life = i.rollout(), i.ses.holder.Nonce()
-	st.View, st.Subjects = i.state.View(), i.subjects()
+	st.Revision = i.state.CurrentRevision().Number
+	st.Rollout, st.Incarnation = i.rollout(), i.ses.holder.Incarnation()
+	st.PlacementView, st.Participants = i.state.PlacementView(), i.subjects()
 	for _, m := range i.state.Members() {
 		ms := MemberStatus{Member: m, Voter: slices.Contains(i.conf.GetVoters(), m.ID)}
 		if s.RaftState == raft.StateLeader {
-			ms.Known, ms.Active, ms.Match = true, i.active(m.ID), s.Progress[m.ID].Match
+			ms.ProgressKnown, ms.Active, ms.Match = true, i.active(m.ID), s.Progress[m.ID].Match
 		}
 		st.Members = append(st.Members, ms)
 	}
--- a/internal/cluster/discovery/roster_test.go
+++ b/internal/cluster/discovery/discovery_test.go
@@ -12,13 +12,13 @@
 // two calls in a row are lost, for every grace that the bounds leave room for.
 func TestEvery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		grace := rapid.Int64Range(int64(asks*least), int64(time.Hour)).Draw(t, "grace")
-		r := Rules{Pushed: true, Grace: time.Duration(grace)}
-		if 3*r.Every() >= r.Grace {
-			t.Errorf("asked every %v, and the grace is %v", r.Every(), r.Grace)
+		grace := rapid.Int64Range(int64(pollsPerGrace*minPollInterval), int64(time.Hour)).Draw(t, "grace")
+		r := RefreshPolicy{LocalAgent: true, DrainGrace: time.Duration(grace)}
+		if 3*r.PollInterval() >= r.DrainGrace {
+			t.Errorf("asked every %v, and the grace is %v", r.PollInterval(), r.DrainGrace)
 		}
-		if r.Pushed = false; r.Every() != 0 {
-			t.Errorf("asked every %v where each call costs", r.Every())
+		if r.LocalAgent = false; r.PollInterval() != 0 {
+			t.Errorf("asked every %v where each call costs", r.PollInterval())
 		}
 	})
 }
@@ -27,7 +27,7 @@
 // after the other say that discovery itself has.
 func TestTaken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := Told{Generation: 1}
+		told := GenerationTracker{Generation: 1}
 		truth, now := int64(1), time.Duration(0)
 		type answer struct {
 			began time.Duration
@@ -49,8 +49,8 @@
 				before := told.Generation
 				a := out[i]
 				out = append(out[:i], out[i+1:]...)
-				err := told.Take(now, a.began, a.gen)
-				var older *Older
+				err := told.Accept(now, a.began, a.gen)
+				var older *StaleListError
 				if err == nil && a.gen < before {
 					t.Fatalf("generation %d was taken after %d", a.gen, before)
 				}
@@ -64,18 +64,18 @@
 
 // Discovery that was set back is believed at the second call, and one at another place at once.
 func TestSetBack(t *testing.T) {
-	told := Told{Generation: 40}
-	if told.Take(10, 9, 7) == nil {
+	told := GenerationTracker{Generation: 40}
+	if told.Accept(10, 9, 7) == nil {
 		t.Error("an older list was taken at once")
 	}
-	if told.Take(11, 9, 7) == nil {
+	if told.Accept(11, 9, 7) == nil {
 		t.Error("a call that was out already was believed")
 	}
-	if err := told.Take(13, 12, 7); err != nil {
+	if err := told.Accept(13, 12, 7); err != nil {
 		t.Error(err)
 	}
-	told.Moved(20)
-	if err := told.Take(21, 20, 3); err != nil {
+	told.Reset(20)
+	if err := told.Accept(21, 20, 3); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/cluster/leasedtask/explore_test.go
+++ b/internal/cluster/leasedtask/modelcheck_test.go
@@ -28,7 +28,7 @@
 
 type entryOf struct {
 	c     Command
-	opens Seat // in the place of a command: the member was started anew
+	opens Session // in the place of a command: the member was started anew
 }
 
 type asked struct {
@@ -45,7 +45,7 @@
 	state   *State
 	applied int
 	epoch   uint64 // of this life
-	h       Holder
+	h       LeaseClock
 	last    time.Duration
 	ask     *asked
 	grant   *granted
@@ -59,7 +59,7 @@
 	base    uint64    // entries before the log, that all have applied
 	judged  []Command // the leader's words, which are not agreed on yet
 	nodes   [3]node
-	leader  *Leader
+	leader  *Assigner
 	known   *State
 	epochs  [3]uint64        // open sessions, as the leader has applied
 	expires [3]time.Duration // of leases, by the leader's clock
@@ -84,11 +84,11 @@
 }
 
 func (s *State) clone() *State {
-	c := &State{Duties: map[string]*Duty{}, Number: s.Number}
-	for k, d := range s.Duties {
+	c := &State{Tasks: map[string]*Task{}, LastFencingToken: s.LastFencingToken}
+	for k, d := range s.Tasks {
 		x := *d
 		x.History = nil
-		c.Duties[k] = &x
+		c.Tasks[k] = &x
 	}
 	return c
 }
@@ -120,17 +120,21 @@
 }
 
 func (x entryOf) applyTo(s *State) {
-	if x.opens != (Seat{}) {
-		s.Vacated(func(h Seat) bool { return h.Member == x.opens.Member && h.Epoch != x.opens.Epoch }, "", 0)
+	if x.opens != (Session{}) {
+		s.SessionsExpired(
+			func(h Session) bool { return h.Member == x.opens.Member && h.Epoch != x.opens.Epoch },
+			"",
+			0,
+		)
 		return
 	}
-	_ = s.Apply(x.c, func(Seat) bool { return true })
+	_ = s.Apply(x.c, func(Session) bool { return true })
 }
 
 // say puts an entry into the log; the leader applies it at once.
 func (m *model) say(x entryOf) {
 	m.log = append(m.log, x)
-	if x.opens != (Seat{}) {
+	if x.opens != (Session{}) {
 		m.epochs[x.opens.Member-1] = x.opens.Epoch
 	}
 	x.applyTo(m.known)
@@ -140,21 +144,28 @@
 func (m *model) follow() {
 	for i := range m.nodes {
 		n := &m.nodes[i]
-		n.h.Applied(m.base + uint64(n.applied))
+		n.h.ObserveApplied(m.base + uint64(n.applied))
 		if n.ask == nil && n.grant == nil && m.there()-n.last >= span/4 {
 			n.ask, n.last = &asked{m.there(), n.epoch}, m.there()
 		}
 	}
-	v := View{Now: m.now, Lease: span, Over: func(member uint64) bool { return m.now >= m.expires[member-1] }}
+	v := ClusterView{
+		Now:          m.now,
+		Lease:        span,
+		LeaseExpired: func(member uint64) bool { return m.now >= m.expires[member-1] },
+	}
 	for d := range m.b.duties {
-		v.Specs = append(v.Specs, Spec{Name: fmt.Sprint("d", d), Prefer: []string{m.prefer}})
+		v.Specs = append(v.Specs, Spec{Name: fmt.Sprint("d", d), PreferredHolders: []string{m.prefer}})
 	}
 	for i := range m.nodes {
-		v.Members = append(v.Members, Member{Seat: Seat{uint64(i + 1), m.epochs[i]}, Name: fmt.Sprint("n",
-			i+1),
-			Well: m.now < m.expires[i]})
+		v.Members = append(
+			v.Members,
+			Member{Session: Session{uint64(i + 1), m.epochs[i]}, Name: fmt.Sprint("n",
+				i+1),
+				Healthy: m.now < m.expires[i]},
+		)
 	}
-	m.judged = append(m.judged, m.leader.Look(m.known, v)...)
+	m.judged = append(m.judged, m.leader.Evaluate(m.known, v)...)
 	m.look()
 }
 
@@ -166,29 +177,29 @@
 		if m.b.broken == "no look after a stall" && m.held == i+1 {
 			now = m.since / step * slow
 		}
-		for _, h := range n.h.Holds(n.state, Seat{uint64(i + 1), n.epoch}, span) {
-			if !h.May(now) || n.left&(1<<h.Number) != 0 {
+		for _, h := range n.h.HeldLeases(n.state, Session{uint64(i + 1), n.epoch}, span) {
+			if !h.Valid(now) || n.left&(1<<h.FencingToken) != 0 {
 				continue
 			}
-			was := m.newest[h.Duty]
-			if h.Number < was.number || h.Number == was.number && was.by != i {
-				m.wrong = fmt.Sprintf("n%d acts in %s under %d after n%d has under %d", i+1, h.Duty,
-					h.Number, was.by+1,
+			was := m.newest[h.Task]
+			if h.FencingToken < was.number || h.FencingToken == was.number && was.by != i {
+				m.wrong = fmt.Sprintf("n%d acts in %s under %d after n%d has under %d", i+1, h.Task,
+					h.FencingToken, was.by+1,
 					was.number)
 			}
-			m.newest[h.Duty] = act{h.Number, i}
+			m.newest[h.Task] = act{h.FencingToken, i}
 		}
 	}
 }
 
-func (m *model) Wrong() string { return m.wrong }
+func (m *model) Violation() string { return m.wrong }
 
-func (m *model) Next() (out []modelcheck.Step[*model]) {
+func (m *model) Transitions() (out []modelcheck.Transition[*model]) {
 	add := func(what string, f func(c *model)) {
 		c := m.clone()
 		f(c)
 		c.follow()
-		out = append(out, modelcheck.Step[*model]{What: what, After: c})
+		out = append(out, modelcheck.Transition[*model]{Event: what, State: c})
 	}
 	prompt := true
 	for i := range m.nodes {
@@ -216,7 +227,7 @@
 				if c.b.broken == "any state will do" && g.index > 0 {
 					g = &granted{g.asked, 1}
 				}
-				n.h.Granted(g.epoch, g.at, span, g.index, c.base+uint64(n.applied))
+				n.h.ObserveGrant(g.epoch, g.at, span, g.index, c.base+uint64(n.applied))
 			})
 		}
 		if held && m.b.losses && (n.ask != nil || n.grant != nil) && m.there()-n.last >= span/4 {
@@ -227,25 +238,25 @@
 			add(fmt.Sprint("crash ", i+1), func(c *model) {
 				n := &c.nodes[i]
 				n.epoch += 10
-				n.h, n.ask, n.grant, n.left = Holder{}, nil, nil, 0
+				n.h, n.ask, n.grant, n.left = LeaseClock{}, nil, nil, 0
 				c.crashes++
-				c.say(entryOf{opens: Seat{uint64(i + 1), n.epoch}})
+				c.say(entryOf{opens: Session{uint64(i + 1), n.epoch}})
 			})
 		}
-		for _, h := range n.h.Holds(n.state, Seat{uint64(i + 1), n.epoch}, span) {
-			if h.Leaving != "" && n.left&(1<<h.Number) == 0 && !held {
+		for _, h := range n.h.HeldLeases(n.state, Session{uint64(i + 1), n.epoch}, span) {
+			if h.ReleaseReason != "" && n.left&(1<<h.FencingToken) == 0 && !held {
 				add(fmt.Sprint("release ", i+1), func(c *model) {
-					c.nodes[i].left |= 1 << h.Number
-					c.say(entryOf{c: Command{Kind: Release, Duty: h.Duty, Number: h.Number}})
+					c.nodes[i].left |= 1 << h.FencingToken
+					c.say(entryOf{c: Command{Kind: Release, Task: h.Task, FencingToken: h.FencingToken}})
 				})
 			}
 		}
 	}
-	for name, d := range m.known.Duties {
-		if m.wishes < m.b.wishes && d.Held() && d.Leaving == "" {
+	for name, d := range m.known.Tasks {
+		if m.wishes < m.b.wishes && d.IsHeld() && d.ReleaseReason == "" {
 			add("wish "+name, func(c *model) {
 				c.wishes++
-				c.say(entryOf{c: Command{Kind: HandOn, Duty: name, Reason: "wish"}})
+				c.say(entryOf{c: Command{Kind: Transfer, Task: name, Reason: "wish"}})
 			})
 		}
 	}
@@ -268,7 +279,7 @@
 		add("another leads", func(c *model) {
 			c.deposed++
 			c.judged = nil // void in the next one's log
-			c.leader = NewLeader(c.now, c.leader.term+1)
+			c.leader = NewAssigner(c.now, c.leader.term+1)
 			for i := range c.nodes {
 				c.expires[i] = c.now + wait // it can't know what the one before has granted
 			}
@@ -288,7 +299,7 @@
 		return
 	}
 	g := &granted{asked: a, index: m.base + uint64(len(m.log))}
-	if m.b.broken != "granted though it is asked to be over" && !m.leader.Free(uint64(i+1), m.known) {
+	if m.b.broken != "granted though it is asked to be over" && !m.leader.CanGrant(uint64(i+1), m.known) {
 		g.index = 0
 	}
 	m.expires[i] = m.now + wait
@@ -309,7 +320,7 @@
 	}
 	put(m.leader.vacating)
 	for _, c := range m.judged {
-		put(c.Kind, c.Duty, c.Seat, c.Number)
+		put(c.Kind, c.Task, c.Session, c.FencingToken)
 	}
 	least := 0
 	for i := range m.nodes {
@@ -331,16 +342,16 @@
 		}
 	}
 	for _, d := range m.nodes[least].state.List() {
-		put(d.Name, d.Holder, d.Number, d.Leaving)
+		put(d.Name, d.Holder, d.FencingToken, d.ReleaseReason)
 	}
 	for _, x := range m.log[m.nodes[least].applied:] {
-		put(x.c.Kind, x.c.Duty, x.c.Seat, x.c.Number, x.opens)
+		put(x.c.Kind, x.c.Task, x.c.Session, x.c.FencingToken, x.opens)
 	}
 	return h.Sum64()
 }
 
 func newModel(b limits) *model {
-	m := &model{b: b, leader: NewLeader(0, 1), known: NewState(0), newest: map[string]act{}, prefer: "n1",
+	m := &model{b: b, leader: NewAssigner(0, 1), known: NewState(0), newest: map[string]act{}, prefer: "n1",
 		base: 1}
 	for i := range m.nodes {
 		m.nodes[i] = node{state: NewState(0), epoch: uint64(i + 1), last: -span}
@@ -349,17 +360,17 @@
 	m.follow()
 	// The stories begin with all leases granted and all duties held.
 	for {
-		next := m.Next()
-		k := slices.IndexFunc(next, func(x modelcheck.Step[*model]) bool {
-			return strings.HasPrefix(x.What, "apply") || strings.HasPrefix(x.What, "grant") ||
-				x.What == "agree"
+		next := m.Transitions()
+		k := slices.IndexFunc(next, func(x modelcheck.Transition[*model]) bool {
+			return strings.HasPrefix(x.Event, "apply") || strings.HasPrefix(x.Event, "grant") ||
+				x.Event == "agree"
 		})
 		if k < 0 {
 			// Were n1 to get again what it has lost, its lease would show nothing.
 			m.prefer = "n2"
 			return m
 		}
-		m = next[k].After
+		m = next[k].State
 	}
 }
 
@@ -379,11 +390,11 @@
 		{duties: 2, holds: 1, crashes: 1},
 	} {
 		began := time.Now()
-		r := modelcheck.All(newModel(b), *most)
-		if r.Wrong != "" {
-			t.Errorf("%+v: %s:\n%s", b, r.Wrong, strings.Join(r.Way, "\n"))
+		r := modelcheck.Check(newModel(b), *most)
+		if r.Violation != "" {
+			t.Errorf("%+v: %s:\n%s", b, r.Violation, strings.Join(r.Trace, "\n"))
 		}
-		t.Logf("%+v: %d states, all that there are: %v, %v", b, r.States, r.Whole, time.Since(began).Round(
+		t.Logf("%+v: %d states, all that there are: %v, %v", b, r.States, r.Complete, time.Since(began).Round(
 			time.Second/10))
 	}
 }
@@ -395,11 +406,11 @@
 		if broken == "granted though it is asked to be over" {
 			b.losses = true // what counts is a lease that was asked for anew
 		}
-		r := modelcheck.All(newModel(b), 200_000)
-		if r.Wrong == "" {
-			t.Errorf("%s: not found in %d states, all that there are: %v", broken, r.States, r.Whole)
+		r := modelcheck.Check(newModel(b), 200_000)
+		if r.Violation == "" {
+			t.Errorf("%s: not found in %d states, all that there are: %v", broken, r.States, r.Complete)
 			continue
 		}
-		t.Logf("%s: found after %d states, by %d events: %s", broken, r.States, len(r.Way), r.Wrong)
+		t.Logf("%s: found after %d states, by %d events: %s", broken, r.States, len(r.Trace), r.Violation)
 	}
 }
--- a/internal/cluster/leasedtask/policy.go
+++ b/internal/cluster/leasedtask/policy.go
@@ -14,34 +14,35 @@
 
 // The names of the duties.
 const (
-	Backup = "backup"   // writes backups of the agreed state
-	List   = "list"     // asks discovery, and gives the list to the others
-	Roll   = "roll"     // takes the instances out one after another; its note is a plan (package conduct)
-	Drill  = "drill-%d" // does nothing, many times a second: for practice, and for audits
+	BackupTask       = "backup" // writes backups of the agreed state
+	EndpointListTask = "list"   // asks discovery, and gives the list to the others
+	// takes the instances out one after another; its note is a plan (package conduct)
+	RollingRestartTask = "roll"
+	DrillTaskFormat    = "drill-%d" // does nothing, many times a second: for practice, and for audits
 )
 
-// CanBackup is the label of an instance that has a directory for backups.
-const CanBackup = "backups"
+// BackupLabel is the label of an instance that has a directory for backups.
+const BackupLabel = "backups"
 
-// Zone begins the label that says in which zone an instance is.
-const Zone = "zone="
+// ZoneLabelPrefix begins the label that says in which zone an instance is.
+const ZoneLabelPrefix = "zone="
 
 // Policy is what the section says.
 type Policy struct {
-	List   bool // one asks discovery for all
-	Roll   bool // there is a conductor of rolling restarts
-	Drills int
-	Every  time.Duration // between two backups; 0: none are made
-	Keep   int           // how many stay
-	Prefer []string      // who is to keep the backups, the best first
+	EndpointList    bool // one asks discovery for all
+	RollingRestart  bool // there is a conductor of rolling restarts
+	Drills          int
+	BackupInterval  time.Duration // between two backups; 0: none are made
+	BackupsKept     int           // how many stay
+	BackupPreferred []string      // who is to keep the backups, the best first
 }
 
 // rollsFrom is the format of the group's log from which on there is a conductor.
 const rollsFrom = 7
 
-// ReadPolicy reads the section, as a group of that format does, and gives what is wrong with it.
-func ReadPolicy(values map[string]string, format int) (p Policy, wrong []string) {
-	p.Keep = 24
+// ParsePolicy reads the section, as a group of that format does, and gives what is wrong with it.
+func ParsePolicy(values map[string]string, format int) (p Policy, wrong []string) {
+	p.BackupsKept = 24
 	keys := "list, roll, backup_every, backup_keep, backup_prefer and drill are"
 	if format < rollsFrom {
 		keys = "list, backup_every, backup_keep, backup_prefer and drill are"
@@ -59,7 +60,7 @@
 				bad("a number from 0 to 100")
 			}
 		case "list":
-			if p.List = text == "on"; !p.List && text != "off" {
+			if p.EndpointList = text == "on"; !p.EndpointList && text != "off" {
 				bad("on or off")
 			}
 		case "roll":
@@ -67,20 +68,21 @@
 				unknown(key)
 				continue
 			}
-			if p.Roll = text == "on"; !p.Roll && text != "off" {
+			if p.RollingRestart = text == "on"; !p.RollingRestart && text != "off" {
 				bad("on or off")
 			}
 		case "backup_every":
-			p.Every, err = time.ParseDuration(text)
-			if err != nil || p.Every < time.Second || p.Every > 366*24*time.Hour {
+			p.BackupInterval, err = time.ParseDuration(text)
+			if err != nil || p.BackupInterval < time.Second || p.BackupInterval > 366*24*time.Hour {
 				bad("a time from 1s to 8784h, as in \"1h\"")
 			}
 		case "backup_keep":
-			if p.Keep, err = strconv.Atoi(text); err != nil || p.Keep < 1 || p.Keep > 10_000 {
+			if p.BackupsKept, err = strconv.Atoi(text); err != nil || p.BackupsKept < 1 ||
+				p.BackupsKept > 10_000 {
 				bad("a number from 1 to 10000")
 			}
 		case "backup_prefer":
-			p.Prefer = strings.Fields(text)
+			p.BackupPreferred = strings.Fields(text)
 		default:
 			unknown(key)
 		}
@@ -91,17 +93,20 @@
 // Specs lists the duties that there are.
 func (p Policy) Specs() []Spec {
 	var list []Spec
-	if p.List {
-		list = append(list, Spec{Name: List})
+	if p.EndpointList {
+		list = append(list, Spec{Name: EndpointListTask})
 	}
-	if p.Roll {
-		list = append(list, Spec{Name: Roll})
+	if p.RollingRestart {
+		list = append(list, Spec{Name: RollingRestartTask})
 	}
-	if p.Every > 0 {
-		list = append(list, Spec{Name: Backup, Label: CanBackup, Prefer: p.Prefer})
+	if p.BackupInterval > 0 {
+		list = append(
+			list,
+			Spec{Name: BackupTask, RequiredLabel: BackupLabel, PreferredHolders: p.BackupPreferred},
+		)
 	}
 	for n := range p.Drills {
-		list = append(list, Spec{Name: fmt.Sprintf(Drill, n+1)})
+		list = append(list, Spec{Name: fmt.Sprintf(DrillTaskFormat, n+1)})
 	}
 	slices.SortFunc(list, func(a, b Spec) int { return strings.Compare(a.Name, b.Name) })
 	return list
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/detector_test.go
@@ -30,7 +30,7 @@
 			w.at(at, func() {
 				for _, x := range w.nodes {
 					if w.rng.IntN(3) == 0 {
-						x.stalled = w.now + time.Duration(w.rng.Int64N(int64(MostPause(w.policy))))
+						x.stalled = w.now + time.Duration(w.rng.Int64N(int64(MaxPause(w.policy))))
 					}
 				}
 			})
@@ -57,7 +57,7 @@
 					if b.State != Alive {
 						t.Fatalf("seed %d: %d takes %d for %v", seed, x.id, b.ID, b.State)
 					}
-					if !b.Here {
+					if !b.Reachable {
 						if seen++; x.id > 2 || b.ID > 2 {
 							t.Fatalf("seed %d: %d can't reach %d", seed, x.id, b.ID)
 						}
@@ -72,7 +72,7 @@
 		w.run(w.now + 20*time.Second)
 		for _, x := range w.nodes {
 			for _, b := range x.m.Members() {
-				if !b.Here {
+				if !b.Reachable {
 					t.Errorf("seed %d: it is over, and %d does not reach %d", seed, x.id, b.ID)
 				}
 			}
@@ -83,27 +83,27 @@
 // Words that make no sense are refused, counted, and change nothing.
 func TestNonsense(t *testing.T) {
 	m := New(0, 1, 7, 1, DefaultPolicy())
-	m.Join(0, 2, 3)
+	m.AddMembers(0, 2, 3)
 	before := m.Members()
 	for _, w := range []Message{
 		{Kind: 0}, {Kind: 99},
-		{Kind: Ping, Words: []Rumour{{ID: 2, State: 9, Inc: 1}}},
-		{Kind: Ping, Words: []Rumour{{ID: 0, State: Failed, Inc: 1}}},
-		{Kind: Ping, Words: []Rumour{{ID: 3, State: Failed, Inc: 1 << 40}}},
-		{Kind: Ping, Words: []Rumour{{ID: 1, State: Failed, Inc: 1 << 40}}},
-		{Kind: Sync, Words: make([]Rumour, mostWords+1)},
+		{Kind: Ping, Updates: []Update{{ID: 2, State: 9, Incarnation: 1}}},
+		{Kind: Ping, Updates: []Update{{ID: 0, State: Failed, Incarnation: 1}}},
+		{Kind: Ping, Updates: []Update{{ID: 3, State: Failed, Incarnation: 1 << 40}}},
+		{Kind: Ping, Updates: []Update{{ID: 1, State: Failed, Incarnation: 1 << 40}}},
+		{Kind: SyncRequest, Updates: make([]Update, maxUpdates+1)},
 	} {
-		was := m.Counts().Refused
-		m.Hear(0, 2, w)
-		if m.Counts().Refused == was {
+		was := m.Counters().Rejected
+		m.Receive(0, 2, w)
+		if m.Counters().Rejected == was {
 			t.Errorf("%+v is taken", w.Kind)
 		}
 	}
-	if out := m.Hear(0, 1, Message{Kind: Ping}); out != nil {
+	if out := m.Receive(0, 1, Message{Kind: Ping}); out != nil {
 		t.Error("it answers itself")
 	}
 	for i, b := range m.Members() {
-		if b.State != before[i].State || b.Inc != before[i].Inc || m.Incarnation() != 7 {
+		if b.State != before[i].State || b.Incarnation != before[i].Incarnation || m.Incarnation() != 7 {
 			t.Errorf("%+v was %+v", b, before[i])
 		}
 	}
@@ -113,25 +113,29 @@
 // once it has refuted.
 func TestOldRumours(t *testing.T) {
 	m := New(0, 1, 1, 1, DefaultPolicy())
-	m.Join(0, 2, 3)
-	m.Hear(0, 3, Message{Kind: Ping, Words: []Rumour{{ID: 2, State: Failed, Inc: 5, By: 3}}})
-	m.Hear(0, 3, Message{Kind: Ping, Words: []Rumour{{ID: 2, State: Alive, Inc: 5},
-		{ID: 2, State: Suspect, Inc: 5}}})
+	m.AddMembers(0, 2, 3)
+	m.Receive(
+		0,
+		3,
+		Message{Kind: Ping, Updates: []Update{{ID: 2, State: Failed, Incarnation: 5, ReportedBy: 3}}},
+	)
+	m.Receive(0, 3, Message{Kind: Ping, Updates: []Update{{ID: 2, State: Alive, Incarnation: 5},
+		{ID: 2, State: Suspect, Incarnation: 5}}})
 	if b := m.Members()[0]; b.State != Failed {
 		t.Fatalf("%d is %v", b.ID, b.State)
 	}
 	back := New(0, 2, 1, 1, DefaultPolicy())
-	for _, o := range m.Hear(0, 2, Message{Kind: Ping, Seq: 1}) {
-		back.Hear(0, 1, o.Message)
+	for _, o := range m.Receive(0, 2, Message{Kind: Ping, Seq: 1}) {
+		back.Receive(0, 1, o.Message)
 	}
 	if back.Incarnation() != 6 {
 		t.Fatalf("it has the incarnation %d", back.Incarnation())
 	}
-	back.Join(0, 1)
-	for _, o := range back.Hear(0, 1, Message{Kind: Ping, Seq: 2}) {
-		m.Hear(0, 2, o.Message)
+	back.AddMembers(0, 1)
+	for _, o := range back.Receive(0, 1, Message{Kind: Ping, Seq: 2}) {
+		m.Receive(0, 2, o.Message)
 	}
-	if b := m.Members()[0]; b.State != Alive || b.Inc != 6 {
+	if b := m.Members()[0]; b.State != Alive || b.Incarnation != 6 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -141,19 +145,26 @@
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, now := New(0, 1, 1, 1, DefaultPolicy()), time.Duration(0)
-		m.Join(0, 2, 3, 4)
+		m.AddMembers(0, 2, 3, 4)
 		for ; len(raw) >= 6; raw = raw[6:] {
 			now += time.Duration(raw[0]) * 100 * time.Millisecond
-			w := Message{Kind: Kind(raw[1] % 9), Seq: uint64(raw[2] % 8), Target: ID(raw[3] % 6),
-				Words: []Rumour{{ID: ID(raw[4] % 8), State: State(raw[5] % 6), Inc: uint64(raw[5]),
-					By: ID(raw[2] % 8)}}}
-			for _, o := range append(m.Hear(now, ID(raw[3]%6), w), m.Tick(now)...) {
-				if o.To == 1 || len(o.Words) > mostWords {
+			w := Message{Kind: MessageKind(raw[1] % 9), Seq: uint64(raw[2] % 8), Target: ID(raw[3] % 6),
+				Updates: []Update{{ID: ID(raw[4] % 8), State: State(raw[5] % 6), Incarnation: uint64(raw[5]),
+					ReportedBy: ID(raw[2] % 8)}}}
+			for _, o := range append(m.Receive(now, ID(raw[3]%6), w), m.Tick(now)...) {
+				if o.To == 1 || len(o.Updates) > maxUpdates {
 					t.Fatalf("it says %+v", o)
 				}
 			}
-			if m.live < 1 || m.slow < 0 || m.slow > m.policy.Slow || len(m.order) != len(m.peers) {
-				t.Fatalf("%d live, %d slow, %d of %d in order", m.live, m.slow, len(m.order), len(m.peers))
+			if m.liveCount < 1 || m.healthScore < 0 || m.healthScore > m.policy.MaxHealthScore ||
+				len(m.probeOrder) != len(m.members) {
+				t.Fatalf(
+					"%d live, %d slow, %d of %d in order",
+					m.liveCount,
+					m.healthScore,
+					len(m.probeOrder),
+					len(m.members),
+				)
 			}
 		}
 	})
--- a/internal/cluster/membership/doubt_test.go
+++ b/internal/cluster/membership/health_test.go
@@ -7,17 +7,17 @@
 )
 
 // probing gives a machine of three that has a probe under way, and when that began.
-func probing(t *testing.T) (m *Machine, now time.Duration) {
+func probing(t *testing.T) (m *Detector, now time.Duration) {
 	t.Helper()
 	m = New(0, 1, 0, 1, DefaultPolicy())
-	m.Join(0, 2, 3)
-	for ; m.probe.done; now = m.Next() {
+	m.AddMembers(0, 2, 3)
+	for ; m.probe.done; now = m.NextTick() {
 		m.Tick(now)
 	}
 	return m, now
 }
 
-func (m *Machine) suspects() (n int) {
+func (m *Detector) suspects() (n int) {
 	for _, b := range m.Members() {
 		if b.State != Alive {
 			n++
@@ -30,8 +30,8 @@
 func TestAfterAStallItDoubtsItself(t *testing.T) {
 	m, now := probing(t)
 	m.Tick(now + 30*time.Second)
-	if m.suspects() > 0 || m.Slow() == 0 || m.Counts().Stalls != 1 {
-		t.Errorf("it suspects %d, slow %d, %+v", m.suspects(), m.Slow(), m.Counts())
+	if m.suspects() > 0 || m.HealthScore() == 0 || m.Counters().Stalls != 1 {
+		t.Errorf("it suspects %d, slow %d, %+v", m.suspects(), m.HealthScore(), m.Counters())
 	}
 }
 
@@ -41,10 +41,10 @@
 	m, now := probing(t)
 	for m.suspects() == 0 {
 		m.Tick(now)
-		now = m.Next()
+		now = m.NextTick()
 	}
-	if m.Slow() == 0 || m.due-now < m.policy.Probe {
-		t.Errorf("it hears nobody, slow %d, the next probe in %v", m.Slow(), m.due-now)
+	if m.HealthScore() == 0 || m.nextProbe-now < m.policy.ProbeInterval {
+		t.Errorf("it hears nobody, slow %d, the next probe in %v", m.HealthScore(), m.nextProbe-now)
 	}
 	var accused ID
 	for _, b := range m.Members() {
@@ -53,9 +53,9 @@
 		}
 	}
 	for range 5 {
-		out := m.Tick(m.talk)
-		if !slices.ContainsFunc(out, func(o Out) bool {
-			return o.To == accused && slices.ContainsFunc(o.Words, func(r Rumour) bool {
+		out := m.Tick(m.nextGossip)
+		if !slices.ContainsFunc(out, func(o Outbound) bool {
+			return o.To == accused && slices.ContainsFunc(o.Updates, func(r Update) bool {
 				return r.ID == accused && r.State == Suspect
 			})
 		}) {
@@ -67,7 +67,14 @@
 // A rumour of the dead makes no member of one that is not known.
 func TestTheDeadAreNotLearntOf(t *testing.T) {
 	m := New(0, 1, 0, 1, DefaultPolicy())
-	m.Hear(0, 2, Message{Kind: Ping, Words: []Rumour{{ID: 9, State: Failed, Inc: 3}, {ID: 8, State: Left}}})
+	m.Receive(
+		0,
+		2,
+		Message{
+			Kind:    Ping,
+			Updates: []Update{{ID: 9, State: Failed, Incarnation: 3}, {ID: 8, State: Departed}},
+		},
+	)
 	if len(m.Members()) != 1 {
 		t.Errorf("it knows %+v", m.Members())
 	}
--- a/internal/cluster/membership/figures_test.go
+++ b/internal/cluster/membership/measurement_test.go
@@ -16,11 +16,11 @@
 	rest := float64(w.said) / 20 / float64(n)
 	w.nodes[0].up = false
 	died, first, all := w.now, time.Duration(0), time.Duration(0)
-	for all == 0 && w.now < died+10*p.Within(n) {
+	for all == 0 && w.now < died+10*p.DetectionBound(n) {
 		w.run(w.now + 100*time.Millisecond)
 		know := 0
 		for _, x := range w.nodes[1:] {
-			if x.m.peers[1].state == Failed {
+			if x.m.members[1].state == Failed {
 				know++
 			}
 		}
@@ -39,7 +39,7 @@
 		w.at(time.Duration(k)*10*time.Second, func() {
 			for _, x := range w.nodes[1:] {
 				if w.rng.IntN(10) == 0 {
-					x.stalled = w.now + 2*MostPause(p)
+					x.stalled = w.now + 2*MaxPause(p)
 				}
 			}
 		})
@@ -48,7 +48,7 @@
 		w.run(w.now + time.Second)
 	}
 	return fmt.Sprintf("| %d | %.1f s | %.1f s | %.0f s | %.1f | %d |", n, first.Seconds(),
-		all.Seconds(), p.Within(n).Seconds(), rest, failed)
+		all.Seconds(), p.DetectionBound(n).Seconds(), rest, failed)
 }
 
 // FIGURES=1 prints the tables of docs/membership.md; they are not judged.
@@ -70,10 +70,10 @@
 	}
 	for name, change := range map[string]func(*Policy){
 		"as it is":              func(*Policy) {},
-		"without local health":  func(p *Policy) { p.Slow = 0 },
-		"without others' help":  func(p *Policy) { p.Others = 0 },
-		"suspicions that end":   func(p *Policy) { p.Most = 1 },
-		"on probes' backs only": func(p *Policy) { p.Talk = time.Hour },
+		"without local health":  func(p *Policy) { p.MaxHealthScore = 0 },
+		"without others' help":  func(p *Policy) { p.IndirectProbes = 0 },
+		"suspicions that end":   func(p *Policy) { p.SuspicionMaxMult = 1 },
+		"on probes' backs only": func(p *Policy) { p.GossipInterval = time.Hour },
 	} {
 		p := DefaultPolicy()
 		change(&p)
--- a/internal/cluster/membership/policy.go
+++ b/internal/cluster/membership/policy.go
@@ -12,8 +12,8 @@
 // Section is the section of the agreed document that has instances probe each other.
 const Section = "membership"
 
-// ReadPolicy reads the section, and gives what is wrong with it. Without a probe there is none.
-func ReadPolicy(values map[string]string) (p Policy, on bool, wrong []string) {
+// ParsePolicy reads the section, and gives what is wrong with it. Without a probe there is none.
+func ParsePolicy(values map[string]string) (p Policy, on bool, wrong []string) {
 	p = DefaultPolicy()
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		text := values[key]
@@ -25,7 +25,7 @@
 					fmt.Sprintf("probe: %q is not a time from 50ms to 1m, as in \"1s\"", text))
 				continue
 			}
-			p, on = p.at(d), true
+			p, on = p.scaledTo(d), true
 		default:
 			wrong = append(wrong, fmt.Sprintf("%q is no key of this section; probe is", key))
 		}
@@ -33,17 +33,17 @@
 	return p, on, wrong
 }
 
-// at has all times go with that of a probe.
-func (p Policy) at(probe time.Duration) Policy {
-	for _, d := range []*time.Duration{&p.Timeout, &p.Talk, &p.Sync} {
-		*d = time.Duration(float64(*d) * float64(probe) / float64(p.Probe))
+// scaledTo has all times go with that of a probe.
+func (p Policy) scaledTo(probe time.Duration) Policy {
+	for _, d := range []*time.Duration{&p.ProbeTimeout, &p.GossipInterval, &p.SyncInterval} {
+		*d = time.Duration(float64(*d) * float64(probe) / float64(p.ProbeInterval))
 	}
-	p.Probe = probe
+	p.ProbeInterval = probe
 	return p
 }
 
-// Check gives what is wrong with the section of a document.
-func Check(t replicated.Terms) []string {
-	_, _, wrong := ReadPolicy(t.Values)
+// Validate gives what is wrong with the section of a document.
+func Validate(t replicated.Config) []string {
+	_, _, wrong := ParsePolicy(t.Values)
 	return wrong
 }
--- a/internal/cluster/membership/world_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -28,7 +28,7 @@
 
 type member struct {
 	id      ID
-	m       *Machine
+	m       *Detector
 	life    int
 	up      bool
 	stalled time.Duration
@@ -66,7 +66,7 @@
 	}
 	for _, x := range w.nodes {
 		w.start(x, 0)
-		x.m.Join(w.now, all...)
+		x.m.AddMembers(w.now, all...)
 	}
 	return w
 }
@@ -101,7 +101,7 @@
 }
 
 func (w *world) wake(x *member) {
-	d := max(x.m.Next()-w.now, 0)
+	d := max(x.m.NextTick()-w.now, 0)
 	x.ticks = w.now + d
 	due := x.ticks
 	w.on(x, d, func() {
@@ -116,7 +116,7 @@
 
 // see notes what a member has come to believe.
 func (w *world) see(x *member) {
-	for _, b := range x.m.Events() {
+	for _, b := range x.m.TakeEvents() {
 		key := [2]ID{x.id, b.ID}
 		delete(w.fails, key)
 		if b.State == Failed {
@@ -128,10 +128,10 @@
 	}
 }
 
-func (w *world) send(x *member, out []Out) {
+func (w *world) send(x *member, out []Outbound) {
 	for _, o := range out {
 		w.said++
-		w.words += len(o.Words)
+		w.words += len(o.Updates)
 		y := w.nodes[o.To-1]
 		if w.cut[[2]ID{x.id, y.id}] || w.rng.Float64() < w.loss {
 			continue
@@ -143,8 +143,8 @@
 		for range copies {
 			d := time.Duration(1+w.rng.IntN(9)) * time.Millisecond
 			w.on(y, d, func() {
-				w.send(y, y.m.Hear(w.now, x.id, o.Message))
-				if next := y.m.Next(); next < y.ticks {
+				w.send(y, y.m.Receive(w.now, x.id, o.Message))
+				if next := y.m.NextTick(); next < y.ticks {
 					w.wake(y)
 				}
 			})
@@ -205,7 +205,7 @@
 					inc = 0
 				}
 				w.start(x, inc+1)
-				x.m.Join(w.now, w.nodes[w.rng.IntN(len(w.nodes))].id, y.id)
+				x.m.AddMembers(w.now, w.nodes[w.rng.IntN(len(w.nodes))].id, y.id)
 			})
 		}
 	case 2:
@@ -229,7 +229,7 @@
 // quick has a world's times shorter, so that a story is.
 func quick() Policy {
 	p := DefaultPolicy()
-	p.Sync = 10 * time.Second
+	p.SyncInterval = 10 * time.Second
 	return p
 }
 
@@ -245,7 +245,7 @@
 		w.run(170 * time.Second)
 		dead := w.nodes[w.rng.IntN(n)]
 		dead.up = false
-		w.run(w.now + w.policy.Within(n) + time.Duration(n)*w.policy.Sync)
+		w.run(w.now + w.policy.DetectionBound(n) + time.Duration(n)*w.policy.SyncInterval)
 		if text := w.differs(); text != "" {
 			t.Errorf("seed %d, %d members: %s", seed, n, text)
 		}
--- a/internal/cluster/placement/witness.go
+++ b/internal/cluster/placement/outlier.go
@@ -25,20 +25,20 @@
 	proven = 2
 )
 
-// Word is what an instance says of a worker: how many of its latest attempts there have failed.
-type Word struct {
-	Worker string
-	Bad    int
-	All    int
+// OutlierReport is what an instance says of a worker: how many of its latest attempts there have failed.
+type OutlierReport struct {
+	Worker   string
+	Failed   int
+	Attempts int
 }
 
-// Witness is an instance's own side, and what it has heard of others. Nothing that it says makes a worker
-// be used that the list does not name, and nothing that one instance says takes one out.
-type Witness struct {
+// OutlierQuorum is an instance's own side, and what it has heard of others. Nothing that it says makes a
+// worker be used that the list does not name, and nothing that one instance says takes one out.
+type OutlierQuorum struct {
 	seen  map[string]*evidence
 	heard map[uint64]map[string]word // by who said it
 	table *Table
-	own   Seat
+	own   Session
 }
 
 // evidence is what an instance's own attempts have shown.
@@ -54,7 +54,7 @@
 }
 
 type word struct {
-	Word
+	OutlierReport
 	at time.Duration
 }
 
@@ -64,21 +64,21 @@
 	mostWords = 256
 )
 
-// NewWitness has seen and heard nothing.
-func NewWitness() *Witness {
-	return &Witness{seen: map[string]*evidence{}, heard: map[uint64]map[string]word{}}
+// NewOutlierQuorum has seen and heard nothing.
+func NewOutlierQuorum() *OutlierQuorum {
+	return &OutlierQuorum{seen: map[string]*evidence{}, heard: map[uint64]map[string]word{}}
 }
 
-// View takes over who is there: whose words count, and whose turn it is to try a worker that is shunned.
-func (w *Witness) View(t *Table, own Seat) {
+// SetView takes over who is there: whose words count, and whose turn it is to try a worker that is shunned.
+func (w *OutlierQuorum) SetView(t *Table, own Session) {
 	w.table, w.own = t, own
 	maps.DeleteFunc(w.heard, func(member uint64, _ map[string]word) bool {
 		return !slices.ContainsFunc(t.View.Members, func(m Member) bool { return m.Member == member })
 	})
 }
 
-// End notes how an attempt of this instance at a worker has ended.
-func (w *Witness) End(now time.Duration, worker string, bad bool) {
+// ObserveAttempt notes how an attempt of this instance at a worker has ended.
+func (w *OutlierQuorum) ObserveAttempt(now time.Duration, worker string, bad bool) {
 	e := w.seen[worker]
 	if e == nil {
 		e = &evidence{}
@@ -95,9 +95,9 @@
 	}
 }
 
-// Says gives what is to be told to the others: workers at which most of this instance's latest attempts
+// Reports gives what is to be told to the others: workers at which most of this instance's latest attempts
 // have failed. Who tries a worker in its turn, and finds it well, says nothing more of it.
-func (w *Witness) Says(now time.Duration) (list []Word) {
+func (w *OutlierQuorum) Reports(now time.Duration) (list []OutlierReport) {
 	for name, e := range w.seen {
 		e.ends = slices.DeleteFunc(e.ends, func(x end) bool { return now-x.at > recent })
 		if len(e.ends) == 0 {
@@ -112,36 +112,36 @@
 		}
 		switch row := min(e.bad, bad); {
 		case row >= leastBad:
-			list = append(list, Word{name, row, row})
+			list = append(list, OutlierReport{name, row, row})
 		case bad >= leastBad && 2*bad >= len(e.ends) && e.good < proven:
-			list = append(list, Word{name, bad, len(e.ends)})
+			list = append(list, OutlierReport{name, bad, len(e.ends)})
 		}
 	}
-	slices.SortFunc(list, func(a, b Word) int { return cmp.Compare(a.Worker, b.Worker) })
+	slices.SortFunc(list, func(a, b OutlierReport) int { return cmp.Compare(a.Worker, b.Worker) })
 	return list
 }
 
-// Hear takes another instance's words, in the place of all that it said before. Hazard: one that is
+// ObserveReports takes another instance's words, in the place of all that it said before. Hazard: one that is
 // wrong, or lies, may say anything: it is one witness for each worker, however often it says so.
-func (w *Witness) Hear(now time.Duration, member uint64, words []Word) {
+func (w *OutlierQuorum) ObserveReports(now time.Duration, member uint64, words []OutlierReport) {
 	if member == w.own.Member {
 		return
 	}
 	m := map[string]word{}
 	for _, x := range words[:min(len(words), mostWords)] {
-		if x.Bad >= leastBad && 2*x.Bad >= x.All {
+		if x.Failed >= leastBad && 2*x.Failed >= x.Attempts {
 			m[x.Worker] = word{x, now}
 		}
 	}
 	w.heard[member] = m
 }
 
-// Shunned are the workers that this instance gives nothing to because of what several have seen, of those
+// Ejected are the workers that this instance gives nothing to because of what several have seen, of those
 // that are listed: the ones with the most witnesses, and not more than a part of all. In whose turn a
 // worker is, it does not shun it: somebody must find out that it is well again.
-func (w *Witness) Shunned(now time.Duration, listed []string) map[string]bool {
+func (w *OutlierQuorum) Ejected(now time.Duration, listed []string) map[string]bool {
 	count := map[string]int{}
-	for _, x := range w.Says(now) {
+	for _, x := range w.Reports(now) {
 		count[x.Worker]++
 	}
 	for _, words := range w.heard {
@@ -171,7 +171,7 @@
 }
 
 // turn says whether it is this instance that tries a worker that others shun.
-func (w *Witness) turn(worker string) bool {
+func (w *OutlierQuorum) turn(worker string) bool {
 	m, ok := w.table.Owner(ShardOf("worker/" + worker))
-	return ok && m.Seat == w.own
+	return ok && m.Session == w.own
 }
--- a/internal/cluster/placement/witness_test.go
+++ b/internal/cluster/placement/outlier_test.go
@@ -10,15 +10,15 @@
 // crew is instances that see workers fail and tell each other.
 type crew struct {
 	view  View
-	all   []*Witness
+	all   []*OutlierQuorum
 	names []string
 }
 
 func newCrew(instances, workers int) *crew {
 	c := &crew{view: view(some(instances)...)}
 	for _, m := range c.view.Members {
-		w := NewWitness()
-		w.View(Of(c.view), m.Seat)
+		w := NewOutlierQuorum()
+		w.SetView(NewTable(c.view), m.Session)
 		c.all = append(c.all, w)
 	}
 	for n := range workers {
@@ -32,7 +32,7 @@
 	for a, w := range c.all {
 		for b, x := range c.all {
 			if a != b {
-				x.Hear(now, c.view.Members[a].Member, w.Says(now))
+				x.ObserveReports(now, c.view.Members[a].Member, w.Reports(now))
 			}
 		}
 	}
@@ -40,7 +40,7 @@
 
 func (c *crew) shunning(now time.Duration, worker string) (n int) {
 	for _, w := range c.all {
-		if w.Shunned(now, c.names)[worker] {
+		if w.Ejected(now, c.names)[worker] {
 			n++
 		}
 	}
@@ -50,17 +50,17 @@
 // One instance that is wrong, or lies, takes no worker out, however often and of however many it says so.
 func TestOneWitnessIsNotBelieved(t *testing.T) {
 	c := newCrew(5, 12)
-	var lies []Word
+	var lies []OutlierReport
 	for _, name := range c.names {
-		lies = append(lies, Word{name, 1 << 30, 1 << 30})
+		lies = append(lies, OutlierReport{name, 1 << 30, 1 << 30})
 	}
 	for now := time.Second; now < 20*time.Second; now += 100 * time.Millisecond {
 		for n, w := range c.all[1:] {
-			w.Hear(now, c.view.Members[0].Member, lies)
+			w.ObserveReports(now, c.view.Members[0].Member, lies)
 			for _, name := range c.names {
-				w.End(now, name, false)
+				w.ObserveAttempt(now, name, false)
 			}
-			if s := w.Shunned(now, c.names); len(s) > 0 {
+			if s := w.Ejected(now, c.names); len(s) > 0 {
 				t.Fatalf("instance %d shuns %v by one's word", n+2, s)
 			}
 		}
@@ -75,7 +75,7 @@
 	fail := func(worker string, by ...int) {
 		for _, n := range by {
 			for range leastBad {
-				c.all[n].End(now, worker, true)
+				c.all[n].ObserveAttempt(now, worker, true)
 			}
 		}
 	}
@@ -87,8 +87,8 @@
 	// The one whose turn it is finds it well; the others' evidence grows old.
 	for now < 14*time.Second {
 		for n, w := range c.all {
-			if !w.Shunned(now, c.names)["w3"] {
-				c.all[n].End(now, "w3", false)
+			if !w.Ejected(now, c.names)["w3"] {
+				c.all[n].ObserveAttempt(now, "w3", false)
 			}
 		}
 		now += 100 * time.Millisecond
@@ -102,7 +102,7 @@
 	}
 	c.tell(now)
 	for n, w := range c.all {
-		if s := len(w.Shunned(now, c.names)); s > len(c.names)/mostShunned {
+		if s := len(w.Ejected(now, c.names)); s > len(c.names)/mostShunned {
 			t.Errorf("instance %d shuns %d of %d workers", n+1, s, len(c.names))
 		}
 	}
@@ -131,14 +131,14 @@
 				clear(sick)
 			}
 			for _, w := range c.all {
-				s := w.Shunned(now, c.names)
+				s := w.Ejected(now, c.names)
 				shunned += len(s)
 				if len(s) > len(c.names)/mostShunned {
 					t.Fatalf("seed %d: %d of %d workers are shunned", seed, len(s), len(c.names))
 				}
 				for range 5 {
 					if name := c.names[rng.IntN(len(c.names))]; !s[name] {
-						w.End(now, name, sick[name])
+						w.ObserveAttempt(now, name, sick[name])
 					}
 				}
 			}
--- a/internal/cluster/placement/subset.go
+++ b/internal/cluster/placement/subset.go
@@ -24,9 +24,9 @@
 // the instance wants more and the worker has room. (Rendezvous hashing alone is uneven; the rounds of the
 // "deterministic subsetting" of the SRE book are even, and nearly all move when an instance in the middle
 // leaves.)
-func Subset(members []Member, own Seat, workers []Worker, k int) map[string]bool {
+func Subset(members []Member, own Session, workers []Worker, k int) map[string]bool {
 	use := map[string]bool{}
-	me := slices.IndexFunc(members, func(m Member) bool { return m.Seat == own })
+	me := slices.IndexFunc(members, func(m Member) bool { return m.Session == own })
 	if k <= 0 || k >= len(workers) || me < 0 {
 		for _, w := range workers {
 			use[w.Name] = true
--- a/internal/cluster/placement/subset_test.go
+++ b/internal/cluster/placement/subset_test.go
@@ -24,7 +24,7 @@
 		all[w.Name] = map[uint64]bool{}
 	}
 	for _, m := range v.Members {
-		set := Subset(v.Members, m.Seat, list, k)
+		set := Subset(v.Members, m.Session, list, k)
 		if want := min(k, len(list)); k > 0 && len(set) != want {
 			t.Errorf("an instance uses %d of %d workers, %d are wanted", len(set), len(list), want)
 		}
@@ -109,7 +109,7 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		type one struct {
-			parts   Parts
+			parts   Partitioning
 			seen    int // views that it has learned
 			until   time.Duration
 			index   int // its lease counts once it has learned so many
@@ -128,7 +128,7 @@
 			v := View{}
 			for _, n := range nodes {
 				if open[n.id] {
-					v.Members = append(v.Members, Member{Seat: Seat{n.id, 1}})
+					v.Members = append(v.Members, Member{Session: Session{n.id, 1}})
 				}
 			}
 			epoch++
@@ -158,7 +158,7 @@
 					ends[n.id] = now + wait
 				}
 				for n.seen < len(views) && rng.IntN(4) == 0 {
-					n.parts.View(now, views[n.seen], Seat{n.id, 1}, wait)
+					n.parts.SetView(now, views[n.seen], Session{n.id, 1}, wait)
 					n.seen++
 				}
 				if n.seen >= n.index {
@@ -167,7 +167,7 @@
 			}
 			sum, turns := 0.0, map[[2]int]uint64{}
 			for _, n := range nodes {
-				me, of, ok := n.parts.Part(now, n.until)
+				me, of, ok := n.parts.Partition(now, n.until)
 				if !ok {
 					continue
 				}
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/table.go
@@ -19,21 +19,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shards is how many shards there are. It is part of what all instances must have alike.
-const Shards = 4096
+// ShardCount is how many shards there are. It is part of what all instances must have alike.
+const ShardCount = 4096
 
 // slack is how much more than its even part an instance may own.
 const slack = 0.08
 
-// Seat is an instance's session: its member number and the session's epoch.
-type Seat struct {
+// Session is an instance's session: its member number and the session's epoch.
+type Session struct {
 	Member uint64
 	Epoch  uint64
 }
 
 // Member is an instance that may own something.
 type Member struct {
-	Seat
+	Session
 	Name   string
 	Weight float64 // its part beside the others'; 1, if not above 0
 }
@@ -43,27 +43,27 @@
 	// Number grows with every change of the set. It is no count: numbers are left out.
 	Number  uint64
 	Members []Member // by member number
-	// Over are those that left the set with this view and have surely ended: their lease has run out, or
+	// Expired are those that left the set with this view and have surely ended: their lease has run out, or
 	// their process is no more. Who else left it may act until its lease ends.
-	Over []Seat
+	Expired []Session
 }
 
-// NumberOf gives the number of a view: of a group whose newest session has that epoch, and so many open.
+// ViewNumber gives the number of a view: of a group whose newest session has that epoch, and so many open.
 //
 // Hazard: a number of its own would be one more thing to agree on, and to carry through snapshots. A new
 // session has a new epoch, which only grows; without a new one sessions only end, and so fewer are open.
-func NumberOf(epoch uint64, open int) uint64 {
+func ViewNumber(epoch uint64, open int) uint64 {
 	return epoch<<16 | uint64(math.MaxUint16-min(open, math.MaxUint16))
 }
 
 // Table is a view's answer to who owns each shard.
 type Table struct {
 	View   View
-	owners [Shards]int // in View.Members
+	owners [ShardCount]int // in View.Members
 }
 
-// Of makes the table of a view.
-func Of(v View) *Table {
+// NewTable makes the table of a view.
+func NewTable(v View) *Table {
 	t := &Table{View: v}
 	if len(v.Members) == 0 {
 		return t
@@ -74,9 +74,9 @@
 	}
 	room := make([]int, len(v.Members))
 	for i := range v.Members {
-		room[i] = int(math.Ceil(Shards * v.Members[i].weight() / total * (1 + slack)))
+		room[i] = int(math.Ceil(ShardCount * v.Members[i].weight() / total * (1 + slack)))
 	}
-	for shard := range Shards {
+	for shard := range ShardCount {
 		best, most := -1, 0.0
 		for i := range v.Members {
 			if room[i] == 0 {
@@ -111,25 +111,25 @@
 }
 
 // ShardOf is a key's shard.
-func ShardOf(key string) int { return int(xxhash.Sum64String(key) % Shards) }
+func ShardOf(key string) int { return int(xxhash.Sum64String(key) % ShardCount) }
 
-// Shares is which part of the shards each member owns.
-func (t *Table) Shares() map[uint64]float64 {
+// OwnedFractions is which part of the shards each member owns.
+func (t *Table) OwnedFractions() map[uint64]float64 {
 	shares := map[uint64]float64{}
-	for s := range Shards {
+	for s := range ShardCount {
 		if m, ok := t.Owner(s); ok {
-			shares[m.Member] += 1.0 / Shards
+			shares[m.Member] += 1.0 / ShardCount
 		}
 	}
 	return shares
 }
 
-// Moved is which part of the shards has another owner in another table.
-func (t *Table) Moved(to *Table) (part float64) {
-	for s := range Shards {
+// MovedFraction is which part of the shards has another owner in another table.
+func (t *Table) MovedFraction(to *Table) (part float64) {
+	for s := range ShardCount {
 		a, _ := t.Owner(s)
 		if b, _ := to.Owner(s); a.Member != b.Member {
-			part += 1.0 / Shards
+			part += 1.0 / ShardCount
 		}
 	}
 	return part
@@ -143,13 +143,13 @@
 	return t.View.Members[t.owners[shard]], true
 }
 
-// Right is until when an instance may act on what it owns in its view.
+// LeaseClock is until when an instance may act on what it owns in its view.
 //
 // Hazard: a lease counts only at an instance whose state is as new as the leader's was when it granted
 // it. One that was cut off, whose shards have gone to another since, would otherwise act for as long as
 // the log lags behind the lease. So, once an entry is applied by the leader, nobody acts by a view from
 // before it for longer than a lease that was granted before it lasts.
-type Right struct {
+type LeaseClock struct {
 	epoch     uint64
 	now, next lease
 	index     uint64 // next counts from that entry of the log on; 0: there is none
@@ -158,30 +158,30 @@
 // lease was asked for at a time, on the clock of who asked, and lasts for another.
 type lease struct{ asked, span time.Duration }
 
-// Granted takes a lease for a session, from a leader that had applied the log up to index.
-func (r *Right) Granted(epoch uint64, asked, span time.Duration, index, applied uint64) {
+// ObserveGrant takes a lease for a session, from a leader that had applied the log up to index.
+func (r *LeaseClock) ObserveGrant(epoch uint64, asked, span time.Duration, index, applied uint64) {
 	if index == 0 || span <= 0 {
 		return
 	}
 	if r.epoch != epoch {
-		*r = Right{epoch: epoch}
+		*r = LeaseClock{epoch: epoch}
 	}
 	if asked >= r.next.asked {
 		r.next, r.index = lease{asked, span}, index
 	}
-	r.Applied(applied)
+	r.ObserveApplied(applied)
 }
 
-// Applied says how far the instance's own state goes.
-func (r *Right) Applied(applied uint64) {
+// ObserveApplied says how far the instance's own state goes.
+func (r *LeaseClock) ObserveApplied(applied uint64) {
 	if r.index > 0 && applied >= r.index {
 		r.now, r.index = r.next, 0
 	}
 }
 
-// Until is when the right of a session ends, under the lease that the configuration has now. Hazard: it
+// ExpiresAt is when the right of a session ends, under the lease that the configuration has now. Hazard: it
 // may have come to name a shorter one since the grant.
-func (r *Right) Until(epoch uint64, most time.Duration) time.Duration {
+func (r *LeaseClock) ExpiresAt(epoch uint64, most time.Duration) time.Duration {
 	if epoch == 0 || r.epoch != epoch || r.now.span == 0 {
 		return 0
 	}
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/table_test.go
@@ -11,7 +11,7 @@
 func view(members ...uint64) View {
 	v := View{Number: 1}
 	for _, m := range members {
-		v.Members = append(v.Members, Member{Seat: Seat{m, m}, Name: fmt.Sprint("n", m)})
+		v.Members = append(v.Members, Member{Session: Session{m, m}, Name: fmt.Sprint("n", m)})
 	}
 	return v
 }
@@ -29,9 +29,9 @@
 func TestEvenAndStill(t *testing.T) {
 	for _, n := range []int{3, 5, 15, 40, 100, 400} {
 		ids := some(n + 1)
-		before, after := Of(view(ids[:n]...)), Of(view(ids...))
+		before, after := NewTable(view(ids[:n]...)), NewTable(view(ids...))
 		count, moved := map[uint64]int{}, 0
-		for s := range Shards {
+		for s := range ShardCount {
 			a, _ := before.Owner(s)
 			b, _ := after.Owner(s)
 			count[a.Member]++
@@ -43,14 +43,14 @@
 		for _, c := range count {
 			most = max(most, c)
 		}
-		mean := float64(Shards) / float64(n)
+		mean := float64(ShardCount) / float64(n)
 		if float64(most) > mean*(1+slack)+1 {
-			t.Errorf("%d instances: one owns %d of %d shards, the mean is %.1f", n, most, Shards, mean)
+			t.Errorf("%d instances: one owns %d of %d shards, the mean is %.1f", n, most, ShardCount, mean)
 		}
 		t.Logf("%d instances: most over mean %.3f; one more moves %.2f / N of the shards", n,
-			float64(most)/mean, float64(moved)/Shards*float64(n+1))
-		if float64(moved) > 2*float64(Shards)/float64(n+1) {
-			t.Errorf("%d instances: one more moves %d shards of %d", n, moved, Shards)
+			float64(most)/mean, float64(moved)/ShardCount*float64(n+1))
+		if float64(moved) > 2*float64(ShardCount)/float64(n+1) {
+			t.Errorf("%d instances: one more moves %d shards of %d", n, moved, ShardCount)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 			i.Epoch += 7
 			b.Members = append(b.Members, i)
 		}
-		ta, tb := Of(a), Of(b)
-		for s := range Shards {
+		ta, tb := NewTable(a), NewTable(b)
+		for s := range ShardCount {
 			x, _ := ta.Owner(s)
 			y, _ := tb.Owner(s)
 			if x.Member != y.Member {
@@ -80,13 +80,13 @@
 func TestWeights(t *testing.T) {
 	v := view(some(4)...)
 	v.Members[2].Weight = 3
-	table, n := Of(v), 0
-	for s := range Shards {
+	table, n := NewTable(v), 0
+	for s := range ShardCount {
 		if m, _ := table.Owner(s); m.Member == v.Members[2].Member {
 			n++
 		}
 	}
-	if part := float64(n) / Shards; part < 0.45 || part > 0.53 {
+	if part := float64(n) / ShardCount; part < 0.45 || part > 0.53 {
 		t.Errorf("half of all is due to it, and it owns %.2f", part)
 	}
 }
@@ -105,7 +105,7 @@
 				epoch++
 				open++
 			}
-			if n := NumberOf(epoch, open); n <= last {
+			if n := ViewNumber(epoch, open); n <= last {
 				t.Fatalf("%d after %d", n, last)
 			} else {
 				last = n
@@ -116,23 +116,23 @@
 
 // A lease that was granted by a leader which knew more than this instance does counts for nothing yet.
 func TestRight(t *testing.T) {
-	var r Right
+	var r LeaseClock
 	const lease = time.Second
-	r.Granted(4, 100, lease, 50, 49)
-	if r.Until(4, lease) != 0 {
+	r.ObserveGrant(4, 100, lease, 50, 49)
+	if r.ExpiresAt(4, lease) != 0 {
 		t.Error("it may act by a state that is older than the leader's was")
 	}
-	if r.Applied(50); r.Until(4, lease) != 100+lease {
-		t.Errorf("its right ends at %v", r.Until(4, lease))
+	if r.ObserveApplied(50); r.ExpiresAt(4, lease) != 100+lease {
+		t.Errorf("its right ends at %v", r.ExpiresAt(4, lease))
 	}
-	if r.Until(5, lease) != 0 {
+	if r.ExpiresAt(5, lease) != 0 {
 		t.Error("a lease counts for another session")
 	}
-	if r.Until(4, lease/2) != 100+lease/2 {
+	if r.ExpiresAt(4, lease/2) != 100+lease/2 {
 		t.Error("the configuration's shorter lease is not kept to")
 	}
-	r.Granted(4, 200, lease, 60, 55)
-	if r.Until(4, lease) != 100+lease {
+	r.ObserveGrant(4, 200, lease, 60, 55)
+	if r.ExpiresAt(4, lease) != 100+lease {
 		t.Error("a renewal that does not count yet took the place of one that does")
 	}
 }
--- a/internal/cluster/ratelimit/covered_test.go
+++ b/internal/cluster/ratelimit/accounting_test.go
@@ -14,7 +14,7 @@
 }
 
 func (w *world) truth(k Key) *truth {
-	l, _ := w.policy.Of(k)
+	l, _ := w.policy.LimitOf(k)
 	x := w.true[k]
 	if x == nil {
 		x = &truth{level: l.Burst}
@@ -27,25 +27,25 @@
 
 // covered finds a bucket of which an owner and the fronts have more than there is. It finds what no client
 // happens to use.
-func (n *node) covered(lent map[placement.Seat][]Grant) {
+func (n *node) covered(lent map[placement.Session][]Grant) {
 	w, all := n.w, map[Key]float64{}
 	for _, grants := range lent {
 		for _, g := range grants {
-			all[g.Key] += float64(g.Jobs)
+			all[g.Key] += float64(g.Tokens)
 		}
 	}
-	for k, b := range n.authority.books {
+	for k, b := range n.authority.ledgers {
 		sum := all[k]
-		if n.clock() >= n.authority.freeAt(b.shard) {
+		if n.clock() >= n.authority.shardLendableFrom(b.shard) {
 			sum += max(b.level, 0)
 		}
 		for _, x := range w.nodes {
-			if f := x.front.wallets[k]; f != nil && x.up && x.clock() < x.until {
-				if x.clock() < f.ends {
-					sum += float64(f.jobs)
+			if f := x.front.buckets[k]; f != nil && x.up && x.clock() < x.until {
+				if x.clock() < f.expiresAt {
+					sum += float64(f.tokens)
 				}
-				if x.clock() < f.oldEnd {
-					sum += float64(f.old)
+				if x.clock() < f.previousExpiresAt {
+					sum += float64(f.previousTokens)
 				}
 			}
 		}
--- a/internal/cluster/ratelimit/front_test.go
+++ b/internal/cluster/ratelimit/limiter_test.go
@@ -15,36 +15,36 @@
 func BenchmarkTake(b *testing.B) {
 	for _, accounts := range []int{10, 100_000} {
 		b.Run(fmt.Sprint(accounts, " accounts"), func(b *testing.B) {
-			p, _ := ReadPolicy(map[string]string{"default": "1000000000/s burst=1000000000 floor=equal",
+			p, _ := ParsePolicy(map[string]string{"default": "1000000000/s burst=1000000000 floor=equal",
 				"parts": "1", "account": "X"}, nil)
-			f := NewFront(0)
+			f := NewLimiter(0)
 			f.Configure(0, p)
-			own := placement.Seat{Member: 1, Epoch: 1}
-			f.View(0, placement.Of(placement.View{Members: []placement.Member{{Seat: own}}}), own)
+			own := placement.Session{Member: 1, Epoch: 1}
+			f.SetView(0, placement.NewTable(placement.View{Members: []placement.Member{{Session: own}}}), own)
 			names := make([]string, accounts)
 			for i := range names {
 				names[i] = fmt.Sprint("account-", i)
-				f.Take(time.Hour, names[i], "c")
+				f.Admit(time.Hour, names[i], "c")
 			}
 			rng := rand.New(rand.NewPCG(1, 1))
 			rng.Shuffle(accounts, func(i, j int) { names[i], names[j] = names[j], names[i] })
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				f.Take(time.Hour+time.Duration(i), names[i%accounts], "c")
+				f.Admit(time.Hour+time.Duration(i), names[i%accounts], "c")
 			}
 		})
 	}
 }
 
 func TestTakeMakesNoGarbage(t *testing.T) {
-	p, _ := ReadPolicy(map[string]string{"default": "5/s burst=5 floor=equal", "parts": "1", "account": "X",
+	p, _ := ParsePolicy(map[string]string{"default": "5/s burst=5 floor=equal", "parts": "1", "account": "X",
 		"account.a@c": "1/s"}, []string{"c"})
-	f := NewFront(0)
+	f := NewLimiter(0)
 	f.Configure(0, p)
-	f.Take(time.Second, "a", "c")
+	f.Admit(time.Second, "a", "c")
 	now := time.Second
-	if n := testing.AllocsPerRun(100, func() { now += time.Millisecond; f.Take(now, "a", "c") }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { now += time.Millisecond; f.Admit(now, "a", "c") }); n > 0 {
 		t.Errorf("%v allocations a decision", n)
 	}
 }
@@ -67,14 +67,14 @@
 		"the account has no name":        {"account.": "1/s"},
 		"as many fronts as there may be": {"parts": "0"},
 	} {
-		_, wrong := ReadPolicy(words, []string{"c"})
+		_, wrong := ParsePolicy(words, []string{"c"})
 		if !slices.ContainsFunc(wrong, func(s string) bool { return strings.Contains(s, want) }) {
 			t.Errorf("%v: %q, want %q", words, wrong, want)
 		}
 	}
-	p, wrong := ReadPolicy(map[string]string{"account.a": "90/m burst=3 floor=0.5", "parts": "3"}, nil)
-	if len(wrong) > 0 || p.Accounts["a"] != (Limit{1.5, 3, 0.5}) {
-		t.Errorf("%+v, %v", p.Accounts, wrong)
+	p, wrong := ParsePolicy(map[string]string{"account.a": "90/m burst=3 floor=0.5", "parts": "3"}, nil)
+	if len(wrong) > 0 || p.AccountLimits["a"] != (Limit{1.5, 3, 0.5}) {
+		t.Errorf("%+v, %v", p.AccountLimits, wrong)
 	}
 }
 
@@ -96,7 +96,7 @@
 // calls that have moved take until they have nine tenths of the rate.
 func slices100(t *testing.T, d demand, fronts int) (use float64, ticks []float64) {
 	w := newWorld(t, 7, fronts, false)
-	p, wrong := ReadPolicy(map[string]string{"tick": "50ms", "term": "500ms", "account.z": "100/s burst=100",
+	p, wrong := ParsePolicy(map[string]string{"tick": "50ms", "term": "500ms", "account.z": "100/s burst=100",
 		"account": "X", "parts": fmt.Sprint(fronts)}, nil)
 	if len(wrong) > 0 {
 		t.Fatal(wrong)
@@ -126,7 +126,7 @@
 			// Until the first of ten in a row that came at nine tenths of the rate.
 			for ; since+10 < len(at); since++ {
 				if at[since+10]-at[since] <= 111*time.Millisecond {
-					ticks = append(ticks, float64(at[since]-moved)/float64(p.Tick))
+					ticks = append(ticks, float64(at[since]-moved)/float64(p.TickInterval))
 					break
 				}
 			}
--- a/internal/cluster/ratelimit/explore_test.go
+++ b/internal/cluster/ratelimit/model_test.go
@@ -25,9 +25,9 @@
 // the first instance, without that the second.
 
 type modelNode struct {
-	front     *Front
+	front     *Limiter
 	authority *Authority
-	seat      placement.Seat
+	seat      placement.Session
 	applied   int
 	until     time.Duration
 	granted   time.Duration // when its lease was renewed last
@@ -35,7 +35,7 @@
 }
 
 type modelWord struct {
-	from, to placement.Seat
+	from, to placement.Session
 	what     any // Ask, Grant, Left or *Cession
 	text     string
 }
@@ -75,13 +75,13 @@
 	if t, ok := modelTables.Load(key); ok {
 		return t.(*placement.Table)
 	}
-	t := placement.Of(v)
+	t := placement.NewTable(v)
 	modelTables.Store(key, t)
 	return t
 }
 
 func newModel(t testing.TB, b modelLimits) *model {
-	p, wrong := ReadPolicy(map[string]string{"tick": "100ms", "term": "1s", "account": "X",
+	p, wrong := ParsePolicy(map[string]string{"tick": "100ms", "term": "1s", "account": "X",
 		"account." + modelAccount: "4/s burst=2"}, nil)
 	if len(wrong) > 0 {
 		t.Fatal(wrong)
@@ -91,9 +91,9 @@
 	for k := range m.nodes {
 		m.epoch++
 		n := &m.nodes[k]
-		n.seat = placement.Seat{Member: uint64(k + 1), Epoch: m.epoch}
-		members = append(members, placement.Member{Seat: n.seat})
-		n.front, n.authority = NewFront(0), modelAuthority()
+		n.seat = placement.Session{Member: uint64(k + 1), Epoch: m.epoch}
+		members = append(members, placement.Member{Session: n.seat})
+		n.front, n.authority = NewLimiter(0), modelAuthority()
 		n.front.Configure(0, p)
 		n.authority.Configure(0, p)
 		n.until, n.granted = m.now+modelLease, m.now
@@ -101,9 +101,9 @@
 	m.agree(members)
 	for k := range m.nodes {
 		n := &m.nodes[k]
-		n.front.View(0, modelTable(m.views[0]), n.seat)
-		n.authority.View(0, modelTable(m.views[0]), n.seat, modelLease, false)
-		n.applied, n.front.leaving = 1, 0
+		n.front.SetView(0, modelTable(m.views[0]), n.seat)
+		n.authority.SetView(0, modelTable(m.views[0]), n.seat, modelLease, false)
+		n.applied, n.front.confirmationsLeft = 1, 0
 	}
 	if x, _ := modelTable(m.views[0]).Owner(placement.ShardOf(modelAccount)); x.Member != 1 {
 		t.Fatalf("instance %d owns the account", x.Member)
@@ -116,41 +116,48 @@
 	modelStep  = 250 * time.Millisecond // in which the bucket gets one job
 )
 
-func (m *model) agree(members []placement.Member, over ...placement.Seat) {
-	m.views = append(m.views, placement.View{Number: uint64(len(m.views) + 1), Members: members, Over: over})
+func (m *model) agree(members []placement.Member, over ...placement.Session) {
+	m.views = append(
+		m.views,
+		placement.View{Number: uint64(len(m.views) + 1), Members: members, Expired: over},
+	)
 }
 
 // node gives an instance of its own to a copy of the model.
 func (m *model) node(k int) *modelNode {
 	n := &m.nodes[k]
 	f, a := *n.front, *n.authority
-	f.wallets = map[Key]*wallet{}
-	for key, w := range n.front.wallets {
+	f.buckets = map[Key]*localBucket{}
+	for key, w := range n.front.buckets {
 		x := *w
-		f.wallets[key] = &x
+		f.buckets[key] = &x
 	}
-	a.books, a.cessions = map[Key]*book{}, nil
-	for key, b := range n.authority.books {
+	a.ledgers, a.transfers = map[Key]*ledger{}, nil
+	for key, b := range n.authority.ledgers {
 		x := *b
-		x.lines = map[placement.Seat]*line{}
-		for seat, l := range b.lines {
+		x.borrowers = map[placement.Session]*borrower{}
+		for seat, l := range b.borrowers {
 			y := *l
-			y.grants = slices.Clone(l.grants)
-			x.lines[seat] = &y
+			y.unacked = slices.Clone(l.unacked)
+			x.borrowers[seat] = &y
 		}
-		a.books[key] = &x
+		a.ledgers[key] = &x
 	}
-	for _, c := range n.authority.cessions {
+	for _, c := range n.authority.transfers {
 		x := *c
-		a.cessions = append(a.cessions, &x)
+		a.transfers = append(a.transfers, &x)
 	}
 	a.shards = slices.Clone(a.shards)
-	a.recall.whole, a.recall.coming = maps.Clone(a.recall.whole), maps.Clone(a.recall.coming)
+	a.revocation.complete, a.revocation.partial = maps.Clone(
+		a.revocation.complete,
+	), maps.Clone(
+		a.revocation.partial,
+	)
 	n.front, n.authority = &f, &a
 	return n
 }
 
-func (m *model) Wrong() string { return m.wrong }
+func (m *model) Violation() string { return m.wrong }
 
 // Key tells states apart: all that anything that follows goes by.
 func (m *model) Key() uint64 {
@@ -161,23 +168,36 @@
 	for k := range m.nodes {
 		n := &m.nodes[k]
 		f, a := n.front, n.authority
-		fmt.Fprint(&h, ";", n.seat, n.applied, n.until, n.granted, n.turned, f.reports, f.leaving, a.seq,
-			a.shards[shard], a.recall.unsure)
-		for _, w := range f.wallets {
+		fmt.Fprint(
+			&h,
+			";",
+			n.seat,
+			n.applied,
+			n.until,
+			n.granted,
+			n.turned,
+			f.requestSeq,
+			f.confirmationsLeft,
+			a.grantSeq,
+			a.shards[shard],
+			a.revocation.unsafeUntil,
+		)
+		for _, w := range f.buckets {
 			fmt.Fprint(&h, *w)
 		}
-		for _, b := range a.books {
-			fmt.Fprint(&h, b.level, b.at, b.before, b.until)
-			for _, seat := range inOrder(b.lines) {
-				fmt.Fprint(&h, *b.lines[seat])
+		for _, b := range a.ledgers {
+			fmt.Fprint(&h, b.level, b.refilledAt, b.inherited, b.inheritedUntil)
+			for _, seat := range inOrder(b.borrowers) {
+				fmt.Fprint(&h, *b.borrowers[seat])
 			}
 		}
-		for _, list := range []map[placement.Seat]testimony{a.recall.whole, a.recall.coming} {
+		for _, list := range []map[placement.Session]confirmation{a.revocation.complete,
+			a.revocation.partial} {
 			for _, seat := range inOrder(list) {
 				fmt.Fprint(&h, seat, list[seat])
 			}
 		}
-		for _, c := range a.cessions {
+		for _, c := range a.transfers {
 			fmt.Fprint(&h, *c)
 		}
 	}
@@ -196,14 +216,14 @@
 }
 
 // text is a word in words: two that say the same have the same.
-func text(from, to placement.Seat, what any) string {
-	if c, ok := what.(*Cession); ok {
+func text(from, to placement.Session, what any) string {
+	if c, ok := what.(*Transfer); ok {
 		what = *c
 	}
 	return fmt.Sprintf("%d.%d to %d.%d: %T %v", from.Member, from.Epoch, to.Member, to.Epoch, what, what)
 }
 
-func (m *model) Next() (steps []modelcheck.Step[*model]) {
+func (m *model) Transitions() (steps []modelcheck.Transition[*model]) {
 	event := func(what string, left int, do func(c *model)) {
 		if left <= 0 {
 			return
@@ -211,7 +231,7 @@
 		c := *m
 		c.nodes, c.views, c.words = slices.Clone(m.nodes), slices.Clip(m.views), slices.Clone(m.words)
 		do(&c)
-		steps = append(steps, modelcheck.Step[*model]{What: what, After: &c})
+		steps = append(steps, modelcheck.Transition[*model]{Event: what, State: &c})
 	}
 	first := map[[2]uint64]bool{}
 	for i, w := range m.words {
@@ -237,7 +257,7 @@
 		name := fmt.Sprint("instance ", k+1)
 		is := func(x placement.Member) bool { return x.Member == n.seat.Member }
 		others := slices.DeleteFunc(slices.Clone(view.Members), is)
-		seated := slices.Contains(view.Members, placement.Member{Seat: n.seat})
+		seated := slices.Contains(view.Members, placement.Member{Session: n.seat})
 		if n.applied < len(m.views) {
 			event(name+" learns a view", 1, func(c *model) { c.learn(k) })
 		} else if seated && n.granted < m.now {
@@ -250,9 +270,9 @@
 			event(name+" has a turn", 1, func(c *model) { c.turn(k) })
 		}
 		// One call that is refused is enough for the account to be asked for.
-		w := n.front.wallets[Key{Account: modelAccount}]
+		w := n.front.buckets[Key{Account: modelAccount}]
 		if m.now < n.until && (k > 0 || len(m.nodes) == 2) &&
-			(w == nil || w.calls == 0 || w.old+w.jobs > 0) {
+			(w == nil || w.calls == 0 || w.previousTokens+w.tokens > 0) {
 			event(name+" has a call", m.left.calls, func(c *model) { c.call(k) })
 		}
 		if k > m.left.faulty {
@@ -263,7 +283,7 @@
 				c.left.asides--
 				c.agree(others)
 			})
-			if m.now >= n.granted+rollout.Wait(modelLease) {
+			if m.now >= n.granted+rollout.ExpiryWait(modelLease) {
 				event(name+" lapses", m.left.lapses, func(c *model) {
 					c.left.lapses--
 					c.agree(others, n.seat)
@@ -280,10 +300,10 @@
 			c.left.deaths--
 			x := &c.nodes[k]
 			p := x.front.policy
-			x.front, x.authority, x.applied = NewFront(c.now), modelAuthority(), len(c.views)
+			x.front, x.authority, x.applied = NewLimiter(c.now), modelAuthority(), len(c.views)
 			x.front.Configure(c.now, p)
 			x.authority.Configure(c.now, p)
-			var over []placement.Seat
+			var over []placement.Session
 			if seated {
 				over = append(over, n.seat)
 			}
@@ -301,12 +321,12 @@
 	return steps
 }
 
-func (m *model) open(k int, others []placement.Member, over ...placement.Seat) {
+func (m *model) open(k int, others []placement.Member, over ...placement.Session) {
 	m.epoch++
 	n := &m.nodes[k]
-	n.seat, n.until = placement.Seat{Member: uint64(k + 1), Epoch: m.epoch}, 0
+	n.seat, n.until = placement.Session{Member: uint64(k + 1), Epoch: m.epoch}, 0
 	n.granted = m.now // as the leader counts: it may ask at once
-	members := append(slices.Clone(others), placement.Member{Seat: n.seat})
+	members := append(slices.Clone(others), placement.Member{Session: n.seat})
 	slices.SortFunc(members, func(a, b placement.Member) int { return cmp.Compare(a.Member, b.Member) })
 	m.agree(members, over...)
 }
@@ -315,23 +335,29 @@
 	n := m.node(k)
 	v := m.views[n.applied]
 	n.applied++
-	own := placement.Seat{}
-	if slices.Contains(v.Members, placement.Member{Seat: n.seat}) {
+	own := placement.Session{}
+	if slices.Contains(v.Members, placement.Member{Session: n.seat}) {
 		own = n.seat
 	}
-	n.front.View(m.now, modelTable(v), own)
-	n.front.leaving = min(n.front.leaving, 1) // words may be lost, but not be said for ever
-	n.authority.View(m.now, modelTable(v), own, modelLease, n.authority.table == nil)
-	for _, c := range n.authority.cessions {
-		c.times = min(c.times, 1)
-		maps.DeleteFunc(c.Shards, func(s int, _ Shard) bool { return s != placement.ShardOf(modelAccount) })
+	n.front.SetView(m.now, modelTable(v), own)
+	n.front.confirmationsLeft = min(
+		n.front.confirmationsLeft,
+		1,
+	) // words may be lost, but not be said for ever
+	n.authority.SetView(m.now, modelTable(v), own, modelLease, n.authority.table == nil)
+	for _, c := range n.authority.transfers {
+		c.sendsLeft = min(c.sendsLeft, 1)
+		maps.DeleteFunc(
+			c.Shards,
+			func(s int, _ TransferredShard) bool { return s != placement.ShardOf(modelAccount) },
+		)
 	}
 }
 
 func (m *model) turn(k int) {
 	n := m.node(k)
 	n.turned = true
-	say := func(to placement.Seat, what any) {
+	say := func(to placement.Session, what any) {
 		if to == n.seat {
 			m.hear(modelWord{from: to, to: to, what: what})
 			return
@@ -344,7 +370,7 @@
 			say(to, a)
 		}
 	}
-	for to, c := range n.authority.Cessions() {
+	for to, c := range n.authority.PendingTransfers() {
 		say(to, c)
 	}
 	for to, list := range lefts {
@@ -368,23 +394,23 @@
 	}
 	n := m.node(k)
 	switch x := w.what.(type) {
-	case Ask:
-		n.authority.Hear(m.now, w.from, x)
+	case TokenRequest:
+		n.authority.ReceiveRequest(m.now, w.from, x)
 	case Grant:
-		n.front.Granted(m.now, w.from, x)
-	case Left:
-		n.authority.Leave(m.now, w.from, x)
-	case *Cession:
+		n.front.ReceiveGrant(m.now, w.from, x)
+	case DrainConfirmation:
+		n.authority.ReceiveDrainConfirmation(m.now, w.from, x)
+	case *Transfer:
 		c := *x
 		c.Shards = maps.Clone(c.Shards)
-		n.authority.Take(m.now, &c)
+		n.authority.ReceiveTransfer(m.now, &c)
 	}
 }
 
 func (m *model) call(k int) {
 	m.left.calls--
 	n := m.node(k)
-	if _, ok := n.front.Take(m.now, modelAccount, ""); !ok {
+	if _, ok := n.front.Admit(m.now, modelAccount, ""); !ok {
 		return
 	}
 	m.level = min(2, m.level+int((m.now-m.at)/modelStep)) - 1
@@ -407,10 +433,10 @@
 		"twice, or lost":  {instances: 2, steps: 1, deaths: 1, calls: 4, twice: 1, lost: 1},
 		"one, then two":   {instances: 3, steps: 1, asides: 1, deaths: 1, calls: 3, faulty: 1},
 	} {
-		r := modelcheck.All(newModel(t, b), *states)
-		t.Logf("%s: %d states, whole: %v", name, r.States, r.Whole)
-		if r.Wrong != "" {
-			t.Errorf("%s: %s:\n%s", name, r.Wrong, strings.Join(r.Way, "\n"))
+		r := modelcheck.Check(newModel(t, b), *states)
+		t.Logf("%s: %d states, whole: %v", name, r.States, r.Complete)
+		if r.Violation != "" {
+			t.Errorf("%s: %s:\n%s", name, r.Violation, strings.Join(r.Trace, "\n"))
 		}
 	}
 }
--- a/internal/cluster/ratelimit/policy.go
+++ b/internal/cluster/ratelimit/policy.go
@@ -17,27 +17,27 @@
 // Section is the section of the agreed document that says what accounts may send.
 const Section = "ratelimit"
 
-// Tenant is the word for: a job's account is its tenant.
-const Tenant = "tenant"
+// AccountIsTenant is the word for: a job's account is its tenant.
+const AccountIsTenant = "tenant"
 
 // Limit is what an account, or one class of its jobs, may send over all fronts: in every window at most
 // rate times its length, and burst more.
 type Limit struct {
-	Rate  float64 // jobs a second
-	Burst float64 // jobs, whole
-	Floor float64 // the share of both that fronts have in equal parts, whatever else fails; 0: none
+	Rate       float64 // jobs a second
+	Burst      float64 // jobs, whole
+	FloorShare float64 // the share of both that fronts have in equal parts, whatever else fails; 0: none
 }
 
 // Policy is what the section says.
 type Policy struct {
-	Version  uint64 // of the words; 0: there are none, and nothing is limited
-	Account  string // the header that names a job's account, or Tenant
-	Tick     time.Duration
-	Term     time.Duration // how long a slice lasts
-	Parts    int           // in how many parts floors are cut: as many fronts as there may be
-	Default  *Limit        // of accounts that have no line; nil: they are not limited
-	Accounts map[string]Limit
-	Classes  map[Key]Limit
+	Version       uint64 // of the words; 0: there are none, and nothing is limited
+	AccountHeader string // the header that names a job's account, or Tenant
+	TickInterval  time.Duration
+	GrantDuration time.Duration // how long a slice lasts
+	MaxFronts     int           // in how many parts floors are cut: as many fronts as there may be
+	DefaultLimit  *Limit        // of accounts that have no line; nil: they are not limited
+	AccountLimits map[string]Limit
+	ClassLimits   map[Key]Limit
 }
 
 // Key names a bucket: an account, or one class of its jobs.
@@ -51,49 +51,55 @@
 	return k.Account + "@" + k.Class
 }
 
-// Of is the limit of a key, if it has one.
-func (p *Policy) Of(k Key) (Limit, bool) {
+// LimitOf is the limit of a key, if it has one.
+func (p *Policy) LimitOf(k Key) (Limit, bool) {
 	if k.Class != "" {
-		l, ok := p.Classes[k]
+		l, ok := p.ClassLimits[k]
 		return l, ok
 	}
-	l, ok := p.Accounts[k.Account]
-	if !ok && p.Default != nil {
-		return *p.Default, true
+	l, ok := p.AccountLimits[k.Account]
+	if !ok && p.DefaultLimit != nil {
+		return *p.DefaultLimit, true
 	}
 	return l, ok
 }
 
 // floorBurst is how many jobs each front may have in its floor.
 func (p *Policy) floorBurst(l Limit) float64 {
-	if l.Floor <= 0 {
+	if l.FloorShare <= 0 {
 		return 0
 	}
-	return max(1, math.Floor(l.Burst*l.Floor/float64(p.Parts)))
+	return max(1, math.Floor(l.Burst*l.FloorShare/float64(p.MaxFronts)))
 }
 
 // floorRate is what each front's floor gets a second.
-func (p *Policy) floorRate(l Limit) float64 { return l.Rate * l.Floor / float64(p.Parts) }
+func (p *Policy) floorRate(l Limit) float64 { return l.Rate * l.FloorShare / float64(p.MaxFronts) }
 
 // Describe says a limit in words.
 func (p *Policy) Describe(l Limit) string {
 	text := fmt.Sprintf("%.4g a second and %.4g at once over all instances", l.Rate, l.Burst)
-	if l.Floor <= 0 {
+	if l.FloorShare <= 0 {
 		return text + "; nothing at one that is cut off, and a first call is told to come back"
 	}
 	return text + fmt.Sprintf("; of that %.3g a second and %.4g at once at each of %d, also when it is "+
-		"cut off", p.floorRate(l), p.floorBurst(l), p.Parts)
+		"cut off", p.floorRate(l), p.floorBurst(l), p.MaxFronts)
 }
 
-// lent is what is left to be lent.
-func (p *Policy) lent(l Limit) (rate, burst float64) {
-	return l.Rate * (1 - l.Floor), l.Burst - float64(p.Parts)*p.floorBurst(l)
+// lendable is what is left to be lent.
+func (p *Policy) lendable(l Limit) (rate, burst float64) {
+	return l.Rate * (1 - l.FloorShare), l.Burst - float64(p.MaxFronts)*p.floorBurst(l)
 }
 
-// ReadPolicy reads the section, and gives what is wrong with it. Classes are the document's.
-func ReadPolicy(values map[string]string, classes []string) (p Policy, wrong []string) {
-	p = Policy{Account: Tenant, Tick: 100 * time.Millisecond, Term: time.Second, Parts: 5,
-		Accounts: map[string]Limit{}, Classes: map[Key]Limit{}}
+// ParsePolicy reads the section, and gives what is wrong with it. Classes are the document's.
+func ParsePolicy(values map[string]string, classes []string) (p Policy, wrong []string) {
+	p = Policy{
+		AccountHeader: AccountIsTenant,
+		TickInterval:  100 * time.Millisecond,
+		GrantDuration: time.Second,
+		MaxFronts:     5,
+		AccountLimits: map[string]Limit{},
+		ClassLimits:   map[Key]Limit{},
+	}
 	if len(values) == 0 {
 		return p, nil
 	}
@@ -112,12 +118,16 @@
 		_, _ = fmt.Fprintf(hash, "%q=%q\n", key, text)
 		switch {
 		case key == "tick":
-			span(key, text, &p.Tick, 10*time.Millisecond, 10*time.Second)
+			span(key, text, &p.TickInterval, 10*time.Millisecond, 10*time.Second)
 		case key == "term":
-			span(key, text, &p.Term, 50*time.Millisecond, 10*time.Minute)
+			span(key, text, &p.GrantDuration, 50*time.Millisecond, 10*time.Minute)
 		case key == "account":
-			if p.Account = text; text == "" || strings.ContainsAny(text, " :\t\r\n") {
-				bad("account: %q is neither %q nor the name of a header, as in \"X-Account\"", text, Tenant)
+			if p.AccountHeader = text; text == "" || strings.ContainsAny(text, " :\t\r\n") {
+				bad(
+					"account: %q is neither %q nor the name of a header, as in \"X-Account\"",
+					text,
+					AccountIsTenant,
+				)
 			}
 		case key == "parts":
 			n, err := strconv.Atoi(text)
@@ -125,7 +135,7 @@
 				bad("parts: %q is not a number from 1 to 1000: as many fronts as there may be", text)
 				continue
 			}
-			p.Parts = n
+			p.MaxFronts = n
 		case key == "default", strings.HasPrefix(key, "account."):
 			limits[key] = text
 		default:
@@ -133,13 +143,13 @@
 				"\"account.NAME@CLASS\" are", key)
 		}
 	}
-	if len(wrong) == 0 && p.Term < 5*p.Tick {
+	if len(wrong) == 0 && p.GrantDuration < 5*p.TickInterval {
 		bad("term: %v is less than 5 ticks of %v: slices would run out between two words on them; name a "+
-			"longer term or a shorter tick", p.Term, p.Tick)
+			"longer term or a shorter tick", p.GrantDuration, p.TickInterval)
 	}
 	p.Version = max(hash.Sum64(), 1)
 	for _, key := range slices.Sorted(maps.Keys(limits)) {
-		l, err := p.readLimit(limits[key])
+		l, err := p.parseLimit(limits[key])
 		if err != nil {
 			bad("%s: %q: %v", key, limits[key], err)
 			continue
@@ -148,7 +158,7 @@
 		switch {
 		case key == "default":
 			if limits[key] != "none" {
-				p.Default = &l
+				p.DefaultLimit = &l
 			}
 		case limits[key] == "none":
 			bad("%s: \"none\" is for the default; leave the line out", key)
@@ -157,16 +167,16 @@
 		case ofClass && !slices.Contains(classes, class):
 			bad("%s: there is no class %q; there are %v", key, class, classes)
 		case ofClass:
-			p.Classes[Key{account, class}] = l
+			p.ClassLimits[Key{account, class}] = l
 		default:
-			p.Accounts[account] = l
+			p.AccountLimits[account] = l
 		}
 	}
 	return p, wrong
 }
 
-// readLimit reads "RATE/UNIT [burst=N] [floor=SHARE|equal|none]".
-func (p *Policy) readLimit(text string) (l Limit, err error) {
+// parseLimit reads "RATE/UNIT [burst=N] [floor=SHARE|equal|none]".
+func (p *Policy) parseLimit(text string) (l Limit, err error) {
 	words := strings.Fields(text)
 	if text == "none" {
 		return l, nil
@@ -191,30 +201,30 @@
 				return l, fmt.Errorf("%q is no whole number of jobs from 1 on, as in \"burst=20\"", w)
 			}
 		case w == "floor=none":
-			l.Floor = 0
+			l.FloorShare = 0
 		case w == "floor=equal":
-			l.Floor = 1
+			l.FloorShare = 1
 		case name == "floor":
-			l.Floor, err = strconv.ParseFloat(value, 64)
-			if err != nil || !(l.Floor >= 0 && l.Floor <= 1) {
+			l.FloorShare, err = strconv.ParseFloat(value, 64)
+			if err != nil || !(l.FloorShare >= 0 && l.FloorShare <= 1) {
 				return l, fmt.Errorf("%q is no share from 0 to 1, nor none or equal", w)
 			}
 		default:
 			return l, fmt.Errorf("%q is neither burst=N nor floor=SHARE", w)
 		}
 	}
-	if need := float64(p.Parts) * p.floorBurst(l); need > l.Burst {
+	if need := float64(p.MaxFronts) * p.floorBurst(l); need > l.Burst {
 		return l, fmt.Errorf("the floors of %d parts are a job each at the least, %.0f in all, and the "+
 			"burst is %.0f; name burst=%.0f or more, floor=none, or fewer parts",
-			p.Parts, need, l.Burst, need)
+			p.MaxFronts, need, l.Burst, need)
 	}
 	return l, nil
 }
 
-// Check gives what is wrong with the section of a document.
-func Check(t replicated.Terms) []string {
-	p, wrong := ReadPolicy(t.Values, t.ClassNames())
-	if len(wrong) > 0 || p.Account != Tenant {
+// Validate gives what is wrong with the section of a document.
+func Validate(t replicated.Config) []string {
+	p, wrong := ParsePolicy(t.Values, t.ClassNames())
+	if len(wrong) > 0 || p.AccountHeader != AccountIsTenant {
 		return wrong
 	}
 	// Hazard: what is wrong is part of what is agreed on, and must stand in one order everywhere.
@@ -224,10 +234,10 @@
 				"are tenants; name a header with account = \"X-Account\", or the tenant", account))
 		}
 	}
-	for _, account := range slices.Sorted(maps.Keys(p.Accounts)) {
+	for _, account := range slices.Sorted(maps.Keys(p.AccountLimits)) {
 		unknown(account)
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(p.Classes), func(a, b Key) int {
+	for _, k := range slices.SortedFunc(maps.Keys(p.ClassLimits), func(a, b Key) int {
 		return strings.Compare(a.String(), b.String())
 	}) {
 		unknown(k.Account)
--- a/internal/cluster/ratelimit/story_test.go
+++ b/internal/cluster/ratelimit/simulation_test.go
@@ -48,12 +48,12 @@
 	w         *world
 	id        uint64
 	life      int
-	seat      placement.Seat
+	seat      placement.Session
 	up        bool
 	stalled   time.Duration // until when
 	pace      float64
 	begun     time.Duration
-	front     *Front
+	front     *Limiter
 	authority *Authority
 	applied   int // views
 	until     time.Duration
@@ -99,8 +99,8 @@
 	n.up, n.stalled, n.until = true, 0, 0
 	n.begun = n.w.now - time.Duration(n.w.rng.Int64N(int64(time.Second)))
 	n.w.epoch++
-	n.seat = placement.Seat{Member: n.id, Epoch: n.w.epoch}
-	n.front, n.authority = NewFront(n.clock()), NewAuthority()
+	n.seat = placement.Session{Member: n.id, Epoch: n.w.epoch}
+	n.front, n.authority = NewLimiter(n.clock()), NewAuthority()
 	n.front.Configure(n.clock(), n.w.policy)
 	n.authority.Configure(n.clock(), n.w.policy)
 	n.applied = max(len(n.w.log)-1, 0) // a snapshot: earlier views are not told
@@ -113,31 +113,31 @@
 	words, lefts := n.front.Tick(now)
 	for _, owner := range inOrder(words) {
 		asks := words[owner]
-		n.send(owner, func(to *node, from placement.Seat) {
+		n.send(owner, func(to *node, from placement.Session) {
 			if to.seat != owner {
 				return
 			}
 			for _, a := range asks {
-				to.authority.Hear(to.clock(), from, a)
+				to.authority.ReceiveRequest(to.clock(), from, a)
 			}
 		})
 	}
 	for _, owner := range inOrder(lefts) {
 		for _, l := range lefts[owner] {
-			n.send(owner, func(to *node, from placement.Seat) {
+			n.send(owner, func(to *node, from placement.Session) {
 				if to.seat == owner {
-					to.authority.Leave(to.clock(), from, l)
+					to.authority.ReceiveDrainConfirmation(to.clock(), from, l)
 				}
 			})
 		}
 	}
-	cessions := n.authority.Cessions()
+	cessions := n.authority.PendingTransfers()
 	for _, seat := range inOrder(cessions) {
 		c := *cessions[seat]
-		n.send(seat, func(to *node, from placement.Seat) {
+		n.send(seat, func(to *node, from placement.Session) {
 			c := c
 			if c.Shards = maps.Clone(c.Shards); to.seat == seat {
-				to.authority.Take(to.clock(), &c)
+				to.authority.ReceiveTransfer(to.clock(), &c)
 			}
 		})
 	}
@@ -146,26 +146,26 @@
 		n.covered(answers)
 		for _, seat := range inOrder(answers) {
 			grants := answers[seat]
-			n.send(seat, func(to *node, from placement.Seat) {
+			n.send(seat, func(to *node, from placement.Session) {
 				for _, g := range grants {
 					if to.seat == seat {
-						to.front.Granted(to.clock(), from, g)
+						to.front.ReceiveGrant(to.clock(), from, g)
 					}
 				}
 			})
 		}
 	}
-	n.on(n.w.policy.Tick, n.tick)
+	n.on(n.w.policy.TickInterval, n.tick)
 }
 
 // inOrder gives the keys in an order that does not depend on the run.
-func inOrder[V any](m map[placement.Seat]V) []placement.Seat {
-	return slices.SortedFunc(maps.Keys(m), func(a, b placement.Seat) int {
+func inOrder[V any](m map[placement.Session]V) []placement.Session {
+	return slices.SortedFunc(maps.Keys(m), func(a, b placement.Session) int {
 		return cmp.Or(cmp.Compare(a.Member, b.Member), cmp.Compare(a.Epoch, b.Epoch))
 	})
 }
 
-func (n *node) send(seat placement.Seat, f func(to *node, from placement.Seat)) {
+func (n *node) send(seat placement.Session, f func(to *node, from placement.Session)) {
 	w, from := n.w, n.seat
 	for _, to := range w.nodes {
 		if to.id != seat.Member {
@@ -207,15 +207,15 @@
 	}
 	for ; n.applied < upTo; n.applied++ {
 		v := w.log[n.applied]
-		own := placement.Seat{}
+		own := placement.Session{}
 		for _, m := range v.Members {
-			if m.Seat == n.seat {
-				own = m.Seat
+			if m.Session == n.seat {
+				own = m.Session
 			}
 		}
-		t := placement.Of(v)
-		n.front.View(n.clock(), t, own)
-		n.authority.View(n.clock(), t, own, w.lease, false)
+		t := placement.NewTable(v)
+		n.front.SetView(n.clock(), t, own)
+		n.authority.SetView(n.clock(), t, own, w.lease, false)
 	}
 	if n.applied == len(w.log) && w.seated(n) && !n.mute {
 		n.granted = w.now
@@ -224,21 +224,21 @@
 }
 
 // agree makes a new view of who is up; one that dies or is cut leaves when its lease has surely run out.
-func (w *world) agree(members []placement.Member, over ...placement.Seat) {
-	w.view = placement.View{Number: uint64(len(w.log) + 1), Members: members, Over: over}
+func (w *world) agree(members []placement.Member, over ...placement.Session) {
+	w.view = placement.View{Number: uint64(len(w.log) + 1), Members: members, Expired: over}
 	slices.SortFunc(w.view.Members, func(a, b placement.Member) int { return int(a.Member) - int(b.Member) })
 	w.log = append(w.log, w.view)
 }
 
 // join opens a session; of a process that is no more, the one before has surely ended.
 func (w *world) join(n *node) {
-	var over []placement.Seat
+	var over []placement.Session
 	for _, m := range w.view.Members {
 		if m.Member == n.id {
-			over = append(over, m.Seat)
+			over = append(over, m.Session)
 		}
 	}
-	w.agree(append(w.others(n), placement.Member{Seat: n.seat}), over...)
+	w.agree(append(w.others(n), placement.Member{Session: n.seat}), over...)
 }
 
 func (w *world) others(n *node) []placement.Member {
@@ -248,10 +248,10 @@
 
 // seated says whether a node's session is in the view that was agreed last.
 func (w *world) seated(n *node) bool {
-	return slices.ContainsFunc(w.view.Members, func(m placement.Member) bool { return m.Seat == n.seat })
+	return slices.ContainsFunc(w.view.Members, func(m placement.Member) bool { return m.Session == n.seat })
 }
 
-func (w *world) leave(n *node, over ...placement.Seat) { w.agree(w.others(n), over...) }
+func (w *world) leave(n *node, over ...placement.Session) { w.agree(w.others(n), over...) }
 
 // call is a client's call at a front. A front admits only under a lease, as the gate has it.
 func (n *node) call(account, class string) bool {
@@ -259,11 +259,11 @@
 	if !n.up || n.stalled > w.now || now >= n.until {
 		return false
 	}
-	_, ok := n.front.Take(now, account, class)
+	_, ok := n.front.Admit(now, account, class)
 	if ok {
 		w.acts++
 		for _, k := range []Key{{Account: account}, {account, class}} {
-			if _, limited := w.policy.Of(k); limited {
+			if _, limited := w.policy.LimitOf(k); limited {
 				w.spent[k] = append(w.spent[k], w.now)
 				w.truth(k).level--
 			}
@@ -276,7 +276,7 @@
 // so fast.
 func (w *world) audit(pace float64) string {
 	for k, times := range w.spent {
-		l, _ := w.policy.Of(k)
+		l, _ := w.policy.LimitOf(k)
 		level, last := l.Burst, time.Duration(0)
 		for i, at := range times {
 			level = min(l.Burst, level+l.Rate*pace*(at-last).Seconds()) - 1
@@ -299,7 +299,7 @@
 	if seed%4 > 1 {
 		words["term"] = "2s" // slices outlive the lease of who has lent them
 	}
-	p, wrong := ReadPolicy(words, []string{"x", "y"})
+	p, wrong := ParsePolicy(words, []string{"x", "y"})
 	if len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
@@ -352,9 +352,11 @@
 	// Whoever does not renew its lease is out of the view when that has surely run out.
 	lapse := func() {
 		seat := n.seat
-		w.at(rollout.Wait(w.lease), func() {
-			if slices.ContainsFunc(w.view.Members, func(m placement.Member) bool { return m.Seat == seat }) &&
-				(n.cut || n.mute || !n.up || n.stalled > w.now) && w.now-n.granted >= rollout.Wait(w.lease) {
+		w.at(rollout.ExpiryWait(w.lease), func() {
+			if slices.ContainsFunc(w.view.Members,
+				func(m placement.Member) bool { return m.Session == seat }) &&
+				(n.cut || n.mute || !n.up || n.stalled > w.now) &&
+				w.now-n.granted >= rollout.ExpiryWait(w.lease) {
 				w.leave(n, seat)
 			}
 		})
@@ -432,7 +434,7 @@
 		return
 	}
 	w.epoch++
-	n.seat, n.until = placement.Seat{Member: n.id, Epoch: w.epoch}, 0
+	n.seat, n.until = placement.Session{Member: n.id, Epoch: w.epoch}, 0
 	w.join(n)
 }
 
@@ -485,18 +487,20 @@
 // slice of the one before it has ended at its front.
 func TestWaitsAreLongEnough(t *testing.T) {
 	const lease = 500 * time.Millisecond
-	p, _ := ReadPolicy(section, []string{"x"})
+	p, _ := ParsePolicy(section, []string{"x"})
 	real := func(d time.Duration, pace float64) time.Duration { return time.Duration(float64(d) / pace) }
 	for _, before := range []float64{0.6, 1, 1.4} {
 		for _, front := range []float64{0.6, 1, 1.4} {
 			for _, after := range []float64{0.6, 1, 1.4} {
 				// The lease was asked for just before the shard went to another, the last slice at its end.
-				end := real(lease, before) + real(p.Term, front)
+				end := real(lease, before) + real(p.GrantDuration, front)
 				a := NewAuthority()
 				a.Configure(0, p)
-				v := placement.View{Members: []placement.Member{{Seat: placement.Seat{Member: 1, Epoch: 1}}}}
-				a.View(0, placement.Of(v), v.Members[0].Seat, lease, false)
-				if from := real(a.free("a"), after); from < end {
+				v := placement.View{
+					Members: []placement.Member{{Session: placement.Session{Member: 1, Epoch: 1}}},
+				}
+				a.SetView(0, placement.NewTable(v), v.Members[0].Session, lease, false)
+				if from := real(a.lendableFrom("a"), after); from < end {
 					t.Errorf("paces %v, %v, %v: lent from %v on, the last slice ends at %v", before, front,
 						after, from, end)
 				}
--- a/internal/cluster/rollingrestart/explore_test.go
+++ b/internal/cluster/rollingrestart/modelcheck_test.go
@@ -48,7 +48,7 @@
 
 var seed = maphash.MakeSeed()
 
-func (m *model) Wrong() string { return m.wrong }
+func (m *model) Violation() string { return m.wrong }
 
 func (m *model) Key() uint64 {
 	b, _ := json.Marshal(m.plan)
@@ -72,21 +72,22 @@
 	return maphash.String(seed, text)
 }
 
-func (m *model) seen() (list []Seen) {
+func (m *model) seen() (list []InstanceStatus) {
 	for k, n := range m.nodes {
-		list = append(list, Seen{Member: uint64(k + 1), Name: fmt.Sprint("n", k+1), Voter: true,
-			Life: n.Session, Well: n.Up && n.Session == n.Life, Why: "down", Last: k == 0})
+		list = append(list, InstanceStatus{Member: uint64(k + 1), Name: fmt.Sprint("n", k+1), Voter: true,
+			Incarnation: n.Session, Healthy: n.Up && n.Session == n.Life, Reason: "down",
+			RestartLast: k == 0})
 	}
 	return list
 }
 
-func (m *model) Next() (steps []modelcheck.Step[*model]) {
+func (m *model) Transitions() (steps []modelcheck.Transition[*model]) {
 	event := func(what string, left int, do func(c *model)) {
 		if left > 0 {
 			c := *m
 			do(&c)
 			c.look()
-			steps = append(steps, modelcheck.Step[*model]{What: what, After: &c})
+			steps = append(steps, modelcheck.Transition[*model]{Event: what, State: &c})
 		}
 	}
 	for k := range m.left.minds {
@@ -94,11 +95,11 @@
 		if !x.waits {
 			// It has waited for as long as an instance has, or not at all.
 			for _, patient := range []bool{true, false} {
-				c := NewConductor()
+				c := NewController()
 				if c.rolling = true; !patient {
-					c.Look(0, m.plan, m.seen())
+					c.Reconcile(0, m.plan, m.seen())
 				}
-				if p, changed := c.Look(time.Hour, m.plan, m.seen()); changed {
+				if p, changed := c.Reconcile(time.Hour, m.plan, m.seen()); changed {
 					what := fmt.Sprint("conductor ", k, " looks: ", p.Progress())
 					event(what, m.left.looks, func(c *model) {
 						c.left.looks--
@@ -121,7 +122,7 @@
 		if n.Up && n.Read < m.turn {
 			event(name+" reads the next plan", 1, func(c *model) {
 				x := &c.nodes[k]
-				if x.Read++; c.notes[x.Read].Go(uint64(k+1), x.Life) {
+				if x.Read++; c.notes[x.Read].MustRestart(uint64(k+1), x.Life) {
 					x.Up, x.Rolled, x.Goes = false, true, x.Goes+1
 				}
 			})
@@ -166,14 +167,14 @@
 		if n.Goes > most {
 			m.wrong = fmt.Sprintf("n%d went %d times", k+1, n.Goes)
 		}
-		if m.plan.Standing == Done && !m.plan.Undo && n.Life == uint64(k+1) {
+		if m.plan.Status == Done && !m.plan.Undo && n.Life == uint64(k+1) {
 			m.wrong = fmt.Sprintf("done, and n%d is the process that it was", k+1)
 		}
 	}
-	if down > m.plan.Out || m.plan.count(Out) > m.plan.Out {
-		m.wrong = fmt.Sprintf("%d are out, and %d to go", down, m.plan.count(Out))
+	if down > m.plan.MaxUnavailable || m.plan.count(Restarting) > m.plan.MaxUnavailable {
+		m.wrong = fmt.Sprintf("%d are out, and %d to go", down, m.plan.count(Restarting))
 	}
-	if m.plan.Standing == Done && !m.plan.Undo && m.plan.count(Back) < 3 {
+	if m.plan.Status == Done && !m.plan.Undo && m.plan.count(Restarted) < 3 {
 		m.wrong = "done, and not all are back: " + m.plan.Progress()
 	}
 }
@@ -197,14 +198,15 @@
 			members = append(members, Member{ID: uint64(k + 1), Name: fmt.Sprint("n", k+1), Voter: true})
 		}
 		var err error
-		if m.plan, err = Start(Plan{}, Wish{Out: 1, Within: time.Minute}, members); err != nil {
+		if m.plan, err = Start(Plan{}, Options{MaxUnavailable: 1, Timeout: time.Minute},
+			members); err != nil {
 			t.Fatal(err)
 		}
 		m.notes = []Plan{m.plan}
-		r := modelcheck.All(m, *states)
-		t.Logf("%s: %d states, whole: %v", name, r.States, r.Whole)
-		if r.Wrong != "" {
-			t.Errorf("%s: %s:\n%s", name, r.Wrong, strings.Join(r.Way, "\n"))
+		r := modelcheck.Check(m, *states)
+		t.Logf("%s: %d states, whole: %v", name, r.States, r.Complete)
+		if r.Violation != "" {
+			t.Errorf("%s: %s:\n%s", name, r.Violation, strings.Join(r.Trace, "\n"))
 		}
 	}
 }
@@ -213,116 +215,129 @@
 // it halts and says why, and a resume goes on.
 func TestARollOfFive(t *testing.T) {
 	var members []Member
-	var seen []Seen
+	var seen []InstanceStatus
 	for k := range uint64(5) {
 		name, zone := fmt.Sprint("n", k+1), fmt.Sprint("z", k%2)
 		members = append(members, Member{k + 1, name, zone, true})
-		seen = append(seen, Seen{Member: k + 1, Name: name, Zone: zone, Voter: true, Life: k + 1, Well: true,
-			Last: k == 0})
+		seen = append(
+			seen,
+			InstanceStatus{
+				Member:      k + 1,
+				Name:        name,
+				Zone:        zone,
+				Voter:       true,
+				Incarnation: k + 1,
+				Healthy:     true,
+				RestartLast: k == 0,
+			},
+		)
 	}
-	p, err := Start(Plan{}, Wish{Out: 2, Within: time.Minute}, members)
+	p, err := Start(Plan{}, Options{MaxUnavailable: 2, Timeout: time.Minute}, members)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, order := NewConductor(), []string{}
-	for now := time.Duration(0); p.Standing == Rolling; now += time.Second {
-		p, _ = c.Look(now, p, seen)
-		if n := p.count(Out); n > 2 {
+	c, order := NewController(), []string{}
+	for now := time.Duration(0); p.Status == Rolling; now += time.Second {
+		p, _ = c.Reconcile(now, p, seen)
+		if n := p.count(Restarting); n > 2 {
 			t.Fatalf("%d are out", n)
 		}
 		for i, s := range p.Steps {
-			k := slices.IndexFunc(seen, func(x Seen) bool { return x.Member == s.Member })
+			k := slices.IndexFunc(seen, func(x InstanceStatus) bool { return x.Member == s.Member })
 			switch x := &seen[k]; {
-			case s.Phase == Out && x.Life == s.Life && s.Name != "n4":
+			case s.Phase == Restarting && x.Incarnation == s.Incarnation && s.Name != "n4":
 				order = append(order, s.Name)
-				x.Life += 100
-			case s.Phase == Out && s.Name == "n4":
-				x.Well, x.Life, x.Why = false, 0, "it has no session"
+				x.Incarnation += 100
+			case s.Phase == Restarting && s.Name == "n4":
+				x.Healthy, x.Incarnation, x.Reason = false, 0, "it has no session"
 				_ = i
 			}
 		}
 	}
-	if p.Standing != Halted || p.Why != "n4 is not back within 1m0s: it has no session" {
+	if p.Status != Halted || p.HaltReason != "n4 is not back within 1m0s: it has no session" {
 		t.Fatalf("it is %s", p.Progress())
 	}
 	if p, err = Resume(p); err != nil {
 		t.Fatal(err)
 	}
-	if p, _ = c.Look(30*time.Minute, p, seen); p.Standing != Rolling {
+	if p, _ = c.Reconcile(30*time.Minute, p, seen); p.Status != Rolling {
 		t.Fatalf("as soon as it goes on it is %s", p.Progress())
 	}
-	seen[3].Well, seen[3].Life = true, 104
-	for now := time.Hour; p.Standing == Rolling && now < 2*time.Hour; now += time.Second {
-		p, _ = c.Look(now, p, seen)
+	seen[3].Healthy, seen[3].Incarnation = true, 104
+	for now := time.Hour; p.Status == Rolling && now < 2*time.Hour; now += time.Second {
+		p, _ = c.Reconcile(now, p, seen)
 		for k := range seen {
-			if p.Go(seen[k].Member, seen[k].Life) {
+			if p.MustRestart(seen[k].Member, seen[k].Incarnation) {
 				order = append(order, seen[k].Name)
-				seen[k].Life += 100
+				seen[k].Incarnation += 100
 			}
 		}
 	}
-	if p.Standing != Done || order[len(order)-1] != "n1" || len(order) != 4 {
+	if p.Status != Done || order[len(order)-1] != "n1" || len(order) != 4 {
 		t.Errorf("%s, in the order of %v", p.Progress(), order)
 	}
 }
 
 // Who may be taken out, and why not, by what is seen of the others.
 func TestWhoMayBeTakenOut(t *testing.T) {
-	down := func(who ...int) func([]Seen) {
-		return func(s []Seen) {
+	down := func(who ...int) func([]InstanceStatus) {
+		return func(s []InstanceStatus) {
 			for _, k := range who {
-				s[k].Well, s[k].Life, s[k].Why = false, 0, "silent"
+				s[k].Healthy, s[k].Incarnation, s[k].Reason = false, 0, "silent"
 			}
 		}
 	}
 	for name, x := range map[string]struct {
 		out  int
-		seen func(s []Seen) // of n1 to n5, in the zones a, a, b, b, b
-		want string         // who goes, or why nobody does
+		seen func(s []InstanceStatus) // of n1 to n5, in the zones a, a, b, b, b
+		want string                   // who goes, or why nobody does
 	}{
-		"all are well":    {1, func([]Seen) {}, "n1"},
-		"the leader last": {1, func(s []Seen) { s[0].Last = true }, "n2"},
+		"all are well":    {1, func([]InstanceStatus) {}, "n1"},
+		"the leader last": {1, func(s []InstanceStatus) { s[0].RestartLast = true }, "n2"},
 		"another is down": {1, down(4), "n5 is not well: silent"},
 		"two may be out":  {2, down(4), "n1"},
 		"two are down":    {2, down(3, 4), "n5 is not well: silent"},
-		"its fronts hang": {1, func(s []Seen) { s[3].Well = false }, "n4"},
+		"its fronts hang": {1, func(s []InstanceStatus) { s[3].Healthy = false }, "n4"},
 		"no majority":     {4, down(3, 4), "without n1 only 2 of 5 voters"},
-		"one without a vote": {4, func(s []Seen) {
+		"one without a vote": {4, func(s []InstanceStatus) {
 			down(3, 4)(s)
 			s[0].Voter = false
 		}, "n1"},
 		"the last of its zone": {2, down(1), "n3"},
-		"the lasts of zones": {3, func(s []Seen) {
+		"the lasts of zones": {3, func(s []InstanceStatus) {
 			down(1, 3)(s)
 			s[2].Zone, s[4].Zone, s[0].Voter = "c", "d", false
 		}, "n1 is the last of zone a that is well"},
 	} {
 		var members []Member
-		var seen []Seen
+		var seen []InstanceStatus
 		for k := range uint64(5) {
 			n, zone := fmt.Sprint("n", k+1), []string{"a", "a", "b", "b", "b"}[k]
 			members = append(members, Member{k + 1, n, zone, true})
-			seen = append(seen, Seen{Member: k + 1, Name: n, Zone: zone, Voter: true, Life: k + 1,
-				Well: true})
+			seen = append(
+				seen,
+				InstanceStatus{Member: k + 1, Name: n, Zone: zone, Voter: true, Incarnation: k + 1,
+					Healthy: true},
+			)
 		}
-		p, err := Start(Plan{}, Wish{Out: x.out, Within: time.Second}, members)
+		p, err := Start(Plan{}, Options{MaxUnavailable: x.out, Timeout: time.Second}, members)
 		if err != nil {
 			t.Fatal(err)
 		}
 		x.seen(seen)
-		c, got := NewConductor(), ""
+		c, got := NewController(), ""
 		for now := time.Duration(0); got == "" && now < time.Minute; now += time.Second {
-			p, _ = c.Look(now, p, seen)
+			p, _ = c.Reconcile(now, p, seen)
 			for _, s := range p.Steps {
-				if s.Phase == Out {
+				if s.Phase == Restarting {
 					got = s.Name
 				}
 			}
-			got = cmp.Or(got, p.Why)
+			got = cmp.Or(got, p.HaltReason)
 		}
 		for now := time.Duration(0); now < time.Second; now += 100 * time.Millisecond {
-			if p, _ = c.Look(now, p, seen); p.count(Out) > x.out {
-				t.Errorf("%s: %d are out", name, p.count(Out))
+			if p, _ = c.Reconcile(now, p, seen); p.count(Restarting) > x.out {
+				t.Errorf("%s: %d are out", name, p.count(Restarting))
 			}
 		}
 		if !strings.HasPrefix(got, x.want) {
@@ -333,27 +348,27 @@
 
 func TestWishesThatCanNotBeMet(t *testing.T) {
 	three := []Member{{1, "n1", "a", true}, {2, "n2", "a", true}, {3, "n3", "b", true}}
-	good := Wish{Out: 1, Within: time.Minute, Alone: true}
+	good := Options{MaxUnavailable: 1, Timeout: time.Minute, AllowLastInZone: true}
 	under, err := Start(Plan{}, good, three)
 	if err != nil {
 		t.Fatal(err)
 	}
-	with := func(do func(*Wish)) Wish {
+	with := func(do func(*Options)) Options {
 		w := good
 		do(&w)
 		return w
 	}
-	begin := func(do func(*Wish)) func() (Plan, error) {
+	begin := func(do func(*Options)) func() (Plan, error) {
 		return func() (Plan, error) { return Start(Plan{}, with(do), three) }
 	}
 	for want, try := range map[string]func() (Plan, error){
-		"is the only instance of zone b": begin(func(w *Wish) { w.Alone = false }),
+		"is the only instance of zone b": begin(func(w *Options) { w.AllowLastInZone = false }),
 		"without n1 there is no majority of 2": func() (Plan, error) {
 			return Start(Plan{}, good, three[:2])
 		},
-		`no instance "n9"; n1, n2, n3 are`:         begin(func(w *Wish) { w.Only = []string{"n9"} }),
-		"0 at once is none":                        begin(func(w *Wish) { w.Out = 0 }),
-		"not a time from 1s to 24h":                begin(func(w *Wish) { w.Within = 0 }),
+		`no instance "n9"; n1, n2, n3 are`:         begin(func(w *Options) { w.Instances = []string{"n9"} }),
+		"0 at once is none":                        begin(func(w *Options) { w.MaxUnavailable = 0 }),
+		"not a time from 1s to 24h":                begin(func(w *Options) { w.Timeout = 0 }),
 		"is rolling: 0 back, 0 out, 3 to go":       func() (Plan, error) { return Start(under, good, three) },
 		"nothing is to be resumed":                 func() (Plan, error) { return Resume(under) },
 		"nothing is to be stopped: nothing is und": func() (Plan, error) { return Stop(Plan{}) },
--- a/internal/cluster/rollingrestart/conduct.go
+++ b/internal/cluster/rollingrestart/plan.go
@@ -24,19 +24,19 @@
 // maxWhy is how much of a reason is kept.
 const maxWhy = 200
 
-// MaxNote is how long a plan may be, in bytes: that of a duty's note.
-const MaxNote = 4096
+// MaxPlanBytes is how long a plan may be, in bytes: that of a duty's note.
+const MaxPlanBytes = 4096
 
 // Phase is how far an instance is.
 type Phase uint8
 
 // The phases of an instance.
 const (
-	Waits Phase = iota
-	Out         // its process is to go, and another to come
-	Back        // another process is there, and well
-	Gone        // it belongs to the group no more
-	Left        // it stays as it is: an undo came before it
+	Waiting    Phase = iota
+	Restarting       // its process is to go, and another to come
+	Restarted        // another process is there, and well
+	Removed          // it belongs to the group no more
+	Skipped          // it stays as it is: an undo came before it
 )
 
 func (p Phase) String() string {
@@ -45,39 +45,39 @@
 
 // Step is an instance of a plan.
 type Step struct {
-	Member uint64 `json:"m"`
-	Name   string `json:"n"`
-	Zone   string `json:"z,omitempty"`
-	Phase  Phase  `json:"p,omitempty"`
-	Life   uint64 `json:"l,omitempty"` // of the process that is to go
-	Again  bool   `json:"a,omitempty"` // once it is back it is to be taken out again: undone meanwhile
+	Member       uint64 `json:"m"`
+	Name         string `json:"n"`
+	Zone         string `json:"z,omitempty"`
+	Phase        Phase  `json:"p,omitempty"`
+	Incarnation  uint64 `json:"l,omitempty"` // of the process that is to go
+	RestartAgain bool   `json:"a,omitempty"` // once it is back it is to be taken out again: undone meanwhile
 }
 
-// Standing is how a plan stands.
-type Standing string
+// Status is how a plan stands.
+type Status string
 
 // The standings of a plan.
 const (
-	Rolling Standing = "rolling"
-	Stopped Standing = "stopped" // an operator's wish: nobody else is taken out
-	Halted  Standing = "halted"  // something is in the way
-	Done    Standing = "done"
+	Rolling Status = "rolling"
+	Stopped Status = "stopped" // an operator's wish: nobody else is taken out
+	Halted  Status = "halted"  // something is in the way
+	Done    Status = "done"
 )
 
 // Plan is a rolling restart. The zero Plan is none.
 type Plan struct {
-	By       string        `json:"by,omitempty"`
-	Out      int           `json:"out"`             // at the most, at once
-	Within   time.Duration `json:"within"`          // in which an instance that is out has to be back
-	Alone    bool          `json:"alone,omitempty"` // also the only instance of a zone
-	Undo     bool          `json:"undo,omitempty"`
-	Standing Standing      `json:"standing,omitempty"`
-	Why      string        `json:"why,omitempty"` // it is halted
-	Steps    []Step        `json:"steps,omitempty"`
+	Author          string        `json:"by,omitempty"`
+	MaxUnavailable  int           `json:"out"`             // at the most, at once
+	Timeout         time.Duration `json:"within"`          // in which an instance that is out has to be back
+	AllowLastInZone bool          `json:"alone,omitempty"` // also the only instance of a zone
+	Undo            bool          `json:"undo,omitempty"`
+	Status          Status        `json:"standing,omitempty"`
+	HaltReason      string        `json:"why,omitempty"` // it is halted
+	Steps           []Step        `json:"steps,omitempty"`
 }
 
-// Read reads a note; an empty one is no plan.
-func Read(note []byte) (p Plan, err error) {
+// DecodePlan reads a note; an empty one is no plan.
+func DecodePlan(note []byte) (p Plan, err error) {
 	if len(note) == 0 {
 		return p, nil
 	}
@@ -87,23 +87,23 @@
 	return p, nil
 }
 
-// Note is what is to be noted.
-func (p Plan) Note() ([]byte, error) {
+// Encode is what is to be noted.
+func (p Plan) Encode() ([]byte, error) {
 	b, err := json.Marshal(p)
-	if err == nil && len(b) > MaxNote {
+	if err == nil && len(b) > MaxPlanBytes {
 		err = fmt.Errorf("a plan of %d instances has %d bytes, and a note may have %d: name fewer of them",
-			len(p.Steps), len(b), MaxNote)
+			len(p.Steps), len(b), MaxPlanBytes)
 	}
 	return b, err
 }
 
-// Under says whether there is anything to be done yet.
-func (p Plan) Under() bool { return p.Standing != "" && p.Standing != Done }
+// Active says whether there is anything to be done yet.
+func (p Plan) Active() bool { return p.Status != "" && p.Status != Done }
 
-// Go says whether a process is to go: it is the life that an instance's step is for.
-func (p Plan) Go(member, life uint64) bool {
+// MustRestart says whether a process is to go: it is the life that an instance's step is for.
+func (p Plan) MustRestart(member, life uint64) bool {
 	return slices.ContainsFunc(p.Steps, func(s Step) bool {
-		return s.Member == member && s.Phase == Out && s.Life == life && life != 0
+		return s.Member == member && s.Phase == Restarting && s.Incarnation == life && life != 0
 	})
 }
 
@@ -119,16 +119,21 @@
 
 // Progress is how far it has come, in words.
 func (p Plan) Progress() string {
-	if p.Standing == "" {
+	if p.Status == "" {
 		return "nothing is under way"
 	}
-	text := string(p.Standing)
+	text := string(p.Status)
 	if p.Undo {
 		text += " (undo)"
 	}
-	text += fmt.Sprintf(": %d back, %d out, %d to go", p.count(Back), p.count(Out), p.count(Waits))
-	if p.Why != "" {
-		text += "; " + p.Why
+	text += fmt.Sprintf(
+		": %d back, %d out, %d to go",
+		p.count(Restarted),
+		p.count(Restarting),
+		p.count(Waiting),
+	)
+	if p.HaltReason != "" {
+		text += "; " + p.HaltReason
 	}
 	return text
 }
@@ -141,29 +146,35 @@
 	Voter bool
 }
 
-// Wish is what an operator wants.
-type Wish struct {
-	By     string
-	Out    int
-	Within time.Duration
-	Alone  bool
-	Only   []string // names; none: all
+// Options is what an operator wants.
+type Options struct {
+	Author          string
+	MaxUnavailable  int
+	Timeout         time.Duration
+	AllowLastInZone bool
+	Instances       []string // names; none: all
 }
 
 // Start begins a plan, or says why it can't be kept.
-func Start(now Plan, w Wish, members []Member) (Plan, error) {
-	if now.Under() && (now.Standing != Stopped || now.count(Out) > 0) {
-		return now, fmt.Errorf("a rolling restart by %s is %s; undo or finish that first", now.By,
+func Start(now Plan, w Options, members []Member) (Plan, error) {
+	if now.Active() && (now.Status != Stopped || now.count(Restarting) > 0) {
+		return now, fmt.Errorf("a rolling restart by %s is %s; undo or finish that first", now.Author,
 			now.Progress())
 	}
-	if w.Out < 1 {
-		return now, fmt.Errorf("%d at once is none: 1 or more are wanted", w.Out)
+	if w.MaxUnavailable < 1 {
+		return now, fmt.Errorf("%d at once is none: 1 or more are wanted", w.MaxUnavailable)
 	}
-	if w.Within < time.Second || w.Within > 24*time.Hour {
+	if w.Timeout < time.Second || w.Timeout > 24*time.Hour {
 		return now, fmt.Errorf("%v is not a time from 1s to 24h in which an instance has to be back",
-			w.Within)
+			w.Timeout)
+	}
+	p := Plan{
+		Author:          w.Author,
+		MaxUnavailable:  w.MaxUnavailable,
+		Timeout:         w.Timeout,
+		AllowLastInZone: w.AllowLastInZone,
+		Status:          Rolling,
 	}
-	p := Plan{By: w.By, Out: w.Out, Within: w.Within, Alone: w.Alone, Standing: Rolling}
 	voters, zones, names := 0, map[string][]string{}, []string{}
 	for _, m := range members {
 		if m.Voter {
@@ -173,20 +184,20 @@
 		names = append(names, m.Name)
 	}
 	slices.Sort(names)
-	for _, n := range w.Only {
+	for _, n := range w.Instances {
 		if !slices.Contains(names, n) {
 			return now, fmt.Errorf("the group has no instance %q; %s are", n, strings.Join(names, ", "))
 		}
 	}
 	for _, m := range members {
-		if len(w.Only) > 0 && !slices.Contains(w.Only, m.Name) {
+		if len(w.Instances) > 0 && !slices.Contains(w.Instances, m.Name) {
 			continue
 		}
 		if m.Voter && voters-1 < majority(voters) {
 			return now, fmt.Errorf("without %s there is no majority of %d voters: add instances first",
 				m.Name, voters)
 		}
-		if !w.Alone && len(zones) > 1 && len(zones[m.Zone]) == 1 {
+		if !w.AllowLastInZone && len(zones) > 1 && len(zones[m.Zone]) == 1 {
 			return now, fmt.Errorf("%s is the only instance of zone %s: leave it out, or say that this may "+
 				"be (--alone)", m.Name, m.Zone)
 		}
@@ -197,10 +208,11 @@
 	long := p
 	long.Steps = slices.Clone(p.Steps)
 	for i := range long.Steps {
-		long.Steps[i].Phase, long.Steps[i].Life, long.Steps[i].Again = Out, math.MaxUint64, true
+		long.Steps[i].Phase, long.Steps[i].Incarnation, long.Steps[i].RestartAgain = Restarting,
+			math.MaxUint64, true
 	}
-	long.Undo, long.Why = true, strings.Repeat("-", maxWhy)
-	_, err := long.Note()
+	long.Undo, long.HaltReason = true, strings.Repeat("-", maxWhy)
+	_, err := long.Encode()
 	return p, err
 }
 
@@ -208,39 +220,39 @@
 
 // Stop has nobody else be taken out. Who is out is awaited.
 func Stop(p Plan) (Plan, error) {
-	if p.Standing != Rolling && p.Standing != Halted {
+	if p.Status != Rolling && p.Status != Halted {
 		return p, fmt.Errorf("nothing is to be stopped: %s", p.Progress())
 	}
-	p.Standing, p.Why = Stopped, ""
+	p.Status, p.HaltReason = Stopped, ""
 	return p, nil
 }
 
 // Resume goes on with what was stopped or is halted.
 func Resume(p Plan) (Plan, error) {
-	if p.Standing != Stopped && p.Standing != Halted {
+	if p.Status != Stopped && p.Status != Halted {
 		return p, fmt.Errorf("nothing is to be resumed: %s", p.Progress())
 	}
-	p.Standing, p.Why = Rolling, ""
+	p.Status, p.HaltReason = Rolling, ""
 	return p, nil
 }
 
 // Undo has those that were taken out go once more, the last first, so that whoever starts them can start
 // the program that they had; the others stay as they are.
 func Undo(p Plan) (Plan, error) {
-	if p.Standing == "" || p.Undo {
+	if p.Status == "" || p.Undo {
 		return p, fmt.Errorf("nothing is to be undone: %s", p.Progress())
 	}
-	p.Undo, p.Standing, p.Why = true, Rolling, ""
+	p.Undo, p.Status, p.HaltReason = true, Rolling, ""
 	p.Steps = slices.Clone(p.Steps)
 	slices.Reverse(p.Steps)
 	for i := range p.Steps {
 		switch s := &p.Steps[i]; s.Phase {
-		case Waits:
-			s.Phase = Left
-		case Out:
-			s.Again = true // Hazard: whether it has gone yet nobody knows
-		case Back:
-			s.Phase, s.Life = Waits, 0
+		case Waiting:
+			s.Phase = Skipped
+		case Restarting:
+			s.RestartAgain = true // Hazard: whether it has gone yet nobody knows
+		case Restarted:
+			s.Phase, s.Incarnation = Waiting, 0
 		}
 	}
 	return p, nil
--- a/internal/cluster/rollout/explore_test.go
+++ b/internal/cluster/rollout/model_test.go
@@ -26,7 +26,12 @@
 	slower = 2500 * time.Millisecond
 )
 
-var exploredPolicy = Policy{CutOff: ByLease, Lease: 2 * step, StageWithin: time.Hour, HoldWithin: 3 * step}
+var exploredPolicy = Policy{
+	WhenIsolated:      StopAtLeaseExpiry,
+	Lease:             2 * step,
+	StagingTimeout:    time.Hour,
+	MaxAdmissionPause: 3 * step,
+}
 
 // longestHold is long enough for a lease to have surely run out, and for a change to be tried twice.
 const longestHold = 7 * step
@@ -50,7 +55,7 @@
 	case b.broken == "front open before the policy is known" && n.early:
 		return true
 	}
-	return n.permit.May(now, n.decided)
+	return n.permit.Admits(now, n.decided)
 }
 
 type entryOf struct {
@@ -59,7 +64,7 @@
 }
 
 type node struct {
-	h       Holder
+	h       LeaseHolder
 	applied int
 	state   *State
 	decided uint64 // revision in force, as applied
@@ -91,7 +96,7 @@
 }
 
 func (s *State) clone() *State {
-	c := &State{Sessions: maps.Clone(s.Sessions), Epoch: s.Epoch}
+	c := &State{Sessions: maps.Clone(s.Sessions), LastEpoch: s.LastEpoch}
 	if s.Pending != nil {
 		p := *s.Pending
 		c.Pending = &p
@@ -137,13 +142,13 @@
 func applyTo(s *State, force *uint64, x entryOf) {
 	if x.change > 0 {
 		if s.Pending == nil {
-			s.Pending = &Pending{Change: fmt.Sprint(x.change), Revision: *force + 1, Phase: Staging,
+			s.Pending = &PendingChange{Change: fmt.Sprint(x.change), Revision: *force + 1, Phase: Staging,
 				Attempt: 1}
 		}
 		return
 	}
 	p := s.Pending
-	if s.Apply(x.c) == nil && x.c.Kind == Decide {
+	if s.Apply(x.c) == nil && x.c.Kind == Commit {
 		*force = p.Revision
 	}
 }
@@ -152,7 +157,10 @@
 	e := &explored{known: NewState(), leader: NewLeader(0, 1), force: 1, nonce: 1,
 		slower: b.broken == "a slower clock"}
 	for i := range b.nodes {
-		e.nodes = append(e.nodes, node{state: NewState(), decided: 1, h: *NewHolder(uint64(i+1), e.nonce)})
+		e.nodes = append(
+			e.nodes,
+			node{state: NewState(), decided: 1, h: *NewLeaseHolder(uint64(i+1), e.nonce)},
+		)
 		e.nonce++
 	}
 	// The stories begin with a group in which all admit.
@@ -191,14 +199,14 @@
 // refresh has a node's fronts go by what its state says, and counts what they might admit.
 func (e *explored) refresh(i int) {
 	n := &e.nodes[i]
-	n.h.Follow(n.state)
+	n.h.ObserveState(n.state)
 	n.early = n.early && n.h.epoch == 0
 	n.permit = n.h.Permit(n.state, n.decided, exploredPolicy)
 	if n.permit.Change != "" {
-		n.h.Closed(n.permit.Change, n.permit.Attempt)
+		n.h.SetAdmissionClosed(n.permit.Change, n.permit.Attempt)
 	}
 	if p := n.state.Pending; p != nil && n.h.staged != p.Change {
-		n.h.Staged(p.Change, nil)
+		n.h.SetStaged(p.Change, nil)
 	}
 }
 
@@ -253,8 +261,8 @@
 				r := *n.report
 				n.report = nil
 				c.catchUp()
-				c.leader.Heard(c.now, r)
-				if g := c.leader.Grant(c.now, r, c.known, exploredPolicy); g.For > 0 {
+				c.leader.ObserveReport(c.now, r)
+				if g := c.leader.Grant(c.now, r, c.known, exploredPolicy); g.Duration > 0 {
 					n.grant = &g
 				}
 			})
@@ -269,9 +277,9 @@
 			add(fmt.Sprint("granted ", i+1), func(c *explored) {
 				n := &c.nodes[i]
 				if b.broken == "lease from the answer" {
-					n.grant.Asked = c.there()
+					n.grant.RequestedAt = c.there()
 				}
-				n.h.Granted(*n.grant)
+				n.h.ObserveGrant(*n.grant)
 				n.grant = nil
 				c.refresh(i)
 			})
@@ -282,7 +290,7 @@
 		if e.crashes < b.crashes {
 			add(fmt.Sprint("crash ", i+1), func(c *explored) {
 				n := &c.nodes[i]
-				n.h = *NewHolder(uint64(i+1), c.nonce)
+				n.h = *NewLeaseHolder(uint64(i+1), c.nonce)
 				c.nonce++
 				n.grant = nil // its last report may come yet
 				n.early = true
@@ -306,7 +314,7 @@
 			c.leader = NewLeader(c.now, c.leader.term+1)
 			for i := range c.nodes {
 				c.nodes[i].report = nil
-				c.nodes[i].h.Again()
+				c.nodes[i].h.ReportNow()
 			}
 		})
 	}
@@ -351,15 +359,16 @@
 	e.catchUp()
 	if b.broken == "in force at commit" && e.known.Pending != nil {
 		p := e.known.Pending
-		e.log = append(e.log, entryOf{c: Command{Kind: Hold, Change: p.Change, Attempt: p.Attempt,
-			Seats: e.known.Seats()}}, entryOf{c: Command{Kind: Decide, Change: p.Change, Attempt: p.Attempt,
-			Seats: e.known.Seats()}})
+		e.log = append(e.log, entryOf{c: Command{Kind: CloseAdmission, Change: p.Change, Attempt: p.Attempt,
+			Sessions: e.known.OpenSessions()}}, entryOf{c: Command{Kind: Commit, Change: p.Change,
+			Attempt:  p.Attempt,
+			Sessions: e.known.OpenSessions()}})
 	}
-	if p := e.known.Pending; b.broken == "evidence of nobody" && p != nil && p.Phase == Holding {
-		e.log = append(e.log, entryOf{c: Command{Kind: Decide, Change: p.Change, Attempt: p.Attempt,
-			Seats: e.known.Seats()}})
+	if p := e.known.Pending; b.broken == "evidence of nobody" && p != nil && p.Phase == ClosingAdmission {
+		e.log = append(e.log, entryOf{c: Command{Kind: Commit, Change: p.Change, Attempt: p.Attempt,
+			Sessions: e.known.OpenSessions()}})
 	}
-	for _, c := range e.leader.Look(e.now, e.known, exploredPolicy, b.names()) {
+	for _, c := range e.leader.Evaluate(e.now, e.known, exploredPolicy, b.names()) {
 		e.log = append(e.log, entryOf{c: c})
 	}
 	e.catchUp()
@@ -369,7 +378,7 @@
 	for i := range e.nodes {
 		n := &e.nodes[i]
 		if n.report == nil && n.grant == nil {
-			if r, due := n.h.Report(e.there(), exploredPolicy); due {
+			if r, due := n.h.NextReport(e.there(), exploredPolicy); due {
 				n.report = &r
 			}
 		}
--- a/internal/cluster/rollout/explore_whole_test.go
+++ b/internal/cluster/rollout/modelcheck_test.go
@@ -76,7 +76,7 @@
 	w.put(a)
 }
 
-func (w *writer) pending(p *Pending) {
+func (w *writer) pending(p *PendingChange) {
 	if p == nil {
 		w.put(255)
 		return
@@ -86,8 +86,8 @@
 }
 
 func (w *writer) report(r Report) {
-	w.put(name(&w.lives, r.Nonce), name(&w.epochs, r.Epoch))
-	w.b = append(append(append(w.b, r.Staged...), '/'), r.Closed...)
+	w.put(name(&w.lives, r.Incarnation), name(&w.epochs, r.Epoch))
+	w.b = append(append(append(w.b, r.StagedChange...), '/'), r.AdmissionClosedFor...)
 	w.attempt(r.Attempt)
 }
 
@@ -103,11 +103,11 @@
 	}
 	if n.report != nil {
 		w.report(*n.report)
-		w.since(n.report.Asked, there, exploredPolicy.Lease)
+		w.since(n.report.RequestedAt, there, exploredPolicy.Lease)
 	}
 	if n.grant != nil {
 		w.put(name(&w.epochs, n.grant.Epoch))
-		w.since(n.grant.Asked, there, exploredPolicy.Lease)
+		w.since(n.grant.RequestedAt, there, exploredPolicy.Lease)
 	}
 	l, s, p := e.leader, e.known.Sessions[uint64(i+1)], e.known.Pending
 	x := l.seats[uint64(i+1)]
@@ -120,15 +120,19 @@
 	w.bits(s.Open, current, asks, s.Open && x.lapsing == s.Epoch, x.epoch == s.Epoch,
 		p != nil && x.heard == e.now, p != nil && x.heard >= l.since)
 	if asks {
-		w.put(name(&w.lives, x.report.Nonce))
+		w.put(name(&w.lives, x.report.Incarnation))
 	}
 	if p != nil && current {
-		w.bits(x.report.Staged == p.Change, x.report.Closed == p.Change, x.report.Attempt == p.Attempt)
+		w.bits(
+			x.report.StagedChange == p.Change,
+			x.report.AdmissionClosedFor == p.Change,
+			x.report.Attempt == p.Attempt,
+		)
 	}
 	if s.Open {
 		w.left(l.expires(s, exploredPolicy), e.now)
 	}
-	w.left(l.began+Wait(exploredPolicy.Lease), e.now)
+	w.left(l.began+ExpiryWait(exploredPolicy.Lease), e.now)
 }
 
 // key tells states apart that are not the same.
@@ -155,16 +159,16 @@
 	for _, i := range order {
 		x := far.state.Sessions[uint64(i+1)]
 		w.bits(x.Open)
-		w.put(name(&w.epochs, x.Epoch), name(&w.lives, x.Nonce))
+		w.put(name(&w.epochs, x.Epoch), name(&w.lives, x.Incarnation))
 	}
 	w.pending(far.state.Pending)
 	w.put(int(far.decided))
 	for _, x := range e.log[far.applied:] {
-		w.put(x.change, int(x.c.Kind), int(w.rank[x.c.Member]), name(&w.lives, x.c.Nonce))
+		w.put(x.change, int(x.c.Kind), int(w.rank[x.c.Member]), name(&w.lives, x.c.Incarnation))
 		w.attempt(x.c.Attempt)
 		// The evidence is a set.
 		var seats [8]int
-		for _, s := range x.c.Seats {
+		for _, s := range x.c.Sessions {
 			seats[w.rank[s.Member]] = name(&w.epochs, s.Epoch)
 		}
 		w.put(seats[:len(order)]...)
@@ -176,7 +180,7 @@
 	}
 	if e.known.Pending != nil {
 		w.pending(&l.pending)
-		w.since(l.since, e.now, exploredPolicy.HoldWithin+time.Second)
+		w.since(l.since, e.now, exploredPolicy.MaxAdmissionPause+time.Second)
 	}
 	return maphash.Bytes(seed, w.b)
 }
@@ -187,12 +191,15 @@
 	b bounds
 }
 
-func (p place) Key() uint64   { return p.key() }
-func (p place) Wrong() string { return p.check(p.b) }
+func (p place) Key() uint64       { return p.key() }
+func (p place) Violation() string { return p.check(p.b) }
 
-func (p place) Next() (list []modelcheck.Step[place]) {
+func (p place) Transitions() (list []modelcheck.Transition[place]) {
 	for _, x := range p.next(p.b) {
-		list = append(list, modelcheck.Step[place]{What: x.what, After: place{p.clone().take(x, p.b), p.b}})
+		list = append(
+			list,
+			modelcheck.Transition[place]{Event: x.what, State: place{p.clone().take(x, p.b), p.b}},
+		)
 	}
 	return list
 }
@@ -214,11 +221,11 @@
 	} {
 		b.whole = true
 		began := time.Now()
-		r := modelcheck.All(place{newExplored(b), b}, *most)
-		if r.Wrong != "" {
-			t.Errorf("%+v: %s:\n%s", b, r.Wrong, strings.Join(r.Way, "\n"))
+		r := modelcheck.Check(place{newExplored(b), b}, *most)
+		if r.Violation != "" {
+			t.Errorf("%+v: %s:\n%s", b, r.Violation, strings.Join(r.Trace, "\n"))
 		}
-		t.Logf("%+v: %d states, all that there are: %v, %v", b, r.States, r.Whole, time.Since(began).Round(
+		t.Logf("%+v: %d states, all that there are: %v, %v", b, r.States, r.Complete, time.Since(began).Round(
 			time.Second/10))
 	}
 }
@@ -231,11 +238,11 @@
 		if broken == "front open before the policy is known" {
 			b.crashes = 1
 		}
-		r := modelcheck.All(place{newExplored(b), b}, 2_000_000)
-		if r.Wrong == "" {
+		r := modelcheck.Check(place{newExplored(b), b}, 2_000_000)
+		if r.Violation == "" {
 			t.Errorf("%s: not found in %d states", broken, r.States)
 			continue
 		}
-		t.Logf("%s: found after %d states, by %d events: %s", broken, r.States, len(r.Way), r.Wrong)
+		t.Logf("%s: found after %d states, by %d events: %s", broken, r.States, len(r.Trace), r.Violation)
 	}
 }
--- a/internal/cluster/rollout/rollout.go
+++ b/internal/cluster/rollout/state.go
@@ -30,9 +30,9 @@
 	fastest = 1.4
 )
 
-// Wait is how long a lease must have been granted for before it has surely run out, whatever
+// ExpiryWait is how long a lease must have been granted for before it has surely run out, whatever
 // the two clocks' paces are.
-func Wait(lease time.Duration) time.Duration {
+func ExpiryWait(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*fastest/slowest*1.05) + time.Millisecond
 }
 
@@ -42,13 +42,13 @@
 // The phases of a change that is neither in force nor withdrawn.
 const (
 	Staging Phase = 1 + iota
-	Holding
+	ClosingAdmission
 )
 
 func (p Phase) String() string { return [...]string{"", "staging", "taking hold"}[min(int(p), 2)] }
 
-// Pending is a change that has been proposed and not decided.
-type Pending struct {
+// PendingChange is a change that has been proposed and not decided.
+type PendingChange struct {
 	Change   string `json:"change"` // its id
 	Revision uint64 `json:"revision"`
 	Phase    Phase  `json:"phase"`
@@ -61,27 +61,27 @@
 	Name   string `json:"name"`
 	// Epoch only grows, over all sessions of the group.
 	Epoch uint64 `json:"epoch"`
-	// Nonce is the life that it was opened for: a process drew it when it started.
-	Nonce uint64 `json:"nonce"`
-	Open  bool   `json:"open"`
-	// Why it is not open.
-	Why string `json:"why,omitempty"`
-	// Loose: the instance may serve without a lease, for it began to before there were any.
+	// Incarnation is the life that it was opened for: a process drew it when it started.
+	Incarnation uint64 `json:"nonce"`
+	Open        bool   `json:"open"`
+	// ClosedReason it is not open.
+	ClosedReason string `json:"why,omitempty"`
+	// Unleased: the instance may serve without a lease, for it began to before there were any.
 	// It can't be counted as over before the instance has been heard of.
-	Loose bool `json:"loose,omitempty"`
+	Unleased bool `json:"loose,omitempty"`
 }
 
-// Seat names a session: an instance and its epoch.
-type Seat struct {
+// SessionID names a session: an instance and its epoch.
+type SessionID struct {
 	Member uint64 `json:"member"`
 	Epoch  uint64 `json:"epoch"`
 }
 
 // State is the agreed part.
 type State struct {
-	Sessions map[uint64]Session
-	Epoch    uint64
-	Pending  *Pending
+	Sessions  map[uint64]Session
+	LastEpoch uint64
+	Pending   *PendingChange
 }
 
 // Kind is what a command does.
@@ -89,14 +89,14 @@
 
 // The kinds of command.
 const (
-	None     Kind = iota
-	Open          // Member may admit, under a new epoch
-	Lapse         // the sessions of Seats have surely ended
-	Hold          // all of Seats have staged the change: cease to admit
-	Decide        // all of Seats have ceased to: the change is in force
-	Reopen        // go on under the old policy, and try again
-	Withdraw      // the change is no more
-	SetAside      // an operator's word that Member does not serve
+	None            Kind = iota
+	OpenSession          // Member may admit, under a new epoch
+	ExpireSessions       // the sessions of Seats have surely ended
+	CloseAdmission       // all of Seats have staged the change: cease to admit
+	Commit               // all of Seats have ceased to: the change is in force
+	ReopenAdmission      // go on under the old policy, and try again
+	Withdraw             // the change is no more
+	SetAside             // an operator's word that Member does not serve
 )
 
 func (k Kind) String() string {
@@ -104,34 +104,34 @@
 		"set aside"}[min(int(k), 7)]
 }
 
-// Judged says whether a command is the leader's judgement. Such a one is void in the log of
+// LeaderDecision says whether a command is the leader's judgement. Such a one is void in the log of
 // another leader than the one that judged.
-func (k Kind) Judged() bool { return k != Withdraw && k != SetAside }
+func (k Kind) LeaderDecision() bool { return k != Withdraw && k != SetAside }
 
 // Command is a step in the agreed log.
 type Command struct {
-	Kind    Kind   `json:"kind"`
-	ID      string `json:"id,omitempty"`   // an operator's, to be answered
-	Term    uint64 `json:"term,omitempty"` // the leader's that judged; 0: an operator's word
-	Change  string `json:"change,omitempty"`
-	Attempt int    `json:"attempt,omitempty"`
-	Member  uint64 `json:"member,omitempty"`
-	Name    string `json:"name,omitempty"`
-	Nonce   uint64 `json:"nonce,omitempty"`
-	Seats   []Seat `json:"seats,omitempty"`
-	Reason  string `json:"reason,omitempty"`
-	AtMS    int64  `json:"at_ms,omitempty"` // told to people, used for nothing
+	Kind        Kind        `json:"kind"`
+	ID          string      `json:"id,omitempty"`   // an operator's, to be answered
+	Term        uint64      `json:"term,omitempty"` // the leader's that judged; 0: an operator's word
+	Change      string      `json:"change,omitempty"`
+	Attempt     int         `json:"attempt,omitempty"`
+	Member      uint64      `json:"member,omitempty"`
+	Name        string      `json:"name,omitempty"`
+	Incarnation uint64      `json:"nonce,omitempty"`
+	Sessions    []SessionID `json:"seats,omitempty"`
+	Reason      string      `json:"reason,omitempty"`
+	AtMS        int64       `json:"at_ms,omitempty"` // told to people, used for nothing
 }
 
 // NewState is the state of a group without sessions.
 func NewState() *State { return &State{Sessions: map[uint64]Session{}} }
 
-// Seats lists the open sessions.
-func (s *State) Seats() []Seat {
-	var list []Seat
+// OpenSessions lists the open sessions.
+func (s *State) OpenSessions() []SessionID {
+	var list []SessionID
 	for _, k := range slices.Sorted(maps.Keys(s.Sessions)) {
 		if x := s.Sessions[k]; x.Open {
-			list = append(list, Seat{x.Member, x.Epoch})
+			list = append(list, SessionID{x.Member, x.Epoch})
 		}
 	}
 	return list
@@ -146,54 +146,62 @@
 
 // covered says whether the evidence names every open session. Hazard: one may have been opened
 // between the leader's look and this entry.
-func (s *State) covered(evidence []Seat) bool {
-	return !slices.ContainsFunc(s.Seats(), func(o Seat) bool { return !slices.Contains(evidence, o) })
+func (s *State) covered(evidence []SessionID) bool {
+	return !slices.ContainsFunc(
+		s.OpenSessions(),
+		func(o SessionID) bool { return !slices.Contains(evidence, o) },
+	)
 }
 
 // Apply applies a command, or says why it does nothing. What became of the pending change is
 // the caller's to act on: on Decide it is in force, on Withdraw it is dropped.
 func (s *State) Apply(c Command) error {
 	p := s.Pending
-	if c.Kind == Hold || c.Kind == Decide || c.Kind == Reopen || c.Kind == Withdraw {
+	if c.Kind == CloseAdmission || c.Kind == Commit || c.Kind == ReopenAdmission || c.Kind == Withdraw {
 		switch {
 		case p == nil:
 			return fmt.Errorf("no change is pending")
 		case c.Change != p.Change:
 			return fmt.Errorf("the change %q is not pending; %q is", c.Change, p.Change)
-		case c.Kind.Judged() && c.Attempt != p.Attempt:
+		case c.Kind.LeaderDecision() && c.Attempt != p.Attempt:
 			return fmt.Errorf("attempt %d is over", c.Attempt)
 		}
 	}
 	switch c.Kind {
-	case Open:
-		s.Epoch++
-		s.Sessions[c.Member] = Session{Member: c.Member, Name: c.Name, Epoch: s.Epoch, Nonce: c.Nonce,
-			Open: true}
-	case Lapse:
-		for _, seat := range c.Seats {
+	case OpenSession:
+		s.LastEpoch++
+		s.Sessions[c.Member] = Session{
+			Member:      c.Member,
+			Name:        c.Name,
+			Epoch:       s.LastEpoch,
+			Incarnation: c.Incarnation,
+			Open:        true,
+		}
+	case ExpireSessions:
+		for _, seat := range c.Sessions {
 			if x := s.Sessions[seat.Member]; x.Open && x.Epoch == seat.Epoch {
-				x.Open, x.Why = false, "its lease ran out"
+				x.Open, x.ClosedReason = false, "its lease ran out"
 				s.Sessions[seat.Member] = x
 			}
 		}
-	case Hold:
+	case CloseAdmission:
 		if p.Phase != Staging {
 			return fmt.Errorf("the change is %v", p.Phase)
 		}
-		if !s.covered(c.Seats) {
+		if !s.covered(c.Sessions) {
 			return fmt.Errorf("an instance that may admit has not staged it")
 		}
-		p.Phase = Holding
-	case Decide:
-		if p.Phase != Holding {
+		p.Phase = ClosingAdmission
+	case Commit:
+		if p.Phase != ClosingAdmission {
 			return fmt.Errorf("the change is %v", p.Phase)
 		}
-		if !s.covered(c.Seats) {
+		if !s.covered(c.Sessions) {
 			return fmt.Errorf("an instance that may admit has not ceased to")
 		}
 		s.Pending = nil
-	case Reopen:
-		if p.Phase != Holding {
+	case ReopenAdmission:
+		if p.Phase != ClosingAdmission {
 			return fmt.Errorf("the change is %v", p.Phase)
 		}
 		p.Phase, p.Attempt = Staging, p.Attempt+1
@@ -204,7 +212,7 @@
 		if !ok || !x.Open {
 			return fmt.Errorf("it has no session that is open")
 		}
-		x.Open, x.Loose, x.Why = false, false, "set aside by an operator"
+		x.Open, x.Unleased, x.ClosedReason = false, false, "set aside by an operator"
 		s.Sessions[c.Member] = x
 	default:
 		return fmt.Errorf("a command of the kind %d is not known", c.Kind)
@@ -212,15 +220,15 @@
 	return nil
 }
 
-// Enter gives every instance that served before there were sessions one that is loose.
-func (s *State) Enter(names map[uint64]string) {
+// AddUnleasedSessions gives every instance that served before there were sessions one that is loose.
+func (s *State) AddUnleasedSessions(names map[uint64]string) {
 	for _, id := range slices.Sorted(maps.Keys(names)) {
-		s.Epoch++
-		s.Sessions[id] = Session{Member: id, Name: names[id], Epoch: s.Epoch, Open: true, Loose: true}
+		s.LastEpoch++
+		s.Sessions[id] = Session{Member: id, Name: names[id], Epoch: s.LastEpoch, Open: true, Unleased: true}
 	}
 }
 
-// Forget drops the sessions of instances that are no members and have none open.
-func (s *State) Forget(member func(uint64) bool) {
+// PruneSessions drops the sessions of instances that are no members and have none open.
+func (s *State) PruneSessions(member func(uint64) bool) {
 	maps.DeleteFunc(s.Sessions, func(id uint64, x Session) bool { return !x.Open && !member(id) })
 }
