--- a/internal/cluster/schedule/codec_test.go
+++ b/internal/cluster/schedule/command_codec_test.go
@@ -16,7 +16,7 @@
 )
 
 func bytesOf(c Command) []byte {
-	b, _ := proto.Marshal(Encode(c))
+	b, _ := proto.Marshal(EncodeCommand(c))
 	return b
 }
 
@@ -25,27 +25,39 @@
 	if err := proto.Unmarshal(b, m); err != nil {
 		t.Fatal(err)
 	}
-	return decode(m.Schedule)
+	return decodeCommand(m.Schedule)
 }
 
 // What is packed comes out as it was.
 func TestScheduleCommandsArePacked(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		c := Command{Kind: Kind(rapid.IntRange(1, 4).Draw(r, "kind")),
-			Now: rapid.Int64Range(0, 1<<33).Draw(r, "now"), Version: rapid.Uint64().Draw(r, "version"),
-			Seat: Seat{Member: rapid.Uint64().Draw(r, "member"), Epoch: 7}}
+		c := Command{Kind: CommandKind(rapid.IntRange(1, 4).Draw(r, "kind")),
+			ClusterTime: rapid.Int64Range(
+				0,
+				1<<33,
+			).Draw(
+				r,
+				"now",
+			), PolicyVersion: rapid.Uint64().Draw(r, "version"),
+			Session: Session{Member: rapid.Uint64().Draw(r, "member"), Epoch: 7}}
 		for range rapid.IntRange(0, 5).Draw(r, "steps") {
-			c.Steps = append(c.Steps, Step{Shard: rapid.IntRange(0, placement.Shards-1).Draw(r,
-				"shard"),
-				Version: rapid.Uint64().Draw(r, "of")})
+			c.Advances = append(
+				c.Advances,
+				ShardAdvance{Shard: rapid.IntRange(0, placement.ShardCount-1).Draw(r,
+					"shard"),
+					FromVersion: rapid.Uint64().Draw(r, "of")},
+			)
 		}
 		for range rapid.IntRange(0, 5).Draw(r, "dues") {
 			at := rapid.Int64Range(0, 1<<33).Draw(r, "at")
-			c.Dues = append(c.Dues, Due{Trigger: rapid.IntRange(0, 99_999).Draw(r, "trigger"),
-				At:     at,
-				Name:   calendar.Name(rapid.Uint64Range(0, 1<<50).Draw(r, "name")),
-				Wall:   at + rapid.Int64Range(-86400, 86400).Draw(r, "offset"),
-				Passed: rapid.IntRange(0, 10_000).Draw(r, "passed")})
+			c.Occurrences = append(
+				c.Occurrences,
+				DueOccurrence{Trigger: rapid.IntRange(0, 99_999).Draw(r, "trigger"),
+					At:        at,
+					LocalTime: calendar.LocalTime(rapid.Uint64Range(0, 1<<50).Draw(r, "name")),
+					WallClock: at + rapid.Int64Range(-86400, 86400).Draw(r, "offset"),
+					Missed:    rapid.IntRange(0, 10_000).Draw(r, "passed")},
+			)
 		}
 		for range rapid.IntRange(0, 5).Draw(r, "numbers") {
 			c.Numbers = append(c.Numbers, rapid.Uint64Range(0, 1<<60).Draw(r, "number"))
@@ -64,18 +76,18 @@
 	for n := range triggers {
 		words[fmt.Sprintf("trigger.standing-%06d", n)] = "* * * * * class=c"
 	}
-	p, wrong := ReadPolicy(words, Names{Classes: []string{"c"}})
+	p, wrong := ParsePolicy(words, KnownNames{Classes: []string{"c"}})
 	if len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
-	zones := calendar.NewZones()
+	zones := calendar.NewZoneDB()
 	var members []placement.Member
 	var states []*State
-	var owners []*Owner
+	var owners []*Scheduler
 	for n := range instances {
-		members = append(members, placement.Member{Seat: placement.Seat{Member: uint64(n + 1),
+		members = append(members, placement.Member{Session: placement.Session{Member: uint64(n + 1),
 			Epoch: uint64(n + 1)}})
-		states, owners = append(states, NewState()), append(owners, NewOwner(zones))
+		states, owners = append(states, NewState()), append(owners, NewScheduler(zones))
 	}
 	begin := time.Date(2026, 3, 1, 0, 0, 30, 0, time.UTC).Unix()
 	log, firings := 0, 0
@@ -88,24 +100,31 @@
 	}
 	for n := range states {
 		states[n].Configure(&p)
-		states[n].Seated(members)
+		states[n].SetOwners(members)
 		owners[n].Configure(&p)
 	}
-	agree(Command{Kind: Declare, Version: p.Version, Zones: owners[0].Rules(), Now: begin})
+	agree(
+		Command{
+			Kind:             DeclarePolicy,
+			PolicyVersion:    p.Version,
+			ZoneRulesVersion: owners[0].ZoneRulesVersion(),
+			ClusterTime:      begin,
+		},
+	)
 	log = 0
 	mono := time.Second
 	turn := func(now int64) {
 		began := time.Now()
 		for n, o := range owners {
 			mono += time.Millisecond
-			seat := members[n].Seat
-			for _, c := range o.Look(states[n], View{Mono: mono, Fleet: now, Seat: seat,
-				Lease: time.Second}) {
+			seat := members[n].Session
+			for _, c := range o.Evaluate(states[n], Input{Now: mono, ClusterTime: now, Session: seat,
+				LeaseDuration: time.Second}) {
 				agree(c)
 			}
-			for _, i := range states[n].Fresh(seat, false) {
+			for _, i := range states[n].TakeNewFirings(seat, false) {
 				firings++
-				o.Result(i.Number, seat, Done)
+				o.RecordResult(i.Number, seat, Succeeded)
 			}
 		}
 		took = time.Since(began)
@@ -117,7 +136,7 @@
 		took += last
 	}
 	if firings != 2*triggers || states[0].OpenCount() != 0 ||
-		states[0].Counts[Done] != uint64(firings) {
+		states[0].ResultCounts[Succeeded] != uint64(firings) {
 		t.Errorf("%d firings of %d triggers, %d open", firings, triggers, states[0].OpenCount())
 	}
 	return float64(log) / float64(firings), took / time.Duration(instances)
--- a/internal/cluster/schedule/leader.go
+++ b/internal/cluster/schedule/leader.go
@@ -11,51 +11,52 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// Reading is what an instance says of its clock and its rules.
-type Reading struct {
-	Wall    int64  // Unix nanoseconds
-	Version uint64 // of the policy that Zones is for
-	Zones   uint64
+// ClockReading is what an instance says of its clock and its rules.
+type ClockReading struct {
+	WallClock        int64  // Unix nanoseconds
+	PolicyVersion    uint64 // of the policy that Zones is for
+	ZoneRulesVersion uint64
 }
 
-type reading struct {
-	Reading
-	at time.Duration // when it was heard, on the leader's clock
+type receivedReading struct {
+	ClockReading
+	receivedAt time.Duration // when it was heard, on the leader's clock
 }
 
 // Leader is the leader's side, for one term: the fleet's time, and who may own nothing.
 type Leader struct {
-	term  uint64
-	heard map[uint64]reading
-	floor int64 // nanoseconds: the fleet's time never goes back
-	off   map[uint64]bool
-	asked time.Duration
+	term             uint64
+	readings         map[uint64]receivedReading
+	clusterTimeFloor int64 // nanoseconds: the fleet's time never goes back
+	skewed           map[uint64]bool
+	lastProposed     time.Duration
 }
 
 // NewLeader begins a term.
 func NewLeader(term uint64) *Leader {
-	return &Leader{term: term, heard: map[uint64]reading{}, off: map[uint64]bool{}}
+	return &Leader{term: term, readings: map[uint64]receivedReading{}, skewed: map[uint64]bool{}}
 }
 
-// Heard takes an instance's reading.
-func (l *Leader) Heard(now time.Duration, member uint64, r Reading) {
-	if r.Wall != 0 {
-		l.heard[member] = reading{r, now}
+// ObserveReading takes an instance's reading.
+func (l *Leader) ObserveReading(now time.Duration, member uint64, r ClockReading) {
+	if r.WallClock != 0 {
+		l.readings[member] = receivedReading{r, now}
 	}
 }
 
-// clock is what a member's clock shows now.
-func (l *Leader) clock(now time.Duration, member uint64, lease time.Duration) (int64, bool) {
-	r, ok := l.heard[member]
-	return r.Wall + int64(now-r.at), ok && now-r.at <= 2*lease
+// clockNow is what a member's clock shows now.
+func (l *Leader) clockNow(now time.Duration, member uint64, lease time.Duration) (int64, bool) {
+	r, ok := l.readings[member]
+	return r.WallClock + int64(now-r.receivedAt), ok && now-r.receivedAt <= 2*lease
 }
 
-// clocks are what the clocks of members show now, the slowest first, of those that were heard of lately.
-func (l *Leader) clocks(now time.Duration, members []placement.Member, lease time.Duration,
+// recentClocks are what the clocks of members show now, the slowest first, of those that were heard of
+// lately.
+func (l *Leader) recentClocks(now time.Duration, members []placement.Member, lease time.Duration,
 	counts func(uint64) bool) []int64 {
 	var list []int64
 	for _, m := range members {
-		if at, ok := l.clock(now, m.Member, lease); ok && counts(m.Member) {
+		if at, ok := l.clockNow(now, m.Member, lease); ok && counts(m.Member) {
 			list = append(list, at)
 		}
 	}
@@ -63,104 +64,114 @@
 	return list
 }
 
-func middle(list []int64) int64 { return list[(len(list)-1)/2] }
+func lowerMedian(list []int64) int64 { return list[(len(list)-1)/2] }
 
 // Group is whom a leader judges.
 type Group struct {
-	Members []placement.Member // with open sessions
-	Size    int                // all of the group
-	Lease   time.Duration
-	Over    []Seat // were set aside, and their leases have surely run out
-	// Away says of a member that it is about to end, and so owns nothing.
-	Away func(member uint64) bool
+	Members         []placement.Member // with open sessions
+	Size            int                // all of the group
+	LeaseDuration   time.Duration
+	ExpiredSessions []Session // were set aside, and their leases have surely run out
+	// Departing says of a member that it is about to end, and so owns nothing.
+	Departing func(member uint64) bool
 }
 
-// Fleet is the fleet's time, in Unix nanoseconds: the median of the clocks, and of two in the middle the
-// slower. It never goes back, also over a change of leader. 0: no more than half of the group has been
+// ClusterTime is the fleet's time, in Unix nanoseconds: the median of the clocks, and of two in the middle
+// the slower. It never goes back, also over a change of leader. 0: no more than half of the group has been
 // heard of lately.
 //
 // Hazard: where some can't be heard of, one clock that is off may be half of those that are. One that was
 // found to be off among three or more does not count before it was found to be right again.
-func (l *Leader) Fleet(now time.Duration, s *State, g Group) int64 {
-	all := l.clocks(now, g.Members, g.Lease, func(uint64) bool { return true })
-	list := l.clocks(now, g.Members, g.Lease, func(m uint64) bool {
+func (l *Leader) ClusterTime(now time.Duration, s *State, g Group) int64 {
+	all := l.recentClocks(now, g.Members, g.LeaseDuration, func(uint64) bool { return true })
+	list := l.recentClocks(now, g.Members, g.LeaseDuration, func(m uint64) bool {
 		// Hazard: one with other zone rules may have the only clock that is right.
-		return !strings.HasPrefix(s.Off[m], clockIs) && !l.off[m]
+		return !strings.HasPrefix(s.ExcludedMembers[m], clockSkewPrefix) && !l.skewed[m]
 	})
 	if 2*len(all) <= g.Size || len(list) == 0 {
 		return 0
 	}
-	l.floor = max(l.floor, s.Now*int64(time.Second), middle(list))
-	return l.floor
+	l.clusterTimeFloor = max(l.clusterTimeFloor, s.ClusterTime*int64(time.Second), lowerMedian(list))
+	return l.clusterTimeFloor
 }
 
-// Look judges who may own shards, and from when on a policy counts.
-func (l *Leader) Look(now time.Duration, s *State, g Group) (Command, bool) {
+// Evaluate judges who may own shards, and from when on a policy counts.
+func (l *Leader) Evaluate(now time.Duration, s *State, g Group) (Command, bool) {
 	p := s.Policy()
-	if p.Version == 0 && s.Version == 0 || l.asked > 0 && now-l.asked < g.Lease/2 {
+	if p.Version == 0 && s.PolicyVersion == 0 ||
+		l.lastProposed > 0 && now-l.lastProposed < g.LeaseDuration/2 {
 		return Command{}, false
 	}
-	fleet := l.Fleet(now, s, g)
-	zones := l.zones(p, g.Members)
+	fleet := l.ClusterTime(now, s, g)
+	zones := l.electZoneRules(p, g.Members)
 	if fleet == 0 || zones == 0 {
 		return Command{}, false
 	}
-	c := Command{Kind: Declare, Term: l.term, Version: p.Version, Now: fleet / int64(time.Second),
-		Zones: zones, Off: map[uint64]string{}}
-	all := l.clocks(now, g.Members, g.Lease, func(uint64) bool { return true })
+	c := Command{
+		Kind:             DeclarePolicy,
+		Term:             l.term,
+		PolicyVersion:    p.Version,
+		ClusterTime:      fleet / int64(time.Second),
+		ZoneRulesVersion: zones,
+		ExcludedMembers:  map[uint64]string{},
+	}
+	all := l.recentClocks(now, g.Members, g.LeaseDuration, func(uint64) bool { return true })
 	for _, m := range g.Members {
-		r, heard := l.heard[m.Member]
-		if g.Away != nil && g.Away(m.Member) {
-			c.Off[m.Member] = "it is about to end"
-		} else if why := l.apart(now, s, m.Member, all, p.Bound, g.Lease); why != "" {
-			c.Off[m.Member] = why
-		} else if heard && r.Version == p.Version && r.Zones != zones {
-			c.Off[m.Member] = fmt.Sprintf("its zone rules are %016x, the group's %016x", r.Zones, zones)
+		r, heard := l.readings[m.Member]
+		if g.Departing != nil && g.Departing(m.Member) {
+			c.ExcludedMembers[m.Member] = "it is about to end"
+		} else if why := l.skewReason(now, s, m.Member, all, p.MaxClockSkew, g.LeaseDuration); why != "" {
+			c.ExcludedMembers[m.Member] = why
+		} else if heard && r.PolicyVersion == p.Version && r.ZoneRulesVersion != zones {
+			c.ExcludedMembers[m.Member] = fmt.Sprintf("its zone rules are %016x, the group's %016x",
+				r.ZoneRulesVersion, zones)
 		}
 	}
-	for _, seat := range g.Over {
+	for _, seat := range g.ExpiredSessions {
 		for _, i := range s.open {
-			if i.Seat == seat && !i.Orphan {
-				c.Over = append(c.Over, seat)
+			if i.Session == seat && !i.Orphaned {
+				c.ExpiredSessions = append(c.ExpiredSessions, seat)
 				break
 			}
 		}
 	}
-	same := c.Version == s.Version && c.Zones == s.Zones && len(c.Over) == 0 && sameMembers(c.Off, s.Off)
+	same := c.PolicyVersion == s.PolicyVersion && c.ZoneRulesVersion == s.ZoneRulesVersion &&
+		len(c.ExpiredSessions) == 0 &&
+		sameMembers(c.ExcludedMembers, s.ExcludedMembers)
 	if same {
 		return Command{}, false
 	}
-	l.asked = now
+	l.lastProposed = now
 	return c, true
 }
 
-// apart says how far a member's clock is from the others', where it is too far.
-func (l *Leader) apart(now time.Duration, s *State, member uint64, all []int64, bound,
+// skewReason says how far a member's clock is from the others', where it is too far.
+func (l *Leader) skewReason(now time.Duration, s *State, member uint64, all []int64, bound,
 	lease time.Duration) string {
-	was := s.Off[member]
-	if !strings.HasPrefix(was, clockIs) {
+	was := s.ExcludedMembers[member]
+	if !strings.HasPrefix(was, clockSkewPrefix) {
 		was = ""
 	}
-	at, ok := l.clock(now, member, lease)
+	at, ok := l.clockNow(now, member, lease)
 	if !ok || len(all) < 3 {
-		l.off[member] = was != ""
+		l.skewed[member] = was != ""
 		return was // of two nobody can say which is right
 	}
-	d := time.Duration(at - middle(all))
+	d := time.Duration(at - lowerMedian(all))
 	if was != "" {
 		bound /= 2 // it must be well inside before it counts again
 	}
-	if l.off[member] = d.Abs() > bound; !l.off[member] {
+	if l.skewed[member] = d.Abs() > bound; !l.skewed[member] {
 		return ""
 	}
-	return fmt.Sprintf("%s%v from the fleet's", clockIs, nearly(d))
+	return fmt.Sprintf("%s%v from the fleet's", clockSkewPrefix, roundForDisplay(d))
 }
 
-const clockIs = "its clock is "
+const clockSkewPrefix = "its clock is "
 
-// nearly is a time to the second, or finer where it is short: it is told to people, and must not change
-// with each reading.
-func nearly(d time.Duration) time.Duration {
+// roundForDisplay is a time to the second, or finer where it is short: it is told to people, and must not
+// change with each reading.
+func roundForDisplay(d time.Duration) time.Duration {
 	if d.Abs() > 10*time.Second {
 		return d.Round(10 * time.Second)
 	}
@@ -171,17 +182,17 @@
 	return slices.Equal(slices.Sorted(maps.Keys(a)), slices.Sorted(maps.Keys(b)))
 }
 
-// zones is the version of the zone rules to go by: the wanted one, or that of most of the members; of two
-// that are as many the one that counted so far is not preferred, but the lower number, so that all
+// electZoneRules is the version of the zone rules to go by: the wanted one, or that of most of the members;
+// of two that are as many the one that counted so far is not preferred, but the lower number, so that all
 // leaders find the same.
-func (l *Leader) zones(p *Policy, members []placement.Member) uint64 {
-	if p.Zones != 0 || p.Version == 0 {
-		return max(p.Zones, 1)
+func (l *Leader) electZoneRules(p *Policy, members []placement.Member) uint64 {
+	if p.ZoneRulesVersion != 0 || p.Version == 0 {
+		return max(p.ZoneRulesVersion, 1)
 	}
 	count, all := map[uint64]int{}, 0
 	for _, m := range members {
-		if r, ok := l.heard[m.Member]; ok && r.Version == p.Version && r.Zones != 0 {
-			count[r.Zones]++
+		if r, ok := l.readings[m.Member]; ok && r.PolicyVersion == p.Version && r.ZoneRulesVersion != 0 {
+			count[r.ZoneRulesVersion]++
 			all++
 		}
 	}
--- a/internal/cluster/schedule/explore_test.go
+++ b/internal/cluster/schedule/modelcheck_test.go
@@ -22,8 +22,8 @@
 
 type modelEntry struct {
 	c    Command
-	seat Seat // opened
-	gone Seat // has surely ended
+	seat Session // opened
+	gone Session // has surely ended
 }
 
 type modelNode struct {
@@ -55,7 +55,7 @@
 	once                                   bool // the class may not be repeated
 	minutes                                int64
 	policy                                 *Policy
-	plan                                   *calendar.Plan
+	plan                                   *calendar.Recurrence
 	broken                                 string
 }
 
@@ -66,9 +66,9 @@
 	if b.once {
 		class = "once"
 	}
-	p, wrong := ReadPolicy(map[string]string{"zone": "UTC", "trigger.a": "* * * * * late=100h class=" +
+	p, wrong := ParsePolicy(map[string]string{"zone": "UTC", "trigger.a": "* * * * * late=100h class=" +
 		class},
-		Names{Classes: []string{"any", "once"}})
+		KnownNames{Classes: []string{"any", "once"}})
 	if len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
@@ -78,12 +78,21 @@
 	for k := range m.nodes {
 		m.nodes[k].state = NewState()
 		m.nodes[k].state.Configure(&p)
-		m.nodes[k].state.Seated(nil)
+		m.nodes[k].state.SetOwners(nil)
 	}
-	m.put(modelEntry{c: Command{Kind: Declare, Version: p.Version, Zones: 1, Now: modelBegin}})
+	m.put(
+		modelEntry{
+			c: Command{
+				Kind:             DeclarePolicy,
+				PolicyVersion:    p.Version,
+				ZoneRulesVersion: 1,
+				ClusterTime:      modelBegin,
+			},
+		},
+	)
 	for k := uint64(1); k <= 2; k++ {
 		m.epochs++
-		m.put(modelEntry{seat: Seat{Member: k, Epoch: m.epochs}})
+		m.put(modelEntry{seat: Session{Member: k, Epoch: m.epochs}})
 		m.nodes[k].epoch, m.nodes[k].lease = m.epochs, true
 	}
 	for k := range m.nodes {
@@ -96,13 +105,19 @@
 
 func cloneState(s *State) *State {
 	c := *s
-	c.Shards, c.Since, c.Last = maps.Clone(s.Shards), maps.Clone(s.Since), maps.Clone(s.Last)
-	c.open = map[uint64]*Item{}
+	c.Shards, c.ActiveSince, c.LastWallClock = maps.Clone(
+		s.Shards,
+	), maps.Clone(
+		s.ActiveSince,
+	), maps.Clone(
+		s.LastWallClock,
+	)
+	c.open = map[uint64]*Firing{}
 	for n, i := range s.open {
 		item := *i
 		c.open[n] = &item
 	}
-	c.fresh, c.told, c.Troubles = nil, nil, nil
+	c.newFirings, c.events, c.Failures = nil, nil, nil
 	return &c
 }
 
@@ -133,9 +148,15 @@
 		}
 	}
 	word := func(c Command) {
-		num(uint64(c.Kind), c.Seat.Member, c.Seat.Epoch, uint64(c.Now-modelBegin), uint64(len(c.Dues)))
-		for _, x := range c.Steps {
-			num(x.Version)
+		num(
+			uint64(c.Kind),
+			c.Session.Member,
+			c.Session.Epoch,
+			uint64(c.ClusterTime-modelBegin),
+			uint64(len(c.Occurrences)),
+		)
+		for _, x := range c.Advances {
+			num(x.FromVersion)
 		}
 		num(c.Numbers...)
 	}
@@ -154,12 +175,12 @@
 		num(uint64(len(n.state.open)))
 		for number := range uint64(5) {
 			if i := n.state.open[number]; i != nil {
-				num(number, i.Seat.Member, i.Seat.Epoch)
-				yes(i.Orphan, i.Repeat)
+				num(number, i.Session.Member, i.Session.Epoch)
+				yes(i.Orphaned, i.Redelivered)
 			}
 		}
 		x := n.state.Shards[modelShard]
-		num(x.Version, uint64(max(x.Mark-modelBegin, 0)))
+		num(x.Version, uint64(max(x.Watermark-modelBegin, 0)))
 	}
 	for _, c := range m.said {
 		b = append(b, '+')
@@ -177,7 +198,7 @@
 
 var modelSeed = maphash.MakeSeed()
 
-func (m *model) Wrong() string { return m.wrong }
+func (m *model) Violation() string { return m.wrong }
 
 func (m *model) put(e modelEntry) {
 	m.log = append(m.log, e)
@@ -190,32 +211,34 @@
 	e := m.log[n.applied]
 	n.applied++
 	switch {
-	case e.c.Kind != None:
+	case e.c.Kind != NoCommand:
 		_ = n.state.Apply(e.c)
-	case e.gone != Seat{}:
-		n.state.Vacated(func(s Seat) bool { return s == e.gone })
+	case e.gone != Session{}:
+		n.state.OrphanFirings(func(s Session) bool { return s == e.gone })
 		if n.members[e.gone.Member] == e.gone.Epoch {
 			n.members[e.gone.Member] = 0
 		}
 	default:
-		n.state.Vacated(func(s Seat) bool { return s.Member == e.seat.Member && s.Epoch != e.seat.Epoch })
+		n.state.OrphanFirings(
+			func(s Session) bool { return s.Member == e.seat.Member && s.Epoch != e.seat.Epoch },
+		)
 		n.members[e.seat.Member] = e.seat.Epoch
 	}
 	var list []placement.Member
 	for k, epoch := range n.members {
 		if epoch != 0 {
-			list = append(list, placement.Member{Seat: Seat{Member: uint64(k), Epoch: epoch}})
+			list = append(list, placement.Member{Session: Session{Member: uint64(k), Epoch: epoch}})
 		}
 	}
-	n.state.Seated(list)
+	n.state.SetOwners(list)
 	if k == 0 {
-		for _, x := range n.state.Events() {
-			if x.What == "intend" {
+		for _, x := range n.state.TakeEvents() {
+			if x.Kind == "intend" {
 				if m.keys[x.Key]++; m.keys[x.Key] > 1 {
 					m.wrong = x.Key + " was intended twice"
 				}
 			}
-			if x.What == "settle" && x.Result == Done && m.acts[x.Number] == 0 {
+			if x.Kind == "settle" && x.Result == Succeeded && m.acts[x.Number] == 0 {
 				m.wrong = x.Key + " has ended as done, and nobody began it"
 			}
 		}
@@ -225,43 +248,53 @@
 // words is what an instance may say by its state.
 func (m *model) words1(k int) (out []Command) {
 	n := &m.nodes[k]
-	seat := Seat{Member: uint64(k), Epoch: n.epoch}
+	seat := Session{Member: uint64(k), Epoch: n.epoch}
 	shard := modelShard
 	if owner, ok := n.state.Owner(shard); ok && owner == seat {
-		c := Command{Kind: Intend, Seat: seat, Version: m.b.policy.Version, Zones: 1, Now: m.now,
-			Steps: []Step{{shard, n.state.Shards[shard].Version}}}
+		c := Command{
+			Kind:             IntendFirings,
+			Session:          seat,
+			PolicyVersion:    m.b.policy.Version,
+			ZoneRulesVersion: 1,
+			ClusterTime:      m.now,
+			Advances:         []ShardAdvance{{shard, n.state.Shards[shard].Version}},
+		}
 		plan := m.b.plan
-		for o, _ := plan.Next(n.state.from(&m.b.policy.Triggers[0])); o.At <= m.now; o, _ = plan.Next(o.At) {
-			c.Dues = append(c.Dues, Due{Name: o.Name, At: o.At, Wall: o.Wall})
+		for o, _ := plan.Next(n.state.intendedThrough(&m.b.policy.Triggers[0])); o.At <= m.now; o,
+			_ = plan.Next(o.At) {
+			c.Occurrences = append(
+				c.Occurrences,
+				DueOccurrence{LocalTime: o.LocalTime, At: o.At, WallClock: o.WallClock},
+			)
 		}
-		if len(c.Dues) > 0 {
+		if len(c.Occurrences) > 0 {
 			out = append(out, c)
 		}
-		for _, i := range n.state.OpenItems() {
-			if i.Orphan {
-				r := Done
+		for _, i := range n.state.OpenFirings() {
+			if i.Orphaned {
+				r := Succeeded
 				if m.b.once {
-					r = MayHave
+					r = Unknown
 				}
-				out = append(out, Command{Kind: Resolve, Seat: seat, Numbers: []uint64{i.Number},
+				out = append(out, Command{Kind: ResolveOrphans, Session: seat, Numbers: []uint64{i.Number},
 					Results: []Result{r}})
 			}
 		}
 	}
-	for _, i := range n.state.OpenItems() {
-		if i.Seat == seat && n.ended[i.Number] {
-			out = append(out, Command{Kind: Settle, Seat: seat, Numbers: []uint64{i.Number},
-				Results: []Result{Done}})
+	for _, i := range n.state.OpenFirings() {
+		if i.Session == seat && n.ended[i.Number] {
+			out = append(out, Command{Kind: RecordResults, Session: seat, Numbers: []uint64{i.Number},
+				Results: []Result{Succeeded}})
 		}
 	}
 	return out
 }
 
-func (m *model) Next() (out []modelcheck.Step[*model]) {
+func (m *model) Transitions() (out []modelcheck.Transition[*model]) {
 	do := func(what string, f func(*model)) {
 		c := m.clone()
 		f(c)
-		out = append(out, modelcheck.Step[*model]{What: what, After: c})
+		out = append(out, modelcheck.Transition[*model]{Event: what, State: c})
 	}
 	if m.now < modelBegin+60*m.b.minutes {
 		do("a minute passes", func(c *model) { c.now += 60 })
@@ -280,7 +313,7 @@
 		if session != 0 && !(n.lease && session == n.epoch) && m.lapses < m.b.lapses {
 			do(fmt.Sprint(k, "'s session ends"), func(c *model) {
 				c.lapses++
-				c.put(modelEntry{gone: Seat{Member: uint64(k), Epoch: session}})
+				c.put(modelEntry{gone: Session{Member: uint64(k), Epoch: session}})
 			})
 		}
 		if m.crashes < m.b.crashes && n.epoch != 0 {
@@ -296,7 +329,7 @@
 				c.opens++
 				c.epochs++
 				c.nodes[k].epoch = c.epochs
-				c.put(modelEntry{seat: Seat{Member: uint64(k), Epoch: c.epochs}})
+				c.put(modelEntry{seat: Session{Member: uint64(k), Epoch: c.epochs}})
 			})
 		}
 		if n.epoch != 0 && m.words < m.b.words && len(m.said) < 2 {
@@ -307,15 +340,16 @@
 				})
 			}
 		}
-		for _, i := range n.state.OpenItems() {
-			if i.Seat == (Seat{Member: uint64(k), Epoch: n.epoch}) && !i.Orphan && !n.begun[i.Number] &&
+		for _, i := range n.state.OpenFirings() {
+			if i.Session == (Session{Member: uint64(k), Epoch: n.epoch}) && !i.Orphaned &&
+				!n.begun[i.Number] &&
 				(n.lease || m.b.broken == "lease") {
 				do(fmt.Sprint(k, " begins ", i.Number), func(c *model) {
 					c.nodes[k].begun[i.Number] = true
 					if c.acts[i.Number]++; c.b.once && c.acts[i.Number] > 1 {
 						c.wrong = "begun twice, and may not be repeated"
 					}
-					if c.acts[i.Number] > 1 && !i.Repeat {
+					if c.acts[i.Number] > 1 && !i.Redelivered {
 						c.wrong = "begun by two, and nobody has taken it over"
 					}
 				})
@@ -351,19 +385,19 @@
 		{minutes: 1, opens: 1, lapses: 1, doubles: 1, words: 3, once: true},
 		{minutes: 2, lapses: 1, words: 4, once: true},
 	} {
-		r := modelcheck.All(newModel(t, b), *most)
-		t.Logf("%+v: %d states, whole %v", b, r.States, r.Whole)
-		if r.Wrong != "" {
-			t.Errorf("%s:\n%s", r.Wrong, strings.Join(r.Way, "\n"))
+		r := modelcheck.Check(newModel(t, b), *most)
+		t.Logf("%+v: %d states, whole %v", b, r.States, r.Complete)
+		if r.Violation != "" {
+			t.Errorf("%s:\n%s", r.Violation, strings.Join(r.Trace, "\n"))
 		}
 	}
 }
 
 // Who begins without a lease is found: the job is begun by two.
 func TestTheExplorerFindsWhatIsBroken(t *testing.T) {
-	r := modelcheck.All(newModel(t, modelLimits{minutes: 1, lapses: 1, words: 3, broken: "lease"}), *most)
-	if r.Wrong == "" {
-		t.Errorf("%d states, whole %v, none wrong", r.States, r.Whole)
+	r := modelcheck.Check(newModel(t, modelLimits{minutes: 1, lapses: 1, words: 3, broken: "lease"}), *most)
+	if r.Violation == "" {
+		t.Errorf("%d states, whole %v, none wrong", r.States, r.Complete)
 	}
-	t.Logf("%s, by %d events", r.Wrong, len(r.Way))
+	t.Logf("%s, by %d events", r.Violation, len(r.Trace))
 }
--- a/internal/cluster/schedule/schedule_test.go
+++ b/internal/cluster/schedule/scheduler_test.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/cluster/placement"
 )
 
-var names = Names{Classes: []string{"trip-book", "once"}, Tenants: []string{"muscat"}}
+var names = KnownNames{Classes: []string{"trip-book", "once"}, Tenants: []string{"muscat"}}
 
 // What makes no sense is refused with its key, and what to do.
 func TestWordsThatMakeNoSense(t *testing.T) {
@@ -27,7 +27,7 @@
 		"30 6 * * * zone=Asia/Muscat class=once colour=red":     "colour= is no word of a trigger",
 		"30 6 * * * zone=Asia/Muscat class=once interval=solar": "elapsed, wall are possible",
 	} {
-		_, wrong := ReadPolicy(map[string]string{"trigger.a": text}, names)
+		_, wrong := ParsePolicy(map[string]string{"trigger.a": text}, names)
 		if len(wrong) != 1 || !strings.HasPrefix(wrong[0], "trigger.a: ") ||
 			!strings.Contains(wrong[0], want) {
 			t.Errorf("%q: %v; wanted %q", text, wrong, want)
@@ -35,13 +35,13 @@
 	}
 	for _, v := range []map[string]string{{"zones": "x"}, {"bound": "1ms"}, {"tigger.a": "x"},
 		{"trigger.a@b": "0 0 * * * zone=UTC class=once"}} {
-		if _, wrong := ReadPolicy(v, names); len(wrong) != 1 {
+		if _, wrong := ParsePolicy(v, names); len(wrong) != 1 {
 			t.Errorf("%v: %v", v, wrong)
 		}
 	}
-	p, wrong := ReadPolicy(map[string]string{"zone": "UTC",
+	p, wrong := ParsePolicy(map[string]string{"zone": "UTC",
 		"trigger.a": "0 6 * * * class=once body={\"to\": 1 }"}, names)
-	if len(wrong) > 0 || p.Triggers[0].Body != "{\"to\": 1 }" || p.Triggers[0].Expr != "0 6 * * *" {
+	if len(wrong) > 0 || p.Triggers[0].Body != "{\"to\": 1 }" || p.Triggers[0].Expression != "0 6 * * *" {
 		t.Errorf("%+v %v", p, wrong)
 	}
 }
@@ -49,27 +49,34 @@
 // world is one instance that owns all shards.
 type world struct {
 	*State
-	owner *Owner
-	seat  Seat
+	owner *Scheduler
+	seat  Session
 	mono  time.Duration
 }
 
-func newWorld(t *testing.T, zones *calendar.Zones, words map[string]string, from int64) *world {
-	w := &world{State: NewState(), owner: NewOwner(zones), seat: Seat{Member: 1, Epoch: 1}}
-	w.Seated([]placement.Member{{Seat: w.seat, Name: "n1"}})
+func newWorld(t *testing.T, zones *calendar.ZoneDB, words map[string]string, from int64) *world {
+	w := &world{State: NewState(), owner: NewScheduler(zones), seat: Session{Member: 1, Epoch: 1}}
+	w.SetOwners([]placement.Member{{Session: w.seat, Name: "n1"}})
 	w.words(t, words, from)
 	return w
 }
 
 func (w *world) words(t *testing.T, words map[string]string, now int64) {
 	t.Helper()
-	p, wrong := ReadPolicy(words, names)
+	p, wrong := ParsePolicy(words, names)
 	if len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
 	w.Configure(&p)
 	w.owner.Configure(&p)
-	err := w.Apply(Command{Kind: Declare, Version: p.Version, Zones: w.owner.Rules(), Now: now})
+	err := w.Apply(
+		Command{
+			Kind:             DeclarePolicy,
+			PolicyVersion:    p.Version,
+			ZoneRulesVersion: w.owner.ZoneRulesVersion(),
+			ClusterTime:      now,
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,13 +85,13 @@
 // look has the owner look at a time, and the group agree on what it says.
 func (w *world) look(now int64) (keys []string) {
 	w.mono += time.Second / 2
-	v := View{Mono: w.mono, Fleet: now, Seat: w.seat, Lease: time.Second,
-		Repeatable: func(*Trigger, time.Duration) bool { return true }}
-	for _, c := range w.owner.Look(w.State, v) {
+	v := Input{Now: w.mono, ClusterTime: now, Session: w.seat, LeaseDuration: time.Second,
+		Retryable: func(*Trigger, time.Duration) bool { return true }}
+	for _, c := range w.owner.Evaluate(w.State, v) {
 		_ = w.Apply(c)
 	}
-	for _, i := range w.Fresh(w.seat, false) {
-		keys = append(keys, i.Key())
+	for _, i := range w.TakeNewFirings(w.seat, false) {
+		keys = append(keys, i.IdempotencyKey())
 	}
 	return keys
 }
@@ -102,10 +109,10 @@
 func TestNewZoneRulesRepeatNothing(t *testing.T) {
 	words := map[string]string{"zone": "Asia/Muscat", "trigger.a": "30 6 * * * class=once late=1h",
 		"trigger.b": "0 7 * * * class=once", "trigger.c": "30 7 * * * class=once"}
-	before := calendar.ZonesBy(func(string) (*time.Location, error) {
+	before := calendar.NewZoneDBWithLoader(func(string) (*time.Location, error) {
 		return time.FixedZone("Asia/Muscat", 4*3600), nil
 	})
-	after := calendar.ZonesBy(func(string) (*time.Location, error) {
+	after := calendar.NewZoneDBWithLoader(func(string) (*time.Location, error) {
 		return time.FixedZone("Asia/Muscat", 3*3600), nil
 	})
 	w := newWorld(t, before, words, unix("2026-06-01T00:00Z"))
@@ -114,15 +121,15 @@
 		t.Fatal(got)
 	}
 	// The program is renewed, with rules by which it is 06:10.
-	w.owner = NewOwner(after)
+	w.owner = NewScheduler(after)
 	w.words(t, words, unix("2026-06-01T03:10Z"))
 	for _, c := range [][2]string{{"03:35", "[]"}, {"04:05", "[]"}, {"04:35", "[c@2026-06-01T07:30]"}} {
 		if got := fmt.Sprint(w.look(unix("2026-06-01T" + c[0] + "Z"))); got != c[1] {
 			t.Errorf("by the new rules, at %s: %s; wanted %s", c[0], got, c[1])
 		}
 	}
-	if w.Number != 3 {
-		t.Errorf("%d were intended, the day has three", w.Number)
+	if w.LastNumber != 3 {
+		t.Errorf("%d were intended, the day has three", w.LastNumber)
 	}
 }
 
@@ -130,7 +137,7 @@
 // meanwhile; one that is added, or comes back, makes nothing up for.
 func TestChangesOfTriggers(t *testing.T) {
 	words := map[string]string{"zone": "UTC", "trigger.a": "0 * * * * class=once"}
-	w := newWorld(t, calendar.NewZones(), words, unix("2026-06-01T00:30Z"))
+	w := newWorld(t, calendar.NewZoneDB(), words, unix("2026-06-01T00:30Z"))
 	if got := fmt.Sprint(w.look(unix("2026-06-01T01:00Z"))); got != "[a@2026-06-01T01:00]" {
 		t.Fatal(got)
 	}
@@ -143,7 +150,7 @@
 	if got := fmt.Sprint(w.look(unix("2026-06-01T03:00Z"))); got != "[a@2026-06-01T03:00]" {
 		t.Fatal(got)
 	}
-	if len(w.OpenItems()) != 3 {
+	if len(w.OpenFirings()) != 3 {
 		t.Error("what was intended goes on, whatever becomes of its trigger")
 	}
 }
@@ -154,14 +161,14 @@
 	words := map[string]string{"zone": "UTC", "trigger.a": "*/10 * * * * class=once late=30m",
 		"trigger.b": "*/10 * * * * class=once late=1h missed=last",
 		"trigger.c": "*/10 * * * * class=once late=1s"}
-	w := newWorld(t, calendar.NewZones(), words, unix("2026-06-01T00:05Z"))
+	w := newWorld(t, calendar.NewZoneDB(), words, unix("2026-06-01T00:05Z"))
 	got := fmt.Sprint(w.look(unix("2026-06-01T01:05Z")))
 	want := "a@2026-06-01T00:40 a@2026-06-01T00:50 a@2026-06-01T01:00"
 	if !strings.Contains(got, want) || !strings.Contains(got, "b@2026-06-01T01:00") || len(got) != 4*19+2-1 {
 		t.Errorf("after a night: %s; wanted %s and b's last", got, want)
 	}
-	if w.Counts[Passed] != 3+5+6 {
-		t.Errorf("%d were passed over", w.Counts[Passed])
+	if w.ResultCounts[Missed] != 3+5+6 {
+		t.Errorf("%d were passed over", w.ResultCounts[Missed])
 	}
 	if got := w.look(unix("2026-06-01T01:25Z")); len(got) != 6 {
 		t.Errorf("after a leap of 20 minutes: %v", got)
@@ -172,26 +179,35 @@
 // have another fire what is out.
 func TestOnlyItsHolderGivesBack(t *testing.T) {
 	words := map[string]string{"zone": "UTC", "trigger.a": "0 * * * * class=once"}
-	w := newWorld(t, calendar.NewZones(), words, unix("2026-06-01T00:30Z"))
+	w := newWorld(t, calendar.NewZoneDB(), words, unix("2026-06-01T00:30Z"))
 	w.look(unix("2026-06-01T01:00Z"))
 	first := w.seat
-	number := w.OpenItems()[0].Number
+	number := w.OpenFirings()[0].Number
 	// Its session ends, and the next one takes the occurrence over.
-	w.Vacated(func(s Seat) bool { return s == first })
-	w.seat = Seat{Member: first.Member, Epoch: first.Epoch + 1}
-	w.Seated([]placement.Member{{Seat: w.seat}})
+	w.OrphanFirings(func(s Session) bool { return s == first })
+	w.seat = Session{Member: first.Member, Epoch: first.Epoch + 1}
+	w.SetOwners([]placement.Member{{Session: w.seat}})
 	w.look(unix("2026-06-01T01:01Z"))
-	if i, ok := w.Open(number); !ok || i.Seat != w.seat || i.Orphan {
+	if i, ok := w.OpenFiring(number); !ok || i.Session != w.seat || i.Orphaned {
 		t.Fatalf("%+v is not taken over", i)
 	}
-	for _, result := range []Result{Unrun, Done, Failed} {
-		_ = w.Apply(Command{Kind: Settle, Seat: first, Numbers: []uint64{number}, Results: []Result{result}})
-		if i, ok := w.Open(number); !ok || i.Orphan {
+	for _, result := range []Result{Released, Succeeded, Failed} {
+		_ = w.Apply(
+			Command{
+				Kind:    RecordResults,
+				Session: first,
+				Numbers: []uint64{number},
+				Results: []Result{result},
+			},
+		)
+		if i, ok := w.OpenFiring(number); !ok || i.Orphaned {
 			t.Errorf("the word of who had it before, %v, counts: %+v", result, i)
 		}
 	}
-	_ = w.Apply(Command{Kind: Settle, Seat: w.seat, Numbers: []uint64{number}, Results: []Result{Unrun}})
-	if i, _ := w.Open(number); !i.Orphan || !i.Unrun {
+	_ = w.Apply(
+		Command{Kind: RecordResults, Session: w.seat, Numbers: []uint64{number}, Results: []Result{Released}},
+	)
+	if i, _ := w.OpenFiring(number); !i.Orphaned || !i.NeverStarted {
 		t.Errorf("its holder does not give it back: %+v", i)
 	}
 }
--- a/internal/cluster/schedule/stories_test.go
+++ b/internal/cluster/schedule/simulation_test.go
@@ -28,15 +28,15 @@
 	nodes  []*one
 	epoch  uint64
 	jobs   []job
-	zones  *calendar.Zones
-	other  *calendar.Zones
+	zones  *calendar.ZoneDB
+	other  *calendar.ZoneDB
 	policy Policy
 	acts   map[string][]act
 	faults int
 	jump   time.Duration // of all clocks
 	// All clocks have stepped forward once: the fleet's time is ahead of the true one for good.
 	stepped bool
-	gone    map[Seat]bool // sessions that have ended
+	gone    map[Session]bool // sessions that have ended
 }
 
 type entry struct {
@@ -44,7 +44,7 @@
 	c        Command
 	policy   Policy
 	sessions []placement.Member
-	gone     []Seat
+	gone     []Session
 }
 
 // one is an instance.
@@ -56,7 +56,7 @@
 	stalled, dead time.Duration // until when
 	cut           time.Duration // until when it hears nothing and is not heard
 	away          bool          // it has left the group for now
-	owner         *Owner
+	owner         *Scheduler
 	epoch         uint64
 	until         time.Duration // its right ends
 	right         int           // from that entry of the log on
@@ -64,7 +64,7 @@
 	fleet         int64         // ns, as told last
 	fleetAt       time.Duration
 	skew          time.Duration
-	mine          []Item
+	mine          []Firing
 	expires       time.Duration // when its lease has surely run out, as the leader counts
 	reported      time.Duration
 	sent          []Command
@@ -82,8 +82,8 @@
 
 type job struct {
 	n      *one
-	item   Item
-	seat   Seat
+	item   Firing
+	seat   Session
 	epoch  uint64 // of the life that waits for it
 	ends   time.Duration
 	result Result
@@ -96,30 +96,30 @@
 
 func (s *story) true() int64 { return s.begin*1e9 + int64(s.now)*s.speed }
 
-func (n *one) seat() Seat { return Seat{Member: n.id, Epoch: n.epoch} }
+func (n *one) seat() Session { return Session{Member: n.id, Epoch: n.epoch} }
 
 func (n *one) up(now time.Duration) bool { return now >= n.stalled && now >= n.dead && !n.away }
 
 func newStory(t testing.TB, seed uint64) *story {
-	s := &story{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 31)), zones: calendar.NewZones(),
-		acts: map[string][]act{}, gone: map[Seat]bool{}, truth: NewState(), speed: 1}
+	s := &story{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 31)), zones: calendar.NewZoneDB(),
+		acts: map[string][]act{}, gone: map[Session]bool{}, truth: NewState(), speed: 1}
 	// Some begin on a night in which the clocks change, or before a leap day.
 	begins := []string{"2026-03-29T00:59Z", "2026-10-25T00:29Z", "2028-02-28T23:59Z", "2026-06-01T03:59Z",
 		"2028-02-29T23:59Z", "2026-10-25T00:59Z"}
 	begin, _ := time.Parse("2006-01-02T15:04Z", begins[s.rng.IntN(len(begins))])
 	s.begin = begin.Unix() + int64(s.rng.IntN(50))
 	s.speed = []int64{1, 1, 20, 300}[s.rng.IntN(4)]
-	s.other = calendar.ZonesBy(func(name string) (*time.Location, error) {
+	s.other = calendar.NewZoneDBWithLoader(func(name string) (*time.Location, error) {
 		return time.FixedZone(name, 3600), nil
 	})
 	s.policy = s.words(0)
 	for i := range 2 + s.rng.IntN(4) {
 		s.nodes = append(s.nodes, &one{id: uint64(i + 1), state: NewState(),
-			owner: NewOwner(s.zones)})
+			owner: NewScheduler(s.zones)})
 	}
 	if s.rng.IntN(5) == 0 {
 		n := s.nodes[len(s.nodes)-1]
-		n.oldRules, n.owner = true, NewOwner(s.other)
+		n.oldRules, n.owner = true, NewScheduler(s.other)
 	}
 	s.put(entry{kind: "policy", policy: s.policy})
 	return s
@@ -142,7 +142,7 @@
 	if set%2 == 1 {
 		v["trigger.A"] = every + " class=any late=24h fold=both"
 	}
-	p, wrong := ReadPolicy(v, Names{Classes: []string{"any", "once", "key"}})
+	p, wrong := ParsePolicy(v, KnownNames{Classes: []string{"any", "once", "key"}})
 	if len(wrong) > 0 {
 		s.t.Fatal(wrong)
 	}
@@ -155,7 +155,7 @@
 		e.sessions = nil
 		for _, n := range s.nodes {
 			if n.epoch != 0 {
-				e.sessions = append(e.sessions, placement.Member{Seat: n.seat(),
+				e.sessions = append(e.sessions, placement.Member{Session: n.seat(),
 					Name: strconv.Itoa(int(n.id))})
 			}
 		}
@@ -164,16 +164,16 @@
 		s.gone[x] = true
 	}
 	s.log = append(s.log, e)
-	before := s.truth.OpenItems()
+	before := s.truth.OpenFirings()
 	apply(s.truth, e)
 	for _, i := range before {
-		now, open := s.truth.Open(i.Number)
-		taken := open && now.Seat != i.Seat || !open && e.c.Kind == Resolve
-		if taken && !s.gone[i.Seat] {
-			s.t.Errorf("seed %d: %s was taken from a session that had not ended", s.seed, i.Key())
+		now, open := s.truth.OpenFiring(i.Number)
+		taken := open && now.Session != i.Session || !open && e.c.Kind == ResolveOrphans
+		if taken && !s.gone[i.Session] {
+			s.t.Errorf("seed %d: %s was taken from a session that had not ended", s.seed, i.IdempotencyKey())
 		}
 	}
-	s.truth.Fresh(Seat{}, false)
+	s.truth.TakeNewFirings(Session{}, false)
 }
 
 func apply(st *State, e entry) {
@@ -183,7 +183,7 @@
 	case "command":
 		_ = st.Apply(e.c)
 	default:
-		st.Vacated(func(x Seat) bool {
+		st.OrphanFirings(func(x Session) bool {
 			for _, g := range e.gone {
 				if g == x {
 					return true
@@ -204,7 +204,7 @@
 		list = seatedBefore[s]
 	}
 	seatedBefore[s] = list
-	s.Seated(list)
+	s.SetOwners(list)
 }
 
 var seatedBefore = map[*State][]placement.Member{}
@@ -286,9 +286,9 @@
 	if n.oldRules {
 		zones = s.other
 	}
-	n.owner = NewOwner(zones)
+	n.owner = NewScheduler(zones)
 	n.reported = 0
-	n.state.fresh = nil
+	n.state.newFirings = nil
 	for k := range s.jobs {
 		if s.jobs[k].n == n {
 			s.jobs[k].epoch = 0 // nobody waits for it
@@ -309,7 +309,7 @@
 		if n.epoch != 0 && s.now > n.expires {
 			gone := n.seat()
 			n.epoch = 0
-			s.put(entry{kind: "sessions", gone: []Seat{gone}})
+			s.put(entry{kind: "sessions", gone: []Session{gone}})
 		}
 		if n.up(s.now) && s.now >= n.cut && (n.epoch == 0 || n.right < 0) {
 			// A new life, or a new session of one whose old one ended.
@@ -317,10 +317,10 @@
 			s.epoch++
 			n.epoch, n.right, n.until, n.granted = s.epoch, 0, 0, 0
 			n.expires = s.now + 2*leaseFor
-			s.put(entry{kind: "sessions", gone: []Seat{gone}})
+			s.put(entry{kind: "sessions", gone: []Session{gone}})
 		}
 		if n.epoch != 0 {
-			members = append(members, placement.Member{Seat: n.seat(), Name: strconv.Itoa(int(n.id))})
+			members = append(members, placement.Member{Session: n.seat(), Name: strconv.Itoa(int(n.id))})
 		}
 	}
 	for _, n := range s.nodes {
@@ -328,29 +328,33 @@
 			continue
 		}
 		wall := s.true() + int64(n.skew) + int64(s.jump)
-		s.lead.Heard(s.now, n.id, Reading{Wall: wall, Version: n.owner.policy.Version,
-			Zones: n.owner.Rules()})
+		s.lead.ObserveReading(
+			s.now,
+			n.id,
+			ClockReading{WallClock: wall, PolicyVersion: n.owner.policy.Version,
+				ZoneRulesVersion: n.owner.ZoneRulesVersion()},
+		)
 		if n.epoch != 0 && s.now-n.reported >= leaseFor/4 {
 			n.reported = s.now
 			n.granted, n.right = s.now-time.Duration(s.rng.IntN(10))*time.Millisecond+leaseFor, len(s.log)
 			n.expires = s.now + leaseFor + leaseFor/2
-			if f := s.lead.Fleet(s.now, s.truth, s.group(members)); f > n.fleet {
+			if f := s.lead.ClusterTime(s.now, s.truth, s.group(members)); f > n.fleet {
 				n.fleet, n.fleetAt = f, s.now
 			}
 		}
 	}
-	if c, ok := s.lead.Look(s.now, s.truth, s.group(members)); ok {
+	if c, ok := s.lead.Evaluate(s.now, s.truth, s.group(members)); ok {
 		s.put(entry{kind: "command", c: c})
 	}
 	for _, n := range s.nodes {
 		for k, c := range n.sent {
 			// Some are lost, some come late, some twice.
-			if s.now >= n.sentAt[k] && c.Kind != None {
+			if s.now >= n.sentAt[k] && c.Kind != NoCommand {
 				if s.rng.IntN(10) != 0 && s.now >= n.cut {
 					s.put(entry{kind: "command", c: c})
 				}
 				if s.rng.IntN(10) != 0 {
-					n.sent[k].Kind = None
+					n.sent[k].Kind = NoCommand
 				}
 			}
 		}
@@ -361,7 +365,7 @@
 }
 
 func (s *story) group(members []placement.Member) Group {
-	g := Group{Members: members, Lease: leaseFor}
+	g := Group{Members: members, LeaseDuration: leaseFor}
 	for _, n := range s.nodes {
 		if !n.away {
 			g.Size++
@@ -379,7 +383,7 @@
 		apply(n.state, s.log[n.applied])
 		n.applied++
 		if n.epoch != 0 {
-			n.mine = append(n.mine, n.state.Fresh(n.seat(), false)...)
+			n.mine = append(n.mine, n.state.TakeNewFirings(n.seat(), false)...)
 		}
 	}
 }
@@ -392,24 +396,24 @@
 	if n.right > 0 && n.applied >= n.right {
 		n.until, n.right = max(n.until, n.granted), 0
 	}
-	v := View{Mono: s.now, Lease: leaseFor, Repeatable: func(t *Trigger, ago time.Duration) bool {
+	v := Input{Now: s.now, LeaseDuration: leaseFor, Retryable: func(t *Trigger, ago time.Duration) bool {
 		return t.Class == "any" || t.Class == "key" && ago < 20*time.Second
 	}}
 	if n.epoch != 0 && s.now < n.until && n.fleet > 0 {
-		v.Seat, v.Fleet = n.seat(), (n.fleet+int64(s.now-n.fleetAt))/1e9
+		v.Session, v.ClusterTime = n.seat(), (n.fleet+int64(s.now-n.fleetAt))/1e9
 	}
-	for _, c := range n.owner.Look(n.state, v) {
+	for _, c := range n.owner.Evaluate(n.state, v) {
 		n.sent = append(n.sent, c)
 		n.sentAt = append(n.sentAt, s.now+time.Duration(s.rng.IntN(100))*time.Millisecond)
 	}
 	// What it has is begun in the turn in which the clock was looked at.
 	rest := n.mine[:0]
 	for _, i := range n.mine {
-		now, ok := n.state.Open(i.Number)
+		now, ok := n.state.OpenFiring(i.Number)
 		switch {
-		case !ok || now.Seat != i.Seat:
-		case i.Seat.Epoch != n.epoch:
-			n.owner.Result(i.Number, i.Seat, Unrun) // it lives, and has not begun it
+		case !ok || now.Session != i.Session:
+		case i.Session.Epoch != n.epoch:
+			n.owner.RecordResult(i.Number, i.Session, Released) // it lives, and has not begun it
 		case s.now >= n.until:
 			rest = append(rest, i)
 		default:
@@ -419,14 +423,22 @@
 	n.mine = rest
 }
 
-func (s *story) begin1(n *one, i Item) {
+func (s *story) begin1(n *one, i Firing) {
 	// The bound is a second, and readings are up to a lease old.
 	if !s.stepped && s.speed == 1 && i.At*1e9 > s.true()+int64(2*time.Second) {
-		s.t.Errorf("seed %d: %s was fired %v early", s.seed, i.Key(), time.Duration(i.At*1e9-s.true()))
-	}
-	s.acts[i.Key()] = append(s.acts[i.Key()], act{n.id, n.epoch, s.now, i.Number, i.Repeat})
+		s.t.Errorf(
+			"seed %d: %s was fired %v early",
+			s.seed,
+			i.IdempotencyKey(),
+			time.Duration(i.At*1e9-s.true()),
+		)
+	}
+	s.acts[i.IdempotencyKey()] = append(
+		s.acts[i.IdempotencyKey()],
+		act{n.id, n.epoch, s.now, i.Number, i.Redelivered},
+	)
 	took := time.Duration(s.rng.IntN(300)) * time.Millisecond
-	s.jobs = append(s.jobs, job{n, i, n.seat(), n.epoch, s.now + took, Done})
+	s.jobs = append(s.jobs, job{n, i, n.seat(), n.epoch, s.now + took, Succeeded})
 }
 
 // work ends jobs.
@@ -437,7 +449,7 @@
 		case s.now < j.ends || !j.n.up(s.now) && j.epoch != 0:
 			rest = append(rest, j)
 		case j.epoch != 0:
-			j.n.owner.Result(j.item.Number, j.seat, j.result)
+			j.n.owner.RecordResult(j.item.Number, j.seat, j.result)
 		}
 	}
 	s.jobs = rest
@@ -457,7 +469,7 @@
 		}
 	}
 	for _, e := range events {
-		switch e.What {
+		switch e.Kind {
 		case "intend":
 			intended++
 			if was, twice := seen[e.Key]; twice {
@@ -491,7 +503,7 @@
 	for key, n := range seen {
 		r, ok := ended[n]
 		switch {
-		case ok && r == Done && len(s.acts[key]) == 0:
+		case ok && r == Succeeded && len(s.acts[key]) == 0:
 			s.t.Errorf("seed %d: %s has ended as done, and nobody began it", s.seed, key)
 		case !ok && s.truth.open[n] != nil && s.now-s.dueAt(last[key]) > 9*time.Second && s.speed == 1:
 			s.t.Errorf("seed %d: %s has no outcome though all has been well for long", s.seed, key)
@@ -506,35 +518,36 @@
 // complete looks whether triggers that were never changed have no occurrence left out: what came after
 // each is what the calendar says.
 func (s *story) complete(events []Event) {
-	zone, _ := s.zones.Zone("Europe/Berlin")
+	zone, _ := s.zones.Lookup("Europe/Berlin")
 	for _, name := range []string{"a", "b", "d"} {
-		t := s.policy.Triggers[s.policy.place(name)]
-		plan, err := calendar.Parse(t.Expr, zone, t.Rules)
+		t := s.policy.Triggers[s.policy.indexOf(name)]
+		plan, err := calendar.Parse(t.Expression, zone, t.Rules)
 		if err != nil {
 			s.t.Fatal(err)
 		}
 		at := int64(0)
 		for _, e := range events {
-			if e.What != "intend" || e.Key[:1] != name {
+			if e.Kind != "intend" || e.Key[:1] != name {
 				continue
 			}
 			if at > 0 {
 				if o, _ := plan.Next(at); o.At != e.At {
 					s.t.Errorf("seed %d: after %d came %s at %d; the calendar has %d (%v)", s.seed, at, e.Key,
-						e.At, o.At, o.Name)
+						e.At, o.At, o.LocalTime)
 				}
 			}
 			at = e.At
 		}
 		if at > 0 {
-			if o, ok := plan.Next(at); ok && o.At+t.offset() < s.truth.Now-30*max(s.speed/10, 1) {
-				s.t.Errorf("seed %d: %s at %d has not come by %d", s.seed, name, o.At, s.truth.Now)
+			if o, ok := plan.Next(at); ok &&
+				o.At+t.jitterSeconds() < s.truth.ClusterTime-30*max(s.speed/10, 1) {
+				s.t.Errorf("seed %d: %s at %d has not come by %d", s.seed, name, o.At, s.truth.ClusterTime)
 			}
 		}
 	}
 }
 
-func (s *story) events() []Event { return s.truth.told }
+func (s *story) events() []Event { return s.truth.events }
 
 func stories(t testing.TB) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("STORIES"), 10, 32); err == nil {
--- a/internal/cluster/schedule/state.go
+++ b/internal/cluster/schedule/state.go
@@ -23,43 +23,45 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// Seat is an instance's session.
-type Seat = placement.Seat
+// Session is an instance's session.
+type Session = placement.Session
 
-// Shard is how far the triggers of a shard have come.
-type Shard struct {
-	Version uint64 `json:"v"` // how often it was moved on
-	Mark    int64  `json:"m"` // Unix seconds: what is due up to here has been intended, or passed over
+// ShardProgress is how far the triggers of a shard have come.
+type ShardProgress struct {
+	Version   uint64 `json:"v"` // how often it was moved on
+	Watermark int64  `json:"m"` // Unix seconds: what is due up to here has been intended, or passed over
 }
 
-// Item is an occurrence that is intended and has no outcome yet.
-type Item struct {
-	Number  uint64        `json:"n"`
-	Trigger string        `json:"t"`
-	Name    calendar.Name `json:"name"`
-	At      int64         `json:"at"`    // Unix seconds
-	Since   int64         `json:"since"` // the fleet's time when it was intended first
-	Seat    Seat          `json:"seat"`
-	Orphan  bool          `json:"o,omitempty"` // whose session has surely ended, or has given it back
-	Unrun   bool          `json:"u,omitempty"` // of an orphan: its holder has said that it surely never ran
-	Repeat  bool          `json:"r,omitempty"` // another may have begun it
+// Firing is an occurrence that is intended and has no outcome yet.
+type Firing struct {
+	Number     uint64             `json:"n"`
+	Trigger    string             `json:"t"`
+	LocalTime  calendar.LocalTime `json:"name"`
+	At         int64              `json:"at"`    // Unix seconds
+	IntendedAt int64              `json:"since"` // the fleet's time when it was intended first
+	Session    Session            `json:"seat"`
+	// whose session has surely ended, or has given it back
+	Orphaned bool `json:"o,omitempty"`
+	// of an orphan: its holder has said that it surely never ran
+	NeverStarted bool `json:"u,omitempty"`
+	Redelivered  bool `json:"r,omitempty"` // another may have begun it
 }
 
-// Key is the job's: the occurrence's identity.
-func (i *Item) Key() string { return i.Trigger + "@" + i.Name.String() }
+// IdempotencyKey is the job's: the occurrence's identity.
+func (i *Firing) IdempotencyKey() string { return i.Trigger + "@" + i.LocalTime.String() }
 
 // Result is what became of an occurrence.
 type Result uint8
 
 // The results.
 const (
-	Done    Result = iota // its job was served
-	Failed                // its job failed: it may have run
-	Refused               // it was turned away until it was too late
-	MayHave               // whoever had it ended, and it may not be repeated: it may have run
-	Passed                // it was too late when somebody could fire it
-	// Unrun is no end: who has it gives it back, and it surely never ran.
-	Unrun
+	Succeeded Result = iota // its job was served
+	Failed                  // its job failed: it may have run
+	Rejected                // it was turned away until it was too late
+	Unknown                 // whoever had it ended, and it may not be repeated: it may have run
+	Missed                  // it was too late when somebody could fire it
+	// Released is no end: who has it gives it back, and it surely never ran.
+	Released
 )
 
 func (r Result) String() string {
@@ -67,93 +69,93 @@
 		"given back"}[min(int(r), 5)]
 }
 
-// results is how many there are.
-const results = 5
+// resultCount is how many there are.
+const resultCount = 5
 
-// Outcome is what became of an item that a session had.
-type Outcome struct {
-	Number uint64
-	Seat   Seat
-	Result Result
+// FiringResult is what became of an item that a session had.
+type FiringResult struct {
+	Number  uint64
+	Session Session
+	Result  Result
 }
 
-// Trouble is an occurrence that operators should look at: it was not served for sure.
-type Trouble struct {
+// Failure is an occurrence that operators should look at: it was not served for sure.
+type Failure struct {
 	Key    string `json:"key"`
 	At     int64  `json:"at"`
 	Result Result `json:"result"`
 }
 
-// maxTroubles is how many are kept.
-const maxTroubles = 200
-
-// Image is the agreed state as it is written.
-type Image struct {
-	Version  uint64            `json:"version"` // of the policy that is declared
-	Zones    uint64            `json:"zones"`   // of the zone rules
-	Now      int64             `json:"now"`     // the newest fleet time in the log, Unix seconds
-	Off      map[uint64]string `json:"off,omitempty"`
-	Shards   map[int]Shard     `json:"shards,omitempty"`
-	Texts    map[string]uint64 `json:"texts,omitempty"`
-	Since    map[string]int64  `json:"since,omitempty"`
-	Last     map[string]int64  `json:"last,omitempty"`
-	Number   uint64            `json:"number"`
-	Items    []Item            `json:"items,omitempty"`
-	Counts   [results]uint64   `json:"counts"`
-	Troubles []Trouble         `json:"troubles,omitempty"`
+// maxFailures is how many are kept.
+const maxFailures = 200
+
+// Snapshot is the agreed state as it is written.
+type Snapshot struct {
+	PolicyVersion    uint64                `json:"version"` // of the policy that is declared
+	ZoneRulesVersion uint64                `json:"zones"`   // of the zone rules
+	ClusterTime      int64                 `json:"now"`     // the newest fleet time in the log, Unix seconds
+	ExcludedMembers  map[uint64]string     `json:"off,omitempty"`
+	Shards           map[int]ShardProgress `json:"shards,omitempty"`
+	DefinitionHashes map[string]uint64     `json:"texts,omitempty"`
+	ActiveSince      map[string]int64      `json:"since,omitempty"`
+	LastWallClock    map[string]int64      `json:"last,omitempty"`
+	LastNumber       uint64                `json:"number"`
+	Firings          []Firing              `json:"items,omitempty"`
+	ResultCounts     [resultCount]uint64   `json:"counts"`
+	Failures         []Failure             `json:"troubles,omitempty"`
 }
 
 // State is the agreed part.
 type State struct {
-	Image
-	open   map[uint64]*Item
-	policy *Policy
-	seated []placement.Member // who may own shards
-	table  *placement.Table   // nil: it is made when it is asked for; few groups have triggers
-	fresh  []uint64           // given to somebody since they were asked for last
-	told   []Event            // since they were asked for last
+	Snapshot
+	open       map[uint64]*Firing
+	policy     *Policy
+	eligible   []placement.Member // who may own shards
+	ownership  *placement.Table   // nil: it is made when it is asked for; few groups have triggers
+	newFirings []uint64           // given to somebody since they were asked for last
+	events     []Event            // since they were asked for last
 }
 
 // Event is a line of what was agreed on, for audits.
 type Event struct {
-	What   string // intend, pass, settle, adopt
-	Number uint64
-	Key    string
-	At     int64
-	Seat   Seat
-	Result Result
+	Kind    string // intend, pass, settle, adopt
+	Number  uint64
+	Key     string
+	At      int64
+	Session Session
+	Result  Result
 }
 
 // NewState is that of a group without triggers.
-func NewState() *State { return Restore(Image{}) }
+func NewState() *State { return NewStateFromSnapshot(Snapshot{}) }
 
-// Restore takes over an image.
-func Restore(im Image) *State {
-	s := &State{Image: im, open: map[uint64]*Item{}, policy: &Policy{}}
-	for _, m := range []*map[string]int64{&s.Since, &s.Last} {
+// NewStateFromSnapshot takes over an image.
+func NewStateFromSnapshot(im Snapshot) *State {
+	s := &State{Snapshot: im, open: map[uint64]*Firing{}, policy: &Policy{}}
+	for _, m := range []*map[string]int64{&s.ActiveSince, &s.LastWallClock} {
 		if *m == nil {
 			*m = map[string]int64{}
 		}
 	}
 	if s.Shards == nil {
-		s.Shards = map[int]Shard{}
+		s.Shards = map[int]ShardProgress{}
 	}
-	for i := range im.Items {
-		item := im.Items[i]
+	for i := range im.Firings {
+		item := im.Firings[i]
 		s.open[item.Number] = &item
 	}
-	s.Items = nil
+	s.Firings = nil
 	return s
 }
 
-// Encoded gives the image; nil, where there is nothing to keep.
-func (s *State) Encoded() *Image {
-	if s.Version == 0 && s.Number == 0 {
+// TakeSnapshot gives the image; nil, where there is nothing to keep.
+func (s *State) TakeSnapshot() *Snapshot {
+	if s.PolicyVersion == 0 && s.LastNumber == 0 {
 		return nil
 	}
-	im := s.Image
+	im := s.Snapshot
 	for _, n := range slices.Sorted(maps.Keys(s.open)) {
-		im.Items = append(im.Items, *s.open[n])
+		im.Firings = append(im.Firings, *s.open[n])
 	}
 	return &im
 }
@@ -164,37 +166,37 @@
 // Policy is the one in force. It must not be changed.
 func (s *State) Policy() *Policy { return s.policy }
 
-// Seated takes over who may own shards: members with open sessions.
-func (s *State) Seated(members []placement.Member) {
+// SetOwners takes over who may own shards: members with open sessions.
+func (s *State) SetOwners(members []placement.Member) {
 	var list []placement.Member
 	for _, m := range members {
-		if s.Off[m.Member] == "" {
+		if s.ExcludedMembers[m.Member] == "" {
 			list = append(list, m)
 		}
 	}
-	if !slices.Equal(s.seated, list) {
-		s.seated, s.table = list, nil
+	if !slices.Equal(s.eligible, list) {
+		s.eligible, s.ownership = list, nil
 	}
 }
 
-func (s *State) owners() *placement.Table {
-	if s.table == nil {
-		s.table = placement.Of(placement.View{Members: s.seated})
+func (s *State) ownershipTable() *placement.Table {
+	if s.ownership == nil {
+		s.ownership = placement.NewTable(placement.View{Members: s.eligible})
 	}
-	return s.table
+	return s.ownership
 }
 
 // Owner is whose a shard is.
-func (s *State) Owner(shard int) (Seat, bool) {
-	m, ok := s.owners().Owner(shard)
-	return m.Seat, ok
+func (s *State) Owner(shard int) (Session, bool) {
+	m, ok := s.ownershipTable().Owner(shard)
+	return m.Session, ok
 }
 
-// Open gives an item without outcome.
-func (s *State) Open(number uint64) (Item, bool) {
+// OpenFiring gives an item without outcome.
+func (s *State) OpenFiring(number uint64) (Firing, bool) {
 	i := s.open[number]
 	if i == nil {
-		return Item{}, false
+		return Firing{}, false
 	}
 	return *i, true
 }
@@ -202,10 +204,10 @@
 // OpenCount is how many are without outcome.
 func (s *State) OpenCount() int { return len(s.open) }
 
-// Counted is how many occurrences have ended in each way.
-func (s *State) Counted() map[string]uint64 {
+// ResultTotals is how many occurrences have ended in each way.
+func (s *State) ResultTotals() map[string]uint64 {
 	m := map[string]uint64{}
-	for r, n := range s.Counts {
+	for r, n := range s.ResultCounts {
 		if n > 0 {
 			m[Result(r).String()] = n
 		}
@@ -213,173 +215,176 @@
 	return m
 }
 
-// OpenItems lists those without outcome, the oldest first.
-func (s *State) OpenItems() []Item {
-	list := make([]Item, 0, len(s.open))
+// OpenFirings lists those without outcome, the oldest first.
+func (s *State) OpenFirings() []Firing {
+	list := make([]Firing, 0, len(s.open))
 	for _, i := range s.open {
 		list = append(list, *i)
 	}
-	slices.SortFunc(list, func(a, b Item) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(list, func(a, b Firing) int { return cmp.Compare(a.Number, b.Number) })
 	return list
 }
 
-// Fresh gives what was given to a seat since this was asked for last; all that it has, after a snapshot.
-func (s *State) Fresh(seat Seat, all bool) (list []Item) {
+// TakeNewFirings gives what was given to a seat since this was asked for last; all that it has, after a
+// snapshot.
+func (s *State) TakeNewFirings(seat Session, all bool) (list []Firing) {
 	if all {
-		for _, i := range s.OpenItems() {
-			if i.Seat == seat && !i.Orphan {
+		for _, i := range s.OpenFirings() {
+			if i.Session == seat && !i.Orphaned {
 				list = append(list, i)
 			}
 		}
 	} else {
-		for _, n := range s.fresh {
-			if i := s.open[n]; i != nil && i.Seat == seat && !i.Orphan {
+		for _, n := range s.newFirings {
+			if i := s.open[n]; i != nil && i.Session == seat && !i.Orphaned {
 				list = append(list, *i)
 			}
 		}
 	}
-	s.fresh = nil
+	s.newFirings = nil
 	return list
 }
 
-// Events gives what was agreed on since this was asked for last.
-func (s *State) Events() []Event {
-	list := s.told
-	s.told = nil
+// TakeEvents gives what was agreed on since this was asked for last.
+func (s *State) TakeEvents() []Event {
+	list := s.events
+	s.events = nil
 	return list
 }
 
-func (s *State) tell(e Event) {
-	if len(s.told) < 1<<16 { // nobody listens, where there are so many
-		s.told = append(s.told, e)
+func (s *State) recordEvent(e Event) {
+	if len(s.events) < 1<<16 { // nobody listens, where there are so many
+		s.events = append(s.events, e)
 	}
 }
 
-// Vacated notes that sessions have surely ended: what they had is an orphan.
-func (s *State) Vacated(gone func(Seat) bool) {
+// OrphanFirings notes that sessions have surely ended: what they had is an orphan.
+func (s *State) OrphanFirings(gone func(Session) bool) {
 	for _, i := range s.open {
-		if gone(i.Seat) {
-			i.Orphan = true
+		if gone(i.Session) {
+			i.Orphaned = true
 		}
 	}
 }
 
-// Kind is what a command does.
-type Kind uint8
+// CommandKind is what a command does.
+type CommandKind uint8
 
 // The kinds of command.
 const (
-	None    Kind = iota
-	Declare      // the leader's: the policy in force counts from Now on; who may own nothing
-	Intend       // an owner's: what is due in its shards
-	Settle       // a holder's: what became of what it had
-	Resolve      // an owner's: orphans of its shards are taken over, or given up
+	NoCommand      CommandKind = iota
+	DeclarePolicy              // the leader's: the policy in force counts from Now on; who may own nothing
+	IntendFirings              // an owner's: what is due in its shards
+	RecordResults              // a holder's: what became of what it had
+	ResolveOrphans             // an owner's: orphans of its shards are taken over, or given up
 )
 
-// Step is a shard that is moved on.
-type Step struct {
-	Shard   int
-	Version uint64 // that it has before
+// ShardAdvance is a shard that is moved on.
+type ShardAdvance struct {
+	Shard       int
+	FromVersion uint64 // that it has before
 }
 
-// Due is an occurrence in an Intend, or how many of a trigger's were passed over.
-type Due struct {
-	Trigger int // its place in the policy
-	Name    calendar.Name
-	At      int64
-	Wall    int64
-	Passed  int // so many occurrences before this one were passed over; with no Name: and it is not fired
+// DueOccurrence is an occurrence in an Intend, or how many of a trigger's were passed over.
+type DueOccurrence struct {
+	Trigger   int // its place in the policy
+	LocalTime calendar.LocalTime
+	At        int64
+	WallClock int64
+	Missed    int // so many occurrences before this one were passed over; with no Name: and it is not fired
 }
 
 // Command is a step in the agreed log.
 type Command struct {
-	Kind    Kind
-	Term    uint64 // of a leader's judgement
-	Seat    Seat
-	Version uint64 // of the policy
-	Now     int64  // the fleet's time, Unix seconds
-	Zones   uint64
-	Off     map[uint64]string
-	Over    []Seat // set aside, and their leases have run out
-	Steps   []Step
-	Dues    []Due
-	Numbers []uint64
-	Results []Result // to Numbers; of a Resolve: MayHave, or Done where it is taken over
+	Kind             CommandKind
+	Term             uint64 // of a leader's judgement
+	Session          Session
+	PolicyVersion    uint64 // of the policy
+	ClusterTime      int64  // the fleet's time, Unix seconds
+	ZoneRulesVersion uint64
+	ExcludedMembers  map[uint64]string
+	ExpiredSessions  []Session // set aside, and their leases have run out
+	Advances         []ShardAdvance
+	Occurrences      []DueOccurrence
+	Numbers          []uint64
+	Results          []Result // to Numbers; of a Resolve: MayHave, or Done where it is taken over
 }
 
 // Apply applies a command, or says why it does nothing.
 func (s *State) Apply(c Command) error {
 	switch c.Kind {
-	case Declare:
-		return s.declare(c)
-	case Intend:
-		return s.intend(c)
-	case Settle:
+	case DeclarePolicy:
+		return s.applyDeclarePolicy(c)
+	case IntendFirings:
+		return s.applyIntendFirings(c)
+	case RecordResults:
 		for k, n := range c.Numbers {
 			// Hazard: a session that has ended says what became of what has been taken over since.
 			i := s.open[n]
 			switch {
-			case i == nil || i.Seat != c.Seat:
-			case c.Results[k] == Unrun:
-				i.Orphan, i.Unrun = true, true
+			case i == nil || i.Session != c.Session:
+			case c.Results[k] == Released:
+				i.Orphaned, i.NeverStarted = true, true
 			default:
-				s.settle(i, c.Results[k])
+				s.finishFiring(i, c.Results[k])
 			}
 		}
 		return nil
-	case Resolve:
-		return s.resolve(c)
+	case ResolveOrphans:
+		return s.applyResolveOrphans(c)
 	}
 	return fmt.Errorf("a command of the kind %d is not known", c.Kind)
 }
 
-func (s *State) declare(c Command) error {
-	if c.Version != s.policy.Version {
+func (s *State) applyDeclarePolicy(c Command) error {
+	if c.PolicyVersion != s.policy.Version {
 		return fmt.Errorf("another configuration is in force")
 	}
-	now := max(c.Now, s.Now)
-	if c.Version != s.Version {
+	now := max(c.ClusterTime, s.ClusterTime)
+	if c.PolicyVersion != s.PolicyVersion {
 		texts := map[string]uint64{}
 		for i := range s.policy.Triggers {
 			t := &s.policy.Triggers[i]
 			// A trigger that is new, or was changed, begins now. What was intended before goes on as it
 			// was.
-			if texts[t.Name] = t.text; s.Texts[t.Name] != t.text {
-				s.Since[t.Name] = now
-				delete(s.Last, t.Name)
+			if texts[t.Name] = t.definitionHash; s.DefinitionHashes[t.Name] != t.definitionHash {
+				s.ActiveSince[t.Name] = now
+				delete(s.LastWallClock, t.Name)
 			}
 		}
-		for _, m := range []map[string]int64{s.Since, s.Last} {
+		for _, m := range []map[string]int64{s.ActiveSince, s.LastWallClock} {
 			maps.DeleteFunc(m, func(name string, _ int64) bool { return texts[name] == 0 })
 		}
-		s.Texts = texts
+		s.DefinitionHashes = texts
 	}
-	s.Version, s.Zones, s.Now, s.Off = c.Version, c.Zones, now, c.Off
-	s.Vacated(func(seat Seat) bool { return slices.Contains(c.Over, seat) })
+	s.PolicyVersion, s.ZoneRulesVersion, s.ClusterTime, s.ExcludedMembers = c.PolicyVersion,
+		c.ZoneRulesVersion, now, c.ExcludedMembers
+	s.OrphanFirings(func(seat Session) bool { return slices.Contains(c.ExpiredSessions, seat) })
 	return nil
 }
 
-func (s *State) intend(c Command) error {
-	if c.Version != s.policy.Version || c.Version != s.Version {
+func (s *State) applyIntendFirings(c Command) error {
+	if c.PolicyVersion != s.policy.Version || c.PolicyVersion != s.PolicyVersion {
 		return fmt.Errorf("it goes by another configuration")
 	}
 	// Hazard: by other rules, what was fired under one name comes under another.
-	if c.Zones != s.Zones {
+	if c.ZoneRulesVersion != s.ZoneRulesVersion {
 		return fmt.Errorf("it goes by other zone rules")
 	}
 	moved, marks := map[int]bool{}, map[int]int64{}
-	for _, step := range c.Steps {
+	for _, step := range c.Advances {
 		owner, ok := s.Owner(step.Shard)
-		if x := s.Shards[step.Shard]; ok && owner == c.Seat && x.Version == step.Version && c.Now >= x.Mark {
-			s.Shards[step.Shard] = Shard{x.Version + 1, c.Now}
-			moved[step.Shard], marks[step.Shard] = true, x.Mark
+		if x := s.Shards[step.Shard]; ok && owner == c.Session && x.Version == step.FromVersion &&
+			c.ClusterTime >= x.Watermark {
+			s.Shards[step.Shard] = ShardProgress{x.Version + 1, c.ClusterTime}
+			moved[step.Shard], marks[step.Shard] = true, x.Watermark
 		}
 	}
 	if len(moved) == 0 {
 		return fmt.Errorf("the shards are another's, or were moved on by another")
 	}
-	s.Now = max(s.Now, c.Now)
-	for _, d := range c.Dues {
+	s.ClusterTime = max(s.ClusterTime, c.ClusterTime)
+	for _, d := range c.Occurrences {
 		if d.Trigger < 0 || d.Trigger >= len(s.policy.Triggers) {
 			continue
 		}
@@ -388,64 +393,84 @@
 		if !moved[shard] {
 			continue
 		}
-		if d.Passed > 0 {
-			s.Counts[Passed] += uint64(d.Passed)
-			s.tell(Event{What: "pass", Key: t.Name, At: int64(d.Passed), Seat: c.Seat})
+		if d.Missed > 0 {
+			s.ResultCounts[Missed] += uint64(d.Missed)
+			s.recordEvent(Event{Kind: "pass", Key: t.Name, At: int64(d.Missed), Session: c.Session})
 		}
 		// Hazard: what an earlier command has intended already, or what was before the trigger's time.
-		fires := d.At + t.offset()
-		if d.Name == 0 || fires <= marks[shard] || fires > c.Now || d.At <= s.Since[t.Name] {
+		fires := d.At + t.jitterSeconds()
+		if d.LocalTime == 0 || fires <= marks[shard] || fires > c.ClusterTime ||
+			d.At <= s.ActiveSince[t.Name] {
 			continue
 		}
 		// Hazard: new zone rules may have what was fired come again, an hour later. What local clocks
 		// have shown at an earlier firing is over, unless the clocks were set back by the rules.
-		if !d.Name.Fold() {
-			if last, ok := s.Last[t.Name]; ok && d.Wall <= last {
+		if !d.LocalTime.InSecondFold() {
+			if last, ok := s.LastWallClock[t.Name]; ok && d.WallClock <= last {
 				continue
 			}
-			s.Last[t.Name] = d.Wall
+			s.LastWallClock[t.Name] = d.WallClock
+		}
+		s.LastNumber++
+		i := &Firing{
+			Number:     s.LastNumber,
+			Trigger:    t.Name,
+			LocalTime:  d.LocalTime,
+			At:         d.At,
+			IntendedAt: c.ClusterTime,
+			Session:    c.Session,
 		}
-		s.Number++
-		i := &Item{Number: s.Number, Trigger: t.Name, Name: d.Name, At: d.At, Since: c.Now, Seat: c.Seat}
 		s.open[i.Number] = i
-		s.fresh = append(s.fresh, i.Number)
-		s.tell(Event{What: "intend", Number: i.Number, Key: i.Key(), At: i.At, Seat: c.Seat})
+		s.newFirings = append(s.newFirings, i.Number)
+		s.recordEvent(
+			Event{Kind: "intend", Number: i.Number, Key: i.IdempotencyKey(), At: i.At, Session: c.Session},
+		)
 	}
 	return nil
 }
 
-func (s *State) resolve(c Command) error {
+func (s *State) applyResolveOrphans(c Command) error {
 	for k, n := range c.Numbers {
 		i := s.open[n]
-		if i == nil || !i.Orphan {
+		if i == nil || !i.Orphaned {
 			continue
 		}
-		if owner, ok := s.Owner(placement.ShardOf(i.Trigger)); !ok || owner != c.Seat {
+		if owner, ok := s.Owner(placement.ShardOf(i.Trigger)); !ok || owner != c.Session {
 			continue
 		}
-		if c.Results[k] != Done {
-			s.settle(i, c.Results[k])
+		if c.Results[k] != Succeeded {
+			s.finishFiring(i, c.Results[k])
 			continue
 		}
-		i.Seat, i.Orphan, i.Repeat, i.Unrun = c.Seat, false, i.Repeat || !i.Unrun, false
-		s.fresh = append(s.fresh, n)
-		s.tell(Event{What: "adopt", Number: n, Key: i.Key(), At: i.At, Seat: c.Seat})
+		i.Session, i.Orphaned, i.Redelivered, i.NeverStarted = c.Session, false, i.Redelivered ||
+			!i.NeverStarted, false
+		s.newFirings = append(s.newFirings, n)
+		s.recordEvent(Event{Kind: "adopt", Number: n, Key: i.IdempotencyKey(), At: i.At, Session: c.Session})
 	}
 	return nil
 }
 
-func (s *State) settle(i *Item, r Result) {
+func (s *State) finishFiring(i *Firing, r Result) {
 	delete(s.open, i.Number)
-	s.Counts[min(int(r), results-1)]++
-	if r != Done {
-		s.Troubles = append(s.Troubles, Trouble{i.Key(), i.At, r})
-		s.Troubles = s.Troubles[max(0, len(s.Troubles)-maxTroubles):]
+	s.ResultCounts[min(int(r), resultCount-1)]++
+	if r != Succeeded {
+		s.Failures = append(s.Failures, Failure{i.IdempotencyKey(), i.At, r})
+		s.Failures = s.Failures[max(0, len(s.Failures)-maxFailures):]
 	}
-	s.tell(Event{What: "settle", Number: i.Number, Key: i.Key(), At: i.At, Seat: i.Seat, Result: r})
+	s.recordEvent(
+		Event{
+			Kind:    "settle",
+			Number:  i.Number,
+			Key:     i.IdempotencyKey(),
+			At:      i.At,
+			Session: i.Session,
+			Result:  r,
+		},
+	)
 }
 
-// from is from where on a trigger's occurrences are to be intended: after this instant. A shard's mark is
-// one of firing, which for a spread trigger is later than its occurrence.
-func (s *State) from(t *Trigger) int64 {
-	return max(s.Shards[placement.ShardOf(t.Name)].Mark-t.offset(), s.Since[t.Name])
+// intendedThrough is from where on a trigger's occurrences are to be intended: after this instant. A shard's
+// mark is one of firing, which for a spread trigger is later than its occurrence.
+func (s *State) intendedThrough(t *Trigger) int64 {
+	return max(s.Shards[placement.ShardOf(t.Name)].Watermark-t.jitterSeconds(), s.ActiveSince[t.Name])
 }
--- a/internal/cluster/transport/peers.go
+++ b/internal/cluster/transport/network.go
@@ -31,14 +31,14 @@
 
 // Bounds on what waits for one peer, and on a message.
 const (
-	maxQueued      = 512
-	maxQueuedBytes = 8 << 20
-	MaxMessage     = 64 << 20 // a snapshot is the largest
+	maxQueued       = 512
+	maxQueuedBytes  = 8 << 20
+	MaxMessageBytes = 64 << 20 // a snapshot is the largest
 )
 
 // Network is this instance's side of the peers' network.
 type Network struct {
-	keys    *keys.Store
+	keys    *keys.Reloader
 	log     logrus.FieldLogger
 	self    clusterstate.Member // its name and address; the number and the group come from the runner
 	program string
@@ -67,14 +67,19 @@
 
 // New makes the network of an instance of that name, which others reach at the address, and
 // which calls them from another one, if that is not empty.
-func New(k *keys.Store, name, address, from, program string, log logrus.FieldLogger) *Network {
-	return &Network{keys: k, log: log, self: clusterstate.Member{Name: name, Address: address}, program: program,
-		from:  from,
-		links: map[string]*link{}}
+func New(k *keys.Reloader, name, address, from, program string, log logrus.FieldLogger) *Network {
+	return &Network{
+		keys:    k,
+		log:     log,
+		self:    clusterstate.Member{Name: name, Address: address},
+		program: program,
+		from:    from,
+		links:   map[string]*link{},
+	}
 }
 
-// Attach says whose messages the network carries. It must be called before Serve.
-func (n *Network) Attach(r *consensus.Runner) { n.runner = r }
+// AttachRunner says whose messages the network carries. It must be called before Serve.
+func (n *Network) AttachRunner(r *consensus.Runner) { n.runner = r }
 
 // Counters are what was sent, dropped and refused.
 func (n *Network) Counters() map[string]uint64 {
@@ -132,14 +137,19 @@
 	l.put(outgoing{session: m, to: to.ID})
 }
 
-// TakeWords has this function take others' words on workers. It must be called before Serve.
-func (n *Network) TakeWords(take func(from uint64, m *schema.WitnessMessage)) { n.words = take }
+// HandleOutlierReports has this function take others' words on workers. It must be called before Serve.
+func (n *Network) HandleOutlierReports(take func(from uint64, m *schema.WitnessMessage)) {
+	n.words = take
+}
 
-// TakeProbes has this function take others' words on who is there. It must be called before Serve.
-func (n *Network) TakeProbes(take func(from uint64, m *schema.MembershipMessage)) { n.probes = take }
+// HandleMembershipMessages has this function take others' words on who is there. It must be called before
+// Serve.
+func (n *Network) HandleMembershipMessages(take func(from uint64, m *schema.MembershipMessage)) {
+	n.probes = take
+}
 
-// TakeRates has this function take others' words on slices. It must be called before Serve.
-func (n *Network) TakeRates(take func(from uint64, m *schema.RateMessage)) { n.rates = take }
+// HandleRateMessages has this function take others' words on slices. It must be called before Serve.
+func (n *Network) HandleRateMessages(take func(from uint64, m *schema.RateMessage)) { n.rates = take }
 
 func (l *link) put(o outgoing) {
 	size := o.size()
@@ -166,7 +176,7 @@
 			}
 			return d.DialContext(ctx, "tcp", address)
 		}),
-		grpc.WithTransportCredentials(credentials.NewTLS(n.keys.Client(to.Name))),
+		grpc.WithTransportCredentials(credentials.NewTLS(n.keys.ClientTLSConfig(to.Name))),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: 2 * time.Second,
 			Backoff: backoff.Config{
 				BaseDelay:  100 * time.Millisecond,
@@ -177,7 +187,10 @@
 		grpc.WithKeepaliveParams(
 			keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 2 * time.Second},
 		),
-		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(MaxMessage), grpc.MaxCallRecvMsgSize(MaxMessage)),
+		grpc.WithDefaultCallOptions(
+			grpc.MaxCallSendMsgSize(MaxMessageBytes),
+			grpc.MaxCallRecvMsgSize(MaxMessageBytes),
+		),
 	)
 }
 
@@ -228,7 +241,7 @@
 		Session:     o.session,
 		FromName:    n.self.Name,
 		FromAddress: n.self.Address,
-		Format:      clusterstate.Format,
+		Format:      clusterstate.LatestFormat,
 	}
 	var err error
 	if o.message != nil {
@@ -275,9 +288,9 @@
 			return
 		}
 		if status.Code(err) == codes.PermissionDenied && status.Convert(err).Message() == removed {
-			l.n.runner.ToldRemoved()
+			l.n.runner.ReportRemoved()
 		}
-		l.n.runner.Unreachable(m.to)
+		l.n.runner.ReportUnreachable(m.to)
 		if !down {
 			down = true
 			l.n.log.WithError(err).WithField("peer", l.to.Name).Warn("a peer is not reached")
@@ -307,5 +320,5 @@
 	} else {
 		entry.Info("a snapshot was delivered")
 	}
-	l.n.runner.SnapshotSent(m.GetTo(), err == nil)
+	l.n.runner.ReportSnapshot(m.GetTo(), err == nil)
 }
--- a/internal/cluster/transport/server.go
+++ b/internal/cluster/transport/server.go
@@ -26,9 +26,9 @@
 // Server gives the service, to be registered with a gRPC server made by Listener.
 func (n *Network) Server() *grpc.Server {
 	s := grpc.NewServer(
-		grpc.Creds(credentials.NewTLS(n.keys.Server(keys.Instance))),
-		grpc.MaxRecvMsgSize(MaxMessage),
-		grpc.MaxSendMsgSize(MaxMessage),
+		grpc.Creds(credentials.NewTLS(n.keys.ServerTLSConfig(keys.RoleInstance))),
+		grpc.MaxRecvMsgSize(MaxMessageBytes),
+		grpc.MaxSendMsgSize(MaxMessageBytes),
 		grpc.KeepaliveEnforcementPolicy(
 			keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true},
 		),
@@ -104,7 +104,7 @@
 	gone := false
 	if st.Revision > 0 && !knows(st, e.From) {
 		// Asked only of those that the status doesn't name, which is rare.
-		_ = n.runner.View(ctx, func(a *clusterstate.State) { gone = a.Removed(e.From) })
+		_ = n.runner.View(ctx, func(a *clusterstate.State) { gone = a.WasRemoved(e.From) })
 	}
 	if gone {
 		return refuse(codes.PermissionDenied, removed)
@@ -128,7 +128,7 @@
 		}
 		return nil
 	}
-	if e.Session != nil || st.Rollout.Format < clusterstate.Format {
+	if e.Session != nil || st.Rollout.Format < clusterstate.LatestFormat {
 		n.runner.DeliverSession(from, e.Session, e.Format)
 	}
 	if e.Session == nil {
@@ -171,15 +171,15 @@
 func (s *server) Describe(context.Context, *schema.DescribeRequest) (*schema.Description, error) {
 	st := s.n.runner.Status()
 	out := &schema.Description{Id: st.ID, Name: st.Name, Cluster: st.Cluster, Program: s.n.program,
-		Format: clusterstate.Format, Life: st.Life}
+		Format: clusterstate.LatestFormat, Life: st.Incarnation}
 	if s.n.fronts != nil {
 		s.n.fronts(out)
 	}
 	return out, nil
 }
 
-// TellFronts says how this instance's fronts stand.
-func (n *Network) TellFronts(f func(*schema.Description)) { n.fronts = f }
+// HandleDescribe says how this instance's fronts stand.
+func (n *Network) HandleDescribe(f func(*schema.Description)) { n.fronts = f }
 
 // Describe asks another instance how it stands.
 func (n *Network) Describe(ctx context.Context, to clusterstate.Member) (*schema.Description, error) {
@@ -204,8 +204,8 @@
 	return s.Describe(ctx, nil)
 }
 
-// TellLists has callers be told discovery's list by this function, for as long as it lasts.
-func (n *Network) TellLists(tell func(context.Context, func(*schema.ListNews) error) error) {
+// HandleWatchEndpointLists has callers be told discovery's list by this function, for as long as it lasts.
+func (n *Network) HandleWatchEndpointLists(tell func(context.Context, func(*schema.ListNews) error) error) {
 	n.lists = tell
 }
 
@@ -220,9 +220,13 @@
 	return nil
 }
 
-// Lists asks an instance for discovery's list, and hands on what it tells until the context ends, the
-// other side does, or told returns an error.
-func (n *Network) Lists(ctx context.Context, of clusterstate.Member, told func(*schema.ListNews) error) error {
+// WatchEndpointLists asks an instance for discovery's list, and hands on what it tells until the context
+// ends, the other side does, or told returns an error.
+func (n *Network) WatchEndpointLists(
+	ctx context.Context,
+	of clusterstate.Member,
+	told func(*schema.ListNews) error,
+) error {
 	conn, err := n.dial(of)
 	if err != nil {
 		return err
@@ -262,7 +266,7 @@
 	}
 	err = n.runner.Operate(ctx, op, number)
 	var elsewhere *consensus.NotLeaderError
-	var refused *consensus.RefusedError
+	var refused *consensus.RejectedError
 	switch {
 	case err == nil:
 		n.log.WithFields(logrus.Fields{"operation": op.Kind.String(), "name": op.Name, "by": op.By}).
@@ -277,8 +281,8 @@
 		return schema.NewPeersClient(conn).Operate(ctx, op)
 	case errors.As(err, &refused):
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
-	case errors.Is(err, consensus.ErrUnknown) || errors.Is(err, context.DeadlineExceeded):
-		return nil, status.Error(codes.DeadlineExceeded, consensus.ErrUnknown.Error())
+	case errors.Is(err, consensus.ErrOutcomeUnknown) || errors.Is(err, context.DeadlineExceeded):
+		return nil, status.Error(codes.DeadlineExceeded, consensus.ErrOutcomeUnknown.Error())
 	default:
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
@@ -286,7 +290,7 @@
 
 // invite has a new instance belong to this group and gives its number.
 func (n *Network) invite(ctx context.Context, st consensus.Status, op *schema.Operation) (uint64, error) {
-	if err := keys.CheckName(op.Name); err != nil {
+	if err := keys.ValidateName(op.Name); err != nil {
 		return 0, status.Error(codes.FailedPrecondition, err.Error())
 	}
 	ctx, stop := context.WithTimeout(ctx, 5*time.Second)
--- a/internal/cluster/weights/weights.go
+++ b/internal/cluster/weights/weights.go
@@ -31,8 +31,8 @@
 	most  = 10
 )
 
-// Read reads the section, and gives what is wrong with it.
-func Read(values map[string]string) (by map[string]float64, wrong []string) {
+// Parse reads the section, and gives what is wrong with it.
+func Parse(values map[string]string) (by map[string]float64, wrong []string) {
 	by = map[string]float64{}
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		name, ok := strings.CutPrefix(key, prefix)
@@ -53,77 +53,79 @@
 	return by, wrong
 }
 
-// Subject has a group agree on weights.
-type Subject struct{}
+// Type has a group agree on weights.
+type Type struct{}
 
-var _ replicated.Subject = Subject{}
+var _ replicated.StateMachineType = Type{}
 
 // Section implements subject.Subject.
-func (Subject) Section() string { return Section }
+func (Type) Section() string { return Section }
 
-// Since implements subject.Subject.
-func (Subject) Since() int { return 6 }
+// SinceFormat implements subject.Subject.
+func (Type) SinceFormat() int { return 6 }
 
-// Check implements subject.Subject.
-func (Subject) Check(t replicated.Terms) []string {
-	_, wrong := Read(t.Values)
+// Validate implements subject.Subject.
+func (Type) Validate(t replicated.Config) []string {
+	_, wrong := Parse(t.Values)
 	return wrong
 }
 
-// Has implements subject.Subject: there is nothing to say of weights but the document.
-func (Subject) Has(*schema.Change) bool { return false }
+// OwnsEntry implements subject.Subject: there is nothing to say of weights but the document.
+func (Type) OwnsEntry(*schema.Change) bool { return false }
 
-// State implements subject.Subject.
-func (Subject) State(uint64) replicated.State { return &Agreed{} }
+// NewStateMachine implements subject.Subject.
+func (Type) NewStateMachine(uint64) replicated.StateMachine { return &StateMachine{} }
 
-// Part implements subject.Subject.
-func (Subject) Part(replicated.Own) replicated.Part { return nil }
+// NewParticipant implements subject.Subject.
+func (Type) NewParticipant(replicated.LocalInfo) replicated.Participant { return nil }
 
-// Agreed is the agreed part.
-type Agreed struct {
-	By      map[string]float64 `json:"by,omitempty"` // by instance's name; who isn't there has 1
-	Changes uint64             `json:"changes"`
+// StateMachine is the agreed part.
+type StateMachine struct {
+	ByInstance  map[string]float64 `json:"by,omitempty"` // by instance's name; who isn't there has 1
+	ChangeCount uint64             `json:"changes"`
 }
 
 // Configure implements subject.State.
-func (a *Agreed) Configure(t replicated.Terms) {
-	by, _ := Read(t.Values)
-	if !maps.Equal(by, a.By) {
-		a.By = by
-		a.Changes++
+func (a *StateMachine) Configure(t replicated.Config) {
+	by, _ := Parse(t.Values)
+	if !maps.Equal(by, a.ByInstance) {
+		a.ByInstance = by
+		a.ChangeCount++
 	}
 }
 
-// Of is an instance's weight.
-func (a *Agreed) Of(name string) float64 {
+// Weight is an instance's weight.
+func (a *StateMachine) Weight(name string) float64 {
 	if a == nil {
 		return 0
 	}
-	return a.By[name]
+	return a.ByInstance[name]
 }
 
-// Read implements subject.State.
-func (a *Agreed) Read(*schema.Change) (replicated.Word, bool) { return replicated.Word{}, false }
+// Decode implements subject.State.
+func (a *StateMachine) Decode(*schema.Change) (replicated.Command, bool) {
+	return replicated.Command{}, false
+}
 
-// Seated implements subject.State.
-func (a *Agreed) Seated([]placement.Member) {}
+// SetOwners implements subject.State.
+func (a *StateMachine) SetOwners([]placement.Member) {}
 
-// Vacated implements subject.State.
-func (a *Agreed) Vacated(func(placement.Seat) bool, string, int64) {}
+// SessionsExpired implements subject.State.
+func (a *StateMachine) SessionsExpired(func(placement.Session) bool, string, int64) {}
 
-// Image implements subject.State.
-func (a *Agreed) Image() []replicated.Field {
-	f := replicated.Field{Name: "weights"}
-	if a.Changes > 0 {
+// Snapshot implements subject.State.
+func (a *StateMachine) Snapshot() []replicated.SnapshotField {
+	f := replicated.SnapshotField{Name: "weights"}
+	if a.ChangeCount > 0 {
 		f.Value = a
 	}
-	return []replicated.Field{f}
+	return []replicated.SnapshotField{f}
 }
 
 // Restore implements subject.State.
-func (a *Agreed) Restore(read func(string, any) (bool, error)) error {
+func (a *StateMachine) Restore(read func(string, any) (bool, error)) error {
 	_, err := read("weights", a)
-	for _, w := range a.By {
+	for _, w := range a.ByInstance {
 		if !(w >= least && w <= most) {
 			err = errors.Join(err, fmt.Errorf("a weight of %v", w))
 		}
--- a/internal/frontend/faktory/config.go
+++ b/internal/frontend/faktory/config.go
@@ -53,13 +53,13 @@
 // the platform's machine kinds. A worker fetches what it has room for, and so is
 // never cold in the sense of the fourth rule.
 func Settings(set balancer.Settings) balancer.Settings {
-	set.Me, set.Fleet, set.Kinds = 0, 1, 1
-	set.MustAsk, set.TellsStart, set.Progress = false, false, 0
-	set.Limits.Probes, set.ReportProbed = true, true
-	set.Size = balancer.SizeNone
+	set.DispatcherIndex, set.DispatcherCount, set.WorkerKinds = 0, 1, 1
+	set.ListOnRequest, set.ReportsStart, set.ProgressInterval = false, false, 0
+	set.Limits.HealthChecks, set.LoadReportsByCheck = true, true
+	set.SizeMeaning = balancer.SizeNone
 	set.Classes = append([]balancer.Class(nil), set.Classes...)
 	for i := range set.Classes {
-		set.Classes[i].Kind = -1
+		set.Classes[i].WorkerKind = -1
 	}
 	return set
 }
--- a/internal/frontend/faktory/conn.go
+++ b/internal/frontend/faktory/conn.go
@@ -42,7 +42,7 @@
 
 func (f *Front) accept(nc *eventloop.Conn) {
 	c := &conn{front: f, conn: nc}
-	nc.H = c
+	nc.Handler = c
 	hi := map[string]any{"v": version}
 	if f.cfg.Password != "" {
 		c.salt = rand.Text()
@@ -75,15 +75,15 @@
 }
 
 func (c *conn) close() {
-	c.conn.Finish()
-	c.Ended(c.conn, nil)
+	c.conn.CloseAfterFlush()
+	c.OnClose(c.conn, nil)
 }
 
-// Up is never told: nothing is dialled.
-func (c *conn) Up(*eventloop.Conn) {}
+// OnConnect is never told: nothing is dialled.
+func (c *conn) OnConnect(*eventloop.Conn) {}
 
-// Ended is the end of the connection, from whichever side.
-func (c *conn) Ended(*eventloop.Conn, error) {
+// OnClose is the end of the connection, from whichever side.
+func (c *conn) OnClose(*eventloop.Conn, error) {
 	c.timer.Stop()
 	if s := c.session; s != nil {
 		c.session = nil
@@ -92,12 +92,12 @@
 }
 
 // next goes on with input that came while a FETCH waited, though not within this call.
-func (c *conn) next() { c.front.loop.After(0, func() { c.Data(c.conn) }) }
+func (c *conn) next() { c.front.loop.After(0, func() { c.OnData(c.conn) }) }
 
-// Data takes the commands one at a time.
-func (c *conn) Data(*eventloop.Conn) {
-	for !c.fetching && !c.conn.Closed() && !c.conn.Finished() {
-		in := c.conn.In()
+// OnData takes the commands one at a time.
+func (c *conn) OnData(*eventloop.Conn) {
+	for !c.fetching && !c.conn.Closed() && !c.conn.Finishing() {
+		in := c.conn.Input()
 		i := bytes.IndexByte(in[c.scanned:], '\n')
 		if i < 0 && len(in) <= c.front.cfg.LineBytes {
 			c.scanned = len(in)
@@ -110,12 +110,12 @@
 		n := c.scanned + i
 		line := append([]byte(nil), bytes.TrimRight(in[:n], "\r")...)
 		c.scanned = 0
-		c.conn.Use(n + 1)
-		c.conn.Taken()
+		c.conn.Discard(n + 1)
+		c.conn.BeginProcessing()
 		c.command(line)
 		// A worker's connection is never shed: its jobs would be lost.
-		if c.session == nil && !c.conn.Finished() {
-			c.conn.Idle()
+		if c.session == nil && !c.conn.Finishing() {
+			c.conn.EndProcessing()
 		}
 	}
 }
@@ -245,7 +245,7 @@
 		c.session.end(e.JID, balancer.OK) // one that comes late is heard, and changes nothing
 		return nil
 	}
-	if !c.session.end(e.JID, balancer.Error) {
+	if !c.session.end(e.JID, balancer.ServerError) {
 		return fmt.Errorf("job not found %.60s", e.JID)
 	}
 	return nil
--- a/internal/frontend/faktory/front.go
+++ b/internal/frontend/faktory/front.go
@@ -18,7 +18,7 @@
 // Front is the Faktory front.
 type Front struct {
 	loop     *eventloop.Loop
-	core     *broker.Core
+	core     *broker.Broker
 	cfg      *Config
 	set      balancer.Settings
 	log      logrus.FieldLogger
@@ -57,14 +57,14 @@
 }
 
 // Open begins to listen. The route set is empty until a worker fetches.
-func (f *Front) Open(c *broker.Core) error {
+func (f *Front) Open(c *broker.Broker) error {
 	f.core = c
-	f.core.RouteSet(balancer.Whole, nil)
+	f.core.UpdateEndpoints(balancer.ListFull, nil)
 	var err error
 	// Input that waits may take a quarter as much as the jobs held, or else a little for
 	// each connection and a few long lines.
-	limits := eventloop.Limits{Connections: f.cfg.Connections,
-		Bytes: max(f.cfg.Bytes/4, f.cfg.Connections<<12+4*f.cfg.LineBytes)}
+	limits := eventloop.Limits{MaxConnections: f.cfg.Connections,
+		MaxBufferBytes: max(f.cfg.Bytes/4, f.cfg.Connections<<12+4*f.cfg.LineBytes)}
 	f.listener, err = f.loop.Listen(f.cfg.Listen, limits, f.accept)
 	return err
 }
@@ -79,7 +79,7 @@
 // answers up for a while, and calls done.
 func (f *Front) Drain(done func()) {
 	f.draining = true
-	busy := f.core.Waiting() > 0
+	busy := f.core.PendingCount() > 0
 	for _, j := range f.jobs {
 		busy = busy || j.over && !j.told && time.Since(j.updated) < lookUp
 	}
@@ -147,8 +147,8 @@
 	if err != nil {
 		return err
 	}
-	if d.Refused != "" {
-		return busy(d.Refused, max(d.RetryAfter, time.Second))
+	if d.RejectReason != "" {
+		return busy(d.RejectReason, max(d.RetryAfter, time.Second))
 	}
 	j.digest = sha256.Sum256(append([]byte(j.Type+"\x00"), j.Args...))
 	j.Args = nil
@@ -166,7 +166,7 @@
 	}
 	f.jobs[j.JID] = j
 	f.held += len(text)
-	if err := f.core.Begin(t, j); err != nil {
+	if err := f.core.Submit(t, j); err != nil {
 		delete(f.jobs, j.JID)
 		f.held -= len(text)
 		return busy(err.Error(), time.Second)
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (f *Front) transaction(j *job) (t broker.Transaction, d routing.Decision, err error) {
+func (f *Front) transaction(j *job) (t broker.Request, d routing.Decision, err error) {
 	if n := len(j.JID); n < 8 || n > 200 {
 		return t, d, fmt.Errorf("jid must have 8 to 200 characters")
 	}
@@ -215,8 +215,8 @@
 	if j.Queue == "" {
 		j.Queue = "default"
 	}
-	t = broker.Transaction{ID: j.JID, Class: -1, Job: j, Slots: j.Custom.Slots, Account: j.Custom.Account,
-		Work: time.Duration(j.Custom.Cost * float64(time.Second))}
+	t = broker.Request{ID: j.JID, Class: -1, Payload: j, Slots: j.Custom.Slots, Account: j.Custom.Account,
+		ExpectedWork: time.Duration(j.Custom.Cost * float64(time.Second))}
 	if class, ok := f.classes[j.Type]; ok {
 		t.Class = class
 	}
@@ -229,22 +229,22 @@
 		t.Tenant = tenant
 	}
 	if f.routes != nil {
-		d = f.routes.Decide(&routing.Job{Front: "faktory", Class: t.Class, Tenant: tenant, Queue: j.Queue,
-			Type: j.Type, Cost: t.Work, ID: t.ID})
-		t.Class, t.Route, t.Attempts, t.Limit = d.Class, d.Route, d.Attempts, d.Timeout
-		if d.Refused != "" {
+		d = f.routes.Decide(&routing.Job{Frontend: "faktory", Class: t.Class, Tenant: tenant, Queue: j.Queue,
+			JobType: j.Type, CostHint: t.ExpectedWork, ID: t.ID})
+		t.Class, t.Route, t.MaxAttempts, t.AttemptTimeout = d.Class, d.Route, d.MaxAttempts, d.AttemptTimeout
+		if d.RejectReason != "" {
 			return t, d, nil
 		}
 	}
 	if t.Class < 0 {
 		return t, d, fmt.Errorf("jobtype %.60q has no class", j.Type)
 	}
-	t.Left = f.set.Classes[t.Class].Deadline
+	t.Timeout = f.set.Classes[t.Class].Timeout
 	if within := j.Custom.Deadline; within != nil {
 		if !(*within > 0 && *within <= 86400) {
 			return t, d, fmt.Errorf("custom.deadline must be seconds, above 0 and up to a day")
 		}
-		t.Left = time.Duration(*within * float64(time.Second))
+		t.Timeout = time.Duration(*within * float64(time.Second))
 	}
 	if r := j.ReserveFor; r != nil && !(*r > 0 && *r <= 86400) {
 		return t, d, fmt.Errorf("reserve_for must be seconds, above 0 and up to a day")
@@ -255,8 +255,8 @@
 	return t, d, nil
 }
 
-// Answer keeps the final answer for the producer to look up.
-func (j *job) Answer(a broker.Answer) {
+// Respond keeps the final answer for the producer to look up.
+func (j *job) Respond(a broker.Response) {
 	j.over, j.updated = true, time.Now()
 	j.front.held -= len(j.text)
 	j.text = nil
@@ -264,8 +264,8 @@
 	case broker.Served:
 		j.state = success
 		j.front.counts.served++
-	case broker.Busy:
-		j.state, j.refused, j.retryAfter, j.why = failed, true, a.RetryAfter, a.Why
+	case broker.Rejected:
+		j.state, j.refused, j.retryAfter, j.why = failed, true, a.RetryAfter, a.Reason
 		j.front.counts.refused++
 	default:
 		j.state = failed
@@ -309,12 +309,12 @@
 	n := &f.counts
 	return map[string]any{
 		"server_utc_time": time.Now().UTC().Format("15:04:05 UTC"),
-		"faktory": map[string]any{"queues": waiting, "total_enqueued": f.core.Waiting(),
+		"faktory": map[string]any{"queues": waiting, "total_enqueued": f.core.PendingCount(),
 			"total_queues": len(waiting), "total_processed": n.served + n.failed,
 			"total_failures": n.failed, "total_refused": n.refused,
 			"tasks": map[string]any{"Workers": map[string]int{"size": len(f.sessions)}}},
 		"server": map[string]any{"description": "moorstack, in memory", "faktory_version": "1.9.0",
-			"uptime": int((f.loop.Now() - f.began).Seconds()), "connections": f.listener.Open(),
+			"uptime": int((f.loop.Now() - f.began).Seconds()), "connections": f.listener.OpenCount(),
 			"command_count": n.commands},
 	}
 }
--- a/internal/frontend/faktory/session.go
+++ b/internal/frontend/faktory/session.go
@@ -36,8 +36,8 @@
 }
 
 var (
-	_ broker.NextHop = (*session)(nil)
-	_ broker.Running = (*reservation)(nil)
+	_ broker.Endpoint       = (*session)(nil)
+	_ broker.RunningAttempt = (*reservation)(nil)
 )
 
 // join finds the session of a worker's connection, or begins it. Workers with the
@@ -72,13 +72,20 @@
 	})
 }
 
-func (s *session) tell(state balancer.State) {
-	e := broker.Entry{Name: s.wid, Zone: s.front.set.Zone, Cell: s.cell, State: state, Size: 1, Hop: s,
-		Labels: s.labels}
+func (s *session) tell(state balancer.WorkerState) {
+	e := broker.ListEntry{
+		Name:     s.wid,
+		Zone:     s.front.set.Zone,
+		Cell:     s.cell,
+		State:    state,
+		Size:     1,
+		Endpoint: s,
+		Labels:   s.labels,
+	}
 	if state == balancer.Removed {
-		e.Hop = nil
+		e.Endpoint = nil
 	}
-	s.front.core.RouteSet(balancer.Changes, []broker.Entry{e})
+	s.front.core.UpdateEndpoints(balancer.ListDelta, []broker.ListEntry{e})
 }
 
 // drain is the worker's notice that it wants nothing new.
@@ -90,13 +97,13 @@
 	if s.listed {
 		s.tell(balancer.Draining)
 	}
-	s.handBack(balancer.Full)
+	s.handBack(balancer.WorkerFull)
 }
 
 // handBack ends what was assigned and never fetched: it never ran.
 func (s *session) handBack(res balancer.Result) {
 	for _, r := range s.assigned {
-		s.front.core.End(r.id, res, nil, balancer.NoReport)
+		s.front.core.EndAttempt(r.id, res, nil, balancer.NoLoadReport)
 	}
 	s.assigned = nil
 }
@@ -114,8 +121,8 @@
 	}
 	s.handBack(balancer.ConnectFailed)
 	for _, r := range s.reserved {
-		r.GiveUp()
-		s.front.core.End(r.id, balancer.Reset, nil, balancer.NoReport)
+		r.Abandon()
+		s.front.core.EndAttempt(r.id, balancer.ConnectionReset, nil, balancer.NoLoadReport)
 	}
 	for c := range s.conns {
 		c.timer.Stop()
@@ -133,9 +140,9 @@
 	}
 }
 
-// Start assigns a job to the worker; the next fitting FETCH takes it.
-func (s *session) Start(b broker.Branch) broker.Running {
-	r := &reservation{s: s, job: b.Job.(*job), id: b.ID}
+// StartAttempt assigns a job to the worker; the next fitting FETCH takes it.
+func (s *session) StartAttempt(b broker.Attempt) broker.RunningAttempt {
+	r := &reservation{s: s, job: b.Payload.(*job), id: b.ID}
 	if !s.lost && !s.quiet && s.wants(r.job.Queue) {
 		for _, c := range s.parked {
 			if c.wants[r.job.Queue] {
@@ -149,7 +156,7 @@
 			return r
 		}
 	}
-	s.front.core.End(b.ID, balancer.Full, nil, s.load())
+	s.front.core.EndAttempt(b.ID, balancer.WorkerFull, nil, s.load())
 	return r
 }
 
@@ -179,7 +186,7 @@
 			s.hand(c, r)
 			return
 		}
-		s.front.core.End(r.id, balancer.Cancelled, nil, s.load()) // another copy has ended it
+		s.front.core.EndAttempt(r.id, balancer.Cancelled, nil, s.load()) // another copy has ended it
 		i--
 	}
 	s.parked = append(s.parked, c)
@@ -214,17 +221,17 @@
 	}
 	s.reserved[r.job.JID] = r
 	r.timer = s.front.loop.After(term, func() {
-		r.GiveUp()
-		s.front.core.End(r.id, balancer.TimedOut, nil, s.load())
+		r.Abandon()
+		s.front.core.EndAttempt(r.id, balancer.TimedOut, nil, s.load())
 	})
 	r.job.state, r.job.updated = working, time.Now()
 	c.bulk(r.job.text)
 	c.next()
 }
 
-// GiveUp takes the branch out of the worker's hands. The protocol has no call-off:
+// Abandon takes the branch out of the worker's hands. The protocol has no call-off:
 // a worker that has the job goes on, and its late ACK finds nothing to end.
-func (r *reservation) GiveUp() {
+func (r *reservation) Abandon() {
 	r.timer.Stop()
 	if r.s.reserved[r.job.JID] == r {
 		delete(r.s.reserved, r.job.JID)
@@ -247,20 +254,22 @@
 	if r == nil {
 		return false
 	}
-	r.GiveUp()
-	s.front.core.End(r.id, res, nil, s.load())
+	r.Abandon()
+	s.front.core.EndAttempt(r.id, res, nil, s.load())
 	return true
 }
 
 // load is the worker's load: fetches that wait, and jobs that wait for one.
-func (s *session) load() balancer.Report {
-	r := balancer.NoReport
-	r.Told, r.FreeSlots, r.Queue = true, float64(len(s.parked)), float64(len(s.assigned))
+func (s *session) load() balancer.LoadReport {
+	r := balancer.NoLoadReport
+	r.Received, r.FreeSlots, r.QueueLength = true, float64(len(s.parked)), float64(len(s.assigned))
 	return r
 }
 
-// Probe reads the load.
-func (s *session) Probe(done func(balancer.Result, balancer.Report)) { done(balancer.OK, s.load()) }
+// CheckHealth reads the load.
+func (s *session) CheckHealth(done func(balancer.Result, balancer.LoadReport)) {
+	done(balancer.OK, s.load())
+}
 
 // CloseIdle has nothing to close: the connections are the worker's.
 func (s *session) CloseIdle() {}
--- a/internal/frontend/platform/foster_test.go
+++ b/internal/frontend/platform/adoption_test.go
@@ -24,7 +24,7 @@
 			began := time.Now()
 			time.AfterFunc(left/2, func() {
 				word := []byte(`{"id":"done","from":"s-2","state":"done","result":"r"}`)
-				f.loop.Post(func() { f.event(word) })
+				f.loop.Post(func() { f.handleCallBack(word) })
 			})
 			if got := status(t, done); got != http.StatusOK {
 				t.Errorf("the job that is done in time gets %d", got)
@@ -69,8 +69,9 @@
 	}
 	taken := make(chan error, 1)
 	f.loop.Post(func() {
-		taken <- f.Foster(&hotrestart.Job{ID: id, Hops: []string{"s-2"}, Until: f.loop.Now() + ahead + left,
-			Left: left}, fd)
+		taken <- f.AdoptRequest(&hotrestart.MigratedRequest{ID: id, Endpoints: []string{"s-2"},
+			Deadline: f.loop.Now() + ahead + left,
+			Timeout:  left}, fd)
 	})
 	if err := <-taken; err != nil {
 		t.Fatal(err)
--- a/internal/frontend/platform/config.go
+++ b/internal/frontend/platform/config.go
@@ -17,17 +17,17 @@
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name      string            `json:"name"`
-	Listen    string            `json:"listen"`
-	Admin     string            `json:"admin_addr"` // where operators call; empty: nowhere
-	Discovery string            `json:"discovery"`
-	Seed      string            `json:"seed"`
-	Limits    Limits            `json:"limits"`
-	Known     routeSet          `json:"known"`
-	Settings  settings.Settings `json:"settings"`
+	Name             string          `json:"name"`
+	ListenAddress    string          `json:"listen"`
+	AdminAddress     string          `json:"admin_addr"` // where operators call; empty: nowhere
+	DiscoveryAddress string          `json:"discovery"`
+	Seed             string          `json:"seed"`
+	Limits           Limits          `json:"limits"`
+	InitialList      workerList      `json:"known"`
+	Settings         settings.Params `json:"settings"`
 
-	path    string // of the file, where it is not the platform's
-	written string // the address of discovery that the file gave last
+	path                string // of the file, where it is not the platform's
+	configuredDiscovery string // the address of discovery that the file gave last
 }
 
 // Limits are what a node may use.
@@ -36,7 +36,7 @@
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 
-	Others int `json:"-"` // descriptors that another front may hold
+	ReservedDescriptors int `json:"-"` // descriptors that another front may hold
 }
 
 // ReadConfig reads the file that BALANCER_CONFIG names. The other variables, where
@@ -46,14 +46,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c.written = c.Discovery
-	for name, to := range map[string]*string{"BALANCER_NAME": &c.Name, "BALANCER_LISTEN": &c.Listen,
-		"BALANCER_DISCOVERY": &c.Discovery, "BALANCER_ADMIN_ADDR": &c.Admin} {
+	c.configuredDiscovery = c.DiscoveryAddress
+	for name, to := range map[string]*string{"BALANCER_NAME": &c.Name, "BALANCER_LISTEN": &c.ListenAddress,
+		"BALANCER_DISCOVERY": &c.DiscoveryAddress, "BALANCER_ADMIN_ADDR": &c.AdminAddress} {
 		if v := os.Getenv(name); v != "" {
 			*to = v
 		}
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
 // ReadConfigFile reads a file in the platform's form for a node that is not the platform's.
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c.path, c.written = path, c.Discovery
-	return c, c.check()
+	c.path, c.configuredDiscovery = path, c.DiscoveryAddress
+	return c, c.validate()
 }
 
 // readFile reads the platform's file as it stands.
@@ -87,27 +87,30 @@
 	return c, nil
 }
 
-// Upgrades says whether another process may take this one's place while the node serves:
+// HotRestartEnabled says whether another process may take this one's place while the node serves:
 // on the days on which operators call, and the platform gives a folder to both.
-func (c *Config) Upgrades() bool { return c.Admin != "" && os.Getenv("TMPDIR") != "" }
+func (c *Config) HotRestartEnabled() bool { return c.AdminAddress != "" && os.Getenv("TMPDIR") != "" }
 
-// check looks for what a node can't go on with.
-func (c *Config) check() error {
+// validate looks for what a node can't go on with.
+func (c *Config) validate() error {
 	if c.Limits.Sockets < 16 {
 		return fmt.Errorf("limits.sockets: a node needs 16 at least")
 	}
-	if at, err := netip.ParseAddrPort(c.Discovery); err != nil || !at.Addr().Unmap().Is4() {
-		return fmt.Errorf("discovery: %q is not an IPv4 address and a port", c.Discovery)
+	if at, err := netip.ParseAddrPort(c.DiscoveryAddress); err != nil || !at.Addr().Unmap().Is4() {
+		return fmt.Errorf("discovery: %q is not an IPv4 address and a port", c.DiscoveryAddress)
 	}
-	if c.Admin != "" {
-		if at, err := netip.ParseAddrPort(c.Admin); err != nil || !at.Addr().Unmap().Is4() {
-			return fmt.Errorf("admin_addr: %q is not an IPv4 address and a port", c.Admin)
+	if c.AdminAddress != "" {
+		if at, err := netip.ParseAddrPort(c.AdminAddress); err != nil || !at.Addr().Unmap().Is4() {
+			return fmt.Errorf("admin_addr: %q is not an IPv4 address and a port", c.AdminAddress)
 		}
-		if c.Admin == c.Listen {
-			return fmt.Errorf("admin_addr: %q is the clients' address (listen), not one of its own", c.Admin)
+		if c.AdminAddress == c.ListenAddress {
+			return fmt.Errorf(
+				"admin_addr: %q is the clients' address (listen), not one of its own",
+				c.AdminAddress,
+			)
 		}
 	}
-	_, err := c.Settings.Brain()
+	_, err := c.Settings.Balancer()
 	return err
 }
 
@@ -124,56 +127,56 @@
 		next, err = readFile()
 	}
 	if err == nil {
-		err = next.check()
+		err = next.validate()
 	}
 	if err != nil {
 		f.log.WithError(err).Error("the configuration stays as it was")
 		return
 	}
-	if next.Discovery == f.cfg.written {
+	if next.DiscoveryAddress == f.cfg.configuredDiscovery {
 		f.log.Info("the configuration names no other discovery")
 		return
 	}
-	f.cfg.Discovery, f.cfg.written = next.Discovery, next.Discovery
-	f.log.WithField("discovery", f.cfg.Discovery).Info("discovery has moved")
-	f.dir.moved()
+	f.cfg.DiscoveryAddress, f.cfg.configuredDiscovery = next.DiscoveryAddress, next.DiscoveryAddress
+	f.log.WithField("discovery", f.cfg.DiscoveryAddress).Info("discovery has moved")
+	f.directory.addressChanged()
 }
 
-// SeedNumber is the seed as the module takes it.
-func (c *Config) SeedNumber() uint64 {
+// SeedValue is the seed as the module takes it.
+func (c *Config) SeedValue() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
 	}
 	return uint64(time.Now().UnixNano()) // a node without a seed is as good with any
 }
 
-// routeSet is discovery's list, or a change of it.
-type routeSet struct {
-	Generation int64  `json:"generation"`
-	Reset      bool   `json:"reset"`
-	Instances  []line `json:"instances"`
+// workerList is discovery's list, or a change of it.
+type workerList struct {
+	Generation int64         `json:"generation"`
+	Full       bool          `json:"reset"`
+	Workers    []workerEntry `json:"instances"`
 }
 
-// heard is a list as it has come, which may be none at all.
-type heard struct {
-	routeSet
+// receivedList is a list as it has come, which may be none at all.
+type receivedList struct {
+	workerList
 	Generation *int64 `json:"generation"`
 }
 
-// list refuses what is no list: some other document, or part of one.
+// validate refuses what is no list: some other document, or part of one.
 //
 // Hazard: a foreign document that happens to be JSON reads as a list with nothing in it, and all workers
 // would be gone.
-func (h *heard) list() (*routeSet, error) {
+func (h *receivedList) validate() (*workerList, error) {
 	if h.Generation == nil {
 		return nil, fmt.Errorf("it has no generation, and so is no list")
 	}
-	s := &h.routeSet
+	s := &h.workerList
 	s.Generation = *h.Generation
-	if s.Reset && s.Instances == nil {
+	if s.Full && s.Workers == nil {
 		return nil, fmt.Errorf("generation %d names no instances, and says that it is whole", s.Generation)
 	}
-	for i, l := range s.Instances {
+	for i, l := range s.Workers {
 		if l.ID == "" || l.Address == "" && lifecycles[l.Lifecycle] != balancer.Removed {
 			return nil, fmt.Errorf("generation %d: instance %d has no instanceId or no hostPort",
 				s.Generation, i)
@@ -182,28 +185,28 @@
 	return s, nil
 }
 
-type line struct {
-	ID        string  `json:"instanceId"`
-	Address   string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"startedAtMs"`
+type workerEntry struct {
+	ID          string  `json:"instanceId"`
+	Address     string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMS int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]balancer.State{"SERVING": balancer.Ready, "DRAINING": balancer.Draining}
+var lifecycles = map[string]balancer.WorkerState{"SERVING": balancer.Ready, "DRAINING": balancer.Draining}
 
-// names finds the numbers of what the wire names.
-type names struct {
+// nameIndex finds the numbers of what the wire names.
+type nameIndex struct {
 	classes, tenants, zones, kinds map[string]int
-	report                         settings.ReportNames
+	report                         settings.LoadReportFields
 }
 
-func namesOf(s *settings.Settings) names {
-	n := names{classes: map[string]int{}, tenants: map[string]int{}, zones: map[string]int{},
-		kinds: map[string]int{}, report: s.Names()}
+func newNameIndex(s *settings.Params) nameIndex {
+	n := nameIndex{classes: map[string]int{}, tenants: map[string]int{}, zones: map[string]int{},
+		kinds: map[string]int{}, report: s.LoadReportFields()}
 	for i, c := range s.Classes {
 		n.classes[c.Name] = i
 	}
@@ -219,52 +222,52 @@
 	return n
 }
 
-func indexOf(m map[string]int, name string) int {
+func indexOrNone(m map[string]int, name string) int {
 	if i, ok := m[name]; ok {
 		return i
 	}
 	return -1
 }
 
-// tell hands a list to the core, with the next hops that its lines name.
-func (f *Front) tell(kind balancer.ListKind, set *routeSet) {
-	entries := make([]broker.Entry, 0, len(set.Instances))
-	if kind != balancer.Changes {
-		clear(f.lines)
+// updateEndpoints hands a list to the core, with the next hops that its lines name.
+func (f *Front) updateEndpoints(kind balancer.ListUpdateKind, set *workerList) {
+	entries := make([]broker.ListEntry, 0, len(set.Workers))
+	if kind != balancer.ListDelta {
+		clear(f.entries)
 	}
 	named := map[string]bool{}
 	now := f.loop.Now()
 	step := time.Duration(time.Now().UnixNano()) - now
-	for _, l := range set.Instances {
-		e := broker.Entry{Name: l.ID, Cell: l.Cell, State: lifecycles[l.Lifecycle], Size: l.Weight,
-			Zone: indexOf(f.names.zones, l.Zone), Kind: indexOf(f.names.kinds, l.Kind),
-			Since: f.starts.at(l.ID, time.Duration(l.StartedMS)*time.Millisecond, now, step)}
+	for _, l := range set.Workers {
+		e := broker.ListEntry{Name: l.ID, Cell: l.Cell, State: lifecycles[l.Lifecycle], Size: l.Weight,
+			Zone: indexOrNone(f.names.zones, l.Zone), Kind: indexOrNone(f.names.kinds, l.MachineType),
+			StartedAt: f.startTimes.resolve(l.ID, time.Duration(l.StartedAtMS)*time.Millisecond, now, step)}
 		if e.State == balancer.Removed {
-			f.remove(l.ID)
-			delete(f.lines, l.ID)
+			f.removeWorker(l.ID)
+			delete(f.entries, l.ID)
 		} else {
-			f.lines[l.ID] = l
+			f.entries[l.ID] = l
 			named[l.ID] = true
-			e.Hop = f.hopAt(l.ID, l.Address)
+			e.Endpoint = f.workerAt(l.ID, l.Address)
 		}
 		entries = append(entries, e)
 	}
-	if kind != balancer.Changes {
-		for id := range f.hops {
+	if kind != balancer.ListDelta {
+		for id := range f.workers {
 			if !named[id] {
-				f.remove(id)
+				f.removeWorker(id)
 			}
 		}
 	}
-	f.core.RouteSet(kind, entries)
+	f.broker.UpdateEndpoints(kind, entries)
 }
 
-// hopAt is the next hop with the id. Its address may have changed.
-func (f *Front) hopAt(id, address string) *nextHop {
-	h := f.hops[id]
+// workerAt is the next hop with the id. Its address may have changed.
+func (f *Front) workerAt(id, address string) *worker {
+	h := f.workers[id]
 	if h == nil {
-		h = &nextHop{front: f, name: id}
-		f.hops[id] = h
+		h = &worker{front: f, name: id}
+		f.workers[id] = h
 	}
 	if h.address != address {
 		h.address = address
@@ -273,9 +276,9 @@
 	return h
 }
 
-func (f *Front) remove(id string) {
-	if h := f.hops[id]; h != nil {
-		delete(f.hops, id)
+func (f *Front) removeWorker(id string) {
+	if h := f.workers[id]; h != nil {
+		delete(f.workers, id)
 		h.CloseIdle()
 	}
 }
--- a/internal/frontend/platform/discovery_test.go
+++ b/internal/frontend/platform/discovery_test.go
@@ -144,16 +144,16 @@
 	cfg := configOf(t, file, mode, a)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	loop, err := eventloop.NewOn(system)
+	loop, err := eventloop.NewWithSystem(system)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := New(loop, cfg, log)
-	set, err := cfg.Settings.Brain()
+	set, err := cfg.Settings.Balancer()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := broker.New(set, 7, beats{loop}, f.Directory(), log)
+	c, err := broker.New(set, 7, beats{loop}, f.EndpointSource(), log)
 	if err == nil {
 		err = f.Open(c)
 	}
@@ -195,7 +195,7 @@
 // state is the worker's, as the front knows it.
 func (f *Front) state() string {
 	got := make(chan string, 1)
-	f.loop.Post(func() { got <- f.lines["s-1"].Lifecycle })
+	f.loop.Post(func() { got <- f.entries["s-1"].Lifecycle })
 	return <-got
 }
 
@@ -282,7 +282,7 @@
 		"no instances":      `{"generation":60,"reset":true}`,
 		"no id":             `{"generation":60,"reset":true,"instances":[{"lifecycle":"SERVING"}]}`,
 		"a list":            `[]`,
-		"endless":           strings.Repeat(" ", longest+1),
+		"endless":           strings.Repeat(" ", maxListBytes+1),
 		"empty":             "null",
 	} {
 		a.do(func() { a.say = text })
@@ -392,11 +392,11 @@
 func (f *Front) passes() (n int, watched bool) {
 	done := make(chan struct{})
 	f.loop.Post(func() {
-		var lines []line
-		if _, raw, err := f.List(); err == nil {
+		var lines []workerEntry
+		if _, raw, err := f.CurrentList(); err == nil {
 			_ = json.Unmarshal(raw, &lines)
 		}
-		n, watched = len(lines), f.Watched()
+		n, watched = len(lines), f.WatchesDiscovery()
 		close(done)
 	})
 	<-done
--- a/internal/frontend/platform/ends_test.go
+++ b/internal/frontend/platform/ends_test.go
@@ -30,11 +30,11 @@
 	e.client = ask(t, address, "last")
 	<-w.jobs
 	e.onLoop(func() { // as Drain does, but for the looks at the end, which are the test's
-		f.drain.End(f.loop.Now())
-		f.steer()
+		f.drain.BeginShutdown(f.loop.Now())
+		f.scheduleClosing()
 	})
 	for closing := false; !closing; time.Sleep(time.Millisecond) {
-		e.onLoop(func() { closing = f.drain.State() == drain.Closing })
+		e.onLoop(func() { closing = f.drain.State() == drain.ClosingConnections })
 	}
 	return e
 }
@@ -51,9 +51,9 @@
 func (e *ending) moment(until time.Duration, between func()) {
 	e.onLoop(func() {
 		for c := range e.f.clients {
-			if c.waits { // its client leaves, so that no answer is on its way
+			if c.awaitsResponse { // its client leaves, so that no answer is on its way
 				c.conn.Close()
-				c.Ended(c.conn, io.EOF)
+				c.OnClose(c.conn, io.EOF)
 			}
 		}
 		between()
@@ -63,7 +63,7 @@
 
 // finish looks at the end.
 func (e *ending) finish(until time.Duration) {
-	e.f.finish(e.f.loop.Now()+until, func() { close(e.ended) })
+	e.f.awaitDrained(e.f.loop.Now()+until, func() { close(e.ended) })
 }
 
 // reads fails unless an answer comes on the connection.
@@ -106,7 +106,8 @@
 
 // What comes in the very turn in which a process would end is answered first.
 func TestRequestsInTheLastMoment(t *testing.T) {
-	for name, until := range map[string]time.Duration{"soon": half, "long after the notice": -time.Second} {
+	for name, until := range map[string]time.Duration{"soon": partialRequestGrace,
+		"long after the notice": -time.Second} {
 		t.Run("on a connection not accepted yet, "+name, func(t *testing.T) {
 			t.Parallel()
 			e := newEnding(t)
@@ -134,7 +135,7 @@
 		t.Parallel()
 		e := newEnding(t)
 		var c stdnet.Conn
-		e.moment(half, func() { c, _ = stdnet.Dial("tcp", e.address) })
+		e.moment(partialRequestGrace, func() { c, _ = stdnet.Dial("tcp", e.address) })
 		defer c.Close()
 		time.Sleep(100 * time.Millisecond)
 		write(c, "first")
@@ -146,12 +147,12 @@
 		t.Parallel()
 		e := newEnding(t)
 		var c stdnet.Conn
-		e.moment(half, func() {
+		e.moment(partialRequestGrace, func() {
 			c, _ = stdnet.Dial("tcp", e.address)
 			fmt.Fprint(c, "POST /api HT")
 		})
 		defer c.Close()
-		time.Sleep(half * 3 / 4) // longer than a connection counts as just opened
+		time.Sleep(partialRequestGrace * 3 / 4) // longer than a connection counts as just opened
 		fmt.Fprint(c, "TP/1.1\r\nHost: x\r\nX-Request-ID: half\r\nX-Priority-Class: c\r\n"+
 			"X-Timeout: 1u\r\nContent-Length: 1\r\n\r\nx")
 		e.answered(c, 503)
@@ -162,8 +163,8 @@
 		t.Parallel()
 		e := newEnding(t)
 		e.onLoop(func() {
-			e.f.core.EndAt("last", "s-2", balancer.OK, []byte("done"), balancer.NoReport)
-			e.finish(half)
+			e.f.broker.EndAttemptAt("last", "s-2", balancer.OK, []byte("done"), balancer.NoLoadReport)
+			e.finish(partialRequestGrace)
 		})
 		time.Sleep(lingers / 2)
 		e.answered(e.client, 200)
@@ -186,19 +187,19 @@
 	for asked == nil {
 		e.onLoop(func() {
 			for c := range e.f.clients {
-				if !c.waits {
+				if !c.awaitsResponse {
 					asked = c
 				}
 			}
 		})
 	}
-	e.moment(-time.Second, func() { asked.relayed, asked.hop = true, true })
+	e.moment(-time.Second, func() { asked.callBackForwarded, asked.isWorker = true, true })
 	select {
 	case <-e.ended:
 		t.Error("the process ends before the other one has answered")
 	case <-time.After(100 * time.Millisecond):
 	}
-	e.onLoop(func() { asked.relayed = false; asked.respond(204, "", nil) })
+	e.onLoop(func() { asked.callBackForwarded = false; asked.respond(204, "", nil) })
 	e.reads(caller, 204)
 	e.over()
 }
@@ -221,7 +222,7 @@
 		c := e.kept()
 		e.onLoop(func() {
 			write(c, "crossing")
-			e.f.sweep()
+			e.f.closeIdleClients()
 		})
 		e.answered(c, 503)
 	})
@@ -233,7 +234,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		time.Sleep(2 * sweepEvery)
+		time.Sleep(2 * closeIdleInterval)
 		write(c, "first")
 		e.answered(c, 503)
 	})
@@ -250,8 +251,8 @@
 	for found := false; !found; {
 		e.onLoop(func() {
 			for other := range e.f.clients {
-				if !other.waits {
-					other.used, found = true, true
+				if !other.awaitsResponse {
+					other.sentMessage, found = true, true
 				}
 			}
 		})
--- a/internal/frontend/platform/faults_test.go
+++ b/internal/frontend/platform/faults_test.go
@@ -54,7 +54,7 @@
 	once := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 	word, _ := json.Marshal(map[string]string{"id": id, "from": from, "state": "done", "result": "done"})
 	for range 10 {
-		resp, err := once.Post("http://"+w.front+callBack, "", strings.NewReader(string(word)))
+		resp, err := once.Post("http://"+w.front+callBackPath, "", strings.NewReader(string(word)))
 		if err == nil {
 			resp.Body.Close()
 			return
@@ -66,28 +66,28 @@
 // System calls fail now and then, in each way that breaks no connection: every request that was read has one
 // final answer, and most are served.
 func TestAnswersWhileSystemCallsFail(t *testing.T) {
-	for call, failures := range map[faultnet.Call][]error{
+	for call, failures := range map[faultnet.Syscall][]error{
 		faultnet.Accept: {unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
 		faultnet.Socket: {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
 		faultnet.Connect: {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
 			unix.EAGAIN, unix.EINTR},
-		faultnet.Wait:    {unix.EINTR},
-		faultnet.Control: {unix.ENOMEM},
-		faultnet.Read:    {unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM},
-		faultnet.Write:   {unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM},
-		faultnet.Peek:    {unix.EINTR},
+		faultnet.EpollWait: {unix.EINTR},
+		faultnet.EpollCtl:  {unix.ENOMEM},
+		faultnet.Read:      {unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM},
+		faultnet.Write:     {unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM},
+		faultnet.Peek:      {unix.EINTR},
 	} {
 		for _, err := range failures {
 			t.Run(fmt.Sprintf("%s %v", call, err), func(t *testing.T) {
 				t.Parallel()
-				answersOn(t, faultnet.New(nil), faultnet.Sometimes(call, err))
+				answersOn(t, faultnet.New(nil), faultnet.FailSometimes(call, err))
 			})
 		}
 	}
 	t.Run("short reads and writes", func(t *testing.T) {
 		t.Parallel()
 		system := faultnet.New(nil)
-		system.Short = true
+		system.OneByteIO = true
 		answersOn(t, system, nil)
 	})
 }
@@ -104,7 +104,7 @@
 	f := followerOn(t, system, "on_request", a)
 	turns(t, f, "DRAINING", 20*grace)
 	w.front = f.address(t)
-	system.Follow(script)
+	system.SetScript(script)
 	var clients sync.WaitGroup
 	served := make(chan int, 4)
 	for i := range cap(served) {
--- a/internal/frontend/platform/front.go
+++ b/internal/frontend/platform/front.go
@@ -20,186 +20,193 @@
 )
 
 const (
-	ready    = "/_health"
-	callBack = "/v1/job-events"
+	healthPath   = "/_health"
+	callBackPath = "/v1/job-events"
 )
 
 // Front is the platform's front.
 type Front struct {
-	loop     *eventloop.Loop
-	core     *broker.Core
-	cfg      *Config
-	names    names
-	log      logrus.FieldLogger
-	listener *eventloop.Listener
-	relays                      // what passes between this process and one beside it
-	lines    map[string]line    // the list, as discovery words it
-	fosters  map[string]*client // jobs that another process took, by their ids
-	hops     map[string]*nextHop
-	clients  map[*client]struct{}
-	drain    drain.Drain
-	ends     time.Duration // when the process was asked to end
-	counts   metrics.Counts
-	account  string         // the header that names a job's account; empty: none does
-	routes   *routing.Table // nil: jobs go where the balancer decides
-	dir      *directory
-	start    startList
-	starts   starts
-	brokeAt  time.Duration // when a kept connection to a next hop last broke under a request
+	loop          *eventloop.Loop
+	broker        *broker.Broker
+	cfg           *Config
+	names         nameIndex
+	log           logrus.FieldLogger
+	listener      *eventloop.Listener
+	peerState                            // what passes between this process and one beside it
+	entries       map[string]workerEntry // the list, as discovery words it
+	adopted       map[string]*client     // jobs that another process took, by their ids
+	workers       map[string]*worker
+	clients       map[*client]struct{}
+	drain         drain.Machine
+	shutdownAt    time.Duration // when the process was asked to end
+	counters      metrics.Counters
+	accountHeader string         // the header that names a job's account; empty: none does
+	routes        *routing.Table // nil: jobs go where the balancer decides
+	directory     *directory
+	initial       initialList
+	startTimes    startTimes
+	reuseFailedAt time.Duration // when a kept connection to a next hop last broke under a request
 }
 
 // New makes the front. Open begins its service, once it has its core.
 func New(loop *eventloop.Loop, cfg *Config, log logrus.FieldLogger) *Front {
-	f := &Front{loop: loop, cfg: cfg, names: namesOf(&cfg.Settings), log: log, hops: map[string]*nextHop{},
-		clients: map[*client]struct{}{}}
-	f.brokeAt = -mistrust
-	f.fosters = map[string]*client{}
-	f.lines, f.relays.waiting = map[string]line{}, map[uint64]*client{}
-	f.counts.Classes = make([]metrics.Class, len(cfg.Settings.Classes))
-	f.dir = newDirectory(f)
-	f.start.front = f
+	f := &Front{
+		loop:    loop,
+		cfg:     cfg,
+		names:   newNameIndex(&cfg.Settings),
+		log:     log,
+		workers: map[string]*worker{},
+		clients: map[*client]struct{}{},
+	}
+	f.reuseFailedAt = -reuseBackoff
+	f.adopted = map[string]*client{}
+	f.entries, f.peerState.forwarded = map[string]workerEntry{}, map[uint64]*client{}
+	f.counters.Classes = make([]metrics.ClassCounters, len(cfg.Settings.Classes))
+	f.directory = newDirectory(f)
+	f.initial.front = f
 	return f
 }
 
-// Directory is where the core asks for the route set.
-func (f *Front) Directory() broker.Directory { return f.dir }
+// EndpointSource is where the core asks for the route set.
+func (f *Front) EndpointSource() broker.EndpointSource { return f.directory }
 
 // Open gives the core what is known of the next hops and begins to listen.
-func (f *Front) Open(c *broker.Core) error {
-	f.core = c
-	f.start.begin()
+func (f *Front) Open(c *broker.Broker) error {
+	f.broker = c
+	f.initial.begin()
 	var err error
-	f.listener, err = f.loop.Listen(f.cfg.Listen, f.limits(), f.accept)
-	f.dir.open()
+	f.listener, err = f.loop.Listen(f.cfg.ListenAddress, f.listenerLimits(), f.onAccept)
+	f.directory.open()
 	return err
 }
 
-// limits are what who comes in may take: a quarter of the descriptors is kept for
+// listenerLimits are what who comes in may take: a quarter of the descriptors is kept for
 // branches, probes and discovery. A quarter of the memory may hold what has come in;
 // results, the jobs under way and the collector's slack need the rest. Two processes of
 // one node have half of that each.
-func (f *Front) limits() eventloop.Limits {
+func (f *Front) listenerLimits() eventloop.Limits {
 	most, parts := f.cfg.Limits, 1
-	if f.shared {
+	if f.limitsShared {
 		parts = 2
 	}
-	return eventloop.Limits{Connections: (most.Sockets*3/4 - most.Others) / parts,
-		Bytes: int(most.MemoryMB<<20/4) / parts, Share: f.cfg.Upgrades()}
+	return eventloop.Limits{MaxConnections: (most.Sockets*3/4 - most.ReservedDescriptors) / parts,
+		MaxBufferBytes: int(most.MemoryMB<<20/4) / parts, ReusePort: f.cfg.HotRestartEnabled()}
 }
 
 // SetRoutes has jobs go by these rules, from the next one on; nil: by none.
 func (f *Front) SetRoutes(t *routing.Table) { f.routes = t }
 
-// SetAccount has jobs be of the account that this header names; empty: of none.
-func (f *Front) SetAccount(header string) { f.account = header }
+// SetAccountHeader has jobs be of the account that this header names; empty: of none.
+func (f *Front) SetAccountHeader(header string) { f.accountHeader = header }
 
-func (f *Front) accept(c *eventloop.Conn) {
-	cl := &client{front: f, conn: c, opened: f.loop.Now()}
+func (f *Front) onAccept(c *eventloop.Conn) {
+	cl := &client{front: f, conn: c, openedAt: f.loop.Now()}
 	f.clients[cl] = struct{}{}
-	c.H = cl
+	c.Handler = cl
 }
 
 // client is a connection that was accepted: a client's, or a next hop's call-back.
 type client struct {
-	front *Front
-	conn  *eventloop.Conn
-	in    eventloop.Parser
-	id    string // of the transaction it waits for
-	class int    // its class
-	rule  string // by which it was routed, if by any
-	waits bool
+	front          *Front
+	conn           *eventloop.Conn
+	parser         eventloop.Parser
+	requestID      string // of the transaction it waits for
+	class          int    // its class
+	rule           string // by which it was routed, if by any
+	awaitsResponse bool
 
-	relayed bool // its call-back is with the other process, which has not said yet
+	callBackForwarded bool // its call-back is with the other process, which has not said yet
 
-	last  bool // the connection closes after this answer
-	asked bool // a 100 has been sent for the request being read
-	hop   bool // it is a next hop's, which calls back on it
+	closeAfterResponse bool // the connection closes after this answer
+	continueSent       bool // a 100 has been sent for the request being read
+	isWorker           bool // it is a next hop's, which calls back on it
 
-	foster *foster       // of a job that another process took
-	until  time.Duration // when its client gives up
+	adoption *adoption     // of a job that another process took
+	deadline time.Duration // when its client gives up
 
-	opened time.Duration
-	used   bool // a whole message has come on it
+	openedAt    time.Duration
+	sentMessage bool // a whole message has come on it
 }
 
 var _ eventloop.Handler = (*client)(nil)
 var _ broker.Client = (*client)(nil)
-var _ broker.Leaver = (*client)(nil)
+var _ broker.DisconnectChecker = (*client)(nil)
 
-func (c *client) Up(*eventloop.Conn) {}
+func (c *client) OnConnect(*eventloop.Conn) {}
 
-// Data reads requests one at a time: a pipelined one waits until the one before
+// OnData reads requests one at a time: a pipelined one waits until the one before
 // it has its answer.
-func (c *client) Data(*eventloop.Conn) {
-	for !c.waits && !c.relayed && !c.last && !c.conn.Closed() && len(c.conn.In()) > 0 {
-		whole, err := c.in.Feed(c.conn.In())
-		if err == nil && !whole && c.conn.Full() {
+func (c *client) OnData(*eventloop.Conn) {
+	for !c.awaitsResponse && !c.callBackForwarded && !c.closeAfterResponse && !c.conn.Closed() &&
+		len(c.conn.Input()) > 0 {
+		whole, err := c.parser.Feed(c.conn.Input())
+		if err == nil && !whole && c.conn.InputFull() {
 			// Hazard: a body in chunks of a byte is mostly framing, and would wait here unread.
-			err = &eventloop.BadMessage{Status: 413, Reason: "the framing of the body is too large"}
+			err = &eventloop.ProtocolError{Status: 413, Reason: "the framing of the body is too large"}
 		}
 		if err != nil {
-			c.refuse(err)
+			c.rejectMalformed(err)
 			return
 		}
 		if !whole {
-			c.partial()
+			c.sendContinue()
 			return
 		}
-		c.conn.Taken()
-		c.used = true
-		c.last = c.in.Close
-		m, body := c.in.Message, append([]byte(nil), c.in.Body(c.conn.In())...)
-		c.conn.Use(c.in.Size())
-		c.in.Next()
-		c.asked = false
+		c.conn.BeginProcessing()
+		c.sentMessage = true
+		c.closeAfterResponse = c.parser.Close
+		m, body := c.parser.Message, append([]byte(nil), c.parser.Body(c.conn.Input())...)
+		c.conn.Discard(c.parser.MessageSize())
+		c.parser.Reset()
+		c.continueSent = false
 		c.handle(&m, body)
 	}
 }
 
-// partial asks for the body of a request that has not come whole, if its sender waits.
-func (c *client) partial() {
-	if c.in.HeadDone() && c.in.Expects && !c.asked {
-		c.asked = true
+// sendContinue asks for the body of a request that has not come whole, if its sender waits.
+func (c *client) sendContinue() {
+	if c.parser.HeadDone() && c.parser.ExpectsContinue && !c.continueSent {
+		c.continueSent = true
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
-// refuse ends a connection whose input can't be read on.
-func (c *client) refuse(err error) {
+// rejectMalformed ends a connection whose input can't be read on.
+func (c *client) rejectMalformed(err error) {
 	status := 400
-	if b, ok := err.(*eventloop.BadMessage); ok {
+	if b, ok := err.(*eventloop.ProtocolError); ok {
 		status = b.Status
 	}
-	c.reject(status, err)
+	c.rejectInvalid(status, err)
 }
 
-// reject answers what is no job of ours, and ends the connection. Hazard: who sends
+// rejectInvalid answers what is no job of ours, and ends the connection. Hazard: who sends
 // such things asks again at once, or stays and holds a descriptor.
-func (c *client) reject(status int, err error) {
-	c.last = true
+func (c *client) rejectInvalid(status int, err error) {
+	c.closeAfterResponse = true
 	c.respond(status, "", []byte(err.Error()+"\n"))
 }
 
 func (c *client) respond(status int, extra string, body []byte) {
-	c.conn.Write(eventloop.AppendResponse(nil, status, c.last, extra, body))
-	if c.last {
-		c.conn.Finish()
-		c.gone()
+	c.conn.Write(eventloop.AppendResponse(nil, status, c.closeAfterResponse, extra, body))
+	if c.closeAfterResponse {
+		c.conn.CloseAfterFlush()
+		c.forget()
 		return
 	}
-	c.conn.Idle()
+	c.conn.EndProcessing()
 }
 
 func (c *client) handle(m *eventloop.Message, body []byte) {
 	path, _, _ := strings.Cut(m.Target, "?")
 	switch {
-	case m.Method == "POST" && path == callBack:
-		c.hop = true
+	case m.Method == "POST" && path == callBackPath:
+		c.isWorker = true
 		switch {
-		case c.front.event(body):
+		case c.front.handleCallBack(body):
 			c.respond(204, "", nil)
-		case c.front.relay(c, body):
-		case c.front.loop.Now() < c.front.strangerUntil:
+		case c.front.forwardCallBack(c, body):
+		case c.front.loop.Now() < c.front.unknownPeerUntil:
 			// Hazard: the process that shares the address, and can't be spoken to, waits for it.
 			// Called again, it may reach that one.
 			c.respond(503, "", nil)
@@ -207,80 +214,83 @@
 			// Whatever it names, it has been heard: else it would be repeated.
 			c.respond(204, "", nil)
 		}
-	case path == ready && m.Method == "GET":
+	case path == healthPath && m.Method == "GET":
 		// It is asked seldom, but for those who mean to stay.
-		c.last = c.last || !c.conn.Pending()
+		c.closeAfterResponse = c.closeAfterResponse || !c.conn.HasPendingInput()
 		if c.front.Ready() != nil {
 			c.respond(503, "Retry-After: 1\r\n", nil)
 		} else {
 			c.respond(200, "", nil)
 		}
 	case m.Method == "POST":
-		c.begin(m, body)
+		c.submit(m, body)
 	default:
-		c.reject(404, errNothing)
+		c.rejectInvalid(404, errNotFound)
 	}
 }
 
-var errNothing = errors.New("there is nothing here")
+var errNotFound = errors.New("there is nothing here")
 
-// job is a client's request as it is passed on.
-type job struct {
+// payload is a client's request as it is passed on.
+type payload struct {
 	target, key string
 	body        []byte
 }
 
-func (c *client) begin(m *eventloop.Message, body []byte) {
-	t, d, err := c.front.transaction(m, body)
+func (c *client) submit(m *eventloop.Message, body []byte) {
+	t, d, err := c.front.parseRequest(m, body)
 	// Hazard: a request that was sent ahead has waited here for the answer to the one before it.
-	t.Left -= c.front.loop.Now() - c.conn.Heard()
+	t.Timeout -= c.front.loop.Now() - c.conn.LastActivity()
 	c.rule = ""
 	if d.Rule != nil {
 		c.rule = d.Rule.Name
 	}
 	c.class = t.Class
-	if err == nil && d.Refused != "" {
-		c.front.count(c.class).Declined++
-		c.leave()
-		c.busy(d.RetryAfter, d.Refused)
+	if err == nil && d.RejectReason != "" {
+		c.front.classCounters(c.class).Declined++
+		c.closeIfDraining()
+		c.respondRejected(d.RetryAfter, d.RejectReason)
 		return
 	}
-	if err == nil && c.front.elsewhere(t.ID) {
-		err = broker.ErrKnown
+	if err == nil && c.front.openElsewhere(t.ID) {
+		err = broker.ErrDuplicateID
 	}
 	if err == nil {
-		c.id, c.waits = t.ID, true
-		if err = c.front.core.Begin(t, c); err == nil {
+		c.requestID, c.awaitsResponse = t.ID, true
+		if err = c.front.broker.Submit(t, c); err == nil {
 			return
 		}
-		c.waits = false
+		c.awaitsResponse = false
 	}
 	status := 400
-	if err == broker.ErrKnown {
+	if err == broker.ErrDuplicateID {
 		status = 409
 	}
-	c.reject(status, err)
+	c.rejectInvalid(status, err)
 }
 
-// transaction reads what the headers say of a job.
-func (f *Front) transaction(m *eventloop.Message, body []byte) (t broker.Transaction, d routing.Decision, err error) {
-	j := &job{target: m.Target, key: m.Get("Idempotency-Key"), body: body}
-	t.ID, t.Job = m.Get("X-Request-ID"), j
+// parseRequest reads what the headers say of a job.
+func (f *Front) parseRequest(
+	m *eventloop.Message,
+	body []byte,
+) (t broker.Request, d routing.Decision, err error) {
+	j := &payload{target: m.Target, key: m.Get("Idempotency-Key"), body: body}
+	t.ID, t.Payload = m.Get("X-Request-ID"), j
 	// Hazard: on what a next hop can't read it closes the connection, which counts as a
 	// reset and against it, and for a job that may be repeated at the next one, too.
-	if !eventloop.Plain(t.ID) || len(t.ID) > 200 {
+	if !eventloop.IsVisibleASCII(t.ID) || len(t.ID) > 200 {
 		return t, d, fmt.Errorf("X-Request-ID is missing, too long or no plain text")
 	}
 	class := m.Get("X-Priority-Class")
-	if t.Class = indexOf(f.names.classes, class); t.Class < 0 && (class != "" || f.routes == nil) {
+	if t.Class = indexOrNone(f.names.classes, class); t.Class < 0 && (class != "" || f.routes == nil) {
 		return t, d, fmt.Errorf("X-Priority-Class names no class")
 	}
 	if tenant := m.Get("X-Tenant-Id"); tenant != "" {
-		if t.Tenant = indexOf(f.names.tenants, tenant); t.Tenant < 0 {
+		if t.Tenant = indexOrNone(f.names.tenants, tenant); t.Tenant < 0 {
 			return t, d, fmt.Errorf("X-Tenant-Id names no tenant")
 		}
 	}
-	if t.Left, err = timeout(m.Get("X-Timeout")); err != nil {
+	if t.Timeout, err = parseTimeout(m.Get("X-Timeout")); err != nil {
 		return t, d, err
 	}
 	if cost := m.Get("X-Cost"); cost != "" {
@@ -288,11 +298,11 @@
 		if err != nil || !(us >= 0 && us < 1e12) {
 			return t, d, fmt.Errorf("X-Cost is not a time in microseconds")
 		}
-		t.Work = time.Duration(us * float64(time.Microsecond))
+		t.ExpectedWork = time.Duration(us * float64(time.Microsecond))
 	}
-	t.Repeat = m.Get("X-Retried") == "1"
-	if f.account != "" {
-		t.Account = m.Get(f.account)
+	t.IsRetry = m.Get("X-Retried") == "1"
+	if f.accountHeader != "" {
+		t.Account = m.Get(f.accountHeader)
 	}
 	for attr := range strings.SplitSeq(m.Get("X-Attrs"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(attr), "=")
@@ -307,34 +317,44 @@
 			t.Memory = v
 		}
 	}
-	d, err = f.decide(m, &t, j)
+	d, err = f.route(m, &t, j)
 	return t, d, err
 }
 
-// decide has the rules say where the job goes, and checks what depends on its class.
-func (f *Front) decide(m *eventloop.Message, t *broker.Transaction, j *job) (d routing.Decision, err error) {
+// route has the rules say where the job goes, and checks what depends on its class.
+func (f *Front) route(m *eventloop.Message, t *broker.Request, j *payload) (d routing.Decision, err error) {
 	if f.routes != nil {
 		path, _, _ := strings.Cut(m.Target, "?")
-		about := routing.Job{Front: "http", Class: t.Class, Tenant: t.Tenant, Host: m.Get("Host"), Path: path,
-			Header: m.Get, Key: m.Get("X-Route-Key"), Cost: t.Work, ID: t.ID}
+		about := routing.Job{
+			Frontend: "http",
+			Class:    t.Class,
+			Tenant:   t.Tenant,
+			Host:     m.Get("Host"),
+			Path:     path,
+			Header:   m.Get,
+			RouteKey: m.Get("X-Route-Key"),
+			CostHint: t.ExpectedWork,
+			ID:       t.ID,
+		}
 		if m.Get("X-Tenant-Id") == "" {
 			about.Tenant = -1
 		}
 		d = f.routes.Decide(&about)
-		t.Class, t.Route, t.Attempts, t.Limit = d.Class, d.Route, d.Attempts, d.Timeout
-		if t.Class < 0 && d.Refused == "" {
+		t.Class, t.Route, t.MaxAttempts, t.AttemptTimeout = d.Class, d.Route, d.MaxAttempts, d.AttemptTimeout
+		if t.Class < 0 && d.RejectReason == "" {
 			return d, fmt.Errorf("X-Priority-Class is missing, and no rule gives the job a class")
 		}
 	}
 	// Hazard: without its key, a repeat of a keyed job is not known for one, and runs again.
-	if d.Refused == "" && f.cfg.Settings.Classes[t.Class].Effect == "dedup" && !eventloop.Plain(j.key) {
+	if d.RejectReason == "" && f.cfg.Settings.Classes[t.Class].Effect == "dedup" &&
+		!eventloop.IsVisibleASCII(j.key) {
 		return d, fmt.Errorf("Idempotency-Key is missing or no plain text")
 	}
 	return d, nil
 }
 
-// timeout reads a number and its unit.
-func timeout(s string) (time.Duration, error) {
+// parseTimeout reads a number and its unit.
+func parseTimeout(s string) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
 	case strings.HasSuffix(s, "m"):
@@ -351,36 +371,36 @@
 	return 0, fmt.Errorf("X-Timeout is not a time")
 }
 
-// Answer writes the transaction's final answer.
-func (c *client) Answer(a broker.Answer) {
-	c.waits = false
-	c.leave()
-	switch n := c.front.count(c.class); a.Kind {
+// Respond writes the transaction's final answer.
+func (c *client) Respond(a broker.Response) {
+	c.awaitsResponse = false
+	c.closeIfDraining()
+	switch n := c.front.classCounters(c.class); a.Kind {
 	case broker.Served:
 		n.Succeeded++
-		c.respond(200, "", a.Result)
-	case broker.Busy:
+		c.respond(200, "", a.Body)
+	case broker.Rejected:
 		n.Declined++
-		why := a.Why
+		why := a.Reason
 		if c.rule != "" && why == "" {
 			why = "no worker of rule " + c.rule
 		}
-		c.busy(a.RetryAfter, why)
+		c.respondRejected(a.RetryAfter, why)
 	default:
 		n.Aborted++
 		c.respond(502, "", nil)
 	}
 	// The next request may be waiting in the buffer. It must not begin within this call.
 	c.front.loop.After(0, func() {
-		if c.front.drain.State() == drain.Closing {
+		if c.front.drain.State() == drain.ClosingConnections {
 			c.closeIfIdle()
 		}
-		c.Data(c.conn)
+		c.OnData(c.conn)
 	})
 }
 
-// busy writes a busy answer, with the reason where a rule is it.
-func (c *client) busy(after time.Duration, why string) {
+// respondRejected writes a busy answer, with the reason where a rule is it.
+func (c *client) respondRejected(after time.Duration, why string) {
 	extra := ""
 	if after > 0 {
 		extra = fmt.Sprintf("Retry-After: %.3f\r\n", after.Seconds())
@@ -391,48 +411,51 @@
 	c.respond(503, extra, nil)
 }
 
-// leave has the connection end after the answer that comes now, if clients are sent away. Hazard: what the
-// client has sent ahead has been read, and would be closed unanswered.
-func (c *client) leave() {
-	c.last = c.last || c.front.drain.State() == drain.Closing && !c.conn.Pending()
+// closeIfDraining has the connection end after the answer that comes now, if clients are sent away. Hazard:
+// what the client has sent ahead has been read, and would be closed unanswered.
+func (c *client) closeIfDraining() {
+	c.closeAfterResponse = c.closeAfterResponse ||
+		c.front.drain.State() == drain.ClosingConnections && !c.conn.HasPendingInput()
 }
 
 // closeIfIdle closes a client's connection that stands between two requests. Hazard: a
 // request that has come and was not read is in the kernel's buffer, and would be lost.
 func (c *client) closeIfIdle() {
-	if !c.used && c.front.loop.Now() < c.opened+drain.Notice {
+	if !c.sentMessage && c.front.loop.Now() < c.openedAt+drain.HealthCheckGrace {
 		return // its first request is on its way
 	}
-	if !c.waits && !c.relayed && !c.hop && c.conn.Unsent() == 0 && !c.conn.Closed() && !c.conn.Pending() {
-		c.conn.Finish()
-		c.gone()
+	if !c.awaitsResponse && !c.callBackForwarded && !c.isWorker && c.conn.UnsentBytes() == 0 &&
+		!c.conn.Closed() &&
+		!c.conn.HasPendingInput() {
+		c.conn.CloseAfterFlush()
+		c.forget()
 	}
 }
 
-// Ended tells the core that a client has gone before its answer.
-func (c *client) Ended(*eventloop.Conn, error) {
-	if c.gone(); c.waits {
-		c.waits = false
-		c.front.counts.Left++
-		if c.foster != nil {
-			c.front.abandon(c)
+// OnClose tells the core that a client has gone before its answer.
+func (c *client) OnClose(*eventloop.Conn, error) {
+	if c.forget(); c.awaitsResponse {
+		c.awaitsResponse = false
+		c.front.counters.ClientDisconnects++
+		if c.adoption != nil {
+			c.front.abandonAdopted(c)
 			return
 		}
-		c.front.core.Gone(c.id)
+		c.front.broker.ClientDisconnected(c.requestID)
 	}
 }
 
-// HasLeft says whether the client has closed its connection, told or not.
-func (c *client) HasLeft() bool { return c.conn.PeerClosed() }
+// Disconnected says whether the client has closed its connection, told or not.
+func (c *client) Disconnected() bool { return c.conn.PeerClosed() }
 
-func (c *client) gone() {
+func (c *client) forget() {
 	delete(c.front.clients, c)
 }
 
-// event takes a call-back, and reports whether it was for a branch of this process. It may
+// handleCallBack takes a call-back, and reports whether it was for a branch of this process. It may
 // come before the 202, again, or late: only the branch that is out at the next hop it
 // comes from is ended by it, once.
-func (f *Front) event(body []byte) bool {
+func (f *Front) handleCallBack(body []byte) bool {
 	var e struct {
 		ID     string             `json:"id"`
 		From   string             `json:"from"`
@@ -445,10 +468,10 @@
 		f.log.WithError(err).Warn("a call-back that can't be read")
 		return true
 	}
-	if f.fostered(e.ID, e.From, e.State, e.Result) {
+	if f.handleAdoptedCallBack(e.ID, e.From, e.State, e.Result) {
 		return true
 	}
-	report := balancer.NoReport
+	report := balancer.NoLoadReport
 	for name, v := range e.Load {
 		f.names.report.Set(&report, name, v)
 	}
@@ -456,17 +479,17 @@
 	case "done":
 		if e.Result == nil {
 			f.log.WithField("from", e.From).Warn("a call-back that is done and has no result")
-			return f.core.EndAt(e.ID, e.From, balancer.Error, nil, report)
+			return f.broker.EndAttemptAt(e.ID, e.From, balancer.ServerError, nil, report)
 		}
-		return f.core.EndAt(e.ID, e.From, balancer.OK, []byte(*e.Result), report)
+		return f.broker.EndAttemptAt(e.ID, e.From, balancer.OK, []byte(*e.Result), report)
 	case "failed":
-		return f.core.EndAt(e.ID, e.From, balancer.Error, nil, report)
+		return f.broker.EndAttemptAt(e.ID, e.From, balancer.ServerError, nil, report)
 	case "returned":
-		return f.core.EndAt(e.ID, e.From, balancer.Full, nil, report)
+		return f.broker.EndAttemptAt(e.ID, e.From, balancer.WorkerFull, nil, report)
 	case "lost":
-		return f.core.EndAt(e.ID, e.From, balancer.Reset, nil, report)
+		return f.broker.EndAttemptAt(e.ID, e.From, balancer.ConnectionReset, nil, report)
 	case "started", "running":
-		return f.core.Progress(e.ID, e.From, e.State == "started", e.Share)
+		return f.broker.ReportProgress(e.ID, e.From, e.State == "started", e.Share)
 	}
 	return true // no state of the protocol's
 }
--- a/internal/frontend/platform/moments_test.go
+++ b/internal/frontend/platform/moments_test.go
@@ -15,19 +15,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// worker stands for a trip worker, whose connections a test answers itself.
-type worker struct {
+// fakeWorker stands for a trip worker, whose connections a test answers itself.
+type fakeWorker struct {
 	*stdnet.TCPListener
 	jobs chan stdnet.Conn // on which a job has come
 }
 
-func newWorker(t *testing.T) *worker {
+func newWorker(t *testing.T) *fakeWorker {
 	t.Helper()
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &worker{ln.(*stdnet.TCPListener), make(chan stdnet.Conn, 16)}
+	w := &fakeWorker{ln.(*stdnet.TCPListener), make(chan stdnet.Conn, 16)}
 	t.Cleanup(func() { w.Close() })
 	go func() {
 		for {
@@ -42,7 +42,7 @@
 	return w
 }
 
-func (w *worker) read(c stdnet.Conn) {
+func (w *fakeWorker) read(c stdnet.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
@@ -62,7 +62,7 @@
 }
 
 // served is a front whose workers are these alone, and its address.
-func served(t *testing.T, workers ...*worker) (*Front, string) {
+func served(t *testing.T, workers ...*fakeWorker) (*Front, string) {
 	t.Helper()
 	a := newAgent(t)
 	a.state = "DRAINING"
@@ -100,7 +100,7 @@
 }
 
 // next is the connection of the next attempt, at either worker, and the other worker.
-func next(t *testing.T, a, b *worker) (stdnet.Conn, *worker) {
+func next(t *testing.T, a, b *fakeWorker) (stdnet.Conn, *fakeWorker) {
 	t.Helper()
 	select {
 	case c := <-a.jobs:
@@ -114,7 +114,7 @@
 }
 
 // refused has both workers turn a request away, and the client told so. Both have an idle connection then.
-func refused(t *testing.T, c stdnet.Conn, a, b *worker) {
+func refused(t *testing.T, c stdnet.Conn, a, b *fakeWorker) {
 	t.Helper()
 	for range 2 {
 		got, _ := next(t, a, b)
@@ -254,7 +254,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d > patience-reserve || d < patience/2 {
+	if d > patience-timeoutReserve || d < patience/2 {
 		t.Errorf("the worker is told of %v, of %v that the client waits", d, patience)
 	}
 }
--- a/internal/frontend/platform/starts_test.go
+++ b/internal/frontend/platform/start_times_test.go
@@ -11,16 +11,16 @@
 	const start, heard, now = 1000 * time.Hour, 1000*time.Hour + time.Second, 1000*time.Hour + 2*time.Second
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		for name, said := range map[string]time.Duration{"all clocks": start + step, "ours alone": start} {
-			s := starts{}
+			s := startTimes{}
 			s.confirm(heard)
-			if got := s.at("w", said, now, step); got < start || got > now {
+			if got := s.resolve("w", said, now, step); got < start || got > now {
 				t.Errorf("%s stepped by %v: it started %v after its start, told %v after it", name, step,
 					got-start, now-start)
 			}
 		}
-		s := starts{}
+		s := startTimes{}
 		s.confirm(heard)
-		got := s.at("w", start+step, now, 0)
+		got := s.resolve("w", start+step, now, 0)
 		if got > now || step == -time.Hour && got < start || step == 0 && got != start {
 			t.Errorf("all but ours stepped by %v: %v after its start", step, got-start)
 		}
@@ -28,27 +28,27 @@
 }
 
 func TestStartsAreRemembered(t *testing.T) {
-	s := starts{}
-	if got := s.at("old", 10*time.Second, time.Hour, 0); got != 10*time.Second {
+	s := startTimes{}
+	if got := s.resolve("old", 10*time.Second, time.Hour, 0); got != 10*time.Second {
 		t.Errorf("the first list of a process: %v", got)
 	}
-	if got := s.at("ahead", 2*time.Hour, time.Hour, 0); got != time.Hour {
+	if got := s.resolve("ahead", 2*time.Hour, time.Hour, 0); got != time.Hour {
 		t.Errorf("ahead of us: %v", got)
 	}
 	s.confirm(time.Hour)
-	if got := s.at("old", 10*time.Second, 2*time.Hour, 0); got != 10*time.Second {
+	if got := s.resolve("old", 10*time.Second, 2*time.Hour, 0); got != 10*time.Second {
 		t.Errorf("listed again, with the same start: %v", got)
 	}
-	if got := s.at("ahead", 2*time.Hour, 3*time.Hour, 0); got != time.Hour {
+	if got := s.resolve("ahead", 2*time.Hour, 3*time.Hour, 0); got != time.Hour {
 		t.Errorf("listed again, once its time has come: %v", got)
 	}
-	if got := s.at("never", 0, time.Hour, 0); got != 0 {
+	if got := s.resolve("never", 0, time.Hour, 0); got != 0 {
 		t.Errorf("long ago: %v", got)
 	}
-	for i := range mostStarts + 10 {
-		s.at(time.Duration(i).String(), time.Second, time.Hour, 0)
+	for i := range maxRememberedStarts + 10 {
+		s.resolve(time.Duration(i).String(), time.Second, time.Hour, 0)
 	}
-	if len(s.known) > mostStarts {
+	if len(s.known) > maxRememberedStarts {
 		t.Errorf("%d starts are remembered", len(s.known))
 	}
 }
--- a/internal/frozen/backup_test.go
+++ b/internal/frozen/backup_test.go
@@ -18,9 +18,9 @@
 // A backup is written as before, byte for byte, and one of before is read.
 func TestBackupOfBeforeIsRead(t *testing.T) {
 	s := newLog(t).state(t)
-	golden(t, "backup.txt", base64Lines(controlapi.WriteBackup(s.Cluster(), s.History())))
+	golden(t, "backup.txt", base64Lines(controlapi.EncodeBackup(s.ClusterID(), s.Revisions())))
 	raw := fromBase64(t, readText(t, "backup.txt"))
-	b, err := controlapi.ReadBackup(raw)
+	b, err := controlapi.DecodeBackup(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,12 +32,12 @@
 	for at := range raw {
 		bad := bytes.Clone(raw)
 		bad[at] ^= 1 << (at % 8)
-		if _, err := controlapi.ReadBackup(bad); err == nil {
+		if _, err := controlapi.DecodeBackup(bad); err == nil {
 			t.Fatalf("a backup with byte %d flipped was read", at)
 		}
 	}
 	for _, size := range []int{0, 8, 15, len(raw) - 1} {
-		if _, err := controlapi.ReadBackup(raw[:size]); err == nil {
+		if _, err := controlapi.DecodeBackup(raw[:size]); err == nil {
 			t.Errorf("%d bytes of a backup were read", size)
 		}
 	}
@@ -47,10 +47,10 @@
 // fence that a program of before has left there holds.
 func TestBackupDirectoryIsAsBefore(t *testing.T) {
 	dir := backups.Dir{Path: t.TempDir(), Verify: func([]byte) error { return nil }}
-	keep := func(number uint64) (backups.Kept, error) {
-		return dir.Keep(backups.Request{Group: "g", Duty: "backup", Number: number,
+	keep := func(number uint64) (backups.Result, error) {
+		return dir.Write(backups.WriteRequest{Group: "g", Task: "backup", FencingToken: number,
 			Period:  time.Date(2026, 12, 1, 1, 0, 0, 0, time.UTC),
-			Content: []byte("content"), Keep: 2, May: func() bool { return true }})
+			Content: []byte("content"), Retain: 2, LeaseValid: func() bool { return true }})
 	}
 	kept, err := keep(7)
 	if err != nil {
@@ -70,8 +70,8 @@
 	if err := os.WriteFile(filepath.Join(dir.Path, "fence.json"), older, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var stale *leasedtask.StaleError
-	if _, err := keep(8); !errors.As(err, &stale) || stale.Seen != 9 {
+	var stale *leasedtask.StaleTokenError
+	if _, err := keep(8); !errors.As(err, &stale) || stale.NewestToken != 9 {
 		t.Errorf("a number older than the fence's writes: %v", err)
 	}
 }
@@ -87,24 +87,36 @@
 		`{"out":1,"within":1000000000,"standing":"stopped"}`,
 		`{"out":1,"within":1000000000,"standing":"done"}`,
 	} {
-		p, err := rollingrestart.Read([]byte(note))
+		p, err := rollingrestart.DecodePlan([]byte(note))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := p.Note(); err != nil || string(got) != note {
+		if got, err := p.Encode(); err != nil || string(got) != note {
 			t.Errorf("got %s, %v\nwant %s", got, err, note)
 		}
 	}
-	p := rollingrestart.Plan{By: "ada", Out: 2, Within: time.Minute, Alone: true, Undo: true, Standing: rollingrestart.Rolling,
-		Why: "why", Steps: []rollingrestart.Step{{Member: 1, Name: "n1", Zone: "a", Phase: rollingrestart.Out, Life: 9,
-			Again: true}}}
+	p := rollingrestart.Plan{
+		Author:          "ada",
+		MaxUnavailable:  2,
+		Timeout:         time.Minute,
+		AllowLastInZone: true,
+		Undo:            true,
+		Status:          rollingrestart.Rolling,
+		HaltReason:      "why",
+		Steps: []rollingrestart.Step{
+			{Member: 1, Name: "n1", Zone: "a", Phase: rollingrestart.Restarting, Incarnation: 9,
+				RestartAgain: true},
+		},
+	}
 	const want = `{"by":"ada","out":2,"within":60000000000,"alone":true,"undo":true,"standing":"rolling",` +
 		`"why":"why","steps":[{"m":1,"n":"n1","z":"a","p":1,"l":9,"a":true}]}`
-	if got, err := p.Note(); err != nil || string(got) != want {
+	if got, err := p.Encode(); err != nil || string(got) != want {
 		t.Errorf("got %s, %v\nwant %s", got, err, want)
 	}
 	// The standings and phases are compared by their words and numbers elsewhere.
-	if rollingrestart.Stopped != "stopped" || rollingrestart.Halted != "halted" || rollingrestart.Done != "done" || rollingrestart.Out != 1 {
+	if rollingrestart.Stopped != "stopped" || rollingrestart.Halted != "halted" ||
+		rollingrestart.Done != "done" ||
+		rollingrestart.Restarting != 1 {
 		t.Error("a standing or a phase has another word or number")
 	}
 }
--- a/internal/frozen/decisions_test.go
+++ b/internal/frozen/decisions_test.go
@@ -55,61 +55,121 @@
 
 func classes() []balancer.Class {
 	return []balancer.Class{
-		{Name: "quote", Aim: 120 * time.Millisecond, Stretch: 1.5, Deadline: 900 * time.Millisecond, Worth: 2,
-			LateShare: 0.25, Effect: balancer.Safe, Kind: -1},
-		{Name: "book", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 9, Effect: balancer.Keyed,
-			Scope: balancer.ScopeZone, Window: 3 * time.Second, Kind: -1},
-		{Name: "charge", Aim: 400 * time.Millisecond, Stretch: 1, Deadline: 1500 * time.Millisecond, Worth: 5,
-			LateShare: 0.5, Effect: balancer.Unsafe, Kind: 1},
-		{Name: "chat", Aim: 200 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1, Stream: true,
-			Effect: balancer.Keyed, Scope: balancer.ScopeCell, Window: time.Second, Kind: 0, Attempts: 2},
+		{
+			Name:             "quote",
+			LatencyObjective: 120 * time.Millisecond,
+			ObjectiveStretch: 1.5,
+			Timeout:          900 * time.Millisecond,
+			PriorityWeight:   2,
+			LateShare:        0.25,
+			Idempotency:      balancer.Idempotent,
+			WorkerKind:       -1,
+		},
+		{
+			Name:             "book",
+			LatencyObjective: 300 * time.Millisecond,
+			Timeout:          2 * time.Second,
+			PriorityWeight:   9,
+			Idempotency:      balancer.IdempotentByKey,
+			KeyScope:         balancer.ScopeZone,
+			KeyWindow:        3 * time.Second,
+			WorkerKind:       -1,
+		},
+		{
+			Name:             "charge",
+			LatencyObjective: 400 * time.Millisecond,
+			ObjectiveStretch: 1,
+			Timeout:          1500 * time.Millisecond,
+			PriorityWeight:   5,
+			LateShare:        0.5,
+			Idempotency:      balancer.NonIdempotent,
+			WorkerKind:       1,
+		},
+		{
+			Name:             "chat",
+			LatencyObjective: 200 * time.Millisecond,
+			Timeout:          2500 * time.Millisecond,
+			PriorityWeight:   1,
+			Streaming:        true,
+			Idempotency:      balancer.IdempotentByKey,
+			KeyScope:         balancer.ScopeCell,
+			KeyWindow:        time.Second,
+			WorkerKind:       0,
+			MaxAttempts:      2,
+		},
 	}
 }
 
 func mixedSettings() balancer.Settings {
-	return balancer.Settings{Fleet: 1, Zones: 2, Kinds: 2, Classes: classes(),
-		Tenants: []balancer.Tenant{{Name: "a", Share: 0.5, Allowance: 60}, {Name: "b", Share: 0.3, Allowance: 40},
-			{Name: "c", Share: 0.2}},
-		Size: balancer.SizeNominal, OverShare: 0.3, TellsStart: true, Progress: 20 * time.Millisecond,
-		Tick: time.Millisecond, ReportProbed: true,
-		Limits: balancer.Limits{Attempts: 4, Cancel: true, Probes: true, RetryAfter: true, SecondCopies: true,
-			ConnectTimeout: 100 * time.Millisecond, ConnIdle: time.Second, MaxRetryAfter: 2 * time.Second},
-		Rules: balancer.Rules{AnswerSlack: 80 * time.Millisecond, DrainGrace: 200 * time.Millisecond, ColdShare: 0.2,
-			Cold: 2 * time.Second, OverloadFactor: 1.5, Fall: 500 * time.Millisecond, Budget: time.Second,
-			FreeFurther: 5, FurtherShare: 0.2},
-		Goal: balancer.Goal{Whole: 0.6, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.1},
-		Prices: balancer.Prices{CrossZone: 0.02, Waste: 0.1, Connection: 0.001, Probe: 0.0005,
-			LateFail: 0.01}}
+	return balancer.Settings{DispatcherCount: 1, ZoneCount: 2, WorkerKinds: 2, Classes: classes(),
+		Tenants: []balancer.Tenant{
+			{Name: "a", CapacityShare: 0.5, QuotaPerSecond: 60},
+			{Name: "b", CapacityShare: 0.3, QuotaPerSecond: 40},
+			{Name: "c", CapacityShare: 0.2},
+		},
+		SizeMeaning: balancer.SizeNominal, OverQuotaWeight: 0.3, ReportsStart: true,
+		ProgressInterval: 20 * time.Millisecond,
+		MinEventInterval: time.Millisecond, LoadReportsByCheck: true,
+		Limits: balancer.Limits{
+			MaxAttempts:    4,
+			CanCancel:      true,
+			HealthChecks:   true,
+			RetryAfter:     true,
+			HedgedRequests: true,
+			ConnectTimeout: 100 * time.Millisecond,
+			IdleTimeout:    time.Second,
+			MaxRetryAfter:  2 * time.Second,
+		},
+		Rules: balancer.Rules{
+			ResponseSlack:     80 * time.Millisecond,
+			DrainGrace:        200 * time.Millisecond,
+			SlowStartMinShare: 0.2,
+			SlowStartWindow:   2 * time.Second,
+			OverloadFactor:    1.5,
+			OverloadWindow:    500 * time.Millisecond,
+			RetryBudgetWindow: time.Second,
+			RetryBudgetBase:   5,
+			RetryBudgetShare:  0.2,
+		},
+		Goal: balancer.Goal{Overall: 0.6, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.1},
+		Costs: balancer.Costs{CrossZone: 0.02, WastedWork: 0.1, Connection: 0.001, HealthCheck: 0.0005,
+			LateFailure: 0.01}}
 }
 
 func fleetSettings() balancer.Settings {
 	s := mixedSettings()
-	s.Me, s.Fleet, s.Zone, s.MustAsk, s.TellsStart, s.Size = 5, 12, 1, true, false, balancer.SizeRough
-	s.Limits.Peers, s.Limits.Probes, s.Limits.SecondCopies, s.Limits.Cancel = true, false, false, false
-	s.Rules.AskEvery, s.Rules.FullUnproven, s.WorthByWork = time.Second, true, true
-	s.Goal.Punctual, s.Goal.MissAllowed = 0.2, 0.05
+	s.DispatcherIndex, s.DispatcherCount, s.Zone, s.ListOnRequest, s.ReportsStart, s.SizeMeaning = 5, 12, 1,
+		true, false, balancer.SizeApproximate
+	s.Limits.PeerMessages, s.Limits.HealthChecks, s.Limits.HedgedRequests, s.Limits.CanCancel = true, false,
+		false, false
+	s.Rules.ListPollInterval, s.Rules.FullMayHaveRun, s.WeightByWork = time.Second, true, true
+	s.Goal.OnTime, s.Goal.AllowedMissShare = 0.2, 0.05
 	return s
 }
 
 func sparseSettings() balancer.Settings {
 	s := mixedSettings()
-	s.Me, s.Fleet, s.OverShare = 3, 20, 1
+	s.DispatcherIndex, s.DispatcherCount, s.OverQuotaWeight = 3, 20, 1
 	return s
 }
 
 func routedSettings() balancer.Settings {
 	s := mixedSettings()
-	s.ReportProbed, s.Rules.Budget, s.Size = false, 0, balancer.SizeLive
-	s.Limits.Probes, s.Limits.Peers = false, true
-	s.Prices.CrossZone = 0.2
+	s.LoadReportsByCheck, s.Rules.RetryBudgetWindow, s.SizeMeaning = false, 0, balancer.SizeLive
+	s.Limits.HealthChecks, s.Limits.PeerMessages = false, true
+	s.Costs.CrossZone = 0.2
 	return s
 }
 
 func plainSettings() balancer.Settings {
-	return balancer.Settings{Fleet: 1, Zones: 1, Kinds: 1, Classes: classes()[:1],
-		Limits: balancer.Limits{Attempts: 3, RetryAfter: true, MaxRetryAfter: time.Second},
-		Rules:  balancer.Rules{AnswerSlack: 100 * time.Millisecond, ColdShare: 0.5, Cold: time.Second},
-		Goal:   balancer.Goal{Whole: 1}}
+	return balancer.Settings{DispatcherCount: 1, ZoneCount: 1, WorkerKinds: 1, Classes: classes()[:1],
+		Limits: balancer.Limits{MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second},
+		Rules: balancer.Rules{
+			ResponseSlack:     100 * time.Millisecond,
+			SlowStartMinShare: 0.5,
+			SlowStartWindow:   time.Second,
+		},
+		Goal: balancer.Goal{Overall: 1}}
 }
 
 // traceOptions say what happens in a trace beside its settings.
@@ -210,11 +270,17 @@
 		tr.list = append(tr.list, tr.newWorker(i+1, 0))
 	}
 	at := time.Duration(0)
-	if tr.set.MustAsk {
-		tr.after(0, func() { tr.bal.Members(tr.now, balancer.Failed, nil) })
+	if tr.set.ListOnRequest {
+		tr.after(0, func() { tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil) })
 		at = 30 * time.Millisecond
 	}
-	tr.after(at, func() { tr.bal.Members(tr.now, balancer.Whole, append([]balancer.Worker(nil), tr.list...)) })
+	tr.after(
+		at,
+		func() {
+			tr.bal.UpdateWorkers(tr.now, balancer.ListFull, append([]balancer.Worker(nil),
+				tr.list...))
+		},
+	)
 	end := 20 * time.Millisecond
 	for n := range tr.opts.arrivals {
 		end += tr.span(tr.opts.every)
@@ -237,18 +303,18 @@
 }
 
 func (tr *trace) newWorker(id int, since time.Duration) balancer.Worker {
-	w := balancer.Worker{ID: balancer.WorkerID(id), State: balancer.Ready, Size: 4, Since: since}
+	w := balancer.Worker{ID: balancer.WorkerID(id), State: balancer.Ready, Size: 4, StartedAt: since}
 	if tr.opts.spread {
 		w.Zone, w.Kind, w.Cell = id%2, id/2%2, id/3
 		w.Size = 2 + float64(id%5)
 	} else {
-		w.Kind = id % tr.set.Kinds
+		w.Kind = id % tr.set.WorkerKinds
 	}
 	if tr.opts.routed {
 		w.Labels = []string{fmt.Sprint("tier", id%3)}
 	}
 	if tr.opts.released && w.Kind == 1 {
-		w.Since = tr.now
+		w.StartedAt = tr.now
 	}
 	tr.workers[w.ID] = &traceWorker{slow: 0.5 + tr.rng.Float64()}
 	return w
@@ -257,37 +323,37 @@
 func (tr *trace) arrive(n int) {
 	id := balancer.RequestID(fmt.Sprint("r", n))
 	r := balancer.Request{ID: id, Class: tr.rng.IntN(len(tr.set.Classes)), Slots: float64(1 + tr.rng.IntN(2))}
-	r.Left = tr.set.Classes[r.Class].Deadline
+	r.Timeout = tr.set.Classes[r.Class].Timeout
 	if tr.rng.IntN(10) == 0 {
-		r.Left /= 3
-		r.Repeat = true
+		r.Timeout /= 3
+		r.IsRetry = true
 	}
 	if tr.rng.IntN(3) > 0 {
-		r.Work = tr.span(40 * time.Millisecond)
+		r.ExpectedWork = tr.span(40 * time.Millisecond)
 	}
 	if len(tr.set.Tenants) > 0 {
 		r.Tenant = min(tr.rng.IntN(5), len(tr.set.Tenants)-1)
 	}
 	if tr.opts.routed {
 		r.Route = tierRoute{spills: tr.rng.IntN(2) == 0}
-		r.Attempts = tr.rng.IntN(3)
+		r.MaxAttempts = tr.rng.IntN(3)
 	}
-	tr.open[id] = &traceRequest{deadline: tr.now + r.Left}
-	tr.bal.Request(tr.now, r)
+	tr.open[id] = &traceRequest{deadline: tr.now + r.Timeout}
+	tr.bal.Submit(tr.now, r)
 	switch tr.rng.IntN(40) {
 	case 0:
-		tr.after(r.Left/4, func() {
+		tr.after(r.Timeout/4, func() {
 			if q := tr.open[id]; !q.answered {
 				q.answered = true
-				tr.bal.Gone(tr.now, id)
+				tr.bal.ClientDisconnected(tr.now, id)
 			}
 		})
 	case 1:
-		tr.after(r.Left/8, func() {
+		tr.after(r.Timeout/8, func() {
 			q := tr.open[id]
 			if n := len(q.attempts); !q.answered && n > 0 && !q.attempts[n-1].ended {
 				q.answered = true
-				tr.bal.Streaming(tr.now, id, n-1)
+				tr.bal.StreamStarted(tr.now, id, n-1)
 			}
 		})
 	}
@@ -296,7 +362,7 @@
 // tierRoute has three tiers by the worker's label, and leaves some workers out.
 type tierRoute struct{ spills bool }
 
-func (tierRoute) Tiers() int { return 3 }
+func (tierRoute) TierCount() int { return 3 }
 
 func (tierRoute) Tier(w *balancer.Worker) int {
 	if w.ID%7 == 0 {
@@ -305,7 +371,7 @@
 	return int(w.Labels[0][4] - '0')
 }
 
-func (r tierRoute) Spills(_ int, busy bool) bool { return r.spills || !busy }
+func (r tierRoute) SpillsOver(_ int, busy bool) bool { return r.spills || !busy }
 
 // disturb changes something about the workers, as faults, drains and restarts do.
 func (tr *trace) disturb() {
@@ -318,42 +384,42 @@
 		w.silent = !w.silent
 	case 2:
 		tr.list[k].State = balancer.Draining
-		tr.bal.Members(tr.now, balancer.Changes, []balancer.Worker{tr.list[k]})
+		tr.bal.UpdateWorkers(tr.now, balancer.ListDelta, []balancer.Worker{tr.list[k]})
 	case 3:
 		gone := tr.list[k]
 		gone.State = balancer.Removed
-		tr.bal.Members(tr.now, balancer.Changes, []balancer.Worker{gone})
+		tr.bal.UpdateWorkers(tr.now, balancer.ListDelta, []balancer.Worker{gone})
 		tr.list[k] = tr.newWorker(tr.seq+1000, tr.now)
-		tr.bal.Members(tr.now, balancer.Changes, []balancer.Worker{tr.list[k]})
+		tr.bal.UpdateWorkers(tr.now, balancer.ListDelta, []balancer.Worker{tr.list[k]})
 	case 4:
-		tr.list[k].State, tr.list[k].Since = balancer.Ready, tr.now
-		tr.bal.Members(tr.now, balancer.Whole, append([]balancer.Worker(nil), tr.list...))
+		tr.list[k].State, tr.list[k].StartedAt = balancer.Ready, tr.now
+		tr.bal.UpdateWorkers(tr.now, balancer.ListFull, append([]balancer.Worker(nil), tr.list...))
 	case 5:
-		tr.bal.Members(tr.now, balancer.Cached, append([]balancer.Worker(nil), tr.list...))
+		tr.bal.UpdateWorkers(tr.now, balancer.ListCached, append([]balancer.Worker(nil), tr.list...))
 	case 6:
-		tr.bal.Owe(tr.list[k].ID)
+		tr.bal.EndMaintenance(tr.list[k].ID)
 	case 7:
 		id := tr.list[k].ID
-		tr.bal.Peer(tr.now, 1, []byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)})
+		tr.bal.ReceivePeer(tr.now, 1, []byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)})
 	case 8:
-		tr.bal.Beside(tr.list[k].ID, float64(tr.rng.IntN(3)))
-		tr.bal.Members(tr.now, balancer.Failed, nil)
+		tr.bal.SetOtherInFlight(tr.list[k].ID, float64(tr.rng.IntN(3)))
+		tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil)
 	}
-	tr.act("excluded %d", tr.bal.Distrusted(tr.now))
-	for _, v := range tr.bal.Explain(tr.now, balancer.Request{ID: "x", Left: time.Second, Slots: 1}, 0) {
-		tr.act("explain %d %t", v.Worker.ID, v.Why == "")
+	tr.act("excluded %d", tr.bal.EjectedCount(tr.now))
+	for _, v := range tr.bal.Explain(tr.now, balancer.Request{ID: "x", Timeout: time.Second, Slots: 1}, 0) {
+		tr.act("explain %d %t", v.Worker.ID, v.Reason == "")
 	}
 }
 
 // replace has another balancer go on from what this one has learned, as in an upgrade.
 func (tr *trace) replace() {
 	raw := tr.memory()
-	held := tr.bal.Held()
+	held := tr.bal.InFlight()
 	next, err := balancer.New(tr.set, 99, tr)
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	var m balancer.Memory
+	var m balancer.LearnedState
 	if err := json.Unmarshal(raw, &m); err != nil {
 		tr.t.Fatal(err)
 	}
@@ -364,23 +430,23 @@
 			a.ended = true
 		}
 	}
-	next.Members(tr.now, balancer.Whole, append([]balancer.Worker(nil), tr.list...))
-	next.Recall(tr.now, m)
+	next.UpdateWorkers(tr.now, balancer.ListFull, append([]balancer.Worker(nil), tr.list...))
+	next.RestoreLearned(tr.now, m)
 	for _, w := range tr.list {
 		if held[w.ID] > 0 {
-			next.Beside(w.ID, held[w.ID])
+			next.SetOtherInFlight(w.ID, held[w.ID])
 		}
 	}
 }
 
 // memory digests what the balancer passes to the process after it.
 func (tr *trace) memory() []byte {
-	raw, err := json.Marshal(tr.bal.Memory())
+	raw, err := json.Marshal(tr.bal.Learned())
 	if err != nil {
 		tr.t.Fatal(err)
 	}
 	tr.act("memory %s", raw)
-	tr.act("in flight %v", tr.bal.Held()) // maps are printed in the order of their keys
+	tr.act("in flight %v", tr.bal.InFlight()) // maps are printed in the order of their keys
 	return raw
 }
 
@@ -388,8 +454,8 @@
 func (tr *trace) configure() {
 	set := tr.set
 	set.Classes = append([]balancer.Class(nil), set.Classes...)
-	set.Classes[0].Worth *= 1.5
-	set.Classes[0].Aim *= 2
+	set.Classes[0].PriorityWeight *= 1.5
+	set.Classes[0].LatencyObjective *= 2
 	tr.act("configure %v", tr.bal.CanConfigure(set) == nil)
 	tr.bal.Configure(set)
 }
@@ -413,34 +479,40 @@
 	case w.silent:
 		took = time.Hour
 	case w.failing && p < 60:
-		result, took = balancer.Error, took/4
+		result, took = balancer.ServerError, took/4
 	case w.inFlight > 12:
-		result, took = balancer.Full, time.Millisecond
+		result, took = balancer.WorkerFull, time.Millisecond
 	case p < 2:
 		result, took = balancer.ConnectFailed, 3*time.Millisecond
 	case p < 4:
-		result = balancer.Reset
+		result = balancer.ConnectionReset
 	case p < 5:
-		result = balancer.Error
+		result = balancer.ServerError
 	case p == 5:
-		result = balancer.Rejected
+		result = balancer.Unprocessable
 	}
 	if tr.now+took > limit {
 		result, took = balancer.TimedOut, max(limit-tr.now, time.Microsecond)
 	}
-	if tr.set.TellsStart && result != balancer.Full && result != balancer.ConnectFailed && !w.silent {
+	if tr.set.ReportsStart && result != balancer.WorkerFull && result != balancer.ConnectFailed && !w.silent {
 		tr.after(took/4, func() { tr.progress(id, n, a, true, 0) })
 		tr.after(took/2, func() { tr.progress(id, n, a, false, 0.5) })
 	}
 	if n > 0 || tr.rng.IntN(20) == 0 {
-		tr.after(took/3, func() { tr.act("still allowed %s %d %t", id, n, tr.bal.StillAllowed(tr.now, id, n)) })
+		tr.after(
+			took/3,
+			func() { tr.act("still allowed %s %d %t", id, n, tr.bal.StillAllowed(tr.now, id, n)) },
+		)
 	}
 	tr.after(took, func() { tr.end(id, n, a, result) })
 }
 
 func (tr *trace) progress(id balancer.RequestID, n int, a *traceAttempt, started bool, done float64) {
 	if !a.ended {
-		tr.bal.Progress(tr.now, balancer.Note{ID: id, Attempt: n, Worker: a.to, Started: started, Done: done})
+		tr.bal.AttemptProgressed(
+			tr.now,
+			balancer.AttemptProgress{ID: id, Attempt: n, Worker: a.to, Started: started, Fraction: done},
+		)
 	}
 }
 
@@ -455,24 +527,26 @@
 	if result == balancer.OK {
 		q.answered = true
 	}
-	report := balancer.NoReport
-	if !tr.set.ReportProbed && tr.rng.IntN(3) > 0 {
+	report := balancer.NoLoadReport
+	if !tr.set.LoadReportsByCheck && tr.rng.IntN(3) > 0 {
 		report = tr.report(a.to)
 	}
-	tr.bal.Outcome(tr.now, balancer.Outcome{ID: id, Attempt: n, Worker: a.to, Result: result,
-		Took: tr.now - a.sent, Settled: q.answered, Report: report})
+	tr.bal.AttemptEnded(tr.now, balancer.AttemptOutcome{ID: id, Attempt: n, Worker: a.to, Result: result,
+		Took: tr.now - a.sent, Responded: q.answered, Report: report})
 }
 
-func (tr *trace) report(id balancer.WorkerID) balancer.Report {
+func (tr *trace) report(id balancer.WorkerID) balancer.LoadReport {
 	w := tr.workers[id]
-	r := balancer.Report{Told: true, FreeSlots: float64(max(0, 6-w.inFlight)), FreeMemory: -1,
-		InFlight: float64(w.inFlight + tr.rng.IntN(2)), Queue: float64(max(0, w.inFlight-6)), Busy: -1,
-		Served: tr.rng.Float64() * 50, Failed: tr.rng.Float64()}
+	r := balancer.LoadReport{Received: true, FreeSlots: float64(max(0, 6-w.inFlight)), FreeMemory: -1,
+		InFlight: float64(
+			w.inFlight + tr.rng.IntN(2),
+		), QueueLength: float64(max(0, w.inFlight-6)), CPUShare: -1,
+		ServedPerSecond: tr.rng.Float64() * 50, FailedPerSecond: tr.rng.Float64()}
 	return r
 }
 
-// Refuse implements balancer.Actions.
-func (tr *trace) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+// Reject implements balancer.Actions.
+func (tr *trace) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	tr.act("refuse %s %d", id, retryAfter)
 	tr.open[id].answered = true
 }
@@ -490,47 +564,47 @@
 	tr.after(time.Microsecond, func() { tr.end(id, n, a, balancer.Cancelled) })
 }
 
-// Probe implements balancer.Actions.
-func (tr *trace) Probe(w balancer.WorkerID) {
+// CheckHealth implements balancer.Actions.
+func (tr *trace) CheckHealth(w balancer.WorkerID) {
 	tr.act("probe %d", w)
 	took := tr.span(2 * time.Millisecond)
 	tr.after(took, func() {
 		result, report := balancer.OK, tr.report(w)
 		if tr.workers[w].silent {
-			result, report = balancer.TimedOut, balancer.NoReport
+			result, report = balancer.TimedOut, balancer.NoLoadReport
 		}
-		tr.bal.Probed(tr.now, w, result, took, report)
+		tr.bal.HealthChecked(tr.now, w, result, took, report)
 	})
 }
 
-// Watch implements balancer.Actions.
-func (tr *trace) Watch(on bool) {
+// WatchList implements balancer.Actions.
+func (tr *trace) WatchList(on bool) {
 	tr.act("watch %t", on)
 	tr.after(15*time.Millisecond, func() {
 		if tr.rng.IntN(4) == 0 {
-			tr.bal.Members(tr.now, balancer.Failed, nil)
+			tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil)
 			return
 		}
-		tr.bal.Members(tr.now, balancer.Whole, append([]balancer.Worker(nil), tr.list...))
+		tr.bal.UpdateWorkers(tr.now, balancer.ListFull, append([]balancer.Worker(nil), tr.list...))
 	})
 }
 
-// Fetch implements balancer.Actions.
-func (tr *trace) Fetch() { tr.act("fetch") }
+// FetchList implements balancer.Actions.
+func (tr *trace) FetchList() { tr.act("fetch") }
 
-// After implements balancer.Actions.
-func (tr *trace) After(d time.Duration, token uint64) {
+// SetTimer implements balancer.Actions.
+func (tr *trace) SetTimer(d time.Duration, token uint64) {
 	tr.act("after %d %d", d, token)
 	bal := tr.bal
 	tr.after(d, func() {
 		if bal == tr.bal || bal == nil {
-			tr.bal.Timer(tr.now, token)
+			tr.bal.TimerFired(tr.now, token)
 		}
 	})
 }
 
-// Tell implements balancer.Actions.
-func (tr *trace) Tell(peer int, data []byte) { tr.act("tell %d %x", peer, data) }
+// SendPeer implements balancer.Actions.
+func (tr *trace) SendPeer(peer int, data []byte) { tr.act("tell %d %x", peer, data) }
 
 // CloseIdle implements balancer.Actions.
 func (tr *trace) CloseIdle(w balancer.WorkerID) { tr.act("close idle %d", w) }
--- a/internal/frozen/encoded/sections_test.go
+++ b/internal/frozen/encoded/sections_test.go
@@ -47,7 +47,7 @@
 // unknown, it is refused by the same words, for those are kept in the group's agreed state.
 func TestSectionsOfTheDocumentAreFrozen(t *testing.T) {
 	t.Parallel()
-	rules := node.Rules()
+	rules := node.DocumentRules()
 	judge := func(section, key, value string) []string {
 		var d clusterstate.Document
 		if err := tomlfile.Decode("document", []byte(document), &d); err != nil {
--- a/internal/frozen/handover_test.go
+++ b/internal/frozen/handover_test.go
@@ -26,7 +26,7 @@
 	var got []byte
 	want := readText(t, "handover.txt")
 	for line := range strings.Lines(want) {
-		m, err := hotrestart.Parse([]byte(strings.TrimSuffix(line, "\n")))
+		m, err := hotrestart.ParseMessage([]byte(strings.TrimSuffix(line, "\n")))
 		if err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
@@ -37,7 +37,7 @@
 	}
 	for _, bad := range []string{`{"t":"hello","v":2}`, `{"t":"state","v":1}`, `{"t":"ban"}`, `{"t":"job"}`,
 		`{"t":`, `{"t":"take","n":"x"}`} {
-		if m, err := hotrestart.Parse([]byte(bad)); err == nil {
+		if m, err := hotrestart.ParseMessage([]byte(bad)); err == nil {
 			t.Errorf("%s was read as %+v", bad, m)
 		}
 	}
@@ -46,11 +46,12 @@
 // A process from before some fields were there says less, and what it says is taken.
 func TestUpgradeStateOfAnOlderProcessIsRead(t *testing.T) {
 	const older = `{"t":"state","v":1,"state":{"generation":7,"instances":[],"discovery":"d","written":"w",` +
-		`"known":["a"],"bans":[],"module":{"Loads":[[1,2]],"Tallies":null,"Slots":[3],"Paces":[1],"Usual":[0.5],` +
+		`"known":["a"],"bans":[],"module":{"Loads":[[1,2]],"Tallies":null,"Slots":[3],"Paces":[1],` +
+		`"Usual":[0.5],` +
 		`"Mean":0.5,"Ratio":1,"Arrived":9,"Watched":4,"Wait":0,"Crowd":0,"WaitT":0,"Surveyed":0,` +
 		`"Allowances":null,"Workers":{"5":{"Others":1,"Pace":2,"Wait":0,"Ill":0.25,"WaitT":0,"IllT":0,` +
 		`"Since":0,"Sent":null,"Owed":true}}}}}`
-	m, err := hotrestart.Parse([]byte(older))
+	m, err := hotrestart.ParseMessage([]byte(older))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := hotrestart.At(dir, "127.0.0.1:8080").Listen(loop, func(*eventloop.Conn) {})
+	l, err := hotrestart.SocketFor(dir, "127.0.0.1:8080").Listen(loop, func(*eventloop.Conn) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,36 +79,79 @@
 // upgradeMessages has a message of each type, with every field that it may have.
 func upgradeMessages() []hotrestart.Message {
 	return []hotrestart.Message{
-		{Type: hotrestart.IsHello, Version: hotrestart.Version, Name: "n1", Listen: "127.0.0.1:8080"},
-		{Type: hotrestart.IsState, Version: hotrestart.Version, State: upgradeState()},
-		{Type: hotrestart.IsRefuse, Version: hotrestart.Version, Why: "the process is handed over"},
-		{Type: hotrestart.IsTake},
-		{Type: hotrestart.IsTaken, IDs: []string{"a", "b"}},
-		{Type: hotrestart.IsEmpty},
-		{Type: hotrestart.IsCall, Number: 7, Body: []byte("call\n")},
-		{Type: hotrestart.IsHeard, Number: 7},
-		{Type: hotrestart.IsBegun, IDs: []string{"c"}},
-		{Type: hotrestart.IsHeld, Held: map[string]float64{"w1": 1.5, "w2": 2}},
-		{Type: hotrestart.IsBan, Ban: &hotrestart.Ban{Name: "w1", Out: true, Since: 5 * time.Second}},
-		{Type: hotrestart.IsBan, Ban: &hotrestart.Ban{Name: "w1", Since: 5 * time.Second, Ended: 9 * time.Second}},
-		{Type: hotrestart.IsJob, Job: &hotrestart.Job{ID: "a", Class: 3, Until: time.Minute, Left: time.Second,
-			Hops: []string{"w1", "w2"}}},
+		{
+			Type:          hotrestart.TypeHello,
+			Version:       hotrestart.Version,
+			Node:          "n1",
+			ListenAddress: "127.0.0.1:8080",
+		},
+		{Type: hotrestart.TypeState, Version: hotrestart.Version, State: upgradeState()},
+		{Type: hotrestart.TypeRejected, Version: hotrestart.Version, Reason: "the process is handed over"},
+		{Type: hotrestart.TypeChildServes},
+		{Type: hotrestart.TypeParentReleased, RequestIDs: []string{"a", "b"}},
+		{Type: hotrestart.TypeParentDrained},
+		{Type: hotrestart.TypeCallBack, CallBackNumber: 7, Body: []byte("call\n")},
+		{Type: hotrestart.TypeCallBackHandled, CallBackNumber: 7},
+		{Type: hotrestart.TypeRequestsBegun, RequestIDs: []string{"c"}},
+		{Type: hotrestart.TypeInFlight, InFlight: map[string]float64{"w1": 1.5, "w2": 2}},
+		{
+			Type:        hotrestart.TypeMaintenance,
+			Maintenance: &hotrestart.Maintenance{Endpoint: "w1", Active: true, StartedAt: 5 * time.Second},
+		},
+		{
+			Type: hotrestart.TypeMaintenance,
+			Maintenance: &hotrestart.Maintenance{
+				Endpoint:  "w1",
+				StartedAt: 5 * time.Second,
+				EndedAt:   9 * time.Second,
+			},
+		},
+		{
+			Type: hotrestart.TypeMigratedRequest,
+			Request: &hotrestart.MigratedRequest{
+				ID:        "a",
+				Class:     3,
+				Deadline:  time.Minute,
+				Timeout:   time.Second,
+				Endpoints: []string{"w1", "w2"},
+			},
+		},
 	}
 }
 
 func upgradeState() *hotrestart.State {
 	return &hotrestart.State{Generation: 12,
-		Instances: json.RawMessage(`[{"id":"w1","address":"127.0.0.1:9001"}]`),
-		Discovery: "127.0.0.1:7000", Written: "127.0.0.1:7001", Known: []string{"w1", "w2"},
-		Bans: []hotrestart.Ban{{Name: "w2", Out: true, Since: time.Second},
-			{Name: "w1", Since: time.Second, Ended: 2 * time.Second}},
-		Now: time.Hour, Starts: map[string]hotrestart.Start{"w1": {Said: 3 * time.Second, At: 4 * time.Second}},
-		Module: balancer.Memory{Loads: [][2]float64{{1.25, 2}, {3, 4}}, Full: [][2]float64{{0.5, 1}, {0, 0}},
-			Tallies: [][2]float64{{10, 9}}, Slots: []float64{4, 8}, Paces: []float64{1, 1.5}, Usual: []float64{0.1},
-			Mean: 0.2, Ratio: 1.1, Arrived: 100, Efforts: 90, Watched: 30, Wait: 0.01, Crowd: 0.02,
-			WaitT: 50 * time.Minute, Surveyed: 51 * time.Minute,
-			Allowances: []balancer.Allowed{{Left: 3, Asked: 4, At: 52 * time.Minute}},
-			Workers: map[balancer.WorkerID]balancer.WorkerMemory{1: {Others: 1, Pace: 0.9, Wait: 0.3, Ill: 0.25,
-				WaitT: 53 * time.Minute, IllT: 54 * time.Minute, Since: 55 * time.Minute,
-				Sent: []balancer.Spent{{At: 56 * time.Minute, Work: 0.75}}, Owed: true}, 2: {Pace: 1}}}}
+		Instances:        json.RawMessage(`[{"id":"w1","address":"127.0.0.1:9001"}]`),
+		DiscoveryAddress: "127.0.0.1:7000", ConfiguredDiscovery: "127.0.0.1:7001",
+		KnownEndpoints: []string{"w1", "w2"},
+		Maintenance: []hotrestart.Maintenance{{Endpoint: "w2", Active: true, StartedAt: time.Second},
+			{Endpoint: "w1", StartedAt: time.Second, EndedAt: 2 * time.Second}},
+		SentAt: time.Hour, WorkerStarts: map[string]hotrestart.WorkerStart{"w1": {Reported: 3 * time.Second,
+			At: 4 * time.Second}},
+		Balancer: balancer.LearnedState{
+			Loads: [][2]float64{{1.25, 2}, {3, 4}},
+			Full:  [][2]float64{{0.5, 1}, {0, 0}},
+			Tallies: [][2]float64{
+				{10, 9},
+			},
+			Slots:      []float64{4, 8},
+			Paces:      []float64{1, 1.5},
+			Usual:      []float64{0.1},
+			Mean:       0.2,
+			Ratio:      1.1,
+			Arrived:    100,
+			Efforts:    90,
+			Watched:    30,
+			Wait:       0.01,
+			Crowd:      0.02,
+			WaitT:      50 * time.Minute,
+			Surveyed:   51 * time.Minute,
+			Allowances: []balancer.TenantQuota{{Left: 3, Asked: 4, At: 52 * time.Minute}},
+			Workers: map[balancer.WorkerID]balancer.WorkerRecord{
+				1: {Others: 1, Pace: 0.9, Wait: 0.3, Ill: 0.25,
+					WaitT: 53 * time.Minute, IllT: 54 * time.Minute, Since: 55 * time.Minute,
+					Sent: []balancer.SentWork{{At: 56 * time.Minute, Work: 0.75}}, Owed: true},
+				2: {Pace: 1},
+			},
+		}}
 }
