--- a/internal/frozen/state_test.go
+++ b/internal/frozen/state_test.go
@@ -115,10 +115,11 @@
 // instance the same.
 func TestProblemsAreNamedAsBefore(t *testing.T) {
 	s := newLog(t).state(t)
-	s.Command(withdrawal)
+	s.ApplyRollout(withdrawal)
 	var out strings.Builder
 	classes := func(edit string) string {
-		return `{"class":[{"name":"quote","effect":"retryable","give_up":"5s","aim":"1s","worth":5` + edit + `},` +
+		return `{"class":[{"name":"quote","effect":"retryable","give_up":"5s",` +
+			`"aim":"1s","worth":5` + edit + `},` +
 			`{"name":"book","effect":"dedup","key_scope":"cell","window":"25s","give_up":"15s","aim":"1s",` +
 			`"worth":15}],"tenant":[{"name":"muscat","share":0.47},{"name":"batinah","share":0.27}]`
 	}
@@ -127,7 +128,8 @@
 	}
 	for _, text := range []string{
 		`{"class":[]}`,
-		classes(`,"effect":"maybe","give_up":"0s","aim":"-1s","aim_stretch":-1,"late_share":2,"attempts":-1`) + "}",
+		classes(`,"effect":"maybe","give_up":"0s","aim":"-1s","aim_stretch":-1,`+
+			`"late_share":2,"attempts":-1`) + "}",
 		classes(`,"key_scope":"all","window":"1s","give_up":"25h","aim":"26h","attempts":101`) + "}",
 		strings.ReplaceAll(classes(`,"key_scope":"room"`), "book", "quote") + "}",
 		strings.ReplaceAll(classes(""), "book", "a b") + "}",
@@ -138,13 +140,15 @@
 		strings.ReplaceAll(classes(""), "0.27", "-1") + "}",
 		section("a b", `{"k":"v"}`),
 		section("levels", `{"a\u0001":"v"}`),
-		section("duties", `{"list":"yes","roll":"1","backup_every":"x","backup_keep":"0","drill":"-1","other":""}`),
+		section("duties", `{"list":"yes","roll":"1","backup_every":"x","backup_keep":"0",`+
+			`"drill":"-1","other":""}`),
 		section("rollout", `{"cut_off":"x","lease":"1","stage_within":"1ms","hold_within":"x","other":""}`),
 		section("rollout", `{"lease":"10s","stage_within":"1s"}`),
 		section("membership", `{"probe":"1","other":""}`),
 		section("placement", `{"weight.n1":"0","weight.":"1","weight.n2":"x","other":""}`),
 		section("workers", `{"subset":"1","cold_parts":"x","witnesses":"x","other":""}`),
-		section("ratelimit", `{"account":"a b","tick":"1","term":"x","parts":"0","default":"x","account.a":"1",`+
+		section("ratelimit", `{"account":"a b","tick":"1","term":"x","parts":"0",`+
+			`"default":"x","account.a":"1",`+
 			`"class.a@b":"rate=1","other":""}`),
 		section("schedule", `{"zone":"","zones":"1","bound":"1","trigger.":"x","trigger.a":"* * * * *",`+
 			`"trigger.b":"* * * * * zone=UTC","trigger.c":"* * * * x zone=UTC class=quote","other":"",`+
@@ -152,12 +156,16 @@
 			`"trigger.f":"* * * * * path=x","trigger.g":"* * * * * late=0s","trigger.h":"* * * * * leap=x",`+
 			`"trigger.i":"* * * * * gap=x","trigger.j":"* * * * * other=x"}`),
 	} {
-		document, err := clusterstate.Decode([]byte(text))
+		document, err := clusterstate.DecodeDocument([]byte(text))
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		o, err := json.MarshalIndent(s.Check(clusterstate.Change{ID: "new", Base: s.Newest().Revision,
-			Document: document}), "", "\t")
+		o, err := json.MarshalIndent(
+			s.CheckChange(clusterstate.Change{ID: "new", BaseRevision: s.CurrentRevision().Number,
+				Document: document}),
+			"",
+			"\t",
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,8 +181,8 @@
 func TestFlippedByteIsNamed(t *testing.T) {
 	for _, name := range []string{"log.txt", "snapshot.txt"} {
 		good := filesOf(t, name)
-		for _, file := range good.Files() {
-			size := len(good.Bytes(file))
+		for _, file := range good.Paths() {
+			size := len(good.Content(file))
 			if strings.HasSuffix(file, ".log") {
 				if size -= 20; name == "snapshot.txt" {
 					continue // there is nothing in it but its head, which was made anew
@@ -182,7 +190,7 @@
 			}
 			for at := 0; at < size; at += 3 {
 				fs := filesOf(t, name)
-				fs.Bytes(file)[at] ^= 1 << (at % 8)
+				fs.Content(file)[at] ^= 1 << (at % 8)
 				_, err := store.Open(storeDir, store.Options{FS: fs}, func([]byte) error { return nil }, nil)
 				var bad *store.CorruptError
 				if !errors.As(err, &bad) || bad.File != file || bad.Offset > int64(at) ||
@@ -225,12 +233,12 @@
 
 func (l *logWriter) duty(c leasedtask.Command) {
 	l.t.Helper()
-	l.change(fmt.Sprintf("duty %d %s", c.Kind, c.Duty), leasedtask.Encode(c))
+	l.change(fmt.Sprintf("duty %d %s", c.Kind, c.Task), leasedtask.EncodeCommand(c))
 }
 
 func (l *logWriter) schedule(name string, c schedule.Command) {
 	l.t.Helper()
-	l.change("schedule "+name, schedule.Encode(c))
+	l.change("schedule "+name, schedule.EncodeCommand(c))
 }
 
 func (l *logWriter) members(name string, kind raftpb.ConfChangeType, m *schema.MembersChange) {
@@ -284,14 +292,14 @@
 
 func openStore(t *testing.T, fs *faultfs.FS) (*consensus.Instance, *store.Store) {
 	t.Helper()
-	saved := consensus.NewSaved()
-	log, err := store.Open(storeDir, store.Options{FS: fs}, saved.Image, saved.Record)
+	saved := consensus.NewRecoveredState()
+	log, err := store.Open(storeDir, store.Options{FS: fs}, saved.RestoreSnapshot, saved.ReplayRecord)
 	if err != nil {
 		t.Fatal(err)
 	}
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	i, err := consensus.New(consensus.Config{Log: quiet, Seed: 1, SnapshotEvery: 1000}, saved, 77, "n1")
+	i, err := consensus.New(consensus.Config{Logger: quiet, Seed: 1, SnapshotCount: 1000}, saved, 77, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,7 +310,7 @@
 func drive(t *testing.T, i *consensus.Instance, log *store.Store) {
 	t.Helper()
 	clock := func() time.Duration { return 0 }
-	if err := consensus.Drive(i, log, clock, func(consensus.Effects) {}); err != nil {
+	if err := consensus.ProcessReady(i, log, clock, func(consensus.Effects) {}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -328,11 +336,11 @@
 // filesText writes the files of a disk in base64, for testdata.
 func filesText(fs *faultfs.FS) string {
 	var out strings.Builder
-	for _, name := range fs.Files() {
+	for _, name := range fs.Paths() {
 		if strings.HasSuffix(name, "LOCK") {
 			continue
 		}
-		fmt.Fprintf(&out, "file %s\n%s", name, base64Lines(fs.Bytes(name)))
+		fmt.Fprintf(&out, "file %s\n%s", name, base64Lines(fs.Content(name)))
 	}
 	return out.String()
 }
@@ -360,7 +368,7 @@
 	fs := faultfs.New(1)
 	for _, part := range strings.Split(readText(t, name), "file ")[1:] {
 		file, text, _ := strings.Cut(part, "\n")
-		fs.Put(file, fromBase64(t, text))
+		fs.WriteDurable(file, fromBase64(t, text))
 	}
 	return fs
 }
@@ -399,8 +407,11 @@
 }
 
 func (l *logWriter) groupEntries() {
-	l.change("change of format 1", &schema.Change{Id: "c1", Base: 1, Author: "ada", Note: "a note", AtMs: 1000,
-		Format: 1, Document: document(`{"levels":{"a":"1"}}`)})
+	l.change(
+		"change of format 1",
+		&schema.Change{Id: "c1", Base: 1, Author: "ada", Note: "a note", AtMs: 1000,
+			Format: 1, Document: document(`{"levels":{"a":"1"}}`)},
+	)
 	l.change("change on an old base", &schema.Change{Id: "c2", Base: 1, Format: 1,
 		Document: []byte(firstDocument)})
 	l.members("add n2", raftpb.ConfChangeAddLearnerNode, &schema.MembersChange{Change: "m1",
@@ -415,14 +426,23 @@
 		l.command("open", &schema.Command{Kind: 1, Term: term, Member: member, Name: fmt.Sprint("n", n+1),
 			Nonce: 0xfedcba9876543210 + member, AtMs: 2000})
 	}
-	l.command("open, in another leader's term", &schema.Command{Kind: 1, Term: term - 1, Member: 77, Nonce: 9})
-	l.change("change with all sections", &schema.Change{Id: "c3", Base: 2, Author: "ada", AtMs: 3000, Format: 7,
-		Document: document(allSections)})
+	l.command(
+		"open, in another leader's term",
+		&schema.Command{Kind: 1, Term: term - 1, Member: 77, Nonce: 9},
+	)
+	l.change(
+		"change with all sections",
+		&schema.Change{Id: "c3", Base: 2, Author: "ada", AtMs: 3000, Format: 7,
+			Document: document(allSections)},
+	)
 	l.change("change while one is pending", &schema.Change{Id: "c4", Base: 2, Format: 7,
 		Document: []byte(firstDocument)})
 	seats := l.seats()
-	l.command("hold, without one of the sessions", &schema.Command{Kind: 3, Term: term, Change: "c3", Attempt: 1,
-		Seats: seats[1:]})
+	l.command(
+		"hold, without one of the sessions",
+		&schema.Command{Kind: 3, Term: term, Change: "c3", Attempt: 1,
+			Seats: seats[1:]},
+	)
 	l.command("hold", &schema.Command{Kind: 3, Term: term, Change: "c3", Attempt: 1, Seats: seats})
 	l.command("reopen", &schema.Command{Kind: 5, Term: term, Change: "c3", Attempt: 1, Reason: "late"})
 	l.command("hold", &schema.Command{Kind: 3, Term: term, Change: "c3", Attempt: 2, Seats: seats})
@@ -433,95 +453,238 @@
 	l.change("change that is not valid", &schema.Change{Id: "c6", Base: 3, Format: 7,
 		Document: document(`{"duties":{"list":"perhaps"}}`)})
 	l.command("withdraw, with nothing pending", &schema.Command{Kind: 6, Id: "op8", Change: "c5"})
-	l.change("change of nothing", &schema.Change{Id: "c7", Base: 3, Format: 7, Document: document(allSections)})
+	l.change(
+		"change of nothing",
+		&schema.Change{Id: "c7", Base: 3, Format: 7, Document: document(allSections)},
+	)
 }
 
 // seats are the open sessions, as the log has them.
 func (l *logWriter) seats() (list []*schema.Seat) {
-	for _, s := range l.state(l.t).Rollout().Seats() {
+	for _, s := range l.state(l.t).Rollout().OpenSessions() {
 		list = append(list, &schema.Seat{Member: s.Member, Epoch: s.Epoch})
 	}
 	return list
 }
 
 // seat is a member's session.
-func (l *logWriter) seat(member uint64) placement.Seat {
+func (l *logWriter) seat(member uint64) placement.Session {
 	s := l.state(l.t).Rollout().Sessions[member]
-	return placement.Seat{Member: member, Epoch: s.Epoch}
+	return placement.Session{Member: member, Epoch: s.Epoch}
 }
 
 func (l *logWriter) dutyEntries() {
-	n1, n2 := leasedtask.Seat(l.seat(77)), leasedtask.Seat(l.seat(78))
-	l.duty(leasedtask.Command{Kind: leasedtask.Declare, Term: term, Names: []string{"backup", "drill-1", "list", "roll"}})
-	l.duty(leasedtask.Command{Kind: leasedtask.Assign, Term: term, Duty: "list", Seat: n1, Name: "n1", AtMS: 5000})
-	l.duty(leasedtask.Command{Kind: leasedtask.Assign, Term: term, Duty: "list", Seat: n2, Name: "n2", AtMS: 5001})
-	l.duty(leasedtask.Command{Kind: leasedtask.Note, Duty: "list", Number: 1, Note: []byte("note 1")})
-	l.duty(leasedtask.Command{Kind: leasedtask.Note, Duty: "list", Number: 1, Turn: 1, Note: []byte{}})
-	l.duty(leasedtask.Command{Kind: leasedtask.Note, Duty: "list", Number: 1, Turn: 1, Note: []byte("from a stale copy")})
-	l.duty(leasedtask.Command{Kind: leasedtask.HandOn, ID: "op2", Duty: "list", To: 78, Reason: "ada asks", Name: "ada"})
-	l.duty(leasedtask.Command{Kind: leasedtask.Release, Duty: "list", Number: 1, Note: []byte("last"), Reason: "handed on",
-		AtMS: 6000})
-	l.duty(leasedtask.Command{Kind: leasedtask.Assign, Term: term, Duty: "list", Number: 1, Seat: n2, Name: "n2",
-		AtMS: 6001})
-	l.duty(leasedtask.Command{Kind: leasedtask.Vacate, Term: term, Duty: "list", Number: 2, Reason: "its lease ran out",
-		AtMS: 7000})
-	l.duty(leasedtask.Command{Kind: leasedtask.Assign, Term: term, Duty: "drill-1", Seat: n1, Name: "n1", AtMS: 7001})
-	l.duty(leasedtask.Command{Kind: leasedtask.Release, Duty: "drill-1", Number: 3, Failed: true, Reason: "it failed",
-		AtMS: 7002})
-	l.duty(leasedtask.Command{Kind: leasedtask.Assign, Term: term, Duty: "backup", Seat: n2, Name: "n2", AtMS: 7003})
-	l.duty(leasedtask.Command{Kind: leasedtask.Note, Duty: "backup", Number: 4, Note: []byte(
+	n1, n2 := leasedtask.Session(l.seat(77)), leasedtask.Session(l.seat(78))
+	l.duty(
+		leasedtask.Command{
+			Kind:  leasedtask.DeclareTasks,
+			Term:  term,
+			Tasks: []string{"backup", "drill-1", "list", "roll"},
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:    leasedtask.Assign,
+			Term:    term,
+			Task:    "list",
+			Session: n1,
+			Name:    "n1",
+			AtMS:    5000,
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:    leasedtask.Assign,
+			Term:    term,
+			Task:    "list",
+			Session: n2,
+			Name:    "n2",
+			AtMS:    5001,
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:         leasedtask.UpdateNote,
+			Task:         "list",
+			FencingToken: 1,
+			Note:         []byte("note 1"),
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:         leasedtask.UpdateNote,
+			Task:         "list",
+			FencingToken: 1,
+			NoteRevision: 1,
+			Note:         []byte{},
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:         leasedtask.UpdateNote,
+			Task:         "list",
+			FencingToken: 1,
+			NoteRevision: 1,
+			Note:         []byte("from a stale copy"),
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:       leasedtask.Transfer,
+			ID:         "op2",
+			Task:       "list",
+			TransferTo: 78,
+			Reason:     "ada asks",
+			Name:       "ada",
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:         leasedtask.Release,
+			Task:         "list",
+			FencingToken: 1,
+			Note:         []byte("last"),
+			Reason:       "handed on",
+			AtMS:         6000,
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:         leasedtask.Assign,
+			Term:         term,
+			Task:         "list",
+			FencingToken: 1,
+			Session:      n2,
+			Name:         "n2",
+			AtMS:         6001,
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:         leasedtask.Expire,
+			Term:         term,
+			Task:         "list",
+			FencingToken: 2,
+			Reason:       "its lease ran out",
+			AtMS:         7000,
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:    leasedtask.Assign,
+			Term:    term,
+			Task:    "drill-1",
+			Session: n1,
+			Name:    "n1",
+			AtMS:    7001,
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:         leasedtask.Release,
+			Task:         "drill-1",
+			FencingToken: 3,
+			Failed:       true,
+			Reason:       "it failed",
+			AtMS:         7002,
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:    leasedtask.Assign,
+			Term:    term,
+			Task:    "backup",
+			Session: n2,
+			Name:    "n2",
+			AtMS:    7003,
+		},
+	)
+	l.duty(leasedtask.Command{Kind: leasedtask.UpdateNote, Task: "backup", FencingToken: 4, Note: []byte(
 		`{"period":"2026-12-01T01:00:00Z","file":"agreed-20261201T010000Z.backup","sha256":"00ff"}`)})
-	l.duty(leasedtask.Command{Kind: leasedtask.Pause, ID: "op3", Duty: "backup", Name: "ada"})
-	l.duty(leasedtask.Command{Kind: leasedtask.Pause, ID: "op4", Duty: "list", Name: "ada"})
-	l.duty(leasedtask.Command{Kind: leasedtask.Resume, ID: "op5", Duty: "list", Name: "ada"})
-	l.duty(leasedtask.Command{Kind: leasedtask.Resume, ID: "op6", Duty: "list", Name: "ada"})
-	l.duty(leasedtask.Command{Kind: leasedtask.Pause, ID: "op9", Duty: "backup", Name: "bob"})
-	l.duty(leasedtask.Command{Kind: leasedtask.HandOn, ID: "op10", Duty: "backup", To: 77, Name: "bob"})
-	l.duty(leasedtask.Command{Kind: leasedtask.HandOn, ID: "op11", Duty: "list", Name: "bob"})
-	l.duty(leasedtask.Command{Kind: leasedtask.HandOn, ID: "op12", Duty: "sweep", Name: "bob"})
-	l.duty(leasedtask.Command{Kind: leasedtask.Assign, Term: term, Duty: "roll", Seat: n1, Name: "n1", AtMS: 7004})
-	l.duty(leasedtask.Command{Kind: leasedtask.HandOn, Duty: "roll", Number: 5, Reason: "it is about to end"})
+	l.duty(leasedtask.Command{Kind: leasedtask.Pause, ID: "op3", Task: "backup", Name: "ada"})
+	l.duty(leasedtask.Command{Kind: leasedtask.Pause, ID: "op4", Task: "list", Name: "ada"})
+	l.duty(leasedtask.Command{Kind: leasedtask.Resume, ID: "op5", Task: "list", Name: "ada"})
+	l.duty(leasedtask.Command{Kind: leasedtask.Resume, ID: "op6", Task: "list", Name: "ada"})
+	l.duty(leasedtask.Command{Kind: leasedtask.Pause, ID: "op9", Task: "backup", Name: "bob"})
+	l.duty(
+		leasedtask.Command{
+			Kind:       leasedtask.Transfer,
+			ID:         "op10",
+			Task:       "backup",
+			TransferTo: 77,
+			Name:       "bob",
+		},
+	)
+	l.duty(leasedtask.Command{Kind: leasedtask.Transfer, ID: "op11", Task: "list", Name: "bob"})
+	l.duty(leasedtask.Command{Kind: leasedtask.Transfer, ID: "op12", Task: "sweep", Name: "bob"})
+	l.duty(
+		leasedtask.Command{
+			Kind:    leasedtask.Assign,
+			Term:    term,
+			Task:    "roll",
+			Session: n1,
+			Name:    "n1",
+			AtMS:    7004,
+		},
+	)
+	l.duty(
+		leasedtask.Command{
+			Kind:         leasedtask.Transfer,
+			Task:         "roll",
+			FencingToken: 5,
+			Reason:       "it is about to end",
+		},
+	)
 }
 
 func (l *logWriter) scheduleEntries() {
 	s := l.state(l.t)
 	version, now := s.Schedule().Policy().Version, int64(1_800_000_000)
-	command := func(kind schedule.Kind, by placement.Seat) schedule.Command {
-		return schedule.Command{Kind: kind, Seat: by, Version: version, Now: now, Zones: 0xabcdef0123456789}
+	command := func(kind schedule.CommandKind, by placement.Session) schedule.Command {
+		return schedule.Command{
+			Kind:             kind,
+			Session:          by,
+			PolicyVersion:    version,
+			ClusterTime:      now,
+			ZoneRulesVersion: 0xabcdef0123456789,
+		}
 	}
-	declare := command(schedule.Declare, placement.Seat{})
-	declare.Term, declare.Off = term, map[uint64]string{79: "its clock is 3 s ahead"}
+	declare := command(schedule.DeclarePolicy, placement.Session{})
+	declare.Term, declare.ExcludedMembers = term, map[uint64]string{79: "its clock is 3 s ahead"}
 	l.schedule("declare", declare)
 	now += 120
-	var owners [3]placement.Seat
+	var owners [3]placement.Session
 	s = l.state(l.t)
 	for n, x := range s.Schedule().Policy().Triggers {
 		owners[n], _ = s.Schedule().Owner(placement.ShardOf(x.Name))
-		c := command(schedule.Intend, owners[n])
-		c.Steps = []schedule.Step{{Shard: placement.ShardOf(x.Name)}}
+		c := command(schedule.IntendFirings, owners[n])
+		c.Advances = []schedule.ShardAdvance{{Shard: placement.ShardOf(x.Name)}}
 		for k := range int64(3) {
 			at := now - 100 + 30*k
-			c.Dues = append(c.Dues, schedule.Due{Trigger: n, At: at, Wall: at + 3600, Passed: int(2 - k),
-				Name: calendar.Name(2_000_000 + 60*k)})
+			c.Occurrences = append(
+				c.Occurrences,
+				schedule.DueOccurrence{Trigger: n, At: at, WallClock: at + 3600, Missed: int(2 - k),
+					LocalTime: calendar.LocalTime(2_000_000 + 60*k)},
+			)
 		}
 		l.schedule("intend of trigger "+x.Name, c)
 	}
-	l.schedule("intend on an old version", command(schedule.Intend, owners[0]))
-	settle := command(schedule.Settle, owners[0])
+	l.schedule("intend on an old version", command(schedule.IntendFirings, owners[0]))
+	settle := command(schedule.RecordResults, owners[0])
 	settle.Numbers = []uint64{1, 2, 3}
-	settle.Results = []schedule.Result{schedule.Done, schedule.Failed, schedule.Unrun}
+	settle.Results = []schedule.Result{schedule.Succeeded, schedule.Failed, schedule.Released}
 	l.schedule("settle", settle)
-	resolve := command(schedule.Resolve, owners[0])
-	resolve.Numbers, resolve.Results = []uint64{3}, []schedule.Result{schedule.Done}
+	resolve := command(schedule.ResolveOrphans, owners[0])
+	resolve.Numbers, resolve.Results = []uint64{3}, []schedule.Result{schedule.Succeeded}
 	l.schedule("resolve: taken over", resolve)
-	settle = command(schedule.Settle, owners[1])
+	settle = command(schedule.RecordResults, owners[1])
 	settle.Numbers = []uint64{4, 5, 6}
-	settle.Results = []schedule.Result{schedule.Refused, schedule.Passed, schedule.Unrun}
+	settle.Results = []schedule.Result{schedule.Rejected, schedule.Missed, schedule.Released}
 	l.schedule("settle", settle)
-	resolve = command(schedule.Resolve, owners[1])
-	resolve.Numbers, resolve.Results = []uint64{6}, []schedule.Result{schedule.MayHave}
+	resolve = command(schedule.ResolveOrphans, owners[1])
+	resolve.Numbers, resolve.Results = []uint64{6}, []schedule.Result{schedule.Unknown}
 	l.schedule("resolve: given up", resolve)
-	declare.Now, declare.Over = now, []placement.Seat{owners[2]}
+	declare.ClusterTime, declare.ExpiredSessions = now, []placement.Session{owners[2]}
 	l.schedule("declare, with a session that has ended", declare)
 }
 
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -13,48 +13,48 @@
 
 // Handler is told what happens on a connection. None of it is called after Close.
 type Handler interface {
-	Up(c *Conn)               // a dialled connection has come up
-	Data(c *Conn)             // there is more in In
-	Ended(c *Conn, err error) // the peer, or the network, has ended it; it is closed already
+	OnConnect(c *Conn)          // a dialled connection has come up
+	OnData(c *Conn)             // there is more in In
+	OnClose(c *Conn, err error) // the peer, or the network, has ended it; it is closed already
 }
 
-// most is how much unread input a connection may hold: a head, a body of
+// maxUnreadBytes is how much unread input a connection may hold: a head, a body of
 // 64 KiB in small chunks, and some. Beyond it nothing is read until some is used.
-const most = 1 << 18
+const maxUnreadBytes = 1 << 18
 
-// roomy is the size of buffer that an idle connection may keep.
-const roomy = 16 << 10
+// maxIdleBufferBytes is the size of buffer that an idle connection may keep.
+const maxIdleBufferBytes = 16 << 10
 
-// lingering is how long a peer may take to close after us, and unwanted how much it
+// lingerTimeout is how long a peer may take to close after us, and maxLingerBytes how much it
 // may send meanwhile. Hazard: some send on for ever; to read it all costs the CPU of others.
 const (
-	lingering = time.Second
-	unwanted  = 256 << 10
+	lingerTimeout  = time.Second
+	maxLingerBytes = 256 << 10
 )
 
 // A peer that connects, or begins a message, must send it whole. Hazard: connections
 // that say nothing, or stop half-way, hold the descriptors that others need. One that
 // is slow but goes on sending is let go on.
 const (
-	wholeBy = 2500 * time.Millisecond // from its connecting, or its first byte
-	stalled = time.Second             // but while something comes this often
-	slowest = 20 * time.Second        // at most this
+	messageTimeout = 2500 * time.Millisecond // from its connecting, or its first byte
+	stallTimeout   = time.Second             // but while something comes this often
+	maxMessageTime = 20 * time.Second        // at most this
 )
 
 // Why a listener's connection was ended by us.
 var (
-	errSlow = errors.New("the message did not come whole in time")
-	errShed = errors.New("others need the room")
+	errMessageTimeout = errors.New("the message did not come whole in time")
+	errEvicted        = errors.New("others need the room")
 )
 
-// standing is what a connection is to its listener. The lowest are shed first.
-type standing uint8
+// connState is what a connection is to its listener. The lowest are shed first.
+type connState uint8
 
 const (
-	leaving  standing = iota // Finish was called
-	unproven                 // has not sent a whole message yet
-	idle                     // between two messages
-	taken                    // its message is being worked on; never shed
+	stateClosing    connState = iota // Finish was called
+	stateNew                         // has not sent a whole message yet
+	stateIdle                        // between two messages
+	stateProcessing                  // its message is being worked on; never shed
 )
 
 // Conn is a connection with one buffer, which grows as it needs and is compacted
@@ -62,50 +62,50 @@
 // Nothing is read while output waits, so that the two never cross, and a peer
 // that doesn't read can't make us hold more than a turn's output.
 type Conn struct {
-	H    Handler
-	loop *Loop
-	from *Listener
-	fd   int
-	id   slotmap.ID
-	buf  []byte
-	mid  int // input is buf[:mid], output is buf[mid:]
-
-	standing standing
-	began    time.Duration // when it connected, or its message began
-	heard    time.Duration // when something came last, or its last message was done with
-	timer    *Timer        // by which the message must be whole
-	counted  int           // what the listener counts for its buffer
-
-	// Sent, where it is set, is called once when the kernel has taken all that was written.
-	Sent func()
-
-	// Passing has descriptors that come along on a Unix socket be kept for TakeFD.
-	Passing bool
-	fds     []int
-
-	connecting, closed, closing bool
-	starved                     bool // there was no room for what it sends ahead
-	pausing                     bool // the kernel had no room for its last call
-	events                      uint32
-	lost                        int // output that the kernel had not taken at the end
-	ignored                     int // input that came after Finish
+	Handler  Handler
+	loop     *Loop
+	listener *Listener
+	fd       int
+	id       slotmap.ID
+	buf      []byte
+	inputEnd int // input is buf[:mid], output is buf[mid:]
+
+	state        connState
+	messageStart time.Duration // when it connected, or its message began
+	lastActivity time.Duration // when something came last, or its last message was done with
+	messageTimer *Timer        // by which the message must be whole
+	countedBytes int           // what the listener counts for its buffer
+
+	// OnSent, where it is set, is called once when the kernel has taken all that was written.
+	OnSent func()
+
+	// ReceiveFDs has descriptors that come along on a Unix socket be kept for TakeFD.
+	ReceiveFDs  bool
+	receivedFDs []int
+
+	connecting, closed, finishing bool
+	inputBlocked                  bool // there was no room for what it sends ahead
+	paused                        bool // the kernel had no room for its last call
+	interest                      uint32
+	unsentAtClose                 int // output that the kernel had not taken at the end
+	discardedBytes                int // input that came after Finish
 }
 
-func (l *Loop) adopt(fd int, connecting bool) (*Conn, error) {
+func (l *Loop) newConn(fd int, connecting bool) (*Conn, error) {
 	c := &Conn{loop: l, fd: fd, connecting: connecting}
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c.events = c.wanted()
+	c.interest = c.wantedEvents()
 	var err error
-	c.id, err = l.watch(fd, c.events, c)
+	c.id, err = l.register(fd, c.interest, c)
 	return c, err
 }
 
 // Dial begins a connection. The handler is told when it is up; an error here
 // means that it never will be.
 func (l *Loop) Dial(address string, h Handler) (*Conn, error) {
-	fd, addr, err := l.socket(address)
-	if scarce(err) && l.free(forDescriptor) {
-		fd, addr, err = l.socket(address) // what goes out must not wait for who comes in
+	fd, addr, err := l.newSocket(address)
+	if isResourceExhausted(err) && l.freeDescriptor(evictForDescriptor) {
+		fd, addr, err = l.newSocket(address) // what goes out must not wait for who comes in
 	}
 	if err != nil {
 		return nil, err
@@ -116,12 +116,12 @@
 		_ = l.system.Close(fd)
 		return nil, fmt.Errorf("connecting to %s: %w", address, err)
 	}
-	c, err := l.adopt(fd, true)
+	c, err := l.newConn(fd, true)
 	if err != nil {
 		_ = l.system.Close(fd)
 		return nil, err
 	}
-	c.H = h
+	c.Handler = h
 	return c, nil
 }
 
@@ -130,110 +130,110 @@
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, err
 	}
-	c, err := l.adopt(fd, false)
+	c, err := l.newConn(fd, false)
 	if err != nil {
 		return nil, err
 	}
-	c.H = h
+	c.Handler = h
 	return c, nil
 }
 
-// In is the unread input; it is good until the next Write, Use or return to the loop.
-func (c *Conn) In() []byte { return c.buf[:c.mid] }
+// Input is the unread input; it is good until the next Write, Use or return to the loop.
+func (c *Conn) Input() []byte { return c.buf[:c.inputEnd] }
 
-// Use drops the first n bytes of the input.
-func (c *Conn) Use(n int) {
+// Discard drops the first n bytes of the input.
+func (c *Conn) Discard(n int) {
 	c.buf = c.buf[:copy(c.buf, c.buf[n:])]
-	c.mid -= n
-	if len(c.buf) == 0 && cap(c.buf) > roomy {
+	c.inputEnd -= n
+	if len(c.buf) == 0 && cap(c.buf) > maxIdleBufferBytes {
 		c.buf = nil // hundreds of idle connections must not keep the room of their largest message
-		c.count()
+		c.updateBufferCount()
 	}
-	c.update()
+	c.updateInterest()
 }
 
-// Taken says that a whole message has come and is worked on.
-func (c *Conn) Taken() {
-	c.standing = taken
-	c.timer.Stop()
-	c.timer = nil
+// BeginProcessing says that a whole message has come and is worked on.
+func (c *Conn) BeginProcessing() {
+	c.state = stateProcessing
+	c.messageTimer.Stop()
+	c.messageTimer = nil
 }
 
-// Idle says that the message is done with: the connection may be shed from here on.
-func (c *Conn) Idle() {
-	c.starved = false
-	if c.standing = idle; c.closing {
-		c.standing = leaving
+// EndProcessing says that the message is done with: the connection may be shed from here on.
+func (c *Conn) EndProcessing() {
+	c.inputBlocked = false
+	if c.state = stateIdle; c.finishing {
+		c.state = stateClosing
 	}
-	if c.mid == 0 {
-		c.heard = c.loop.Now()
+	if c.inputEnd == 0 {
+		c.lastActivity = c.loop.Now()
 	} else {
-		c.mind()
+		c.startMessageTimer()
 	}
-	c.update()
-	if c.from != nil {
-		c.from.pause(false) // it can be shed now for one that waits
+	c.updateInterest()
+	if c.listener != nil {
+		c.listener.setPaused(false) // it can be shed now for one that waits
 	}
 }
 
-// mind sets the time by which the message that begins now must be whole.
-func (c *Conn) mind() {
-	if c.from != nil && c.timer == nil && !c.closed {
-		c.began = c.loop.Now()
-		by := wholeBy
-		if c.from.limits.Patience > 0 {
-			by = c.from.limits.Patience
+// startMessageTimer sets the time by which the message that begins now must be whole.
+func (c *Conn) startMessageTimer() {
+	if c.listener != nil && c.messageTimer == nil && !c.closed {
+		c.messageStart = c.loop.Now()
+		by := messageTimeout
+		if c.listener.limits.MessageTimeout > 0 {
+			by = c.listener.limits.MessageTimeout
 		}
-		c.timer = c.loop.At(c.began+by, c.overdue)
+		c.messageTimer = c.loop.At(c.messageStart+by, c.messageTimerFired)
 	}
 }
 
-func (c *Conn) overdue() {
-	at := min(c.heard+stalled, c.began+slowest)
+func (c *Conn) messageTimerFired() {
+	at := min(c.lastActivity+stallTimeout, c.messageStart+maxMessageTime)
 	if c.loop.Now() < at {
-		c.timer = c.loop.At(at, c.overdue)
+		c.messageTimer = c.loop.At(at, c.messageTimerFired)
 		return
 	}
-	c.end(errSlow)
+	c.terminate(errMessageTimeout)
 }
 
-// count keeps the listener's count of the room that its connections take.
-func (c *Conn) count() {
-	if c.from != nil {
-		c.from.bytes += cap(c.buf) - c.counted
-		c.counted = cap(c.buf)
+// updateBufferCount keeps the listener's count of the room that its connections take.
+func (c *Conn) updateBufferCount() {
+	if c.listener != nil {
+		c.listener.bufferBytes += cap(c.buf) - c.countedBytes
+		c.countedBytes = cap(c.buf)
 	}
 }
 
-// Unsent is how many bytes the kernel has not taken yet.
-func (c *Conn) Unsent() int {
+// UnsentBytes is how many bytes the kernel has not taken yet.
+func (c *Conn) UnsentBytes() int {
 	if c.closed {
-		return c.lost
+		return c.unsentAtClose
 	}
-	return len(c.buf) - c.mid
+	return len(c.buf) - c.inputEnd
 }
 
 // Connecting says that the connection is not up yet.
 func (c *Conn) Connecting() bool { return c.connecting }
 
-// Heard is when something came last, or when the last message was done with if nothing waits.
-func (c *Conn) Heard() time.Duration { return c.heard }
+// LastActivity is when something came last, or when the last message was done with if nothing waits.
+func (c *Conn) LastActivity() time.Duration { return c.lastActivity }
 
 // Closed says that the connection has ended, from whichever side.
 func (c *Conn) Closed() bool { return c.closed }
 
-// Full says that nothing more is read until some input is used.
-func (c *Conn) Full() bool { return c.mid >= most }
+// InputFull says that nothing more is read until some input is used.
+func (c *Conn) InputFull() bool { return c.inputEnd >= maxUnreadBytes }
 
-// Finished says that Finish was called.
-func (c *Conn) Finished() bool { return c.closing }
+// Finishing says that Finish was called.
+func (c *Conn) Finishing() bool { return c.finishing }
 
 // Write sends p, now or as the peer takes it.
 func (c *Conn) Write(p []byte) {
-	if c.closed || c.closing {
+	if c.closed || c.finishing {
 		return
 	}
-	if c.Unsent() == 0 && !c.connecting {
+	if c.UnsentBytes() == 0 && !c.connecting {
 		n, err := c.loop.system.Write(c.fd, p)
 		if err != nil {
 			n = 0 // the loop tries again, or reports the break, with these bytes unsent
@@ -241,14 +241,14 @@
 		p = p[n:]
 	}
 	c.buf = append(c.buf, p...)
-	c.count()
-	c.update()
-	c.sent()
+	c.updateBufferCount()
+	c.updateInterest()
+	c.notifySent()
 }
 
-func (c *Conn) sent() {
-	if f := c.Sent; f != nil && c.Unsent() == 0 && !c.connecting && !c.closed {
-		c.Sent = nil
+func (c *Conn) notifySent() {
+	if f := c.OnSent; f != nil && c.UnsentBytes() == 0 && !c.connecting && !c.closed {
+		c.OnSent = nil
 		f()
 	}
 }
@@ -259,34 +259,34 @@
 	if c.closed {
 		return
 	}
-	c.lost, c.closed = c.Unsent(), true
-	if c.closing && c.from != nil {
-		c.from.lingering--
+	c.unsentAtClose, c.closed = c.UnsentBytes(), true
+	if c.finishing && c.listener != nil {
+		c.listener.lingering--
 	}
 	c.loop.sources.Remove(c.id)
 	_ = c.loop.system.Close(c.fd) // leaves the epoll set, too
-	for _, fd := range c.fds {
+	for _, fd := range c.receivedFDs {
 		unix.Close(fd)
 	}
-	c.fds = nil
-	c.timer.Stop()
-	if ln := c.from; ln != nil {
-		ln.open--
-		ln.bytes -= c.counted
-		ln.pause(false)
+	c.receivedFDs = nil
+	c.messageTimer.Stop()
+	if ln := c.listener; ln != nil {
+		ln.openConns--
+		ln.bufferBytes -= c.countedBytes
+		ln.setPaused(false)
 	}
 }
 
-// Finish ends the connection once its output is sent: writing first, so that
+// CloseAfterFlush ends the connection once its output is sent: writing first, so that
 // input which has not been read does not make the kernel drop the answer.
-func (c *Conn) Finish() {
-	if c.from != nil && !c.closing && !c.closed {
-		c.from.lingering++
-	}
-	c.closing, c.standing = true, leaving
-	c.timer.Stop()
-	c.Use(c.mid)
-	if c.Unsent() == 0 && !c.closed {
+func (c *Conn) CloseAfterFlush() {
+	if c.listener != nil && !c.finishing && !c.closed {
+		c.listener.lingering++
+	}
+	c.finishing, c.state = true, stateClosing
+	c.messageTimer.Stop()
+	c.Discard(c.inputEnd)
+	if c.UnsentBytes() == 0 && !c.closed {
 		c.linger()
 	}
 }
@@ -294,153 +294,153 @@
 // linger half-closes and reads on until the peer has closed too, for a second at most.
 func (c *Conn) linger() {
 	_ = c.loop.system.Shutdown(c.fd)
-	c.loop.After(lingering, c.Close)
+	c.loop.After(lingerTimeout, c.Close)
 }
 
-func (c *Conn) wanted() uint32 {
+func (c *Conn) wantedEvents() uint32 {
 	switch {
-	case c.connecting || c.Unsent() > 0:
+	case c.connecting || c.UnsentBytes() > 0:
 		return unix.EPOLLOUT
-	case c.Full() || c.standing == taken && c.starved:
+	case c.InputFull() || c.state == stateProcessing && c.inputBlocked:
 		return unix.EPOLLRDHUP // hazard: unheard, an end would keep its message in work
 	}
 	return unix.EPOLLIN | unix.EPOLLRDHUP
 }
 
-// update has epoll report what is wanted now.
-func (c *Conn) update() {
-	if w := c.wanted(); !c.closed && !c.pausing && w != c.events {
-		c.control(unix.EPOLL_CTL_MOD, w)
+// updateInterest has epoll report what is wanted now.
+func (c *Conn) updateInterest() {
+	if w := c.wantedEvents(); !c.closed && !c.paused && w != c.interest {
+		c.setInterest(unix.EPOLL_CTL_MOD, w)
 	}
 }
 
-// control tells epoll which events are wanted.
-func (c *Conn) control(operation int, events uint32) {
-	if err := c.loop.system.Control(c.loop.ep, operation, c.fd, event(events, c.id)); err != nil {
+// setInterest tells epoll which events are wanted.
+func (c *Conn) setInterest(operation int, events uint32) {
+	if err := c.loop.system.EpollCtl(c.loop.epoll, operation, c.fd, epollEvent(events, c.id)); err != nil {
 		// Hazard: unheard of, the connection would stand for ever.
-		c.pausing = true
-		c.loop.After(retryPause, c.resume)
+		c.paused = true
+		c.loop.After(retryDelay, c.resumeEvents)
 		return
 	}
-	c.events = events
+	c.interest = events
 }
 
-// pause leaves the connection alone for a while: the kernel has no room for what it was asked.
+// pauseEvents leaves the connection alone for a while: the kernel has no room for what it was asked.
 //
 // Hazard: some events can't be masked, and would spin the loop meanwhile.
-func (c *Conn) pause() {
-	c.control(unix.EPOLL_CTL_DEL, 0)
-	if !c.pausing {
-		c.pausing = true
-		c.loop.After(retryPause, c.resume)
+func (c *Conn) pauseEvents() {
+	c.setInterest(unix.EPOLL_CTL_DEL, 0)
+	if !c.paused {
+		c.paused = true
+		c.loop.After(retryDelay, c.resumeEvents)
 	}
 }
 
-// resume ends a pause.
-func (c *Conn) resume() {
+// resumeEvents ends a pause.
+func (c *Conn) resumeEvents() {
 	if c.closed {
 		return
 	}
 	operation := unix.EPOLL_CTL_ADD
-	if c.events != 0 {
+	if c.interest != 0 {
 		operation = unix.EPOLL_CTL_MOD // it was never taken out
 	}
-	c.pausing = false
-	c.control(operation, c.wanted())
+	c.paused = false
+	c.setInterest(operation, c.wantedEvents())
 }
 
-func (c *Conn) ready(events uint32) {
+func (c *Conn) handleEvents(events uint32) {
 	if c.connecting {
 		if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
-			c.end(unix.Errno(code))
+			c.terminate(unix.Errno(code))
 			return
 		}
 		c.connecting = false
-		c.update()
-		if c.H.Up(c); c.closed {
+		c.updateInterest()
+		if c.Handler.OnConnect(c); c.closed {
 			return
 		}
 	}
-	if c.Unsent() > 0 {
-		if c.flush(); c.closed || c.Unsent() > 0 {
+	if c.UnsentBytes() > 0 {
+		if c.flush(); c.closed || c.UnsentBytes() > 0 {
 			return
 		}
 	}
 	switch {
-	case events&unix.EPOLLRDHUP != 0 && c.events&unix.EPOLLIN == 0:
-		c.end(io.EOF) // what lies before the end is not read: nobody waits for what would come of it
+	case events&unix.EPOLLRDHUP != 0 && c.interest&unix.EPOLLIN == 0:
+		c.terminate(io.EOF) // what lies before the end is not read: nobody waits for what would come of it
 	case events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0:
 		c.read()
 	case events&(unix.EPOLLERR|unix.EPOLLHUP) != 0:
-		c.end(io.ErrUnexpectedEOF)
+		c.terminate(io.ErrUnexpectedEOF)
 	}
 }
 
 func (c *Conn) flush() {
-	n, err := c.loop.system.Write(c.fd, c.buf[c.mid:])
+	n, err := c.loop.system.Write(c.fd, c.buf[c.inputEnd:])
 	switch {
 	case err == nil:
-	case again(err):
+	case isRetryable(err):
 		return
-	case scarce(err):
-		c.pause()
+	case isResourceExhausted(err):
+		c.pauseEvents()
 		return
 	default:
-		c.end(err)
+		c.terminate(err)
 		return
 	}
-	c.buf = c.buf[:c.mid+copy(c.buf[c.mid:], c.buf[c.mid+n:])]
-	c.update()
-	c.sent()
-	if c.closing && c.Unsent() == 0 {
+	c.buf = c.buf[:c.inputEnd+copy(c.buf[c.inputEnd:], c.buf[c.inputEnd+n:])]
+	c.updateInterest()
+	c.notifySent()
+	if c.finishing && c.UnsentBytes() == 0 {
 		c.linger()
 	}
 }
 
 func (c *Conn) read() {
-	if cap(c.buf)-c.mid < 1024 {
+	if cap(c.buf)-c.inputEnd < 1024 {
 		room := max(2048, 2*cap(c.buf))
-		if c.from != nil && !c.from.fit(room-cap(c.buf), c) {
-			if c.standing == taken {
+		if c.listener != nil && !c.listener.reserveBuffer(room-cap(c.buf), c) {
+			if c.state == stateProcessing {
 				// Hazard: its message is worked on, and is owed an answer. What it sends ahead waits.
-				c.starved = true
-				c.update()
+				c.inputBlocked = true
+				c.updateInterest()
 				return
 			}
-			c.end(errShed)
+			c.terminate(errEvicted)
 			return
 		}
 		c.buf = append(make([]byte, 0, room), c.buf...)
-		c.count()
+		c.updateBufferCount()
 	}
-	n, err := c.receive(c.buf[c.mid:min(cap(c.buf), most+1024)])
+	n, err := c.receive(c.buf[c.inputEnd:min(cap(c.buf), maxUnreadBytes+1024)])
 	switch {
-	case again(err):
-	case scarce(err):
-		c.pause()
+	case isRetryable(err):
+	case isResourceExhausted(err):
+		c.pauseEvents()
 	case err != nil:
-		c.end(err)
+		c.terminate(err)
 	case n == 0:
-		c.end(io.EOF)
-	case c.closing: // what still comes is not wanted
-		if c.ignored += n; c.ignored > unwanted {
+		c.terminate(io.EOF)
+	case c.finishing: // what still comes is not wanted
+		if c.discardedBytes += n; c.discardedBytes > maxLingerBytes {
 			c.Close()
 		}
 	default:
-		c.mid += n
-		c.buf = c.buf[:c.mid]
-		c.heard = c.loop.Now()
-		if c.standing == idle {
-			c.mind()
+		c.inputEnd += n
+		c.buf = c.buf[:c.inputEnd]
+		c.lastActivity = c.loop.Now()
+		if c.state == stateIdle {
+			c.startMessageTimer()
 		}
-		c.update()
-		c.H.Data(c)
+		c.updateInterest()
+		c.Handler.OnData(c)
 	}
 }
 
-// end is the end from the other side.
-func (c *Conn) end(err error) {
-	if c.Close(); !c.closing {
-		c.H.Ended(c, err)
+// terminate is the end from the other side.
+func (c *Conn) terminate(err error) {
+	if c.Close(); !c.finishing {
+		c.Handler.OnClose(c, err)
 	}
 }
--- a/internal/netio/eventloop/conn_test.go
+++ b/internal/netio/eventloop/conn_test.go
@@ -21,14 +21,14 @@
 	ended chan error
 }
 
-func (e *echo) Up(*Conn) {}
+func (e *echo) OnConnect(*Conn) {}
 
-func (e *echo) Data(c *Conn) {
-	if e.works || !bytes.ContainsRune(c.In(), '\n') {
+func (e *echo) OnData(c *Conn) {
+	if e.works || !bytes.ContainsRune(c.Input(), '\n') {
 		return
 	}
-	c.Use(bytes.IndexByte(c.In(), '\n') + 1)
-	c.Taken()
+	c.Discard(bytes.IndexByte(c.Input(), '\n') + 1)
+	c.BeginProcessing()
 	if e.works = true; !e.slow {
 		e.answer()
 	}
@@ -37,16 +37,16 @@
 func (e *echo) answer() {
 	e.works = false
 	e.conn.Write([]byte("ok\n"))
-	e.conn.Idle()
+	e.conn.EndProcessing()
 }
 
-func (e *echo) Ended(_ *Conn, err error) { e.ended <- err }
+func (e *echo) OnClose(_ *Conn, err error) { e.ended <- err }
 
 // listening has a loop of its own, on the system, accept on an address with the limits.
 func listening(t *testing.T, system kernel.System, limits Limits,
 	accept func(*Conn)) (loop *Loop, ln *Listener, address string) {
 	t.Helper()
-	loop, err := NewOn(system)
+	loop, err := NewWithSystem(system)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	conns = make(chan *echo, 64)
 	loop, ln, address = listening(t, kernel.Linux{}, limits, func(c *Conn) {
 		e := &echo{conn: c, slow: slow, ended: make(chan error, 1)}
-		c.H = e
+		c.Handler = e
 		conns <- e
 	})
 	return loop, ln, address, conns
@@ -112,7 +112,11 @@
 // There is no room for what a client sends ahead: the message of its that is worked on has its answer all
 // the same, and what was sent ahead is answered after it.
 func TestNoRoomForWhatIsSentAhead(t *testing.T) {
-	loop, _, address, conns := inlet(t, Limits{Connections: 8, Bytes: 3000, Patience: time.Minute}, true)
+	loop, _, address, conns := inlet(
+		t,
+		Limits{MaxConnections: 8, MaxBufferBytes: 3000, MessageTimeout: time.Minute},
+		true,
+	)
 	c := dialed(t, address)
 	fmt.Fprintln(c, "first")
 	e := <-conns
@@ -134,11 +138,15 @@
 
 // The end of a client that has sent much ahead is heard, though no more of it is read.
 func TestEndBehindMuchSentAhead(t *testing.T) {
-	_, _, address, conns := inlet(t, Limits{Connections: 8, Bytes: 1 << 20, Patience: time.Minute}, true)
+	_, _, address, conns := inlet(
+		t,
+		Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20, MessageTimeout: time.Minute},
+		true,
+	)
 	c := dialed(t, address)
 	fmt.Fprintln(c, "first")
 	e := <-conns
-	if _, err := c.Write(bytes.Repeat([]byte("x\n"), (most+40_000)/2)); err != nil {
+	if _, err := c.Write(bytes.Repeat([]byte("x\n"), (maxUnreadBytes+40_000)/2)); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
@@ -152,7 +160,11 @@
 // A connection comes when there is room for none, and a request on an idle one has not been read yet: the
 // idle one is not closed for the new one.
 func TestIdleConnectionWithAnUnreadRequestIsKept(t *testing.T) {
-	loop, _, address, conns := inlet(t, Limits{Connections: 1, Bytes: 1 << 20, Patience: time.Minute}, false)
+	loop, _, address, conns := inlet(
+		t,
+		Limits{MaxConnections: 1, MaxBufferBytes: 1 << 20, MessageTimeout: time.Minute},
+		false,
+	)
 	c := dialed(t, address)
 	fmt.Fprintln(c, "first")
 	wantOK(t, c, "the first request")
@@ -172,14 +184,14 @@
 
 // What is being ended is counted until the peer has closed, too.
 func TestLingering(t *testing.T) {
-	loop, ln, address, conns := inlet(t, Limits{Connections: 8, Bytes: 1 << 20}, false)
+	loop, ln, address, conns := inlet(t, Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20}, false)
 	c := dialed(t, address)
 	e := <-conns
 	lingering := func() (n int) {
-		on(loop, func() { n = ln.Lingering() })
+		on(loop, func() { n = ln.LingeringCount() })
 		return n
 	}
-	on(loop, e.conn.Finish)
+	on(loop, e.conn.CloseAfterFlush)
 	if n := lingering(); n != 1 {
 		t.Errorf("%d connections are being ended, want 1", n)
 	}
@@ -193,7 +205,7 @@
 
 // What waits with the kernel can be accepted within a turn of the loop.
 func TestAcceptPending(t *testing.T) {
-	loop, ln, address, conns := inlet(t, Limits{Connections: 8, Bytes: 1 << 20}, false)
+	loop, ln, address, conns := inlet(t, Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20}, false)
 	held, free := make(chan struct{}), make(chan struct{})
 	accepted := make(chan int, 1)
 	loop.Post(func() {
@@ -213,7 +225,7 @@
 // A message comes whole while the loop is held up, beyond the time by which it had to come: it is read first,
 // and answered.
 func TestWhatHasComeGoesBeforeItsDeadline(t *testing.T) {
-	limits := Limits{Connections: 8, Bytes: 1 << 20, Patience: 100 * time.Millisecond}
+	limits := Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20, MessageTimeout: 100 * time.Millisecond}
 	loop, _, address, conns := inlet(t, limits, false)
 	c := dialed(t, address)
 	<-conns
@@ -221,16 +233,20 @@
 	loop.Post(func() { close(held); <-free })
 	<-held
 	fmt.Fprintln(c, "late, but here")
-	time.Sleep(stalled + 100*time.Millisecond) // so long nothing need come before the message is overdue
+	time.Sleep(stallTimeout + 100*time.Millisecond) // so long nothing need come before the message is overdue
 	close(free)
 	wantOK(t, c, "the message that lay unread")
 }
 
 // More sources are ready than are asked for at a time, and a deadline has passed: it waits for all of them.
 func TestManyReadySourcesGoBeforeADeadline(t *testing.T) {
-	loop, _, address, conns := inlet(t, Limits{Connections: 3 * batch, Bytes: 1 << 20}, false)
+	loop, _, address, conns := inlet(
+		t,
+		Limits{MaxConnections: 3 * maxEventsPerPoll, MaxBufferBytes: 1 << 20},
+		false,
+	)
 	var peers []stdnet.Conn
-	for range 2 * batch {
+	for range 2 * maxEventsPerPoll {
 		peers = append(peers, dialed(t, address))
 		<-conns
 	}
@@ -244,7 +260,7 @@
 	on := func() {
 		n := 0
 		for _, s := range loop.sources.All {
-			if c, ok := s.(*Conn); ok && c.Unread() {
+			if c, ok := s.(*Conn); ok && c.HasUnreadInput() {
 				n++
 			}
 		}
--- a/internal/netio/eventloop/passing.go
+++ b/internal/netio/eventloop/descriptors.go
@@ -11,7 +11,7 @@
 // WriteFDs sends p with descriptors, which the peer gets as its own. The connection must
 // be a Unix socket on which no output waits.
 func (c *Conn) WriteFDs(p []byte, fds ...int) error {
-	if c.closed || c.Unsent() > 0 {
+	if c.closed || c.UnsentBytes() > 0 {
 		return errors.New("the connection can't take descriptors now")
 	}
 	n, err := unix.SendmsgN(c.fd, p, unix.UnixRights(fds...), nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
@@ -24,7 +24,7 @@
 
 // receive reads, and takes the descriptors that come along, where they are wanted.
 func (c *Conn) receive(p []byte) (int, error) {
-	if !c.Passing {
+	if !c.ReceiveFDs {
 		return c.loop.system.Read(c.fd, p)
 	}
 	var oob [64]byte
@@ -35,7 +35,7 @@
 	messages, err := unix.ParseSocketControlMessage(oob[:on])
 	for i := range messages {
 		if fds, err := unix.ParseUnixRights(&messages[i]); err == nil {
-			c.fds = append(c.fds, fds...)
+			c.receivedFDs = append(c.receivedFDs, fds...)
 		}
 	}
 	return n, err
@@ -43,11 +43,11 @@
 
 // TakeFD gives the descriptor that came first and was not taken yet; the caller owns it.
 func (c *Conn) TakeFD() (int, bool) {
-	if len(c.fds) == 0 {
+	if len(c.receivedFDs) == 0 {
 		return -1, false
 	}
-	fd := c.fds[0]
-	c.fds = c.fds[1:]
+	fd := c.receivedFDs[0]
+	c.receivedFDs = c.receivedFDs[1:]
 	return fd, true
 }
 
@@ -58,7 +58,7 @@
 func (c *Conn) Detach() {
 	if !c.closed {
 		// Hazard: closed here, it stays in the epoll set for as long as the other has it.
-		_ = unix.EpollCtl(c.loop.ep, unix.EPOLL_CTL_DEL, c.fd, nil)
+		_ = unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_DEL, c.fd, nil)
 		c.Close()
 	}
 }
--- a/internal/netio/eventloop/errors.go
+++ b/internal/netio/eventloop/errno.go
@@ -9,22 +9,22 @@
 
 // What is done about calls that fail.
 
-// retryPause is how long a call waits that failed for want of something the kernel may have again soon.
+// retryDelay is how long a call waits that failed for want of something the kernel may have again soon.
 //
 // Hazard: events are level-triggered, and would be reported again and again meanwhile.
-const retryPause = 20 * time.Millisecond
+const retryDelay = 20 * time.Millisecond
 
-// again reports that a call did nothing and may be made again at the next event.
-func again(err error) bool { return errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) }
+// isRetryable reports that a call did nothing and may be made again at the next event.
+func isRetryable(err error) bool { return errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) }
 
-// scarce reports that descriptors, or the kernel's memory, have run out.
-func scarce(err error) bool {
+// isResourceExhausted reports that descriptors, or the kernel's memory, have run out.
+func isResourceExhausted(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) || errors.Is(err, unix.ENOBUFS) ||
 		errors.Is(err, unix.ENOMEM)
 }
 
-// broken reports that one connection broke before it was accepted, as Linux lists the errors.
-func broken(err error) bool {
+// isAbortedAccept reports that one connection broke before it was accepted, as Linux lists the errors.
+func isAbortedAccept(err error) bool {
 	for _, e := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENOPROTOOPT,
 		unix.ENETDOWN, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.ENETUNREACH,
 		unix.EOPNOTSUPP, unix.ETIMEDOUT, unix.EPERM} {
--- a/internal/netio/eventloop/http.go
+++ b/internal/netio/eventloop/http.go
@@ -9,33 +9,35 @@
 
 // The limits of a message.
 const (
-	MaxHead  = 16 << 10
-	MaxBody  = 64 << 10
-	maxLine  = 256 // of a chunk's size, with its extensions
-	maxLines = 100 // header lines
+	MaxHeadBytes      = 16 << 10
+	MaxBodyBytes      = 64 << 10
+	maxChunkLineBytes = 256 // of a chunk's size, with its extensions
+	maxFieldLines     = 100 // header lines
 )
 
-// BadMessage is input that is not HTTP/1.1, or more than we take. Status is
+// ProtocolError is input that is not HTTP/1.1, or more than we take. Status is
 // what a client is told of it.
-type BadMessage struct {
+type ProtocolError struct {
 	Status int
 	Reason string
 }
 
-func (e *BadMessage) Error() string { return e.Reason }
+func (e *ProtocolError) Error() string { return e.Reason }
 
-func bad(format string, args ...any) error { return &BadMessage{400, fmt.Sprintf(format, args...)} }
+func badRequest(format string, args ...any) error {
+	return &ProtocolError{400, fmt.Sprintf(format, args...)}
+}
 
 // Field is one header line.
 type Field struct{ Name, Value string }
 
 // Message is a request's or a response's head.
 type Message struct {
-	Method, Target string // of a request
-	Status         int    // of a response
-	Fields         []Field
-	Close          bool // the connection ends after it
-	Expects        bool // the sender waits for a 100 before the body
+	Method, Target  string // of a request
+	Status          int    // of a response
+	Fields          []Field
+	Close           bool // the connection ends after it
+	ExpectsContinue bool // the sender waits for a 100 before the body
 }
 
 // Get gives a header's value, or "".
@@ -48,212 +50,212 @@
 	return ""
 }
 
-type state uint8
+type parseState uint8
 
 const (
-	inHead    state = iota
-	inBody          // left more bytes of it
-	inSize          // at a chunk's size line
-	inChunk         // left more bytes of a chunk
-	afterData       // at the line end after a chunk
-	inTrailer
-	toEnd // the body ends with the connection
-	done
+	parsingHead      parseState = iota
+	parsingBody                 // left more bytes of it
+	parsingChunkSize            // at a chunk's size line
+	parsingChunk                // left more bytes of a chunk
+	parsingChunkEnd             // at the line end after a chunk
+	parsingTrailer
+	parsingToEOF // the body ends with the connection
+	parsingDone
 )
 
 // Parser reads one message at a time from the front of a buffer that grows. It
 // keeps its place between calls, so that input in small pieces costs no more, and
 // takes a chunked body's framing out in place.
 type Parser struct {
-	Response bool // else it reads requests
-	Stream   bool // the body has no limit; Take gives what has come of it
+	ReadsResponses bool // else it reads requests
+	StreamsBody    bool // the body has no limit; Take gives what has come of it
 
 	Message
-	state state
-	body  int // where the body begins
-	end   int // where the body that has been read ends
-	at    int // where reading goes on
-	left  int
+	state     parseState
+	bodyStart int // where the body begins
+	bodyEnd   int // where the body that has been read ends
+	position  int // where reading goes on
+	remaining int
 }
 
 // HeadDone says that the head has been read.
-func (p *Parser) HeadDone() bool { return p.state > inHead }
+func (p *Parser) HeadDone() bool { return p.state > parsingHead }
 
 // Feed reads on in buf, which begins where it began last time. It returns true
 // once the message is whole.
 func (p *Parser) Feed(buf []byte) (bool, error) {
 	for {
-		before, at := p.state, p.at
+		before, at := p.state, p.position
 		if err := p.step(buf); err != nil {
 			return false, err
 		}
-		if p.state == done {
+		if p.state == parsingDone {
 			return true, nil
 		}
-		if p.state == before && p.at == at {
+		if p.state == before && p.position == at {
 			return false, nil
 		}
 	}
 }
 
 // Body is the whole body. It lies in the buffer that Feed was given.
-func (p *Parser) Body(buf []byte) []byte { return buf[p.body:p.end] }
+func (p *Parser) Body(buf []byte) []byte { return buf[p.bodyStart:p.bodyEnd] }
 
-// Size is how much of the buffer the whole message takes.
-func (p *Parser) Size() int { return p.at }
+// MessageSize is how much of the buffer the whole message takes.
+func (p *Parser) MessageSize() int { return p.position }
 
-// Next makes the parser ready for the message after this one.
-func (p *Parser) Next() { *p = Parser{Response: p.Response, Stream: p.Stream} }
+// Reset makes the parser ready for the message after this one.
+func (p *Parser) Reset() { *p = Parser{ReadsResponses: p.ReadsResponses, StreamsBody: p.StreamsBody} }
 
-// Ended says whether the end of the connection makes the message whole.
-func (p *Parser) Ended() bool { return p.state == toEnd }
+// CompleteAtEOF says whether the end of the connection makes the message whole.
+func (p *Parser) CompleteAtEOF() bool { return p.state == parsingToEOF }
 
-// Take moves what has come of a streamed body to the caller: the part of the
+// TakeBody moves what has come of a streamed body to the caller: the part of the
 // buffer before n is of no more use.
-func (p *Parser) Take(buf []byte) (body []byte, n int) {
-	body = buf[p.body:p.end]
-	n = p.at
-	p.body, p.end, p.at = 0, 0, 0
+func (p *Parser) TakeBody(buf []byte) (body []byte, n int) {
+	body = buf[p.bodyStart:p.bodyEnd]
+	n = p.position
+	p.bodyStart, p.bodyEnd, p.position = 0, 0, 0
 	return body, n
 }
 
 func (p *Parser) step(buf []byte) error {
 	switch p.state {
-	case inHead:
+	case parsingHead:
 		return p.head(buf)
-	case inBody, toEnd, inChunk:
-		n := len(buf) - p.at
-		if p.state != toEnd {
-			n = min(n, p.left)
+	case parsingBody, parsingToEOF, parsingChunk:
+		n := len(buf) - p.position
+		if p.state != parsingToEOF {
+			n = min(n, p.remaining)
 		}
-		if !p.Stream && p.end-p.body+n > MaxBody {
-			return &BadMessage{413, "the body is too large"}
+		if !p.StreamsBody && p.bodyEnd-p.bodyStart+n > MaxBodyBytes {
+			return &ProtocolError{413, "the body is too large"}
 		}
-		if p.end != p.at {
-			copy(buf[p.end:], buf[p.at:p.at+n])
+		if p.bodyEnd != p.position {
+			copy(buf[p.bodyEnd:], buf[p.position:p.position+n])
 		}
-		p.end, p.at, p.left = p.end+n, p.at+n, p.left-n
+		p.bodyEnd, p.position, p.remaining = p.bodyEnd+n, p.position+n, p.remaining-n
 		switch {
-		case p.left > 0 || p.state == toEnd:
-		case p.state == inBody:
-			p.state = done
+		case p.remaining > 0 || p.state == parsingToEOF:
+		case p.state == parsingBody:
+			p.state = parsingDone
 		default:
-			p.state = afterData
+			p.state = parsingChunkEnd
 		}
-	case inSize, afterData, inTrailer:
-		line, ok, err := p.line(buf)
+	case parsingChunkSize, parsingChunkEnd, parsingTrailer:
+		line, ok, err := p.chunkLine(buf)
 		if !ok || err != nil {
 			return err
 		}
-		return p.framing(line)
+		return p.chunkFraming(line)
 	}
 	return nil
 }
 
-// line takes a line of the chunked framing.
-func (p *Parser) line(buf []byte) (line []byte, ok bool, err error) {
-	rest := buf[p.at:]
+// chunkLine takes a line of the chunked framing.
+func (p *Parser) chunkLine(buf []byte) (line []byte, ok bool, err error) {
+	rest := buf[p.position:]
 	i := bytes.IndexByte(rest, '\n')
-	if i < 0 && len(rest) > maxLine || i > maxLine {
-		return nil, false, bad("a line of the chunked framing is too long")
+	if i < 0 && len(rest) > maxChunkLineBytes || i > maxChunkLineBytes {
+		return nil, false, badRequest("a line of the chunked framing is too long")
 	}
 	if i < 0 {
 		return nil, false, nil
 	}
-	p.at += i + 1
+	p.position += i + 1
 	return bytes.TrimSuffix(rest[:i], []byte("\r")), true, nil
 }
 
-func (p *Parser) framing(line []byte) error {
+func (p *Parser) chunkFraming(line []byte) error {
 	switch p.state {
-	case afterData:
+	case parsingChunkEnd:
 		if len(line) > 0 {
-			return bad("a chunk is longer than its size")
+			return badRequest("a chunk is longer than its size")
 		}
-		p.state = inSize
-	case inSize:
+		p.state = parsingChunkSize
+	case parsingChunkSize:
 		text, _, _ := bytes.Cut(line, []byte(";"))
 		text = bytes.TrimRight(text, " \t")
 		n, err := strconv.ParseUint(string(text), 16, 31)
 		if err != nil || text[0] == '+' {
-			return bad("chunk size %q", text)
+			return badRequest("chunk size %q", text)
 		}
-		if !p.Stream && p.end-p.body+int(n) > MaxBody {
-			return &BadMessage{413, "the body is too large"}
+		if !p.StreamsBody && p.bodyEnd-p.bodyStart+int(n) > MaxBodyBytes {
+			return &ProtocolError{413, "the body is too large"}
 		}
-		if p.left, p.state = int(n), inChunk; n == 0 {
-			p.state = inTrailer
+		if p.remaining, p.state = int(n), parsingChunk; n == 0 {
+			p.state = parsingTrailer
 		}
-	case inTrailer:
-		if p.left++; p.left > maxLines {
-			return &BadMessage{431, "too many trailer lines"}
+	case parsingTrailer:
+		if p.remaining++; p.remaining > maxFieldLines {
+			return &ProtocolError{431, "too many trailer lines"}
 		}
 		if len(line) == 0 {
-			p.state = done
+			p.state = parsingDone
 		}
 	}
 	return nil
 }
 
-var blank = []byte("\r\n\r\n")
+var headEnd = []byte("\r\n\r\n")
 
 func (p *Parser) head(buf []byte) error {
 	start := 0
 	for bytes.HasPrefix(buf[start:], []byte("\r\n")) {
 		start += 2 // some clients send an empty line after a body
 	}
-	n := bytes.Index(buf[start:], blank)
-	if n > MaxHead || n < 0 && len(buf) > MaxHead {
-		return &BadMessage{431, "the head is too large"}
+	n := bytes.Index(buf[start:], headEnd)
+	if n > MaxHeadBytes || n < 0 && len(buf) > MaxHeadBytes {
+		return &ProtocolError{431, "the head is too large"}
 	}
 	if n < 0 {
 		if i := bytes.IndexByte(buf[start:], '\n'); i == 0 || i > 0 && buf[start+i-1] != '\r' {
-			return bad("a line ends without a carriage return")
+			return badRequest("a line ends without a carriage return")
 		}
 		return nil
 	}
 	lines := strings.Split(string(buf[start:start+n]), "\r\n")
 	p.Message = Message{Fields: make([]Field, 0, len(lines)-1)}
-	p.body = start + n + len(blank)
-	p.end, p.at = p.body, p.body
-	minor, err := p.first(lines[0])
+	p.bodyStart = start + n + len(headEnd)
+	p.bodyEnd, p.position = p.bodyStart, p.bodyStart
+	minor, err := p.startLine(lines[0])
 	if err != nil {
 		return err
 	}
-	if len(lines) > maxLines {
-		return &BadMessage{431, "too many header lines"}
+	if len(lines) > maxFieldLines {
+		return &ProtocolError{431, "too many header lines"}
 	}
-	return p.fields(lines[1:], minor)
+	return p.fieldLines(lines[1:], minor)
 }
 
-// first reads the first line and returns the minor version.
-func (p *Parser) first(line string) (minor byte, err error) {
+// startLine reads the first line and returns the minor version.
+func (p *Parser) startLine(line string) (minor byte, err error) {
 	a, b, ok := strings.Cut(line, " ")
 	version := a
-	if p.Response {
+	if p.ReadsResponses {
 		code, _, _ := strings.Cut(b, " ")
 		p.Status, err = strconv.Atoi(code)
 		ok = ok && err == nil && len(code) == 3 && p.Status >= 100
 	} else {
 		p.Method = a
 		p.Target, version, _ = strings.Cut(b, " ")
-		ok = ok && token(p.Method) && Plain(p.Target)
+		ok = ok && isToken(p.Method) && IsVisibleASCII(p.Target)
 	}
-	if !ok || !printable(line) || len(version) != 8 || !strings.HasPrefix(version, "HTTP/1.") ||
+	if !ok || !isPrintable(line) || len(version) != 8 || !strings.HasPrefix(version, "HTTP/1.") ||
 		version[7] != '0' && version[7] != '1' {
-		return 0, bad("the first line is %.60q", line)
+		return 0, badRequest("the first line is %.60q", line)
 	}
 	return version[7], nil
 }
 
-// fields reads the header lines and settles how the body is framed.
-func (p *Parser) fields(lines []string, minor byte) error {
+// fieldLines reads the header lines and settles how the body is framed.
+func (p *Parser) fieldLines(lines []string, minor byte) error {
 	length, chunked, keep := -1, false, minor == '1'
 	for _, line := range lines {
 		name, value, ok := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
-		if !ok || !token(name) || !printable(value) {
-			return bad("header line %.60q", line)
+		if !ok || !isToken(name) || !isPrintable(value) {
+			return badRequest("header line %.60q", line)
 		}
 		p.Fields = append(p.Fields, Field{name, value})
 		switch strings.ToLower(name) {
@@ -261,12 +263,12 @@
 			n, err := strconv.ParseUint(value, 10, 31)
 			// Hazard: two lengths let a peer hide a second message in the first's body.
 			if err != nil || value[0] == '+' || length >= 0 && length != int(n) {
-				return bad("content length %.60q", value)
+				return badRequest("content length %.60q", value)
 			}
 			length = int(n)
 		case "transfer-encoding":
 			if !strings.EqualFold(value, "chunked") || chunked {
-				return bad("transfer encoding %.60q", value)
+				return badRequest("transfer encoding %.60q", value)
 			}
 			chunked = true
 		case "connection":
@@ -279,30 +281,30 @@
 				}
 			}
 		case "expect":
-			p.Expects = strings.EqualFold(value, "100-continue")
+			p.ExpectsContinue = strings.EqualFold(value, "100-continue")
 		}
 	}
 	p.Close = !keep
 	switch {
 	case chunked && length >= 0:
-		return bad("both a content length and a transfer encoding")
-	case p.Response && (p.Status < 200 || p.Status == 204 || p.Status == 304):
-		p.state = done
+		return badRequest("both a content length and a transfer encoding")
+	case p.ReadsResponses && (p.Status < 200 || p.Status == 204 || p.Status == 304):
+		p.state = parsingDone
 	case chunked:
-		p.state = inSize
-	case length > MaxBody && !p.Stream:
-		return &BadMessage{413, "the body is too large"}
+		p.state = parsingChunkSize
+	case length > MaxBodyBytes && !p.StreamsBody:
+		return &ProtocolError{413, "the body is too large"}
 	case length > 0:
-		p.left, p.state = length, inBody
-	case length < 0 && p.Response:
-		p.state, p.Close = toEnd, true
+		p.remaining, p.state = length, parsingBody
+	case length < 0 && p.ReadsResponses:
+		p.state, p.Close = parsingToEOF, true
 	default:
-		p.state = done
+		p.state = parsingDone
 	}
 	return nil
 }
 
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c >= 0x7f || strings.IndexByte("()<>@,;:\\\"/[]?={}", c) >= 0 {
 			return false
@@ -311,8 +313,8 @@
 	return s != ""
 }
 
-// Plain says that s is visible ASCII and not empty, as targets and names must be.
-func Plain(s string) bool {
+// IsVisibleASCII says that s is visible ASCII and not empty, as targets and names must be.
+func IsVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
 			return false
@@ -321,7 +323,7 @@
 	return s != ""
 }
 
-func printable(s string) bool {
+func isPrintable(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
 			return false
--- a/internal/netio/eventloop/http_test.go
+++ b/internal/netio/eventloop/http_test.go
@@ -28,7 +28,7 @@
 
 // outcome is all that a parser says of an input that came in these pieces.
 func outcome(response bool, pieces ...string) string {
-	p := Parser{Response: response}
+	p := Parser{ReadsResponses: response}
 	var buf []byte
 	for _, piece := range pieces {
 		buf = append(buf, piece...)
@@ -38,7 +38,7 @@
 		}
 		if whole {
 			return fmt.Sprintf("%s %s %d close %v expects %v %v body %q, %d left", p.Method, p.Target,
-				p.Status, p.Close, p.Expects, p.Fields, p.Body(buf), len(buf)-p.Size())
+				p.Status, p.Close, p.ExpectsContinue, p.Fields, p.Body(buf), len(buf)-p.MessageSize())
 		}
 	}
 	return "not whole"
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -13,32 +13,32 @@
 
 // Limits are what a listener's connections may take together.
 type Limits struct {
-	Connections int // held at a time
-	Bytes       int // of their buffers
+	MaxConnections int // held at a time
+	MaxBufferBytes int // of their buffers
 
-	Patience time.Duration // for a message to come whole; 0: as for clients
-	Share    bool          // another process may listen at the same address
+	MessageTimeout time.Duration // for a message to come whole; 0: as for clients
+	ReusePort      bool          // another process may listen at the same address
 }
 
 // Listener accepts connections.
 type Listener struct {
-	loop   *Loop
-	fd     int
-	id     slotmap.ID
-	limits Limits
-	open   int
-	bytes  int // of its connections' buffers
-	paused bool
+	loop        *Loop
+	fd          int
+	id          slotmap.ID
+	limits      Limits
+	openConns   int
+	bufferBytes int // of its connections' buffers
+	paused      bool
 	// lingering are the connections that Finish has begun to end.
 	lingering int
-	held      bool // paused for good, until Hold says otherwise
-	accept    func(*Conn)
+	suspended bool // paused for good, until Hold says otherwise
+	onAccept  func(*Conn)
 }
 
 // Listen accepts on the address. At a limit, a connection that is not worked on is shed
 // for the new one; while there is none, further ones wait with the kernel.
 func (l *Loop) Listen(address string, limits Limits, accept func(*Conn)) (*Listener, error) {
-	fd, addr, err := l.socket(address)
+	fd, addr, err := l.newSocket(address)
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 	// that takes this one's place for its end. Hazard: without need, two nodes that were
 	// given one address by mistake would share its clients in silence.
 	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err == nil && limits.Share {
+	if err == nil && limits.ReusePort {
 		err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	}
 	if err == nil {
@@ -59,18 +59,18 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("listening on %s: %w", address, err)
 	}
-	return l.ListenOn(fd, limits, accept)
+	return l.ListenFD(fd, limits, accept)
 }
 
-// ListenOn accepts on a socket that listens already, and owns it from here on.
-func (l *Loop) ListenOn(fd int, limits Limits, accept func(*Conn)) (*Listener, error) {
-	ln := &Listener{loop: l, fd: fd, limits: limits, accept: accept}
+// ListenFD accepts on a socket that listens already, and owns it from here on.
+func (l *Loop) ListenFD(fd int, limits Limits, accept func(*Conn)) (*Listener, error) {
+	ln := &Listener{loop: l, fd: fd, limits: limits, onAccept: accept}
 	var err error
-	if ln.id, err = l.watch(fd, unix.EPOLLIN, ln); err != nil {
+	if ln.id, err = l.register(fd, unix.EPOLLIN, ln); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
-	l.inlets = append(l.inlets, ln)
+	l.listeners = append(l.listeners, ln)
 	return ln, nil
 }
 
@@ -80,127 +80,131 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.open++
-	c.from, c.standing, c.heard = ln, taken, ln.loop.Now()
+	ln.openConns++
+	c.listener, c.state, c.lastActivity = ln, stateProcessing, ln.loop.Now()
 	return c, nil
 }
 
 // FD is the listening socket, to be given to another process.
 func (ln *Listener) FD() int { return ln.fd }
 
-// Hold has connections wait with the kernel, for whoever else listens on the same socket,
+// SetSuspended has connections wait with the kernel, for whoever else listens on the same socket,
 // or no longer.
-func (ln *Listener) Hold(on bool) {
-	ln.held = false
-	ln.pause(on)
-	ln.held = on
+func (ln *Listener) SetSuspended(on bool) {
+	ln.suspended = false
+	ln.setPaused(on)
+	ln.suspended = on
 }
 
-// Limit sets new limits; what is held beyond them stays.
-func (ln *Listener) Limit(limits Limits) {
+// SetLimits sets new limits; what is held beyond them stays.
+func (ln *Listener) SetLimits(limits Limits) {
 	ln.limits = limits
-	ln.pause(false)
+	ln.setPaused(false)
 }
 
-// Lingering is the number of connections that are being ended: what was written last may still be on its way.
-func (ln *Listener) Lingering() int { return ln.lingering }
+// LingeringCount is the number of connections that are being ended: what was written last may still be on
+// its way.
+func (ln *Listener) LingeringCount() int { return ln.lingering }
 
 // AcceptPending accepts what waits with the kernel now, in place of the next turn of the loop.
 func (ln *Listener) AcceptPending() {
-	if !ln.held && ln.fd >= 0 {
-		ln.ready(0)
+	if !ln.suspended && ln.fd >= 0 {
+		ln.handleEvents(0)
 	}
 }
 
-// Open is the number of connections held.
-func (ln *Listener) Open() int { return ln.open }
+// OpenCount is the number of connections held.
+func (ln *Listener) OpenCount() int { return ln.openConns }
 
-// purpose is what a connection is ended for.
-type purpose uint8
+// evictionReason is what a connection is ended for.
+type evictionReason uint8
 
 const (
-	// forNewcomer: another connection takes its place.
-	forNewcomer purpose = iota
-	// forDescriptor: descriptors have run out. A first message that lies unread, or is on its way, is spared.
-	forDescriptor
+	// evictForConnection: another connection takes its place.
+	evictForConnection evictionReason = iota
+	// evictForDescriptor: descriptors have run out. A first message that lies unread, or is on its way, is
+	// spared.
+	evictForDescriptor
 )
 
-// newcomer is how long a connection counts as just opened. Hazard: a client whose every connection is ended
-// before its request comes is never served.
-const newcomer = 100 * time.Millisecond
+// newConnGrace is how long a connection counts as just opened. Hazard: a client whose every connection is
+// ended before its request comes is never served.
+const newConnGrace = 100 * time.Millisecond
 
-// least is the connection that is worth least: of the lowest standing, the one that has
+// evictionCandidate is the connection that is worth least: of the lowest standing, the one that has
 // been quiet longest. It is nil if all are worked on, or spared.
 //
 // Hazard: those who open connections and say nothing, or ask once and stay, keep out
 // clients and the next hops' call-backs.
-func (ln *Listener) least(but *Conn, why purpose) (least *Conn) {
+func (ln *Listener) evictionCandidate(but *Conn, why evictionReason) (least *Conn) {
 	now := ln.loop.Now()
 	for _, s := range ln.loop.sources.All {
 		c, ok := s.(*Conn)
-		if ok && c.from == ln && c != but && (least == nil || c.lessThan(least)) && c.sheddable(now, why) {
+		if ok && c.listener == ln && c != but && (least == nil || c.evictedBefore(least)) &&
+			c.evictable(now, why) {
 			least = c
 		}
 	}
-	if why == forDescriptor && least != nil && least.standing == unproven && now-least.began < newcomer {
+	if why == evictForDescriptor && least != nil && least.state == stateNew &&
+		now-least.messageStart < newConnGrace {
 		return nil // its first message is on its way; nor does one that has proven itself give way to it
 	}
 	return least
 }
 
-// lessThan reports whether a connection is worth less than another.
-func (c *Conn) lessThan(other *Conn) bool {
-	if c.standing != other.standing {
-		return c.standing < other.standing
+// evictedBefore reports whether a connection is worth less than another.
+func (c *Conn) evictedBefore(other *Conn) bool {
+	if c.state != other.state {
+		return c.state < other.state
 	}
-	return c.heard < other.heard
+	return c.lastActivity < other.lastActivity
 }
 
-// sheddable reports whether a connection may be ended for the room that it takes.
-func (c *Conn) sheddable(now time.Duration, why purpose) bool {
-	if c.Unsent() > 0 && now-c.heard < slowest {
+// evictable reports whether a connection may be ended for the room that it takes.
+func (c *Conn) evictable(now time.Duration, why evictionReason) bool {
+	if c.UnsentBytes() > 0 && now-c.lastActivity < maxMessageTime {
 		return false // an answer is on its way
 	}
-	switch c.standing {
-	case unproven:
-		return why == forNewcomer || !c.Unread()
-	case idle:
-		return !c.Pending() // hazard: a request that has come, and would be lost unread
-	case taken:
+	switch c.state {
+	case stateNew:
+		return why == evictForConnection || !c.HasUnreadInput()
+	case stateIdle:
+		return !c.HasPendingInput() // hazard: a request that has come, and would be lost unread
+	case stateProcessing:
 		return false
 	}
 	return true
 }
 
-// shed ends the least connection and reports whether there was one.
-func (ln *Listener) shed(but *Conn, why purpose) bool {
-	c := ln.least(but, why)
+// evictOne ends the least connection and reports whether there was one.
+func (ln *Listener) evictOne(but *Conn, why evictionReason) bool {
+	c := ln.evictionCandidate(but, why)
 	if c != nil {
-		c.end(errShed)
+		c.terminate(errEvicted)
 	}
 	return c != nil
 }
 
-// free makes one descriptor free, at whatever listener, and reports whether it could.
-func (l *Loop) free(why purpose) bool {
-	return slices.ContainsFunc(l.inlets, func(ln *Listener) bool { return ln.shed(nil, why) })
+// freeDescriptor makes one descriptor free, at whatever listener, and reports whether it could.
+func (l *Loop) freeDescriptor(why evictionReason) bool {
+	return slices.ContainsFunc(l.listeners, func(ln *Listener) bool { return ln.evictOne(nil, why) })
 }
 
-// fit makes room for so many bytes, if need be at the cost of other connections.
-func (ln *Listener) fit(bytes int, but *Conn) bool {
-	for ln.bytes+bytes > ln.limits.Bytes {
-		if !ln.shed(but, forNewcomer) {
+// reserveBuffer makes room for so many bytes, if need be at the cost of other connections.
+func (ln *Listener) reserveBuffer(bytes int, but *Conn) bool {
+	for ln.bufferBytes+bytes > ln.limits.MaxBufferBytes {
+		if !ln.evictOne(but, evictForConnection) {
 			return false
 		}
 	}
 	return true
 }
 
-func (ln *Listener) ready(uint32) {
+func (ln *Listener) handleEvents(uint32) {
 	for range 64 { // then others have their turn
-		full := ln.open >= ln.limits.Connections
-		if full && ln.least(nil, forNewcomer) == nil {
-			ln.pause(true)
+		full := ln.openConns >= ln.limits.MaxConnections
+		if full && ln.evictionCandidate(nil, evictForConnection) == nil {
+			ln.setPaused(true)
 			return
 		}
 		fd, err := ln.loop.system.Accept(ln.fd)
@@ -208,40 +212,42 @@
 		case err == nil:
 		case errors.Is(err, unix.EAGAIN):
 			return
-		case broken(err), scarce(err) && (ln.shed(nil, forDescriptor) || ln.loop.free(forDescriptor)):
+		case isAbortedAccept(err),
+			isResourceExhausted(err) && (ln.evictOne(nil, evictForDescriptor) ||
+				ln.loop.freeDescriptor(evictForDescriptor)):
 			continue // that connection broke before it was taken, or there is room for it now
 		default:
 			// The connection waits with the kernel. Some descriptors may be free soon; an error that stays
 			// must not spin the loop either.
-			ln.pause(true)
-			ln.loop.After(retryPause, func() { ln.pause(false) })
+			ln.setPaused(true)
+			ln.loop.After(retryDelay, func() { ln.setPaused(false) })
 			return
 		}
-		c, err := ln.loop.adopt(fd, false)
+		c, err := ln.loop.newConn(fd, false)
 		if err != nil {
 			_ = ln.loop.system.Close(fd)
 			continue
 		}
 		if full {
-			ln.shed(c, forNewcomer)
+			ln.evictOne(c, evictForConnection)
 		}
-		ln.open++
-		c.from, c.standing, c.heard = ln, unproven, ln.loop.Now()
-		c.mind()
-		ln.accept(c)
+		ln.openConns++
+		c.listener, c.state, c.lastActivity = ln, stateNew, ln.loop.Now()
+		c.startMessageTimer()
+		ln.onAccept(c)
 	}
 }
 
-func (ln *Listener) pause(on bool) {
-	if ln.paused == on || ln.held || ln.fd < 0 {
+func (ln *Listener) setPaused(on bool) {
+	if ln.paused == on || ln.suspended || ln.fd < 0 {
 		return
 	}
 	ln.paused = on
-	ln.control()
+	ln.updateInterest()
 }
 
-// control tells epoll whether connections are to be reported now.
-func (ln *Listener) control() {
+// updateInterest tells epoll whether connections are to be reported now.
+func (ln *Listener) updateInterest() {
 	if ln.fd < 0 {
 		return
 	}
@@ -249,8 +255,8 @@
 	if ln.paused {
 		events = 0
 	}
-	if ln.loop.system.Control(ln.loop.ep, unix.EPOLL_CTL_MOD, ln.fd, event(events, ln.id)) != nil {
-		ln.loop.After(retryPause, ln.control) // hazard: unheard of, connections would wait for ever
+	if ln.loop.system.EpollCtl(ln.loop.epoll, unix.EPOLL_CTL_MOD, ln.fd, epollEvent(events, ln.id)) != nil {
+		ln.loop.After(retryDelay, ln.updateInterest) // hazard: unheard of, connections would wait for ever
 	}
 }
 
@@ -260,7 +266,7 @@
 		ln.loop.sources.Remove(ln.id)
 		// Hazard: where another process has the socket too, closing ours doesn't take it out
 		// of the epoll set, which would report it for ever.
-		_ = unix.EpollCtl(ln.loop.ep, unix.EPOLL_CTL_DEL, ln.fd, nil)
+		_ = unix.EpollCtl(ln.loop.epoll, unix.EPOLL_CTL_DEL, ln.fd, nil)
 		unix.Close(ln.fd)
 		ln.fd = -1
 	}
--- a/internal/netio/eventloop/loop.go
+++ b/internal/netio/eventloop/loop.go
@@ -21,48 +21,48 @@
 
 // Timer is a deadline that hangs in the loop's heap.
 type Timer struct {
-	loop  *Loop
-	at    time.Duration
-	index int // in the heap; -1 when it has run or was stopped
-	f     func()
+	loop      *Loop
+	deadline  time.Duration
+	heapIndex int // in the heap; -1 when it has run or was stopped
+	callback  func()
 }
 
-type deadlines []*Timer
+type timerHeap []*Timer
 
-func (d deadlines) Len() int           { return len(d) }
-func (d deadlines) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d deadlines) Swap(i, j int) {
+func (d timerHeap) Len() int           { return len(d) }
+func (d timerHeap) Less(i, j int) bool { return d[i].deadline < d[j].deadline }
+func (d timerHeap) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].index, d[j].index = i, j
+	d[i].heapIndex, d[j].heapIndex = i, j
 }
-func (d *deadlines) Push(x any) {
+func (d *timerHeap) Push(x any) {
 	t := x.(*Timer)
-	t.index = len(*d)
+	t.heapIndex = len(*d)
 	*d = append(*d, t)
 }
-func (d *deadlines) Pop() any {
+func (d *timerHeap) Pop() any {
 	old := *d
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
 	*d = old[:len(old)-1]
-	t.index = -1
+	t.heapIndex = -1
 	return t
 }
 
-// source is what epoll reports on: a connection, a listener or the wake-up.
-type source interface{ ready(events uint32) }
+// eventSource is what epoll reports on: a connection, a listener or the wake-up.
+type eventSource interface{ handleEvents(events uint32) }
 
 // Loop is the event loop.
 type Loop struct {
-	system   kernel.System
-	ep, wake int
-	sources  slotmap.Table[source]
-	timers   deadlines
-	started  time.Time
-	origin   time.Duration
-	stopped  bool
-	inlets   []*Listener
-	events   [batch]unix.EpollEvent
+	system        kernel.System
+	epoll, wakeup int
+	sources       slotmap.Map[eventSource]
+	timers        timerHeap
+	started       time.Time
+	origin        time.Duration
+	stopped       bool
+	listeners     []*Listener
+	events        [maxEventsPerPoll]unix.EpollEvent
 
 	mu     sync.Mutex
 	posted []func()
@@ -70,20 +70,20 @@
 
 // New makes a loop. Its clock counts from the Unix epoch, for start times are
 // given so, and goes on by the monotonic clock, so that it never goes back.
-func New() (*Loop, error) { return NewOn(kernel.Linux{}) }
+func New() (*Loop, error) { return NewWithSystem(kernel.Linux{}) }
 
-// NewOn is New with another system in the kernel's place.
-func NewOn(system kernel.System) (*Loop, error) {
+// NewWithSystem is New with another system in the kernel's place.
+func NewWithSystem(system kernel.System) (*Loop, error) {
 	now := time.Now()
 	l := &Loop{system: system, started: now, origin: time.Duration(now.UnixNano())}
 	var err error
-	if l.ep, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	if l.wake, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
+	if l.wakeup, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	_, err = l.watch(l.wake, unix.EPOLLIN, waker{l})
+	_, err = l.register(l.wakeup, unix.EPOLLIN, wakeupSource{l})
 	return l, err
 }
 
@@ -92,7 +92,7 @@
 
 // At runs f at the given time, never before At has returned.
 func (l *Loop) At(at time.Duration, f func()) *Timer {
-	t := &Timer{loop: l, at: at, f: f}
+	t := &Timer{loop: l, deadline: at, callback: f}
 	heap.Push(&l.timers, t)
 	return t
 }
@@ -102,8 +102,8 @@
 
 // Stop takes the timer out. One that has run, or is nil, is left alone.
 func (t *Timer) Stop() {
-	if t != nil && t.index >= 0 {
-		heap.Remove(&t.loop.timers, t.index)
+	if t != nil && t.heapIndex >= 0 {
+		heap.Remove(&t.loop.timers, t.heapIndex)
 	}
 }
 
@@ -113,14 +113,14 @@
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
 	// It can only fail when the counter is full, and then the loop wakes anyway.
-	_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	_, _ = unix.Write(l.wakeup, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-type waker struct{ l *Loop }
+type wakeupSource struct{ l *Loop }
 
-func (w waker) ready(uint32) {
+func (w wakeupSource) handleEvents(uint32) {
 	var count [8]byte
-	_, _ = unix.Read(w.l.wake, count[:])
+	_, _ = unix.Read(w.l.wakeup, count[:])
 	w.l.mu.Lock()
 	fs := w.l.posted
 	w.l.posted = nil
@@ -139,40 +139,43 @@
 // So whatever had come by the time at which deadlines are judged is taken before them.
 func (l *Loop) Run() error {
 	for !l.stopped {
-		if err := l.poll(l.wait()); err != nil {
+		if err := l.pollEvents(l.pollTimeout()); err != nil {
 			return err
 		}
 		now := l.Now()
-		if !l.due(now) {
+		if !l.timerDue(now) {
 			continue
 		}
-		if err := l.poll(0); err != nil {
+		if err := l.pollEvents(0); err != nil {
 			return err
 		}
-		for l.due(now) && !l.stopped {
-			heap.Pop(&l.timers).(*Timer).f()
+		for l.timerDue(now) && !l.stopped {
+			heap.Pop(&l.timers).(*Timer).callback()
 		}
 	}
 	return nil
 }
 
-// due reports whether the first deadline has come by the given time.
-func (l *Loop) due(now time.Duration) bool { return len(l.timers) > 0 && l.timers[0].at <= now }
+// timerDue reports whether the first deadline has come by the given time.
+func (l *Loop) timerDue(now time.Duration) bool {
+	return len(l.timers) > 0 && l.timers[0].deadline <= now
+}
 
 const (
-	batch     = 128 // events that are asked for at a time
-	mostPolls = 8   // how often more are asked for before deadlines have their turn
+	maxEventsPerPoll = 128 // events that are asked for at a time
+	maxPollsPerTurn  = 8   // how often more are asked for before deadlines have their turn
 )
 
-// poll waits so many milliseconds for events, and has their sources take them, with all that wait already.
-func (l *Loop) poll(wait int) error {
-	for range mostPolls {
-		n, err := l.system.Wait(l.ep, l.events[:], wait)
+// pollEvents waits so many milliseconds for events, and has their sources take them, with all that wait
+// already.
+func (l *Loop) pollEvents(wait int) error {
+	for range maxPollsPerTurn {
+		n, err := l.system.EpollWait(l.epoll, l.events[:], wait)
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll: %w", err)
 		}
 		for i := range max(n, 0) {
-			l.take(&l.events[i])
+			l.dispatch(&l.events[i])
 		}
 		if n < len(l.events) || l.stopped {
 			return nil
@@ -182,39 +185,39 @@
 	return nil
 }
 
-// take has the source of an event take it.
-func (l *Loop) take(e *unix.EpollEvent) {
+// dispatch has the source of an event take it.
+func (l *Loop) dispatch(e *unix.EpollEvent) {
 	// An earlier event of this batch may have closed what this one is about, and its slot may be in use
 	// again: then the generation misses.
-	if s, ok := l.sources.Get(slotmap.Of(uint32(e.Fd), uint32(e.Pad))); ok {
-		s.ready(e.Events)
+	if s, ok := l.sources.Get(slotmap.MakeID(uint32(e.Fd), uint32(e.Pad))); ok {
+		s.handleEvents(e.Events)
 	}
 }
 
-// wait is how long epoll may sleep, in milliseconds, rounded up so as not to spin.
-func (l *Loop) wait() int {
+// pollTimeout is how long epoll may sleep, in milliseconds, rounded up so as not to spin.
+func (l *Loop) pollTimeout() int {
 	if len(l.timers) == 0 {
 		return -1
 	}
-	left := l.timers[0].at - l.Now()
+	left := l.timers[0].deadline - l.Now()
 	return int(min(max(left+time.Millisecond-1, 0)/time.Millisecond, 60_000))
 }
 
-func event(events uint32, id slotmap.ID) *unix.EpollEvent {
+func epollEvent(events uint32, id slotmap.ID) *unix.EpollEvent {
 	return &unix.EpollEvent{Events: events, Fd: int32(id.Index()), Pad: int32(id.Generation())}
 }
 
-func (l *Loop) watch(fd int, events uint32, s source) (slotmap.ID, error) {
+func (l *Loop) register(fd int, events uint32, s eventSource) (slotmap.ID, error) {
 	id := l.sources.Add(s)
-	if err := l.system.Control(l.ep, unix.EPOLL_CTL_ADD, fd, event(events, id)); err != nil {
+	if err := l.system.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, epollEvent(events, id)); err != nil {
 		l.sources.Remove(id)
 		return 0, fmt.Errorf("epoll: %w", err)
 	}
 	return id, nil
 }
 
-// socket makes a socket for the address, to be bound or connected.
-func (l *Loop) socket(address string) (int, unix.Sockaddr, error) {
+// newSocket makes a socket for the address, to be bound or connected.
+func (l *Loop) newSocket(address string) (int, unix.Sockaddr, error) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return -1, nil, fmt.Errorf("address %q: %w", address, err)
--- a/internal/netio/eventloop/look.go
+++ b/internal/netio/eventloop/peek.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Pending says that input has come which has not been used, read or unread.
-func (c *Conn) Pending() bool { return c.mid > 0 || c.Unread() }
+// HasPendingInput says that input has come which has not been used, read or unread.
+func (c *Conn) HasPendingInput() bool { return c.inputEnd > 0 || c.HasUnreadInput() }
 
-// Unread says that input lies with the kernel.
-func (c *Conn) Unread() bool {
+// HasUnreadInput says that input lies with the kernel.
+func (c *Conn) HasUnreadInput() bool {
 	if c.closed {
 		return false
 	}
@@ -45,7 +45,7 @@
 // Stale looks whether a connection that should be idle has ended, or holds
 // something unasked for, without waiting for the loop to tell.
 func (c *Conn) Stale() bool {
-	if c.closed || c.mid > 0 {
+	if c.closed || c.inputEnd > 0 {
 		return true
 	}
 	n, err := c.peek()
--- a/internal/netio/eventloop/system_test.go
+++ b/internal/netio/eventloop/system_test.go
@@ -20,21 +20,21 @@
 // lines answers each line that comes.
 type lines struct{}
 
-func (lines) Up(*Conn)           {}
-func (lines) Ended(*Conn, error) {}
-func (lines) Data(c *Conn) {
-	for i := bytes.IndexByte(c.In(), '\n'); i >= 0; i = bytes.IndexByte(c.In(), '\n') {
-		c.Use(i + 1)
-		c.Taken()
+func (lines) OnConnect(*Conn)      {}
+func (lines) OnClose(*Conn, error) {}
+func (lines) OnData(c *Conn) {
+	for i := bytes.IndexByte(c.Input(), '\n'); i >= 0; i = bytes.IndexByte(c.Input(), '\n') {
+		c.Discard(i + 1)
+		c.BeginProcessing()
 		c.Write([]byte("ok\n"))
-		c.Idle()
+		c.EndProcessing()
 	}
 }
 
 // faultyInlet answers lines on a system whose calls fail.
 func faultyInlet(t *testing.T, system *faultnet.System, limits Limits) (loop *Loop, address string) {
 	t.Helper()
-	loop, _, address = listening(t, system, limits, func(c *Conn) { c.H = lines{} })
+	loop, _, address = listening(t, system, limits, func(c *Conn) { c.Handler = lines{} })
 	return loop, address
 }
 
@@ -74,24 +74,24 @@
 // Calls fail for want of something that the kernel has again soon, or are interrupted: every message has its
 // answer all the same, no descriptor is leaked and the loop doesn't spin.
 func TestCallsThatFailForAWhile(t *testing.T) {
-	for call, failures := range map[faultnet.Call][]error{
+	for call, failures := range map[faultnet.Syscall][]error{
 		faultnet.Accept: {unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
 			unix.EPROTO, unix.EPERM, unix.EHOSTUNREACH, unix.EAGAIN, unix.EIO},
-		faultnet.Wait:     {unix.EINTR},
-		faultnet.Control:  {unix.ENOMEM},
-		faultnet.Read:     {unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
-		faultnet.Write:    {unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
-		faultnet.Peek:     {unix.EINTR, unix.EAGAIN, unix.ENOMEM},
-		faultnet.Shutdown: {unix.ENOTCONN, unix.ENOBUFS},
-		faultnet.Close:    {unix.EINTR, unix.EIO},
+		faultnet.EpollWait: {unix.EINTR},
+		faultnet.EpollCtl:  {unix.ENOMEM},
+		faultnet.Read:      {unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
+		faultnet.Write:     {unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
+		faultnet.Peek:      {unix.EINTR, unix.EAGAIN, unix.ENOMEM},
+		faultnet.Shutdown:  {unix.ENOTCONN, unix.ENOBUFS},
+		faultnet.Close:     {unix.EINTR, unix.EIO},
 	} {
 		for _, err := range failures {
 			t.Run(fmt.Sprintf("%s %v", call, err), func(t *testing.T) {
 				system := faultnet.New(nil)
-				_, address := faultyInlet(t, system, Limits{Connections: 32, Bytes: 1 << 20})
+				_, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
 				exchanges(t, address)
 				before := settle(t, system)
-				system.Follow(faultnet.Sometimes(call, err))
+				system.SetScript(faultnet.FailSometimes(call, err))
 				exchanges(t, address)
 				if after := settle(t, system); after > before {
 					t.Errorf("%d descriptors, %d before", after, before)
@@ -104,15 +104,16 @@
 // The kernel has no room to change what epoll reports just when that matters: a connection with output that
 // waits, and a listener that is to be left alone, are reported on all the same.
 func TestEventsThatCannotBeChanged(t *testing.T) {
-	for call, err := range map[faultnet.Call]error{faultnet.Write: unix.EAGAIN, faultnet.Accept: unix.EIO} {
+	for call, err := range map[faultnet.Syscall]error{faultnet.Write: unix.EAGAIN,
+		faultnet.Accept: unix.EIO} {
 		t.Run(string(call), func(t *testing.T) {
 			t.Parallel()
-			failing := faultnet.Sometimes(call, err)
-			changes := faultnet.Sometimes(faultnet.Control, unix.ENOMEM)
-			system := faultnet.New(func(made faultnet.Call, n int) error {
+			failing := faultnet.FailSometimes(call, err)
+			changes := faultnet.FailSometimes(faultnet.EpollCtl, unix.ENOMEM)
+			system := faultnet.New(func(made faultnet.Syscall, n int) error {
 				return cmp.Or(failing(made, n), changes(made, n))
 			})
-			_, address := faultyInlet(t, system, Limits{Connections: 32, Bytes: 1 << 20})
+			_, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
 			exchanges(t, address)
 		})
 	}
@@ -120,8 +121,8 @@
 
 // A look at what lies unread is interrupted: it is made again.
 func TestInterruptedLook(t *testing.T) {
-	system := faultnet.New(faultnet.Sometimes(faultnet.Peek, unix.EINTR))
-	loop, _ := faultyInlet(t, system, Limits{Connections: 32, Bytes: 1 << 20})
+	system := faultnet.New(faultnet.FailSometimes(faultnet.Peek, unix.EINTR))
+	loop, _ := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
 	peer, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +140,7 @@
 	defer other.Close()
 	on(loop, func() {
 		fmt.Fprint(other, "unread")
-		if !c.Unread() {
+		if !c.HasUnreadInput() {
 			t.Error("what lies unread was not seen")
 		}
 		c.Close()
@@ -150,7 +151,7 @@
 func settle(t *testing.T, system *faultnet.System) int {
 	t.Helper()
 	for began := time.Now(); ; time.Sleep(time.Millisecond) {
-		was := system.Open()
+		was := system.OpenConns()
 		if was == 0 {
 			return descriptors(t)
 		}
@@ -162,17 +163,17 @@
 
 // A call that goes on failing is not made again and again at once.
 func TestCallsThatGoOnFailingDoNotSpin(t *testing.T) {
-	for call, err := range map[faultnet.Call]error{faultnet.Accept: unix.EIO, faultnet.Read: unix.ENOMEM,
+	for call, err := range map[faultnet.Syscall]error{faultnet.Accept: unix.EIO, faultnet.Read: unix.ENOMEM,
 		faultnet.Write: unix.ENOBUFS} {
 		t.Run(string(call), func(t *testing.T) {
 			t.Parallel()
 			system := faultnet.New(nil)
-			limits := Limits{Connections: 32, Bytes: 1 << 20, Patience: time.Minute}
+			limits := Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20, MessageTimeout: time.Minute}
 			_, address := faultyInlet(t, system, limits)
 			c := dialed(t, address)
 			fmt.Fprintln(c, "before")
 			wantOK(t, c, "before")
-			system.Follow(func(made faultnet.Call, _ int) error {
+			system.SetScript(func(made faultnet.Syscall, _ int) error {
 				if made == call {
 					return err
 				}
@@ -181,14 +182,14 @@
 			other := dialed(t, address)
 			fmt.Fprintln(other, "while")
 			fmt.Fprintln(c, "while")
-			time.Sleep(10 * retryPause)
-			if n := system.Count(faultnet.Wait); n > 200 {
-				t.Errorf("the loop went round %d times in %v", n, 10*retryPause)
+			time.Sleep(10 * retryDelay)
+			if n := system.CallCount(faultnet.EpollWait); n > 200 {
+				t.Errorf("the loop went round %d times in %v", n, 10*retryDelay)
 			}
-			if n := system.Count(call); n == 0 {
+			if n := system.CallCount(call); n == 0 {
 				t.Error("the call was not made at all")
 			}
-			system.Follow(nil)
+			system.SetScript(nil)
 			wantOK(t, other, "a new connection, once calls are well again")
 			wantOK(t, c, "the one that was there")
 		})
@@ -198,27 +199,27 @@
 // Reads and writes take a byte at a time.
 func TestShortReadsAndWrites(t *testing.T) {
 	system := faultnet.New(nil)
-	system.Short = true
-	_, address := faultyInlet(t, system, Limits{Connections: 32, Bytes: 1 << 20})
+	system.OneByteIO = true
+	_, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
 	exchanges(t, address)
 }
 
 // A connection that breaks ends, once, and tells its handler; others go on.
 func TestConnectionsThatBreak(t *testing.T) {
-	for _, call := range []faultnet.Call{faultnet.Read, faultnet.Write} {
+	for _, call := range []faultnet.Syscall{faultnet.Read, faultnet.Write} {
 		for _, err := range []error{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE,
 			unix.ENETUNREACH} {
 			t.Run(fmt.Sprintf("%s %v", call, err), func(t *testing.T) {
 				t.Parallel()
 				system := faultnet.New(nil)
-				_, address := faultyInlet(t, system, Limits{Connections: 32, Bytes: 1 << 20})
+				_, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
 				c, other := dialed(t, address), dialed(t, address)
 				for _, c := range []stdnet.Conn{c, other} {
 					fmt.Fprintln(c, "before")
 					wantOK(t, c, "before")
 				}
 				var once sync.Once
-				system.Follow(func(made faultnet.Call, n int) (fault error) {
+				system.SetScript(func(made faultnet.Syscall, n int) (fault error) {
 					if made == call {
 						once.Do(func() { fault = err })
 						if call == faultnet.Write && fault == nil && n == 2 {
@@ -241,22 +242,22 @@
 // dialler waits for a connection that it has begun.
 type dialler struct{ up, ended chan error }
 
-func (d *dialler) Up(*Conn)                 { d.up <- nil }
-func (d *dialler) Data(*Conn)               {}
-func (d *dialler) Ended(_ *Conn, err error) { d.ended <- err }
+func (d *dialler) OnConnect(*Conn)            { d.up <- nil }
+func (d *dialler) OnData(*Conn)               {}
+func (d *dialler) OnClose(_ *Conn, err error) { d.ended <- err }
 
 // A connection that can't be begun is an error at once, without a descriptor left open; one whose beginning a
 // signal interrupts comes up.
 func TestConnectionsThatCannotBeBegun(t *testing.T) {
 	system := faultnet.New(nil)
-	loop, address := faultyInlet(t, system, Limits{Connections: 32, Bytes: 1 << 20})
-	for call, failures := range map[faultnet.Call][]error{
+	loop, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
+	for call, failures := range map[faultnet.Syscall][]error{
 		faultnet.Socket: {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EACCES},
 		faultnet.Connect: {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ECONNREFUSED, unix.EAGAIN,
 			unix.ETIMEDOUT, unix.EPERM, unix.ENOBUFS},
 	} {
 		for _, fault := range failures {
-			system.Follow(func(made faultnet.Call, _ int) error {
+			system.SetScript(func(made faultnet.Syscall, _ int) error {
 				if made == call {
 					return fault
 				}
@@ -273,7 +274,7 @@
 			}
 		}
 	}
-	system.Follow(faultnet.Sometimes(faultnet.Connect, unix.EINTR))
+	system.SetScript(faultnet.FailSometimes(faultnet.Connect, unix.EINTR))
 	d := &dialler{make(chan error, 1), make(chan error, 1)}
 	on(loop, func() {
 		if _, err := loop.Dial(address, d); err != nil {
@@ -292,14 +293,14 @@
 // What has come before a connection's end is read though reads fail meanwhile.
 func TestEndBehindAReadThatFails(t *testing.T) {
 	system := faultnet.New(nil)
-	loop, address := faultyInlet(t, system, Limits{Connections: 32, Bytes: 1 << 20})
+	loop, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
 	got := &collector{whole: make(chan string, 1)}
 	peer, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	system.Follow(faultnet.Sometimes(faultnet.Read, unix.ENOMEM))
+	system.SetScript(faultnet.FailSometimes(faultnet.Read, unix.ENOMEM))
 	on(loop, func() { _, err = loop.Dial(peer.Addr().String(), got) })
 	if err != nil {
 		t.Fatal(err)
@@ -322,32 +323,36 @@
 	whole chan string
 }
 
-func (c *collector) Up(*Conn) {}
-func (c *collector) Data(conn *Conn) {
-	c.text.Write(conn.In())
-	conn.Use(len(conn.In()))
+func (c *collector) OnConnect(*Conn) {}
+func (c *collector) OnData(conn *Conn) {
+	c.text.Write(conn.Input())
+	conn.Discard(len(conn.Input()))
 }
-func (c *collector) Ended(*Conn, error) { c.whole <- c.text.String() }
+func (c *collector) OnClose(*Conn, error) { c.whole <- c.text.String() }
 
 // Descriptors have run out when a connection comes, and the first message of another one, opened a while ago,
 // lies unread: that one is not ended for the new one.
 func TestFirstMessageUnreadWhileDescriptorsRunOut(t *testing.T) {
 	system := faultnet.New(nil)
-	loop, address := faultyInlet(t, system, Limits{Connections: 32, Bytes: 1 << 20, Patience: time.Minute})
+	loop, address := faultyInlet(
+		t,
+		system,
+		Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20, MessageTimeout: time.Minute},
+	)
 	c := dialed(t, address)
-	for system.Open() < 1 {
+	for system.OpenConns() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	held, free := make(chan struct{}), make(chan struct{})
 	loop.Post(func() { close(held); <-free })
 	<-held
-	system.Follow(func(made faultnet.Call, n int) error {
+	system.SetScript(func(made faultnet.Syscall, n int) error {
 		if made == faultnet.Accept && n == 1 {
 			return unix.EMFILE
 		}
 		return nil
 	})
-	time.Sleep(newcomer)
+	time.Sleep(newConnGrace)
 	newer := dialed(t, address) // the loop is told of it first
 	fmt.Fprintln(newer, "hello")
 	time.Sleep(10 * time.Millisecond)
--- a/internal/netio/faultnet/faultnet.go
+++ b/internal/netio/faultnet/faultnet.go
@@ -10,74 +10,74 @@
 	"moorstack/internal/netio/kernel"
 )
 
-// Call names a system call.
-type Call string
+// Syscall names a system call.
+type Syscall string
 
 // The calls that can fail.
 const (
-	Socket   Call = "socket"
-	Connect  Call = "connect"
-	Accept   Call = "accept"
-	Wait     Call = "epoll_wait"
-	Control  Call = "epoll_ctl" // a change; what is new is always taken
-	Read     Call = "read"
-	Peek     Call = "peek"
-	Write    Call = "write"
-	Shutdown Call = "shutdown"
-	Close    Call = "close"
+	Socket    Syscall = "socket"
+	Connect   Syscall = "connect"
+	Accept    Syscall = "accept"
+	EpollWait Syscall = "epoll_wait"
+	EpollCtl  Syscall = "epoll_ctl" // a change; what is new is always taken
+	Read      Syscall = "read"
+	Peek      Syscall = "peek"
+	Write     Syscall = "write"
+	Shutdown  Syscall = "shutdown"
+	Close     Syscall = "close"
 )
 
 // Script says whether the n-th call of its kind fails, counted from 1, and how.
-type Script func(call Call, n int) error
+type Script func(call Syscall, n int) error
 
 // System is a kernel whose calls fail by script.
 type System struct {
 	kernel.Linux
-	Short bool // reads and writes take a byte at a time
+	OneByteIO bool // reads and writes take a byte at a time
 
-	mu    sync.Mutex
-	fails Script
-	calls map[Call]int
-	held  int // connections that were accepted, less what was closed
+	mu        sync.Mutex
+	script    Script
+	calls     map[Syscall]int
+	openConns int // connections that were accepted, less what was closed
 }
 
 var _ kernel.System = (*System)(nil)
 
-// Open is how many connections were accepted and not closed, where none was dialled.
-func (s *System) Open() int {
+// OpenConns is how many connections were accepted and not closed, where none was dialled.
+func (s *System) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.openConns
 }
 
-func (s *System) hold(n int) {
+func (s *System) addOpen(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held += n
+	s.openConns += n
 }
 
 // New makes a system that fails by the script; nil: nothing fails.
-func New(fails Script) *System { return &System{fails: fails, calls: map[Call]int{}} }
+func New(fails Script) *System { return &System{script: fails, calls: map[Syscall]int{}} }
 
-func (s *System) fault(call Call) error {
+func (s *System) nextFault(call Syscall) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[call]++
-	if s.fails == nil {
+	if s.script == nil {
 		return nil
 	}
-	return s.fails(call, s.calls[call])
+	return s.script(call, s.calls[call])
 }
 
-// Follow sets what fails from now on, and counts calls anew.
-func (s *System) Follow(fails Script) {
+// SetScript sets what fails from now on, and counts calls anew.
+func (s *System) SetScript(fails Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fails, s.calls = fails, map[Call]int{}
+	s.script, s.calls = fails, map[Syscall]int{}
 }
 
-// Count is how often a call has been made since the script was set.
-func (s *System) Count(call Call) int {
+// CallCount is how often a call has been made since the script was set.
+func (s *System) CallCount(call Syscall) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[call]
@@ -85,7 +85,7 @@
 
 // Socket makes a socket.
 func (s *System) Socket() (int, error) {
-	if err := s.fault(Socket); err != nil {
+	if err := s.nextFault(Socket); err != nil {
 		return -1, err
 	}
 	return s.Linux.Socket()
@@ -93,7 +93,7 @@
 
 // Connect begins a connection.
 func (s *System) Connect(fd int, to unix.Sockaddr) error {
-	if err := s.fault(Connect); err != nil {
+	if err := s.nextFault(Connect); err != nil {
 		if err == unix.EINTR {
 			_ = s.Linux.Connect(fd, to) // it goes on, whatever is said
 		}
@@ -104,40 +104,40 @@
 
 // Accept takes a connection that waits.
 func (s *System) Accept(fd int) (int, error) {
-	if err := s.fault(Accept); err != nil {
+	if err := s.nextFault(Accept); err != nil {
 		return -1, err
 	}
 	fd, err := s.Linux.Accept(fd)
 	if err == nil {
-		s.hold(1)
+		s.addOpen(1)
 	}
 	return fd, err
 }
 
-// Wait waits for events.
-func (s *System) Wait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
-	if err := s.fault(Wait); err != nil {
+// EpollWait waits for events.
+func (s *System) EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
+	if err := s.nextFault(EpollWait); err != nil {
 		return -1, err
 	}
-	return s.Linux.Wait(epoll, events, milliseconds)
+	return s.Linux.EpollWait(epoll, events, milliseconds)
 }
 
-// Control says which events are waited for.
-func (s *System) Control(epoll, operation, fd int, event *unix.EpollEvent) error {
+// EpollCtl says which events are waited for.
+func (s *System) EpollCtl(epoll, operation, fd int, event *unix.EpollEvent) error {
 	if operation == unix.EPOLL_CTL_MOD {
-		if err := s.fault(Control); err != nil {
+		if err := s.nextFault(EpollCtl); err != nil {
 			return err
 		}
 	}
-	return s.Linux.Control(epoll, operation, fd, event)
+	return s.Linux.EpollCtl(epoll, operation, fd, event)
 }
 
 // Read reads what has come.
 func (s *System) Read(fd int, p []byte) (int, error) {
-	if err := s.fault(Read); err != nil {
+	if err := s.nextFault(Read); err != nil {
 		return -1, err
 	}
-	if s.Short {
+	if s.OneByteIO {
 		p = p[:1]
 	}
 	return s.Linux.Read(fd, p)
@@ -145,7 +145,7 @@
 
 // Peek looks at what has come.
 func (s *System) Peek(fd int, p []byte) (int, error) {
-	if err := s.fault(Peek); err != nil {
+	if err := s.nextFault(Peek); err != nil {
 		return -1, err
 	}
 	return s.Linux.Peek(fd, p)
@@ -153,10 +153,10 @@
 
 // Write writes what there is room for.
 func (s *System) Write(fd int, p []byte) (int, error) {
-	if err := s.fault(Write); err != nil {
+	if err := s.nextFault(Write); err != nil {
 		return -1, err
 	}
-	if s.Short {
+	if s.OneByteIO {
 		p = p[:1]
 	}
 	return s.Linux.Write(fd, p)
@@ -164,7 +164,7 @@
 
 // Shutdown ends the sending side.
 func (s *System) Shutdown(fd int) error {
-	if err := s.fault(Shutdown); err != nil {
+	if err := s.nextFault(Shutdown); err != nil {
 		return err
 	}
 	return s.Linux.Shutdown(fd)
@@ -173,13 +173,13 @@
 // Close gives the descriptor up, and then may fail.
 func (s *System) Close(fd int) error {
 	err := s.Linux.Close(fd)
-	s.hold(-1)
-	return cmp.Or(s.fault(Close), err)
+	s.addOpen(-1)
+	return cmp.Or(s.nextFault(Close), err)
 }
 
-// Sometimes fails a call the first five times, and then one time in three.
-func Sometimes(call Call, err error) Script {
-	return func(made Call, n int) error {
+// FailSometimes fails a call the first five times, and then one time in three.
+func FailSometimes(call Syscall, err error) Script {
+	return func(made Syscall, n int) error {
 		if made == call && (n <= 5 || n%3 == 0) {
 			return err
 		}
--- a/internal/netio/kernel/kernel.go
+++ b/internal/netio/kernel/kernel.go
@@ -12,8 +12,8 @@
 	Socket() (fd int, err error)
 	Connect(fd int, to unix.Sockaddr) error
 	Accept(fd int) (int, error)
-	Wait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error)
-	Control(epoll, operation, fd int, event *unix.EpollEvent) error
+	EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error)
+	EpollCtl(epoll, operation, fd int, event *unix.EpollEvent) error
 	Read(fd int, p []byte) (int, error)
 	Peek(fd int, p []byte) (int, error) // reads and leaves what it has read; never waits
 	Write(fd int, p []byte) (int, error)
@@ -40,13 +40,13 @@
 	return fd, err
 }
 
-// Wait waits for events.
-func (Linux) Wait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
+// EpollWait waits for events.
+func (Linux) EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
 	return unix.EpollWait(epoll, events, milliseconds)
 }
 
-// Control says which events of a descriptor are waited for.
-func (Linux) Control(epoll, operation, fd int, event *unix.EpollEvent) error {
+// EpollCtl says which events of a descriptor are waited for.
+func (Linux) EpollCtl(epoll, operation, fd int, event *unix.EpollEvent) error {
 	return unix.EpollCtl(epoll, operation, fd, event)
 }
 
--- a/internal/node/backups.go
+++ b/internal/node/backups.go
@@ -16,9 +16,9 @@
 
 // labels are what this instance has that duties ask for, and where it is.
 func (c *ServeConfig) labels(zone string) []string {
-	list := []string{leasedtask.Zone + zone}
-	if c.Duties.Backups != "" {
-		list = append(list, leasedtask.CanBackup)
+	list := []string{leasedtask.ZoneLabelPrefix + zone}
+	if c.LeasedTasks.Backups != "" {
+		list = append(list, leasedtask.BackupLabel)
 	}
 	return list
 }
@@ -26,8 +26,8 @@
 // backups keeps a backup of the agreed state for each period. Which period it is goes by the wall
 // clock, and nothing else does: that no two write at once is the duty's and the directory's to see to.
 func (k *keeper) backups(ctx context.Context, t *turn) error {
-	dir := backups.Dir{Path: k.i.cfg.Duties.Backups, Verify: func(b []byte) error {
-		_, err := controlapi.ReadBackup(b)
+	dir := backups.Dir{Path: k.i.cfg.LeasedTasks.Backups, Verify: func(b []byte) error {
+		_, err := controlapi.DecodeBackup(b)
 		return err
 	}}
 	for {
@@ -49,19 +49,20 @@
 	var content []byte
 	r := k.i.runner
 	if err := r.View(ctx, func(s *clusterstate.State) {
-		p, _ = leasedtask.ReadPolicy(s.Newest().Document.Sections[leasedtask.Section], clusterstate.Format)
-	}); err != nil || p.Every == 0 {
+		p, _ = leasedtask.ParsePolicy(s.CurrentRevision().Document.Sections[leasedtask.Section],
+			clusterstate.LatestFormat)
+	}); err != nil || p.BackupInterval == 0 {
 		return nil // the group has just lost it
 	}
 	held := t.now()
-	var done backups.Kept
+	var done backups.Result
 	if len(held.Note) > 0 {
 		if err := json.Unmarshal(held.Note, &done); err != nil {
 			return fmt.Errorf("the note of the backups can't be read: %w", err)
 		}
 	}
-	period := time.Now().UTC().Truncate(p.Every)
-	if !period.After(done.Period) || !t.May(consensus.Boottime()) {
+	period := time.Now().UTC().Truncate(p.BackupInterval)
+	if !period.After(done.Period) || !t.May(consensus.BootTime()) {
 		return nil
 	}
 	// What is backed up is at least as new as the period's beginning.
@@ -69,15 +70,18 @@
 		return nil // the lease ends, or a leader comes
 	}
 	if err := r.View(ctx, func(s *clusterstate.State) {
-		cluster, content = s.Cluster(), controlapi.WriteBackup(s.Cluster(), s.History())
+		cluster, content = s.ClusterID(), controlapi.EncodeBackup(s.ClusterID(), s.Revisions())
 	}); err != nil {
 		return nil
 	}
-	kept, err := dir.Keep(backups.Request{Group: cluster, Duty: t.duty, Number: t.number, Period: period,
-		Content: content, Keep: p.Keep, May: func() bool { return t.May(consensus.Boottime()) }})
-	var stale *leasedtask.StaleError
+	kept, err := dir.Write(
+		backups.WriteRequest{Group: cluster, Task: t.duty, FencingToken: t.number, Period: period,
+			Content: content, Retain: p.BackupsKept,
+			LeaseValid: func() bool { return t.May(consensus.BootTime()) }},
+	)
+	var stale *leasedtask.StaleTokenError
 	switch {
-	case errors.As(err, &stale) || errors.Is(err, backups.ErrOver):
+	case errors.As(err, &stale) || errors.Is(err, backups.ErrLeaseExpired):
 		k.log.WithError(err).Warn("a backup is not written: this instance holds the duty no more")
 		return nil
 	case err != nil:
@@ -87,8 +91,16 @@
 	if err != nil {
 		return err
 	}
-	o, err := k.say(ctx, leasedtask.Command{Kind: leasedtask.Note, Duty: t.duty, Number: t.number, Turn: held.Turn,
-		Note: note})
+	o, err := k.say(
+		ctx,
+		leasedtask.Command{
+			Kind:         leasedtask.UpdateNote,
+			Task:         t.duty,
+			FencingToken: t.number,
+			NoteRevision: held.NoteRevision,
+			Note:         note,
+		},
+	)
 	if err == nil && o.Code == clusterstate.Accepted {
 		k.log.WithField("file", kept.File).Info("a backup is kept")
 	}
--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -26,8 +26,8 @@
 	outStarts = "start"
 )
 
-// ErrAnew says that the program is to be started anew in the place of this process.
-var ErrAnew = errors.New("the instance has been taken out, and starts anew")
+// ErrRestart says that the program is to be started anew in the place of this process.
+var ErrRestart = errors.New("the instance has been taken out, and starts anew")
 
 // lookEvery is how often a conductor looks at the instances, and askWithin how long each may take to answer.
 const (
@@ -37,7 +37,7 @@
 
 // conduct is the work of the duty that takes the instances out one after another.
 func (k *keeper) conduct(ctx context.Context, t *turn) error {
-	c := rollingrestart.NewConductor()
+	c := rollingrestart.NewController()
 	for {
 		if err := k.step(ctx, t, c); err != nil && ctx.Err() == nil {
 			return err
@@ -52,26 +52,34 @@
 
 // step notes what is to be done next, if anything is. What it notes counts once it is agreed on: who is to
 // go reads it there (leaves), and goes by that.
-func (k *keeper) step(ctx context.Context, t *turn, c *rollingrestart.Conductor) error {
+func (k *keeper) step(ctx context.Context, t *turn, c *rollingrestart.Controller) error {
 	held := t.now()
-	plan, err := rollingrestart.Read(held.Note)
-	if err != nil || !plan.Under() {
+	plan, err := rollingrestart.DecodePlan(held.Note)
+	if err != nil || !plan.Active() {
 		return err
 	}
 	seen, err := k.i.see(ctx)
 	if err != nil {
 		return nil // it is about to end, or its group is
 	}
-	next, changed := c.Look(consensus.Boottime(), plan, seen)
-	if !changed || !t.May(consensus.Boottime()) {
+	next, changed := c.Reconcile(consensus.BootTime(), plan, seen)
+	if !changed || !t.May(consensus.BootTime()) {
 		return nil
 	}
-	note, err := next.Note()
+	note, err := next.Encode()
 	if err != nil {
 		return err
 	}
-	o, err := k.say(ctx, leasedtask.Command{Kind: leasedtask.Note, Duty: t.duty, Number: t.number, Turn: held.Turn,
-		Note: note})
+	o, err := k.say(
+		ctx,
+		leasedtask.Command{
+			Kind:         leasedtask.UpdateNote,
+			Task:         t.duty,
+			FencingToken: t.number,
+			NoteRevision: held.NoteRevision,
+			Note:         note,
+		},
+	)
 	if err == nil && o.Code == clusterstate.Accepted {
 		k.log.WithFields(logrus.Fields{"duty": t.duty, "number": t.number}).Info(
 			"a rolling restart is " + next.Progress())
@@ -80,17 +88,17 @@
 }
 
 // see looks at all instances: at their sessions in the agreed state, and at what each says of itself.
-func (i *Instance) see(ctx context.Context) ([]rollingrestart.Seen, error) {
+func (i *Instance) see(ctx context.Context) ([]rollingrestart.InstanceStatus, error) {
 	st := i.runner.Status()
-	var list []rollingrestart.Seen
+	var list []rollingrestart.InstanceStatus
 	var newest uint64
 	err := i.runner.View(ctx, func(s *clusterstate.State) {
-		newest = s.Newest().Revision
+		newest = s.CurrentRevision().Number
 		for _, m := range st.Members {
-			one := rollingrestart.Seen{Member: m.ID, Name: m.Name, Voter: m.Voter,
-				Last: m.ID == st.ID || m.ID == st.Leader, Why: "it has no session"}
+			one := rollingrestart.InstanceStatus{Member: m.ID, Name: m.Name, Voter: m.Voter,
+				RestartLast: m.ID == st.ID || m.ID == st.Leader, Reason: "it has no session"}
 			if x := s.Rollout().Sessions[m.ID]; x.Open {
-				one.Life = x.Nonce
+				one.Incarnation = x.Incarnation
 			}
 			list = append(list, one)
 		}
@@ -102,11 +110,16 @@
 	defer stop()
 	var all sync.WaitGroup
 	for n := range list {
-		all.Go(func() { list[n].Zone, list[n].Why = i.ask(ctx, st.Members[n].Member, list[n].Life, newest) })
+		all.Go(
+			func() {
+				list[n].Zone, list[n].Reason = i.ask(ctx, st.Members[n].Member, list[n].Incarnation,
+					newest)
+			},
+		)
 	}
 	all.Wait()
 	for n := range list {
-		list[n].Well = list[n].Why == ""
+		list[n].Healthy = list[n].Reason == ""
 	}
 	return list, nil
 }
@@ -138,13 +151,13 @@
 // fronts says where this instance's fronts are, which revision they run, and why they admit nothing.
 func (i *Instance) fronts(d *schema.Description) {
 	d.Zone = i.zone()
-	if d.Running, d.Why = i.Running(); d.Why != "" {
+	if d.Running, d.Why = i.RunningRevision(); d.Why != "" {
 		return
 	}
 	// The fronts' own loop says whether it admits: it may stand still while the rest answers.
 	why := make(chan string, 1)
 	i.node.loop.Post(func() {
-		if i.gate.permit.May(consensus.Boottime(), i.gate.running) {
+		if i.gate.permit.Admits(consensus.BootTime(), i.gate.running) {
 			why <- ""
 			return
 		}
@@ -170,13 +183,13 @@
 // noted takes the plan as it is agreed on, on the runner's goroutine.
 //
 // Hazard: it may be read late, or again after a start. The step is for one life of the instance.
-func (l *leaves) noted(n leasedtask.Noted) {
-	plan, err := rollingrestart.Read(n.Note)
-	if err != nil || !plan.Go(n.Self, n.Life) || l.out.Swap(true) {
+func (l *leaves) noted(n leasedtask.PlanChanged) {
+	plan, err := rollingrestart.DecodePlan(n.Note)
+	if err != nil || !plan.MustRestart(n.Member, n.Incarnation) || l.out.Swap(true) {
 		return
 	}
-	l.i.log.WithField("by", plan.By).Info("this instance is taken out by a rolling restart")
-	l.i.gate.note("out %d", plan.Out)
+	l.i.log.WithField("by", plan.Author).Info("this instance is taken out by a rolling restart")
+	l.i.gate.note("out %d", plan.MaxUnavailable)
 	l.signals <- syscall.SIGTERM
 }
 
@@ -196,5 +209,5 @@
 
 // anew says whether the program is to be started in the place of this process.
 func (l *leaves) anew() bool {
-	return l.out.Load() && !l.asked.Load() && l.i.cfg.Duties.Out == outStarts
+	return l.out.Load() && !l.asked.Load() && l.i.cfg.LeasedTasks.Out == outStarts
 }
--- a/internal/node/followers.go
+++ b/internal/node/followers.go
@@ -14,7 +14,7 @@
 	// the turn in which the fronts run it.
 	read(d *clusterstate.Document, set balancer.Settings) func()
 	// stands takes the agreement's word on who is there. It is called on the runner's goroutine.
-	stands(s consensus.Standing)
+	stands(s consensus.ClusterView)
 }
 
 // bearer is a follower that can't keep every document that is valid.
@@ -57,7 +57,7 @@
 }
 
 // stands tells the followers who is there.
-func (i *Instance) stands(s consensus.Standing) {
+func (i *Instance) stands(s consensus.ClusterView) {
 	for _, f := range i.followers() {
 		f.stands(s)
 	}
@@ -66,15 +66,15 @@
 // told takes what the subjects have to say. It is called on the runner's goroutine.
 func (i *Instance) told(word any) {
 	switch word := word.(type) {
-	case leasedtask.Noted:
+	case leasedtask.PlanChanged:
 		i.leaves.noted(word)
-	case []leasedtask.Held:
+	case []leasedtask.Lease:
 		i.keeper.tell(word)
-	case schedule.Clock:
+	case schedule.ClusterClock:
 		i.plans.dated(word)
 	case []schedule.Event:
 		i.plans.audited(word)
-	case []schedule.Item:
+	case []schedule.Firing:
 		i.plans.fire(word)
 	}
 }
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -23,37 +23,40 @@
 	shares  *shares
 }
 
-var _ broker.Gate = (*gate)(nil)
+var _ broker.AdmissionController = (*gate)(nil)
 
 // closed is the gate of an instance that has not heard from its group.
 func closed() *gate {
-	return &gate{permit: rollout.Permit{Why: "this instance belongs to no group yet"}, lease: time.Second}
+	return &gate{
+		permit: rollout.Permit{ClosedReason: "this instance belongs to no group yet"},
+		lease:  time.Second,
+	}
 }
 
 // Admit implements core.Gate.
-func (g *gate) Admit(t *broker.Transaction) (broker.Refusal, bool) {
+func (g *gate) Admit(t *broker.Request) (broker.Rejection, bool) {
 	// Hazard: the process may have stood still for long, with this job in its buffers. The clock
 	// is read here and now, whatever any timer has said, and this moment is when the job is
 	// admitted or not.
-	now := consensus.Boottime()
+	now := consensus.BootTime()
 	g.shares.look(now)
-	if g.permit.May(now, g.running) {
+	if g.permit.Admits(now, g.running) {
 		if no, ok := g.rates.take(now, t); !ok {
 			return no, false
 		}
 		if g.journal != nil {
 			fmt.Fprintf(g.journal, "%d admit %d %s\n", now, g.running, t.ID)
 		}
-		return broker.Refusal{}, true
+		return broker.Rejection{}, true
 	}
 	g.refused.Add(1)
-	return broker.Refusal{Why: g.why(), After: g.after()}, false
+	return broker.Rejection{Reason: g.why(), RetryAfter: g.after()}, false
 }
 
 func (g *gate) why() string {
 	switch {
-	case g.permit.Why != "":
-		return g.permit.Why
+	case g.permit.ClosedReason != "":
+		return g.permit.ClosedReason
 	case g.permit.Revision != g.running:
 		return fmt.Sprintf("revision %d is in force, and %d runs here", g.permit.Revision, g.running)
 	}
@@ -71,7 +74,7 @@
 // opened notes that jobs may come in from this turn on: the permit and the fronts go by the same
 // revision.
 func (g *gate) opened() {
-	if g.permit.Open && g.permit.Revision == g.running && (g.permit.Forever || g.permit.Until > 0) {
+	if g.permit.Open && g.permit.Revision == g.running && (g.permit.NoExpiry || g.permit.ExpiresAt > 0) {
 		g.note("open %d", g.running)
 	}
 }
@@ -79,6 +82,6 @@
 // note writes a line of the journal.
 func (g *gate) note(format string, args ...any) {
 	if g.journal != nil {
-		fmt.Fprintf(g.journal, "%d %s\n", consensus.Boottime(), fmt.Sprintf(format, args...))
+		fmt.Fprintf(g.journal, "%d %s\n", consensus.BootTime(), fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/node/instance.go
+++ b/internal/node/instance.go
@@ -33,7 +33,7 @@
 	program string
 	node    *Node
 	own     balancer.Settings // what this instance's own files say
-	names   routing.Names
+	names   routing.KnownNames
 	file    string // of its own rules, if it has one
 	runner  *consensus.Runner
 	network *transport.Network
@@ -50,14 +50,14 @@
 	words   *witnesses
 	leaves  *leaves
 	beliefs *beliefs
-	zones   *calendar.Zones
+	zones   *calendar.ZoneDB
 
 	mu      sync.Mutex
 	running uint64
 	current clusterstate.Revision
 	problem string
 	staged  string // the change that terms are for
-	terms   Terms
+	terms   RuntimeConfig
 }
 
 var _ controlapi.Host = (*Instance)(nil)
@@ -102,11 +102,11 @@
 
 func (i *Instance) open() error {
 	cfg, log := i.cfg, i.log
-	k, err := keys.Open(cfg.Keys, log)
+	k, err := keys.NewReloader(cfg.Keys, log)
 	if err != nil {
 		return err
 	}
-	if name, role := k.Name(); name != cfg.Name || role != keys.Instance {
+	if name, role := k.Identity(); name != cfg.Name || role != keys.RoleInstance {
 		return fmt.Errorf(
 			"%s is the certificate of %s %q; wanted is that of instance %q",
 			cfg.Keys.Cert,
@@ -119,10 +119,10 @@
 	if err != nil {
 		return err
 	}
-	if i.own, err = platformCfg.Settings.Brain(); err != nil {
+	if i.own, err = platformCfg.Settings.Balancer(); err != nil {
 		return err
 	}
-	i.names = routing.Names{Zones: platformCfg.Settings.Zones, Kinds: platformCfg.Settings.Kinds}
+	i.names = routing.KnownNames{Zones: platformCfg.Settings.Zones, Kinds: platformCfg.Settings.Kinds}
 	for _, c := range i.own.Classes {
 		i.names.Classes = append(i.names.Classes, c.Name)
 	}
@@ -133,68 +133,82 @@
 	if _, err := i.ownRoutes(); err != nil {
 		return err
 	}
-	i.network = transport.New(k, cfg.Name, cfg.Peers.Advertise, cfg.Peers.From, i.program, log.WithField("part",
-		"peers"))
+	i.network = transport.New(
+		k,
+		cfg.Name,
+		cfg.Peers.Advertise,
+		cfg.Peers.From,
+		i.program,
+		log.WithField("part",
+			"peers"),
+	)
 	i.started("the peers' network", func() error { i.network.Close(); return nil })
 	wall, err := cfg.wallClock()
 	if err != nil {
-		return tomlfile.At(cfg.path, cfg.raw, "test.clock", "%v", err)
+		return tomlfile.ErrorAt(cfg.path, cfg.raw, "test.clock", "%v", err)
 	}
 	if i.zones, err = cfg.zoneRules(); err != nil {
-		return tomlfile.At(cfg.path, cfg.raw, "test.zones", "%v", err)
+		return tomlfile.ErrorAt(cfg.path, cfg.raw, "test.zones", "%v", err)
 	}
 	i.runner, err = consensus.Open(consensus.RunnerConfig{
-		Config: consensus.Config{Rules: Rules(), Log: log.WithField("part", "agreement"), Wall: wall,
-			Zones: i.zones, Labels: cfg.labels(i.zone())}, Name: cfg.Name,
+		Config: consensus.Config{
+			Rules:     DocumentRules(),
+			Logger:    log.WithField("part", "agreement"),
+			WallClock: wall,
+			Zones:     i.zones,
+			Labels:    cfg.labels(i.zone()),
+		}, Name: cfg.Name,
 		Dir: filepath.Join(cfg.Data, "agreement"), Tick: time.Duration(cfg.Peers.Tick), Transport: i.network,
-		Revision: func(r clusterstate.Revision) { offer(i.latest, r) },
-		Stage:    func(r clusterstate.Revision) { offer(i.pending, r) }, Permit: i.permitted,
-		Standing: i.stands, Told: i.told})
+		OnRevision: func(r clusterstate.Revision) { offer(i.latest, r) },
+		OnStage:    func(r clusterstate.Revision) { offer(i.pending, r) }, OnPermit: i.permitted,
+		OnClusterView: i.stands, OnNotification: i.told})
 	if err != nil {
 		return err
 	}
 	i.started("the agreement", i.runner.Stop)
-	i.network.Attach(i.runner)
-	if cfg.Audit != "" {
-		if i.gate.journal, err = os.OpenFile(cfg.Audit, os.O_CREATE|os.O_APPEND|os.O_WRONLY,
+	i.network.AttachRunner(i.runner)
+	if cfg.AuditLog != "" {
+		if i.gate.journal, err = os.OpenFile(cfg.AuditLog, os.O_CREATE|os.O_APPEND|os.O_WRONLY,
 			0o600); err != nil {
-			return tomlfile.At(cfg.path, cfg.raw, "audit", "%v", err)
+			return tomlfile.ErrorAt(cfg.path, cfg.raw, "audit", "%v", err)
 		}
 		i.started("the audit's journal", i.gate.journal.Close)
 		i.gate.note("start %s", cfg.Name)
 	}
-	i.node, err = New(Options{Platform: platformCfg, Faktory: faktoryCfg, Log: log, Procs: 2, Gate: i.gate})
+	i.node, err = New(
+		Options{Platform: platformCfg, Faktory: faktoryCfg, Log: log, MaxProcs: 2, Admission: i.gate},
+	)
 	if err != nil {
 		return err
 	}
 	i.rates.open()
 	for k := range i.node.cores {
-		i.node.cores[k].OnList(i.shares.choose)
+		i.node.cores[k].OnListUpdate(i.shares.choose)
 	}
 	// What was agreed on last is what the fronts run. They admit nothing under it before the group
 	// has said that it is in force still.
-	if r, ok := i.runner.Agreed(); ok {
+	if r, ok := i.runner.CommittedRevision(); ok {
 		i.apply(r, i.node.configure)
 	} else if err := i.reroute(); err != nil {
 		return err
 	}
-	i.network.TellFronts(i.fronts)
+	i.network.HandleDescribe(i.fronts)
 	i.lists = newHub(i)
-	i.network.TellLists(i.lists.tell)
-	i.network.TakeRates(i.rates.heard)
-	i.network.TakeWords(i.words.heard)
-	i.network.TakeProbes(i.beliefs.heard)
-	i.node.Ending = func() {
+	i.network.HandleWatchEndpointLists(i.lists.tell)
+	i.network.HandleRateMessages(i.rates.heard)
+	i.network.HandleOutlierReports(i.words.heard)
+	i.network.HandleMembershipMessages(i.beliefs.heard)
+	i.node.OnShutdown = func() {
 		i.plans.leave()
 		go i.keeper.leave()
 	}
-	i.node.Idle = func(on bool) {
+	i.node.OnStandby = func(on bool) {
 		i.keeper.stands.Store(on)
 		go i.keeper.idle()
 	}
 	drain := i.node.drain
 	i.node.drain = func(done func()) { drain(func() { i.plans.drained(done) }) }
-	i.node.Reloaded = func() {
+	i.node.OnReload = func() {
 		if err := i.reroute(); err != nil {
 			log.WithError(err).Error("the rules stay as they were")
 		}
@@ -202,7 +216,7 @@
 	return i.listen(k)
 }
 
-func (i *Instance) listen(k *keys.Store) error {
+func (i *Instance) listen(k *keys.Reloader) error {
 	l, err := stdnet.Listen("tcp", i.cfg.Peers.Listen)
 	if err != nil {
 		return fmt.Errorf("the peers' address: %w", err)
@@ -235,7 +249,7 @@
 	go i.keepUp(ctx)
 	err := errors.Join(i.node.Run(i.leaves.among(signals)), i.stop())
 	if err == nil && i.leaves.anew() {
-		return ErrAnew
+		return ErrRestart
 	}
 	return err
 }
@@ -258,8 +272,8 @@
 // permitted takes the runner's word on whether the fronts may admit.
 func (i *Instance) permitted(p rollout.Permit) {
 	i.node.loop.Post(func() {
-		if was := i.gate.permit; was.Open != p.Open || was.Why != p.Why && !p.Open {
-			i.gate.note("permit open=%v revision=%d why=%q", p.Open, p.Revision, p.Why)
+		if was := i.gate.permit; was.Open != p.Open || was.ClosedReason != p.ClosedReason && !p.Open {
+			i.gate.note("permit open=%v revision=%d why=%q", p.Open, p.Revision, p.ClosedReason)
 			entry := i.log.WithField("revision", p.Revision)
 			switch {
 			case p.Open:
@@ -267,14 +281,14 @@
 			case p.Change != "":
 				entry.WithField("change", p.Change).Info("jobs wait for a change to take hold")
 			default:
-				entry.WithField("why", p.Why).Warn("no job is admitted")
+				entry.WithField("why", p.ClosedReason).Warn("no job is admitted")
 			}
 		}
 		i.gate.permit = p
 		i.gate.opened()
 		// Hazard: the yes must follow the turn in which the fronts have ceased to admit.
 		if !p.Open && p.Change != "" {
-			i.runner.Closed(p.Change, p.Attempt)
+			i.runner.ReportAdmissionClosed(p.Change, p.Attempt)
 		}
 	})
 }
@@ -294,40 +308,40 @@
 
 // stage makes everything ready for a change, so that the switch takes one turn of the loop.
 func (i *Instance) stage(r clusterstate.Revision) {
-	i.gate.note("staging %s", r.ID)
+	i.gate.note("staging %s", r.ChangeID)
 	t, err := i.termsOf(r.Document)
 	if err == nil {
 		err = i.bears(r.Document)
 	}
 	if err == nil {
-		err = i.node.CanConfigure(t)
+		err = i.node.ValidateConfig(t)
 	}
-	entry := i.log.WithFields(logrus.Fields{"revision": r.Revision, "change": r.ID})
+	entry := i.log.WithFields(logrus.Fields{"revision": r.Number, "change": r.ChangeID})
 	if err != nil {
 		entry.WithError(err).Warn("a change can't be run here")
-		i.runner.Staged(r.ID, []string{err.Error()})
+		i.runner.ReportStaged(r.ChangeID, []string{err.Error()})
 		return
 	}
 	i.mu.Lock()
-	i.staged, i.terms = r.ID, t
+	i.staged, i.terms = r.ChangeID, t
 	i.mu.Unlock()
 	entry.Info("ready for a change")
-	i.gate.note("staged %s", r.ID)
-	i.runner.Staged(r.ID, nil)
+	i.gate.note("staged %s", r.ChangeID)
+	i.runner.ReportStaged(r.ChangeID, nil)
 }
 
 // bearsLease says why this instance can't keep what the document says of leases.
 func (i *Instance) bearsLease(d *clusterstate.Document) error {
-	p, _ := rollout.ReadPolicy(d.Sections[rollout.Section])
-	if err := p.Bears(time.Duration(i.cfg.Peers.Tick)); err != nil {
-		return tomlfile.At(i.cfg.path, i.cfg.raw, "peers.tick", "%v", err)
+	p, _ := rollout.ParsePolicy(d.Sections[rollout.Section])
+	if err := p.CheckTick(time.Duration(i.cfg.Peers.Tick)); err != nil {
+		return tomlfile.ErrorAt(i.cfg.path, i.cfg.raw, "peers.tick", "%v", err)
 	}
 	return nil
 }
 
 // termsOf fits a document to this instance's own files.
-func (i *Instance) termsOf(d *clusterstate.Document) (t Terms, err error) {
-	if t.Settings, err = d.Onto(i.own); err != nil {
+func (i *Instance) termsOf(d *clusterstate.Document) (t RuntimeConfig, err error) {
+	if t.Settings, err = d.ApplyTo(i.own); err != nil {
 		return t, fmt.Errorf("%s: %w", i.cfg.Front.Platform, err)
 	}
 	t.Routes, err = i.routes(d)
@@ -335,10 +349,10 @@
 }
 
 // apply puts a revision in force at the fronts.
-func (i *Instance) apply(r clusterstate.Revision, configure func(Terms) error) {
+func (i *Instance) apply(r clusterstate.Revision, configure func(RuntimeConfig) error) {
 	i.mu.Lock()
-	t, ready := i.terms, i.staged == r.ID && r.ID != ""
-	i.staged, i.terms = "", Terms{}
+	t, ready := i.terms, i.staged == r.ChangeID && r.ChangeID != ""
+	i.staged, i.terms = "", RuntimeConfig{}
 	i.mu.Unlock()
 	var err error
 	if !ready {
@@ -346,11 +360,11 @@
 	}
 	if err == nil {
 		follow := i.read(r.Document, t.Settings)
-		t.Revision = func() {
+		t.OnApplied = func() {
 			follow()
-			if r.Revision > i.gate.running {
-				i.gate.running = r.Revision
-				i.gate.note("run %d", r.Revision)
+			if r.Number > i.gate.running {
+				i.gate.running = r.Number
+				i.gate.note("run %d", r.Number)
 				i.gate.opened()
 			}
 		}
@@ -358,19 +372,19 @@
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	entry := i.log.WithField("revision", r.Revision)
+	entry := i.log.WithField("revision", r.Number)
 	if err != nil {
 		// Only files that differ from what they were when it took hold can bring this about: the
 		// fronts admit nothing more, for what they run is not in force.
-		i.problem = fmt.Sprintf("revision %d: %v", r.Revision, err)
+		i.problem = fmt.Sprintf("revision %d: %v", r.Number, err)
 		entry.WithError(err).Error("the agreed configuration can't be run here")
 		return
 	}
-	if r.Revision < i.running {
+	if r.Number < i.running {
 		return
 	}
-	i.running, i.current, i.problem = r.Revision, r, ""
-	i.runner.Runs(r.Revision)
+	i.running, i.current, i.problem = r.Number, r, ""
+	i.runner.ReportRunningRevision(r.Number)
 	entry.Info("the fronts run this configuration")
 }
 
@@ -389,16 +403,16 @@
 	return i.network.Operate(ctx, op)
 }
 
-// Running implements control.Host.
-func (i *Instance) Running() (uint64, string) {
+// RunningRevision implements control.Host.
+func (i *Instance) RunningRevision() (uint64, string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.running, i.problem
 }
 
-// First implements control.Host.
-func (i *Instance) First() (*clusterstate.Document, error) {
-	return clusterstate.FromSettings(i.own), nil
+// InitialDocument implements control.Host.
+func (i *Instance) InitialDocument() (*clusterstate.Document, error) {
+	return clusterstate.DocumentFromSettings(i.own), nil
 }
 
 // Address implements control.Host.
@@ -407,8 +421,8 @@
 // Program implements control.Host.
 func (i *Instance) Program() string { return i.program }
 
-// Tick implements control.Host.
-func (i *Instance) Tick() time.Duration { return time.Duration(i.cfg.Peers.Tick) }
+// TickInterval implements control.Host.
+func (i *Instance) TickInterval() time.Duration { return time.Duration(i.cfg.Peers.Tick) }
 
 // Counters implements control.Host.
 func (i *Instance) Counters() map[string]uint64 {
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -23,7 +23,7 @@
 	over chan struct{} // closed once run has ended
 
 	mu    sync.Mutex
-	held  []leasedtask.Held // as told last
+	held  []leasedtask.Lease // as told last
 	turns map[string]*turn
 	made  uint64
 
@@ -38,8 +38,8 @@
 	stop   context.CancelFunc
 
 	mu   sync.Mutex
-	held leasedtask.Held // renewed with each lease
-	left bool            // it acts no more
+	held leasedtask.Lease // renewed with each lease
+	left bool             // it acts no more
 }
 
 // work is what is done in a duty: until its context ends, or it fails. It looks at May before each
@@ -50,11 +50,11 @@
 func (t *turn) May(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.left && t.held.May(now)
+	return !t.left && t.held.Valid(now)
 }
 
 // now is the holding as it is known now.
-func (t *turn) now() leasedtask.Held {
+func (t *turn) now() leasedtask.Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.held
@@ -66,12 +66,12 @@
 }
 
 // tell takes the agreement's word on what this instance holds. It never waits.
-func (k *keeper) tell(held []leasedtask.Held) {
+func (k *keeper) tell(held []leasedtask.Lease) {
 	k.mu.Lock()
 	k.held = held
 	// A lease that was renewed counts at once, for the turns that are under way.
 	for _, h := range held {
-		if t := k.turns[h.Duty]; t != nil && t.number == h.Number {
+		if t := k.turns[h.Task]; t != nil && t.number == h.FencingToken {
 			t.mu.Lock()
 			t.held = h
 			t.mu.Unlock()
@@ -85,14 +85,14 @@
 }
 
 // holds is what this instance holds.
-func (k *keeper) holds() []leasedtask.Held {
+func (k *keeper) holds() []leasedtask.Lease {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.held
 }
 
-// Holds implements control.Host.
-func (i *Instance) Holds() []leasedtask.Held { return i.keeper.holds() }
+// HeldTasks implements control.Host.
+func (i *Instance) HeldTasks() []leasedtask.Lease { return i.keeper.holds() }
 
 func (k *keeper) run() {
 	defer close(k.over)
@@ -110,12 +110,12 @@
 func (k *keeper) follow() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	holds := map[string]leasedtask.Held{}
+	holds := map[string]leasedtask.Lease{}
 	for _, h := range k.held {
-		holds[h.Duty] = h
+		holds[h.Task] = h
 	}
 	for name, t := range k.turns {
-		if h := holds[name]; h.Number != t.number || h.Leaving != "" {
+		if h := holds[name]; h.FencingToken != t.number || h.ReleaseReason != "" {
 			t.stop()
 		}
 	}
@@ -124,8 +124,8 @@
 			continue // it begins anew when that turn has ended
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		t := &turn{duty: name, number: h.Number, held: h, stop: stop}
-		if h.Leaving != "" {
+		t := &turn{duty: name, number: h.FencingToken, held: h, stop: stop}
+		if h.ReleaseReason != "" {
 			stop()
 		}
 		k.turns[name] = t
@@ -142,7 +142,7 @@
 	t.stop()
 	t.mu.Lock()
 	t.left = true // Hazard: from here on nothing is done under this number, whatever lease it has
-	why := t.held.Leaving
+	why := t.held.ReleaseReason
 	t.mu.Unlock()
 	k.i.gate.note("leave %s %d", t.duty, t.number)
 	if err != nil {
@@ -152,8 +152,11 @@
 	if why == "" {
 		why = "it ends"
 	}
-	k.giveBack(t, leasedtask.Command{Kind: leasedtask.Release, Duty: t.duty, Number: t.number, Reason: why,
-		Failed: err != nil})
+	k.giveBack(
+		t,
+		leasedtask.Command{Kind: leasedtask.Release, Task: t.duty, FencingToken: t.number, Reason: why,
+			Failed: err != nil},
+	)
 	k.mu.Lock()
 	delete(k.turns, t.duty)
 	k.mu.Unlock()
@@ -182,7 +185,7 @@
 
 func (k *keeper) holdsYet(t *turn) bool {
 	for _, h := range k.holds() {
-		if h.Duty == t.duty && h.Number == t.number {
+		if h.Task == t.duty && h.FencingToken == t.number {
 			return true
 		}
 	}
@@ -193,10 +196,10 @@
 func (k *keeper) say(ctx context.Context, c leasedtask.Command) (clusterstate.Outcome, error) {
 	k.mu.Lock()
 	k.made++
-	c.ID = fmt.Sprintf("duty/%s/%d/%d", k.i.cfg.Name, c.Number, k.made)
+	c.ID = fmt.Sprintf("duty/%s/%d/%d", k.i.cfg.Name, c.FencingToken, k.made)
 	k.mu.Unlock()
 	c.AtMS = time.Now().UnixMilli()
-	return k.i.runner.Say(ctx, leasedtask.Section, leasedtask.Encode(c), c.ID)
+	return k.i.runner.ProposeCommand(ctx, leasedtask.Section, leasedtask.EncodeCommand(c), c.ID)
 }
 
 // patience is how long an instance that ends takes for handing on what it holds.
@@ -211,7 +214,7 @@
 	on := k.stands.Load()
 	ctx, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
-	if err := k.i.runner.Away(ctx, on); err != nil {
+	if err := k.i.runner.SetDeparting(ctx, on); err != nil {
 		k.log.WithError(err).Warn("the group is not told that this instance stands by, or does no more")
 	}
 }
@@ -221,7 +224,7 @@
 func (k *keeper) leave() {
 	ctx, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
-	if err := k.i.runner.Away(ctx, true); err != nil {
+	if err := k.i.runner.SetDeparting(ctx, true); err != nil {
 		return // the agreement has stopped: the lease ends without a word
 	}
 	k.mu.Lock()
@@ -247,15 +250,15 @@
 // work is what is done in the duty of a name.
 func (k *keeper) work(name string) work {
 	var n int
-	if _, err := fmt.Sscanf(name, leasedtask.Drill, &n); err == nil {
+	if _, err := fmt.Sscanf(name, leasedtask.DrillTaskFormat, &n); err == nil {
 		return k.drill
 	}
 	switch name {
-	case leasedtask.Backup:
+	case leasedtask.BackupTask:
 		return k.backups
-	case leasedtask.Roll:
+	case leasedtask.RollingRestartTask:
 		return k.conduct
-	case leasedtask.List:
+	case leasedtask.EndpointListTask:
 		return k.i.lists.keep
 	}
 	return func(context.Context, *turn) error { return fmt.Errorf("this program knows no duty %q", name) }
@@ -271,7 +274,7 @@
 			return nil
 		case <-tick.C:
 		}
-		if now := consensus.Boottime(); k.i.gate.journal != nil && t.May(now) {
+		if now := consensus.BootTime(); k.i.gate.journal != nil && t.May(now) {
 			fmt.Fprintf(k.i.gate.journal, "%d act %s %d\n", now, t.duty, t.number)
 		}
 	}
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -29,13 +29,13 @@
 	deaf  atomic.Bool // the keeper's own watch is down
 	mu    sync.Mutex
 	turn  *turn // of the duty, while it is held here
-	told  listrelay.Keeper
-	heard map[chan listrelay.News]bool // by whom, while it is
+	told  listrelay.Publisher
+	heard map[chan listrelay.EndpointListUpdate]bool // by whom, while it is
 }
 
 func newHub(i *Instance) *hub {
 	h := &hub{i: i, log: i.log.WithField("part", "list"), over: make(chan struct{}),
-		heard: map[chan listrelay.News]bool{}}
+		heard: map[chan listrelay.EndpointListUpdate]bool{}}
 	h.ctx, h.end = context.WithCancel(context.Background())
 	return h
 }
@@ -61,17 +61,17 @@
 // keep is the duty's work: what discovery tells this instance is told to the others.
 func (h *hub) keep(ctx context.Context, t *turn) error {
 	h.mu.Lock()
-	h.turn, h.told = t, listrelay.Keeper{}
+	h.turn, h.told = t, listrelay.Publisher{}
 	h.mu.Unlock()
 	h.deaf.Store(true) // until discovery has spoken
 	if err := h.onLoop(ctx, func() {
-		h.i.node.front.Fed(false)
-		h.i.node.front.PassOn(h.pass)
+		h.i.node.front.SetFedByPeer(false)
+		h.i.node.front.OnListUpdate(h.pass)
 	}); err != nil {
 		return nil
 	}
 	err := h.watch(ctx)
-	h.i.node.loop.Post(func() { h.i.node.front.PassOn(nil) })
+	h.i.node.loop.Post(func() { h.i.node.front.OnListUpdate(nil) })
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.turn = nil
@@ -85,7 +85,7 @@
 // watch waits until the duty ends, or discovery has not spoken to this instance for long: then it is
 // for another to try, and meanwhile each asks by itself.
 func (h *hub) watch(ctx context.Context) error {
-	tick := time.NewTicker(listrelay.Beat)
+	tick := time.NewTicker(listrelay.HeartbeatInterval)
 	defer tick.Stop()
 	for spoke := time.Now(); ; {
 		select {
@@ -94,13 +94,13 @@
 		case <-tick.C:
 		}
 		watched := false
-		if h.onLoop(ctx, func() { watched = h.i.node.front.Watched() }) != nil {
+		if h.onLoop(ctx, func() { watched = h.i.node.front.WatchesDiscovery() }) != nil {
 			return nil
 		}
 		if watched {
 			spoke = time.Now()
 		}
-		if time.Since(spoke) > 2*listrelay.Silence {
+		if time.Since(spoke) > 2*listrelay.SilenceTimeout {
 			return errors.New("discovery does not speak to this instance")
 		}
 		// Hazard: its beats would say that nothing has changed, and it does not know.
@@ -115,8 +115,8 @@
 	if h.turn == nil {
 		return
 	}
-	n := h.told.Heard(generation, whole, append([]byte{}, text...))
-	n.Number = h.turn.number
+	n := h.told.Publish(generation, whole, append([]byte{}, text...))
+	n.FencingToken = h.turn.number
 	for c := range h.heard {
 		select {
 		case c <- n:
@@ -131,20 +131,20 @@
 
 // tell tells another instance the list, until this one keeps it no more.
 func (h *hub) tell(ctx context.Context, send func(*schema.ListNews) error) error {
-	c := make(chan listrelay.News, 256)
+	c := make(chan listrelay.EndpointListUpdate, 256)
 	var t *turn
-	var first listrelay.News
+	var first listrelay.EndpointListUpdate
 	var err error
 	// The whole list and the changes after it are taken up in one turn: none is missed between.
 	if bad := h.onLoop(ctx, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if t = h.turn; t == nil || !h.i.node.front.Watched() || !t.May(consensus.Boottime()) {
+		if t = h.turn; t == nil || !h.i.node.front.WatchesDiscovery() || !t.May(consensus.BootTime()) {
 			err = errNotKept
 			return
 		}
-		first = listrelay.News{Number: t.number, Whole: true}
-		if first.Generation, first.Text, err = h.i.node.front.WholeList(); err == nil {
+		first = listrelay.EndpointListUpdate{FencingToken: t.number, Complete: true}
+		if first.Generation, first.Payload, err = h.i.node.front.FullList(); err == nil {
 			h.heard[c] = true
 		}
 	}); bad != nil || err != nil {
@@ -155,16 +155,17 @@
 		defer h.mu.Unlock()
 		delete(h.heard, c)
 	}()
-	beat := time.NewTicker(listrelay.Beat)
+	beat := time.NewTicker(listrelay.HeartbeatInterval)
 	defer beat.Stop()
 	var newest int64
 	for n, ok := first, true; ; {
 		// Hazard: the look comes right before each word; what leaves all the same carries the number.
-		if !ok || !t.May(consensus.Boottime()) {
+		if !ok || !t.May(consensus.BootTime()) {
 			return errNotKept
 		}
-		if err := send(&schema.ListNews{Number: n.Number, Generation: n.Generation, Previous: n.Previous,
-			Whole: n.Whole, Text: n.Text}); err != nil {
+		if err := send(&schema.ListNews{Number: n.FencingToken, Generation: n.Generation,
+			Previous: n.PreviousGeneration,
+			Whole:    n.Complete, Text: n.Payload}); err != nil {
 			return err
 		}
 		newest = n.Generation
@@ -176,7 +177,11 @@
 			if h.deaf.Load() {
 				return errNotKept
 			}
-			n = listrelay.News{Number: t.number, Generation: newest, Previous: newest}
+			n = listrelay.EndpointListUpdate{
+				FencingToken:       t.number,
+				Generation:         newest,
+				PreviousGeneration: newest,
+			}
 		}
 	}
 }
@@ -185,12 +190,12 @@
 // that fails.
 func (h *hub) follow() {
 	defer close(h.over)
-	f := listrelay.NewFollower(consensus.Boottime(), rand.Float64())
+	f := listrelay.NewSubscriber(consensus.BootTime(), rand.Float64())
 	alone := true
 	for h.ctx.Err() == nil {
 		keeper, number, ok := h.keeperNow()
 		if ok {
-			f.Agreed(number)
+			f.ObserveFencingToken(number)
 			// The stream ends by itself when the keeper is silent for too long.
 			err := h.listen(f, keeper, &alone)
 			h.log.WithError(err).WithField("keeper",
@@ -205,12 +210,12 @@
 }
 
 // alone goes back to asking discovery, where it is time: at once where nobody keeps the list.
-func (h *hub) alone(f *listrelay.Follower, nobody bool, alone *bool) {
-	if *alone || !nobody && !f.Alone(consensus.Boottime()) {
+func (h *hub) alone(f *listrelay.Subscriber, nobody bool, alone *bool) {
+	if *alone || !nobody && !f.ShouldPoll(consensus.BootTime()) {
 		return
 	}
-	f.Lost()
-	if h.onLoop(h.ctx, func() { h.i.node.front.Fed(false) }) == nil {
+	f.Invalidate()
+	if h.onLoop(h.ctx, func() { h.i.node.front.SetFedByPeer(false) }) == nil {
 		*alone = true
 		h.log.Info("this instance asks discovery by itself")
 	}
@@ -222,22 +227,22 @@
 	ctx, stop := context.WithTimeout(h.ctx, time.Second)
 	defer stop()
 	_ = h.i.runner.View(ctx, func(s *clusterstate.State) {
-		d := s.Duties().Duties[leasedtask.List]
-		if d == nil || !d.Held() || d.Of == h.i.cfg.Name {
+		d := s.LeasedTasks().Tasks[leasedtask.EndpointListTask]
+		if d == nil || !d.IsHeld() || d.HolderName == h.i.cfg.Name {
 			return
 		}
 		m, ok = s.Member(d.Holder.Member)
-		number = d.Number
+		number = d.FencingToken
 	})
 	return m, number, ok
 }
 
 // listen takes what a keeper tells, until it is silent or says what can't be.
-func (h *hub) listen(f *listrelay.Follower, keeper clusterstate.Member, alone *bool) error {
+func (h *hub) listen(f *listrelay.Subscriber, keeper clusterstate.Member, alone *bool) error {
 	ctx, stop := context.WithCancelCause(h.ctx)
 	defer stop(nil)
 	silent := errors.New("the keeper is silent")
-	late := time.AfterFunc(listrelay.Silence, func() { stop(silent) })
+	late := time.AfterFunc(listrelay.SilenceTimeout, func() { stop(silent) })
 	defer late.Stop()
 	go func() {
 		// Another may keep it by now, and this one go on telling for as long as it does not know.
@@ -247,26 +252,29 @@
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(listrelay.Beat):
+			case <-time.After(listrelay.HeartbeatInterval):
 			}
 		}
 	}()
-	return h.i.network.Lists(ctx, keeper, func(m *schema.ListNews) error {
-		late.Reset(listrelay.Silence)
-		take, err := f.Told(consensus.Boottime(), listrelay.News{Number: m.Number, Generation: m.Generation,
-			Previous: m.Previous, Whole: m.Whole, Text: m.Text})
+	return h.i.network.WatchEndpointLists(ctx, keeper, func(m *schema.ListNews) error {
+		late.Reset(listrelay.SilenceTimeout)
+		take, err := f.Receive(
+			consensus.BootTime(),
+			listrelay.EndpointListUpdate{FencingToken: m.Number, Generation: m.Generation,
+				PreviousGeneration: m.Previous, Complete: m.Whole, Payload: m.Text},
+		)
 		if err != nil || !take && !*alone {
 			return err
 		}
 		if bad := h.onLoop(ctx, func() {
 			if take {
-				err = h.i.node.front.Take(m.Text)
+				err = h.i.node.front.ApplyList(m.Text)
 			}
 			if err == nil {
-				h.i.node.front.Fed(true)
+				h.i.node.front.SetFedByPeer(true)
 			}
 		}); bad != nil || err != nil {
-			f.Lost()
+			f.Invalidate()
 			return errors.Join(bad, err)
 		}
 		if *alone = false; m.Whole {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -21,7 +21,7 @@
 type beliefs struct {
 	i       *Instance
 	log     logrus.FieldLogger
-	machine *membership.Machine // nil: instances don't probe each other
+	machine *membership.Detector // nil: instances don't probe each other
 	policy  membership.Policy
 	timer   *eventloop.Timer
 	members time.Duration // when the group's members were looked at last
@@ -31,7 +31,7 @@
 	published bool
 
 	mu   sync.Mutex
-	list map[uint64]membership.Belief
+	list map[uint64]membership.MemberState
 	now  time.Duration // of that
 }
 
@@ -42,12 +42,12 @@
 
 // read implements follower.
 func (b *beliefs) read(d *clusterstate.Document, _ balancer.Settings) func() {
-	p, on, _ := membership.ReadPolicy(d.Sections[membership.Section])
+	p, on, _ := membership.ParsePolicy(d.Sections[membership.Section])
 	return func() { b.configure(p, on) }
 }
 
 // stands implements follower.
-func (b *beliefs) stands(consensus.Standing) {}
+func (b *beliefs) stands(consensus.ClusterView) {}
 
 func (b *beliefs) configure(p membership.Policy, on bool) {
 	if on == (b.machine != nil) && p == b.policy {
@@ -55,13 +55,13 @@
 	}
 	b.timer.Stop()
 	b.policy, b.machine, b.published = p, nil, false
-	b.publish(consensus.Boottime())
+	b.publish(consensus.BootTime())
 	if !on {
 		return
 	}
-	now, st := consensus.Boottime(), b.i.runner.Status()
-	b.machine = membership.New(now, membership.ID(st.ID), 0, st.Life, p)
-	b.log.WithField("probe", p.Probe).Info("instances probe each other")
+	now, st := consensus.BootTime(), b.i.runner.Status()
+	b.machine = membership.New(now, membership.ID(st.ID), 0, st.Incarnation, p)
+	b.log.WithField("probe", p.ProbeInterval).Info("instances probe each other")
 	b.follow(now, st)
 	b.tick()
 }
@@ -72,17 +72,17 @@
 	in := map[membership.ID]bool{}
 	for _, m := range st.Members {
 		in[membership.ID(m.ID)] = true
-		b.machine.Join(now, membership.ID(m.ID))
+		b.machine.AddMembers(now, membership.ID(m.ID))
 	}
 	for _, x := range b.machine.Members() {
 		if !in[x.ID] {
-			b.machine.Drop(x.ID)
+			b.machine.RemoveMember(x.ID)
 		}
 	}
 }
 
 func (b *beliefs) tick() {
-	now := consensus.Boottime()
+	now := consensus.BootTime()
 	var st consensus.Status
 	if now-b.members > membersEvery {
 		st = b.i.runner.Status()
@@ -90,10 +90,10 @@
 	}
 	b.send(b.machine.Tick(now))
 	b.publish(now)
-	b.timer = b.i.node.loop.After(max(b.machine.Next()-now, time.Millisecond), b.tick)
+	b.timer = b.i.node.loop.After(max(b.machine.NextTick()-now, time.Millisecond), b.tick)
 }
 
-func (b *beliefs) send(out []membership.Out) {
+func (b *beliefs) send(out []membership.Outbound) {
 	if len(out) == 0 {
 		return
 	}
@@ -107,9 +107,9 @@
 			continue
 		}
 		w := &schema.MembershipMessage{Kind: uint32(o.Kind), Seq: o.Seq, Target: uint64(o.Target)}
-		for _, r := range o.Words {
+		for _, r := range o.Updates {
 			w.Words = append(w.Words, &schema.MembershipRumour{Id: uint64(r.ID), State: uint32(r.State),
-				Incarnation: r.Inc, By: uint64(r.By)})
+				Incarnation: r.Incarnation, By: uint64(r.ReportedBy)})
 		}
 		b.i.network.SendSession(m, &schema.SessionMessage{Membership: w})
 	}
@@ -121,30 +121,32 @@
 		if b.machine == nil {
 			return
 		}
-		w := membership.Message{Kind: membership.Kind(min(m.Kind, 255)), Seq: m.Seq,
+		w := membership.Message{Kind: membership.MessageKind(min(m.Kind, 255)), Seq: m.Seq,
 			Target: membership.ID(m.Target)}
 		for _, r := range m.Words {
-			w.Words = append(w.Words, membership.Rumour{ID: membership.ID(r.Id),
-				State: membership.State(min(r.State, 255)), Inc: r.Incarnation, By: membership.ID(r.By)})
+			w.Updates = append(w.Updates, membership.Update{ID: membership.ID(r.Id),
+				State: membership.State(
+					min(r.State, 255),
+				), Incarnation: r.Incarnation, ReportedBy: membership.ID(r.By)})
 		}
-		now := consensus.Boottime()
-		b.send(b.machine.Hear(now, membership.ID(from), w))
+		now := consensus.BootTime()
+		b.send(b.machine.Receive(now, membership.ID(from), w))
 		b.publish(now)
 		b.timer.Stop()
-		b.timer = b.i.node.loop.After(max(b.machine.Next()-now, time.Millisecond), b.tick)
+		b.timer = b.i.node.loop.After(max(b.machine.NextTick()-now, time.Millisecond), b.tick)
 	})
 }
 
 // publish has what is believed be there for others, and tells the duties whom to doubt.
 func (b *beliefs) publish(now time.Duration) {
 	// Most messages bring nothing new, and the loop has jobs to see to.
-	if b.machine != nil && b.published && b.news == b.machine.News() {
+	if b.machine != nil && b.published && b.news == b.machine.Version() {
 		return
 	}
 	if b.published = b.machine != nil; b.published {
-		b.news = b.machine.News()
+		b.news = b.machine.Version()
 	}
-	list := map[uint64]membership.Belief{}
+	list := map[uint64]membership.MemberState{}
 	doubts := map[uint64]bool{}
 	if b.machine != nil {
 		for _, x := range b.machine.Members() {
@@ -153,21 +155,24 @@
 				doubts[uint64(x.ID)] = true
 			}
 		}
-		for _, x := range b.machine.Events() {
+		for _, x := range b.machine.TakeEvents() {
 			b.log.WithFields(logrus.Fields{"member": b.i.nameOf(uint64(x.ID)), "state": x.State.String(),
-				"by": len(x.By)}).Info("an instance seems otherwise")
+				"by": len(x.SuspectedBy)}).Info("an instance seems otherwise")
 		}
 	}
 	b.mu.Lock()
 	same := len(b.list) == len(list)
 	for id, x := range list {
-		same = same && b.list[id].State == x.State && b.list[id].Here == x.Here
+		same = same && b.list[id].State == x.State && b.list[id].Reachable == x.Reachable
 	}
 	b.list, b.now = list, now
 	b.mu.Unlock()
 	if !same {
 		b.said++
-		b.i.runner.Take(leasedtask.Section, leasedtask.Doubts{Seq: b.said, Of: doubts})
+		b.i.runner.NotifyParticipant(
+			leasedtask.Section,
+			leasedtask.Suspicions{Sequence: b.said, Members: doubts},
+		)
 	}
 }
 
@@ -181,8 +186,8 @@
 	return "one that is gone"
 }
 
-// Seems implements control.Host.
-func (i *Instance) Seems(id uint64) (s controlapi.Seeming, known bool) {
+// MemberState implements control.Host.
+func (i *Instance) MemberState(id uint64) (s controlapi.MemberState, known bool) {
 	b := i.beliefs
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -190,13 +195,13 @@
 	if !known {
 		return s, false
 	}
-	now := consensus.Boottime()
-	s = controlapi.Seeming{State: x.State.String(), For: now - x.Since}
-	if !x.Here {
-		s.Unreached = now - x.HereSince
+	now := consensus.BootTime()
+	s = controlapi.MemberState{State: x.State.String(), Duration: now - x.Since}
+	if !x.Reachable {
+		s.UnreachableFor = now - x.ReachableSince
 	}
-	for _, by := range x.By {
-		s.By = append(s.By, uint64(by))
+	for _, by := range x.SuspectedBy {
+		s.SuspectedBy = append(s.SuspectedBy, uint64(by))
 	}
 	return s, true
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -8,9 +8,9 @@
 // operators is the node as those see it who call at the second address.
 type operators struct{ *Node }
 
-var _ adminproto.Node = operators{}
+var _ adminproto.Handler = operators{}
 
-func (o operators) Figures(dst []byte) []byte { return o.front.Figures(dst) }
+func (o operators) AppendMetrics(dst []byte) []byte { return o.front.AppendMetrics(dst) }
 
 // Ready is of this process: while another takes its place, one of the two says no.
 func (o operators) Ready() error {
@@ -20,27 +20,27 @@
 	return o.upgrade.ready()
 }
 
-// Ban takes a next hop out at all cores, whichever front it belongs to.
-func (o operators) Ban(id string) error {
+// StartMaintenance takes a next hop out at all cores, whichever front it belongs to.
+func (o operators) StartMaintenance(id string) error {
 	if err := o.listed(id); err != nil {
 		return err
 	}
 	for _, c := range o.cores {
-		c.Ban(id)
+		c.StartMaintenance(id)
 	}
 	o.upgrade.tell(id, true)
 	o.log.WithField("worker", id).Info("taken out by an operator")
 	return nil
 }
 
-// Unban puts it back. Put back when it was not out is a yes, and changes nothing.
-func (o operators) Unban(id string) error {
+// EndMaintenance puts it back. Put back when it was not out is a yes, and changes nothing.
+func (o operators) EndMaintenance(id string) error {
 	if err := o.listed(id); err != nil {
 		return err
 	}
 	was := false
 	for _, c := range o.cores {
-		was = c.Unban(id) || was
+		was = c.EndMaintenance(id) || was
 	}
 	if o.upgrade.tell(id, false); was {
 		o.log.WithField("worker", id).Info("put back by an operator")
@@ -50,21 +50,21 @@
 
 func (o operators) listed(id string) error {
 	for _, c := range o.cores {
-		if c.Listed(id) {
+		if c.EverListed(id) {
 			return nil
 		}
 	}
-	return broker.ErrUnlisted
+	return broker.ErrNeverListed
 }
 
 func (o operators) Standby() error {
-	o.front.Standby()
+	o.front.BeginStandby()
 	o.idle(true)
 	return nil
 }
 
-func (o operators) Active() error {
-	err := o.front.Active()
+func (o operators) EndStandby() error {
+	err := o.front.EndStandby()
 	if err == nil {
 		o.idle(false)
 	}
@@ -72,7 +72,7 @@
 }
 
 func (o operators) idle(on bool) {
-	if o.Idle != nil {
-		o.Idle(on)
+	if o.OnStandby != nil {
+		o.OnStandby(on)
 	}
 }
--- a/internal/node/preview.go
+++ b/internal/node/preview.go
@@ -15,9 +15,9 @@
 // mostLines is how many triggers, or accounts, a preview names.
 const mostLines = 50
 
-// Preview implements control.Host: what a document would do, a line each: when triggers come next, what
-// accounts may send where, and what changes hands.
-func (i *Instance) Preview(d *clusterstate.Document, from time.Time) ([]string, error) {
+// PreviewTriggers implements control.Host: what a document would do, a line each: when triggers come next,
+// what accounts may send where, and what changes hands.
+func (i *Instance) PreviewTriggers(d *clusterstate.Document, from time.Time) ([]string, error) {
 	lines, err := i.nextOf(d, from)
 	if err != nil {
 		return nil, err
@@ -28,24 +28,24 @@
 // accountsOf says what accounts may send, and what each instance may admit of it by itself.
 func accountsOf(d *clusterstate.Document) (lines []string) {
 	p := limitsOf(d)
-	names := slices.Sorted(maps.Keys(p.Accounts))
+	names := slices.Sorted(maps.Keys(p.AccountLimits))
 	for _, name := range names[:min(len(names), mostLines)] {
-		lines = append(lines, fmt.Sprintf("account %s: %s", name, p.Describe(p.Accounts[name])))
+		lines = append(lines, fmt.Sprintf("account %s: %s", name, p.Describe(p.AccountLimits[name])))
 	}
 	if n := len(names) - mostLines; n > 0 {
 		lines = append(lines, fmt.Sprintf("and %d accounts more", n))
 	}
-	if p.Default != nil {
-		lines = append(lines, "any other account: "+p.Describe(*p.Default))
+	if p.DefaultLimit != nil {
+		lines = append(lines, "any other account: "+p.Describe(*p.DefaultLimit))
 	}
 	return lines
 }
 
 // ownersOf says what other weights would have change hands, of the instances that are there now.
 func (i *Instance) ownersOf(d *clusterstate.Document) (lines []string) {
-	now := i.runner.Status().View
+	now := i.runner.Status().PlacementView
 	then := placement.View{Members: slices.Clone(now.Members)}
-	by, _ := weights.Read(d.Sections[weights.Section])
+	by, _ := weights.Parse(d.Sections[weights.Section])
 	for k := range then.Members {
 		m := &then.Members[k]
 		m.Weight = by[m.Name]
@@ -57,23 +57,23 @@
 	if slices.Equal(now.Members, then.Members) {
 		return lines
 	}
-	before, after := placement.Of(now), placement.Of(then)
-	was, is := before.Shares(), after.Shares()
+	before, after := placement.NewTable(now), placement.NewTable(then)
+	was, is := before.OwnedFractions(), after.OwnedFractions()
 	for _, m := range then.Members {
 		lines = append(lines, fmt.Sprintf("%s owns %.0f%% of accounts and triggers, %.0f%% now", m.Name,
 			100*is[m.Member], 100*was[m.Member]))
 	}
-	return append(lines, fmt.Sprintf("%.0f%% of them change hands", 100*before.Moved(after)))
+	return append(lines, fmt.Sprintf("%.0f%% of them change hands", 100*before.MovedFraction(after)))
 }
 
 // nextOf says when each trigger of a document comes next.
 func (i *Instance) nextOf(d *clusterstate.Document, from time.Time) ([]string, error) {
 	p := triggersOf(d)
-	plans, err := p.Plans(i.zones)
+	plans, err := p.Recurrences(i.zones)
 	if err != nil || len(plans) == 0 {
 		return nil, err
 	}
-	lines := []string{fmt.Sprintf("zone rules here: zones = \"%016x\"", i.zones.Version(p.ZoneNames()))}
+	lines := []string{fmt.Sprintf("zone rules here: zones = \"%016x\"", i.zones.RulesVersion(p.ZoneNames()))}
 	for k, plan := range plans[:min(len(plans), mostLines)] {
 		t := &p.Triggers[k]
 		if t.Paused {
@@ -88,9 +88,13 @@
 				break
 			}
 			at = o.At
-			line += " " + o.Name.String()
-			if o.Deed != calendar.Plain {
-				line += fmt.Sprintf(" (at %s: %v)", time.Unix(o.Wall, 0).UTC().Format("01-02T15:04"), o.Deed)
+			line += " " + o.LocalTime.String()
+			if o.Adjustment != calendar.Unadjusted {
+				line += fmt.Sprintf(
+					" (at %s: %v)",
+					time.Unix(o.WallClock, 0).UTC().Format("01-02T15:04"),
+					o.Adjustment,
+				)
 			}
 		}
 		lines = append(lines, line)
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -23,11 +23,11 @@
 type rates struct {
 	i         *Instance
 	log       logrus.FieldLogger
-	front     *ratelimit.Front
+	front     *ratelimit.Limiter
 	authority *ratelimit.Authority
 	table     *placement.Table
-	standing  consensus.Standing
-	own       placement.Seat // as it was when the table was told
+	standing  consensus.ClusterView
+	own       placement.Session // as it was when the table was told
 	timer     *eventloop.Timer
 	refused   atomic.Uint64
 	since     map[ratelimit.Key]uint64 // refused since the last line of the log
@@ -45,7 +45,7 @@
 
 func newRates(i *Instance) *rates {
 	return &rates{i: i, log: i.log.WithField("part", "rates"), authority: ratelimit.NewAuthority(),
-		front: ratelimit.NewFront(consensus.Boottime()), since: map[ratelimit.Key]uint64{}}
+		front: ratelimit.NewLimiter(consensus.BootTime()), since: map[ratelimit.Key]uint64{}}
 }
 
 func (r *rates) open() {
@@ -54,7 +54,7 @@
 
 // limitsOf is what a document says of rates. It has been validated.
 func limitsOf(d *clusterstate.Document) ratelimit.Policy {
-	p, _ := ratelimit.ReadPolicy(d.Sections[ratelimit.Section], classesOf(d))
+	p, _ := ratelimit.ParsePolicy(d.Sections[ratelimit.Section], classesOf(d))
 	return p
 }
 
@@ -74,66 +74,70 @@
 
 // configure takes over what the configuration in force says, in the turn in which the fronts run it.
 func (r *rates) configure(p ratelimit.Policy) {
-	now := consensus.Boottime()
+	now := consensus.BootTime()
 	if p.Version == r.front.Policy().Version {
 		return
 	}
 	r.front.Configure(now, p)
 	r.authority.Configure(now, p)
 	header := ""
-	if p.Version != 0 && p.Account != ratelimit.Tenant {
-		header = p.Account
+	if p.Version != 0 && p.AccountHeader != ratelimit.AccountIsTenant {
+		header = p.AccountHeader
 	}
-	r.i.node.front.SetAccount(header)
+	r.i.node.front.SetAccountHeader(header)
 	r.i.gate.note("rates %d", p.Version)
 	r.timer.Stop()
 	if p.Version != 0 {
-		r.log.WithFields(logrus.Fields{"accounts": len(p.Accounts), "tick": p.Tick, "term": p.Term}).
-			Info("accounts' rates are kept over all fronts")
-		r.timer = r.i.node.loop.After(p.Tick, r.tick)
+		r.log.WithFields(
+			logrus.Fields{"accounts": len(p.AccountLimits), "tick": p.TickInterval, "term": p.GrantDuration},
+		).
+			Info(
+				"accounts' rates are kept over all fronts",
+			)
+		r.timer = r.i.node.loop.After(p.TickInterval, r.tick)
 	}
 }
 
 // stands implements follower.
-func (r *rates) stands(s consensus.Standing) {
+func (r *rates) stands(s consensus.ClusterView) {
 	tables := make([]*placement.Table, len(s.Views))
 	for n, v := range s.Views {
-		tables[n] = placement.Of(v)
+		tables[n] = placement.NewTable(v)
 	}
 	r.i.node.loop.Post(func() {
-		now := consensus.Boottime()
-		skipped := s.Skipped
+		now := consensus.BootTime()
+		skipped := s.SnapshotInstalled
 		for _, t := range tables {
 			r.view(now, t, s, skipped)
 			skipped = false
 		}
-		if len(tables) == 0 && s.Own != r.own && r.table != nil {
+		if len(tables) == 0 && s.Session != r.own && r.table != nil {
 			r.view(now, r.table, s, false)
 		}
 		r.standing = s
 	})
 }
 
-func (r *rates) view(now time.Duration, t *placement.Table, s consensus.Standing, skipped bool) {
-	own := placement.Seat{}
+func (r *rates) view(now time.Duration, t *placement.Table, s consensus.ClusterView, skipped bool) {
+	own := placement.Session{}
 	for _, m := range t.View.Members {
-		if m.Seat == s.Own {
-			own = s.Own
+		if m.Session == s.Session {
+			own = s.Session
 		}
 	}
-	r.table, r.own = t, s.Own
-	r.front.View(now, t, own)
-	r.authority.View(now, t, own, s.Lease, skipped)
+	r.table, r.own = t, s.Session
+	r.front.SetView(now, t, own)
+	r.authority.SetView(now, t, own, s.LeaseDuration, skipped)
 	r.i.gate.note("view %d %d", t.View.Number, len(t.View.Members))
 }
 
 // take admits a job by its account's rate, or says when to come back.
-func (r *rates) take(now time.Duration, t *broker.Transaction) (broker.Refusal, bool) {
-	if !r.front.Limited() {
-		return broker.Refusal{}, true
+func (r *rates) take(now time.Duration, t *broker.Request) (broker.Rejection, bool) {
+	if !r.front.Enabled() {
+		return broker.Rejection{}, true
 	}
 	account, class := t.Account, r.i.names.Classes[t.Class]
-	if r.front.Policy().Account == ratelimit.Tenant {
+	if r.front.Policy().AccountHeader == ratelimit.AccountIsTenant {
 		if account = ""; t.Tenant < len(r.i.names.Tenants) {
 			account = r.i.names.Tenants[t.Tenant]
 		}
@@ -141,18 +145,21 @@
 	if len(account) > longestName {
 		account = account[:longestName] // a name is no place to keep things
 	}
-	no, ok := r.front.Take(now, account, class)
+	no, ok := r.front.Admit(now, account, class)
 	if ok {
 		if r.i.gate.journal != nil {
 			fmt.Fprintf(r.i.gate.journal, "%d rate %q %q\n", now, account, class)
 		}
-		return broker.Refusal{}, true
+		return broker.Rejection{}, true
 	}
 	r.refused.Add(1)
 	if len(r.since) < mostNamed || r.since[no.Key] > 0 {
 		r.since[no.Key]++
 	}
-	return broker.Refusal{Why: fmt.Sprintf("account %q has used its rate", no.Key), After: no.After}, false
+	return broker.Rejection{
+		Reason:     fmt.Sprintf("account %q has used its rate", no.Key),
+		RetryAfter: no.RetryAfter,
+	}, false
 }
 
 // tick says what is to be said of slices.
@@ -161,22 +168,23 @@
 // is now, and what goes out ends at its front by a time that the front read itself.
 func (r *rates) tick() {
 	p := r.front.Policy()
-	r.timer = r.i.node.loop.After(p.Tick, r.tick)
-	now := consensus.Boottime()
+	r.timer = r.i.node.loop.After(p.TickInterval, r.tick)
+	now := consensus.BootTime()
 	asks, lefts := r.front.Tick(now)
 	for seat, asks := range asks {
 		if seat == r.own {
 			for _, a := range asks {
-				r.authority.Hear(now, seat, a)
+				r.authority.ReceiveRequest(now, seat, a)
 			}
 			continue
 		}
 		for part := range slices.Chunk(asks, mostWords) {
 			m := r.message(seat)
 			for _, a := range part {
-				m.Asks = append(m.Asks, &schema.RateAsk{Account: a.Account, Class: a.Class, Report: a.Report,
-					Acked: a.Acked, Kept: uint64(a.Kept), Back: uint64(a.Back), Want: uint64(a.Want),
-					AskedNs: int64(a.Asked)})
+				m.Asks = append(m.Asks, &schema.RateAsk{Account: a.Account, Class: a.Class, Report: a.Seq,
+					Acked: a.AckedGrant, Kept: uint64(a.Remaining), Back: uint64(a.Returned),
+					Want:    uint64(a.Wanted),
+					AskedNs: int64(a.SentAt)})
 			}
 			r.send(seat, m)
 		}
@@ -184,7 +192,7 @@
 	// Hazard: what an owner cedes must be there before its word that it has left, by which less is known.
 	r.tellCessions()
 	r.tellLeft(now, lefts)
-	if now < r.standing.Until {
+	if now < r.standing.ExpiresAt {
 		r.tellGrants(now)
 	}
 	if len(r.since) > 0 && now-r.logged > logEvery {
@@ -196,33 +204,33 @@
 const mostWords = 5000
 
 func (r *rates) tellCessions() {
-	for seat, c := range r.authority.Cessions() {
+	for seat, c := range r.authority.PendingTransfers() {
 		m := r.message(seat)
 		m.FromEpoch = c.From.Epoch // it may have no session any more
 		m.Cession = &schema.RateCession{View: c.View, Shards: map[uint32]int64{}}
 		for s, x := range c.Shards {
-			m.Cession.Shards[uint32(s)] = int64(x.Lent)
+			m.Cession.Shards[uint32(s)] = int64(x.FilledFor)
 		}
-		for _, b := range c.Books {
+		for _, b := range c.Buckets {
 			m.Cession.Books = append(m.Cession.Books, &schema.RateBook{Account: b.Account, Class: b.Class,
-				Level: uint64(b.Level), Out: uint64(b.Out)})
+				Level: uint64(b.Level), Out: uint64(b.Outstanding)})
 		}
 		r.send(seat, m)
 	}
 }
 
-func (r *rates) tellLeft(now time.Duration, lefts map[placement.Seat][]ratelimit.Left) {
+func (r *rates) tellLeft(now time.Duration, lefts map[placement.Session][]ratelimit.DrainConfirmation) {
 	for seat, words := range lefts {
 		for _, l := range words {
 			if seat == r.own {
-				r.authority.Leave(now, seat, l)
+				r.authority.ReceiveDrainConfirmation(now, seat, l)
 				continue
 			}
 			m := r.message(seat)
 			m.Left = &schema.RateLeft{View: l.View, Total: uint64(l.Total)}
-			for _, b := range l.Books {
+			for _, b := range l.Buckets {
 				m.Left.Books = append(m.Left.Books, &schema.RateBook{Account: b.Account, Class: b.Class,
-					Out: uint64(b.Out)})
+					Out: uint64(b.Outstanding)})
 			}
 			r.send(seat, m)
 		}
@@ -233,7 +241,7 @@
 	for seat, grants := range r.authority.Tick(now) {
 		if seat == r.own {
 			for _, g := range grants {
-				r.front.Granted(now, seat, g)
+				r.front.ReceiveGrant(now, seat, g)
 			}
 			continue
 		}
@@ -242,7 +250,8 @@
 			for _, g := range part {
 				m.View = g.View
 				m.Grants = append(m.Grants, &schema.RateGrant{Account: g.Account, Class: g.Class,
-					Report: g.Report, Seq: g.Seq, Jobs: uint64(g.Jobs), AskedNs: int64(g.Asked)})
+					Report: g.RequestSeq, Seq: g.Seq, Jobs: uint64(g.Tokens),
+					AskedNs: int64(g.RequestSentAt)})
 			}
 			r.send(seat, m)
 		}
@@ -264,11 +273,11 @@
 	r.logged = now
 }
 
-func (r *rates) message(to placement.Seat) *schema.RateMessage {
+func (r *rates) message(to placement.Session) *schema.RateMessage {
 	return &schema.RateMessage{Version: r.front.Policy().Version, FromEpoch: r.own.Epoch, ToEpoch: to.Epoch}
 }
 
-func (r *rates) send(to placement.Seat, m *schema.RateMessage) {
+func (r *rates) send(to placement.Session, m *schema.RateMessage) {
 	for _, x := range r.i.runner.Status().Members {
 		if x.ID == to.Member {
 			to := clusterstate.Member{ID: x.ID, Name: x.Name, Address: x.Address}
@@ -278,14 +287,17 @@
 	}
 }
 
-func cessionOf(m *schema.RateCession) *ratelimit.Cession {
-	c := &ratelimit.Cession{View: m.View, Shards: map[int]ratelimit.Shard{}}
+func cessionOf(m *schema.RateCession) *ratelimit.Transfer {
+	c := &ratelimit.Transfer{View: m.View, Shards: map[int]ratelimit.TransferredShard{}}
 	for s, lent := range m.Shards {
-		c.Shards[int(s)] = ratelimit.Shard{Lent: time.Duration(lent)}
+		c.Shards[int(s)] = ratelimit.TransferredShard{FilledFor: time.Duration(lent)}
 	}
 	for _, b := range m.Books {
-		c.Books = append(c.Books, ratelimit.Ceded{Key: ratelimit.Key{Account: b.Account, Class: b.Class},
-			Level: int(min(b.Level, 1<<40)), Out: int(min(b.Out, 1<<40))})
+		c.Buckets = append(
+			c.Buckets,
+			ratelimit.BucketState{Key: ratelimit.Key{Account: b.Account, Class: b.Class},
+				Level: int(min(b.Level, 1<<40)), Outstanding: int(min(b.Out, 1<<40))},
+		)
 	}
 	return c
 }
@@ -298,35 +310,48 @@
 		if m.Version != r.front.Policy().Version || m.Version == 0 || m.ToEpoch != r.own.Epoch {
 			return
 		}
-		now, seat := consensus.Boottime(), placement.Seat{Member: from, Epoch: m.FromEpoch}
+		now, seat := consensus.BootTime(), placement.Session{Member: from, Epoch: m.FromEpoch}
 		if m.Cession != nil {
 			c := cessionOf(m.Cession)
 			c.From = seat
-			r.authority.Take(now, c)
+			r.authority.ReceiveTransfer(now, c)
 		}
 		if l := m.Left; l != nil {
-			left := ratelimit.Left{View: l.View, Total: int(min(l.Total, 1<<30))}
+			left := ratelimit.DrainConfirmation{View: l.View, Total: int(min(l.Total, 1<<30))}
 			for _, b := range l.Books {
-				left.Books = append(left.Books, ratelimit.Ceded{Key: ratelimit.Key{Account: b.Account,
-					Class: b.Class}, Out: int(min(b.Out, 1<<40))})
+				left.Buckets = append(
+					left.Buckets,
+					ratelimit.BucketState{Key: ratelimit.Key{Account: b.Account,
+						Class: b.Class}, Outstanding: int(min(b.Out, 1<<40))},
+				)
 			}
-			r.authority.Leave(now, seat, left)
+			r.authority.ReceiveDrainConfirmation(now, seat, left)
 		}
 		for _, a := range m.Asks {
 			if most := uint64(1 << 40); a.Kept > most || a.Back > most || a.Want > most {
 				continue // no front has so much
 			}
-			r.authority.Hear(now, seat, ratelimit.Ask{Key: ratelimit.Key{Account: a.Account, Class: a.Class},
-				Report: a.Report, Acked: a.Acked, Kept: int(a.Kept), Back: int(a.Back), Want: int(a.Want),
-				Asked: time.Duration(a.AskedNs)})
+			r.authority.ReceiveRequest(
+				now,
+				seat,
+				ratelimit.TokenRequest{Key: ratelimit.Key{Account: a.Account, Class: a.Class},
+					Seq: a.Report, AckedGrant: a.Acked, Remaining: int(a.Kept), Returned: int(a.Back),
+					Wanted: int(a.Want),
+					SentAt: time.Duration(a.AskedNs)},
+			)
 		}
 		for _, g := range m.Grants {
 			if g.AskedNs > int64(now) || g.Jobs > 1<<40 {
 				continue // what was asked for in the time to come
 			}
-			r.front.Granted(now, seat, ratelimit.Grant{Key: ratelimit.Key{Account: g.Account, Class: g.Class},
-				Report: g.Report, Seq: g.Seq, Jobs: int(g.Jobs), Asked: time.Duration(g.AskedNs),
-				View: m.View})
+			r.front.ReceiveGrant(
+				now,
+				seat,
+				ratelimit.Grant{Key: ratelimit.Key{Account: g.Account, Class: g.Class},
+					RequestSeq: g.Report, Seq: g.Seq, Tokens: int(g.Jobs),
+					RequestSentAt: time.Duration(g.AskedNs),
+					View:          m.View},
+			)
 		}
 	})
 }
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -16,10 +16,10 @@
 // a file under the key "toml".
 const RoutesSection = "routes"
 
-// Rules are what all instances check documents by. Zones and kinds are each instance's
+// DocumentRules are what all instances check documents by. Zones and kinds are each instance's
 // own, and not checked here.
-func Rules() clusterstate.Rules {
-	return clusterstate.Rules{Sections: map[string]clusterstate.SectionRule{RoutesSection: checkRoutes}}
+func DocumentRules() clusterstate.Rules {
+	return clusterstate.Rules{Sections: map[string]clusterstate.SectionValidator{RoutesSection: checkRoutes}}
 }
 
 func checkRoutes(d *clusterstate.Document, values map[string]string) []string {
@@ -30,7 +30,7 @@
 		}
 	}
 	slices.Sort(wrong)
-	names := routing.Names{Classes: []string{}, Tenants: []string{}}
+	names := routing.KnownNames{Classes: []string{}, Tenants: []string{}}
 	for _, c := range d.Classes {
 		names.Classes = append(names.Classes, c.Name)
 	}
@@ -125,16 +125,16 @@
 	}
 	h := &i.node.cores[at]
 	j := &routing.Job{
-		Front:  front,
-		Class:  slices.Index(i.names.Classes, in.Class),
-		Host:   in.Host,
-		Path:   in.Path,
-		Tenant: slices.Index(i.names.Tenants, in.Tenant),
-		Key:    in.Key,
-		Queue:  in.Queue,
-		Type:   in.Jobtype,
-		Header: func(name string) string { return in.Header[name] },
-		Cost:   time.Duration(in.CostUs) * time.Microsecond,
+		Frontend: front,
+		Class:    slices.Index(i.names.Classes, in.Class),
+		Host:     in.Host,
+		Path:     in.Path,
+		Tenant:   slices.Index(i.names.Tenants, in.Tenant),
+		RouteKey: in.Key,
+		Queue:    in.Queue,
+		JobType:  in.Jobtype,
+		Header:   func(name string) string { return in.Header[name] },
+		CostHint: time.Duration(in.CostUs) * time.Microsecond,
 	}
 	if in.Class != "" && j.Class < 0 {
 		return nil, fmt.Errorf("there is no class %q", in.Class)
@@ -146,27 +146,27 @@
 	if h.table != nil {
 		d = h.table.Decide(j)
 	}
-	out := &schema.ExplainRouteReply{Refused: d.Refused}
+	out := &schema.ExplainRouteReply{Refused: d.RejectReason}
 	if d.Rule != nil {
-		out.Rule = fmt.Sprintf("rule %d (%s), %v", d.Rule.Number, d.Rule.Name, d.Rule.Place)
+		out.Rule = fmt.Sprintf("rule %d (%s), %v", d.Rule.Number, d.Rule.Name, d.Rule.Position)
 	}
-	if d.Class < 0 || d.Refused != "" {
+	if d.Class < 0 || d.RejectReason != "" {
 		return out, nil
 	}
 	out.Class = i.names.Classes[d.Class]
 	pools := []string{"any worker"}
 	if r, ok := d.Route.(*routing.Route); ok && r != nil {
-		pools = r.Pools()
+		pools = r.PoolNames()
 	}
-	t := broker.Transaction{Class: d.Class, Tenant: max(j.Tenant, 0), Work: j.Cost, Route: d.Route,
-		Attempts: d.Attempts, Left: i.own.Classes[d.Class].Deadline}
+	t := broker.Request{Class: d.Class, Tenant: max(j.Tenant, 0), ExpectedWork: j.CostHint, Route: d.Route,
+		MaxAttempts: d.MaxAttempts, Timeout: i.own.Classes[d.Class].Timeout}
 	for n, pool := range pools {
 		tier := &schema.Tier{Pool: pool, Out: map[string]string{}}
 		for name, v := range h.Explain(t, n) {
-			if v.Why == "" {
+			if v.Reason == "" {
 				tier.Left = append(tier.Left, name)
 			} else {
-				tier.Out[name] = v.Why
+				tier.Out[name] = v.Reason
 			}
 		}
 		slices.Sort(tier.Left)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -40,9 +40,9 @@
 	Keys keys.Files `toml:"keys"`
 
 	// What this instance admits, acts and believes is written to this file, for audits.
-	Audit string `toml:"audit"`
+	AuditLog string `toml:"audit"`
 
-	Duties struct {
+	LeasedTasks struct {
 		// Where this instance can keep backups of what the group has agreed on.
 		Backups string `toml:"backups"`
 		// What becomes of its process when a rolling restart takes it out: "end", whoever runs it starts it
@@ -83,8 +83,11 @@
 	if err := tomlfile.Decode(path, raw, c); err != nil {
 		return nil, err
 	}
-	bad := func(key, format string, args ...any) error { return tomlfile.At(path, raw, key, format, args...) }
-	if err := keys.CheckName(c.Name); err != nil {
+	bad := func(key, format string, args ...any) error {
+		return tomlfile.ErrorAt(path, raw, key, format,
+			args...)
+	}
+	if err := keys.ValidateName(c.Name); err != nil {
 		return nil, bad("name", "%v", err)
 	}
 	for _, need := range []struct{ key, value string }{{"data", c.Data}, {"front.platform", c.Front.Platform},
@@ -114,11 +117,11 @@
 	if _, err := netip.ParseAddr(c.Peers.From); err != nil && c.Peers.From != "" {
 		return nil, bad("peers.from", "%q is not an address; it has no port", c.Peers.From)
 	}
-	if c.Duties.Out == "" {
-		c.Duties.Out = outEnds
+	if c.LeasedTasks.Out == "" {
+		c.LeasedTasks.Out = outEnds
 	}
-	if c.Duties.Out != outEnds && c.Duties.Out != outStarts {
-		return nil, bad("duties.out", "%q is neither %q nor %q", c.Duties.Out, outEnds, outStarts)
+	if c.LeasedTasks.Out != outEnds && c.LeasedTasks.Out != outStarts {
+		return nil, bad("duties.out", "%q is neither %q nor %q", c.LeasedTasks.Out, outEnds, outStarts)
 	}
 	if c.Peers.Tick == 0 {
 		c.Peers.Tick = duration(100 * time.Millisecond)
@@ -128,7 +131,7 @@
 	}
 	for _, p := range []*string{
 		&c.Data, &c.Front.Platform, &c.Front.Faktory, &c.Front.Routes, &c.Keys.CA, &c.Keys.Cert, &c.Keys.Key,
-		&c.Control.Socket, &c.Audit, &c.Duties.Backups, &c.Test.Clock} {
+		&c.Control.Socket, &c.AuditLog, &c.LeasedTasks.Backups, &c.Test.Clock} {
 		if *p != "" && !filepath.IsAbs(*p) {
 			*p = filepath.Join(filepath.Dir(path), *p)
 		}
@@ -148,17 +151,17 @@
 	}
 	p.Name = c.Name
 	if c.Front.Listen != "" {
-		p.Listen = c.Front.Listen
+		p.ListenAddress = c.Front.Listen
 	}
 	// Hazard: instances of one machine share a platform file, and can't share an address.
-	p.Admin = c.Front.Admin
-	if p.Admin != "" && p.Admin == p.Listen {
-		return nil, nil, tomlfile.At(c.path, c.raw, "front.admin",
+	p.AdminAddress = c.Front.Admin
+	if p.AdminAddress != "" && p.AdminAddress == p.ListenAddress {
+		return nil, nil, tomlfile.ErrorAt(c.path, c.raw, "front.admin",
 			"%q is the clients' address, not one of its own",
-			p.Admin)
+			p.AdminAddress)
 	}
 	if c.Front.Discovery != "" {
-		p.Discovery = c.Front.Discovery
+		p.DiscoveryAddress = c.Front.Discovery
 	}
 	var f *faktory.Config
 	if c.Front.Faktory != "" {
@@ -166,7 +169,7 @@
 			return nil, nil, err
 		}
 	}
-	if _, err := p.Settings.Brain(); err != nil {
+	if _, err := p.Settings.Balancer(); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", c.Front.Platform, err)
 	}
 	return p, f, nil
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -21,9 +21,9 @@
 	log      logrus.FieldLogger
 	policy   placement.Policy
 	set      balancer.Settings // as the fronts run them, parts apart
-	standing consensus.Standing
+	standing consensus.ClusterView
 	view     placement.View
-	parts    placement.Parts
+	parts    placement.Partitioning
 	part     [3]int // me, of, and whether there is one, as the module was told last
 	noted    string
 	timer    *eventloop.Timer
@@ -35,7 +35,7 @@
 }
 
 func sharesOf(d *clusterstate.Document) placement.Policy {
-	p, _ := placement.ReadPolicy(d.Sections[placement.Section])
+	p, _ := placement.ParsePolicy(d.Sections[placement.Section])
 	return p
 }
 
@@ -44,12 +44,12 @@
 	was := s.policy
 	s.policy, s.set, s.part = p, set, [3]int{}
 	s.apportion()
-	if was.Subset != p.Subset {
+	if was.SubsetSize != p.SubsetSize {
 		s.choose()
 	}
-	if p.Parts || p.Subset > 0 {
-		s.log.WithFields(logrus.Fields{"subset": p.Subset,
-			"parts": p.Parts}).Info("workers are shared in the group")
+	if p.SlowStartPartitions || p.SubsetSize > 0 {
+		s.log.WithFields(logrus.Fields{"subset": p.SubsetSize,
+			"parts": p.SlowStartPartitions}).Info("workers are shared in the group")
 	}
 }
 
@@ -60,14 +60,14 @@
 }
 
 // stands implements follower.
-func (s *shares) stands(x consensus.Standing) { s.i.node.loop.Post(func() { s.stand(x) }) }
+func (s *shares) stands(x consensus.ClusterView) { s.i.node.loop.Post(func() { s.stand(x) }) }
 
-func (s *shares) stand(x consensus.Standing) {
-	now := consensus.Boottime()
+func (s *shares) stand(x consensus.ClusterView) {
+	now := consensus.BootTime()
 	s.standing = x
 	for _, v := range x.Views {
 		// Others may act by the view before for a lease of theirs, by clocks at other paces.
-		s.parts.View(now, v, x.Own, rollout.Wait(x.Lease))
+		s.parts.SetView(now, v, x.Session, rollout.ExpiryWait(x.LeaseDuration))
 		s.view = v
 	}
 	s.apportion()
@@ -83,15 +83,15 @@
 // with its lease, so this is looked at again when that ends.
 func (s *shares) apportion() {
 	s.timer.Stop()
-	if !s.policy.Parts || len(s.set.Classes) == 0 {
+	if !s.policy.SlowStartPartitions || len(s.set.Classes) == 0 {
 		return
 	}
-	now := consensus.Boottime()
-	me, of, ok := s.parts.Part(now, s.standing.Until)
+	now := consensus.BootTime()
+	me, of, ok := s.parts.Partition(now, s.standing.ExpiresAt)
 	part := [3]int{me, of, 1}
 	set := s.set
 	if ok {
-		set.Me, set.Fleet = me, of
+		set.DispatcherIndex, set.DispatcherCount = me, of
 	} else {
 		part = [3]int{0, 0, 2}
 		// Nothing: a factor of 0 would be no bound at all.
@@ -120,7 +120,7 @@
 	}
 	line := "part none"
 	if ok {
-		line = fmt.Sprintf("part %d %d %d", me, of, s.standing.Until)
+		line = fmt.Sprintf("part %d %d %d", me, of, s.standing.ExpiresAt)
 	}
 	if line != s.noted {
 		s.noted = line
@@ -130,7 +130,7 @@
 
 // look ends this instance's part before a job that came while it stood still is worked on.
 func (s *shares) look(now time.Duration) {
-	if s.part[2] == 1 && now >= s.standing.Until {
+	if s.part[2] == 1 && now >= s.standing.ExpiresAt {
 		s.apportion()
 	}
 }
@@ -145,15 +145,15 @@
 	s.turn++
 	for k := range s.i.node.cores {
 		c := &s.i.node.cores[k]
-		if s.policy.Subset == 0 || s.standing.Own == (placement.Seat{}) {
-			c.Use(nil)
+		if s.policy.SubsetSize == 0 || s.standing.Session == (placement.Session{}) {
+			c.SetSubset(nil)
 			continue
 		}
 		var list []placement.Worker
-		for _, l := range c.Listings() {
+		for _, l := range c.ListedEndpoints() {
 			list = append(list, placement.Worker{Name: l.Name, Zone: l.Zone})
 		}
-		turn, members, own, size := s.turn, s.view.Members, s.standing.Own, s.policy.Subset
+		turn, members, own, size := s.turn, s.view.Members, s.standing.Session, s.policy.SubsetSize
 		// Hazard: for hundreds of instances and thousands of workers this takes longer than a job may
 		// wait.
 		go func() {
@@ -162,8 +162,8 @@
 				if s.turn != turn {
 					return
 				}
-				c.Use(use)
-				s.i.gate.note("uses %d of %d", c.Used(), len(list))
+				c.SetSubset(use)
+				s.i.gate.note("uses %d of %d", c.SubsetSize(), len(list))
 			})
 		}()
 	}
--- a/internal/node/testclock.go
+++ b/internal/node/testclock.go
@@ -10,9 +10,9 @@
 	"moorstack/internal/cluster/consensus"
 )
 
-// TestClocks is the variable of the environment without which a configuration that names a test clock is
+// TestClocksEnv is the variable of the environment without which a configuration that names a test clock is
 // refused.
-const TestClocks = "MOORSTACK_TEST_CLOCKS"
+const TestClocksEnv = "MOORSTACK_TEST_CLOCKS"
 
 // testClock is a wall clock that a test sets, by a file: at Boot on the clock that nobody sets it shows
 // Wall, and from there it runs Rate times as fast.
@@ -34,15 +34,15 @@
 }
 
 // zoneRules are the machine's, or for tests such that no other instance has.
-func (c *ServeConfig) zoneRules() (*calendar.Zones, error) {
+func (c *ServeConfig) zoneRules() (*calendar.ZoneDB, error) {
 	if c.Test.Zones == "" {
-		return calendar.NewZones(), nil
+		return calendar.NewZoneDB(), nil
 	}
-	if os.Getenv(TestClocks) != "yes" {
+	if os.Getenv(TestClocksEnv) != "yes" {
 		return nil, fmt.Errorf("other zone rules are for tests: take the line out, or start the program "+
-			"with %s=yes", TestClocks)
+			"with %s=yes", TestClocksEnv)
 	}
-	return calendar.ZonesBy(func(string) (*time.Location,
+	return calendar.NewZoneDBWithLoader(func(string) (*time.Location,
 		error) {
 		return time.LoadLocation(c.Test.Zones)
 	}), nil
@@ -53,9 +53,9 @@
 	if c.Test.Clock == "" {
 		return time.Now, nil
 	}
-	if os.Getenv(TestClocks) != "yes" {
+	if os.Getenv(TestClocksEnv) != "yes" {
 		return nil, fmt.Errorf("a clock that is set by a file is for tests: take the line out, or "+
-			"start the program with %s=yes", TestClocks)
+			"start the program with %s=yes", TestClocksEnv)
 	}
 	last, err := readTestClock(c.Test.Clock)
 	if err != nil {
@@ -66,7 +66,7 @@
 		if now, err := readTestClock(c.Test.Clock); err == nil {
 			last = now
 		}
-		passed := float64(int64(consensus.Boottime())-last.Boot) * last.Rate
+		passed := float64(int64(consensus.BootTime())-last.Boot) * last.Rate
 		return time.Unix(0, last.Wall+int64(passed))
 	}, nil
 }
--- a/internal/node/triggers.go
+++ b/internal/node/triggers.go
@@ -26,11 +26,11 @@
 	log      logrus.FieldLogger
 	policy   *schedule.Policy
 	giveUp   map[string]time.Duration // by class
-	standing consensus.Standing
-	clock    schedule.Clock
+	standing consensus.ClusterView
+	clock    schedule.ClusterClock
 	known    map[uint64]*firing // by number, until the outcome is told
 	waiting  []*firing          // to be begun, the first first
-	results  []schedule.Outcome
+	results  []schedule.FiringResult
 	timer    *eventloop.Timer
 	begun    atomic.Uint64
 	early    bool // a turn is asked for
@@ -40,7 +40,7 @@
 
 // firing is an occurrence that this instance is to fire, until it knows what became of it.
 type firing struct {
-	schedule.Item
+	schedule.Firing
 	t     *triggers
 	open  bool          // the core has it
 	again time.Duration // not before
@@ -62,7 +62,7 @@
 
 // triggersOf is what a document says of triggers. It has been validated.
 func triggersOf(d *clusterstate.Document) schedule.Policy {
-	p, _ := schedule.ReadPolicy(d.Sections[schedule.Section], schedule.Names{Classes: classesOf(d),
+	p, _ := schedule.ParsePolicy(d.Sections[schedule.Section], schedule.KnownNames{Classes: classesOf(d),
 		Tenants: tenantsOf(d)})
 	return p
 }
@@ -79,7 +79,7 @@
 func (t *triggers) configure(p *schedule.Policy, d *clusterstate.Document) {
 	t.giveUp = map[string]time.Duration{}
 	for _, c := range d.Classes {
-		t.giveUp[c.Name] = time.Duration(c.GiveUp)
+		t.giveUp[c.Name] = time.Duration(c.Deadline)
 	}
 	if p.Version == t.policy.Version {
 		return
@@ -87,7 +87,7 @@
 	t.policy = p
 	t.i.gate.note("triggers %d", p.Version)
 	t.log.WithFields(logrus.Fields{"triggers": len(p.Triggers),
-		"zones": fmt.Sprintf("%016x", t.i.zones.Version(p.ZoneNames()))}).Info("triggers are kept")
+		"zones": fmt.Sprintf("%016x", t.i.zones.RulesVersion(p.ZoneNames()))}).Info("triggers are kept")
 }
 
 // read implements follower.
@@ -99,14 +99,14 @@
 // bears says why this instance can't keep the triggers of a document.
 func (t *triggers) bears(d *clusterstate.Document) error {
 	p := triggersOf(d)
-	if _, err := p.Plans(t.i.zones); err != nil {
+	if _, err := p.Recurrences(t.i.zones); err != nil {
 		return fmt.Errorf("section %q: %w", schedule.Section, err)
 	}
 	return nil
 }
 
 // stands implements follower.
-func (t *triggers) stands(s consensus.Standing) {
+func (t *triggers) stands(s consensus.ClusterView) {
 	t.i.node.loop.Post(func() {
 		t.standing = s
 		t.soon(0)
@@ -114,19 +114,19 @@
 }
 
 // dated takes the fleet's time. It is called on the runner's goroutine.
-func (t *triggers) dated(c schedule.Clock) {
+func (t *triggers) dated(c schedule.ClusterClock) {
 	t.i.node.loop.Post(func() { t.clock = c })
 }
 
 // fire takes what this instance is to fire. It is called on the runner's goroutine.
-func (t *triggers) fire(items []schedule.Item) {
+func (t *triggers) fire(items []schedule.Firing) {
 	t.i.node.loop.Post(func() {
 		for _, item := range items {
 			f := t.known[item.Number]
 			if f != nil && f.open {
 				// Hazard: this session has ended while the job was out, and the next one has taken it
 				// over: the job that is out is the one.
-				f.Item = item
+				f.Firing = item
 				continue
 			}
 			if f == nil {
@@ -134,7 +134,7 @@
 				t.known[item.Number] = f
 				t.waiting = append(t.waiting, f)
 			}
-			f.Item = item
+			f.Firing = item
 		}
 		t.run()
 	})
@@ -155,19 +155,19 @@
 // run begins what may be begun, and tells what has ended.
 func (t *triggers) run() {
 	if len(t.results) > 0 {
-		t.i.runner.Take(schedule.Section, t.results)
+		t.i.runner.NotifyParticipant(schedule.Section, t.results)
 		t.results = nil
 	}
-	now := consensus.Boottime()
+	now := consensus.BootTime()
 	begun := 0
 	waiting := t.waiting
 	t.waiting = nil
 	for _, f := range waiting {
 		switch {
-		case f.Seat != t.standing.Own || t.leaving:
+		case f.Session != t.standing.Session || t.leaving:
 			// It surely never ran, and whoever has it next should know.
-			t.end(f, schedule.Unrun)
-		case begun >= firingsATurn || now < f.again || now >= t.standing.Until:
+			t.end(f, schedule.Released)
+		case begun >= firingsATurn || now < f.again || now >= t.standing.ExpiresAt:
 			// Hazard: the process may have stood still, and the next owner have it already.
 			t.waiting = append(t.waiting, f)
 		default:
@@ -203,7 +203,7 @@
 
 // fleet is the fleet's time, Unix seconds; 0: it is not known.
 func (t *triggers) fleet(now time.Duration) int64 {
-	return t.clock.Now(now) / int64(time.Second)
+	return t.clock.TimeAt(now) / int64(time.Second)
 }
 
 func (t *triggers) begin(f *firing, now time.Duration) {
@@ -211,14 +211,19 @@
 		return strings.Compare(a.Name, name)
 	})
 	if !ok {
-		t.log.WithField("occurrence", f.Key()).Warn("it is not fired: its trigger was removed meanwhile")
-		t.end(f, schedule.Refused)
+		t.log.WithField(
+			"occurrence",
+			f.IdempotencyKey(),
+		).Warn(
+			"it is not fired: its trigger was removed meanwhile",
+		)
+		t.end(f, schedule.Rejected)
 		return
 	}
 	tr := &t.policy.Triggers[n]
-	if f.tries > 0 && t.fleet(now)-f.At > int64((tr.Late+tr.Spread)/time.Second) {
-		t.log.WithField("occurrence", f.Key()).Error("it was refused until it was too late")
-		t.end(f, schedule.Refused)
+	if f.tries > 0 && t.fleet(now)-f.At > int64((tr.StartingDeadline+tr.MaxJitter)/time.Second) {
+		t.log.WithField("occurrence", f.IdempotencyKey()).Error("it was refused until it was too late")
+		t.end(f, schedule.Rejected)
 		return
 	}
 	class := slices.Index(t.i.names.Classes, tr.Class)
@@ -226,45 +231,55 @@
 	f.open = true
 	f.tries++
 	t.begun.Add(1)
-	t.i.gate.note("fire %q %d %d %d %v", f.Key(), f.Number, f.Seat.Epoch, f.At, f.Repeat)
-	err := t.i.node.front.Begin(platform.Planned{ID: f.Key(), Class: class, Tenant: tenant,
-		Account: tr.Account, Target: tr.Target, Body: tr.Body, Work: tr.Work, Left: t.giveUp[tr.Class],
-		Repeat: f.Repeat || f.tries > 1}, f)
+	t.i.gate.note("fire %q %d %d %d %v", f.IdempotencyKey(), f.Number, f.Session.Epoch, f.At, f.Redelivered)
+	err := t.i.node.front.SubmitScheduled(
+		platform.ScheduledRequest{ID: f.IdempotencyKey(), Class: class, Tenant: tenant,
+			Account: tr.Account, Path: tr.Path, Body: tr.Body, ExpectedWork: tr.ExpectedCost,
+			Timeout: t.giveUp[tr.Class],
+			IsRetry: f.Redelivered || f.tries > 1},
+		f,
+	)
 	if err != nil {
 		f.open = false
-		if !errors.Is(err, broker.ErrKnown) {
+		if !errors.Is(err, broker.ErrDuplicateID) {
 			t.log.WithError(err).Error("an occurrence can't be fired")
 		}
-		t.i.gate.note("answer %q %d busy", f.Key(), f.Number)
+		t.i.gate.note("answer %q %d busy", f.IdempotencyKey(), f.Number)
 		t.later(f, firingAgain)
 	}
 }
 
 func (t *triggers) later(f *firing, after time.Duration) {
-	f.again = consensus.Boottime() + max(after, firingAgain)
+	f.again = consensus.BootTime() + max(after, firingAgain)
 	t.waiting = append(t.waiting, f)
 	t.soon(firingTurn)
 }
 
 func (t *triggers) end(f *firing, r schedule.Result) {
 	delete(t.known, f.Number)
-	t.results = append(t.results, schedule.Outcome{Number: f.Number, Seat: f.Seat, Result: r})
+	t.results = append(t.results, schedule.FiringResult{Number: f.Number, Session: f.Session, Result: r})
 	t.soon(firingTurn)
 }
 
-// Answer implements core.Client: what became of the job.
-func (f *firing) Answer(a broker.Answer) {
+// Respond implements core.Client: what became of the job.
+func (f *firing) Respond(a broker.Response) {
 	f.open = false
-	word := map[broker.Kind]string{broker.Served: "served", broker.Busy: "busy", broker.Failed: "failed"}[a.Kind]
-	f.t.i.gate.note("answer %q %d %s", f.Key(), f.Number, word)
+	word := map[broker.ResponseKind]string{broker.Served: "served", broker.Rejected: "busy",
+		broker.Failed: "failed"}[a.Kind]
+	f.t.i.gate.note("answer %q %d %s", f.IdempotencyKey(), f.Number, word)
 	switch a.Kind {
 	case broker.Served:
-		f.t.end(f, schedule.Done)
-	case broker.Busy:
+		f.t.end(f, schedule.Succeeded)
+	case broker.Rejected:
 		// It surely never ran.
 		f.t.later(f, a.RetryAfter)
 	default:
-		f.t.log.WithField("occurrence", f.Key()).Error("the job of an occurrence has failed: it may have run")
+		f.t.log.WithField(
+			"occurrence",
+			f.IdempotencyKey(),
+		).Error(
+			"the job of an occurrence has failed: it may have run",
+		)
 		f.t.end(f, schedule.Failed)
 	}
 }
@@ -275,6 +290,6 @@
 		return
 	}
 	for _, e := range events {
-		t.i.gate.note("agreed %s %q %d %d %d %d", e.What, e.Key, e.Number, e.At, e.Seat.Epoch, e.Result)
+		t.i.gate.note("agreed %s %q %d %d %d %d", e.Kind, e.Key, e.Number, e.At, e.Session.Epoch, e.Result)
 	}
 }
