--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -23,24 +23,27 @@
 // upgrade carries out what the machine of the handover says.
 type upgrade struct {
 	*Node
-	place   hotrestart.Place
+	place   hotrestart.SocketPath
 	machine *hotrestart.Machine
 	link    *hotrestart.Link    // with the other process; nil: there is none
 	inlet   *eventloop.Listener // where the next process asks; nil: not open
 	held    map[string]float64  // what the successor was told of our unfinished jobs
 }
 
-var _ platform.Beside = (*upgrade)(nil)
+var _ platform.PeerProcess = (*upgrade)(nil)
 
 // join looks for a process whose place this one takes. Whatever is in the way, the node
 // starts: alone if no other is there, else beside it at a socket of its own, and strange
 // is true.
-func join(cfg *platform.Config, log logrus.FieldLogger) (hotrestart.Place, *hotrestart.Offered, bool) {
-	place := hotrestart.At(os.Getenv("TMPDIR"), cfg.Listen)
-	offered, err := place.Join(cfg.Name, cfg.Listen)
-	strange := err != nil && !errors.Is(err, hotrestart.ErrAlone)
+func join(
+	cfg *platform.Config,
+	log logrus.FieldLogger,
+) (hotrestart.SocketPath, *hotrestart.Inheritance, bool) {
+	place := hotrestart.SocketFor(os.Getenv("TMPDIR"), cfg.ListenAddress)
+	offered, err := place.Join(cfg.Name, cfg.ListenAddress)
+	strange := err != nil && !errors.Is(err, hotrestart.ErrNoParent)
 	switch {
-	case errors.Is(err, hotrestart.ErrAlone):
+	case errors.Is(err, hotrestart.ErrNoParent):
 	case err != nil:
 		log.WithError(err).Warn("the process before this one can't be taken over from; serving beside it")
 	default:
@@ -51,23 +54,27 @@
 
 // begin sets the handover up for a node that is open. Offered is nil for one that found
 // no other process.
-func (n *Node) begin(place hotrestart.Place, offered *hotrestart.Offered, began time.Duration) error {
-	u := &upgrade{Node: n, place: place, machine: hotrestart.Old()}
+func (n *Node) begin(
+	place hotrestart.SocketPath,
+	offered *hotrestart.Inheritance,
+	began time.Duration,
+) error {
+	u := &upgrade{Node: n, place: place, machine: hotrestart.NewWithoutParent()}
 	n.upgrade = u
 	if offered == nil {
 		u.next()
 		return nil
 	}
-	u.machine = hotrestart.New(began)
+	u.machine = hotrestart.NewChild(began)
 	var err error
-	if u.link, err = hotrestart.Connect(n.loop, offered.Conn, u.said, u.gone); err != nil {
+	if u.link, err = hotrestart.ConnectLink(n.loop, offered.ConnFD, u.said, u.gone); err != nil {
 		return err
 	}
 	u.share(true)
-	u.link.Send(hotrestart.Message{Type: hotrestart.IsTake})
-	n.loop.After(hotrestart.LetBy, func() {
-		if u.machine.Phase() == hotrestart.Taking {
-			u.step(hotrestart.Late)
+	u.link.Send(hotrestart.Message{Type: hotrestart.TypeChildServes})
+	n.loop.After(hotrestart.ReleaseTimeout, func() {
+		if u.machine.Phase() == hotrestart.TakingOver {
+			u.step(hotrestart.TimedOut)
 		}
 	})
 	return nil
@@ -95,17 +102,17 @@
 // asked takes the connection of a process that may want this one's place. It says so with
 // its first message.
 func (u *upgrade) asked(c *eventloop.Conn) {
-	hotrestart.Accept(c, u.said, u.gone)
+	hotrestart.AcceptLink(c, u.said, u.gone)
 }
 
 // share has the limits be for two processes, or for one.
 func (u *upgrade) share(on bool) {
-	var with platform.Beside
+	var with platform.PeerProcess
 	parts := int64(1)
 	if on {
 		with, parts = u, 2
 	}
-	u.front.Share(with)
+	u.front.SetPeerProcess(with)
 	debug.SetMemoryLimit(u.memory / parts)
 }
 
@@ -114,12 +121,12 @@
 		return // one that was refused, or said nothing
 	}
 	u.log.WithError(err).WithField("phase", u.machine.Phase().String()).Info("the other process is gone")
-	u.step(hotrestart.Gone)
+	u.step(hotrestart.PeerLost)
 }
 
 // said takes a message.
 func (u *upgrade) said(l *hotrestart.Link, m *hotrestart.Message) {
-	if m.Type == hotrestart.IsHello {
+	if m.Type == hotrestart.TypeHello {
 		u.hello(l)
 		return
 	}
@@ -128,54 +135,56 @@
 		return
 	}
 	switch m.Type {
-	case hotrestart.IsTake:
-		u.step(hotrestart.Take)
-	case hotrestart.IsTaken:
-		u.front.Theirs(m.IDs)
-		u.step(hotrestart.Taken)
-	case hotrestart.IsEmpty:
-		u.step(hotrestart.Empty)
-	case hotrestart.IsCall:
-		u.front.Called(m.Body)
-		u.link.Send(hotrestart.Message{Type: hotrestart.IsHeard, Number: m.Number})
-	case hotrestart.IsHeard:
-		u.front.Heard(m.Number)
-	case hotrestart.IsBegun:
-		u.front.Theirs(m.IDs)
-	case hotrestart.IsJob:
+	case hotrestart.TypeChildServes:
+		u.step(hotrestart.ChildServes)
+	case hotrestart.TypeParentReleased:
+		u.front.AddPeerRequests(m.RequestIDs)
+		u.step(hotrestart.ParentReleased)
+	case hotrestart.TypeParentDrained:
+		u.step(hotrestart.ParentDrained)
+	case hotrestart.TypeCallBack:
+		u.front.HandleForwardedCallBack(m.Body)
+		u.link.Send(
+			hotrestart.Message{Type: hotrestart.TypeCallBackHandled, CallBackNumber: m.CallBackNumber},
+		)
+	case hotrestart.TypeCallBackHandled:
+		u.front.CallBackHandled(m.CallBackNumber)
+	case hotrestart.TypeRequestsBegun:
+		u.front.AddPeerRequests(m.RequestIDs)
+	case hotrestart.TypeMigratedRequest:
 		fd, ok := l.TakeFD()
 		if !ok {
 			u.log.Error("an open job came without its client's connection")
 			return
 		}
-		if err := u.front.Foster(m.Job, fd); err != nil {
+		if err := u.front.AdoptRequest(m.Request, fd); err != nil {
 			u.log.WithError(err).Error("an open job is lost")
 		}
-	case hotrestart.IsHeld:
-		u.cores[0].Beside(m.Held)
-	case hotrestart.IsBan:
-		u.banned(m.Ban)
+	case hotrestart.TypeInFlight:
+		u.cores[0].SetOtherInFlight(m.InFlight)
+	case hotrestart.TypeMaintenance:
+		u.banned(m.Maintenance)
 	}
 }
 
 func (u *upgrade) hello(l *hotrestart.Link) {
 	was := u.link
-	for _, e := range u.machine.Step(hotrestart.Asked) {
-		if e == hotrestart.Refuse {
-			l.Refuse("the process is " + u.machine.Phase().String())
+	for _, e := range u.machine.Step(hotrestart.TakeoverRequested) {
+		if e == hotrestart.RejectRequest {
+			l.Reject("the process is " + u.machine.Phase().String())
 			continue
 		}
 		u.link = l
 		if err := u.offer(); err != nil {
 			u.log.WithError(err).Error("the state can't be passed on")
-			u.step(hotrestart.Gone)
+			u.step(hotrestart.PeerLost)
 			return
 		}
 		u.share(true)
-		u.loop.After(hotrestart.TakeBy, func() {
+		u.loop.After(hotrestart.ChildServesTimeout, func() {
 			if u.link == l && u.machine.Phase() == hotrestart.Offering {
 				u.log.Warn("the process that asked for this one's place does not serve in time")
-				u.step(hotrestart.Late)
+				u.step(hotrestart.TimedOut)
 			}
 		})
 	}
@@ -189,32 +198,44 @@
 	if len(u.cores) != 1 {
 		return errTwoCores
 	}
-	passed := u.cores[0].Pass()
-	generation, list, err := u.front.List()
+	passed := u.cores[0].ExportState()
+	generation, list, err := u.front.CurrentList()
 	if err != nil {
 		return err
 	}
-	s := &hotrestart.State{Generation: generation, Instances: list, Known: passed.Known, Module: passed.Module,
-		Now: u.loop.Now(), Starts: u.front.Starts()}
-	s.Discovery, s.Written = u.front.Discovery()
-	for name, since := range passed.Bans {
-		s.Bans = append(s.Bans, hotrestart.Ban{Name: name, Out: true, Since: since})
+	s := &hotrestart.State{
+		Generation:     generation,
+		Instances:      list,
+		KnownEndpoints: passed.KnownNames,
+		Balancer:       passed.Balancer,
+		SentAt:         u.loop.Now(),
+		WorkerStarts:   u.front.WorkerStarts(),
 	}
-	for name, t := range passed.Back {
-		s.Bans = append(s.Bans, hotrestart.Ban{Name: name, Since: t[0], Ended: t[1]})
+	s.DiscoveryAddress, s.ConfiguredDiscovery = u.front.DiscoveryAddresses()
+	for name, since := range passed.UnderMaintenance {
+		s.Maintenance = append(
+			s.Maintenance,
+			hotrestart.Maintenance{Endpoint: name, Active: true, StartedAt: since},
+		)
 	}
-	return u.link.Offer(s, u.front.Socket())
+	for name, t := range passed.ReturnedFromMaintenance {
+		s.Maintenance = append(
+			s.Maintenance,
+			hotrestart.Maintenance{Endpoint: name, StartedAt: t[0], EndedAt: t[1]},
+		)
+	}
+	return u.link.SendState(s, u.front.ListenerFD())
 }
 
 // passed is a state as the core takes it.
-func passed(s *hotrestart.State) broker.Passed {
-	p := broker.Passed{Known: s.Known, Bans: map[string]time.Duration{},
-		Back: map[string][2]time.Duration{}, Module: s.Module}
-	for _, b := range s.Bans {
-		if b.Out {
-			p.Bans[b.Name] = b.Since
+func passed(s *hotrestart.State) broker.ProcessState {
+	p := broker.ProcessState{KnownNames: s.KnownEndpoints, UnderMaintenance: map[string]time.Duration{},
+		ReturnedFromMaintenance: map[string][2]time.Duration{}, Balancer: s.Balancer}
+	for _, b := range s.Maintenance {
+		if b.Active {
+			p.UnderMaintenance[b.Endpoint] = b.StartedAt
 		} else {
-			p.Back[b.Name] = [2]time.Duration{b.Since, b.Ended}
+			p.ReturnedFromMaintenance[b.Endpoint] = [2]time.Duration{b.StartedAt, b.EndedAt}
 		}
 	}
 	return p
@@ -225,18 +246,20 @@
 	before := u.machine.Phase()
 	for _, e := range u.machine.Step(event) {
 		switch e {
-		case hotrestart.LetGo:
-			u.front.LetGo()
-			u.link.Send(hotrestart.Message{Type: hotrestart.IsTaken, IDs: u.cores[0].Open()})
+		case hotrestart.StopAccepting:
+			u.front.StopAccepting()
+			u.link.Send(
+				hotrestart.Message{Type: hotrestart.TypeParentReleased, RequestIDs: u.cores[0].OpenIDs()},
+			)
 			u.poll()
-		case hotrestart.Resume:
-			u.front.TakeBack()
-		case hotrestart.Grow:
+		case hotrestart.ResumeAccepting:
+			u.front.ResumeAccepting()
+		case hotrestart.RestoreLimits:
 			u.share(false)
-			u.cores[0].Beside(nil)
-		case hotrestart.Next:
+			u.cores[0].SetOtherInFlight(nil)
+		case hotrestart.ListenForChild:
 			u.next()
-		case hotrestart.Hangup:
+		case hotrestart.CloseLink:
 			if u.link != nil {
 				u.link.Close()
 				u.link = nil
@@ -251,51 +274,57 @@
 // poll tells the successor what this process has unfinished, and once it owes no client
 // anything.
 func (u *upgrade) poll() {
-	if u.machine.Phase() != hotrestart.Handed || u.link == nil {
+	if u.machine.Phase() != hotrestart.ParentDraining || u.link == nil {
 		return
 	}
-	if held := u.cores[0].Held(); !maps.Equal(held, u.held) {
+	if held := u.cores[0].InFlight(); !maps.Equal(held, u.held) {
 		u.held = held
-		u.link.Send(hotrestart.Message{Type: hotrestart.IsHeld, Held: held})
+		u.link.Send(hotrestart.Message{Type: hotrestart.TypeInFlight, InFlight: held})
 	}
-	if end := u.front.Ends(); end > 0 && u.loop.Now() >= end+hotrestart.GiveAfter {
-		if n := u.front.GiveAway(u.link.Job); n > 0 {
+	if end := u.front.ShutdownRequestedAt(); end > 0 && u.loop.Now() >= end+hotrestart.MigrateAfter {
+		if n := u.front.MigrateRequests(u.link.SendRequest); n > 0 {
 			u.log.WithField("jobs", n).Info("open jobs are the other process's now")
 		}
 	}
-	if u.front.Alone() {
-		u.link.Send(hotrestart.Message{Type: hotrestart.IsEmpty})
+	if u.front.Drained() {
+		u.link.Send(hotrestart.Message{Type: hotrestart.TypeParentDrained})
 		return
 	}
 	u.loop.After(20*time.Millisecond, u.poll)
 }
 
-// Relay passes a next hop's call-back on.
-func (u *upgrade) Relay(number uint64, body []byte) {
-	u.link.Send(hotrestart.Message{Type: hotrestart.IsCall, Number: number, Body: body})
+// ForwardCallBack passes a next hop's call-back on.
+func (u *upgrade) ForwardCallBack(number uint64, body []byte) {
+	u.link.Send(hotrestart.Message{Type: hotrestart.TypeCallBack, CallBackNumber: number, Body: body})
 }
 
-// Begun tells of a transaction that the other process must not begin.
-func (u *upgrade) Begun(id string) {
+// RequestBegun tells of a transaction that the other process must not begin.
+func (u *upgrade) RequestBegun(id string) {
 	// The state is told before the ids that are open: what begins until then is among them.
-	if p := u.machine.Phase(); p == hotrestart.Handed || p == hotrestart.Beside || p == hotrestart.Taking {
-		u.link.Send(hotrestart.Message{Type: hotrestart.IsBegun, IDs: []string{id}})
+	if p := u.machine.Phase(); p == hotrestart.ParentDraining || p == hotrestart.ServingBesideParent ||
+		p == hotrestart.TakingOver {
+		u.link.Send(hotrestart.Message{Type: hotrestart.TypeRequestsBegun, RequestIDs: []string{id}})
 	}
 }
 
 // tell passes an operator's word on to the other process, for both still give out work.
 func (u *upgrade) tell(id string, out bool) {
 	if u != nil && u.link != nil {
-		u.link.Send(hotrestart.Message{Type: hotrestart.IsBan, Ban: &hotrestart.Ban{Name: id, Out: out}})
+		u.link.Send(
+			hotrestart.Message{
+				Type:        hotrestart.TypeMaintenance,
+				Maintenance: &hotrestart.Maintenance{Endpoint: id, Active: out},
+			},
+		)
 	}
 }
 
-func (u *upgrade) banned(b *hotrestart.Ban) {
+func (u *upgrade) banned(b *hotrestart.Maintenance) {
 	for _, c := range u.cores {
-		if b.Out {
-			c.Ban(b.Name)
+		if b.Active {
+			c.StartMaintenance(b.Endpoint)
 		} else {
-			c.Unban(b.Name)
+			c.EndMaintenance(b.Endpoint)
 		}
 	}
 }
--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -28,32 +28,32 @@
 	log     logrus.FieldLogger
 	on      bool
 	said    bool // the last message had words in it
-	own     placement.Seat
+	own     placement.Session
 	view    placement.View
-	witness *placement.Witness
+	witness *placement.OutlierQuorum
 	shunned map[string]bool
 	count   atomic.Int64
 	timer   *eventloop.Timer
 }
 
 func newWitnesses(i *Instance) *witnesses {
-	return &witnesses{i: i, log: i.log.WithField("part", "witnesses"), witness: placement.NewWitness()}
+	return &witnesses{i: i, log: i.log.WithField("part", "witnesses"), witness: placement.NewOutlierQuorum()}
 }
 
 // configure takes over what the configuration in force says, in the turn in which the fronts run it.
 func (w *witnesses) configure(p placement.Policy) {
-	if p.Words == w.on {
+	if p.OutlierReports == w.on {
 		return
 	}
-	w.on = p.Words
+	w.on = p.OutlierReports
 	w.timer.Stop()
 	c := &w.i.node.cores[0]
 	if !w.on {
-		c.OnEnd(nil)
+		c.OnAttemptEnd(nil)
 		w.shun(nil)
 		return
 	}
-	c.OnEnd(w.end)
+	c.OnAttemptEnd(w.end)
 	w.log.Info("what several have seen of a worker is believed")
 	w.tick()
 }
@@ -65,38 +65,42 @@
 }
 
 // stands implements follower.
-func (w *witnesses) stands(s consensus.Standing) { w.i.node.loop.Post(func() { w.stand(s) }) }
+func (w *witnesses) stands(s consensus.ClusterView) { w.i.node.loop.Post(func() { w.stand(s) }) }
 
-func (w *witnesses) stand(s consensus.Standing) {
+func (w *witnesses) stand(s consensus.ClusterView) {
 	// Hazard: this comes with every lease, and who owns what takes thousands of hashes to work out, on
 	// the loop.
-	if len(s.Views) == 0 && s.Own == w.own {
+	if len(s.Views) == 0 && s.Session == w.own {
 		return
 	}
-	w.own = s.Own
+	w.own = s.Session
 	for _, v := range s.Views {
 		w.view = v
 	}
-	w.witness.View(placement.Of(w.view), w.own)
+	w.witness.SetView(placement.NewTable(w.view), w.own)
 }
 
 func (w *witnesses) end(name string, res balancer.Result) {
 	switch res {
-	case balancer.OK, balancer.Error, balancer.TimedOut, balancer.ConnectFailed, balancer.Reset:
-		w.witness.End(consensus.Boottime(), name, res != balancer.OK)
+	case balancer.OK,
+		balancer.ServerError,
+		balancer.TimedOut,
+		balancer.ConnectFailed,
+		balancer.ConnectionReset:
+		w.witness.ObserveAttempt(consensus.BootTime(), name, res != balancer.OK)
 	}
 }
 
 // tick tells the others, and acts on what they have told.
 func (w *witnesses) tick() {
 	w.timer = w.i.node.loop.After(tellEvery, w.tick)
-	now := consensus.Boottime()
-	if words := w.witness.Says(now); len(words) > 0 || w.said {
+	now := consensus.BootTime()
+	if words := w.witness.Reports(now); len(words) > 0 || w.said {
 		w.said = len(words) > 0
 		m := &schema.WitnessMessage{FromEpoch: w.own.Epoch}
 		for _, x := range words {
-			m.Words = append(m.Words, &schema.WitnessWord{Worker: x.Worker, Bad: uint32(x.Bad),
-				All: uint32(x.All)})
+			m.Words = append(m.Words, &schema.WitnessWord{Worker: x.Worker, Bad: uint32(x.Failed),
+				All: uint32(x.Attempts)})
 		}
 		for _, x := range w.i.runner.Status().Members {
 			if x.ID != w.own.Member {
@@ -106,10 +110,10 @@
 		}
 	}
 	var listed []string
-	for _, l := range w.i.node.cores[0].Listings() {
+	for _, l := range w.i.node.cores[0].ListedEndpoints() {
 		listed = append(listed, l.Name)
 	}
-	w.shun(w.witness.Shunned(now, listed))
+	w.shun(w.witness.Ejected(now, listed))
 }
 
 func (w *witnesses) shun(names map[string]bool) {
@@ -118,7 +122,7 @@
 	}
 	w.shunned = names
 	w.count.Store(int64(len(names)))
-	w.i.node.cores[0].Shun(names)
+	w.i.node.cores[0].SetEjected(names)
 	w.i.gate.note("shuns %d", len(names))
 	w.log.WithField("workers", slices.Sorted(maps.Keys(names))).
 		Warn("workers at which several instances' jobs fail are given nothing")
@@ -126,15 +130,18 @@
 
 // heard takes another instance's words. It is called on a goroutine of the peers' network.
 func (w *witnesses) heard(from uint64, m *schema.WitnessMessage) {
-	words := make([]placement.Word, 0, len(m.Words))
+	words := make([]placement.OutlierReport, 0, len(m.Words))
 	for _, x := range m.Words {
-		words = append(words, placement.Word{Worker: x.Worker, Bad: int(x.Bad), All: int(x.All)})
+		words = append(
+			words,
+			placement.OutlierReport{Worker: x.Worker, Failed: int(x.Bad), Attempts: int(x.All)},
+		)
 	}
 	w.i.node.loop.Post(func() {
 		// Hazard: words of a session that is no more, which came late.
 		for _, x := range w.view.Members {
 			if w.on && x.Member == from && x.Epoch == m.FromEpoch {
-				w.witness.Hear(consensus.Boottime(), from, words)
+				w.witness.ObserveReports(consensus.BootTime(), from, words)
 			}
 		}
 	})
--- a/internal/operate/adminproto/call.go
+++ b/internal/operate/adminproto/call.go
@@ -11,28 +11,28 @@
 	"strings"
 )
 
-// Node is what operators ask of. All of it is called on the node's loop, and what it
+// Handler is what operators ask of. All of it is called on the node's loop, and what it
 // answers holds already when it returns.
-type Node interface {
+type Handler interface {
 	// Ready is nil while this process is ready to serve, or says why it is not.
 	Ready() error
-	// Figures appends the figures to dst, as one line.
-	Figures(dst []byte) []byte
-	// Ban takes a next hop out, Unban puts it back.
-	Ban(id string) error
-	Unban(id string) error
+	// AppendMetrics appends the figures to dst, as one line.
+	AppendMetrics(dst []byte) []byte
+	// StartMaintenance takes a next hop out, Unban puts it back.
+	StartMaintenance(id string) error
+	EndMaintenance(id string) error
 	// Standby drains the node, Active ends that.
 	Standby() error
-	Active() error
+	EndStandby() error
 }
 
-// MaxLine is the longest call that is read.
-const MaxLine = 512
+// MaxLineBytes is the longest call that is read.
+const MaxLineBytes = 512
 
 var (
 	errText  = errors.New("the call is no plain text")
 	errBlank = errors.New("the call is empty")
-	errLong  = fmt.Errorf("the call is longer than %d bytes", MaxLine)
+	errLong  = fmt.Errorf("the call is longer than %d bytes", MaxLineBytes)
 )
 
 // verb is one of the calls.
@@ -40,20 +40,30 @@
 	name  string
 	id    bool // it names a next hop
 	about string
-	do    func(n Node, id string) error
+	do    func(n Handler, id string) error
 }
 
 var verbs = [...]verb{
-	{"status", false, "is this process ready to serve?", func(n Node, _ string) error { return n.Ready() }},
-	{"stats", false, "the figures, then a line --", func(Node, string) error { return nil }},
-	{"maint-on", true, "take that trip worker out", func(n Node, id string) error { return n.Ban(id) }},
-	{"maint-off", true, "put it back", func(n Node, id string) error { return n.Unban(id) }},
-	{"standby", false, "drain", func(n Node, _ string) error { return n.Standby() }},
-	{"active", false, "end of the drain", func(n Node, _ string) error { return n.Active() }},
+	{
+		"status",
+		false,
+		"is this process ready to serve?",
+		func(n Handler, _ string) error { return n.Ready() },
+	},
+	{"stats", false, "the figures, then a line --", func(Handler, string) error { return nil }},
+	{
+		"maint-on",
+		true,
+		"take that trip worker out",
+		func(n Handler, id string) error { return n.StartMaintenance(id) },
+	},
+	{"maint-off", true, "put it back", func(n Handler, id string) error { return n.EndMaintenance(id) }},
+	{"standby", false, "drain", func(n Handler, _ string) error { return n.Standby() }},
+	{"active", false, "end of the drain", func(n Handler, _ string) error { return n.EndStandby() }},
 }
 
-// Answer carries out the call in a line, without its end, and appends the answer to dst.
-func Answer(dst, line []byte, n Node) []byte {
+// HandleLine carries out the call in a line, without its end, and appends the answer to dst.
+func HandleLine(dst, line []byte, n Handler) []byte {
 	v, id, err := parse(line)
 	if err == nil {
 		err = v.do(n, id)
@@ -62,7 +72,7 @@
 		return append(fmt.Appendf(dst, "NAK %s", oneLine(err)), '\n')
 	}
 	if v.name == "stats" {
-		return append(n.Figures(dst), "\n--\n"...)
+		return append(n.AppendMetrics(dst), "\n--\n"...)
 	}
 	dst = append(dst, "ACK "...)
 	dst = append(dst, v.name...)
--- a/internal/operate/adminproto/call_test.go
+++ b/internal/operate/adminproto/call_test.go
@@ -14,12 +14,12 @@
 
 func (r *recorder) note(what string) error { r.asked = append(r.asked, what); return r.err }
 
-func (r *recorder) Ready() error            { return r.note("ready") }
-func (r *recorder) Ban(id string) error     { return r.note("ban " + id) }
-func (r *recorder) Unban(id string) error   { return r.note("unban " + id) }
-func (r *recorder) Standby() error          { return r.note("standby") }
-func (r *recorder) Active() error           { return r.note("active") }
-func (r *recorder) Figures(d []byte) []byte { _ = r.note("figures"); return append(d, "{}"...) }
+func (r *recorder) Ready() error                     { return r.note("ready") }
+func (r *recorder) StartMaintenance(id string) error { return r.note("ban " + id) }
+func (r *recorder) EndMaintenance(id string) error   { return r.note("unban " + id) }
+func (r *recorder) Standby() error                   { return r.note("standby") }
+func (r *recorder) EndStandby() error                { return r.note("active") }
+func (r *recorder) AppendMetrics(d []byte) []byte    { _ = r.note("figures"); return append(d, "{}"...) }
 
 func TestAnswer(t *testing.T) {
 	for _, c := range []struct{ line, asked, answer string }{
@@ -39,7 +39,7 @@
 		{"maint-on \xff", "", "NAK the call is no plain text\n"},
 	} {
 		n := &recorder{}
-		got := string(Answer(nil, []byte(c.line), n))
+		got := string(HandleLine(nil, []byte(c.line), n))
 		if !strings.HasPrefix(got, c.answer) || strings.Join(n.asked, ",") != c.asked {
 			t.Errorf("%q: asked %q and answered %q", c.line, n.asked, got)
 		}
@@ -48,7 +48,7 @@
 		}
 	}
 	n := &recorder{err: errors.New("two\nlines")}
-	if got := string(Answer(nil, []byte("status"), n)); got != "NAK two lines\n" {
+	if got := string(HandleLine(nil, []byte("status"), n)); got != "NAK two lines\n" {
 		t.Errorf("a no reads %q", got)
 	}
 }
--- a/internal/operate/adminproto/server.go
+++ b/internal/operate/adminproto/server.go
@@ -13,45 +13,45 @@
 // Hazard: callers that connect and say nothing keep out those who have something to say.
 // The oldest silent one gives way to a new one.
 const (
-	Connections = 8
-	held        = Connections * 4096 // bytes of their buffers
-	patience    = 6 * time.Second    // for a call to come whole
+	MaxConnections = 8
+	held           = MaxConnections * 4096 // bytes of their buffers
+	patience       = 6 * time.Second       // for a call to come whole
 )
 
 // Listen opens the second address for a node.
-func Listen(loop *eventloop.Loop, address string, n Node) (*eventloop.Listener, error) {
-	limits := eventloop.Limits{Connections: Connections, Bytes: held, Patience: patience}
-	return loop.Listen(address, limits, func(c *eventloop.Conn) { c.H = &caller{node: n} })
+func Listen(loop *eventloop.Loop, address string, n Handler) (*eventloop.Listener, error) {
+	limits := eventloop.Limits{MaxConnections: MaxConnections, MaxBufferBytes: held, MessageTimeout: patience}
+	return loop.Listen(address, limits, func(c *eventloop.Conn) { c.Handler = &caller{node: n} })
 }
 
 // caller is a connection to the second address.
 type caller struct {
-	node Node
+	node Handler
 	done bool
 }
 
 var _ eventloop.Handler = (*caller)(nil)
 
-func (*caller) Up(*eventloop.Conn)           {}
-func (*caller) Ended(*eventloop.Conn, error) {}
+func (*caller) OnConnect(*eventloop.Conn)      {}
+func (*caller) OnClose(*eventloop.Conn, error) {}
 
-// Data answers once the line has come whole, in however many pieces, and closes.
-func (c *caller) Data(conn *eventloop.Conn) {
+// OnData answers once the line has come whole, in however many pieces, and closes.
+func (c *caller) OnData(conn *eventloop.Conn) {
 	if c.done {
 		return
 	}
-	line, _, whole := bytes.Cut(conn.In(), []byte("\n"))
+	line, _, whole := bytes.Cut(conn.Input(), []byte("\n"))
 	var answer []byte
 	switch {
-	case len(line) > MaxLine: // hazard: a line without end is read for ever
+	case len(line) > MaxLineBytes: // hazard: a line without end is read for ever
 		answer = append(append([]byte("NAK "), errLong.Error()...), '\n')
 	case !whole:
 		return
 	default:
-		answer = Answer(nil, bytes.TrimSuffix(line, []byte("\r")), c.node)
+		answer = HandleLine(nil, bytes.TrimSuffix(line, []byte("\r")), c.node)
 	}
 	c.done = true
-	conn.Taken()
+	conn.BeginProcessing()
 	conn.Write(answer)
-	conn.Finish()
+	conn.CloseAfterFlush()
 }
--- a/internal/operate/backups/backups.go
+++ b/internal/operate/backups/backups.go
@@ -26,26 +26,26 @@
 	Verify func([]byte) error // whether a file's content is a whole backup
 }
 
-// Request is that a backup be kept.
-type Request struct {
-	Group   string
-	Duty    string
-	Number  uint64 // the fencing number
-	Period  time.Time
-	Content []byte
-	Keep    int         // how many stay
-	May     func() bool // asked once more under the lock
+// WriteRequest is that a backup be kept.
+type WriteRequest struct {
+	Group        string
+	Task         string
+	FencingToken uint64 // the fencing number
+	Period       time.Time
+	Content      []byte
+	Retain       int         // how many stay
+	LeaseValid   func() bool // asked once more under the lock
 }
 
-// Kept is what was done, as it is noted in the agreed state.
-type Kept struct {
+// Result is what was done, as it is noted in the agreed state.
+type Result struct {
 	Period time.Time `json:"period"`
 	File   string    `json:"file"`
 	SHA256 string    `json:"sha256"`
 }
 
-// ErrOver is that the holder's time was over before it wrote.
-var ErrOver = errors.New("the lease is over")
+// ErrLeaseExpired is that the holder's time was over before it wrote.
+var ErrLeaseExpired = errors.New("the lease is over")
 
 // fence is what the directory remembers.
 type fence struct {
@@ -60,42 +60,42 @@
 	lockFile  = "lock"
 )
 
-// Keep writes the backup of a period, verifies what it has written, and drops the oldest. One that
+// Write writes the backup of a period, verifies what it has written, and drops the oldest. One that
 // is there already stays, and is what was kept: whoever wrote it could not say so any more.
-func (d Dir) Keep(r Request) (Kept, error) {
+func (d Dir) Write(r WriteRequest) (Result, error) {
 	if err := os.MkdirAll(d.Path, 0o700); err != nil {
-		return Kept{}, err
+		return Result{}, err
 	}
 	lock, err := os.OpenFile(filepath.Join(d.Path, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return Kept{}, err
+		return Result{}, err
 	}
 	defer lock.Close() // with it the lock goes
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
-		return Kept{}, fmt.Errorf("locking %s: %w", d.Path, err)
+		return Result{}, fmt.Errorf("locking %s: %w", d.Path, err)
 	}
 	if err := d.admit(r); err != nil {
-		return Kept{}, err
+		return Result{}, err
 	}
 	// Hazard: it may have waited for the lock, or stood still, for longer than its lease.
-	if !r.May() {
-		return Kept{}, ErrOver
+	if !r.LeaseValid() {
+		return Result{}, ErrLeaseExpired
 	}
 	name := "agreed-" + r.Period.UTC().Format(layout) + suffix
 	if there, err := os.ReadFile(filepath.Join(d.Path, name)); err == nil && d.Verify(there) == nil {
-		return Kept{r.Period, name, digest(there)}, nil
+		return Result{r.Period, name, digest(there)}, nil
 	}
 	if err := d.write(name, r.Content); err != nil {
-		return Kept{}, err
+		return Result{}, err
 	}
 	written, err := os.ReadFile(filepath.Join(d.Path, name))
 	if err == nil {
 		err = d.Verify(written)
 	}
 	if err != nil {
-		return Kept{}, fmt.Errorf("%s can't be read back: %w", filepath.Join(d.Path, name), err)
+		return Result{}, fmt.Errorf("%s can't be read back: %w", filepath.Join(d.Path, name), err)
 	}
-	return Kept{r.Period, name, digest(written)}, d.drop(r.Keep)
+	return Result{r.Period, name, digest(written)}, d.drop(r.Retain)
 }
 
 func digest(b []byte) string {
@@ -104,7 +104,7 @@
 }
 
 // admit refuses an old number, and remembers a new one before anything is written under it.
-func (d Dir) admit(r Request) error {
+func (d Dir) admit(r WriteRequest) error {
 	path := filepath.Join(d.Path, fenceFile)
 	var f fence
 	raw, err := os.ReadFile(path)
@@ -119,13 +119,13 @@
 			f.Group, r.Group)
 	}
 	numbers := leasedtask.NewFence(f.Numbers)
-	if err := numbers.Admit(r.Duty, r.Number); err != nil {
+	if err := numbers.Admit(r.Task, r.FencingToken); err != nil {
 		return err
 	}
-	if f.Numbers[r.Duty] == r.Number {
+	if f.Numbers[r.Task] == r.FencingToken {
 		return nil
 	}
-	if raw, err = json.Marshal(fence{r.Group, numbers.Newest()}); err != nil {
+	if raw, err = json.Marshal(fence{r.Group, numbers.NewestTokens()}); err != nil {
 		return err
 	}
 	return d.write(fenceFile, raw)
--- a/internal/operate/backups/backups_test.go
+++ b/internal/operate/backups/backups_test.go
@@ -20,10 +20,10 @@
 		return nil
 	}}
 	at := func(hour int) time.Time { return time.Date(2026, 12, 1, hour, 0, 0, 0, time.UTC) }
-	ask := func(number uint64, hour int, text string) (Kept, error) {
-		return d.Keep(Request{Group: "g", Duty: "backup", Number: number, Period: at(hour),
+	ask := func(number uint64, hour int, text string) (Result, error) {
+		return d.Write(WriteRequest{Group: "g", Task: "backup", FencingToken: number, Period: at(hour),
 			Content: []byte(text),
-			Keep:    3, May: func() bool { return true }})
+			Retain:  3, LeaseValid: func() bool { return true }})
 	}
 	first, err := ask(7, 1, "whole 1")
 	if err != nil || first.File != "agreed-20261201T010000Z.backup" {
@@ -35,13 +35,13 @@
 		t.Errorf("%+v %v", again, err)
 	}
 	// One that stood still between its look and its write is refused, and changes nothing.
-	var stale *leasedtask.StaleError
-	if _, err := ask(7, 2, "whole 2"); !errors.As(err, &stale) || stale.Seen != 8 {
+	var stale *leasedtask.StaleTokenError
+	if _, err := ask(7, 2, "whole 2"); !errors.As(err, &stale) || stale.NewestToken != 8 {
 		t.Errorf("an old number writes: %v", err)
 	}
-	if _, err := d.Keep(Request{Group: "g", Duty: "backup", Number: 9, Period: at(2),
-		Content: []byte("whole"),
-		May:     func() bool { return false }}); !errors.Is(err, ErrOver) {
+	if _, err := d.Write(WriteRequest{Group: "g", Task: "backup", FencingToken: 9, Period: at(2),
+		Content:    []byte("whole"),
+		LeaseValid: func() bool { return false }}); !errors.Is(err, ErrLeaseExpired) {
 		t.Errorf("it writes after its lease: %v", err)
 	}
 	if _, err := ask(9, 3, "half"); err == nil || !strings.Contains(err.Error(), "can't be read back") {
@@ -54,8 +54,14 @@
 	if again, err = ask(9, 1, "whole 1"); err != nil || again != first {
 		t.Errorf("%+v %v", again, err)
 	}
-	other := Request{Group: "h", Duty: "backup", Number: 99, Period: at(4), May: func() bool { return true }}
-	if _, err := d.Keep(other); err == nil || !strings.Contains(err.Error(),
+	other := WriteRequest{
+		Group:        "h",
+		Task:         "backup",
+		FencingToken: 99,
+		Period:       at(4),
+		LeaseValid:   func() bool { return true },
+	}
+	if _, err := d.Write(other); err == nil || !strings.Contains(err.Error(),
 		"is of the group g, not h") {
 		t.Errorf("another group writes: %v", err)
 	}
@@ -76,7 +82,7 @@
 	if _, err := os.Stat(mine); err != nil {
 		t.Error("a file that is not ours is gone")
 	}
-	if _, err := (Dir{Path: "/dev/null/x", Verify: d.Verify}).Keep(other); err == nil {
+	if _, err := (Dir{Path: "/dev/null/x", Verify: d.Verify}).Write(other); err == nil {
 		t.Error("kept where nothing can be")
 	}
 }
--- a/internal/operate/controlapi/backup.go
+++ b/internal/operate/controlapi/backup.go
@@ -25,8 +25,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// WriteBackup gives the file's content.
-func WriteBackup(cluster string, revisions []clusterstate.Revision) []byte {
+// EncodeBackup gives the file's content.
+func EncodeBackup(cluster string, revisions []clusterstate.Revision) []byte {
 	body, err := json.Marshal(Backup{cluster, revisions})
 	if err != nil {
 		panic(err) // documents in the state can be written
@@ -36,8 +36,8 @@
 	return append(b, body...)
 }
 
-// ReadBackup reads the file's content.
-func ReadBackup(b []byte) (*Backup, error) {
+// DecodeBackup reads the file's content.
+func DecodeBackup(b []byte) (*Backup, error) {
 	if len(b) < 16 || string(b[:8]) != backupMagic {
 		return nil, errors.New("this is no backup")
 	}
@@ -57,8 +57,8 @@
 	return &out, nil
 }
 
-// newCluster is a new group's number: messages of another group are refused by it.
-func newCluster() (string, error) {
+// newID is a new group's number: messages of another group are refused by it.
+func newID() (string, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return "", err
--- a/internal/operate/controlapi/client.go
+++ b/internal/operate/controlapi/client.go
@@ -18,10 +18,10 @@
 
 // Target is where a control service is and how it is spoken to.
 type Target struct {
-	Socket  string
-	Address string // under TLS; Instance is whom it must be, Keys the caller's
-	Name    string
-	Keys    keys.Files
+	Socket       string
+	Address      string // under TLS; Instance is whom it must be, Keys the caller's
+	InstanceName string
+	Keys         keys.Files
 }
 
 // Dial makes a client. Nothing is sent before its first call.
@@ -31,7 +31,10 @@
 			grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6,
 				MaxDelay: time.Second}, MinConnectTimeout: 2 * time.Second},
 		),
-		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(MaxMessage), grpc.MaxCallRecvMsgSize(MaxMessage))}
+		grpc.WithDefaultCallOptions(
+			grpc.MaxCallSendMsgSize(MaxMessageBytes),
+			grpc.MaxCallRecvMsgSize(MaxMessageBytes),
+		)}
 	target := ""
 	switch {
 	case t.Socket != "" && t.Address != "":
@@ -40,17 +43,20 @@
 		target = "unix:" + t.Socket
 		opts = append(opts, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	case t.Address != "":
-		if t.Name == "" {
+		if t.InstanceName == "" {
 			return nil, nil, errors.New("an address needs the name of the instance that must be there")
 		}
 		log := logrus.New()
 		log.SetLevel(logrus.ErrorLevel)
-		k, err := keys.Open(t.Keys, log)
+		k, err := keys.NewReloader(t.Keys, log)
 		if err != nil {
 			return nil, nil, err
 		}
 		target = "passthrough:///" + t.Address
-		opts = append(opts, grpc.WithTransportCredentials(credentials.NewTLS(k.Client(t.Name))))
+		opts = append(
+			opts,
+			grpc.WithTransportCredentials(credentials.NewTLS(k.ClientTLSConfig(t.InstanceName))),
+		)
 	default:
 		return nil, nil, errors.New("neither a socket nor an address is given")
 	}
@@ -61,10 +67,10 @@
 	return schema.NewControlClient(conn), conn.Close, nil
 }
 
-// ChangeID is the id of a new change: to repeat a change, repeat its id.
-func ChangeID() (string, error) { return newCluster() }
+// NewChangeID is the id of a new change: to repeat a change, repeat its id.
+func NewChangeID() (string, error) { return newID() }
 
-// Patience bounds a call by a command.
-func Patience(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, patience+5*time.Second)
+// WithCallTimeout bounds a call by a command.
+func WithCallTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, callTimeout+5*time.Second)
 }
--- a/internal/operate/controlapi/config.go
+++ b/internal/operate/controlapi/config.go
@@ -17,8 +17,14 @@
 )
 
 func revision(r clusterstate.Revision, document bool) *schema.Revision {
-	m := &schema.Revision{Revision: r.Revision, Id: r.ID, Author: r.Author, Note: r.Note, AtMs: r.AtMS,
-		ForceMs: r.ForceMS}
+	m := &schema.Revision{
+		Revision: r.Number,
+		Id:       r.ChangeID,
+		Author:   r.Author,
+		Note:     r.Note,
+		AtMs:     r.ProposedAtMS,
+		ForceMs:  r.EffectiveAtMS,
+	}
 	if document {
 		m.Document = r.Document.Encode()
 	}
@@ -27,49 +33,49 @@
 
 // GetConfig implements schema.ControlServer.
 func (s *Server) GetConfig(ctx context.Context, in *schema.GetConfigRequest) (*schema.Revision, error) {
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	r := s.host.Runner()
 	if !in.Local {
 		if err := r.Barrier(ctx); err != nil {
-			return nil, failure(fmt.Errorf("%w; --local gives what this instance has", err))
+			return nil, statusError(fmt.Errorf("%w; --local gives what this instance has", err))
 		}
 	}
 	var out *schema.Revision
 	err := r.View(ctx, func(st *clusterstate.State) {
 		if in.Revision == 0 {
-			out = revision(st.Newest(), true)
-		} else if rev, ok := st.At(in.Revision); ok {
+			out = revision(st.CurrentRevision(), true)
+		} else if rev, ok := st.RevisionByNumber(in.Revision); ok {
 			out = revision(rev, true)
 		}
 	})
 	if err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	if out == nil {
 		return nil, status.Errorf(codes.NotFound, "revision %d is not kept", in.Revision)
 	}
 	if in.Local {
 		st := r.Status()
-		out.Stale = st.CutOff
-		out.AgeS = (time.Duration(st.Contact) * s.host.Tick()).Seconds()
+		out.Stale = st.NoLeader
+		out.AgeS = (time.Duration(st.TicksSinceContact) * s.host.TickInterval()).Seconds()
 	}
 	return out, nil
 }
 
 // History implements schema.ControlServer.
 func (s *Server) History(ctx context.Context, in *schema.HistoryRequest) (*schema.HistoryReply, error) {
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	out := &schema.HistoryReply{}
 	err := s.host.Runner().View(ctx, func(st *clusterstate.State) {
-		h := st.History()
-		out.Oldest = h[0].Revision
+		h := st.Revisions()
+		out.Oldest = h[0].Number
 		for i := len(h) - 1; i >= 0 && (in.Most == 0 || len(out.Revisions) < int(in.Most)); i-- {
 			out.Revisions = append(out.Revisions, revision(h[i], false))
 		}
 	})
-	return out, failure(err)
+	return out, statusError(err)
 }
 
 // Watch implements schema.ControlServer.
@@ -82,20 +88,20 @@
 		select {
 		case <-stream.Context().Done():
 			return nil
-		case <-r.Ended():
-			return failure(consensus.ErrHalted)
+		case <-r.Done():
+			return statusError(consensus.ErrHalted)
 		case <-changed:
 		}
 		var due []*schema.Revision
 		oldest := uint64(0)
 		err := r.View(stream.Context(), func(st *clusterstate.State) {
-			h := st.History()
+			h := st.Revisions()
 			if next == 0 {
-				next = st.Newest().Revision
+				next = st.CurrentRevision().Number
 			}
-			oldest = h[0].Revision
+			oldest = h[0].Number
 			for _, rev := range h {
-				if rev.Revision >= next {
+				if rev.Number >= next {
 					due = append(due, revision(rev, true))
 				}
 			}
@@ -104,7 +110,7 @@
 			continue
 		}
 		if err != nil {
-			return failure(err)
+			return statusError(err)
 		}
 		if next < oldest {
 			return status.Errorf(
@@ -123,50 +129,54 @@
 	}
 }
 
-var codesOf = map[clusterstate.Code]schema.ProposeReply_Code{clusterstate.Accepted: schema.ProposeReply_ACCEPTED,
-	clusterstate.Conflict: schema.ProposeReply_CONFLICT, clusterstate.Invalid: schema.ProposeReply_INVALID,
-	clusterstate.TooLarge: schema.ProposeReply_TOO_LARGE, clusterstate.Unchanged: schema.ProposeReply_UNCHANGED,
-	clusterstate.Withdrawn: schema.ProposeReply_WITHDRAWN}
+var codesOf = map[clusterstate.OutcomeCode]schema.ProposeReply_Code{
+	clusterstate.Accepted:  schema.ProposeReply_ACCEPTED,
+	clusterstate.Conflict:  schema.ProposeReply_CONFLICT,
+	clusterstate.Invalid:   schema.ProposeReply_INVALID,
+	clusterstate.TooLarge:  schema.ProposeReply_TOO_LARGE,
+	clusterstate.Unchanged: schema.ProposeReply_UNCHANGED,
+	clusterstate.Withdrawn: schema.ProposeReply_WITHDRAWN,
+}
 
 // Propose implements schema.ControlServer. What became of the change is in the reply; an
 // error means that nothing was tried.
 func (s *Server) Propose(ctx context.Context, in *schema.ProposeRequest) (*schema.ProposeReply, error) {
 	// A change has its bounds in time in the log; the caller says how long it waits.
-	name, _ := who(ctx)
-	if len(in.Document) > clusterstate.MaxDocument {
+	name, _ := callerOf(ctx)
+	if len(in.Document) > clusterstate.MaxDocumentBytes {
 		return &schema.ProposeReply{Code: schema.ProposeReply_TOO_LARGE, Problems: []string{
 			fmt.Sprintf(
 				"the document has %d bytes, %d are allowed",
 				len(in.Document),
-				clusterstate.MaxDocument,
+				clusterstate.MaxDocumentBytes,
 			)}}, nil
 	}
-	doc, err := clusterstate.Decode(in.Document)
+	doc, err := clusterstate.DecodeDocument(in.Document)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	c := clusterstate.Change{
-		ID:       in.Id,
-		Base:     in.Base,
-		Author:   name,
-		Note:     in.Note,
-		At:       time.Now(),
-		Document: doc,
+		ID:           in.Id,
+		BaseRevision: in.Base,
+		Author:       name,
+		Note:         in.Note,
+		ProposedAt:   time.Now(),
+		Document:     doc,
 	}
 	r := s.host.Runner()
-	if c.Base == 0 {
+	if c.BaseRevision == 0 {
 		if err := r.Barrier(ctx); err == nil {
-			_ = r.View(ctx, func(st *clusterstate.State) { c.Base = st.Newest().Revision })
+			_ = r.View(ctx, func(st *clusterstate.State) { c.BaseRevision = st.CurrentRevision().Number })
 		}
 	}
 	out := &schema.ProposeReply{}
 	if err := r.View(ctx, func(st *clusterstate.State) { compare(out, st, c) }); err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	var o clusterstate.Outcome
 	if in.DryRun {
-		if o, err = r.Check(ctx, c); err == nil && o.Code == clusterstate.Accepted {
-			if out.Next, err = s.host.Preview(doc, time.Now()); err != nil {
+		if o, err = r.CheckChange(ctx, c); err == nil && o.Code == clusterstate.Accepted {
+			if out.Next, err = s.host.PreviewTriggers(doc, time.Now()); err != nil {
 				o, err = clusterstate.Outcome{Code: clusterstate.Invalid, Revision: o.Revision,
 					Problems: []string{err.Error()}}, nil
 			}
@@ -174,7 +184,7 @@
 	} else {
 		o, err = r.Propose(ctx, c, in.NoWait)
 	}
-	var refused *consensus.RefusedError
+	var refused *consensus.RejectedError
 	switch {
 	case err == nil:
 		out.Code, out.Revision, out.Problems = codesOf[o.Code], o.Revision, o.Problems
@@ -190,8 +200,8 @@
 	case errors.As(err, &refused):
 		out.Code, out.Revision, out.Problems = schema.ProposeReply_INVALID, r.Status().Revision,
 			[]string{err.Error()}
-	case errors.Is(err, consensus.ErrUnknown) || errors.Is(err, context.DeadlineExceeded):
-		out.Code, out.Problems = schema.ProposeReply_UNKNOWN, []string{consensus.ErrUnknown.Error()}
+	case errors.Is(err, consensus.ErrOutcomeUnknown) || errors.Is(err, context.DeadlineExceeded):
+		out.Code, out.Problems = schema.ProposeReply_UNKNOWN, []string{consensus.ErrOutcomeUnknown.Error()}
 	default:
 		st := r.Status()
 		out.Code, out.Revision, out.Problems = schema.ProposeReply_NO_LEADER, st.Revision, []string{
@@ -199,7 +209,7 @@
 		}
 	}
 	if !in.DryRun {
-		s.log.WithFields(logrus.Fields{"caller": name, "change": c.ID, "base": c.Base,
+		s.log.WithFields(logrus.Fields{"caller": name, "change": c.ID, "base": c.BaseRevision,
 			"outcome":  out.Code.String(),
 			"revision": out.Revision}).
 			Info("a change was proposed")
@@ -210,12 +220,12 @@
 // compare says what a change changes, and what others have changed since its base.
 func compare(out *schema.ProposeReply, st *clusterstate.State, c clusterstate.Change) {
 	out.Changes, out.Meanwhile = nil, nil
-	base, ok := st.At(c.Base)
+	base, ok := st.RevisionByNumber(c.BaseRevision)
 	if !ok {
 		return
 	}
-	out.Changes = clusterstate.Differences(base.Document, c.Document)
-	if newest := st.Newest(); newest.Revision != base.Revision {
-		out.Meanwhile = clusterstate.Differences(base.Document, newest.Document)
+	out.Changes = clusterstate.Diff(base.Document, c.Document)
+	if newest := st.CurrentRevision(); newest.Number != base.Number {
+		out.Meanwhile = clusterstate.Diff(base.Document, newest.Document)
 	}
 }
--- a/internal/operate/controlapi/owners.go
+++ b/internal/operate/controlapi/ownership.go
@@ -20,16 +20,16 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.shares == nil || o.view.Number != v.Number || !slices.Equal(o.view.Members, v.Members) {
-		o.view, o.shares = v, placement.Of(v).Shares()
+		o.view, o.shares = v, placement.NewTable(v).OwnedFractions()
 	}
 	return o.shares
 }
 
 // describeOwners says which part of what is owned by placement is whose.
 func (s *Server) describeOwners(out *schema.StatusReply, st consensus.Status) {
-	shares := s.owners.of(st.View)
+	shares := s.owners.of(st.PlacementView)
 	weights := map[uint64]float64{}
-	for _, m := range st.View.Members {
+	for _, m := range st.PlacementView.Members {
 		weights[m.Member] = m.Weight
 	}
 	for _, m := range out.Members {
--- a/internal/operate/controlapi/rollout.go
+++ b/internal/operate/controlapi/rollout.go
@@ -29,28 +29,36 @@
 	if x.Pending == nil {
 		return out
 	}
-	out.Id, out.Revision, out.Author, out.Note = x.Pending.ID, x.Pending.Revision, x.Pending.Author,
+	out.Id, out.Revision, out.Author, out.Note = x.Pending.ChangeID, x.Pending.Number, x.Pending.Author,
 		x.Pending.Note
-	out.AtMs, out.Phase, out.Attempt = x.Pending.AtMS, x.Phase.Phase.String(), uint32(x.Phase.Attempt)
-	for _, name := range slices.Sorted(maps.Keys(x.Awaited)) {
-		out.Awaited = append(out.Awaited, &schema.Awaited{Name: name, LeaseS: x.Awaited[name].Seconds()})
+	out.AtMs, out.Phase, out.Attempt = x.Pending.ProposedAtMS, x.PendingPhase.Phase.String(), uint32(
+		x.PendingPhase.Attempt,
+	)
+	for _, name := range slices.Sorted(maps.Keys(x.AwaitedMembers)) {
+		out.Awaited = append(
+			out.Awaited,
+			&schema.Awaited{Name: name, LeaseS: x.AwaitedMembers[name].Seconds()},
+		)
 	}
 	return out
 }
 
-// describe fills in what a status says of sessions.
-func describe(out *schema.StatusReply, st consensus.Status) {
+// describeSessions fills in what a status says of sessions.
+func describeSessions(out *schema.StatusReply, st consensus.Status) {
 	x := st.Rollout
 	// Hazard: the status may be old, of an agreement that has stopped; the lease goes on ending.
-	if x.Permit.Open && !x.Permit.Forever {
-		x.Left = max(x.Permit.Until-consensus.Boottime(), 0)
-	}
-	out.Format, out.CutOffRule, out.Admits = uint32(x.Format), x.Policy.CutOff, x.Permit.Open
-	out.LeaseS, out.Epoch, out.Staged, out.Pending = x.Left.Seconds(), x.Epoch, x.Staged, pending(st)
+	if x.Permit.Open && !x.Permit.NoExpiry {
+		x.LeaseRemaining = max(x.Permit.ExpiresAt-consensus.BootTime(), 0)
+	}
+	out.Format, out.CutOffRule, out.Admits = uint32(x.Format), x.Policy.WhenIsolated, x.Permit.Open
+	out.LeaseS, out.Epoch, out.Staged, out.Pending = x.LeaseRemaining.Seconds(), x.SessionEpoch, x.Staged,
+		pending(
+			st,
+		)
 	switch {
 	case !x.Permit.Open:
-		out.AdmitsNot = x.Permit.Why
-	case !x.Permit.Forever && x.Left == 0:
+		out.AdmitsNot = x.Permit.ClosedReason
+	case !x.Permit.NoExpiry && x.LeaseRemaining == 0:
 		out.Admits, out.AdmitsNot = false, "its lease has run out"
 	case out.Running != x.Permit.Revision:
 		out.Admits = false
@@ -64,22 +72,22 @@
 	}
 	for _, m := range out.Members {
 		one, ok := sessions[m.Id]
-		m.Epoch, m.Running, m.Staged = one.Epoch, x.Running[m.Id], x.Ready[m.Id]
+		m.Epoch, m.Running, m.Staged = one.Epoch, x.RunningRevisions[m.Id], x.StagedChanges[m.Id]
 		if ok && one.Open {
 			m.Session = "open"
 		} else if ok {
-			m.Session = one.Why
+			m.Session = one.ClosedReason
 		}
 	}
 }
 
 // Withdraw implements schema.ControlServer.
 func (s *Server) Withdraw(ctx context.Context, in *schema.WithdrawRequest) (*schema.Operated, error) {
-	name, _ := who(ctx)
+	name, _ := callerOf(ctx)
 	st := s.host.Runner().Status()
 	id := in.Change
 	if id == "" && st.Rollout.Pending != nil {
-		id = st.Rollout.Pending.ID
+		id = st.Rollout.Pending.ChangeID
 	}
 	if id == "" {
 		return nil, status.Error(codes.FailedPrecondition, "no change is pending")
@@ -88,7 +96,7 @@
 	if in.Reason != "" {
 		reason += ": " + in.Reason
 	}
-	err := s.command(ctx, rollout.Command{Kind: rollout.Withdraw, Change: id, Reason: reason})
+	err := s.proposeCommand(ctx, rollout.Command{Kind: rollout.Withdraw, Change: id, Reason: reason})
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +110,8 @@
 		if x.Name != in.Name {
 			continue
 		}
-		if err := s.command(ctx, rollout.Command{Kind: rollout.SetAside, Member: x.Member}); err != nil {
+		if err := s.proposeCommand(ctx, rollout.Command{Kind: rollout.SetAside,
+			Member: x.Member}); err != nil {
 			return nil, err
 		}
 		return &schema.Operated{Text: fmt.Sprintf(
@@ -112,23 +121,23 @@
 	return nil, status.Errorf(codes.FailedPrecondition, "no instance %q has a session", in.Name)
 }
 
-// command puts an operator's word into the log.
-func (s *Server) command(ctx context.Context, c rollout.Command) error {
-	ctx, stop := context.WithTimeout(ctx, patience)
+// proposeCommand puts an operator's word into the log.
+func (s *Server) proposeCommand(ctx context.Context, c rollout.Command) error {
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	var err error
-	if c.ID, err = newCluster(); err != nil {
-		return failure(err)
+	if c.ID, err = newID(); err != nil {
+		return statusError(err)
 	}
 	c.AtMS = time.Now().UnixMilli()
-	o, err := s.host.Runner().Command(ctx, c)
+	o, err := s.host.Runner().ProposeRolloutCommand(ctx, c)
 	if err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	if o.Code != clusterstate.Accepted {
-		return failure(&consensus.RefusedError{Reason: errors.Join(problems(o)...).Error()})
+		return statusError(&consensus.RejectedError{Reason: errors.Join(problems(o)...).Error()})
 	}
-	name, _ := who(ctx)
+	name, _ := callerOf(ctx)
 	s.log.WithFields(logrus.Fields{"caller": name, "command": c.Kind.String(), "change": c.Change}).
 		Info("an operator's word is agreed on")
 	return nil
--- a/internal/operate/controlapi/server.go
+++ b/internal/operate/controlapi/server.go
@@ -29,31 +29,31 @@
 type Host interface {
 	Runner() *consensus.Runner
 	Operate(context.Context, *schema.Operation) (*schema.Operated, error)
-	// Running says which revision the fronts run, and why not the agreed one.
-	Running() (revision uint64, problem string)
-	// First is the document that a new group begins with: what this instance's own settings say.
-	First() (*clusterstate.Document, error)
+	// RunningRevision says which revision the fronts run, and why not the agreed one.
+	RunningRevision() (revision uint64, problem string)
+	// InitialDocument is the document that a new group begins with: what this instance's own settings say.
+	InitialDocument() (*clusterstate.Document, error)
 	Address() string
 	Program() string
 	Counters() map[string]uint64
-	Tick() time.Duration
+	TickInterval() time.Duration
 	ExplainRoute(*schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error)
 	// Next says when the triggers of a document come next.
-	Preview(*clusterstate.Document, time.Time) ([]string, error)
-	// Holds is which duties this instance holds, as it knows.
-	Holds() []leasedtask.Held
-	// Seems is what is believed of a member, if instances probe each other.
-	Seems(member uint64) (Seeming, bool)
+	PreviewTriggers(*clusterstate.Document, time.Time) ([]string, error)
+	// HeldTasks is which duties this instance holds, as it knows.
+	HeldTasks() []leasedtask.Lease
+	// MemberState is what is believed of a member, if instances probe each other.
+	MemberState(member uint64) (MemberState, bool)
 }
 
-// MaxMessage bounds what is sent and taken: a backup is the largest.
-const MaxMessage = 64 << 20
+// MaxMessageBytes bounds what is sent and taken: a backup is the largest.
+const MaxMessageBytes = 64 << 20
 
-// patience is how long a request may take here.
-const patience = 10 * time.Second
+// callTimeout is how long a request may take here.
+const callTimeout = 10 * time.Second
 
-// readers may call these; everything else is for operators.
-var readers = map[string]bool{
+// readerMethods may call these; everything else is for operators.
+var readerMethods = map[string]bool{
 	schema.Control_GetConfig_FullMethodName: true,
 	schema.Control_History_FullMethodName:   true,
 	schema.Control_Watch_FullMethodName:     true,
@@ -78,15 +78,15 @@
 // New makes the service of a host.
 func New(host Host, log logrus.FieldLogger) *Server { return &Server{host: host, log: log} }
 
-func (s *Server) server(opts ...grpc.ServerOption) *grpc.Server {
+func (s *Server) newGRPCServer(opts ...grpc.ServerOption) *grpc.Server {
 	g := grpc.NewServer(append(
 		opts,
-		grpc.MaxRecvMsgSize(MaxMessage),
-		grpc.MaxSendMsgSize(MaxMessage),
+		grpc.MaxRecvMsgSize(MaxMessageBytes),
+		grpc.MaxSendMsgSize(MaxMessageBytes),
 		grpc.UnaryInterceptor(
 			func(ctx context.Context, req any, info *grpc.UnaryServerInfo,
 				next grpc.UnaryHandler) (any, error) {
-				if err := s.allow(ctx, info.FullMethod); err != nil {
+				if err := s.authorize(ctx, info.FullMethod); err != nil {
 					return nil, err
 				}
 				return next(ctx, req)
@@ -94,7 +94,7 @@
 		),
 		grpc.StreamInterceptor(
 			func(srv any, ss grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
-				if err := s.allow(ss.Context(), info.FullMethod); err != nil {
+				if err := s.authorize(ss.Context(), info.FullMethod); err != nil {
 					return err
 				}
 				return next(srv, ss)
@@ -106,8 +106,8 @@
 	return g
 }
 
-// who is the caller and what it may do.
-func who(ctx context.Context) (string, keys.Role) {
+// callerOf is the caller and what it may do.
+func callerOf(ctx context.Context) (string, keys.Role) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
 		return "", ""
@@ -117,14 +117,14 @@
 		return c.Subject.CommonName, keys.RoleOf(c)
 	}
 	if p.Addr.Network() == "unix" {
-		return "socket", keys.Operator // who may open the file may do everything
+		return "socket", keys.RoleOperator // who may open the file may do everything
 	}
 	return "", ""
 }
 
-func (s *Server) allow(ctx context.Context, method string) error {
-	name, role := who(ctx)
-	if role == keys.Operator || role == keys.Reader && readers[method] {
+func (s *Server) authorize(ctx context.Context, method string) error {
+	name, role := callerOf(ctx)
+	if role == keys.RoleOperator || role == keys.RoleReader && readerMethods[method] {
 		return nil
 	}
 	s.log.WithFields(logrus.Fields{"caller": name, "role": role, "method": method}).Warn("a call is refused")
@@ -152,18 +152,20 @@
 		l.Close()
 		return err
 	}
-	g := s.server()
+	g := s.newGRPCServer()
 	go g.Serve(l)
 	return nil
 }
 
 // ServeTLS serves on an address, to holders of operators' and readers' certificates.
-func (s *Server) ServeTLS(address string, k *keys.Store) error {
+func (s *Server) ServeTLS(address string, k *keys.Reloader) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("the control address: %w", err)
 	}
-	g := s.server(grpc.Creds(credentials.NewTLS(k.Server(keys.Operator, keys.Reader))))
+	g := s.newGRPCServer(
+		grpc.Creds(credentials.NewTLS(k.ServerTLSConfig(keys.RoleOperator, keys.RoleReader))),
+	)
 	go g.Serve(l)
 	return nil
 }
@@ -175,15 +177,15 @@
 	}
 }
 
-// failure is an error as the caller sees it.
-func failure(err error) error {
-	var refused *consensus.RefusedError
+// statusError is an error as the caller sees it.
+func statusError(err error) error {
+	var refused *consensus.RejectedError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &refused):
 		return status.Error(codes.FailedPrecondition, err.Error())
-	case errors.Is(err, consensus.ErrUnknown) || errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, consensus.ErrOutcomeUnknown) || errors.Is(err, context.DeadlineExceeded):
 		return status.Error(codes.DeadlineExceeded, err.Error())
 	default:
 		return status.Error(codes.Unavailable, err.Error())
@@ -202,15 +204,15 @@
 		Commit:   st.Commit,
 		Applied:  st.Applied,
 		Revision: st.Revision,
-		CutOff:   st.CutOff && st.Cluster != "",
-		Joint:    st.Joint,
-		ContactS: (time.Duration(st.Contact) * s.host.Tick()).Seconds(),
+		CutOff:   st.NoLeader && st.Cluster != "",
+		Joint:    st.JointConsensus,
+		ContactS: (time.Duration(st.TicksSinceContact) * s.host.TickInterval()).Seconds(),
 		Counters: s.host.Counters(),
 		Program:  s.host.Program(),
 	}
-	out.Running, out.RunningProblem = s.host.Running()
+	out.Running, out.RunningProblem = s.host.RunningRevision()
 	select {
-	case <-s.host.Runner().Ended():
+	case <-s.host.Runner().Done():
 		out.Role = "stopped"
 		if err := s.host.Runner().Err(); err != nil {
 			out.RunningProblem = err.Error()
@@ -227,33 +229,33 @@
 		out.Members = append(
 			out.Members,
 			&schema.MemberStatus{Name: m.Name, Id: m.ID, Address: m.Address, Voter: m.Voter,
-				Active: m.Active, Match: m.Match, Known: m.Known},
+				Active: m.Active, Match: m.Match, Known: m.ProgressKnown},
 		)
 	}
-	s.describeSeeming(out)
-	describe(out, st)
+	s.describeMembership(out)
+	describeSessions(out, st)
 	s.describeOwners(out, st)
 	return out, nil
 }
 
 // Init implements schema.ControlServer.
 func (s *Server) Init(ctx context.Context, in *schema.InitRequest) (*schema.StatusReply, error) {
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	doc, after, err := (*clusterstate.Document)(nil), uint64(0), error(nil)
 	if len(in.Backup) > 0 {
 		var b *Backup
-		if b, err = ReadBackup(in.Backup); err == nil {
+		if b, err = DecodeBackup(in.Backup); err == nil {
 			newest := b.Revisions[len(b.Revisions)-1]
-			doc, after = newest.Document, newest.Revision
+			doc, after = newest.Document, newest.Number
 		}
 	} else {
-		doc, err = s.host.First()
+		doc, err = s.host.InitialDocument()
 	}
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	cluster, err := newCluster()
+	cluster, err := newID()
 	if err == nil {
 		err = s.host.Runner().Bootstrap(ctx, cluster, s.host.Address(), doc, after)
 	}
@@ -261,7 +263,7 @@
 		err = s.host.Runner().Barrier(ctx)
 	}
 	if err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	s.log.WithField("group", cluster).Info("a new group was made")
 	return s.Status(ctx, nil)
@@ -269,7 +271,7 @@
 
 // Operate implements schema.ControlServer.
 func (s *Server) Operate(ctx context.Context, op *schema.Operation) (*schema.Operated, error) {
-	op.Author, _ = who(ctx)
+	op.Author, _ = callerOf(ctx)
 	return s.host.Operate(ctx, op)
 }
 
@@ -286,7 +288,7 @@
 // Snapshot implements schema.ControlServer.
 func (s *Server) Snapshot(ctx context.Context, _ *schema.SnapshotRequest) (*schema.Operated, error) {
 	if err := s.host.Runner().Compact(ctx); err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	return &schema.Operated{
 		Text: fmt.Sprintf("the log of %s begins anew after entry %d", s.host.Runner().Status().Name,
@@ -296,15 +298,15 @@
 
 // Backup implements schema.ControlServer.
 func (s *Server) Backup(ctx context.Context, _ *schema.BackupRequest) (*schema.BackupReply, error) {
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	r := s.host.Runner()
 	if err := r.Barrier(ctx); err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	out := &schema.BackupReply{}
 	err := r.View(ctx, func(st *clusterstate.State) {
-		out.Backup, out.Revision = WriteBackup(st.Cluster(), st.History()), st.Newest().Revision
+		out.Backup, out.Revision = EncodeBackup(st.ClusterID(), st.Revisions()), st.CurrentRevision().Number
 	})
-	return out, failure(err)
+	return out, statusError(err)
 }
--- a/internal/operate/keys/keys.go
+++ b/internal/operate/keys/certificate.go
@@ -27,23 +27,23 @@
 
 // The roles. An operator may do all that a reader may.
 const (
-	Instance Role = "instance"
-	Operator Role = "operator"
-	Reader   Role = "reader"
+	RoleInstance Role = "instance"
+	RoleOperator Role = "operator"
+	RoleReader   Role = "reader"
 )
 
 var names = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// CheckName says whether a name can be a holder's.
-func CheckName(name string) error {
+// ValidateName says whether a name can be a holder's.
+func ValidateName(name string) error {
 	if !names.MatchString(name) {
 		return fmt.Errorf("%q is no name: small letters, digits and hyphens, up to 63", name)
 	}
 	return nil
 }
 
-// Pair is a certificate and its key, in PEM.
-type Pair struct{ Cert, Key []byte }
+// KeyPair is a certificate and its key, in PEM.
+type KeyPair struct{ Cert, Key []byte }
 
 // backdate allows for clocks that differ.
 const backdate = 5 * time.Minute
@@ -51,7 +51,7 @@
 func serial() (*big.Int, error) { return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)) }
 
 // NewCA makes an authority that is good for so long from now on.
-func NewCA(name string, now time.Time, life time.Duration) (*Pair, error) {
+func NewCA(name string, now time.Time, life time.Duration) (*KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
@@ -78,11 +78,11 @@
 }
 
 // Issue makes a certificate for a holder.
-func (ca *Pair) Issue(name string, role Role, now time.Time, life time.Duration) (*Pair, error) {
-	if err := CheckName(name); err != nil {
+func (ca *KeyPair) Issue(name string, role Role, now time.Time, life time.Duration) (*KeyPair, error) {
+	if err := ValidateName(name); err != nil {
 		return nil, err
 	}
-	if role != Instance && role != Operator && role != Reader {
+	if role != RoleInstance && role != RoleOperator && role != RoleReader {
 		return nil, fmt.Errorf("%q is no role: instance, operator or reader", role)
 	}
 	parent, err := ca.Certificate()
@@ -107,7 +107,7 @@
 	t := &x509.Certificate{SerialNumber: n, NotBefore: now.Add(-backdate), NotAfter: now.Add(life),
 		Subject:  pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
-	if role == Instance {
+	if role == RoleInstance {
 		t.DNSNames = []string{name}
 		t.ExtKeyUsage = append(t.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
 	}
@@ -121,17 +121,17 @@
 	return pair(der, key)
 }
 
-func pair(der []byte, key *ecdsa.PrivateKey) (*Pair, error) {
+func pair(der []byte, key *ecdsa.PrivateKey) (*KeyPair, error) {
 	k, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return nil, err
 	}
-	return &Pair{Cert: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
+	return &KeyPair{Cert: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
 		Key: pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: k})}, nil
 }
 
 // Certificate reads the certificate.
-func (p *Pair) Certificate() (*x509.Certificate, error) {
+func (p *KeyPair) Certificate() (*x509.Certificate, error) {
 	block, _ := pem.Decode(p.Cert)
 	if block == nil || block.Type != "CERTIFICATE" {
 		return nil, errors.New("there is no certificate in PEM")
@@ -139,7 +139,7 @@
 	return x509.ParseCertificate(block.Bytes)
 }
 
-func (p *Pair) key() (any, error) {
+func (p *KeyPair) key() (any, error) {
 	block, _ := pem.Decode(p.Key)
 	if block == nil || block.Type != "PRIVATE KEY" {
 		return nil, errors.New("there is no private key in PEM")
@@ -149,7 +149,7 @@
 
 // Write writes name.crt and name.key, the key for its owner alone. It does not replace
 // files that are there unless told to.
-func (p *Pair) Write(dir, name string, replace bool) error {
+func (p *KeyPair) Write(dir, name string, replace bool) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// Read reads what Write wrote.
-func Read(cert, key string) (*Pair, error) {
+// ReadKeyPair reads what Write wrote.
+func ReadKeyPair(cert, key string) (*KeyPair, error) {
 	c, err := os.ReadFile(cert)
 	if err != nil {
 		return nil, err
@@ -183,7 +183,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Pair{c, k}, nil
+	return &KeyPair{c, k}, nil
 }
 
 // RoleOf says what the holder of a verified certificate may do.
--- a/internal/operate/keys/keys_test.go
+++ b/internal/operate/keys/keys_test.go
@@ -20,7 +20,7 @@
 }
 
 // holder issues a certificate and opens it.
-func holder(t *testing.T, ca *Pair, name string, role Role, now time.Time, life time.Duration) *Store {
+func holder(t *testing.T, ca *KeyPair, name string, role Role, now time.Time, life time.Duration) *Reloader {
 	t.Helper()
 	dir := t.TempDir()
 	p, err := ca.Issue(name, role, now, life)
@@ -33,7 +33,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "ca.crt"), ca.Cert, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(
+	s, err := NewReloader(
 		Files{filepath.Join(dir, "ca.crt"), filepath.Join(dir, name+".crt"), filepath.Join(dir, name+".key")},
 		quiet(),
 	)
@@ -44,7 +44,7 @@
 }
 
 // greet has two holders meet, and gives what each of them made of it.
-func greet(server, client *Store, wanted string) error {
+func greet(server, client *Reloader, wanted string) error {
 	// Not net.Pipe: there, an alert that nobody reads yet holds both sides.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	done := make(chan error, 1)
 	go func() {
-		s := tls.Server(a, server.Server(Instance))
+		s := tls.Server(a, server.ServerTLSConfig(RoleInstance))
 		err := s.Handshake()
 		if err == nil {
 			_, err = s.Write([]byte("x"))
@@ -74,7 +74,7 @@
 		a.Close()
 		done <- err
 	}()
-	c := tls.Client(b, client.Client(wanted))
+	c := tls.Client(b, client.ClientTLSConfig(wanted))
 	err = c.Handshake()
 	if err == nil {
 		// Under TLS 1.3 the client hears of a refusal with its first read.
@@ -97,8 +97,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n1 := holder(t, ca, "n1", Instance, now, time.Hour)
-	n2 := holder(t, ca, "n2", Instance, now, time.Hour)
+	n1 := holder(t, ca, "n1", RoleInstance, now, time.Hour)
+	n2 := holder(t, ca, "n2", RoleInstance, now, time.Hour)
 	if err := greet(n1, n2, "n1"); err != nil {
 		t.Errorf("two instances of one authority: %v", err)
 	}
@@ -108,19 +108,19 @@
 		t.Fatal(err)
 	}
 	for what, c := range map[string]struct {
-		server, client *Store
+		server, client *Reloader
 		name           string
 	}{
 		"another's name":         {n1, n2, "n3"},
-		"a foreign client":       {n1, holder(t, foreign, "n2", Instance, now, time.Hour), "n1"},
-		"a foreign server":       {holder(t, foreign, "n1", Instance, now, time.Hour), n2, "n1"},
-		"a reader as a peer":     {n1, holder(t, ca, "desk", Reader, now, time.Hour), "n1"},
-		"an operator as a peer":  {n1, holder(t, ca, "op", Operator, now, time.Hour), "n1"},
-		"an operator's listener": {holder(t, ca, "op", Operator, now, time.Hour), n2, "op"},
-		"an expired client": {holder(t, oldCA, "n1", Instance, now, time.Hour),
-			holder(t, oldCA, "n2", Instance, long, time.Hour), "n1"},
-		"an expired server": {holder(t, oldCA, "n1", Instance, long, time.Hour),
-			holder(t, oldCA, "n2", Instance, now, time.Hour), "n1"},
+		"a foreign client":       {n1, holder(t, foreign, "n2", RoleInstance, now, time.Hour), "n1"},
+		"a foreign server":       {holder(t, foreign, "n1", RoleInstance, now, time.Hour), n2, "n1"},
+		"a reader as a peer":     {n1, holder(t, ca, "desk", RoleReader, now, time.Hour), "n1"},
+		"an operator as a peer":  {n1, holder(t, ca, "op", RoleOperator, now, time.Hour), "n1"},
+		"an operator's listener": {holder(t, ca, "op", RoleOperator, now, time.Hour), n2, "op"},
+		"an expired client": {holder(t, oldCA, "n1", RoleInstance, now, time.Hour),
+			holder(t, oldCA, "n2", RoleInstance, long, time.Hour), "n1"},
+		"an expired server": {holder(t, oldCA, "n1", RoleInstance, long, time.Hour),
+			holder(t, oldCA, "n2", RoleInstance, now, time.Hour), "n1"},
 	} {
 		if err := greet(c.server, c.client, c.name); err == nil {
 			t.Errorf("%s is let in", what)
@@ -135,14 +135,14 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"", "N1", "n 1", "-n", "n1.example", strings.Repeat("n", 64), "../n1"} {
-		if _, err := ca.Issue(name, Instance, now, time.Hour); err == nil {
+		if _, err := ca.Issue(name, RoleInstance, now, time.Hour); err == nil {
 			t.Errorf("%q is issued", name)
 		}
 	}
 	if _, err := ca.Issue("n1", "king", now, time.Hour); err == nil {
 		t.Error("an unknown role is issued")
 	}
-	p, err := ca.Issue("n1", Instance, now, 100*time.Hour)
+	p, err := ca.Issue("n1", RoleInstance, now, 100*time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	if err != nil || c.NotAfter.After(now.Add(time.Hour+time.Second)) {
 		t.Errorf("it outlives its authority: %v %v", c.NotAfter, err)
 	}
-	if _, err := p.Issue("n2", Instance, now, time.Hour); err == nil {
+	if _, err := p.Issue("n2", RoleInstance, now, time.Hour); err == nil {
 		t.Error("an instance issues certificates")
 	}
 	dir := t.TempDir()
--- a/internal/operate/keys/tls.go
+++ b/internal/operate/keys/reloader.go
@@ -21,9 +21,9 @@
 	Key  string `toml:"key"`
 }
 
-// Store reads a holder's keys and reads them anew when the files change, so that keys are
+// Reloader reads a holder's keys and reads them anew when the files change, so that keys are
 // rotated without a restart. Files that are no good change nothing, and are logged.
-type Store struct {
+type Reloader struct {
 	files Files
 	log   logrus.FieldLogger
 
@@ -37,13 +37,13 @@
 // lookEvery is how often the files are looked at, at the most.
 const lookEvery = time.Second
 
-// Open reads the files.
-func Open(files Files, log logrus.FieldLogger) (*Store, error) {
-	s := &Store{files: files, log: log}
+// NewReloader reads the files.
+func NewReloader(files Files, log logrus.FieldLogger) (*Reloader, error) {
+	s := &Reloader{files: files, log: log}
 	return s, s.read()
 }
 
-func (s *Store) read() error {
+func (s *Reloader) read() error {
 	var raw [3][]byte
 	for i, path := range []string{s.files.CA, s.files.Cert, s.files.Key} {
 		b, err := os.ReadFile(path)
@@ -88,7 +88,7 @@
 }
 
 // current gives the keys as they stand.
-func (s *Store) current() (*tls.Certificate, *x509.CertPool) {
+func (s *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now := time.Now(); now.Sub(s.looked) >= lookEvery {
@@ -100,14 +100,14 @@
 	return s.cert, s.pool
 }
 
-// Name is the holder's, and Role what it may do.
-func (s *Store) Name() (string, Role) {
+// Identity is the holder's, and Role what it may do.
+func (s *Reloader) Identity() (string, Role) {
 	cert, _ := s.current()
 	return cert.Leaf.Subject.CommonName, RoleOf(cert.Leaf)
 }
 
-// Server is the configuration of a listener that wants certificates of the given roles.
-func (s *Store) Server(roles ...Role) *tls.Config {
+// ServerTLSConfig is the configuration of a listener that wants certificates of the given roles.
+func (s *Reloader) ServerTLSConfig(roles ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAnyClientCert,
@@ -125,7 +125,7 @@
 	}
 }
 
-func (s *Store) role(c tls.ConnectionState, roles []Role) error {
+func (s *Reloader) role(c tls.ConnectionState, roles []Role) error {
 	peer := c.PeerCertificates[0]
 	if role := RoleOf(peer); !slices.Contains(roles, role) {
 		err := fmt.Errorf(
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// Client is the configuration for calling the instance of a name.
-func (s *Store) Client(name string) *tls.Config {
+// ClientTLSConfig is the configuration for calling the instance of a name.
+func (s *Reloader) ClientTLSConfig(name string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: name, NextProtos: []string{"h2"},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			cert, _ := s.current()
@@ -163,7 +163,7 @@
 					KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}},
 			)
 			if err == nil {
-				err = s.role(c, []Role{Instance})
+				err = s.role(c, []Role{RoleInstance})
 			}
 			if err != nil {
 				s.log.WithError(err).WithField("peer", name).Warn("a certificate is refused")
--- a/internal/proxy/broker/actions.go
+++ b/internal/proxy/broker/actions.go
@@ -7,7 +7,7 @@
 )
 
 // actions is what the module has its host do.
-type actions struct{ *Core }
+type actions struct{ *Broker }
 
 var _ balancer.Actions = actions{}
 
@@ -21,11 +21,11 @@
 	if until <= 0 || until > t.deadline {
 		until = t.deadline
 	}
-	if t.Limit > 0 {
-		until = min(until, now+t.Limit)
+	if t.AttemptTimeout > 0 {
+		until = min(until, now+t.AttemptTimeout)
 	}
 	h := c.hops[w]
-	known := h != nil && h.NextHop != nil
+	known := h != nil && h.Endpoint != nil
 	if h == nil {
 		h = &hop{id: w, gone: true}
 	}
@@ -35,37 +35,37 @@
 	t.out++
 	h.out++
 	switch {
-	case t.client == nil || !known || b.n >= max(c.set.Limits.Attempts, 1):
-		c.end(b, balancer.Moot, nil, balancer.NoReport)
+	case t.client == nil || !known || b.n >= max(c.set.Limits.MaxAttempts, 1):
+		c.end(b, balancer.NotSent, nil, balancer.NoLoadReport)
 		return
 	case until <= now:
-		c.end(b, balancer.TimedOut, nil, balancer.NoReport)
+		c.end(b, balancer.TimedOut, nil, balancer.NoLoadReport)
 		return
 	}
 	// Hazard: a worker, or the way to it, that says nothing holds a transaction for ever.
 	b.timer = c.clock.At(until, func() { c.giveUp(b, balancer.TimedOut) })
-	b.running = h.Start(Branch{ID: b.id, Job: t.Job, Name: t.ID, Limit: until})
+	b.running = h.StartAttempt(Attempt{ID: b.id, Payload: t.Payload, RequestID: t.ID, Deadline: until})
 }
 
-func (c *Core) giveUp(b *branch, res balancer.Result) {
+func (c *Broker) giveUp(b *branch, res balancer.Result) {
 	if b.ended {
 		return
 	}
 	if b.running != nil {
-		b.running.GiveUp()
+		b.running.Abandon()
 	}
-	c.end(b, res, nil, balancer.NoReport)
+	c.end(b, res, nil, balancer.NoLoadReport)
 }
 
-// Refuse gives a busy answer.
-func (c actions) Refuse(id balancer.RequestID, retryAfter time.Duration) {
-	c.final(id, Answer{Kind: Busy, RetryAfter: retryAfter})
+// Reject gives a busy answer.
+func (c actions) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	c.final(id, Response{Kind: Rejected, RetryAfter: retryAfter})
 }
 
 // Fail gives a failure.
-func (c actions) Fail(id balancer.RequestID) { c.final(id, Answer{Kind: Failed}) }
+func (c actions) Fail(id balancer.RequestID) { c.final(id, Response{Kind: Failed}) }
 
-func (c *Core) final(id balancer.RequestID, a Answer) {
+func (c *Broker) final(id balancer.RequestID, a Response) {
 	if t := c.open[id]; t != nil {
 		c.answer(t, a)
 		c.forget(t)
@@ -79,49 +79,49 @@
 	}
 }
 
-// Probe asks a next hop for its load.
-func (c actions) Probe(w balancer.WorkerID) {
+// CheckHealth asks a next hop for its load.
+func (c actions) CheckHealth(w balancer.WorkerID) {
 	h := c.hops[w]
-	if h == nil || h.NextHop == nil {
+	if h == nil || h.Endpoint == nil {
 		return
 	}
 	began := c.clock.Now()
-	h.Probe(func(res balancer.Result, r balancer.Report) {
+	h.CheckHealth(func(res balancer.Result, r balancer.LoadReport) {
 		c.do(func() {
 			now := c.clock.Now()
-			c.bal.Probed(now, w, res, now-began, r)
+			c.bal.HealthChecked(now, w, res, now-began, r)
 		})
 	})
 }
 
-// Watch asks the directory for changes.
-func (c actions) Watch(on bool) {
+// WatchList asks the directory for changes.
+func (c actions) WatchList(on bool) {
 	if c.dir != nil {
-		c.do(func() { c.dir.Watch(on) })
+		c.do(func() { c.dir.WatchList(on) })
 	}
 }
 
-// Fetch asks the directory for the whole route set.
-func (c actions) Fetch() {
+// FetchList asks the directory for the whole route set.
+func (c actions) FetchList() {
 	if c.dir != nil {
-		c.do(c.dir.Fetch)
+		c.do(c.dir.FetchList)
 	}
 }
 
-// After sets a timer of the module's.
-func (c actions) After(d time.Duration, token uint64) {
+// SetTimer sets a timer of the module's.
+func (c actions) SetTimer(d time.Duration, token uint64) {
 	c.clock.At(c.clock.Now()+d, func() {
-		c.do(func() { c.bal.Timer(c.clock.Now(), token) })
+		c.do(func() { c.bal.TimerFired(c.clock.Now(), token) })
 	})
 }
 
-// Tell has no way to go: nodes share nothing.
-func (c actions) Tell(int, []byte) {}
+// SendPeer has no way to go: nodes share nothing.
+func (c actions) SendPeer(int, []byte) {}
 
 // CloseIdle closes a next hop's idle connections.
 func (c actions) CloseIdle(w balancer.WorkerID) {
-	if h := c.hops[w]; h != nil && h.NextHop != nil {
-		h.NextHop.CloseIdle()
+	if h := c.hops[w]; h != nil && h.Endpoint != nil {
+		h.Endpoint.CloseIdle()
 	}
 }
 
--- a/internal/proxy/broker/ban.go
+++ b/internal/proxy/broker/maintenance.go
@@ -7,8 +7,8 @@
 	"moorstack/balancer"
 )
 
-// ErrUnlisted is the answer to a ban of a next hop that was never in the route set.
-var ErrUnlisted = errors.New("no trip worker of this id was ever listed")
+// ErrNeverListed is the answer to a ban of a next hop that was never in the route set.
+var ErrNeverListed = errors.New("no trip worker of this id was ever listed")
 
 // most names of next hops that are remembered once they have left the route set.
 const mostNames = 1 << 16
@@ -49,27 +49,27 @@
 	if t, ok := b.back[name]; ok && w.State != balancer.Removed {
 		// Hazard: it was restarted during its ban and is cold, and the list, which is late,
 		// does not tell so yet. Until it does, it counts as started when it was put back.
-		if w.Since > t.began {
+		if w.StartedAt > t.began {
 			delete(b.back, name)
 		} else {
-			w.Since = t.ended
+			w.StartedAt = t.ended
 		}
 	}
 	return w
 }
 
-// Listed says whether a next hop of this name was ever in the route set.
-func (c *Core) Listed(name string) bool {
+// EverListed says whether a next hop of this name was ever in the route set.
+func (c *Broker) EverListed(name string) bool {
 	_, ok := c.bans.known[name]
 	return ok
 }
 
-// Ban takes a next hop out, by the operators' word, until Unban: from now on nothing new
+// StartMaintenance takes a next hop out, by the operators' word, until Unban: from now on nothing new
 // goes to it. Banned twice is banned once.
-func (c *Core) Ban(name string) { c.BanSince(name, c.clock.Now()) }
+func (c *Broker) StartMaintenance(name string) { c.StartMaintenanceSince(name, c.clock.Now()) }
 
-// BanSince is Ban for one that began earlier, as another process tells it.
-func (c *Core) BanSince(name string, since time.Duration) {
+// StartMaintenanceSince is Ban for one that began earlier, as another process tells it.
+func (c *Broker) StartMaintenanceSince(name string, since time.Duration) {
 	if _, out := c.bans.out[name]; out {
 		return
 	}
@@ -78,8 +78,8 @@
 	c.again(name, false)
 }
 
-// Unban puts a next hop back and reports whether it was banned.
-func (c *Core) Unban(name string) bool {
+// EndMaintenance puts a next hop back and reports whether it was banned.
+func (c *Broker) EndMaintenance(name string) bool {
 	since, out := c.bans.out[name]
 	if !out {
 		return false
@@ -90,11 +90,11 @@
 	return true
 }
 
-// Bans are the next hops that are banned, and since when.
-func (c *Core) Bans() map[string]time.Duration { return c.bans.out }
+// UnderMaintenance are the next hops that are banned, and since when.
+func (c *Broker) UnderMaintenance() map[string]time.Duration { return c.bans.out }
 
 // again tells the module of a next hop as it stands now.
-func (c *Core) again(name string, back bool) {
+func (c *Broker) again(name string, back bool) {
 	id, ok := c.ids[name]
 	if !ok {
 		return // it is not listed now; once it is, the overlay holds
@@ -105,15 +105,15 @@
 	}
 	w := c.over(name, h.listed)
 	c.do(func() {
-		c.bal.Members(c.clock.Now(), balancer.Changes, []balancer.Worker{w})
+		c.bal.UpdateWorkers(c.clock.Now(), balancer.ListDelta, []balancer.Worker{w})
 		if back {
-			c.bal.Owe(id)
+			c.bal.EndMaintenance(id)
 		}
 	})
 }
 
-// Discovered is how many next hops are listed.
-func (c *Core) Discovered() int {
+// DiscoveredCount is how many next hops are listed.
+func (c *Broker) DiscoveredCount() int {
 	n := 0
 	for _, h := range c.hops {
 		if !h.gone {
@@ -123,10 +123,10 @@
 	return n
 }
 
-// Ejected is how many of the listed next hops are avoided now: banned, or, as the module
+// EjectedCount is how many of the listed next hops are avoided now: banned, or, as the module
 // says, not trusted. A drain that the list tells of is neither by hand nor by choice.
-func (c *Core) Ejected() int {
-	n := c.bal.Distrusted(c.clock.Now())
+func (c *Broker) EjectedCount() int {
+	n := c.bal.EjectedCount(c.clock.Now())
 	for name := range c.bans.out {
 		if h := c.hops[c.ids[name]]; h != nil && h.name == name && !h.gone {
 			n++
--- a/internal/proxy/broker/ban_test.go
+++ b/internal/proxy/broker/maintenance_test.go
@@ -10,10 +10,10 @@
 // The overlay gives the module what the operators said, whatever the list says.
 func TestOverlay(t *testing.T) {
 	b := newBans()
-	listed := balancer.Worker{State: balancer.Ready, Since: 10 * time.Second}
-	want := func(what string, w balancer.Worker, state balancer.State, since time.Duration) {
+	listed := balancer.Worker{State: balancer.Ready, StartedAt: 10 * time.Second}
+	want := func(what string, w balancer.Worker, state balancer.WorkerState, since time.Duration) {
 		t.Helper()
-		if got := b.over("a", w); got.State != state || got.Since != since {
+		if got := b.over("a", w); got.State != state || got.StartedAt != since {
 			t.Errorf("%s: %+v", what, got)
 		}
 	}
@@ -24,7 +24,7 @@
 	gone.State = balancer.Removed
 	want("banned and gone", gone, balancer.Removed, 10*time.Second)
 	restarted := listed
-	restarted.Since = 61 * time.Second
+	restarted.StartedAt = 61 * time.Second
 	want("banned and restarted", restarted, balancer.Draining, 61*time.Second)
 
 	delete(b.out, "a")
--- a/internal/proxy/broker/subset.go
+++ b/internal/proxy/broker/subset.go
@@ -7,25 +7,25 @@
 // Next hops beyond the subset that this core uses are listed, and to the module they are draining:
 // nothing new goes to them, what is out there ends as it may, and what was learned of them is kept.
 
-// Listing is a next hop of the route set that takes work, by the list's word.
-type Listing struct{ Name, Zone string }
+// ListedEndpoint is a next hop of the route set that takes work, by the list's word.
+type ListedEndpoint struct{ Name, Zone string }
 
-// OnList has f be called after each change of the route set.
-func (c *Core) OnList(f func()) { c.onList = f }
+// OnListUpdate has f be called after each change of the route set.
+func (c *Broker) OnListUpdate(f func()) { c.onList = f }
 
-// Listings are the next hops that are listed and take work, bans apart.
-func (c *Core) Listings() []Listing {
-	var list []Listing
+// ListedEndpoints are the next hops that are listed and take work, bans apart.
+func (c *Broker) ListedEndpoints() []ListedEndpoint {
+	var list []ListedEndpoint
 	for _, h := range c.hops {
 		if !h.gone && h.listed.State == balancer.Ready {
-			list = append(list, Listing{h.name, h.zone})
+			list = append(list, ListedEndpoint{h.name, h.zone})
 		}
 	}
 	return list
 }
 
-// Use has the core give work to the named next hops only; nil: to all.
-func (c *Core) Use(names map[string]bool) {
+// SetSubset has the core give work to the named next hops only; nil: to all.
+func (c *Broker) SetSubset(names map[string]bool) {
 	was := c.uses
 	c.uses = names
 	for name := range c.ids {
@@ -35,11 +35,11 @@
 	}
 }
 
-// OnEnd has f be called with the end of each branch. It must not call back.
-func (c *Core) OnEnd(f func(name string, res balancer.Result)) { c.onEnd = f }
+// OnAttemptEnd has f be called with the end of each branch. It must not call back.
+func (c *Broker) OnAttemptEnd(f func(name string, res balancer.Result)) { c.onEnd = f }
 
-// Shun has the core give nothing to the named next hops until it is called again.
-func (c *Core) Shun(names map[string]bool) {
+// SetEjected has the core give nothing to the named next hops until it is called again.
+func (c *Broker) SetEjected(names map[string]bool) {
 	was := c.shuns
 	c.shuns = names
 	for name := range c.ids {
@@ -49,10 +49,10 @@
 	}
 }
 
-// Used is how many next hops the core may give work to, of those that are listed and take work.
-func (c *Core) Used() int {
+// SubsetSize is how many next hops the core may give work to, of those that are listed and take work.
+func (c *Broker) SubsetSize() int {
 	n := 0
-	for _, l := range c.Listings() {
+	for _, l := range c.ListedEndpoints() {
 		if c.uses == nil || c.uses[l.Name] {
 			n++
 		}
@@ -61,7 +61,7 @@
 }
 
 // over gives a line of the route set as the module is to see it.
-func (c *Core) over(name string, w balancer.Worker) balancer.Worker {
+func (c *Broker) over(name string, w balancer.Worker) balancer.Worker {
 	w = c.bans.over(name, w)
 	if (c.uses != nil && !c.uses[name] || c.shuns[name]) && w.State == balancer.Ready {
 		w.State = balancer.Draining
--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -24,106 +24,106 @@
 // The states.
 const (
 	Serving State = iota
-	Steering
-	Closing
+	Unready
+	ClosingConnections
 )
 
 func (s State) String() string { return [...]string{"serving", "steering clients away", "closing"}[s] }
 
-// Notice is how long after its no a node takes jobs as ever: the front asks ten times a
+// HealthCheckGrace is how long after its no a node takes jobs as ever: the front asks ten times a
 // second and stops new connections 0.2 s after a no; at a planned restart they come for
 // 0.4 s.
-const Notice = 500 * time.Millisecond
+const HealthCheckGrace = 500 * time.Millisecond
 
-// ErrHanded is the answer to who would have a process serve whose place another has taken.
-var ErrHanded = errors.New("another process has taken this one's place")
+// ErrTakenOver is the answer to who would have a process serve whose place another has taken.
+var ErrTakenOver = errors.New("another process has taken this one's place")
 
-// ErrEnding is the answer to who would end a drain that has no way back.
-var ErrEnding = errors.New("the process is to end, and does not serve again")
+// ErrShuttingDown is the answer to who would end a drain that has no way back.
+var ErrShuttingDown = errors.New("the process is to end, and does not serve again")
 
-// Drain is the machine. The zero value serves.
-type Drain struct {
-	state  State
-	ending bool
-	handed bool
-	before State         // that Hand found
-	due    time.Duration // of the end of Steering
+// Machine is the machine. The zero value serves.
+type Machine struct {
+	state        State
+	shuttingDown bool
+	takenOver    bool
+	stateBefore  State         // that Hand found
+	closingAt    time.Duration // of the end of Steering
 }
 
 // State is where the node stands.
-func (d *Drain) State() State { return d.state }
+func (d *Machine) State() State { return d.state }
 
-// Handed says that another process has taken this one's place.
-func (d *Drain) Handed() bool { return d.handed }
+// TakenOver says that another process has taken this one's place.
+func (d *Machine) TakenOver() bool { return d.takenOver }
 
-// Ending says that there is no way back.
-func (d *Drain) Ending() bool { return d.ending }
+// ShuttingDown says that there is no way back.
+func (d *Machine) ShuttingDown() bool { return d.shuttingDown }
 
-// Standby begins a drain that Active can end. It reports whether this changed anything.
-func (d *Drain) Standby(now time.Duration) bool {
-	if d.handed {
-		d.before = Closing // should this process serve again, it stands by
+// BeginStandby begins a drain that Active can end. It reports whether this changed anything.
+func (d *Machine) BeginStandby(now time.Duration) bool {
+	if d.takenOver {
+		d.stateBefore = ClosingConnections // should this process serve again, it stands by
 		return false
 	}
 	if d.state != Serving {
 		return false // twice is once, and an end goes before a stand-by
 	}
-	d.state, d.due = Steering, now+Notice
+	d.state, d.closingAt = Unready, now+HealthCheckGrace
 	return true
 }
 
-// End begins a drain without a way back; one that has begun goes on from where it is.
+// BeginShutdown begins a drain without a way back; one that has begun goes on from where it is.
 // It reports whether this is the first word of the end.
-func (d *Drain) End(now time.Duration) bool {
-	first := !d.ending
-	d.ending = true
-	if d.Standby(now); d.state == Closing {
-		d.due = now
+func (d *Machine) BeginShutdown(now time.Duration) bool {
+	first := !d.shuttingDown
+	d.shuttingDown = true
+	if d.BeginStandby(now); d.state == ClosingConnections {
+		d.closingAt = now
 	}
 	return first
 }
 
-// Hand has another process take this one's place: its clients are to be away at once, for
+// HandOver has another process take this one's place: its clients are to be away at once, for
 // those that come are the other's.
-func (d *Drain) Hand() {
-	if !d.handed {
-		d.before, d.handed = d.state, true
-		d.state = Closing
+func (d *Machine) HandOver() {
+	if !d.takenOver {
+		d.stateBefore, d.takenOver = d.state, true
+		d.state = ClosingConnections
 	}
 }
 
-// TakeBack ends that: the other process is gone.
-func (d *Drain) TakeBack() {
-	if d.handed {
-		d.handed = false
-		if !d.ending {
-			d.state = d.before
+// AbortHandOver ends that: the other process is gone.
+func (d *Machine) AbortHandOver() {
+	if d.takenOver {
+		d.takenOver = false
+		if !d.shuttingDown {
+			d.state = d.stateBefore
 		}
 	}
 }
 
-// Active ends a drain, unless the process is to end. It reports whether this changed anything.
-func (d *Drain) Active() (bool, error) {
-	if d.ending {
-		return false, ErrEnding
+// EndStandby ends a drain, unless the process is to end. It reports whether this changed anything.
+func (d *Machine) EndStandby() (bool, error) {
+	if d.shuttingDown {
+		return false, ErrShuttingDown
 	}
-	if d.handed {
-		return false, ErrHanded
+	if d.takenOver {
+		return false, ErrTakenOver
 	}
 	changed := d.state != Serving
 	d.state = Serving
 	return changed, nil
 }
 
-// Due takes the time and reports whether Closing has begun by it: once a drain. A time
+// Advance takes the time and reports whether Closing has begun by it: once a drain. A time
 // that was set for a drain that has been called off, or is of a later one, changes nothing.
-func (d *Drain) Due(now time.Duration) bool {
-	if d.state != Steering || now < d.due {
+func (d *Machine) Advance(now time.Duration) bool {
+	if d.state != Unready || now < d.closingAt {
 		return false
 	}
-	d.state = Closing
+	d.state = ClosingConnections
 	return true
 }
 
-// At is when Due is to be called.
-func (d *Drain) At() time.Duration { return d.due }
+// ClosingAt is when Due is to be called.
+func (d *Machine) ClosingAt() time.Duration { return d.closingAt }
--- a/internal/proxy/hotrestart/link.go
+++ b/internal/proxy/hotrestart/link.go
@@ -14,27 +14,27 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// longest is the longest path that a Unix address holds.
-const longest = 107
+// maxUnixPathBytes is the longest path that a Unix address holds.
+const maxUnixPathBytes = 107
 
-// Place is where a node's processes meet: a socket in a folder, named by the node's
+// SocketPath is where a node's processes meet: a socket in a folder, named by the node's
 // address, so that the nodes of one machine don't meet each other.
-type Place struct{ dir, name string }
+type SocketPath struct{ dir, name string }
 
-// At is the place in a folder for the node that serves at an address.
-func At(dir, listen string) Place {
+// SocketFor is the place in a folder for the node that serves at an address.
+func SocketFor(dir, listen string) SocketPath {
 	sum := fnv.New64a()
 	sum.Write([]byte(listen))
-	return Place{dir, fmt.Sprintf("moorstack-%x.sock", sum.Sum64())}
+	return SocketPath{dir, fmt.Sprintf("moorstack-%x.sock", sum.Sum64())}
 }
 
-// address gives the socket's address under a name, and what is to be done once it has been used.
+// sockaddr gives the socket's address under a name, and what is to be done once it has been used.
 //
 // Hazard: the folder's path may be longer than a Unix address. A descriptor of the folder
 // makes a short one.
-func (p Place) address(name string) (*unix.SockaddrUnix, func(), error) {
+func (p SocketPath) sockaddr(name string) (*unix.SockaddrUnix, func(), error) {
 	path := filepath.Join(p.dir, name)
-	if len(path) <= longest {
+	if len(path) <= maxUnixPathBytes {
 		return &unix.SockaddrUnix{Name: path}, func() {}, nil
 	}
 	fd, err := unix.Open(p.dir, unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
@@ -47,7 +47,7 @@
 
 // Listen waits there for the process that will take this one's place, and takes the
 // place of whoever waited there before.
-func (p Place) Listen(loop *eventloop.Loop, accept func(*eventloop.Conn)) (*eventloop.Listener, error) {
+func (p SocketPath) Listen(loop *eventloop.Loop, accept func(*eventloop.Conn)) (*eventloop.Listener, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
@@ -55,7 +55,7 @@
 	own := fmt.Sprintf("%s.%d", p.name, os.Getpid())
 	err = func() error {
 		_ = os.Remove(filepath.Join(p.dir, own)) // left over from a process that had this number
-		addr, used, err := p.address(own)
+		addr, used, err := p.sockaddr(own)
 		if err != nil {
 			return err
 		}
@@ -76,36 +76,36 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("the place for the next process, %s: %w", filepath.Join(p.dir, p.name), err)
 	}
-	return loop.ListenOn(fd, eventloop.Limits{Connections: 2, Bytes: 2 * MaxMessage}, accept)
+	return loop.ListenFD(fd, eventloop.Limits{MaxConnections: 2, MaxBufferBytes: 2 * MaxMessageBytes}, accept)
 }
 
-// Offered is what a process gets from the one whose place it takes.
-type Offered struct {
-	State  *State
-	Listen int // the listening socket
-	Conn   int // the connection with the other process
+// Inheritance is what a process gets from the one whose place it takes.
+type Inheritance struct {
+	State      *State
+	ListenerFD int // the listening socket
+	ConnFD     int // the connection with the other process
 }
 
-// ErrAlone says that no process is there.
-var ErrAlone = errors.New("no process to take over from")
+// ErrNoParent says that no process is there.
+var ErrNoParent = errors.New("no process to take over from")
 
 // Join asks the process that waits at the place for its state and its listening socket. It
 // returns ErrAlone at once if there is none, another error if it can't be had in time.
-func (p Place) Join(name, listen string) (*Offered, error) {
-	for end := time.Now().Add(BusyBy); ; time.Sleep(50 * time.Millisecond) {
-		o, err := p.join(name, listen, time.Now().Add(JoinBy))
-		if !errors.Is(err, errBusy) || time.Now().After(end) {
+func (p SocketPath) Join(name, listen string) (*Inheritance, error) {
+	for end := time.Now().Add(JoinRetryTimeout); ; time.Sleep(50 * time.Millisecond) {
+		o, err := p.requestState(name, listen, time.Now().Add(StateTimeout))
+		if !errors.Is(err, errRestartUnderWay) || time.Now().After(end) {
 			return o, err
 		}
 	}
 }
 
-var errBusy = errors.New("another process is about to take its place")
+var errRestartUnderWay = errors.New("another process is about to take its place")
 
-func (p Place) join(name, listen string, end time.Time) (o *Offered, err error) {
-	addr, used, err := p.address(p.name)
+func (p SocketPath) requestState(name, listen string, end time.Time) (o *Inheritance, err error) {
+	addr, used, err := p.sockaddr(p.name)
 	if err != nil {
-		return nil, ErrAlone // there is no folder
+		return nil, ErrNoParent // there is no folder
 	}
 	defer used()
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -123,9 +123,9 @@
 	}()
 	if err := unix.Connect(fd, addr); err != nil {
 		// Hazard: the socket is left over from a process that was killed. It refuses.
-		return nil, ErrAlone
+		return nil, ErrNoParent
 	}
-	hello := Message{Type: IsHello, Version: Version, Name: name, Listen: listen}
+	hello := Message{Type: TypeHello, Version: Version, Node: name, ListenAddress: listen}
 	if _, err := unix.Write(fd, hello.Append(nil)); err != nil {
 		return nil, fmt.Errorf("asking for its place: %w", err)
 	}
@@ -144,35 +144,35 @@
 		if err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
 			return nil, fmt.Errorf("reading its state: %w", err)
 		}
-		if got := descriptor(oob[:max(on, 0)]); got >= 0 {
+		if got := firstDescriptor(oob[:max(on, 0)]); got >= 0 {
 			listener = got
 		}
 		if err == nil && n == 0 {
 			return nil, errors.New("the process there hung up")
 		}
-		if in = append(in, buf[:max(n, 0)]...); len(in) > MaxMessage {
+		if in = append(in, buf[:max(n, 0)]...); len(in) > MaxMessageBytes {
 			return nil, errors.New("its state has no end")
 		}
 	}
 	line, rest, _ := bytes.Cut(in, []byte("\n"))
-	m, err := Parse(line)
+	m, err := ParseMessage(line)
 	switch {
 	case err != nil:
 		return nil, err
-	case m.Type == IsRefuse:
-		return nil, fmt.Errorf("%w: %s", errBusy, m.Why)
-	case m.Type != IsState || len(rest) > 0:
+	case m.Type == TypeRejected:
+		return nil, fmt.Errorf("%w: %s", errRestartUnderWay, m.Reason)
+	case m.Type != TypeState || len(rest) > 0:
 		return nil, fmt.Errorf("an answer of type %q", m.Type)
 	case listener < 0:
 		return nil, errors.New("the state came without the listening socket")
 	}
 	none := unix.Timeval{}
 	_ = unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &none)
-	return &Offered{m.State, listener, fd}, nil
+	return &Inheritance{m.State, listener, fd}, nil
 }
 
-// descriptor is the one that came along, or -1.
-func descriptor(oob []byte) int {
+// firstDescriptor is the one that came along, or -1.
+func firstDescriptor(oob []byte) int {
 	messages, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return -1
@@ -190,34 +190,39 @@
 
 // Link is the connection of the two processes, on the loop of one.
 type Link struct {
-	conn *eventloop.Conn
-	line []byte
-	said func(*Link, *Message)
-	gone func(*Link, error)
+	conn      *eventloop.Conn
+	partial   []byte
+	onMessage func(*Link, *Message)
+	onClose   func(*Link, error)
 }
 
 var _ eventloop.Handler = (*Link)(nil)
 
-// Accept makes a link of a connection that was accepted.
-func Accept(conn *eventloop.Conn, said func(*Link, *Message), gone func(*Link, error)) *Link {
-	l := &Link{conn: conn, said: said, gone: gone}
-	conn.H = l
+// AcceptLink makes a link of a connection that was accepted.
+func AcceptLink(conn *eventloop.Conn, said func(*Link, *Message), gone func(*Link, error)) *Link {
+	l := &Link{conn: conn, onMessage: said, onClose: gone}
+	conn.Handler = l
 	return l
 }
 
-// Connect makes a link of the connection that Join has made.
-func Connect(loop *eventloop.Loop, fd int, said func(*Link, *Message), gone func(*Link, error)) (*Link, error) {
-	l := &Link{said: said, gone: gone}
+// ConnectLink makes a link of the connection that Join has made.
+func ConnectLink(
+	loop *eventloop.Loop,
+	fd int,
+	said func(*Link, *Message),
+	gone func(*Link, error),
+) (*Link, error) {
+	l := &Link{onMessage: said, onClose: gone}
 	var err error
 	if l.conn, err = loop.Adopt(fd, l); err == nil {
-		l.conn.Passing = true
+		l.conn.ReceiveFDs = true
 	}
 	return l, err
 }
 
-// Job sends an open job with its client's connection.
-func (l *Link) Job(j Job, fd int) error {
-	m := Message{Type: IsJob, Job: &j}
+// SendRequest sends an open job with its client's connection.
+func (l *Link) SendRequest(j MigratedRequest, fd int) error {
+	m := Message{Type: TypeMigratedRequest, Request: &j}
 	return l.conn.WriteFDs(m.Append(nil), fd)
 }
 
@@ -227,51 +232,51 @@
 // Send sends a message.
 func (l *Link) Send(m Message) { l.conn.Write(m.Append(nil)) }
 
-// Offer sends the state with the listening socket.
-func (l *Link) Offer(s *State, listener int) error {
-	m := Message{Type: IsState, Version: Version, State: s}
+// SendState sends the state with the listening socket.
+func (l *Link) SendState(s *State, listener int) error {
+	m := Message{Type: TypeState, Version: Version, State: s}
 	return l.conn.WriteFDs(m.Append(nil), listener)
 }
 
-// Refuse says no and hangs up.
-func (l *Link) Refuse(why string) {
-	l.Send(Message{Type: IsRefuse, Version: Version, Why: why})
-	l.conn.Finish()
+// Reject says no and hangs up.
+func (l *Link) Reject(why string) {
+	l.Send(Message{Type: TypeRejected, Version: Version, Reason: why})
+	l.conn.CloseAfterFlush()
 }
 
 // Close hangs up; nothing is told.
 func (l *Link) Close() { l.conn.Close() }
 
-// Up is of no concern: the connection is there.
-func (*Link) Up(*eventloop.Conn) {}
+// OnConnect is of no concern: the connection is there.
+func (*Link) OnConnect(*eventloop.Conn) {}
 
-// Data takes whole messages, however they were cut.
-func (l *Link) Data(c *eventloop.Conn) {
-	c.Taken() // whoever says hello and then little is not shed for it; TakeBy ends that
-	l.line = append(l.line, c.In()...)
-	c.Use(len(c.In()))
-	for !c.Closed() && !c.Finished() {
-		line, rest, whole := bytes.Cut(l.line, []byte("\n"))
+// OnData takes whole messages, however they were cut.
+func (l *Link) OnData(c *eventloop.Conn) {
+	c.BeginProcessing() // whoever says hello and then little is not shed for it; TakeBy ends that
+	l.partial = append(l.partial, c.Input()...)
+	c.Discard(len(c.Input()))
+	for !c.Closed() && !c.Finishing() {
+		line, rest, whole := bytes.Cut(l.partial, []byte("\n"))
 		if !whole {
 			break
 		}
-		m, err := Parse(line)
-		l.line = append([]byte(nil), rest...)
+		m, err := ParseMessage(line)
+		l.partial = append([]byte(nil), rest...)
 		if err != nil {
 			l.fail(err)
 			return
 		}
-		l.said(l, m)
+		l.onMessage(l, m)
 	}
-	if len(l.line) > MaxMessage {
+	if len(l.partial) > MaxMessageBytes {
 		l.fail(errors.New("a message without end"))
 	}
 }
 
-// Ended is the end from the other side.
-func (l *Link) Ended(_ *eventloop.Conn, err error) { l.gone(l, err) }
+// OnClose is the end from the other side.
+func (l *Link) OnClose(_ *eventloop.Conn, err error) { l.onClose(l, err) }
 
 func (l *Link) fail(err error) {
 	l.conn.Close()
-	l.gone(l, err)
+	l.onClose(l, err)
 }
--- a/internal/proxy/hotrestart/link_test.go
+++ b/internal/proxy/hotrestart/link_test.go
@@ -25,15 +25,15 @@
 
 // Messages come whole however they are cut; what can't be read ends the link, once.
 func TestLinkTakesPieces(t *testing.T) {
-	text := string((&Message{Type: IsTake}).Append(nil)) +
-		string((&Message{Type: IsCall, Number: 7, Body: []byte("a\nb")}).Append(nil)) +
-		string((&Message{Type: IsBegun, IDs: []string{"x"}}).Append(nil))
+	text := string((&Message{Type: TypeChildServes}).Append(nil)) +
+		string((&Message{Type: TypeCallBack, CallBackNumber: 7, Body: []byte("a\nb")}).Append(nil)) +
+		string((&Message{Type: TypeRequestsBegun, RequestIDs: []string{"x"}}).Append(nil))
 	for _, size := range []int{1, 2, 3, 7, 50, len(text)} {
 		loop, fds := pair(t)
 		var got []string
 		ended := 0
 		said := func(_ *Link, m *Message) { got = append(got, string(m.Type)+string(m.Body)) }
-		if _, err := Connect(loop, fds[0], said, func(*Link, error) {
+		if _, err := ConnectLink(loop, fds[0], said, func(*Link, error) {
 			ended++
 			loop.Stop()
 		}); err != nil {
@@ -63,7 +63,7 @@
 func TestLinkIsBounded(t *testing.T) {
 	loop, fds := pair(t)
 	ended := false
-	if _, err := Connect(loop, fds[0], nil, func(*Link, error) {
+	if _, err := ConnectLink(loop, fds[0], nil, func(*Link, error) {
 		ended = true
 		loop.Stop()
 	}); err != nil {
@@ -72,7 +72,7 @@
 	loop.After(10*time.Second, loop.Stop)
 	go func() {
 		piece := []byte(strings.Repeat("x", 1<<16))
-		for sent := 0; sent < 2*MaxMessage; sent += len(piece) {
+		for sent := 0; sent < 2*MaxMessageBytes; sent += len(piece) {
 			if _, err := unix.Write(fds[1], piece); err != nil {
 				return
 			}
--- a/internal/proxy/hotrestart/rebase_test.go
+++ b/internal/proxy/hotrestart/rebase_test.go
@@ -12,11 +12,21 @@
 // stateAt is a state with a time in every place that has one, all a minute before the sender's clock.
 func stateAt(now time.Duration) *State {
 	at := now - time.Minute
-	return &State{Now: now, Bans: []Ban{{Name: "a", Out: true, Since: at}, {Name: "b", Since: at, Ended: at}},
-		Starts: map[string]Start{"a": {Said: 7, At: at}},
-		Module: balancer.Memory{WaitT: at, Surveyed: at, Allowances: []balancer.Allowed{{Left: 3, At: at}},
-			Workers: map[balancer.WorkerID]balancer.WorkerMemory{1: {Pace: 1, WaitT: at, IllT: at, Since: at,
-				Sent: []balancer.Spent{{At: at, Work: 2}}}}}}
+	return &State{
+		SentAt: now,
+		Maintenance: []Maintenance{
+			{Endpoint: "a", Active: true, StartedAt: at},
+			{Endpoint: "b", StartedAt: at, EndedAt: at},
+		},
+		WorkerStarts: map[string]WorkerStart{"a": {Reported: 7, At: at}},
+		Balancer: balancer.LearnedState{
+			WaitT:      at,
+			Surveyed:   at,
+			Allowances: []balancer.TenantQuota{{Left: 3, At: at}},
+			Workers: map[balancer.WorkerID]balancer.WorkerRecord{1: {Pace: 1, WaitT: at, IllT: at, Since: at,
+				Sent: []balancer.SentWork{{At: at, Work: 2}}}},
+		},
+	}
 }
 
 // The wall clock is stepped between the starts of two processes of a node, by seconds or an hour, either way:
@@ -25,8 +35,8 @@
 	const now = 1000 * time.Hour
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		got, want := stateAt(now), stateAt(now+step)
-		got.Rebase(now + step)
-		got.Now = want.Now
+		got.RebaseTimes(now + step)
+		got.SentAt = want.SentAt
 		if !reflect.DeepEqual(got, want) {
 			a, _ := json.Marshal(got)
 			b, _ := json.Marshal(want)
@@ -34,14 +44,14 @@
 		}
 	}
 	got := stateAt(now)
-	got.Rebase(now + leastStep/2)
+	got.RebaseTimes(now + minClockStep/2)
 	if !reflect.DeepEqual(got, stateAt(now)) {
 		t.Error("the time that the message took was taken for a step")
 	}
 	older := stateAt(now)
-	older.Now = 0
-	older.Rebase(now + time.Hour)
-	if older.Bans[0].Since != now-time.Minute {
+	older.SentAt = 0
+	older.RebaseTimes(now + time.Hour)
+	if older.Maintenance[0].StartedAt != now-time.Minute {
 		t.Error("the times of a process that tells no clock were moved")
 	}
 }
@@ -70,6 +80,6 @@
 		}
 	}
 	s := stateAt(100 * time.Hour)
-	s.Rebase(101 * time.Hour)
-	walk(reflect.ValueOf(s.Module), "Memory")
+	s.RebaseTimes(101 * time.Hour)
+	walk(reflect.ValueOf(s.Balancer), "Memory")
 }
--- a/internal/proxy/memtrim/resident.go
+++ b/internal/proxy/memtrim/memtrim.go
@@ -17,12 +17,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// GiveBack drops the pages of this program's own file that can only be read, and gives how many bytes of
-// address space that is. Those that are needed come back from the page cache, one window at a time.
+// ReleaseFilePages drops the pages of this program's own file that can only be read, and gives how many
+// bytes of address space that is. Those that are needed come back from the page cache, one window at a time.
 //
 // Hazard: a page that can be written to may differ from the file, and would be lost. Only mappings
 // without write permission are dropped; code that runs meanwhile is mapped anew under it.
-func GiveBack() (bytes int, err error) {
+func ReleaseFilePages() (bytes int, err error) {
 	program, err := os.Readlink("/proc/self/exe")
 	if err != nil {
 		return 0, err
--- a/internal/proxy/memtrim/resident_test.go
+++ b/internal/proxy/memtrim/memtrim_test.go
@@ -40,7 +40,7 @@
 // The process goes on as it was, with less of its file mapped.
 func TestGiveBack(t *testing.T) {
 	before := fileBytes(t)
-	n, err := GiveBack()
+	n, err := ReleaseFilePages()
 	if err != nil || n == 0 {
 		t.Fatalf("%d bytes: %v", n, err)
 	}
--- a/internal/proxy/metrics/figures.go
+++ b/internal/proxy/metrics/metrics.go
@@ -12,32 +12,32 @@
 
 import "strconv"
 
-// Class are the counts of one class.
-type Class struct{ Succeeded, Declined, Aborted uint64 }
+// ClassCounters are the counts of one class.
+type ClassCounters struct{ Succeeded, Declined, Aborted uint64 }
 
-// Counts are the counts of a process, from 0.
-type Counts struct {
-	Classes  []Class // by the class's number
-	Forwards uint64  // attempts written whole to next hops
-	Left     uint64  // jobs whose client had gone before the answer
+// Counters are the counts of a process, from 0.
+type Counters struct {
+	Classes           []ClassCounters // by the class's number
+	Forwards          uint64          // attempts written whole to next hops
+	ClientDisconnects uint64          // jobs whose client had gone before the answer
 }
 
-// Now is what is true at one moment, and not counted.
-type Now struct {
-	Outstanding int // jobs taken and not ended
-	Discovered  int // next hops listed
-	Ejected     int // of them, those that the node avoids by hand or by choice
+// Gauges is what is true at one moment, and not counted.
+type Gauges struct {
+	InFlight  int // jobs taken and not ended
+	Endpoints int // next hops listed
+	Ejected   int // of them, those that the node avoids by hand or by choice
 }
 
-// Append appends the figures, as one line of JSON, to dst. The classes have the names
+// AppendJSON appends the figures, as one line of JSON, to dst. The classes have the names
 // given, which hold nothing that JSON must escape or were quoted by the caller.
-func (c *Counts) Append(dst []byte, names []string, now Now) []byte {
+func (c *Counters) AppendJSON(dst []byte, names []string, now Gauges) []byte {
 	dst = append(dst, `{"results":{`...)
 	for i, name := range names {
 		if i > 0 {
 			dst = append(dst, ',')
 		}
-		var of Class // one that came with a reload has served nothing yet
+		var of ClassCounters // one that came with a reload has served nothing yet
 		if i < len(c.Classes) {
 			of = c.Classes[i]
 		}
@@ -50,10 +50,10 @@
 	}
 	dst = append(dst, '}')
 	dst = number(dst, ',', "forwards", c.Forwards)
-	dst = number(dst, ',', "outstanding", uint64(max(now.Outstanding, 0)))
-	dst = number(dst, ',', "discovered", uint64(max(now.Discovered, 0)))
+	dst = number(dst, ',', "outstanding", uint64(max(now.InFlight, 0)))
+	dst = number(dst, ',', "discovered", uint64(max(now.Endpoints, 0)))
 	dst = number(dst, ',', "ejected", uint64(max(now.Ejected, 0)))
-	dst = number(dst, ',', "left", c.Left)
+	dst = number(dst, ',', "left", c.ClientDisconnects)
 	return append(dst, '}')
 }
 
--- a/internal/proxy/metrics/figures_test.go
+++ b/internal/proxy/metrics/metrics_test.go
@@ -6,8 +6,8 @@
 )
 
 func TestAppend(t *testing.T) {
-	c := Counts{Classes: []Class{{1, 2, 3}}, Forwards: 9, Left: 4}
-	line := c.Append([]byte("x"), []string{"quote", `bo"ok`}, Now{14, 10, 2})
+	c := Counters{Classes: []ClassCounters{{1, 2, 3}}, Forwards: 9, ClientDisconnects: 4}
+	line := c.AppendJSON([]byte("x"), []string{"quote", `bo"ok`}, Gauges{14, 10, 2})
 	var got struct {
 		Results                                    map[string]map[string]uint64
 		Outstanding, Discovered, Ejected, Forwards uint64
--- a/internal/proxy/routing/space.go
+++ b/internal/proxy/routing/enumerate.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// maxSpace bounds how many jobs Space makes.
-const maxSpace = 2_000_000
+// maxEnumeratedJobs bounds how many jobs Space makes.
+const maxEnumeratedJobs = 2_000_000
 
-// Space makes jobs that between them have every value that the files' rules tell apart,
+// EnumerateJobs makes jobs that between them have every value that the files' rules tell apart,
 // in all combinations, from the plainest to the most special, until tell says no. It
 // reports whether it came to the end.
-func Space(names Names, a, b *File, tell func(*Job) bool) bool {
-	hosts, paths, queues, types := values{""}, values{""}, values{""}, values{""}
-	fronts, keys := values{"http", "faktory"}, values{""}
-	headers := map[string]values{}
+func EnumerateJobs(names KnownNames, a, b *File, tell func(*Job) bool) bool {
+	hosts, paths, queues, types := valueSet{""}, valueSet{""}, valueSet{""}, valueSet{""}
+	fronts, keys := valueSet{"http", "faktory"}, valueSet{""}
+	headers := map[string]valueSet{}
 	costs := []time.Duration{0}
 	for _, f := range []*File{a, b} {
 		for _, r := range f.Rules {
@@ -29,13 +29,13 @@
 					hosts.add(h)
 				}
 			}
-			for _, p := range m.Paths {
+			for _, p := range m.PathPrefixes {
 				paths.add(p)
 			}
 			for _, q := range m.Queues {
 				queues.add(q)
 			}
-			for _, t := range m.Types {
+			for _, t := range m.JobTypes {
 				types.add(t)
 			}
 			for name, v := range m.Headers {
@@ -44,17 +44,17 @@
 				list.add(strings.ReplaceAll(v, "*", "any"))
 				headers[name] = list
 			}
-			if m.KeyPrefix != "" {
-				keys.add(m.KeyPrefix)
+			if m.RouteKeyPrefix != "" {
+				keys.add(m.RouteKeyPrefix)
 			}
-			for _, c := range []time.Duration{time.Duration(m.CostFrom), time.Duration(m.CostBelow)} {
+			for _, c := range []time.Duration{time.Duration(m.MinCost), time.Duration(m.CostBelow)} {
 				if c > 0 && !slices.Contains(costs, c) {
 					costs = append(costs, c)
 				}
 			}
 			if len(r.Split) > 0 {
 				for i := range 16 {
-					keys.add(fmt.Sprint(m.KeyPrefix, "key", i))
+					keys.add(fmt.Sprint(m.RouteKeyPrefix, "key", i))
 				}
 			}
 		}
@@ -75,18 +75,18 @@
 		sizes = append(sizes, len(headers[h]))
 	}
 	at := make([]int, len(sizes))
-	for made := 0; made < maxSpace; made++ {
+	for made := 0; made < maxEnumeratedJobs; made++ {
 		j := &Job{
-			Front:  fronts[at[0]],
-			Class:  at[1] - 1,
-			Tenant: at[2] - 1,
-			Host:   hosts[at[3]],
-			Path:   paths[at[4]],
-			Queue:  queues[at[5]],
-			Type:   types[at[6]],
-			Key:    keys[at[7]],
-			Cost:   costs[at[8]],
-			ID:     "job",
+			Frontend: fronts[at[0]],
+			Class:    at[1] - 1,
+			Tenant:   at[2] - 1,
+			Host:     hosts[at[3]],
+			Path:     paths[at[4]],
+			Queue:    queues[at[5]],
+			JobType:  types[at[6]],
+			RouteKey: keys[at[7]],
+			CostHint: costs[at[8]],
+			ID:       "job",
 		}
 		set := map[string]string{}
 		for i, h := range heads {
@@ -111,17 +111,17 @@
 	return false
 }
 
-type values []string
+type valueSet []string
 
-func (v *values) add(s string) {
+func (v *valueSet) add(s string) {
 	if !slices.Contains(*v, s) {
 		*v = append(*v, s)
 	}
 }
 
-// Describe says in words what a job is like, leaving out what it does not name.
-func Describe(names Names, j *Job) string {
-	parts := []string{j.Front}
+// DescribeJob says in words what a job is like, leaving out what it does not name.
+func DescribeJob(names KnownNames, j *Job) string {
+	parts := []string{j.Frontend}
 	add := func(what, value string) {
 		if value != "" {
 			parts = append(parts, what+" "+value)
@@ -138,10 +138,10 @@
 	add("host", j.Host)
 	add("path", j.Path)
 	add("queue", j.Queue)
-	add("type", j.Type)
-	add("key", j.Key)
-	if j.Cost > 0 {
-		add("cost", j.Cost.String())
+	add("type", j.JobType)
+	add("key", j.RouteKey)
+	if j.CostHint > 0 {
+		add("cost", j.CostHint.String())
 	}
 	for _, name := range slices.Sorted(maps.Keys(j.headers)) {
 		add("header "+name+":", j.headers[name])
@@ -154,5 +154,5 @@
 	if len(r.pools) == 1 {
 		return r.pools[0].name
 	}
-	return fmt.Sprintf("%s (on when %s)", strings.Join(r.Pools(), ", then "), r.spill)
+	return fmt.Sprintf("%s (on when %s)", strings.Join(r.PoolNames(), ", then "), r.spillover)
 }
--- a/internal/proxy/routing/file.go
+++ b/internal/proxy/routing/file.go
@@ -39,31 +39,31 @@
 	Name  string    `toml:"name"`
 	Match MatchSpec `toml:"match"`
 
-	Class      string      `toml:"class"`       // given to a job that names none
-	Prefer     []string    `toml:"prefer"`      // pools, the most wanted first
-	Spill      string      `toml:"spill"`       // when to go on: never, empty (if not given) or busy
-	Split      []SplitSpec `toml:"split"`       // one of these pools comes before those of prefer
-	SplitBy    string      `toml:"split_by"`    // key, tenant or id; key, if not given
-	Attempts   int         `toml:"attempts"`    // within the class's
-	Timeout    duration    `toml:"timeout"`     // of each attempt, within the job's
-	Refuse     string      `toml:"refuse"`      // the reason; no worker gets the job
-	RetryAfter duration    `toml:"retry_after"` // with refuse
+	Class          string      `toml:"class"`       // given to a job that names none
+	PreferredPools []string    `toml:"prefer"`      // pools, the most wanted first
+	Spillover      string      `toml:"spill"`       // when to go on: never, empty (if not given) or busy
+	Split          []SplitSpec `toml:"split"`       // one of these pools comes before those of prefer
+	SplitBy        string      `toml:"split_by"`    // key, tenant or id; key, if not given
+	MaxAttempts    int         `toml:"attempts"`    // within the class's
+	AttemptTimeout duration    `toml:"timeout"`     // of each attempt, within the job's
+	RejectReason   string      `toml:"refuse"`      // the reason; no worker gets the job
+	RetryAfter     duration    `toml:"retry_after"` // with refuse
 }
 
 // MatchSpec is what a job must be like. Of a list, one must fit; of what is not given,
 // anything does.
 type MatchSpec struct {
-	Classes   []string          `toml:"class"` // "" stands for a job that names none
-	Tenants   []string          `toml:"tenant"`
-	Fronts    []string          `toml:"front"` // http or faktory
-	Queues    []string          `toml:"queue"`
-	Types     []string          `toml:"jobtype"`
-	Hosts     []string          `toml:"host"`        // whole, or "*.example.org" for all below
-	Paths     []string          `toml:"path_prefix"` // of the path, without the query
-	Headers   map[string]string `toml:"header"`      // all of them; "*": any value
-	KeyPrefix string            `toml:"key_prefix"`  // of the route key
-	CostFrom  duration          `toml:"cost_from"`   // the hint, at least
-	CostBelow duration          `toml:"cost_below"`
+	Classes        []string          `toml:"class"` // "" stands for a job that names none
+	Tenants        []string          `toml:"tenant"`
+	Frontends      []string          `toml:"front"` // http or faktory
+	Queues         []string          `toml:"queue"`
+	JobTypes       []string          `toml:"jobtype"`
+	Hosts          []string          `toml:"host"`        // whole, or "*.example.org" for all below
+	PathPrefixes   []string          `toml:"path_prefix"` // of the path, without the query
+	Headers        map[string]string `toml:"header"`      // all of them; "*": any value
+	RouteKeyPrefix string            `toml:"key_prefix"`  // of the route key
+	MinCost        duration          `toml:"cost_from"`   // the hint, at least
+	CostBelow      duration          `toml:"cost_below"`
 }
 
 // SplitSpec is a part of a split.
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	if f.Version != 1 {
-		return nil, tomlfile.At(
+		return nil, tomlfile.ErrorAt(
 			path,
 			raw,
 			"version",
@@ -101,16 +101,16 @@
 	return f, nil
 }
 
-// Place is where something stands in a file.
-type Place struct {
+// Position is where something stands in a file.
+type Position struct {
 	Path string `json:"path"`
 	Line int    `json:"line"`
 }
 
-func (p Place) String() string { return fmt.Sprintf("%s:%d", p.Path, p.Line) }
+func (p Position) String() string { return fmt.Sprintf("%s:%d", p.Path, p.Line) }
 
-// place finds the nth table of an array, and a key in it if one is given.
-func (f *File) place(array string, n int, key string) Place {
+// position finds the nth table of an array, and a key in it if one is given.
+func (f *File) position(array string, n int, key string) Position {
 	lines := strings.Split(string(f.raw), "\n")
 	found := -1
 	for i, line := range lines {
@@ -126,21 +126,21 @@
 		}
 		if found >= 0 && key != "" {
 			if name, _, ok := strings.Cut(line, "="); ok && strings.TrimSpace(name) == key {
-				return Place{f.path, i + 1}
+				return Position{f.path, i + 1}
 			}
 		}
 	}
-	return Place{f.path, found + 1}
+	return Position{f.path, found + 1}
 }
 
 // Problem is what is wrong with a file, or odd about it.
 type Problem struct {
-	Place
+	Position
 	Rule string // or pool
 	Text string
 }
 
-func (p Problem) Error() string { return fmt.Sprintf("%v: %s: %s", p.Place, p.Rule, p.Text) }
+func (p Problem) Error() string { return fmt.Sprintf("%v: %s: %s", p.Position, p.Rule, p.Text) }
 
 // Problems is everything that is wrong with a file.
 type Problems []Problem
@@ -153,14 +153,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// Names are what a deployment calls its classes, tenants, zones and kinds, by number. A
+// KnownNames are what a deployment calls its classes, tenants, zones and kinds, by number. A
 // list that is nil is not known, and names are then not checked against it.
-type Names struct {
+type KnownNames struct {
 	Classes, Tenants, Zones, Kinds []string
 }
 
-// find gives the numbers of names, and those that have none.
-func find(names, known []string) (numbers []int, unknown []string) {
+// resolveNames gives the numbers of names, and those that have none.
+func resolveNames(names, known []string) (numbers []int, unknown []string) {
 	for _, name := range names {
 		if i := slices.Index(known, name); i >= 0 {
 			numbers = append(numbers, i)
--- a/internal/proxy/routing/table.go
+++ b/internal/proxy/routing/table.go
@@ -13,63 +13,63 @@
 
 // Job is what rules can know of a job.
 type Job struct {
-	Front  string // http or faktory
-	Class  int    // below 0: it names none
-	Tenant int    // below 0: it names none
-	Host   string
-	Path   string
-	Header func(name string) string // nil: it has none
-	Key    string
-	Cost   time.Duration
-	Queue  string
-	Type   string
-	ID     string
+	Frontend string // http or faktory
+	Class    int    // below 0: it names none
+	Tenant   int    // below 0: it names none
+	Host     string
+	Path     string
+	Header   func(name string) string // nil: it has none
+	RouteKey string
+	CostHint time.Duration
+	Queue    string
+	JobType  string
+	ID       string
 
 	headers map[string]string // what Header gives, for Describe
 }
 
 // Decision is what the rules say of a job.
 type Decision struct {
-	Rule       *Rule // nil: none matched, and the job goes where the balancer decides
-	Class      int   // the job's, or the rule's for one that names none
-	Refused    string
-	RetryAfter time.Duration
-	Route      balancer.Route // nil: any worker
-	Attempts   int            // 0: the class's
-	Timeout    time.Duration
+	Rule           *Rule // nil: none matched, and the job goes where the balancer decides
+	Class          int   // the job's, or the rule's for one that names none
+	RejectReason   string
+	RetryAfter     time.Duration
+	Route          balancer.Route // nil: any worker
+	MaxAttempts    int            // 0: the class's
+	AttemptTimeout time.Duration
 }
 
 // Rule is a compiled rule.
 type Rule struct {
-	Number int // from 1, in the file's order
-	Name   string
-	Place  Place
+	Number   int // from 1, in the file's order
+	Name     string
+	Position Position
 
-	spec     *RuleSpec
-	class    int // below 0: gives none
-	prefer   *Route
-	split    []*Route // by the place in spec.Split
-	weights  int
-	headers  [][2]string
-	costFrom time.Duration
-	below    time.Duration
+	spec        *RuleSpec
+	class       int // below 0: gives none
+	preferred   *Route
+	split       []*Route // by the place in spec.Split
+	totalWeight int
+	headers     [][2]string
+	minCost     time.Duration
+	costBelow   time.Duration
 }
 
 // Table is all rules, with an index over them.
 type Table struct {
-	rules []*Rule
-	pools map[string]*pool
-	words int
+	rules     []*Rule
+	pools     map[string]*pool
+	wordCount int
 
-	all     []uint64 // every rule
-	classes dimension[int]
-	tenants dimension[int]
-	fronts  dimension[string]
-	queues  dimension[string]
-	types   dimension[string]
-	hosts   dimension[string] // whole hosts, and ".example.org" for what is below
-	paths   dimension[string]
-	lengths []int // of the path prefixes, each once
+	all               []uint64 // every rule
+	classes           dimension[int]
+	tenants           dimension[int]
+	frontends         dimension[string]
+	queues            dimension[string]
+	jobTypes          dimension[string]
+	hosts             dimension[string] // whole hosts, and ".example.org" for what is below
+	pathPrefixes      dimension[string]
+	pathPrefixLengths []int // of the path prefixes, each once
 }
 
 // dimension knows, for each value that some rule names, the rules that the value fits. A
@@ -90,12 +90,12 @@
 	if r == nil {
 		return d
 	}
-	d.Rule, d.Attempts, d.Timeout = r, r.spec.Attempts, time.Duration(r.spec.Timeout)
+	d.Rule, d.MaxAttempts, d.AttemptTimeout = r, r.spec.MaxAttempts, time.Duration(r.spec.AttemptTimeout)
 	if d.Class < 0 {
 		d.Class = r.class
 	}
-	if r.spec.Refuse != "" {
-		d.Refused, d.RetryAfter = r.spec.Refuse, time.Duration(r.spec.RetryAfter)
+	if r.spec.RejectReason != "" {
+		d.RejectReason, d.RetryAfter = r.spec.RejectReason, time.Duration(r.spec.RetryAfter)
 		return d
 	}
 	if route := r.route(j); route != nil {
@@ -107,9 +107,9 @@
 // route is the rule's route for the job: a split sends the same key the same way always.
 func (r *Rule) route(j *Job) *Route {
 	if len(r.split) == 0 {
-		return r.prefer
+		return r.preferred
 	}
-	key := j.Key
+	key := j.RouteKey
 	switch r.spec.SplitBy {
 	case "tenant":
 		key = fmt.Sprint(j.Tenant)
@@ -123,17 +123,17 @@
 	h.Write([]byte(r.Name)) // two splits must not send the same keys
 	h.Write([]byte{0})
 	h.Write([]byte(key))
-	at := int(mix(h.Sum64()) % uint64(r.weights))
+	at := int(mixHash(h.Sum64()) % uint64(r.totalWeight))
 	for i, s := range r.spec.Split {
 		if at -= s.Weight; at < 0 {
 			return r.split[i]
 		}
 	}
-	return r.prefer
+	return r.preferred
 }
 
-// mix spreads a hash whose low bits may be poor (the finalizer of MurmurHash3).
-func mix(h uint64) uint64 {
+// mixHash spreads a hash whose low bits may be poor (the finalizer of MurmurHash3).
+func mixHash(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
@@ -148,31 +148,31 @@
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
-	for w := range t.words {
+	for w := range t.wordCount {
 		left := t.all[w]
 		if t.classes.used {
-			left &= t.classes.at(j.Class, w)
+			left &= t.classes.bitsFor(j.Class, w)
 		}
 		if t.tenants.used {
-			left &= t.tenants.at(j.Tenant, w)
+			left &= t.tenants.bitsFor(j.Tenant, w)
 		}
-		if t.fronts.used {
-			left &= t.fronts.at(j.Front, w)
+		if t.frontends.used {
+			left &= t.frontends.bitsFor(j.Frontend, w)
 		}
 		if t.queues.used {
-			left &= t.queues.at(j.Queue, w)
+			left &= t.queues.bitsFor(j.Queue, w)
 		}
-		if t.types.used {
-			left &= t.types.at(j.Type, w)
+		if t.jobTypes.used {
+			left &= t.jobTypes.bitsFor(j.JobType, w)
 		}
 		if left != 0 && t.hosts.used {
-			left &= t.hostWord(host, w)
+			left &= t.hostBits(host, w)
 		}
-		if left != 0 && t.paths.used {
-			left &= t.pathWord(j.Path, w)
+		if left != 0 && t.pathPrefixes.used {
+			left &= t.pathBits(j.Path, w)
 		}
 		for ; left != 0; left &= left - 1 {
-			if r := t.rules[w*64+bits.TrailingZeros64(left)]; r.rest(j) {
+			if r := t.rules[w*64+bits.TrailingZeros64(left)]; r.matchesUnindexed(j) {
 				return r
 			}
 		}
@@ -180,36 +180,36 @@
 	return nil
 }
 
-func (d *dimension[K]) at(k K, word int) uint64 {
+func (d *dimension[K]) bitsFor(k K, word int) uint64 {
 	if set, ok := d.named[k]; ok {
 		return set[word]
 	}
 	return d.any[word]
 }
 
-// hostWord joins the rules that fit the host itself and each domain above it.
-func (t *Table) hostWord(host string, w int) uint64 {
-	set := t.hosts.at(host, w)
+// hostBits joins the rules that fit the host itself and each domain above it.
+func (t *Table) hostBits(host string, w int) uint64 {
+	set := t.hosts.bitsFor(host, w)
 	for i := 0; i < len(host); i++ {
 		if host[i] == '.' {
-			set |= t.hosts.at(host[i:], w)
+			set |= t.hosts.bitsFor(host[i:], w)
 		}
 	}
 	return set
 }
 
-func (t *Table) pathWord(path string, w int) uint64 {
-	set := t.paths.any[w]
-	for _, n := range t.lengths {
+func (t *Table) pathBits(path string, w int) uint64 {
+	set := t.pathPrefixes.any[w]
+	for _, n := range t.pathPrefixLengths {
 		if n <= len(path) {
-			set |= t.paths.at(path[:n], w)
+			set |= t.pathPrefixes.bitsFor(path[:n], w)
 		}
 	}
 	return set
 }
 
-// rest asks what the index does not know.
-func (r *Rule) rest(j *Job) bool {
+// matchesUnindexed asks what the index does not know.
+func (r *Rule) matchesUnindexed(j *Job) bool {
 	for _, h := range r.headers {
 		got := ""
 		if j.Header != nil {
@@ -219,10 +219,10 @@
 			return false
 		}
 	}
-	if j.Cost < r.costFrom || r.below > 0 && j.Cost >= r.below {
+	if j.CostHint < r.minCost || r.costBelow > 0 && j.CostHint >= r.costBelow {
 		return false
 	}
-	return strings.HasPrefix(j.Key, r.spec.Match.KeyPrefix)
+	return strings.HasPrefix(j.RouteKey, r.spec.Match.RouteKeyPrefix)
 }
 
 // pool is a compiled set of workers.
@@ -233,7 +233,7 @@
 	labels       []string
 }
 
-func (p *pool) has(w *balancer.Worker) bool {
+func (p *pool) contains(w *balancer.Worker) bool {
 	if p.zones != nil && (w.Zone < 0 || w.Zone >= len(p.zones) || !p.zones[w.Zone]) {
 		return false
 	}
@@ -254,32 +254,32 @@
 // Route is an order of pools. It is balancer's Route: a worker that is in several stands
 // where it is wanted most.
 type Route struct {
-	pools []*pool
-	spill string
+	pools     []*pool
+	spillover string
 }
 
 var _ balancer.Route = (*Route)(nil)
 
-// Tiers implements balancer.Route.
-func (r *Route) Tiers() int { return len(r.pools) }
+// TierCount implements balancer.Route.
+func (r *Route) TierCount() int { return len(r.pools) }
 
 // Tier implements balancer.Route.
 func (r *Route) Tier(w *balancer.Worker) int {
 	for i, p := range r.pools {
-		if p.has(w) {
+		if p.contains(w) {
 			return i
 		}
 	}
 	return -1
 }
 
-// Spills implements balancer.Route.
-func (r *Route) Spills(_ int, busy bool) bool {
-	return r.spill == "busy" || r.spill == "empty" && !busy
+// SpillsOver implements balancer.Route.
+func (r *Route) SpillsOver(_ int, busy bool) bool {
+	return r.spillover == "busy" || r.spillover == "empty" && !busy
 }
 
-// Pools names the pools, the most wanted first.
-func (r *Route) Pools() []string {
+// PoolNames names the pools, the most wanted first.
+func (r *Route) PoolNames() []string {
 	names := make([]string, len(r.pools))
 	for i, p := range r.pools {
 		names[i] = p.name
@@ -290,13 +290,13 @@
 // HasPool says whether there is a pool of that name.
 func (t *Table) HasPool(name string) bool { return t.pools[name] != nil }
 
-// InPool says whether a worker is in a pool.
-func (t *Table) InPool(name string, w *balancer.Worker) bool {
-	return t.pools[name] != nil && t.pools[name].has(w)
+// PoolContains says whether a worker is in a pool.
+func (t *Table) PoolContains(name string, w *balancer.Worker) bool {
+	return t.pools[name] != nil && t.pools[name].contains(w)
 }
 
-// Named finds a rule.
-func (t *Table) Named(name string) *Rule {
+// RuleByName finds a rule.
+func (t *Table) RuleByName(name string) *Rule {
 	for _, r := range t.rules {
 		if r.Name == name {
 			return r
--- a/internal/proxy/routing/routing_test.go
+++ b/internal/proxy/routing/table_test.go
@@ -13,7 +13,7 @@
 	"moorstack/balancer"
 )
 
-var site = Names{Classes: []string{"quote", "book", "dialysis"}, Tenants: []string{"muscat", "batinah"},
+var site = KnownNames{Classes: []string{"quote", "book", "dialysis"}, Tenants: []string{"muscat", "batinah"},
 	Zones: []string{"ruwi", "seeb"}, Kinds: []string{"fast", "slow"}}
 
 func compile(t testing.TB, text string) (*Table, Problems, error) {
@@ -26,7 +26,7 @@
 }
 
 // fits asks a rule the slow way, condition by condition: the index must say the same.
-func fits(m *MatchSpec, names Names, j *Job) bool {
+func fits(m *MatchSpec, names KnownNames, j *Job) bool {
 	in := func(list []string, v string) bool { return len(list) == 0 || slices.Contains(list, v) }
 	name := func(known []string, i int) string {
 		if i < 0 {
@@ -38,7 +38,7 @@
 	hostFits := len(m.Hosts) == 0 || slices.ContainsFunc(m.Hosts, func(h string) bool {
 		return h == host || strings.HasPrefix(h, "*") && strings.HasSuffix(host, h[1:])
 	})
-	pathFits := len(m.Paths) == 0 || slices.ContainsFunc(m.Paths, func(p string) bool {
+	pathFits := len(m.PathPrefixes) == 0 || slices.ContainsFunc(m.PathPrefixes, func(p string) bool {
 		return strings.HasPrefix(j.Path, p)
 	})
 	for h, v := range m.Headers {
@@ -47,9 +47,12 @@
 		}
 	}
 	return in(m.Classes, name(names.Classes, j.Class)) && in(m.Tenants, name(names.Tenants, j.Tenant)) &&
-		in(m.Fronts, j.Front) && in(m.Queues, j.Queue) && in(m.Types, j.Type) && hostFits && pathFits &&
-		strings.HasPrefix(j.Key, m.KeyPrefix) && j.Cost >= time.Duration(m.CostFrom) &&
-		(m.CostBelow == 0 || j.Cost < time.Duration(m.CostBelow))
+		in(
+			m.Frontends,
+			j.Frontend,
+		) && in(m.Queues, j.Queue) && in(m.JobTypes, j.JobType) && hostFits && pathFits &&
+		strings.HasPrefix(j.RouteKey, m.RouteKeyPrefix) && j.CostHint >= time.Duration(m.MinCost) &&
+		(m.CostBelow == 0 || j.CostHint < time.Duration(m.CostBelow))
 }
 
 var (
@@ -62,35 +65,35 @@
 		return rapid.SliceOfNDistinct(rapid.SampledFrom(from), 0, 2, rapid.ID[string]).Draw(t, what)
 	}
 	m := MatchSpec{
-		Classes:   list("classes", append([]string{""}, site.Classes...)),
-		Tenants:   list("tenants", site.Tenants),
-		Fronts:    list("fronts", []string{"http", "faktory"}),
-		Hosts:     list("hosts", someHosts),
-		Paths:     list("paths", somePaths),
-		Queues:    list("queues", []string{"q", "r"}),
-		KeyPrefix: rapid.SampledFrom([]string{"", "k"}).Draw(t, "key"),
+		Classes:        list("classes", append([]string{""}, site.Classes...)),
+		Tenants:        list("tenants", site.Tenants),
+		Frontends:      list("fronts", []string{"http", "faktory"}),
+		Hosts:          list("hosts", someHosts),
+		PathPrefixes:   list("paths", somePaths),
+		Queues:         list("queues", []string{"q", "r"}),
+		RouteKeyPrefix: rapid.SampledFrom([]string{"", "k"}).Draw(t, "key"),
 	}
 	if rapid.IntRange(0, 3).Draw(t, "headed") == 0 {
 		m.Headers = map[string]string{"X-A": rapid.SampledFrom([]string{"*", "1"}).Draw(t, "header")}
 	}
 	if rapid.IntRange(0, 3).Draw(t, "costly") == 0 {
-		m.CostFrom, m.CostBelow = duration(time.Second), duration(2*time.Second)
+		m.MinCost, m.CostBelow = duration(time.Second), duration(2*time.Second)
 	}
 	return RuleSpec{Name: fmt.Sprint("r", n), Match: m}
 }
 
 func someJob(t *rapid.T) *Job {
 	header := rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "a header")
-	return &Job{Front: rapid.SampledFrom([]string{"http", "faktory"}).Draw(t, "front"),
+	return &Job{Frontend: rapid.SampledFrom([]string{"http", "faktory"}).Draw(t, "front"),
 		Class: rapid.IntRange(-1, 2).Draw(t, "class"), Tenant: rapid.IntRange(-1, 1).Draw(t, "tenant"),
 		Host: rapid.SampledFrom([]string{"", "a.org", "b.org:80", "x.a.org", "z.x.a.org", "aa.org"}).
 			Draw(t, "host"),
 		Path: rapid.SampledFrom([]string{"", "/", "/a", "/a/b/c", "/d"}).Draw(t, "path"),
-		Key: rapid.SampledFrom([]string{"", "k1", "l"}).
+		RouteKey: rapid.SampledFrom([]string{"", "k1", "l"}).
 			Draw(t, "a key"),
-		Queue:  rapid.SampledFrom([]string{"", "q"}).Draw(t, "queue"),
-		Cost:   time.Duration(rapid.IntRange(0, 3).Draw(t, "cost")) * time.Second,
-		Header: func(string) string { return header }}
+		Queue:    rapid.SampledFrom([]string{"", "q"}).Draw(t, "queue"),
+		CostHint: time.Duration(rapid.IntRange(0, 3).Draw(t, "cost")) * time.Second,
+		Header:   func(string) string { return header }}
 }
 
 // The index finds what asking each rule in turn finds, and a rule that is said never to
@@ -119,11 +122,11 @@
 				got = d.Rule.Name
 			}
 			if got != want {
-				t.Fatalf("%s: rule %q, asked one by one %q", Describe(site, j), got, want)
+				t.Fatalf("%s: rule %q, asked one by one %q", DescribeJob(site, j), got, want)
 			}
 			for _, w := range warnings {
 				if got != "" && strings.Contains(w.Rule, "("+got+")") {
-					t.Fatalf("%s is decided by %s, said never to match", Describe(site, j), got)
+					t.Fatalf("%s is decided by %s, said never to match", DescribeJob(site, j), got)
 				}
 			}
 		}
@@ -191,12 +194,12 @@
 	}
 	n := 0
 	for i := range 10_000 {
-		j := &Job{Key: fmt.Sprint("key", i)}
+		j := &Job{RouteKey: fmt.Sprint("key", i)}
 		d := table.Decide(j)
 		if again := table.Decide(j); d.Route != again.Route {
 			t.Fatal("a key goes two ways")
 		}
-		if d.Route.(*Route).Pools()[0] == "new" {
+		if d.Route.(*Route).PoolNames()[0] == "new" {
 			n++
 		}
 	}
@@ -231,7 +234,7 @@
 			t.Errorf("%+v stands at %d, want %d", w, got, want)
 		}
 	}
-	if !r.Spills(0, true) || !r.Spills(0, false) {
+	if !r.SpillsOver(0, true) || !r.SpillsOver(0, false) {
 		t.Error("it does not spill over")
 	}
 }
@@ -246,7 +249,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, w, err := Compile(f, Names{}); err != nil || len(w) > 0 {
+	if _, w, err := Compile(f, KnownNames{}); err != nil || len(w) > 0 {
 		t.Errorf("%v %v", w, err)
 	}
 }
@@ -255,22 +258,25 @@
 	for _, n := range []int{10, 100, 1000} {
 		f := &File{Version: 1, Pools: []PoolSpec{{Name: "p"}}}
 		for i := range n {
-			f.Rules = append(f.Rules, RuleSpec{Name: fmt.Sprint(i), Prefer: []string{"p"}, Match: MatchSpec{
-				Classes: []string{site.Classes[i%3]}, Tenants: []string{site.Tenants[i%2]},
-				Hosts: []string{
-					fmt.Sprintf("h%d.example.org", i),
-				}, Paths: []string{fmt.Sprintf("/p%d", i%7)}}})
+			f.Rules = append(
+				f.Rules,
+				RuleSpec{Name: fmt.Sprint(i), PreferredPools: []string{"p"}, Match: MatchSpec{
+					Classes: []string{site.Classes[i%3]}, Tenants: []string{site.Tenants[i%2]},
+					Hosts: []string{
+						fmt.Sprintf("h%d.example.org", i),
+					}, PathPrefixes: []string{fmt.Sprintf("/p%d", i%7)}}},
+			)
 		}
 		table, _, err := Compile(f, site)
 		if err != nil {
 			b.Fatal(err)
 		}
 		j := &Job{
-			Front:  "http",
-			Class:  (n - 1) % 3,
-			Tenant: (n - 1) % 2,
-			Host:   fmt.Sprintf("h%d.example.org", n-1),
-			Path:   fmt.Sprintf("/p%d/x", (n-1)%7),
+			Frontend: "http",
+			Class:    (n - 1) % 3,
+			Tenant:   (n - 1) % 2,
+			Host:     fmt.Sprintf("h%d.example.org", n-1),
+			Path:     fmt.Sprintf("/p%d/x", (n-1)%7),
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/proxy/settings/settings.go
+++ b/internal/proxy/settings/settings.go
@@ -10,9 +10,9 @@
 	"moorstack/balancer"
 )
 
-// Settings is the object as the wire words it. It is read once for each start,
+// Params is the object as the wire words it. It is read once for each start,
 // so the standard library's decoder does.
-type Settings struct {
+type Params struct {
 	AZ      int `json:"az"`
 	Me      int `json:"me"`
 	Fleet   int `json:"fleet_size"`
@@ -97,23 +97,33 @@
 }
 
 var (
-	effects = map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
-	scopes  = map[string]balancer.Scope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone,
-		"cell": balancer.ScopeCell}
+	effects = map[string]balancer.Idempotency{
+		"retryable": balancer.Idempotent,
+		"dedup":     balancer.IdempotentByKey,
+		"fragile":   balancer.NonIdempotent,
+	}
+	scopes = map[string]balancer.KeyScope{
+		"":     balancer.ScopeAll,
+		"all":  balancer.ScopeAll,
+		"zone": balancer.ScopeZone,
+		"cell": balancer.ScopeCell,
+	}
 	sizes = map[string]balancer.SizeMeaning{"": balancer.SizeNone, "silent": balancer.SizeNone,
-		"nominal": balancer.SizeNominal, "rough": balancer.SizeRough, "live": balancer.SizeLive}
+		"nominal": balancer.SizeNominal, "rough": balancer.SizeApproximate, "live": balancer.SizeLive}
 )
 
-// ReportNames says in words what the two free values of a load report hold.
-type ReportNames struct{ x0, x1 string }
+// LoadReportFields says in words what the two free values of a load report hold.
+type LoadReportFields struct{ x0, x1 string }
 
-// Names are the words for the free values.
-func (p *Settings) Names() ReportNames { return ReportNames{p.Extra.ReportX0, p.Extra.ReportX1} }
+// LoadReportFields are the words for the free values.
+func (p *Params) LoadReportFields() LoadReportFields {
+	return LoadReportFields{p.Extra.ReportX0, p.Extra.ReportX1}
+}
 
 // Set puts a value of a load report in its place. What the module has no place
 // for is passed over. The settings and both wires use the same words: a real
 // worker's report was seen to be "TEXT pending=0, served_ps=0, svc_ms=0, x0=7.255".
-func (n ReportNames) Set(r *balancer.Report, name string, v float64) {
+func (n LoadReportFields) Set(r *balancer.LoadReport, name string, v float64) {
 	switch name {
 	case "x0":
 		n.free(r, n.x0, v)
@@ -122,18 +132,18 @@
 	case "busy_reqs":
 		r.InFlight = v
 	case "pending":
-		r.Queue = v
+		r.QueueLength = v
 	case "cpu_share":
-		r.Busy = v
+		r.CPUShare = v
 	case "served_ps":
-		r.Served = v
+		r.ServedPerSecond = v
 	case "failed_ps":
-		r.Failed = v
+		r.FailedPerSecond = v
 	}
-	r.Told = true
+	r.Received = true
 }
 
-func (ReportNames) free(r *balancer.Report, what string, v float64) {
+func (LoadReportFields) free(r *balancer.LoadReport, what string, v float64) {
 	switch what {
 	case "free slots":
 		r.FreeSlots = v
@@ -143,67 +153,80 @@
 }
 
 // Parse reads the object.
-func Parse(raw []byte) (*Settings, error) {
-	var p Settings
+func Parse(raw []byte) (*Params, error) {
+	var p Params
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, fmt.Errorf("params: %w", err)
 	}
 	return &p, nil
 }
 
-// Brain gives the settings in the module's form.
-func (p *Settings) Brain() (balancer.Settings, error) {
+// Balancer gives the settings in the module's form.
+func (p *Params) Balancer() (balancer.Settings, error) {
 	s := balancer.Settings{
-		Me: p.Me, Fleet: p.Fleet, Zone: p.AZ, Zones: len(p.Zones), Kinds: len(p.Kinds),
-		MustAsk:      p.MembershipMode == "on_request",
-		WorthByWork:  p.WorthBy == "work",
-		OverShare:    p.OverShare,
-		TellsStart:   p.Extra.TellsStart,
-		Progress:     time.Duration(p.Extra.Progress),
-		Tick:         time.Duration(p.Granularity),
-		ReportProbed: p.Report.How == "pull",
+		DispatcherIndex: p.Me, DispatcherCount: p.Fleet, Zone: p.AZ, ZoneCount: len(p.Zones),
+		WorkerKinds:        len(p.Kinds),
+		ListOnRequest:      p.MembershipMode == "on_request",
+		WeightByWork:       p.WorthBy == "work",
+		OverQuotaWeight:    p.OverShare,
+		ReportsStart:       p.Extra.TellsStart,
+		ProgressInterval:   time.Duration(p.Extra.Progress),
+		MinEventInterval:   time.Duration(p.Granularity),
+		LoadReportsByCheck: p.Report.How == "pull",
 		Limits: balancer.Limits{
-			Attempts: p.Limits.TryLimit, Cancel: p.Limits.Cancel, Probes: p.Limits.Probes,
-			Peers: p.Limits.Peers, RetryAfter: p.Limits.RetryAfter, SecondCopies: p.Limits.SecondCopies,
+			MaxAttempts: p.Limits.TryLimit, CanCancel: p.Limits.Cancel, HealthChecks: p.Limits.Probes,
+			PeerMessages: p.Limits.Peers, RetryAfter: p.Limits.RetryAfter,
+			HedgedRequests: p.Limits.SecondCopies,
 			ConnectTimeout: time.Duration(p.Limits.ConnectTimeout),
-			ConnIdle:       time.Duration(p.Limits.ConnIdle),
+			IdleTimeout:    time.Duration(p.Limits.ConnIdle),
 			MaxRetryAfter:  time.Duration(p.Limits.MaxRetryAfter),
 		},
 		Rules: balancer.Rules{
-			AnswerSlack: time.Duration(p.Contract.AnswerSlack), AskEvery: time.Duration(p.Contract.AskEvery),
-			DrainGrace: time.Duration(p.Contract.DrainGrace), ColdShare: p.Contract.ColdShare,
-			Cold: time.Duration(p.Contract.Cold), OverloadFactor: p.Contract.OverloadFactor,
-			Fall: time.Duration(p.Contract.Fall), Budget: time.Duration(p.Contract.BudgetSpan),
-			FreeFurther: p.Contract.FreeResends, FurtherShare: p.Contract.RepeatRatio,
-			FullUnproven: p.Contract.FullUnproven,
+			ResponseSlack: time.Duration(
+				p.Contract.AnswerSlack,
+			), ListPollInterval: time.Duration(p.Contract.AskEvery),
+			DrainGrace: time.Duration(p.Contract.DrainGrace), SlowStartMinShare: p.Contract.ColdShare,
+			SlowStartWindow: time.Duration(p.Contract.Cold), OverloadFactor: p.Contract.OverloadFactor,
+			OverloadWindow: time.Duration(
+				p.Contract.Fall,
+			), RetryBudgetWindow: time.Duration(p.Contract.BudgetSpan),
+			RetryBudgetBase: p.Contract.FreeResends, RetryBudgetShare: p.Contract.RepeatRatio,
+			FullMayHaveRun: p.Contract.FullUnproven,
 		},
-		Goal: balancer.Goal{Whole: p.Blend.Whole, WorstWindow: p.Blend.Window, WorstClass: p.Blend.Class,
-			WorstTenant: p.Blend.Tenant, Punctual: p.Blend.Punctual, MissAllowed: p.Blend.MissAllowed},
-		Prices: balancer.Prices{CrossZone: p.Prices.CrossZone, Waste: p.Prices.Waste,
-			Connection: p.Prices.Connection, Handshake: p.Prices.Handshake, Probe: p.Prices.Probe,
-			Peer: p.Prices.Peer, LateFail: p.Prices.LateFail},
+		Goal: balancer.Goal{Overall: p.Blend.Whole, WorstWindow: p.Blend.Window, WorstClass: p.Blend.Class,
+			WorstTenant: p.Blend.Tenant, OnTime: p.Blend.Punctual, AllowedMissShare: p.Blend.MissAllowed},
+		Costs: balancer.Costs{CrossZone: p.Prices.CrossZone, WastedWork: p.Prices.Waste,
+			Connection: p.Prices.Connection, Handshake: p.Prices.Handshake, HealthCheck: p.Prices.Probe,
+			PeerMessage: p.Prices.Peer, LateFailure: p.Prices.LateFail},
 	}
 	var ok bool
-	if s.Size, ok = sizes[p.Weights]; !ok {
-		s.Size = balancer.SizeNone
+	if s.SizeMeaning, ok = sizes[p.Weights]; !ok {
+		s.SizeMeaning = balancer.SizeNone
 	}
 	for i, c := range p.Classes {
-		class := balancer.Class{Name: c.Name, Aim: time.Duration(c.SLO), Deadline: time.Duration(c.GiveUp),
-			Worth: c.Credit, LateShare: c.LateShare, Stream: c.Stream, Window: time.Duration(c.Window),
-			Kind: -1}
-		if class.Effect, ok = effects[c.Effect]; !ok {
+		class := balancer.Class{
+			Name:             c.Name,
+			LatencyObjective: time.Duration(c.SLO),
+			Timeout:          time.Duration(c.GiveUp),
+			PriorityWeight:   c.Credit,
+			LateShare:        c.LateShare,
+			Streaming:        c.Stream,
+			KeyWindow:        time.Duration(c.Window),
+			WorkerKind:       -1,
+		}
+		if class.Idempotency, ok = effects[c.Effect]; !ok {
 			return s, fmt.Errorf("params: class %d: unknown effect %q", i, c.Effect)
 		}
-		if class.Scope, ok = scopes[c.KeyScope]; !ok {
+		if class.KeyScope, ok = scopes[c.KeyScope]; !ok {
 			return s, fmt.Errorf("params: class %d: unknown key_scope %q", i, c.KeyScope)
 		}
 		if c.AimStretch != nil {
-			class.Stretch = *c.AimStretch
+			class.ObjectiveStretch = *c.AimStretch
 		} else if i < len(p.Extra.ClassStretch) {
-			class.Stretch = p.Extra.ClassStretch[i]
+			class.ObjectiveStretch = p.Extra.ClassStretch[i]
 		}
 		if i < len(p.Extra.ClassKind) {
-			class.Kind = p.Extra.ClassKind[i]
+			class.WorkerKind = p.Extra.ClassKind[i]
 		}
 		if i < len(p.Extra.ClassPriority) {
 			class.Priority = p.Extra.ClassPriority[i]
@@ -211,7 +234,10 @@
 		s.Classes = append(s.Classes, class)
 	}
 	for _, t := range p.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Share: t.Share, Allowance: t.Allowance})
+		s.Tenants = append(
+			s.Tenants,
+			balancer.Tenant{Name: t.Name, CapacityShare: t.Share, QuotaPerSecond: t.Allowance},
+		)
 	}
 	return s, nil
 }
--- a/internal/proxy/slotmap/slots.go
+++ b/internal/proxy/slotmap/slotmap.go
@@ -11,8 +11,8 @@
 func (id ID) Index() uint32      { return uint32(id) }
 func (id ID) Generation() uint32 { return uint32(id >> 32) }
 
-// Of puts an ID together again.
-func Of(index, generation uint32) ID { return ID(generation)<<32 | ID(index) }
+// MakeID puts an ID together again.
+func MakeID(index, generation uint32) ID { return ID(generation)<<32 | ID(index) }
 
 type slot[T any] struct {
 	generation uint32
@@ -20,14 +20,14 @@
 	value      T
 }
 
-// Table holds values in slots. The zero Table is empty and ready for use.
-type Table[T any] struct {
+// Map holds values in slots. The zero Map is empty and ready for use.
+type Map[T any] struct {
 	slots []slot[T]
 	free  []uint32
 }
 
 // Add puts a value into a free slot.
-func (t *Table[T]) Add(v T) ID {
+func (t *Map[T]) Add(v T) ID {
 	var i uint32
 	if n := len(t.free); n > 0 {
 		i, t.free = t.free[n-1], t.free[:n-1]
@@ -38,11 +38,11 @@
 	s := &t.slots[i]
 	s.generation++ // from 1, so that no ID is zero
 	s.used, s.value = true, v
-	return Of(i, s.generation)
+	return MakeID(i, s.generation)
 }
 
 // Get gives the value that the ID names, if it is still there.
-func (t *Table[T]) Get(id ID) (v T, ok bool) {
+func (t *Map[T]) Get(id ID) (v T, ok bool) {
 	if i := id.Index(); int(i) < len(t.slots) {
 		if s := &t.slots[i]; s.used && s.generation == id.Generation() {
 			return s.value, true
@@ -52,7 +52,7 @@
 }
 
 // Remove frees the slot, if the ID still names its value.
-func (t *Table[T]) Remove(id ID) {
+func (t *Map[T]) Remove(id ID) {
 	if _, ok := t.Get(id); !ok {
 		return
 	}
@@ -63,12 +63,12 @@
 }
 
 // Len is the number of slots in use.
-func (t *Table[T]) Len() int { return len(t.slots) - len(t.free) }
+func (t *Map[T]) Len() int { return len(t.slots) - len(t.free) }
 
 // All gives the values, in the order of their slots.
-func (t *Table[T]) All(yield func(ID, T) bool) {
+func (t *Map[T]) All(yield func(ID, T) bool) {
 	for i := 0; i < len(t.slots); i++ {
-		if s := t.slots[i]; s.used && !yield(Of(uint32(i), s.generation), s.value) {
+		if s := t.slots[i]; s.used && !yield(MakeID(uint32(i), s.generation), s.value) {
 			return
 		}
 	}
--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -25,11 +25,11 @@
 	locked map[string]bool
 	epoch  int // crashes so far: a handle from before one is dead
 
-	Room     int64 // bytes that may still be written; below 0: no limit
-	FailSync bool  // the next sync fails
-	NoSync   bool  // syncs do nothing and report success: a disk, or a build, that lies
-	Syncs    int
-	Writes   int
+	FreeBytes    int64 // bytes that may still be written; below 0: no limit
+	FailNextSync bool  // the next sync fails
+	IgnoreSyncs  bool  // syncs do nothing and report success: a disk, or a build, that lies
+	SyncCalls    int
+	WriteCalls   int
 }
 
 type data struct {
@@ -45,12 +45,12 @@
 // New makes an empty file system.
 func New(seed uint64) *FS {
 	return &FS{rng: rand.New(rand.NewPCG(seed, 0xf5)), files: map[string]*data{}, stable: map[string]*data{},
-		locked: map[string]bool{}, Room: -1}
+		locked: map[string]bool{}, FreeBytes: -1}
 }
 
-// Crash takes the power away: names and bytes that were not synced may be lost. Of a
+// LosePower takes the power away: names and bytes that were not synced may be lost. Of a
 // file's unsynced end a prefix stays, or else blocks of it stay and others are zero.
-func (f *FS) Crash() {
+func (f *FS) LosePower() {
 	f.epoch++
 	f.locked = map[string]bool{}
 	names := make([]string, 0, len(f.files))
@@ -86,8 +86,8 @@
 	}
 }
 
-// Kill ends the processes and leaves the kernel: nothing is lost but the handles.
-func (f *FS) Kill() {
+// KillProcesses ends the processes and leaves the kernel: nothing is lost but the handles.
+func (f *FS) KillProcesses() {
 	f.epoch++
 	f.locked = map[string]bool{}
 }
@@ -115,8 +115,8 @@
 	d.synced = slices.Clone(d.bytes)
 }
 
-// Files lists the paths.
-func (f *FS) Files() []string {
+// Paths lists the paths.
+func (f *FS) Paths() []string {
 	var names []string
 	for name := range f.files {
 		names = append(names, name)
@@ -125,23 +125,23 @@
 	return names
 }
 
-// Bytes is a file's content; changes to it are changes to the disk.
-func (f *FS) Bytes(path string) []byte { return f.files[path].bytes }
+// Content is a file's content; changes to it are changes to the disk.
+func (f *FS) Content(path string) []byte { return f.files[path].bytes }
 
-// Put writes a file, durably.
-func (f *FS) Put(path string, b []byte) {
+// WriteDurable writes a file, durably.
+func (f *FS) WriteDurable(path string, b []byte) {
 	d := &data{bytes: slices.Clone(b), synced: slices.Clone(b)}
 	f.files[path], f.stable[path] = d, d
 }
 
-// Wipe empties the disk.
-func (f *FS) Wipe() {
-	f.Kill()
+// EraseDisk empties the disk.
+func (f *FS) EraseDisk() {
+	f.KillProcesses()
 	f.files, f.stable = map[string]*data{}, map[string]*data{}
 }
 
-// Names implements store.FS.
-func (f *FS) Names(dir string) ([]string, error) {
+// ListFiles implements store.FS.
+func (f *FS) ListFiles(dir string) ([]string, error) {
 	var names []string
 	for name := range f.files {
 		if filepath.Dir(name) == filepath.Clean(dir) {
@@ -159,7 +159,7 @@
 func (f *FS) Open(path string) (store.File, error) {
 	d := f.files[path]
 	if d == nil {
-		if f.Room == 0 {
+		if f.FreeBytes == 0 {
 			return nil, fmt.Errorf("open %s: %w", path, syscall.ENOSPC)
 		}
 		d = &data{}
@@ -251,11 +251,11 @@
 	if err := h.alive(); err != nil {
 		return 0, err
 	}
-	h.f.Writes++
+	h.f.WriteCalls++
 	n := len(b)
-	if h.f.Room >= 0 {
-		n = int(min(int64(n), h.f.Room))
-		h.f.Room -= int64(n)
+	if h.f.FreeBytes >= 0 {
+		n = int(min(int64(n), h.f.FreeBytes))
+		h.f.FreeBytes -= int64(n)
 	}
 	h.d.bytes = append(h.d.bytes, b[:n]...)
 	if n < len(b) {
@@ -268,12 +268,12 @@
 	if err := h.alive(); err != nil {
 		return err
 	}
-	h.f.Syncs++
-	if h.f.FailSync {
-		h.f.FailSync = false
+	h.f.SyncCalls++
+	if h.f.FailNextSync {
+		h.f.FailNextSync = false
 		return syscall.EIO
 	}
-	if !h.f.NoSync {
+	if !h.f.IgnoreSyncs {
 		h.d.synced = slices.Clone(h.d.bytes)
 	}
 	return nil
--- a/internal/storage/store/record.go
+++ b/internal/storage/store/format.go
@@ -41,8 +41,8 @@
 	snapHeader    = 36
 	recordHeader  = 20
 
-	// MaxRecord is the largest payload of a record, in bytes.
-	MaxRecord = 64 << 20
+	// MaxRecordBytes is the largest payload of a record, in bytes.
+	MaxRecordBytes = 64 << 20
 
 	seal = 0
 )
@@ -73,7 +73,7 @@
 		return r, 0, "the record's head is cut short"
 	}
 	length := binary.LittleEndian.Uint32(b[4:])
-	if length > MaxRecord || b[17]|b[18]|b[19] != 0 {
+	if length > MaxRecordBytes || b[17]|b[18]|b[19] != 0 {
 		return r, 0, "the record's head makes no sense"
 	}
 	size = recordHeader + int(length)
--- a/internal/storage/store/fs.go
+++ b/internal/storage/store/fs.go
@@ -13,8 +13,8 @@
 // FS is the part of a file system that a store needs. OS is the real one; tests and
 // simulations have one that loses what was not synced, fills up and fails.
 type FS interface {
-	// Names lists the plain files of the directory.
-	Names(dir string) ([]string, error)
+	// ListFiles lists the plain files of the directory.
+	ListFiles(dir string) ([]string, error)
 	MkdirAll(dir string) error
 	// Open opens a file for reading and appending, and creates it if it isn't there.
 	Open(path string) (File, error)
@@ -42,8 +42,8 @@
 
 var _ FS = OS{}
 
-// Names implements FS.
-func (OS) Names(dir string) ([]string, error) {
+// ListFiles implements FS.
+func (OS) ListFiles(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
--- a/internal/storage/store/group.go
+++ b/internal/storage/store/group_commit.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Group lets many goroutines, and an event loop, commit to one store. What comes while a
+// GroupCommitter lets many goroutines, and an event loop, commit to one store. What comes while a
 // sync is under way is written together and shares the next one.
-type Group struct {
+type GroupCommitter struct {
 	store *Store
 	mu    sync.Mutex
 	wake  sync.Cond
@@ -21,17 +21,17 @@
 // mostGroup bounds a group's bytes, so that the first in it doesn't wait for ever.
 const mostGroup = 4 << 20
 
-// NewGroup takes the store over. Close gives it back.
-func NewGroup(s *Store) *Group {
-	g := &Group{store: s, done: make(chan struct{})}
+// NewGroupCommitter takes the store over. Close gives it back.
+func NewGroupCommitter(s *Store) *GroupCommitter {
+	g := &GroupCommitter{store: s, done: make(chan struct{})}
 	g.wake.L = &g.mu
 	go g.run()
 	return g
 }
 
-// Post commits records and calls told, from the group's goroutine, when they are durable
+// CommitAsync commits records and calls told, from the group's goroutine, when they are durable
 // or can't be. Posts are committed in their order.
-func (g *Group) Post(told func(first uint64, err error), records ...Record) {
+func (g *GroupCommitter) CommitAsync(told func(first uint64, err error), records ...Record) {
 	g.mu.Lock()
 	if g.ended {
 		g.mu.Unlock()
@@ -44,18 +44,18 @@
 }
 
 // Commit commits records and waits until they are durable.
-func (g *Group) Commit(records ...Record) (uint64, error) {
+func (g *GroupCommitter) Commit(records ...Record) (uint64, error) {
 	type result struct {
 		first uint64
 		err   error
 	}
 	c := make(chan result, 1)
-	g.Post(func(first uint64, err error) { c <- result{first, err} }, records...)
+	g.CommitAsync(func(first uint64, err error) { c <- result{first, err} }, records...)
 	r := <-c
 	return r.first, r.err
 }
 
-func (g *Group) run() {
+func (g *GroupCommitter) run() {
 	defer close(g.done)
 	for {
 		g.mu.Lock()
@@ -90,7 +90,7 @@
 }
 
 // Close commits what was posted and ends. The store stays open.
-func (g *Group) Close() {
+func (g *GroupCommitter) Close() {
 	g.mu.Lock()
 	g.ended = true
 	g.mu.Unlock()
--- a/internal/storage/store/recover.go
+++ b/internal/storage/store/scan.go
@@ -20,15 +20,15 @@
 	return fmt.Sprintf("%s: damaged at byte %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// Tear is an end of the log that was written and never acknowledged.
-type Tear struct {
+// TornTail is an end of the log that was written and never acknowledged.
+type TornTail struct {
 	File   string
 	Offset int64
 	Bytes  int64 // that were cut off
 	Reason string
 }
 
-func (t *Tear) String() string {
+func (t *TornTail) String() string {
 	return fmt.Sprintf(
 		"%s: %d bytes from byte %d on were never acknowledged (%s)",
 		t.File,
@@ -57,7 +57,7 @@
 	records      int
 	bytes        int64
 	seals        int
-	tear         *Tear
+	tear         *TornTail
 	emptyTail    string   // a last segment whose head was torn: it holds nothing
 	leftovers    []string // files of writes that never came to their end
 }
@@ -65,7 +65,7 @@
 // walk reads a whole store, calls each record that the snapshot does not hold, and
 // changes nothing.
 func walk(fs FS, dir string, each func(Record) error) (*found, error) {
-	names, err := fs.Names(dir)
+	names, err := fs.ListFiles(dir)
 	if err != nil {
 		return nil, fmt.Errorf("reading the store %s: %w", dir, err)
 	}
@@ -128,7 +128,7 @@
 			// Hazard: it was being made when the process ended. Nothing in it was
 			// acknowledged, for a segment's head is synced before its first record.
 			w.emptyTail = path
-			w.tear = &Tear{path, 0, int64(len(b)), reason}
+			w.tear = &TornTail{path, 0, int64(len(b)), reason}
 			return nil
 		}
 		return &CorruptError{path, 0, reason}
@@ -165,7 +165,7 @@
 			if !last || follows(b[at:], seq) {
 				return &CorruptError{path, int64(at), reason}
 			}
-			w.tear = &Tear{path, int64(at), int64(len(b) - at), reason}
+			w.tear = &TornTail{path, int64(at), int64(len(b) - at), reason}
 			break
 		}
 		at += size
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -44,7 +44,7 @@
 	written  int64 // bytes in the last segment that are whole records
 	unsealed bool  // something was appended since the last seal
 	snap     string
-	tear     *Tear
+	tear     *TornTail
 	broken   error
 	buf      []byte
 }
@@ -131,14 +131,14 @@
 	return s.Sync()
 }
 
-// Torn is what was cut off at Open, or nil.
-func (s *Store) Torn() *Tear { return s.tear }
+// TornTail is what was cut off at Open, or nil.
+func (s *Store) TornTail() *TornTail { return s.tear }
 
-// Next is the sequence number of the next record.
-func (s *Store) Next() uint64 { return s.next }
+// NextSeq is the sequence number of the next record.
+func (s *Store) NextSeq() uint64 { return s.next }
 
-// Bytes is the size of the log's files, without the snapshot.
-func (s *Store) Bytes() int64 {
+// LogBytes is the size of the log's files, without the snapshot.
+func (s *Store) LogBytes() int64 {
 	n := s.written
 	for _, g := range s.segments[:len(s.segments)-1] {
 		n += g.size
@@ -210,7 +210,7 @@
 	first := s.next
 	s.buf = s.buf[:0]
 	for i, r := range records {
-		if r.Kind == seal || len(r.Data) > MaxRecord {
+		if r.Kind == seal || len(r.Data) > MaxRecordBytes {
 			return 0, fmt.Errorf(
 				"store: a record of kind %d with %d bytes can't be kept",
 				r.Kind,
@@ -276,8 +276,8 @@
 	return nil
 }
 
-// Snapshot puts data in the place of all records appended so far.
-func (s *Store) Snapshot(data []byte) error {
+// WriteSnapshot puts data in the place of all records appended so far.
+func (s *Store) WriteSnapshot(data []byte) error {
 	if err := s.Sync(); err != nil {
 		return err
 	}
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -59,13 +59,13 @@
 			case what < 9:
 				text := strings.Repeat("x", rng.IntN(80)) + fmt.Sprint(len(all))
 				if rng.IntN(10) == 0 {
-					fs.Room = int64(rng.IntN(60))
+					fs.FreeBytes = int64(rng.IntN(60))
 				}
 				_, err := s.Append(
 					store.Record{Kind: 1, Data: []byte(text)},
 					store.Record{Kind: 2, Data: []byte("b")},
 				)
-				fs.Room = -1
+				fs.FreeBytes = -1
 				story = append(story, fmt.Sprint("append ", err))
 				if err == nil {
 					n := len(all) + 1
@@ -75,10 +75,10 @@
 				}
 			case what < 14:
 				if rng.IntN(12) == 0 {
-					fs.Room = int64(rng.IntN(10))
+					fs.FreeBytes = int64(rng.IntN(10))
 				}
 				err := s.Sync()
-				fs.Room = -1
+				fs.FreeBytes = -1
 				story = append(story, "sync")
 				if err != nil {
 					t.Fatalf("seed %d: sync: %v", seed, err)
@@ -86,10 +86,10 @@
 				durable = len(all)
 			case what < 15:
 				if rng.IntN(3) == 0 {
-					fs.Room = int64(rng.IntN(100))
+					fs.FreeBytes = int64(rng.IntN(100))
 				}
-				err := s.Snapshot([]byte(fmt.Sprint("upto ", len(all))))
-				fs.Room = -1
+				err := s.WriteSnapshot([]byte(fmt.Sprint("upto ", len(all))))
+				fs.FreeBytes = -1
 				story = append(story, fmt.Sprint("snapshot ", err))
 				durable = len(all)
 				if err == nil {
@@ -98,10 +98,10 @@
 			default:
 				switch rng.IntN(3) {
 				case 0:
-					fs.Crash()
+					fs.LosePower()
 					story = append(story, "crash")
 				case 1:
-					fs.Kill()
+					fs.KillProcesses()
 					story = append(story, "kill")
 					durable = len(all) // the kernel has it all
 				default:
@@ -144,16 +144,16 @@
 	}
 	must(t, s.Sync())
 	must(t, s.Close())
-	path := fs.Files()[0]
-	whole := slices.Clone(fs.Bytes(path))
+	path := fs.Paths()[0]
+	whole := slices.Clone(fs.Content(path))
 	for cut := range len(whole) {
 		fs := faultfs.New(1)
-		fs.Put(path, whole[:cut])
+		fs.WriteDurable(path, whole[:cut])
 		s, c, err := open(t, fs, 1<<20)
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		if tear := s.Torn(); tear == nil && cut != 24 && (cut-24)%28 != 0 && cut < 24+4*28 {
+		if tear := s.TornTail(); tear == nil && cut != 24 && (cut-24)%28 != 0 && cut < 24+4*28 {
 			t.Errorf("cut at %d: not said", cut)
 		}
 		before := len(c.records)
@@ -176,20 +176,20 @@
 		must(t, err)
 		must(t, s.Sync())
 		if i == 1 {
-			must(t, s.Snapshot([]byte("so far")))
+			must(t, s.WriteSnapshot([]byte("so far")))
 		}
 	}
 	must(t, s.Close())
 	_, want, err := open(t, fs, 80)
 	must(t, err)
-	for _, path := range fs.Files() {
-		for i := range fs.Bytes(path) {
+	for _, path := range fs.Paths() {
+		for i := range fs.Content(path) {
 			for bit := range 8 {
 				copied := faultfs.New(1)
-				for _, p := range fs.Files() {
-					copied.Put(p, fs.Bytes(p))
+				for _, p := range fs.Paths() {
+					copied.WriteDurable(p, fs.Content(p))
 				}
-				copied.Bytes(path)[i] ^= 1 << bit
+				copied.Content(path)[i] ^= 1 << bit
 				_, c, err := open(t, copied, 80)
 				var damaged *store.CorruptError
 				switch {
@@ -217,12 +217,12 @@
 		must(t, s.Sync())
 	}
 	must(t, s.Close())
-	files := fs.Files()
+	files := fs.Paths()
 	for _, path := range files[:len(files)-1] {
 		copied := faultfs.New(1)
 		for _, p := range files {
 			if p != path {
-				copied.Put(p, fs.Bytes(p))
+				copied.WriteDurable(p, fs.Content(p))
 			}
 		}
 		if _, _, err := open(t, copied, 60); err == nil || !strings.Contains(err.Error(), "damaged") {
@@ -238,7 +238,7 @@
 	must(t, err)
 	_, err = s.Append(store.Record{Kind: 1})
 	must(t, err)
-	fs.FailSync = true
+	fs.FailNextSync = true
 	for range 2 {
 		if s.Sync() == nil {
 			t.Error("a failed sync, or one after it, says that all is well")
@@ -260,7 +260,7 @@
 	if _, err := store.Check(dir, nil); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("it is checked while open: %v", err)
 	}
-	g := store.NewGroup(s)
+	g := store.NewGroupCommitter(s)
 	var wg sync.WaitGroup
 	for i := range 20 {
 		wg.Go(func() {
@@ -279,7 +279,7 @@
 	must(t, s.Close())
 	r, err := store.Check(dir, nil)
 	must(t, err)
-	if r.Records != 400 || r.Torn != "" || r.Segments < 2 || r.Next != 401 {
+	if r.Records != 400 || r.TornTail != "" || r.Segments < 2 || r.NextSeq != 401 {
 		t.Errorf("the checker finds %+v", r)
 	}
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -303,15 +303,15 @@
 	_, err = s.Append(store.Record{Kind: 1, Data: []byte("one")}, store.Record{Kind: 2})
 	must(f, err)
 	must(f, s.Close())
-	whole := fs.Bytes(fs.Files()[0])
+	whole := fs.Content(fs.Paths()[0])
 	f.Add(whole, []byte(nil))
 	f.Add(whole[:40], []byte("MOORSNAP"))
 	f.Add([]byte(nil), []byte(nil))
 	f.Fuzz(func(t *testing.T, log, snap []byte) {
 		fs := faultfs.New(1)
-		fs.Put(dir+"/00000000000000000001.log", log)
+		fs.WriteDurable(dir+"/00000000000000000001.log", log)
 		if len(snap) > 0 {
-			fs.Put(dir+"/00000000000000000002.snap", snap)
+			fs.WriteDurable(dir+"/00000000000000000002.snap", snap)
 		}
 		s, c, err := open(t, fs, 1<<20)
 		if err != nil {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -14,10 +14,10 @@
 
 // Error is what is wrong with a file.
 type Error struct {
-	Path string
-	Line int // from 1; 0: the whole file
-	Key  string
-	Text string
+	Path    string
+	Line    int // from 1; 0: the whole file
+	Key     string
+	Message string
 }
 
 func (e *Error) Error() string {
@@ -26,9 +26,9 @@
 		at = fmt.Sprintf("%s:%d", e.Path, e.Line)
 	}
 	if e.Key != "" {
-		return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Text)
+		return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Message)
 	}
-	return fmt.Sprintf("%s: %s", at, e.Text)
+	return fmt.Sprintf("%s: %s", at, e.Message)
 }
 
 // Read reads a file into v.
@@ -46,25 +46,25 @@
 	if err != nil {
 		var parse toml.ParseError
 		if errors.As(err, &parse) {
-			return &Error{Path: path, Line: parse.Position.Line, Key: parse.LastKey, Text: parse.Message}
+			return &Error{Path: path, Line: parse.Position.Line, Key: parse.LastKey, Message: parse.Message}
 		}
-		return &Error{Path: path, Text: strings.TrimPrefix(err.Error(), "toml: ")}
+		return &Error{Path: path, Message: strings.TrimPrefix(err.Error(), "toml: ")}
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		key := unknown[0].String()
-		return &Error{Path: path, Line: Line(b, key), Key: key, Text: "this key is not known here"}
+		return &Error{Path: path, Line: LineOfKey(b, key), Key: key, Message: "this key is not known here"}
 	}
 	return nil
 }
 
-// At makes an error about a key of a file that has been read.
-func At(path string, b []byte, key, format string, args ...any) error {
-	return &Error{Path: path, Line: Line(b, key), Key: key, Text: fmt.Sprintf(format, args...)}
+// ErrorAt makes an error about a key of a file that has been read.
+func ErrorAt(path string, b []byte, key, format string, args ...any) error {
+	return &Error{Path: path, Line: LineOfKey(b, key), Key: key, Message: fmt.Sprintf(format, args...)}
 }
 
-// Line finds the line on which a key, with its tables' names before it, stands first. It
+// LineOfKey finds the line on which a key, with its tables' names before it, stands first. It
 // is 0 where the key is not written in one of the usual ways.
-func Line(b []byte, key string) int {
+func LineOfKey(b []byte, key string) int {
 	table := ""
 	for i, line := range strings.Split(string(b), "\n") {
 		line = strings.TrimSpace(line)
@@ -91,8 +91,8 @@
 	return 0
 }
 
-// Nth finds the line of the nth table, from 0, of an array of tables.
-func Nth(b []byte, array string, n int) int {
+// LineOfTable finds the line of the nth table, from 0, of an array of tables.
+func LineOfTable(b []byte, array string, n int) int {
 	for i, line := range strings.Split(string(b), "\n") {
 		if strings.TrimSpace(line) == "[["+array+"]]" {
 			if n--; n < 0 {
--- a/internal/verify/compat/calendar_test.go
+++ b/internal/verify/compat/calendar_test.go
@@ -30,13 +30,19 @@
 // cases are expressions as both read them.
 var cases = []struct {
 	expr string
-	w    Walker
+	w    MinuteScanner
 }{
-	{"30 2 * * *", Walker{Minutes: set(30), Hours: set(2)}},
-	{"*/15 * * * *", Walker{Minutes: set(0, 15, 30, 45)}},
-	{"0 0 * * *", Walker{Minutes: set(0), Hours: set(0)}},
-	{"45 0,1,3,23 * * 0,1,6", Walker{Minutes: set(45), Hours: set(0, 1, 3, 23), Weekdays: set(0, 1, 6)}},
-	{"10 1 1,29,30 * 5", Walker{Minutes: set(10), Hours: set(1), Days: set(1, 29, 30), Weekdays: set(5)}},
+	{"30 2 * * *", MinuteScanner{Minutes: set(30), Hours: set(2)}},
+	{"*/15 * * * *", MinuteScanner{Minutes: set(0, 15, 30, 45)}},
+	{"0 0 * * *", MinuteScanner{Minutes: set(0), Hours: set(0)}},
+	{
+		"45 0,1,3,23 * * 0,1,6",
+		MinuteScanner{Minutes: set(45), Hours: set(0, 1, 3, 23), Weekdays: set(0, 1, 6)},
+	},
+	{
+		"10 1 1,29,30 * 5",
+		MinuteScanner{Minutes: set(10), Hours: set(1), Days: set(1, 29, 30), Weekdays: set(5)},
+	},
 }
 
 var ruleSets = []calendar.Rules{{}, {Gap: calendar.ShiftGap, Fold: calendar.BothFolds},
@@ -54,7 +60,7 @@
 		t.Skipf("the list of zones is not there: %v", err)
 	}
 	defer z.Close()
-	zones, seen := calendar.NewZones(), map[string]bool{}
+	zones, seen := calendar.NewZoneDB(), map[string]bool{}
 	var list []*time.Location
 	for _, f := range z.File {
 		if strings.HasSuffix(f.Name, "/") {
@@ -64,7 +70,7 @@
 		if err != nil {
 			continue
 		}
-		zone, err := zones.Zone(f.Name)
+		zone, err := zones.Lookup(f.Name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,11 +88,11 @@
 	const step = 6 * 3600
 	begin, end := int64(0), time.Date(2040, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
 	for at := begin; at < end; at += step {
-		a, b := zone.Wall(at)-at, zone.Wall(at+step)-at-step
+		a, b := zone.WallClock(at)-at, zone.WallClock(at+step)-at-step
 		if a != b {
 			lo, hi := at, at+step
 			for hi-lo > 1 {
-				if mid := (lo + hi) / 2; zone.Wall(mid)-mid == a {
+				if mid := (lo + hi) / 2; zone.WallClock(mid)-mid == a {
 					lo = mid
 				} else {
 					hi = mid
@@ -114,7 +120,7 @@
 		if mode == "" && n%80 != 0 && !named {
 			continue
 		}
-		zone, err := calendar.NewZones().Zone(loc.String())
+		zone, err := calendar.NewZoneDB().Lookup(loc.String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -141,7 +147,7 @@
 					for _, rules := range ruleSets {
 						w := c.w
 						w.Rules = rules
-						want := w.Walk(loc, span[0], span[1])
+						want := w.Scan(loc, span[0], span[1])
 						plan, err := calendar.Parse(c.expr, zone, rules)
 						if err != nil {
 							t.Error(err)
@@ -166,19 +172,20 @@
 	}
 }
 
-func differ(plan *calendar.Plan, want []Moment, span [2]int64) string {
+func differ(plan *calendar.Recurrence, want []ScannedOccurrence, span [2]int64) string {
 	at := span[0] - 1
 	for n := 0; ; n++ {
 		o, ok := plan.Next(at)
 		if !ok || o.At >= span[1] {
 			if n < len(want) {
-				return fmt.Sprintf("%s at %d is left out", want[n].Local, want[n].At)
+				return fmt.Sprintf("%s at %d is left out", want[n].LocalTime, want[n].At)
 			}
 			return ""
 		}
-		local := strings.TrimSuffix(o.Name.String(), "~2")
-		if n >= len(want) || want[n].At != o.At || want[n].Local != local || want[n].Second != o.Name.Fold() {
-			return fmt.Sprintf("%v at %d; wanted %+v", o.Name, o.At, want[min(n, len(want)-1)])
+		local := strings.TrimSuffix(o.LocalTime.String(), "~2")
+		if n >= len(want) || want[n].At != o.At || want[n].LocalTime != local ||
+			want[n].SecondFold != o.LocalTime.InSecondFold() {
+			return fmt.Sprintf("%v at %d; wanted %+v", o.LocalTime, o.At, want[min(n, len(want)-1)])
 		}
 		at = o.At
 	}
@@ -196,7 +203,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		zone, _ := calendar.NewZones().Zone(place)
+		zone, _ := calendar.NewZoneDB().Lookup(place)
 		shifts := changes(zone)
 		begin := begin
 		if place == "Pacific/Apia" {
@@ -216,9 +223,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ours := map[int64]calendar.Deed{}
+			ours := map[int64]calendar.Adjustment{}
 			for o, ok := plan.Next(begin); ok && o.At < end; o, ok = plan.Next(o.At) {
-				ours[o.At] = o.Deed
+				ours[o.At] = o.Adjustment
 			}
 			robfig := map[int64]bool{}
 			at := theirs.Next(time.Unix(begin, 0).In(loc))
@@ -237,7 +244,7 @@
 			for at, deed := range ours {
 				switch {
 				case robfig[at]:
-				case deed == calendar.MovedGap:
+				case deed == calendar.AdjustedGap:
 					kinds["a time in a gap: here once after it, there left out"]++
 				case near(at):
 					kinds["near a change: here, not there"]++
@@ -267,7 +274,7 @@
 func BenchmarkNext(b *testing.B) {
 	for _, expr := range []string{"30 6 * * 1,3,5", "* * * * *", "0 6 29 2 *"} {
 		loc, _ := time.LoadLocation("Europe/Berlin")
-		zone, _ := calendar.NewZones().Zone("Europe/Berlin")
+		zone, _ := calendar.NewZoneDB().Lookup("Europe/Berlin")
 		plan, err := calendar.Parse(expr, zone, calendar.Rules{})
 		if err != nil {
 			b.Fatal(err)
--- a/internal/verify/compat/placement_test.go
+++ b/internal/verify/compat/placement_test.go
@@ -49,10 +49,10 @@
 	var v placement.View
 	for i := range n {
 		// Numbers as they are: drawn at random.
-		seat := placement.Seat{Member: xxhash.Sum64String(fmt.Sprint(draw, "i", i)), Epoch: uint64(i + 1)}
-		v.Members = append(v.Members, placement.Member{Seat: seat, Name: fmt.Sprint(i)})
+		seat := placement.Session{Member: xxhash.Sum64String(fmt.Sprint(draw, "i", i)), Epoch: uint64(i + 1)}
+		v.Members = append(v.Members, placement.Member{Session: seat, Name: fmt.Sprint(i)})
 	}
-	t := placement.Of(v)
+	t := placement.NewTable(v)
 	return func(shard int) int {
 		m, _ := t.Owner(shard)
 		var i int
@@ -71,15 +71,15 @@
 		counts := make([]int, n)
 		before, after := way(n, draw), way(n+1, draw)
 		changed := 0
-		for s := range placement.Shards {
+		for s := range placement.ShardCount {
 			a := before(s)
 			counts[a]++
 			if after(s) != a {
 				changed++
 			}
 		}
-		most = max(most, float64(slices.Max(counts))/float64(placement.Shards)*float64(n))
-		moved += float64(changed) / placement.Shards * float64(n+1) / draws
+		most = max(most, float64(slices.Max(counts))/float64(placement.ShardCount)*float64(n))
+		moved += float64(changed) / placement.ShardCount * float64(n+1) / draws
 	}
 	return most, moved
 }
--- a/internal/verify/compat/walker.go
+++ b/internal/verify/compat/scanner.go
@@ -9,24 +9,24 @@
 	"moorstack/internal/cluster/calendar"
 )
 
-// Walker finds occurrences in the plainest way: it looks at every minute. It shares nothing with package
-// calendar but the rules' names.
-type Walker struct {
+// MinuteScanner finds occurrences in the plainest way: it looks at every minute. It shares nothing with
+// package calendar but the rules' names.
+type MinuteScanner struct {
 	Minutes, Hours, Days, Months, Weekdays map[int]bool // nil: any
 	Rules                                  calendar.Rules
 }
 
-// Moment is what the walker finds: an instant, and the local time that the expression gave.
-type Moment struct {
-	At     int64
-	Local  string
-	Second bool
+// ScannedOccurrence is what the walker finds: an instant, and the local time that the expression gave.
+type ScannedOccurrence struct {
+	At         int64
+	LocalTime  string
+	SecondFold bool
 }
 
-const form = "2006-01-02T15:04"
+const localTimeLayout = "2006-01-02T15:04"
 
 // matches says whether a local time is one of the expression's.
-func (w *Walker) matches(t time.Time) bool {
+func (w *MinuteScanner) matches(t time.Time) bool {
 	in := func(set map[int]bool, n int) bool { return set == nil || set[n] }
 	if !in(w.Minutes, t.Minute()) || !in(w.Hours, t.Hour()) || !in(w.Months, int(t.Month())) {
 		return false
@@ -37,9 +37,9 @@
 	return in(w.Days, t.Day()) && in(w.Weekdays, int(t.Weekday()))
 }
 
-// Walk looks at every minute from one instant to before another. Steps are of 30 s, for a place whose
+// Scan looks at every minute from one instant to before another. Steps are of 30 s, for a place whose
 // offset once was no whole minute.
-func (w *Walker) Walk(loc *time.Location, from, to int64) []Moment {
+func (w *MinuteScanner) Scan(loc *time.Location, from, to int64) []ScannedOccurrence {
 	const step, around = 30, 26 * 3600
 	// Local times, as if they were UTC, of all instants around, and how often each has been there.
 	local := func(at int64) int64 {
@@ -52,19 +52,19 @@
 			seen[c] = append(seen[c], at)
 		}
 	}
-	found := map[int64]Moment{}
-	natural := func(at int64) (Moment, bool) {
+	found := map[int64]ScannedOccurrence{}
+	natural := func(at int64) (ScannedOccurrence, bool) {
 		c := local(at)
 		if c%60 != 0 || !w.matches(time.Unix(c, 0).UTC()) {
-			return Moment{}, false
+			return ScannedOccurrence{}, false
 		}
 		all := seen[c]
 		second := len(all) > 1 && all[0] != at
 		if w.Rules.Fold == calendar.FirstFold && second ||
 			w.Rules.Fold == calendar.SecondFold && all[len(all)-1] != at {
-			return Moment{}, false
+			return ScannedOccurrence{}, false
 		}
-		return Moment{at, time.Unix(c, 0).UTC().Format(form), second}, true
+		return ScannedOccurrence{at, time.Unix(c, 0).UTC().Format(localTimeLayout), second}, true
 	}
 	for at := from; at < to; at += step {
 		if m, ok := natural(at); ok {
@@ -87,12 +87,12 @@
 					first = false
 				}
 				if _, taken := natural(on); !taken && on >= from && on < to {
-					found[on] = Moment{on, time.Unix(c, 0).UTC().Format(form), false}
+					found[on] = ScannedOccurrence{on, time.Unix(c, 0).UTC().Format(localTimeLayout), false}
 				}
 			}
 		}
 	}
-	var list []Moment
+	var list []ScannedOccurrence
 	for at := from; at < to; at += step {
 		if m, ok := found[at]; ok {
 			list = append(list, m)
--- a/internal/verify/emulate/client.go
+++ b/internal/verify/emulate/client.go
@@ -69,7 +69,10 @@
 		for _, m := range g.spec.Mix {
 			g.total += m
 		}
-		g.tenant = slices.IndexFunc(w.set.Tenants, func(t balancer.Tenant) bool { return t.Name == g.spec.Team })
+		g.tenant = slices.IndexFunc(
+			w.set.Tenants,
+			func(t balancer.Tenant) bool { return t.Name == g.spec.Team },
+		)
 	}
 	at, pick := g.habits.Float64()*g.total, 0
 	for pick < len(g.spec.Mix)-1 && at >= g.spec.Mix[pick] {
@@ -129,13 +132,16 @@
 		r.id = fmt.Sprintf("%s.%d", r.key, try)
 		r.outs = r.outs[:0]
 		c := &waiter{r: r, try: try, n: n}
-		err := n.core.Begin(broker.Transaction{ID: r.id, Class: r.index, Tenant: max(r.g.tenant, 0), Left: left,
-			Work: time.Duration(r.size * 1e9), Slots: 1, Repeat: try > 1, Job: r}, c)
+		err := n.core.Submit(
+			broker.Request{ID: r.id, Class: r.index, Tenant: max(r.g.tenant, 0), Timeout: left,
+				ExpectedWork: time.Duration(r.size * 1e9), Slots: 1, IsRetry: try > 1, Payload: r},
+			c,
+		)
 		if err != nil {
 			w.watch.violate(r, "a new id is said to be open: %v", err)
 		}
 		n.waiters = append(n.waiters, c)
-		if len(n.waiters) > 2*n.core.Waiting()+64 {
+		if len(n.waiters) > 2*n.core.PendingCount()+64 {
 			n.waiters = slices.DeleteFunc(n.waiters, func(c *waiter) bool { return c.over() })
 		}
 	})
@@ -161,8 +167,8 @@
 // over says whether nobody waits any more.
 func (c *waiter) over() bool { return c.answers > 0 || c.r.ended || c.r.tries != c.try }
 
-// Answer implements core.Client.
-func (c *waiter) Answer(a broker.Answer) {
+// Respond implements core.Client.
+func (c *waiter) Respond(a broker.Response) {
 	r, w := c.r, c.r.w
 	w.watch.answered(c, a)
 	w.Clock.After(w.latency(c.n.zone, c.n.zone), func() {
@@ -172,7 +178,7 @@
 		switch a.Kind {
 		case broker.Served:
 			r.end("served")
-		case broker.Busy:
+		case broker.Rejected:
 			w.rows.refusals++
 			r.again(a.RetryAfter)
 		default:
@@ -218,7 +224,7 @@
 	}
 	if n := r.node; n != nil && !n.down && n.life == r.life {
 		r.w.watch.violate(r, "no final answer before the client gave up")
-		n.core.Gone(r.id)
+		n.core.ClientDisconnected(r.id)
 	}
 	r.end("failed")
 }
--- a/internal/verify/emulate/emulate_test.go
+++ b/internal/verify/emulate/emulate_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-var served = broker.Answer{Kind: broker.Served}
+var served = broker.Response{Kind: broker.Served}
 
 // A watcher that sees nothing proves nothing: each rule's breach is seen.
 func TestWatcherSees(t *testing.T) {
--- a/internal/verify/emulate/list.go
+++ b/internal/verify/emulate/list.go
@@ -35,27 +35,27 @@
 type change struct {
 	version int
 	at      time.Duration // when it may be told
-	entry   broker.Entry
+	entry   broker.ListEntry
 }
 
-func (s *listService) entry(k *Worker, state balancer.State) broker.Entry {
-	e := broker.Entry{Name: k.Name, Zone: k.Zone, Kind: k.Kind, Cell: k.Cell, State: state,
+func (s *listService) entry(k *Worker, state balancer.WorkerState) broker.ListEntry {
+	e := broker.ListEntry{Name: k.Name, Zone: k.Zone, Kind: k.Kind, Cell: k.Cell, State: state,
 		Size: float64(k.Spec.Cores) * k.Spec.Speed}
 	if k.started > 0 {
-		e.Since = k.started + epoch
+		e.StartedAt = k.started + epoch
 	}
 	return e
 }
 
 // snapshot is the whole list as it was told up to a version; 0: as it is now.
-func (s *listService) snapshot(int) []broker.Entry {
+func (s *listService) snapshot(int) []broker.ListEntry {
 	if s.byName == nil {
 		s.byName = map[string]*Worker{}
 		for _, k := range s.w.workers {
 			s.byName[k.Name] = k
 		}
 	}
-	var list []broker.Entry
+	var list []broker.ListEntry
 	for _, k := range s.w.workers {
 		switch {
 		case k.down:
@@ -92,32 +92,32 @@
 				s.counts(d, version, e)
 				continue
 			}
-			d.tell(balancer.Changes, []broker.Entry{e})
+			d.tell(balancer.ListDelta, []broker.ListEntry{e})
 		}
 		if s.w.sc.List == pushed && !s.down {
-			s.agents([]broker.Entry{e})
+			s.agents([]broker.ListEntry{e})
 		}
 	})
 }
 
 // agents notes that what the agents beside the nodes have counts as told.
-func (s *listService) agents(entries []broker.Entry) {
+func (s *listService) agents(entries []broker.ListEntry) {
 	for _, n := range s.w.nodes {
 		if n != nil && !n.down {
-			s.w.watch.told(n, balancer.Changes, entries)
+			s.w.watch.told(n, balancer.ListDelta, entries)
 		}
 	}
 }
 
 // counts has what a deaf watch misses count as told after missed, heard or not, if it still holds.
-func (s *listService) counts(d *directory, version int, e broker.Entry) {
+func (s *listService) counts(d *directory, version int, e broker.ListEntry) {
 	if s.w.sc.List == pushed {
 		return // it counts already
 	}
 	n, life := d.n, d.life
 	s.w.Clock.at(max(d.since+missed, s.w.Clock.now), func() {
 		if n.life == life && !n.down && s.latest[e.Name] == version {
-			s.w.watch.told(n, balancer.Changes, []broker.Entry{e})
+			s.w.watch.told(n, balancer.ListDelta, []broker.ListEntry{e})
 		}
 	})
 }
@@ -143,7 +143,7 @@
 	for _, d := range s.watches {
 		if d.alive() && !d.deaf && rng.Float64() < part {
 			d.deaf, d.since = true, s.w.Clock.now
-			s.w.Clock.at(s.w.Clock.now+d.rules().Silence(), d.silent)
+			s.w.Clock.at(s.w.Clock.now+d.rules().WatchTimeout(), d.silent)
 		}
 	}
 }
@@ -157,25 +157,30 @@
 	since time.Duration // when that began
 }
 
-var _ broker.Directory = (*directory)(nil)
+var _ broker.EndpointSource = (*directory)(nil)
 
 func (d *directory) alive() bool { return d.n.life == d.life && !d.n.down }
 
 // rules are how fresh the list is kept, as the real front has them.
-func (d *directory) rules() discovery.Rules {
+func (d *directory) rules() discovery.RefreshPolicy {
 	set := &d.n.w.set
-	return discovery.Rules{Pushed: !set.MustAsk, Grace: set.Rules.DrainGrace, Me: d.n.number, Fleet: set.Fleet}
+	return discovery.RefreshPolicy{
+		LocalAgent: !set.ListOnRequest,
+		DrainGrace: set.Rules.DrainGrace,
+		NodeIndex:  d.n.number,
+		FleetSize:  set.DispatcherCount,
+	}
 }
 
 // open begins to follow a list that is pushed, as the real front does.
 func (d *directory) open() {
-	if !d.rules().Pushed {
+	if !d.rules().LocalAgent {
 		return
 	}
 	if s := d.n.w.list; !s.down { // a new process is told from its first moment
-		d.n.w.watch.told(d.n, balancer.Changes, s.snapshot(0))
+		d.n.w.watch.told(d.n, balancer.ListDelta, s.snapshot(0))
 	}
-	d.Watch(true)
+	d.WatchList(true)
 	d.poll()
 }
 
@@ -184,8 +189,8 @@
 	if !d.alive() {
 		return
 	}
-	d.Fetch()
-	d.n.w.Clock.at(d.n.w.Clock.now+d.rules().Every(), d.poll)
+	d.FetchList()
+	d.n.w.Clock.at(d.n.w.Clock.now+d.rules().PollInterval(), d.poll)
 }
 
 // silent begins a watch anew that has said nothing for long.
@@ -196,20 +201,20 @@
 	s := d.n.w.list
 	s.watches = slices.DeleteFunc(s.watches, func(o *directory) bool { return o == d })
 	d.on, d.deaf = false, false
-	d.Watch(true)
+	d.WatchList(true)
 }
 
-func (d *directory) tell(kind balancer.ListKind, entries []broker.Entry) {
+func (d *directory) tell(kind balancer.ListUpdateKind, entries []broker.ListEntry) {
 	if !d.alive() {
 		return
 	}
 	d.n.w.rows.lines += len(entries)
-	if kind != balancer.Changes {
+	if kind != balancer.ListDelta {
 		clear(d.n.known)
 	}
 	d.n.learn(entries)
 	d.n.w.watch.told(d.n, kind, entries)
-	d.n.core.RouteSet(kind, d.n.entries(entries))
+	d.n.core.UpdateEndpoints(kind, d.n.entries(entries))
 }
 
 func (d *directory) fail() {
@@ -220,20 +225,20 @@
 			return
 		}
 		d.on = false
-		if r := d.rules(); r.Pushed { // it is asked again soon, and the core has no part in it
-			w.Clock.at(w.Clock.now+r.Every(), func() {
+		if r := d.rules(); r.LocalAgent { // it is asked again soon, and the core has no part in it
+			w.Clock.at(w.Clock.now+r.PollInterval(), func() {
 				if d.alive() {
-					d.Watch(true)
+					d.WatchList(true)
 				}
 			})
 			return
 		}
-		d.n.core.RouteSet(balancer.Failed, nil)
+		d.n.core.UpdateEndpoints(balancer.ListUnavailable, nil)
 	})
 }
 
-// Watch implements core.Directory.
-func (d *directory) Watch(on bool) {
+// WatchList implements core.Directory.
+func (d *directory) WatchList(on bool) {
 	s := d.n.w.list
 	if !on || d.on {
 		return
@@ -254,22 +259,22 @@
 			return
 		}
 		s.watches = append(s.watches, d)
-		d.tell(balancer.Whole, s.snapshot(0))
+		d.tell(balancer.ListFull, s.snapshot(0))
 	})
 }
 
-// Fetch implements core.Directory.
-func (d *directory) Fetch() {
+// FetchList implements core.Directory.
+func (d *directory) FetchList() {
 	w := d.n.w
 	if w.list.down {
-		if !d.rules().Pushed {
+		if !d.rules().LocalAgent {
 			d.fail()
 		}
 		return
 	}
 	w.Clock.at(w.Clock.now+time.Duration(w.sc.Far)*2, func() {
 		if d.alive() && !w.list.down {
-			d.tell(balancer.Whole, w.list.snapshot(0))
+			d.tell(balancer.ListFull, w.list.snapshot(0))
 		}
 	})
 }
--- a/internal/verify/emulate/loopback/stage.go
+++ b/internal/verify/emulate/loopback/stage.go
@@ -167,9 +167,9 @@
 func (w *worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/_load":
-		var rep balancer.Report
+		var rep balancer.LoadReport
 		w.s.model(func() { rep = w.model.Report() })
-		fmt.Fprintf(rw, "TEXT pending=%.2f, x0=%.2f", rep.Queue, rep.FreeSlots)
+		fmt.Fprintf(rw, "TEXT pending=%.2f, x0=%.2f", rep.QueueLength, rep.FreeSlots)
 	case r.Method == http.MethodDelete && strings.HasPrefix(r.URL.Path, "/jobs/"):
 		id := strings.TrimPrefix(r.URL.Path, "/jobs/")
 		w.s.model(func() {
@@ -216,17 +216,17 @@
 			delete(w.giveUp, id)
 			go w.callBack(id, res)
 		}
-		now = balancer.Moot // not ended yet
+		now = balancer.NotSent // not ended yet
 		giveUp := w.model.Take(r.Header.Get("Idempotency-Key"), r.Header.Get("X-Priority-Class"), size,
 			true, done)
-		if atOnce = false; now == balancer.Moot {
+		if atOnce = false; now == balancer.NotSent {
 			w.giveUp[id] = giveUp
 		}
 	})
 	switch now {
-	case balancer.Moot:
+	case balancer.NotSent:
 		rw.WriteHeader(http.StatusAccepted)
-	case balancer.Full:
+	case balancer.WorkerFull:
 		rw.Header().Set("X-Not-Processed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	case balancer.OK:
@@ -243,9 +243,9 @@
 	switch res {
 	case balancer.OK:
 		event["state"], event["result"] = "done", "done by "+w.name
-	case balancer.Reset:
+	case balancer.ConnectionReset:
 		event["state"] = "lost"
-	case balancer.Full:
+	case balancer.WorkerFull:
 		event["state"] = "returned"
 	}
 	b, err := json.Marshal(event)
--- a/internal/verify/emulate/operate.go
+++ b/internal/verify/emulate/operate.go
@@ -49,15 +49,15 @@
 
 // ban takes a worker out at a node that runs and has heard of it.
 func (n *Node) ban(name string) {
-	if !n.down && n.core.Listed(name) {
-		n.core.Ban(name)
+	if !n.down && n.core.EverListed(name) {
+		n.core.StartMaintenance(name)
 		n.w.watch.banned(n, name)
 	}
 }
 
 func (n *Node) unban(name string) {
 	if !n.down {
-		n.core.Unban(name)
+		n.core.EndMaintenance(name)
 		n.w.watch.unbanned(n, name)
 	}
 }
@@ -79,17 +79,17 @@
 	old.replaced = true
 	n := &Node{w: w, number: old.number, zone: old.zone, life: old.life, back: old.back}
 	w.nodes[old.number] = n
-	known := slices.SortedFunc(maps.Values(old.known), func(a, b broker.Entry) int {
+	known := slices.SortedFunc(maps.Values(old.known), func(a, b broker.ListEntry) int {
 		if a.Name < b.Name {
 			return -1
 		}
 		return 1
 	})
-	passed := old.core.Pass()
+	passed := old.core.ExportState()
 	back := old.back
 	n.start(known)
 	n.back = back // the front does not notice
-	n.core.Recall(passed)
+	n.core.ImportState(passed)
 	w.watch.passes(old, n)
 	until := w.Clock.now + isEnded
 	var tell func()
@@ -97,11 +97,11 @@
 		if n.down || old.down {
 			return
 		}
-		held := old.core.Held()
-		n.core.Beside(held)
-		if w.Clock.now >= until || old.core.Waiting() == 0 && w.Clock.now >= until-isEnded+saysYes {
+		held := old.core.InFlight()
+		n.core.SetOtherInFlight(held)
+		if w.Clock.now >= until || old.core.PendingCount() == 0 && w.Clock.now >= until-isEnded+saysYes {
 			old.kill()
-			n.core.Beside(nil)
+			n.core.SetOtherInFlight(nil)
 			return
 		}
 		w.Clock.After(tells, tell)
--- a/internal/verify/emulate/scenario.go
+++ b/internal/verify/emulate/scenario.go
@@ -128,10 +128,10 @@
 
 func (s *Scenario) wrong(array string, n int, format string, args ...any) error {
 	return &tomlfile.Error{
-		Path: s.path,
-		Line: tomlfile.Nth(s.raw, array, n),
-		Key:  array,
-		Text: fmt.Sprintf(format, args...),
+		Path:    s.path,
+		Line:    tomlfile.LineOfTable(s.raw, array, n),
+		Key:     array,
+		Message: fmt.Sprintf(format, args...),
 	}
 }
 
@@ -156,7 +156,7 @@
 		s.List = asked
 	}
 	bad := func(key, format string, args ...any) error {
-		return tomlfile.At(s.path, s.raw, key, format, args...)
+		return tomlfile.ErrorAt(s.path, s.raw, key, format, args...)
 	}
 	switch {
 	case s.Duration <= 0 || time.Duration(s.Duration) > 48*time.Hour:
@@ -209,7 +209,11 @@
 	return s.checkGroups(fill)
 }
 
-var effects = map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
+var effects = map[string]balancer.Idempotency{
+	"retryable": balancer.Idempotent,
+	"dedup":     balancer.IdempotentByKey,
+	"fragile":   balancer.NonIdempotent,
+}
 
 func (s *Scenario) checkGroups(fill func(*Duration, time.Duration)) error {
 	for i := range s.Workers {
@@ -305,43 +309,56 @@
 func (s *Scenario) settings() balancer.Settings {
 	probes := s.Probes == nil || *s.Probes
 	set := balancer.Settings{
-		Fleet:        s.Nodes,
-		Zones:        len(s.Zones),
-		Kinds:        len(s.Workers),
-		MustAsk:      s.List == asked,
-		WorthByWork:  true,
-		Tick:         5 * time.Millisecond,
-		ReportProbed: probes,
-		Goal: balancer.Goal{Whole: 0.6, WorstClass: 0.2, WorstTenant: 0.1,
+		DispatcherCount:    s.Nodes,
+		ZoneCount:          len(s.Zones),
+		WorkerKinds:        len(s.Workers),
+		ListOnRequest:      s.List == asked,
+		WeightByWork:       true,
+		MinEventInterval:   5 * time.Millisecond,
+		LoadReportsByCheck: probes,
+		Goal: balancer.Goal{Overall: 0.6, WorstClass: 0.2, WorstTenant: 0.1,
 			WorstWindow: 0.1},
-		Limits: balancer.Limits{Attempts: 5, Cancel: true, Probes: probes, RetryAfter: true, SecondCopies: true,
+		Limits: balancer.Limits{
+			MaxAttempts:    5,
+			CanCancel:      true,
+			HealthChecks:   probes,
+			RetryAfter:     true,
+			HedgedRequests: true,
 			ConnectTimeout: time.Duration(
 				s.Connect,
-			), ConnIdle: 15 * time.Second, MaxRetryAfter: 2 * time.Second},
+			),
+			IdleTimeout:   15 * time.Second,
+			MaxRetryAfter: 2 * time.Second,
+		},
 		Rules: balancer.Rules{
-			AnswerSlack:    20 * time.Millisecond,
-			AskEvery:       10 * time.Second,
-			DrainGrace:     time.Duration(s.DrainGrace),
-			ColdShare:      0.12,
-			Cold:           20 * time.Second,
-			OverloadFactor: 3,
-			Fall:           time.Second,
+			ResponseSlack:     20 * time.Millisecond,
+			ListPollInterval:  10 * time.Second,
+			DrainGrace:        time.Duration(s.DrainGrace),
+			SlowStartMinShare: 0.12,
+			SlowStartWindow:   20 * time.Second,
+			OverloadFactor:    3,
+			OverloadWindow:    time.Second,
+		},
+		OverQuotaWeight: 0.1,
+		Costs: balancer.Costs{
+			CrossZone:   0.02,
+			WastedWork:  0.3,
+			HealthCheck: 0.002,
+			LateFailure: 0.03,
 		},
-		OverShare: 0.1,
-		Prices:    balancer.Prices{CrossZone: 0.02, Waste: 0.3, Probe: 0.002, LateFail: 0.03},
 	}
 	for i := range s.Workers {
-		set.Rules.Cold = max(set.Rules.Cold, time.Duration(s.Workers[i].Cold))
-		set.Rules.ColdShare = min(set.Rules.ColdShare, s.Workers[i].ColdShare)
+		set.Rules.SlowStartWindow = max(set.Rules.SlowStartWindow, time.Duration(s.Workers[i].Cold))
+		set.Rules.SlowStartMinShare = min(set.Rules.SlowStartMinShare, s.Workers[i].ColdShare)
 	}
 	for _, c := range s.Classes {
 		set.Classes = append(
 			set.Classes,
-			balancer.Class{Name: c.Name, Aim: time.Duration(c.Aim), Stretch: c.Stretch,
-				Deadline: time.Duration(
+			balancer.Class{Name: c.Name, LatencyObjective: time.Duration(c.Aim), ObjectiveStretch: c.Stretch,
+				Timeout: time.Duration(
 					c.GiveUp,
-				), Worth: c.Worth, LateShare: c.LateShare, Effect: effects[c.Effect],
-				Scope: balancer.ScopeCell, Window: time.Duration(c.Window), Kind: -1},
+				), PriorityWeight: c.Worth, LateShare: c.LateShare, Idempotency: effects[c.Effect],
+				KeyScope: balancer.ScopeCell, KeyWindow: time.Duration(c.Window), WorkerKind: -1},
 		)
 	}
 	for _, g := range s.Clients {
--- a/internal/verify/emulate/watch.go
+++ b/internal/verify/emulate/watch.go
@@ -79,12 +79,12 @@
 func place(n *Node, name string) string { return fmt.Sprintf("%d/%d/%s", n.number, n.life, name) }
 
 // told notes what a node has been told of the list.
-func (v *watcher) told(n *Node, kind balancer.ListKind, entries []broker.Entry) {
+func (v *watcher) told(n *Node, kind balancer.ListUpdateKind, entries []broker.ListEntry) {
 	for _, e := range entries {
 		at := place(n, e.Name)
 		if e.State == balancer.Ready {
 			delete(v.drains, at)
-			v.starts[at] = e.Since
+			v.starts[at] = e.StartedAt
 		} else if _, known := v.drains[at]; !known {
 			v.drains[at] = v.w.Clock.now
 		}
@@ -113,7 +113,7 @@
 		v.violate(r, "node %d sends to %s, which operators have out for %.3f s", n.number, k.Name,
 			(now - since).Seconds())
 	}
-	if len(r.outs) >= v.w.set.Limits.Attempts {
+	if len(r.outs) >= v.w.set.Limits.MaxAttempts {
 		v.violate(r, "attempt %d", len(r.outs)+1)
 	}
 	if r.class.Effect == "fragile" && len(r.outs) > 0 && r.runs > 0 {
@@ -130,7 +130,7 @@
 }
 
 // answered checks that a try has one final answer, and in time.
-func (v *watcher) answered(c *waiter, a broker.Answer) {
+func (v *watcher) answered(c *waiter, a broker.Response) {
 	r := c.r
 	if c.answers++; c.answers > 1 {
 		v.violate(r, "a second final answer")
--- a/internal/verify/emulate/worker.go
+++ b/internal/verify/emulate/worker.go
@@ -45,7 +45,7 @@
 	greyBy  float64
 	failing float64 // a trouble: the share of jobs that fail at once
 	lossy   bool    // cut off: nothing comes in or goes out
-	report  balancer.Report
+	report  balancer.LoadReport
 	told    time.Duration
 	pod     *pod
 	taken   []coldWork
@@ -107,7 +107,7 @@
 
 // NewWorker makes a worker that has been up for long.
 func NewWorker(clock *Clock, rng *rand.Rand, name string, spec WorkerSpec) *Worker {
-	return &Worker{Name: name, Spec: spec, clock: clock, rng: rng, slow: 1, report: balancer.NoReport,
+	return &Worker{Name: name, Spec: spec, clock: clock, rng: rng, slow: 1, report: balancer.NoLoadReport,
 		jobs: &jobMean{}}
 }
 
@@ -206,7 +206,12 @@
 
 // Take takes a job, or hands it back by done(Full). What is returned gives it up. Aware says
 // that whoever sends it has been told of the worker's last start.
-func (w *Worker) Take(key, class string, size float64, aware bool, done func(balancer.Result)) (giveUp func()) {
+func (w *Worker) Take(
+	key, class string,
+	size float64,
+	aware bool,
+	done func(balancer.Result),
+) (giveUp func()) {
 	none := func() {}
 	if w.down || w.fell {
 		done(balancer.ConnectFailed)
@@ -215,7 +220,7 @@
 	w.jobs.add(size)
 	w.cold(size, aware)
 	if w.failing > 0 && w.rng.Float64() < w.failing {
-		done(balancer.Error)
+		done(balancer.ServerError)
 		return none
 	}
 	if w.pod != nil && key != "" {
@@ -230,7 +235,7 @@
 		}
 	}
 	if len(w.running) >= w.Spec.Slots && w.Queue() >= w.Spec.Room || w.drains {
-		done(balancer.Full)
+		done(balancer.WorkerFull)
 		return none
 	}
 	if w.pod != nil && key != "" {
@@ -329,7 +334,7 @@
 			if w.pod != nil && t.key != "" {
 				delete(w.pod.seen, t.key)
 			}
-			t.done(balancer.Reset)
+			t.done(balancer.ConnectionReset)
 		}
 	}
 }
@@ -348,11 +353,11 @@
 }
 
 // Report is the load as a probe tells it: as it was when it was last made anew.
-func (w *Worker) Report() balancer.Report {
-	if !w.report.Told || w.clock.now-w.told >= w.Spec.Refresh {
+func (w *Worker) Report() balancer.LoadReport {
+	if !w.report.Received || w.clock.now-w.told >= w.Spec.Refresh {
 		noisy := func(v float64) float64 { return math.Max(0, v*(1+w.Spec.Noise*w.rng.NormFloat64())) }
-		r := balancer.NoReport
-		r.Told, r.Queue = true, noisy(float64(w.Queue()))
+		r := balancer.NoLoadReport
+		r.Received, r.QueueLength = true, noisy(float64(w.Queue()))
 		r.FreeSlots = noisy(float64(w.Spec.Slots - len(w.running)))
 		w.report, w.told = r, w.clock.now
 	}
