--- a/internal/verify/emulate/world.go
+++ b/internal/verify/emulate/world.go
@@ -117,7 +117,7 @@
 	number int
 	zone   int
 	life   int
-	core   *broker.Core
+	core   *broker.Broker
 	clock  *nodeClock
 	hops   map[string]*link
 	down   bool
@@ -126,8 +126,8 @@
 
 	waiters []*waiter // clients that wait here, and some that do no more
 
-	known    map[string]broker.Entry // the list as it was told
-	replaced bool                    // another process has taken its place
+	known    map[string]broker.ListEntry // the list as it was told
+	replaced bool                        // another process has taken its place
 }
 
 // nodeClock is the world's clock for one life of a node: what an earlier life set is void.
@@ -153,13 +153,13 @@
 }
 
 // start begins a life of the node with a list that it knew.
-func (n *Node) start(known []broker.Entry) {
+func (n *Node) start(known []broker.ListEntry) {
 	n.life++
 	n.down, n.back = false, n.w.Clock.now
 	n.clock = &nodeClock{&n.w.Clock, n, n.life}
 	n.hops = map[string]*link{}
 	set := n.w.set
-	set.Me, set.Zone = n.number, n.zone
+	set.DispatcherIndex, set.Zone = n.number, n.zone
 	// The seed differs from life to life, as a real node's does.
 	seed := n.w.streams.Of("node", n.number<<16+n.life).Uint64()
 	var err error
@@ -168,12 +168,12 @@
 		panic(fmt.Sprintf("emulate: a node can't be made: %v", err)) // check has tried it
 	}
 	if n.w.sc.Subset > 0 {
-		n.core.OnList(n.choose)
+		n.core.OnListUpdate(n.choose)
 	}
-	n.known = map[string]broker.Entry{}
+	n.known = map[string]broker.ListEntry{}
 	n.learn(known)
-	n.w.watch.told(n, balancer.Cached, known)
-	n.core.RouteSet(balancer.Cached, n.entries(known))
+	n.w.watch.told(n, balancer.ListCached, known)
+	n.core.UpdateEndpoints(balancer.ListCached, n.entries(known))
 	dir.open()
 }
 
@@ -181,17 +181,17 @@
 func (n *Node) choose() {
 	var members []placement.Member
 	for k := range n.w.sc.Nodes {
-		members = append(members, placement.Member{Seat: placement.Seat{Member: uint64(k + 1)}})
+		members = append(members, placement.Member{Session: placement.Session{Member: uint64(k + 1)}})
 	}
 	var list []placement.Worker
-	for _, l := range n.core.Listings() {
+	for _, l := range n.core.ListedEndpoints() {
 		list = append(list, placement.Worker{Name: l.Name, Zone: l.Zone})
 	}
-	n.core.Use(placement.Subset(members, members[n.number].Seat, list, n.w.sc.Subset))
+	n.core.SetSubset(placement.Subset(members, members[n.number].Session, list, n.w.sc.Subset))
 }
 
 // learn keeps what the node was told of the list.
-func (n *Node) learn(list []broker.Entry) {
+func (n *Node) learn(list []broker.ListEntry) {
 	for _, e := range list {
 		if n.known[e.Name] = e; e.State == balancer.Removed {
 			delete(n.known, e.Name)
@@ -200,7 +200,7 @@
 }
 
 // entries gives a list the links of this node.
-func (n *Node) entries(list []broker.Entry) []broker.Entry {
+func (n *Node) entries(list []broker.ListEntry) []broker.ListEntry {
 	out := slices.Clone(list)
 	for i := range out {
 		e := &out[i]
@@ -212,7 +212,7 @@
 			l = &link{n: n, life: n.life, worker: n.w.list.byName[e.Name]}
 			n.hops[e.Name] = l
 		}
-		e.Hop = l
+		e.Endpoint = l
 	}
 	return out
 }
@@ -242,22 +242,22 @@
 	worker *Worker
 }
 
-var _ broker.NextHop = (*link)(nil)
+var _ broker.Endpoint = (*link)(nil)
 
 func (l *link) alive() bool { return l.n.life == l.life && !l.n.down }
 
 // branch is an attempt on its way, at the worker, or on its way back.
 type branch struct {
 	l      *link
-	b      broker.Branch
+	b      broker.Attempt
 	giveUp func()
 	over   bool
 }
 
-// Start implements core.NextHop.
-func (l *link) Start(b broker.Branch) broker.Running {
+// StartAttempt implements core.NextHop.
+func (l *link) StartAttempt(b broker.Attempt) broker.RunningAttempt {
 	w := l.n.w
-	j := b.Job.(*request)
+	j := b.Payload.(*request)
 	w.watch.sent(l.n, l.worker, j)
 	br := &branch{l: l, b: b}
 	aware := w.watch.aware(l.n, l.worker)
@@ -281,7 +281,7 @@
 	l := br.l
 	w := l.n.w
 	if res == balancer.OK {
-		w.watch.ran(br.b.Job.(*request))
+		w.watch.ran(br.b.Payload.(*request))
 	}
 	if l.worker.lossy && res != balancer.ConnectFailed {
 		return
@@ -292,12 +292,12 @@
 			return
 		}
 		br.over = true
-		l.n.core.End(br.b.ID, res, nil, balancer.NoReport)
+		l.n.core.EndAttempt(br.b.ID, res, nil, balancer.NoLoadReport)
 	})
 }
 
-// GiveUp implements core.Running: the worker hears of it a little later.
-func (br *branch) GiveUp() {
+// Abandon implements core.Running: the worker hears of it a little later.
+func (br *branch) Abandon() {
 	if br.over {
 		return
 	}
@@ -310,12 +310,12 @@
 	})
 }
 
-// Probe implements core.NextHop.
-func (l *link) Probe(done func(balancer.Result, balancer.Report)) {
+// CheckHealth implements core.NextHop.
+func (l *link) CheckHealth(done func(balancer.Result, balancer.LoadReport)) {
 	w := l.n.w
 	w.rows.probes++
 	d := w.latency(l.n.zone, l.worker.Zone)
-	told := func(after time.Duration, res balancer.Result, r balancer.Report) {
+	told := func(after time.Duration, res balancer.Result, r balancer.LoadReport) {
 		w.Clock.at(w.Clock.now+after, func() {
 			if l.alive() {
 				done(res, r)
@@ -324,9 +324,9 @@
 	}
 	switch {
 	case l.worker.lossy:
-		told(time.Duration(w.sc.Connect), balancer.TimedOut, balancer.NoReport)
+		told(time.Duration(w.sc.Connect), balancer.TimedOut, balancer.NoLoadReport)
 	case l.worker.down:
-		told(2*d, balancer.ConnectFailed, balancer.NoReport)
+		told(2*d, balancer.ConnectFailed, balancer.NoLoadReport)
 	default:
 		told(2*d, balancer.OK, l.worker.Report())
 	}
--- a/internal/verify/expect/expect_test.go
+++ b/internal/verify/expect/expect_test.go
@@ -21,7 +21,7 @@
 
 func read(t testing.TB, text string, change ...string) (*Suite, error) {
 	t.Helper()
-	return Read(shown, []byte(strings.NewReplacer(change...).Replace(text)), os.ReadFile)
+	return Load(shown, []byte(strings.NewReplacer(change...).Replace(text)), os.ReadFile)
 }
 
 func sunday(t testing.TB) string {
@@ -42,7 +42,7 @@
 		t.Errorf("only %d expectations", len(first))
 	}
 	for _, r := range first {
-		if !r.OK() {
+		if !r.Passed() {
 			t.Errorf("%s:%d: %s: %v", r.File, r.Line, r.Name, r.Failures)
 		}
 	}
@@ -70,7 +70,7 @@
 		t.Fatal("a socket can be had, so this test shows nothing")
 	}
 	for _, r := range s.Run(nil) {
-		if !r.OK() {
+		if !r.Passed() {
 			t.Errorf("%s: %v", r.Name, r.Failures)
 		}
 	}
@@ -83,13 +83,13 @@
 		t.Fatal(err)
 	}
 	broken := strings.Replace(string(rules), `prefer = ["seeb", "ruwi"]`, `prefer = ["ruwi", "seeb"]`, 1)
-	s, err := Read(shown, []byte(sunday(t)), func(string) ([]byte, error) { return []byte(broken), nil })
+	s, err := Load(shown, []byte(sunday(t)), func(string) ([]byte, error) { return []byte(broken), nil })
 	if err != nil {
 		t.Fatal(err)
 	}
 	failed := 0
 	for _, r := range s.Run(func(name string) bool { return name == "dialysis from Seeb prefers seeb" }) {
-		if !r.OK() {
+		if !r.Passed() {
 			failed++
 		}
 		trace := strings.Join(r.Trace, "\n")
@@ -126,7 +126,7 @@
 		}
 	}
 	none := func(string) ([]byte, error) { return nil, errors.New("no rules") }
-	if _, err := Read(shown, []byte(text), none); err == nil {
+	if _, err := Load(shown, []byte(text), none); err == nil {
 		t.Error("read without its rules")
 	}
 }
@@ -134,7 +134,7 @@
 // The draws bring an estimate within its tolerance as often as is said.
 func TestDraws(t *testing.T) {
 	for _, c := range []struct{ share, within float64 }{{0.5, 0.05}, {1, 0.02}, {0.1, 0.03}} {
-		n := float64(draws(c.share, c.within))
+		n := float64(requiredSamples(c.share, c.within))
 		p := c.share
 		if p == 1 {
 			p = 1 - c.within
@@ -143,7 +143,7 @@
 			t.Errorf("%v within %v: %v draws leave %v", c.share, c.within, n, sd*z99)
 		}
 	}
-	if draws(0.5, 0.001) <= MaxDraws {
+	if requiredSamples(0.5, 0.001) <= MaxSamples {
 		t.Error("a share within a thousandth is decided by few draws")
 	}
 }
@@ -161,18 +161,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := *s.rules
 		f.Rules = []routing.RuleSpec{
-			{Name: "r", Spill: rapid.SampledFrom([]string{"never", "empty", "busy"}).Draw(t, "spill"),
-				Prefer: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 4, rapid.ID[string]).
+			{Name: "r", Spillover: rapid.SampledFrom([]string{"never", "empty", "busy"}).Draw(t, "spill"),
+				PreferredPools: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 4, rapid.ID[string]).
 					Draw(t, "prefer"),
-				Attempts: rapid.IntRange(0, 4).Draw(t, "attempts")},
+				MaxAttempts: rapid.IntRange(0, 4).Draw(t, "attempts")},
 		}
-		table, _, err := routing.Compile(&f, s.names)
+		table, _, err := routing.Compile(&f, s.knownNames)
 		if err != nil {
 			t.Fatal(err)
 		}
 		changed := *s
 		changed.table = table
-		e := Expect{Roster: "any", After: duration(3 * time.Second)}
+		e := Expectation{WorkerSet: "any", After: duration(3 * time.Second)}
 		var workers []*Worker
 		drained := map[string]bool{}
 		for i := range rapid.IntRange(1, 10).Draw(t, "workers") {
@@ -189,20 +189,20 @@
 				)
 			}
 			if answers := rapid.SampledFrom(replies).Draw(t, "answers"); answers != "ok" {
-				e.Events = append(e.Events, Event{Worker: w.Name, Answers: answers})
+				e.Events = append(e.Events, Event{Worker: w.Name, JobResponse: answers})
 			}
 		}
-		changed.rosters = map[string][]*Worker{"any": workers}
+		changed.workerSets = map[string][]*Worker{"any": workers}
 		j := s.jobs[rapid.SampledFrom(jobs).Draw(t, "job")]
 		d := changed.decide(j)
-		w, err := changed.newWorld(&e, rapid.Uint64().Draw(t, "seed"))
+		w, err := changed.newSimulation(&e, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := w.run(j, d, false); err != nil {
 			t.Fatal(err)
 		}
-		if w.answer == nil {
+		if w.response == nil {
 			t.Fatal("no final answer")
 		}
 		pod := -1000
@@ -216,12 +216,13 @@
 				t.Fatalf("attempt %d goes to a cold worker without a budget", n)
 			case d.Route.Tier(&bw) < 0:
 				t.Fatalf("attempt %d goes outside the pools", n)
-			case n > 0 && d.Attempts > 0 && n >= d.Attempts:
-				t.Fatalf("%d attempts of %d", n+1, d.Attempts)
-			case pod != -1000 && s.set.Classes[d.Class].Effect == balancer.Keyed && h.worker.Cell != pod:
+			case n > 0 && d.MaxAttempts > 0 && n >= d.MaxAttempts:
+				t.Fatalf("%d attempts of %d", n+1, d.MaxAttempts)
+			case pod != -1000 && s.settings.Classes[d.Class].Idempotency == balancer.IdempotentByKey &&
+				h.worker.Cell != pod:
 				t.Fatalf("attempt %d of a keyed job that may have run leaves its pod", n)
 			}
-			if h.reach && h.answers == "error" { // one that can't be reached has run nothing
+			if h.reachable && h.jobResponse == "error" { // one that can't be reached has run nothing
 				pod = h.worker.Cell
 			}
 		}
@@ -233,13 +234,13 @@
 	text := sunday(t)
 	cut := strings.Index(text, "[[expect]]")
 	second := cut + strings.Index(text[cut+1:], "[[expect]]") + 1
-	s, err := Read(shown, []byte(text[:second]), os.ReadFile)
+	s, err := Load(shown, []byte(text[:second]), os.ReadFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	killed, survived := 0, 0
 	for _, m := range s.Mutate() {
-		if m.Killed != "" {
+		if m.KilledBy != "" {
 			killed++
 		} else {
 			survived++
@@ -266,12 +267,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes, jobs, err := Against(s.names, s.rules, now, 100)
+	changes, jobs, err := CompareRules(s.knownNames, s.rules, now, 100)
 	if err != nil || jobs < 1000 || len(changes) == 0 ||
 		changes[0].Job != "http, class trip-quote, cost 100ms" {
 		t.Errorf("%v %d %+v", err, jobs, changes)
 	}
-	if changes, _, _ := Against(s.names, s.rules, s.rules, 100); len(changes) > 0 {
+	if changes, _, _ := CompareRules(s.knownNames, s.rules, s.rules, 100); len(changes) > 0 {
 		t.Errorf("the same rules differ: %+v", changes)
 	}
 }
--- a/internal/verify/expect/mutate.go
+++ b/internal/verify/expect/mutation.go
@@ -11,9 +11,9 @@
 
 // Mutant is the rules with one of them broken, and whether some expectation fails for it.
 type Mutant struct {
-	What   string `json:"what"`
-	Rule   string `json:"rule"`
-	Killed string `json:"killed,omitempty"` // by which expectation, or by the rules being refused
+	Mutation string `json:"what"`
+	Rule     string `json:"rule"`
+	KilledBy string `json:"killed,omitempty"` // by which expectation, or by the rules being refused
 }
 
 // Mutate breaks each rule in turn, in memory, and says which breakings no expectation
@@ -25,7 +25,7 @@
 	var list []Mutant
 	for n := range s.rules.Rules {
 		for _, m := range s.mutations(n) {
-			list = append(list, s.try(m.what, s.rules.Rules[n].Name, m.change))
+			list = append(list, s.runMutation(m.what, s.rules.Rules[n].Name, m.change))
 		}
 	}
 	return list
@@ -40,28 +40,37 @@
 	was := s.rules.Rules[n]
 	list := []mutation{
 		{"dropped", func(f *routing.File) { f.Rules = slices.Delete(f.Rules, n, n+1) }},
-		{"matches nothing", func(f *routing.File) { f.Rules[n].Match.KeyPrefix = "\x00" }},
+		{"matches nothing", func(f *routing.File) { f.Rules[n].Match.RouteKeyPrefix = "\x00" }},
 	}
-	if n+1 < len(s.rules.Rules) && overlap(&was, &s.rules.Rules[n+1]) {
+	if n+1 < len(s.rules.Rules) && mayOverlap(&was, &s.rules.Rules[n+1]) {
 		list = append(list, mutation{"after the next one", func(f *routing.File) {
 			f.Rules[n], f.Rules[n+1] = f.Rules[n+1], f.Rules[n]
 		}})
 	}
 	if len(was.Match.Classes) > 0 {
 		list = append(list, mutation{"for the other classes", func(f *routing.File) {
-			f.Rules[n].Match.Classes = others(was.Match.Classes, append(slices.Clone(s.names.Classes), ""))
+			f.Rules[n].Match.Classes = complement(
+				was.Match.Classes,
+				append(slices.Clone(s.knownNames.Classes), ""),
+			)
 		}})
 	}
 	if len(was.Match.Tenants) > 0 {
 		list = append(list, mutation{"for the other tenants", func(f *routing.File) {
-			f.Rules[n].Match.Tenants = others(was.Match.Tenants, append(slices.Clone(s.names.Tenants), ""))
+			f.Rules[n].Match.Tenants = complement(
+				was.Match.Tenants,
+				append(slices.Clone(s.knownNames.Tenants), ""),
+			)
 		}})
 	}
 	if len(was.Match.Hosts) > 0 {
 		list = append(list, mutation{"for any host", func(f *routing.File) { f.Rules[n].Match.Hosts = nil }})
 	}
-	if len(was.Match.Paths) > 0 {
-		list = append(list, mutation{"for any path", func(f *routing.File) { f.Rules[n].Match.Paths = nil }})
+	if len(was.Match.PathPrefixes) > 0 {
+		list = append(
+			list,
+			mutation{"for any path", func(f *routing.File) { f.Rules[n].Match.PathPrefixes = nil }},
+		)
 	}
 	if len(was.Match.Headers) > 0 {
 		list = append(
@@ -81,26 +90,29 @@
 			mutation{"for any cost", func(f *routing.File) { f.Rules[n].Match.CostBelow = 0 }},
 		)
 	}
-	return append(list, s.terms(n, was)...)
+	return append(list, s.actionMutations(n, was)...)
 }
 
-// terms are the mutations of what a rule says, not of what it matches.
-func (s *Suite) terms(n int, was routing.RuleSpec) []mutation {
+// actionMutations are the mutations of what a rule says, not of what it matches.
+func (s *Suite) actionMutations(n int, was routing.RuleSpec) []mutation {
 	var list []mutation
-	for i := range was.Prefer {
-		if len(was.Prefer) > 1 {
-			list = append(list, mutation{"without the pool " + was.Prefer[i], func(f *routing.File) {
-				f.Rules[n].Prefer = slices.Delete(slices.Clone(was.Prefer), i, i+1)
+	for i := range was.PreferredPools {
+		if len(was.PreferredPools) > 1 {
+			list = append(list, mutation{"without the pool " + was.PreferredPools[i], func(f *routing.File) {
+				f.Rules[n].PreferredPools = slices.Delete(slices.Clone(was.PreferredPools), i, i+1)
 			}})
 		}
 	}
-	if len(was.Prefer) == 1 && len(was.Split) == 0 {
-		list = append(list, mutation{"to any worker", func(f *routing.File) { f.Rules[n].Prefer = nil }})
+	if len(was.PreferredPools) == 1 && len(was.Split) == 0 {
+		list = append(
+			list,
+			mutation{"to any worker", func(f *routing.File) { f.Rules[n].PreferredPools = nil }},
+		)
 	}
-	if len(was.Prefer) > 1 {
+	if len(was.PreferredPools) > 1 {
 		list = append(list, mutation{"with its pools the other way round", func(f *routing.File) {
-			f.Rules[n].Prefer = slices.Clone(was.Prefer)
-			slices.Reverse(f.Rules[n].Prefer)
+			f.Rules[n].PreferredPools = slices.Clone(was.PreferredPools)
+			slices.Reverse(f.Rules[n].PreferredPools)
 		}})
 	}
 	if len(was.Split) > 1 {
@@ -110,15 +122,15 @@
 			a.Pool, b.Pool = b.Pool, a.Pool
 		}})
 	}
-	if was.Attempts > 0 {
+	if was.MaxAttempts > 0 {
 		list = append(
 			list,
-			mutation{"with any number of attempts", func(f *routing.File) { f.Rules[n].Attempts = 0 }},
+			mutation{"with any number of attempts", func(f *routing.File) { f.Rules[n].MaxAttempts = 0 }},
 		)
 	}
-	if was.Refuse != "" {
+	if was.RejectReason != "" {
 		list = append(list, mutation{"without refusing", func(f *routing.File) {
-			f.Rules[n].Refuse, f.Rules[n].RetryAfter = "", 0
+			f.Rules[n].RejectReason, f.Rules[n].RetryAfter = "", 0
 		}}, mutation{"with half the time to return", func(f *routing.File) { f.Rules[n].RetryAfter /= 2 }})
 	}
 	if was.Class != "" {
@@ -130,22 +142,22 @@
 	return list
 }
 
-// overlap says whether two rules may match the same job: only then their order matters.
-func overlap(a, b *routing.RuleSpec) bool {
+// mayOverlap says whether two rules may match the same job: only then their order matters.
+func mayOverlap(a, b *routing.RuleSpec) bool {
 	meet := func(x, y []string) bool {
 		return len(x) == 0 || len(y) == 0 ||
 			slices.ContainsFunc(x, func(v string) bool { return slices.Contains(y, v) })
 	}
 	// A job over Faktory has no headers.
-	bare := func(r *routing.RuleSpec) bool { return slices.Equal(r.Match.Fronts, []string{"faktory"}) }
+	bare := func(r *routing.RuleSpec) bool { return slices.Equal(r.Match.Frontends, []string{"faktory"}) }
 	if bare(a) && len(b.Match.Headers) > 0 || bare(b) && len(a.Match.Headers) > 0 {
 		return false
 	}
 	return meet(a.Match.Classes, b.Match.Classes) && meet(a.Match.Tenants, b.Match.Tenants) &&
-		meet(a.Match.Fronts, b.Match.Fronts) && meet(a.Match.Queues, b.Match.Queues)
+		meet(a.Match.Frontends, b.Match.Frontends) && meet(a.Match.Queues, b.Match.Queues)
 }
 
-func others(these, of []string) []string {
+func complement(these, of []string) []string {
 	var rest []string
 	for _, name := range of {
 		if !slices.Contains(these, name) {
@@ -155,39 +167,44 @@
 	return rest
 }
 
-// try runs all expectations against changed rules, until one fails.
-func (s *Suite) try(what, rule string, change func(*routing.File)) Mutant {
-	m := Mutant{What: what, Rule: rule}
+// runMutation runs all expectations against changed rules, until one fails.
+func (s *Suite) runMutation(what, rule string, change func(*routing.File)) Mutant {
+	m := Mutant{Mutation: what, Rule: rule}
 	changed := *s.rules
 	changed.Rules = slices.Clone(s.rules.Rules)
 	changed.Pools = slices.Clone(s.rules.Pools)
 	change(&changed)
-	table, _, err := routing.Compile(&changed, s.names)
+	table, _, err := routing.Compile(&changed, s.knownNames)
 	if err != nil {
-		m.Killed = "the rules are refused: " + string(bytes.SplitN([]byte(err.Error()), []byte("\n"), 2)[0])
+		m.KilledBy = "the rules are refused: " + string(bytes.SplitN([]byte(err.Error()), []byte("\n"), 2)[0])
 		return m
 	}
 	mutant := *s
 	mutant.table = table
 	for _, r := range mutant.Run(nil) {
-		if !r.OK() {
-			m.Killed = r.Name
+		if !r.Passed() {
+			m.KilledBy = r.Name
 			return m
 		}
 	}
 	return m
 }
 
-// Change is a job whose way is another between two configurations.
-type Change struct {
-	Job      string `json:"job"`
-	Was, Now string
+// RoutingChange is a job whose way is another between two configurations.
+type RoutingChange struct {
+	Job    string `json:"job"`
+	Before string `json:"Was"`
+	After  string `json:"Now"`
 }
 
-// Against lists the jobs whose way is another by two tables: one, as small as can be, for
+// CompareRules lists the jobs whose way is another by two tables: one, as small as can be, for
 // each pair of ways. The jobs are made from all that the rules of both name, and from
 // values that neither names.
-func Against(names routing.Names, was, now *routing.File, most int) (changes []Change, jobs int, err error) {
+func CompareRules(
+	names routing.KnownNames,
+	was, now *routing.File,
+	most int,
+) (changes []RoutingChange, jobs int, err error) {
 	a, _, err := routing.Compile(was, names)
 	if err != nil {
 		return nil, 0, err
@@ -197,23 +214,23 @@
 		return nil, 0, err
 	}
 	seen := map[[2]string]bool{}
-	routing.Space(names, was, now, func(j *routing.Job) bool {
+	routing.EnumerateJobs(names, was, now, func(j *routing.Job) bool {
 		jobs++
-		w, n := way(names, a.Decide(j)), way(names, b.Decide(j))
+		w, n := describeDecision(names, a.Decide(j)), describeDecision(names, b.Decide(j))
 		if key := [2]string{w, n}; w != n && !seen[key] {
 			// The space goes from plain jobs to special ones, so the first is the smallest.
 			seen[key] = true
-			changes = append(changes, Change{Job: routing.Describe(names, j), Was: w, Now: n})
+			changes = append(changes, RoutingChange{Job: routing.DescribeJob(names, j), Before: w, After: n})
 		}
 		return len(changes) < most
 	})
 	return changes, jobs, nil
 }
 
-// way says in words where a decision sends a job. The rule's name is no part of it.
-func way(names routing.Names, d routing.Decision) string {
-	if d.Refused != "" {
-		return fmt.Sprintf("refused (%s), return after %v", d.Refused, d.RetryAfter)
+// describeDecision says in words where a decision sends a job. The rule's name is no part of it.
+func describeDecision(names routing.KnownNames, d routing.Decision) string {
+	if d.RejectReason != "" {
+		return fmt.Sprintf("refused (%s), return after %v", d.RejectReason, d.RetryAfter)
 	}
 	if d.Class < 0 {
 		return "turned away: no class"
@@ -224,11 +241,11 @@
 	} else {
 		text += "any worker"
 	}
-	if d.Attempts > 0 {
-		text += fmt.Sprintf(", %d attempts", d.Attempts)
+	if d.MaxAttempts > 0 {
+		text += fmt.Sprintf(", %d attempts", d.MaxAttempts)
 	}
-	if d.Timeout > 0 {
-		text += fmt.Sprintf(", %v each", time.Duration(d.Timeout))
+	if d.AttemptTimeout > 0 {
+		text += fmt.Sprintf(", %v each", time.Duration(d.AttemptTimeout))
 	}
 	return text
 }
--- a/internal/verify/expect/run.go
+++ b/internal/verify/expect/run.go
@@ -21,19 +21,19 @@
 // draws' seeds are fixed, so the verdict is the same each time.
 const (
 	z99        = 2.576  // the normal deviate of 99%, two-sided
-	MaxDraws   = 20_000 // more are not made: such a share can't be decided
-	plainDraws = 300    // for what must never be: a share of 1.5% shows with 99%
+	MaxSamples = 20_000 // more are not made: such a share can't be decided
+	minSamples = 300    // for what must never be: a share of 1.5% shows with 99%
 )
 
-// draws is how many it takes to know a share within a tolerance.
-func draws(share, within float64) int {
+// requiredSamples is how many it takes to know a share within a tolerance.
+func requiredSamples(share, within float64) int {
 	worst := share // the variance is largest at the half
 	for _, p := range []float64{share - within, share + within, 0.5} {
 		if p >= 0 && p <= 1 && math.Abs(p-share) <= within*(1+1e-9) && p*(1-p) > worst*(1-worst) {
 			worst = p
 		}
 	}
-	return max(int(math.Ceil(z99*z99*worst*(1-worst)/(within*within))), plainDraws)
+	return max(int(math.Ceil(z99*z99*worst*(1-worst)/(within*within))), minSamples)
 }
 
 // Result is what became of an expectation.
@@ -42,20 +42,20 @@
 	File     string   `json:"file"`
 	Line     int      `json:"line"`
 	Rule     string   `json:"rule,omitempty"` // that decided, with its place
-	Draws    int      `json:"draws"`
+	Samples  int      `json:"draws"`
 	Failures []string `json:"failures,omitempty"`
 	Trace    []string `json:"trace,omitempty"` // of a failure: how the candidates got fewer
 }
 
-// OK says whether the expectation holds.
-func (r *Result) OK() bool { return len(r.Failures) == 0 }
+// Passed says whether the expectation holds.
+func (r *Result) Passed() bool { return len(r.Failures) == 0 }
 
 // Run checks the expectations whose names the filter takes, on several cores, and gives
 // the results in the file's order.
 func (s *Suite) Run(filter func(string) bool) []Result {
 	var picked []int
-	for i := range s.Expects {
-		if filter == nil || filter(s.Expects[i].Name) {
+	for i := range s.Expectations {
+		if filter == nil || filter(s.Expectations[i].Name) {
 			picked = append(picked, i)
 		}
 	}
@@ -77,28 +77,28 @@
 	return results
 }
 
-// tally is what the draws of one expectation came to.
-type tally struct {
-	n        int
-	first    map[string]int // by worker
-	second   map[string]int
-	seconds  int
-	any      map[string]int // draws with an attempt there
-	served   int
-	refused  int
-	failed   int
-	most     int
-	earliest time.Duration // the least time to return of a refusal; -1: none was told
+// sampleCounts is what the draws of one expectation came to.
+type sampleCounts struct {
+	samples           int
+	firstAttempts     map[string]int // by worker
+	secondAttempts    map[string]int
+	withSecondAttempt int
+	attempted         map[string]int // draws with an attempt there
+	served            int
+	rejected          int
+	failed            int
+	maxAttempts       int
+	minRetryAfter     time.Duration // the least time to return of a refusal; -1: none was told
 }
 
 func (s *Suite) check(n int) Result {
-	e := &s.Expects[n]
-	r := Result{Name: e.Name, File: s.Path, Line: tomlfile.Nth(s.raw, "expect", n)}
+	e := &s.Expectations[n]
+	r := Result{Name: e.Name, File: s.Path, Line: tomlfile.LineOfTable(s.raw, "expect", n)}
 	fail := func(format string, args ...any) { r.Failures = append(r.Failures, fmt.Sprintf(format, args...)) }
 	j := s.jobs[e.Job]
 	d := s.decide(j)
 	if d.Rule != nil {
-		r.Rule = fmt.Sprintf("rule %d (%s), %v", d.Rule.Number, d.Rule.Name, d.Rule.Place)
+		r.Rule = fmt.Sprintf("rule %d (%s), %v", d.Rule.Number, d.Rule.Name, d.Rule.Position)
 	}
 	if e.Rule != nil {
 		got := ""
@@ -106,33 +106,33 @@
 			got = d.Rule.Name
 		}
 		if got != *e.Rule {
-			fail("rule: expected %s, got %s", orNone(*e.Rule), orNone(got))
+			fail("rule: expected %s, got %s", ruleOrNone(*e.Rule), ruleOrNone(got))
 		}
 	}
 	switch {
-	case d.Refused != "":
-		s.checkRefusal(e, d, fail)
+	case d.RejectReason != "":
+		s.checkRuleRejection(e, d, fail)
 	case d.Class < 0:
 		// It is turned away unread, which is no busy answer.
-		if e.Served == nil || *e.Served || e.Refused != nil {
+		if e.Served == nil || *e.Served || e.Rejected != nil {
 			fail("the job names no class, and no rule gives it one")
 		}
 	default:
-		t, err := s.draw(e, j, d)
+		t, err := s.sample(e, j, d)
 		if err != nil {
 			fail("%v", err)
 			break
 		}
-		r.Draws = t.n
-		s.checkDraws(e, t, fail)
+		r.Samples = t.samples
+		s.checkSamples(e, t, fail)
 	}
-	if !r.OK() {
+	if !r.Passed() {
 		r.Trace = s.trace(e, j, d)
 	}
 	return r
 }
 
-func orNone(name string) string {
+func ruleOrNone(name string) string {
 	if name == "" {
 		return "no rule"
 	}
@@ -141,40 +141,46 @@
 
 func (s *Suite) decide(j *Job) routing.Decision {
 	if s.table == nil {
-		return routing.Decision{Class: index(s.names.Classes, j.Class)}
+		return routing.Decision{Class: indexOf(s.knownNames.Classes, j.Class)}
 	}
-	return s.table.Decide(s.about(j))
+	return s.table.Decide(s.routingJob(j))
 }
 
-// checkRefusal is for a job that a rule refuses.
-func (s *Suite) checkRefusal(e *Expect, d routing.Decision, fail func(string, ...any)) {
-	if e.Refused == nil {
-		if len(e.GoesTo)+len(e.FallsBackTo) > 0 || e.Served != nil && *e.Served {
-			fail("expected to be sent, got refused by the rule: %s", d.Refused)
+// checkRuleRejection is for a job that a rule refuses.
+func (s *Suite) checkRuleRejection(e *Expectation, d routing.Decision, fail func(string, ...any)) {
+	if e.Rejected == nil {
+		if len(e.FirstAttempts)+len(e.SecondAttempts) > 0 || e.Served != nil && *e.Served {
+			fail("expected to be sent, got refused by the rule: %s", d.RejectReason)
 		}
 		return
 	}
-	if e.Refused.Reason != "" && e.Refused.Reason != d.Refused {
-		fail("refused: expected the reason %q, got %q", e.Refused.Reason, d.Refused)
+	if e.Rejected.Reason != "" && e.Rejected.Reason != d.RejectReason {
+		fail("refused: expected the reason %q, got %q", e.Rejected.Reason, d.RejectReason)
 	}
-	if least := time.Duration(e.Refused.AfterLeast); d.RetryAfter < least {
+	if least := time.Duration(e.Rejected.MinRetryAfter); d.RetryAfter < least {
 		fail("refused: expected to return after %v at least, got %v", least, d.RetryAfter)
 	}
 }
 
-// draw plays the job as often as the expectation needs, each time in a world of its own.
-func (s *Suite) draw(e *Expect, j *Job, d routing.Decision) (*tally, error) {
-	n := plainDraws
-	for _, list := range [][]Share{e.GoesTo, e.FallsBackTo} {
+// sample plays the job as often as the expectation needs, each time in a world of its own.
+func (s *Suite) sample(e *Expectation, j *Job, d routing.Decision) (*sampleCounts, error) {
+	n := minSamples
+	for _, list := range [][]AttemptShare{e.FirstAttempts, e.SecondAttempts} {
 		for _, sh := range list {
-			n = max(n, draws(*sh.Share, sh.Within))
+			n = max(n, requiredSamples(*sh.Fraction, sh.Tolerance))
 		}
 	}
-	firstOnly := len(e.Never)+len(e.FallsBackTo) == 0 && e.Refused == nil && e.Served == nil &&
-		e.TriedAtMost == 0
-	t := &tally{n: n, first: map[string]int{}, second: map[string]int{}, any: map[string]int{}, earliest: -1}
+	firstOnly := len(e.NoAttempts)+len(e.SecondAttempts) == 0 && e.Rejected == nil && e.Served == nil &&
+		e.MaxAttempts == 0
+	t := &sampleCounts{
+		samples:        n,
+		firstAttempts:  map[string]int{},
+		secondAttempts: map[string]int{},
+		attempted:      map[string]int{},
+		minRetryAfter:  -1,
+	}
 	for i := range n {
-		w, err := s.newWorld(e, s.Seed<<32+uint64(i))
+		w, err := s.newSimulation(e, s.Seed<<32+uint64(i))
 		if err != nil {
 			return nil, err
 		}
@@ -186,59 +192,59 @@
 	return t, nil
 }
 
-func (t *tally) add(w *world) {
-	t.most = max(t.most, len(w.attempts))
+func (t *sampleCounts) add(w *simulation) {
+	t.maxAttempts = max(t.maxAttempts, len(w.attempts))
 	seen := map[string]bool{}
 	for i, h := range w.attempts {
 		name := h.worker.Name
 		switch i {
 		case 0:
-			t.first[name]++
+			t.firstAttempts[name]++
 		case 1:
-			t.second[name]++
-			t.seconds++
+			t.secondAttempts[name]++
+			t.withSecondAttempt++
 		}
 		if !seen[name] {
 			seen[name] = true
-			t.any[name]++
+			t.attempted[name]++
 		}
 	}
-	if w.answer == nil {
+	if w.response == nil {
 		return
 	}
-	switch w.answer.Kind {
+	switch w.response.Kind {
 	case broker.Served:
 		t.served++
-	case broker.Busy:
-		t.refused++
-		if t.earliest < 0 || w.answer.RetryAfter < t.earliest {
-			t.earliest = w.answer.RetryAfter
+	case broker.Rejected:
+		t.rejected++
+		if t.minRetryAfter < 0 || w.response.RetryAfter < t.minRetryAfter {
+			t.minRetryAfter = w.response.RetryAfter
 		}
 	default:
 		t.failed++
 	}
 }
 
-// of counts the attempts that went to a set of workers.
-func (s *Suite) of(counts map[string]int, where Where) int {
+// countMatching counts the attempts that went to a set of workers.
+func (s *Suite) countMatching(counts map[string]int, where WorkerSelector) int {
 	n := 0
 	for name, k := range counts {
-		if s.within(s.workers[name], where) {
+		if s.matchesSelector(s.workers[name], where) {
 			n += k
 		}
 	}
 	return n
 }
 
-func (s *Suite) within(w *Worker, where Where) bool {
+func (s *Suite) matchesSelector(w *Worker, where WorkerSelector) bool {
 	if where.Pool != "" {
 		bw := balancer.Worker{
-			Zone:   index(s.names.Zones, w.Zone),
-			Kind:   index(s.names.Kinds, w.Kind),
+			Zone:   indexOf(s.knownNames.Zones, w.Zone),
+			Kind:   indexOf(s.knownNames.Kinds, w.Kind),
 			Cell:   w.Cell,
 			Labels: w.Labels,
 		}
-		if s.table == nil || !s.table.InPool(where.Pool, &bw) {
+		if s.table == nil || !s.table.PoolContains(where.Pool, &bw) {
 			return false
 		}
 	}
@@ -246,7 +252,7 @@
 		(where.Worker == "" || where.Worker == w.Name)
 }
 
-func (w Where) String() string {
+func (w WorkerSelector) String() string {
 	var parts []string
 	for _, p := range [][2]string{
 		{"zone", w.Zone}, {"kind", w.Kind}, {"pool", w.Pool}, {"worker", w.Worker}} {
@@ -257,72 +263,73 @@
 	return strings.Join(parts, " and ")
 }
 
-func (s *Suite) checkDraws(e *Expect, t *tally, fail func(string, ...any)) {
+func (s *Suite) checkSamples(e *Expectation, t *sampleCounts, fail func(string, ...any)) {
 	for _, list := range []struct {
 		what   string
-		shares []Share
+		shares []AttemptShare
 		counts map[string]int
 		n      int
-	}{{"goes_to", e.GoesTo, t.first, t.n}, {"falls_back_to", e.FallsBackTo, t.second, t.seconds}} {
+	}{{"goes_to", e.FirstAttempts, t.firstAttempts, t.samples}, {"falls_back_to", e.SecondAttempts,
+		t.secondAttempts, t.withSecondAttempt}} {
 		for _, sh := range list.shares {
-			if list.n < t.n*9/10 {
+			if list.n < t.samples*9/10 {
 				fail(
 					"%s %v: only %d of %d draws have such an attempt at all",
 					list.what,
-					sh.Where,
+					sh.WorkerSelector,
 					list.n,
-					t.n,
+					t.samples,
 				)
 				continue
 			}
-			got := float64(s.of(list.counts, sh.Where)) / float64(max(list.n, 1))
-			if math.Abs(got-*sh.Share) > sh.Within {
+			got := float64(s.countMatching(list.counts, sh.WorkerSelector)) / float64(max(list.n, 1))
+			if math.Abs(got-*sh.Fraction) > sh.Tolerance {
 				fail(
 					"%s %v: expected %.3g within %.3g, got %.3g of %d draws: %s",
 					list.what,
-					sh.Where,
-					*sh.Share,
-					sh.Within,
+					sh.WorkerSelector,
+					*sh.Fraction,
+					sh.Tolerance,
 					got,
 					list.n,
-					counted(list.counts),
+					formatCounts(list.counts),
 				)
 			}
 		}
 	}
-	for _, where := range e.Never {
-		if n := s.of(t.any, where); n > 0 {
-			fail("never %v: got there in %d of %d draws: %s", where, n, t.n, counted(t.any))
+	for _, where := range e.NoAttempts {
+		if n := s.countMatching(t.attempted, where); n > 0 {
+			fail("never %v: got there in %d of %d draws: %s", where, n, t.samples, formatCounts(t.attempted))
 		}
 	}
-	if e.TriedAtMost > 0 && t.most > e.TriedAtMost {
-		fail("tried_at_most %d: got %d attempts", e.TriedAtMost, t.most)
+	if e.MaxAttempts > 0 && t.maxAttempts > e.MaxAttempts {
+		fail("tried_at_most %d: got %d attempts", e.MaxAttempts, t.maxAttempts)
 	}
-	if e.Served != nil && *e.Served && t.served < t.n {
+	if e.Served != nil && *e.Served && t.served < t.samples {
 		fail(
 			"served: expected always, got %d of %d draws; %d refused, %d failed",
 			t.served,
-			t.n,
-			t.refused,
+			t.samples,
+			t.rejected,
 			t.failed,
 		)
 	}
 	if e.Served != nil && !*e.Served && t.served > 0 {
-		fail("served: expected never, got %d of %d draws", t.served, t.n)
+		fail("served: expected never, got %d of %d draws", t.served, t.samples)
 	}
-	if e.Refused != nil {
-		if e.Refused.Reason != "" {
-			fail("refused: expected a rule's reason %q, got no refusal by a rule", e.Refused.Reason)
-		} else if t.refused < t.n {
-			fail("refused: expected always, got %d of %d draws; %d served, %d failed", t.refused, t.n,
+	if e.Rejected != nil {
+		if e.Rejected.Reason != "" {
+			fail("refused: expected a rule's reason %q, got no refusal by a rule", e.Rejected.Reason)
+		} else if t.rejected < t.samples {
+			fail("refused: expected always, got %d of %d draws; %d served, %d failed", t.rejected, t.samples,
 				t.served, t.failed)
-		} else if least := time.Duration(e.Refused.AfterLeast); t.earliest < least {
-			fail("refused: expected to return after %v at least, got %v", least, t.earliest)
+		} else if least := time.Duration(e.Rejected.MinRetryAfter); t.minRetryAfter < least {
+			fail("refused: expected to return after %v at least, got %v", least, t.minRetryAfter)
 		}
 	}
 }
 
-func counted(counts map[string]int) string {
+func formatCounts(counts map[string]int) string {
 	var names []string
 	for name := range counts {
 		names = append(names, name)
@@ -348,62 +355,62 @@
 }
 
 // trace says how the candidates of a job got fewer, stage by stage.
-func (s *Suite) trace(e *Expect, j *Job, d routing.Decision) []string {
+func (s *Suite) trace(e *Expectation, j *Job, d routing.Decision) []string {
 	var out []string
 	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	if d.Rule == nil {
 		say("rules: none matches")
 	} else {
-		say("rules: rule %d (%s) at %v decides", d.Rule.Number, d.Rule.Name, d.Rule.Place)
+		say("rules: rule %d (%s) at %v decides", d.Rule.Number, d.Rule.Name, d.Rule.Position)
 	}
-	if d.Refused != "" {
-		say("refused by the rule: %s", d.Refused)
+	if d.RejectReason != "" {
+		say("refused by the rule: %s", d.RejectReason)
 		return out
 	}
 	if d.Class < 0 {
 		say("the job has no class")
 		return out
 	}
-	say("class %s", s.names.Classes[d.Class])
-	w, err := s.newWorld(e, s.Seed<<32)
+	say("class %s", s.knownNames.Classes[d.Class])
+	w, err := s.newSimulation(e, s.Seed<<32)
 	if err != nil {
 		say("%v", err)
 		return out
 	}
 	tiers, pools := 1, []string{"any worker"}
 	if route, ok := d.Route.(*routing.Route); ok && route != nil {
-		tiers, pools = route.Tiers(), route.Pools()
+		tiers, pools = route.TierCount(), route.PoolNames()
 	}
-	t := s.transaction(j, d)
+	t := s.brokerRequest(j, d)
 	for tier := range tiers {
-		verdicts := w.core.Explain(t, tier)
+		verdicts := w.broker.Explain(t, tier)
 		var left []string
 		why := map[string][]string{}
-		for _, worker := range s.rosters[e.Roster] {
+		for _, worker := range s.workerSets[e.WorkerSet] {
 			v, known := verdicts[worker.Name]
 			switch {
 			case !known:
 				why["it is gone"] = append(why["it is gone"], worker.Name)
-			case v.Why == "":
+			case v.Reason == "":
 				left = append(left, worker.Name)
 			default:
-				why[v.Why] = append(why[v.Why], worker.Name)
+				why[v.Reason] = append(why[v.Reason], worker.Name)
 			}
 		}
-		say("choice %d, %s: left %s", tier+1, pools[tier], listed(left))
+		say("choice %d, %s: left %s", tier+1, pools[tier], formatNames(left))
 		var reasons []string
 		for reason := range why {
 			reasons = append(reasons, reason)
 		}
 		slices.Sort(reasons)
 		for _, reason := range reasons {
-			say("  out, %s: %s", reason, listed(why[reason]))
+			say("  out, %s: %s", reason, formatNames(why[reason]))
 		}
 	}
 	return out
 }
 
-func listed(names []string) string {
+func formatNames(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
@@ -416,18 +423,18 @@
 	if j == nil {
 		return nil, fmt.Errorf("%s has no job %q", s.Path, job)
 	}
-	if s.rosters[roster] == nil {
+	if s.workerSets[roster] == nil {
 		return nil, fmt.Errorf("%s has no roster %q", s.Path, roster)
 	}
-	return s.trace(&Expect{Job: job, Roster: roster}, j, s.decide(j)), nil
+	return s.trace(&Expectation{Job: job, WorkerSet: roster}, j, s.decide(j)), nil
 }
 
-// Under puts an agreed document's classes and tenants over the deployment's.
-func (s *Suite) Under(doc *clusterstate.Document) error {
-	set, err := doc.Onto(s.set)
+// ApplyDocument puts an agreed document's classes and tenants over the deployment's.
+func (s *Suite) ApplyDocument(doc *clusterstate.Document) error {
+	set, err := doc.ApplyTo(s.settings)
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Path, err)
 	}
-	s.set = set
+	s.settings = set
 	return nil
 }
--- a/internal/verify/experiment/plan.go
+++ b/internal/verify/experiment/plan.go
@@ -54,10 +54,10 @@
 		return nil, err
 	}
 	if p.Base == "" || p.Name == "" {
-		return nil, tomlfile.At(path, raw, "name", "a plan has a name and a base, the scenario's file")
+		return nil, tomlfile.ErrorAt(path, raw, "name", "a plan has a name and a base, the scenario's file")
 	}
 	if p.Seeds < 1 {
-		return nil, tomlfile.At(path, raw, "seeds", "%d is not a number of seeds", p.Seeds)
+		return nil, tomlfile.ErrorAt(path, raw, "seeds", "%d is not a number of seeds", p.Seeds)
 	}
 	base := filepath.Join(filepath.Dir(path), p.Base)
 	text, err := os.ReadFile(base)
@@ -75,8 +75,8 @@
 	runs := p.Seeds
 	for i, f := range p.Factors {
 		wrong := func(format string, args ...any) error {
-			return &tomlfile.Error{Path: path, Line: tomlfile.Nth(raw, "factor", i), Key: "factor",
-				Text: fmt.Sprintf(format, args...)}
+			return &tomlfile.Error{Path: path, Line: tomlfile.LineOfTable(raw, "factor", i), Key: "factor",
+				Message: fmt.Sprintf(format, args...)}
 		}
 		if f.Name == "" || f.Key == "" || (len(f.Levels) == 0) == (len(f.Scale) == 0) {
 			return nil, wrong("%q: a name, a key, and either levels or scale are wanted", f.Name)
--- a/internal/verify/faultinjection/clock.go
+++ b/internal/verify/faultinjection/clock.go
@@ -21,7 +21,7 @@
 	if begin.IsZero() {
 		begin = time.Now()
 	}
-	return clockFile{begin.UnixNano(), int64(consensus.Boottime()), o.Speed}
+	return clockFile{begin.UnixNano(), int64(consensus.BootTime()), o.Speed}
 }
 
 // wall is what a right clock shows, Unix nanoseconds, at a time of the clock that all share.
--- a/internal/verify/faultinjection/fleet.go
+++ b/internal/verify/faultinjection/fleet.go
@@ -136,7 +136,7 @@
 	// Each instance has an address of its own: by it a forwarder knows who calls.
 	net16 := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))).IntN(1 << 15)
 	for n, name := range Names(f.o.Instances) {
-		pair, err := ca.Issue(name, keys.Instance, time.Now(), 24*time.Hour)
+		pair, err := ca.Issue(name, keys.RoleInstance, time.Now(), 24*time.Hour)
 		if err != nil {
 			return err
 		}
@@ -236,7 +236,7 @@
 	}
 	cmd := exec.Command(program, "serve", "--config", p.file)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
-	cmd.Env = append(os.Environ(), node.TestClocks+"=yes")
+	cmd.Env = append(os.Environ(), node.TestClocksEnv+"=yes")
 	// Hazard: were this program killed itself, the instances would go on for ever.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
--- a/internal/verify/faultinjection/rates.go
+++ b/internal/verify/faultinjection/rates.go
@@ -69,7 +69,7 @@
 				fmt.Sprintf("%s admits by words on rates that nobody has agreed on", e.who))
 			return
 		}
-		limit, limited := p.Of(b.Key)
+		limit, limited := p.LimitOf(b.Key)
 		if !limited {
 			return
 		}
@@ -101,7 +101,7 @@
 				continue
 			}
 			r.admitted++
-			if at, ok := latest[account]; ok && policies[runs[e.who]].Accounts[account].Rate > 0 {
+			if at, ok := latest[account]; ok && policies[runs[e.who]].AccountLimits[account].Rate > 0 {
 				r.gap = max(r.gap, e.at-at)
 			}
 			latest[account] = e.at
--- a/internal/verify/faultinjection/rolls.go
+++ b/internal/verify/faultinjection/rolls.go
@@ -30,8 +30,8 @@
 			continue
 		}
 		for _, d := range all.Duties {
-			if d.Name == leasedtask.Roll {
-				plan, err = rollingrestart.Read(d.Note)
+			if d.Name == leasedtask.RollingRestartTask {
+				plan, err = rollingrestart.DecodePlan(d.Note)
 				return plan, d.Holder, err == nil
 			}
 		}
@@ -53,18 +53,22 @@
 		if !ok {
 			continue
 		}
-		if under && plan.Standing == rollingrestart.Done {
+		if under && plan.Status == rollingrestart.Done {
 			p.trace(began, "rolling restart: %s", plan.Progress())
 			p.mu.Lock()
 			p.res.Rolls++
 			p.mu.Unlock()
 		}
-		under = plan.Under()
-		op := schema.Operation{Name: leasedtask.Roll, Out: uint32(p.Rolls), WithinNs: int64(backWithin)}
+		under = plan.Active()
+		op := schema.Operation{
+			Name:     leasedtask.RollingRestartTask,
+			Out:      uint32(p.Rolls),
+			WithinNs: int64(backWithin),
+		}
 		switch {
-		case !plan.Under():
+		case !plan.Active():
 			op.Kind = schema.Operation_ROLL
-		case plan.Standing != rollingrestart.Rolling:
+		case plan.Status != rollingrestart.Rolling:
 			op.Kind = schema.Operation_ROLL_RESUME
 		case p.Wishes && rng.IntN(40) == 0:
 			if op.Kind = schema.Operation_ROLL_STOP; rng.IntN(2) == 0 {
@@ -92,17 +96,17 @@
 		}
 		out := 0
 		for _, s := range plan.Steps {
-			if s.Phase == rollingrestart.Out {
+			if s.Phase == rollingrestart.Restarting {
 				out++
 			}
 		}
-		if plan.Standing == rollingrestart.Rolling || plan.Standing == rollingrestart.Halted {
+		if plan.Status == rollingrestart.Rolling || plan.Status == rollingrestart.Halted {
 			for _, x := range p.List {
 				_, _ = x.Client.Operate(ctx, &schema.Operation{Kind: schema.Operation_ROLL_STOP,
-					Name: leasedtask.Roll})
+					Name: leasedtask.RollingRestartTask})
 			}
 		}
-		if out > 0 || plan.Standing == rollingrestart.Rolling {
+		if out > 0 || plan.Status == rollingrestart.Rolling {
 			return fmt.Errorf("%s", plan.Progress())
 		}
 		return nil
@@ -147,7 +151,7 @@
 func (f *Fleet) hits(p *Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hit = append(f.hit, hit{p.Name, consensus.Boottime()})
+	f.hit = append(f.hit, hit{p.Name, consensus.BootTime()})
 }
 
 func (f *Fleet) lose(id string) {
--- a/internal/verify/faultinjection/run.go
+++ b/internal/verify/faultinjection/run.go
@@ -159,7 +159,7 @@
 	err := p.changes(ctx, began)
 	ended()
 	story.Wait()
-	healed, healedAt := time.Now(), consensus.Boottime()
+	healed, healedAt := time.Now(), consensus.BootTime()
 	p.Links.Heal()
 	for _, x := range p.List {
 		p.Stall(x, false)
@@ -243,14 +243,14 @@
 		if doc == nil {
 			rev, err := x.Client.GetConfig(call, &schema.GetConfigRequest{})
 			if err == nil {
-				doc, err = clusterstate.Decode(rev.Document)
+				doc, err = clusterstate.DecodeDocument(rev.Document)
 			}
 			if err != nil {
 				stop()
 				continue
 			}
 			base = rev.Revision
-			doc.Classes[0].Worth = float64(n + 10)
+			doc.Classes[0].PriorityWeight = float64(n + 10)
 			if doc.Sections == nil {
 				doc.Sections = map[string]map[string]string{}
 			}
@@ -265,7 +265,7 @@
 			if p.Accounts > 0 {
 				words := rateWords(p.Accounts, p.Instances, n/30)
 				doc.Sections[ratelimit.Section] = words
-				policy, wrong := ratelimit.ReadPolicy(words, classNames)
+				policy, wrong := ratelimit.ParsePolicy(words, classNames)
 				if len(wrong) > 0 {
 					stop()
 					return fmt.Errorf("the rig's own words on rates: %v", wrong)
--- a/internal/verify/faultinjection/story_test.go
+++ b/internal/verify/faultinjection/story_test.go
@@ -126,7 +126,7 @@
 
 func TestAuditFindsMoreThanARate(t *testing.T) {
 	words := map[string]string{"account.a": "10/s burst=2", "account": "X-Account"}
-	p, wrong := ratelimit.ReadPolicy(words, nil)
+	p, wrong := ratelimit.ParsePolicy(words, nil)
 	if len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
--- a/internal/verify/faultinjection/tell.go
+++ b/internal/verify/faultinjection/tell.go
@@ -135,7 +135,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 		defer stop()
 		_, _ = x.Client.Operate(ctx, &schema.Operation{Kind: schema.Operation_HAND_ON,
-			Name: fmt.Sprintf(leasedtask.Drill, 1), By: x.Name})
+			Name: fmt.Sprintf(leasedtask.DrillTaskFormat, 1), By: x.Name})
 	case "full":
 		x := p.Named(who[0])
 		if err := p.Fill(x); err != nil {
--- a/internal/verify/faultinjection/triggers.go
+++ b/internal/verify/faultinjection/triggers.go
@@ -163,7 +163,7 @@
 	}
 	seen := p.occurrences(all, broken)
 	classes := map[string]string{}
-	policy, wrong := schedule.ReadPolicy(triggerWords(p.Options), schedule.Names{Classes: classNames})
+	policy, wrong := schedule.ParsePolicy(triggerWords(p.Options), schedule.KnownNames{Classes: classNames})
 	if len(wrong) > 0 {
 		broken("the rig's own words on triggers: %v", wrong)
 	}
@@ -191,9 +191,9 @@
 		switch o.settled {
 		case strconv.Itoa(int(schedule.Failed)):
 			r.Failed++
-		case strconv.Itoa(int(schedule.Refused)):
+		case strconv.Itoa(int(schedule.Rejected)):
 			r.Refused++
-		case strconv.Itoa(int(schedule.MayHave)):
+		case strconv.Itoa(int(schedule.Unknown)):
 			r.MayHave++
 		}
 	}
@@ -230,7 +230,7 @@
 	if class == "trip-once" && took > 1 {
 		broken("%s, which may not be repeated, was taken by workers %d times", key, took)
 	}
-	if o.settled == strconv.Itoa(int(schedule.Done)) && took == 0 {
+	if o.settled == strconv.Itoa(int(schedule.Succeeded)) && took == 0 {
 		broken("%s has ended as done, and no worker has taken it", key)
 	}
 }
@@ -238,7 +238,7 @@
 // auditComplete looks whether an occurrence was left out: what follows each is what the calendar says.
 func (p *play) auditComplete(policy schedule.Policy, seen map[string]*occurrence, broken func(string,
 	...any)) {
-	plans, err := policy.Plans(calendar.NewZones())
+	plans, err := policy.Recurrences(calendar.NewZoneDB())
 	if err != nil {
 		broken("the rig's own words on triggers: %v", err)
 		return
@@ -261,9 +261,16 @@
 			o, ok := plans[n].Next(at)
 			switch {
 			case k+1 < len(list) && o.At != list[k+1]:
-				broken("%s: after %d comes %d, %d was left out (%v)", t.Name, at, list[k+1], o.At, o.Name)
+				broken(
+					"%s: after %d comes %d, %d was left out (%v)",
+					t.Name,
+					at,
+					list[k+1],
+					o.At,
+					o.LocalTime,
+				)
 			case k+1 == len(list) && ok && o.At < newest-int64(30*max(p.Speed, 1)):
-				broken("%s: %d has not come by %d (%v)", t.Name, o.At, newest, o.Name)
+				broken("%s: %d has not come by %d (%v)", t.Name, o.At, newest, o.LocalTime)
 			}
 		}
 	}
--- a/internal/verify/modelcheck/explore.go
+++ b/internal/verify/modelcheck/modelcheck.go
@@ -12,24 +12,24 @@
 // State is a state of a model. Two that have one key are the same: all that can follow from them is.
 type State[S any] interface {
 	Key() uint64
-	// Next gives copies of the state after each event that may happen next, with the events' names.
-	Next() []Step[S]
-	// Wrong says what is wrong in this state; empty: nothing. It is asked once of each, and first.
-	Wrong() string
+	// Transitions gives copies of the state after each event that may happen next, with the events' names.
+	Transitions() []Transition[S]
+	// Violation says what is wrong in this state; empty: nothing. It is asked once of each, and first.
+	Violation() string
 }
 
-// Step is an event, and the state after it.
-type Step[S any] struct {
-	What  string
-	After S
+// Transition is an event, and the state after it.
+type Transition[S any] struct {
+	Event string
+	State S
 }
 
 // Result is what was found.
 type Result struct {
-	States int64
-	Whole  bool // all that there are
-	Wrong  string
-	Way    []string // the events that lead there
+	States    int64
+	Complete  bool // all that there are
+	Violation string
+	Trace     []string // the events that lead there
 }
 
 // visited is the states that have been. Of each it keeps 64 bits: of a hundred million, two are
@@ -77,36 +77,36 @@
 
 // from visits what follows from a state.
 func (s *search[S]) from(at S, way []string, visit func(S, []string)) {
-	for _, x := range at.Next() {
+	for _, x := range at.Transitions() {
 		if s.stop.Load() {
 			return
 		}
-		way := append(way, x.What)
-		if wrong := x.After.Wrong(); wrong != "" {
+		way := append(way, x.Event)
+		if wrong := x.State.Violation(); wrong != "" {
 			s.found(wrong, way)
 			return
 		}
-		if s.seen.first(x.After.Key()) {
+		if s.seen.first(x.State.Key()) {
 			if s.seen.count.Load() >= s.most {
 				s.stop.Store(true)
 			}
-			visit(x.After, way)
+			visit(x.State, way)
 		}
 	}
 }
 
 func (s *search[S]) deep(at S, way []string) { s.from(at, way, s.deep) }
 
-// All visits every state that can be reached, but no more than most, and stops at the first that is
+// Check visits every state that can be reached, but no more than most, and stops at the first that is
 // wrong. It searches broadly until there is enough to share out, then each processor deeply.
-func All[S State[S]](start S, most int64) Result {
+func Check[S State[S]](start S, most int64) Result {
 	type place struct {
 		at  S
 		way []string
 	}
 	s := &search[S]{most: most}
-	if wrong := start.Wrong(); wrong != "" {
-		return Result{States: 1, Wrong: wrong}
+	if wrong := start.Violation(); wrong != "" {
+		return Result{States: 1, Violation: wrong}
 	}
 	places := []place{{start, nil}}
 	s.seen.first(start.Key())
--- a/internal/verify/simulation/story.go
+++ b/internal/verify/simulation/faults.go
@@ -73,7 +73,7 @@
 		w.loss = []float64{0, 0.05, 0.3}[w.faults.IntN(3)]
 	case 12:
 		name = "disk full"
-		pick().fs.Room = int64(w.faults.IntN(2000))
+		pick().fs.FreeBytes = int64(w.faults.IntN(2000))
 	case 13:
 		name = "clock"
 		m := pick()
@@ -137,7 +137,7 @@
 	if w.faults.IntN(2) == 0 && m != lead {
 		// Its disk is gone, and with it its word: it must not vote under its old name.
 		m.die(false)
-		m.fs.Wipe()
+		m.fs.EraseDisk()
 		w.after(60, func() { w.enter(m) })
 		return "wiped"
 	}
@@ -145,11 +145,11 @@
 	w.operate(lead, &schema.Operation{Kind: schema.Operation_REMOVE, Name: m.name}, 0)
 	w.after(400, func() {
 		// Only who is surely out may lose its disk.
-		if lead := w.leader(); lead == nil || !lead.inst.State().Removed(m.number) {
+		if lead := w.leader(); lead == nil || !lead.inst.State().WasRemoved(m.number) {
 			return
 		}
 		m.die(false)
-		m.fs.Wipe()
+		m.fs.EraseDisk()
 		w.after(400, func() { w.enter(m) })
 	})
 	return "removed"
@@ -159,10 +159,10 @@
 // that is sure: the change may be half-way for long, or never come about.
 func (w *world) exchange(m, spare *machine, left int) {
 	w.after(100, func() {
-		if lead := w.leader(); lead != nil && lead.inst.State().Removed(m.number) && m.inst != nil {
+		if lead := w.leader(); lead != nil && lead.inst.State().WasRemoved(m.number) && m.inst != nil {
 			m.spare, spare.spare = true, false
 			m.die(false)
-			m.fs.Wipe()
+			m.fs.EraseDisk()
 			w.after(400, func() { w.enter(m) })
 			w.enter(spare)
 		} else if left > 0 {
@@ -177,14 +177,16 @@
 	w.after(500, func() {
 		if lead := w.leader(); lead != nil && lead.inst.State() != nil {
 			for _, x := range lead.inst.State().Rollout().List() {
-				if w.calm && lead.inst.State().Removed(x.Member) {
+				if w.calm && lead.inst.State().WasRemoved(x.Member) {
 					w.retire(x.Member)
 				}
 				if x.Open && !slices.ContainsFunc(w.machines,
 					func(m *machine) bool { return m.number == x.Member }) {
 					w.made++
-					lead.live().Command(rollout.Command{Kind: rollout.SetAside, Member: x.Member,
-						ID: fmt.Sprintf("aside-%d", w.made)})
+					lead.live().ProposeRolloutCommand(
+						rollout.Command{Kind: rollout.SetAside, Member: x.Member,
+							ID: fmt.Sprintf("aside-%d", w.made)},
+					)
 					lead.drive()
 				}
 			}
@@ -198,7 +200,7 @@
 	for _, m := range w.machines {
 		if m.number == number {
 			m.die(false)
-			m.fs.Wipe()
+			m.fs.EraseDisk()
 			m.number = 0
 			w.after(400, func() { w.enter(m) })
 		}
@@ -222,7 +224,7 @@
 	clear(w.cut)
 	w.loss = 0
 	for _, m := range w.machines {
-		m.fs.Room = -1
+		m.fs.FreeBytes = -1
 		m.dieIn, m.stalled = 0, 0
 		m.start()
 	}
@@ -288,14 +290,14 @@
 			return
 		}
 		w.made++
-		base := state.Newest().Revision
+		base := state.CurrentRevision().Number
 		id := fmt.Sprintf("c%d-%d", n, w.made)
 		c := clusterstate.Change{
-			ID:       id,
-			Base:     base,
-			Author:   id,
-			At:       time.UnixMilli(w.now),
-			Document: w.document(w.made),
+			ID:           id,
+			BaseRevision: base,
+			Author:       id,
+			ProposedAt:   time.UnixMilli(w.now),
+			Document:     w.document(w.made),
 		}
 		w.propose(n, m, c, w.now, 8)
 	})
@@ -304,17 +306,17 @@
 func (w *world) read(n int, m *machine) {
 	call := w.now
 	done := false
-	t := m.live().Read()
-	m.answers[t] = func(a consensus.Answer) {
+	t := m.live().ReadIndex()
+	m.answers[t] = func(a consensus.Response) {
 		done = true
 		w.client(n)
 		if a.Err != nil {
 			return
 		}
 		w.res.Reads++
-		r := m.inst.State().Newest()
-		w.trace("client %d reads revision %d (%s) from %s", n, r.Revision, r.ID, m.name)
-		w.record(n, input{}, output{revision: r.Revision, id: r.ID}, call)
+		r := m.inst.State().CurrentRevision()
+		w.trace("client %d reads revision %d (%s) from %s", n, r.Number, r.ChangeID, m.name)
+		w.record(n, input{}, output{revision: r.Number, id: r.ChangeID}, call)
 	}
 	w.lost(m, &done, func() { w.client(n) })
 	m.drive()
@@ -353,9 +355,9 @@
 		w.trace("client %d gives %s up: %s", n, c.ID, why)
 		w.unknown(n, c, call)
 	}
-	w.trace("client %d proposes %s on revision %d to %s", n, c.ID, c.Base, m.name)
+	w.trace("client %d proposes %s on revision %d to %s", n, c.ID, c.BaseRevision, m.name)
 	t := m.live().Propose(c, false)
-	m.answers[t] = func(a consensus.Answer) {
+	m.answers[t] = func(a consensus.Response) {
 		done = true
 		if a.Err != nil {
 			again(a.Err.Error())
@@ -365,17 +367,17 @@
 		w.trace("client %d is told by %s: %s is %v, revision %d", n, m.name, c.ID, o.Code, o.Revision)
 		switch o.Code {
 		case clusterstate.Accepted:
-			w.res.Accepted++
+			w.res.ChangesAccepted++
 			w.acked[c.ID] = o.Revision
-			w.record(n, input{true, c.Base, c.ID}, output{accepted: true, revision: o.Revision}, call)
+			w.record(n, input{true, c.BaseRevision, c.ID}, output{accepted: true, revision: o.Revision}, call)
 		case clusterstate.Withdrawn:
-			w.res.Withdrawn++
+			w.res.ChangesWithdrawn++
 		case clusterstate.Conflict:
-			w.res.Refused++
-			if o.Revision == c.Base {
+			w.res.ChangesRejected++
+			if o.Revision == c.BaseRevision {
 				break // another change took hold, and may be in force or not
 			}
-			w.record(n, input{true, c.Base, c.ID}, output{}, call)
+			w.record(n, input{true, c.BaseRevision, c.ID}, output{}, call)
 		default:
 			w.violate("change %s is %v: %v", c.ID, o.Code, o.Problems)
 		}
@@ -386,10 +388,10 @@
 }
 
 func (w *world) unknown(n int, c clusterstate.Change, call int64) {
-	w.res.Unknown++
+	w.res.ChangesUnknown++
 	w.history = append(
 		w.history,
-		porcupine.Operation{ClientId: n + 100 + len(w.history), Input: input{true, c.Base, c.ID},
+		porcupine.Operation{ClientId: n + 100 + len(w.history), Input: input{true, c.BaseRevision, c.ID},
 			Call: call, Output: output{unknown: true}, Return: 1 << 60},
 	)
 	w.client(n)
@@ -458,17 +460,20 @@
 		}
 	}
 	ok := false
-	c := clusterstate.Change{ID: "last", Base: lead.inst.State().Newest().Revision,
+	c := clusterstate.Change{ID: "last", BaseRevision: lead.inst.State().CurrentRevision().Number,
 		Document: w.document(1 << 20)}
 	t := lead.live().Propose(c, false)
-	lead.answers[t] = func(a consensus.Answer) { ok = a.Err == nil && a.Outcome.Code == clusterstate.Accepted }
+	lead.answers[t] = func(a consensus.Response) {
+		ok = a.Err == nil &&
+			a.Outcome.Code == clusterstate.Accepted
+	}
 	lead.drive()
 	w.run(400)
 	if !ok {
 		w.violate("the group takes no change though all is well")
 	}
 	for _, m := range w.up() {
-		if w.member(m) && !m.front.permit.May(m.local(), m.front.running) {
+		if w.member(m) && !m.front.permit.Admits(m.local(), m.front.running) {
 			w.violate("%s admits nothing though all is well: %+v, running %d", m.name, m.front.permit,
 				m.front.running)
 		}
--- a/internal/verify/simulation/front.go
+++ b/internal/verify/simulation/front.go
@@ -29,7 +29,7 @@
 
 // live is the instance, told the time.
 func (m *machine) live() *consensus.Instance {
-	m.inst.Clock(m.local())
+	m.inst.SetClock(m.local())
 	return m.inst
 }
 
@@ -53,18 +53,18 @@
 	if r := e.Stage; r != nil {
 		m.later(int64(1+w.rng.IntN(60)), func() {
 			var refused []string
-			if w.o.Steps > 1 && !w.calm && w.rng.IntN(25) == 0 {
+			if w.o.FaultSteps > 1 && !w.calm && w.rng.IntN(25) == 0 {
 				refused = []string{"its own files say otherwise"}
 			}
-			m.live().Staged(r.ID, refused)
+			m.live().ReportStaged(r.ChangeID, refused)
 			m.drive()
 		})
 	}
 	for _, r := range e.Revisions {
 		m.later(int64(1+w.rng.IntN(6)), func() { m.run(r) })
 	}
-	for _, word := range e.Told {
-		held, ok := word.([]leasedtask.Held)
+	for _, word := range e.Notifications {
+		held, ok := word.([]leasedtask.Lease)
 		if !ok {
 			continue
 		}
@@ -78,9 +78,9 @@
 }
 
 func (m *machine) run(r clusterstate.Revision) {
-	if r.Revision > m.front.running {
-		m.front.running = r.Revision
-		m.live().Running(r.Revision)
+	if r.Number > m.front.running {
+		m.front.running = r.Number
+		m.live().ReportRunningRevision(r.Number)
 	}
 }
 
@@ -90,7 +90,7 @@
 	m.permits = m.permits[1:]
 	if m.front.permit = p; !p.Open && p.Change != "" {
 		m.later(int64(1+m.w.rng.IntN(5)), func() {
-			m.live().Closed(p.Change, p.Attempt)
+			m.live().ReportAdmissionClosed(p.Change, p.Attempt)
 			m.drive()
 		})
 	}
@@ -108,11 +108,11 @@
 // under a later one, anywhere.
 func (m *machine) admit() {
 	w := m.w
-	if !m.front.permit.May(m.local(), m.front.running) {
-		w.res.Turned++
+	if !m.front.permit.Admits(m.local(), m.front.running) {
+		w.res.JobsRejected++
 		return
 	}
-	w.res.Admitted++
+	w.res.JobsAdmitted++
 	if m.front.running < w.newest {
 		w.violate("%s admits under revision %d after %s has under %d", m.name, m.front.running, w.newestAt,
 			w.newest)
--- a/internal/verify/simulation/machine.go
+++ b/internal/verify/simulation/machine.go
@@ -26,7 +26,7 @@
 	dieIn    int // calls of the log until it dies; 0: it doesn't
 	told     uint64
 	applied  uint64
-	answers  map[consensus.Ticket]func(consensus.Answer)
+	answers  map[consensus.RequestID]func(consensus.Response)
 	unsynced int
 
 	clock   time.Duration // its own, as of clockAt
@@ -46,12 +46,17 @@
 	m.life++
 	m.told, m.applied, m.dieIn, m.stalled = 0, 0, 0, 0
 	m.front, m.permits, m.duties = front{}, nil, practice{}
-	m.answers = map[consensus.Ticket]func(consensus.Answer){}
-	saved := consensus.NewSaved()
+	m.answers = map[consensus.RequestID]func(consensus.Response){}
+	saved := consensus.NewRecoveredState()
 	var err error
-	m.store, err = store.Open("/d", store.Options{FS: m.fs, SegmentBytes: 20_000}, saved.Image, saved.Record)
+	m.store, err = store.Open(
+		"/d",
+		store.Options{FS: m.fs, SegmentBytes: 20_000},
+		saved.RestoreSnapshot,
+		saved.ReplayRecord,
+	)
 	if err != nil {
-		if m.fs.Room >= 0 {
+		if m.fs.FreeBytes >= 0 {
 			m.again() // there was no room to begin
 			return
 		}
@@ -60,8 +65,8 @@
 	}
 	w.numbers++
 	m.inst, err = consensus.New(
-		consensus.Config{SnapshotEvery: 25, KeepEntries: 5, Seed: w.o.Seed<<16 + uint64(m.life),
-			Log: w.log.WithField("at", m.name)},
+		consensus.Config{SnapshotCount: 25, SnapshotCatchUpEntries: 5, Seed: w.o.Seed<<16 + uint64(m.life),
+			Logger: w.log.WithField("at", m.name)},
 		saved,
 		w.numbers,
 		m.name,
@@ -89,7 +94,7 @@
 // again starts the machine after a while.
 func (m *machine) again() {
 	m.w.after(int64(20+m.w.faults.IntN(300)), func() {
-		m.fs.Room = -1
+		m.fs.FreeBytes = -1
 		m.start()
 	})
 }
@@ -103,11 +108,11 @@
 	m.inst, m.store = nil, nil
 	m.life++
 	if power {
-		m.fs.Crash()
+		m.fs.LosePower()
 	} else {
-		m.fs.Kill()
+		m.fs.KillProcesses()
 	}
-	m.fs.Room = -1
+	m.fs.FreeBytes = -1
 	m.again()
 }
 
@@ -123,7 +128,7 @@
 	if m.fatal() {
 		return errCrash
 	}
-	if m.w.o.Broken {
+	if m.w.o.AcknowledgeBeforeSync {
 		// Acknowledged now, synced some time later.
 		if m.unsynced++; m.unsynced%20 != 0 {
 			return nil
@@ -132,11 +137,11 @@
 	return m.store.Sync()
 }
 
-func (m *machine) Snapshot(b []byte) error {
+func (m *machine) WriteSnapshot(b []byte) error {
 	if m.fatal() {
 		return errCrash
 	}
-	return m.store.Snapshot(b)
+	return m.store.WriteSnapshot(b)
 }
 
 func (m *machine) fatal() bool {
@@ -153,7 +158,7 @@
 		return
 	}
 	life := m.life
-	err := consensus.Drive(m.inst, m, m.local, func(e consensus.Effects) {
+	err := consensus.ProcessReady(m.inst, m, m.local, func(e consensus.Effects) {
 		if m.life == life {
 			m.carry(e)
 		}
@@ -171,14 +176,14 @@
 
 func (m *machine) carry(e consensus.Effects) {
 	for _, r := range e.Revisions {
-		if r.Revision <= m.told {
-			m.w.violate("%s tells revision %d after %d", m.name, r.Revision, m.told)
+		if r.Number <= m.told {
+			m.w.violate("%s tells revision %d after %d", m.name, r.Number, m.told)
 		}
-		m.told = r.Revision
-		m.w.agreed(m.name, r.Revision, r.ID)
+		m.told = r.Number
+		m.w.agreed(m.name, r.Number, r.ChangeID)
 	}
 	m.toldFronts(e)
-	for _, x := range e.Sessions {
+	for _, x := range e.SessionMessages {
 		m.w.say(m, x)
 	}
 	for _, msg := range e.Messages {
@@ -194,9 +199,9 @@
 		}
 		m.w.send(m, msg)
 	}
-	for _, a := range e.Answers {
-		if f := m.answers[a.Ticket]; f != nil {
-			delete(m.answers, a.Ticket)
+	for _, a := range e.Responses {
+		if f := m.answers[a.RequestID]; f != nil {
+			delete(m.answers, a.RequestID)
 			f(a)
 		}
 	}
--- a/internal/verify/simulation/fleet.go
+++ b/internal/verify/simulation/seeds.go
@@ -4,9 +4,9 @@
 	"sync"
 )
 
-// Many plays the stories of seeds from first on, on several cores, and tells each result
+// RunSeeds plays the stories of seeds from first on, on several cores, and tells each result
 // in the order of the seeds.
-func Many(first uint64, count int, workers int, options func(seed uint64) Options, tell func(Result)) {
+func RunSeeds(first uint64, count int, workers int, options func(seed uint64) Options, tell func(Result)) {
 	results := make([]chan Result, count)
 	for i := range results {
 		results[i] = make(chan Result, 1)
--- a/internal/verify/simulation/prove_test.go
+++ b/internal/verify/simulation/simulation_test.go
@@ -10,7 +10,7 @@
 func TestStories(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		options := func(seed uint64) Options { return Options{Instances: n, Seed: seed} }
-		Many(0, 50, runtime.NumCPU(), options, func(r Result) {
+		RunSeeds(0, 50, runtime.NumCPU(), options, func(r Result) {
 			if len(r.Violations) > 0 {
 				t.Errorf("%d instances, seed %d: %v", n, r.Seed, r.Violations)
 			}
@@ -21,7 +21,7 @@
 // The checks find a build that acknowledges before it syncs.
 func TestBrokenBuildIsFound(t *testing.T) {
 	for seed := range uint64(40) {
-		if r := Run(Options{Instances: 3, Seed: seed, Broken: true}); len(r.Violations) > 0 {
+		if r := Run(Options{Instances: 3, Seed: seed, AcknowledgeBeforeSync: true}); len(r.Violations) > 0 {
 			t.Logf("found by seed %d: %v", seed, r.Violations)
 			return
 		}
--- a/internal/verify/simulation/world.go
+++ b/internal/verify/simulation/world.go
@@ -30,32 +30,32 @@
 
 // Options are what a story is told by.
 type Options struct {
-	Instances int
-	Seed      uint64
-	Steps     int       // of faults, each some ticks long
-	Trace     io.Writer // each event, a line; nil: none
-	// Broken acknowledges before it syncs. It is there to show that the checks find it.
-	Broken bool
+	Instances  int
+	Seed       uint64
+	FaultSteps int       // of faults, each some ticks long
+	Trace      io.Writer // each event, a line; nil: none
+	// AcknowledgeBeforeSync acknowledges before it syncs. It is there to show that the checks find it.
+	AcknowledgeBeforeSync bool
 }
 
 // Result is what a story came to.
 type Result struct {
-	Seed       uint64         `json:"seed"`
-	Instances  int            `json:"instances"`
-	Events     int            `json:"events"`
-	Ticks      int64          `json:"ticks"`
-	Accepted   int            `json:"accepted"`
-	Refused    int            `json:"refused"`
-	Unknown    int            `json:"unknown"`
-	Reads      int            `json:"reads"`
-	Withdrawn  int            `json:"withdrawn"`
-	Admitted   int            `json:"admitted"`
-	Turned     int            `json:"turned_away"`
-	Acts       int            `json:"acts"`       // of holders of duties
-	Handed     int            `json:"hand_overs"` // of duties, from one to another
-	Terms      uint64         `json:"terms"`
-	Faults     map[string]int `json:"faults"`
-	Violations []string       `json:"violations,omitempty"`
+	Seed             uint64         `json:"seed"`
+	Instances        int            `json:"instances"`
+	Events           int            `json:"events"`
+	Ticks            int64          `json:"ticks"`
+	ChangesAccepted  int            `json:"accepted"`
+	ChangesRejected  int            `json:"refused"`
+	ChangesUnknown   int            `json:"unknown"`
+	Reads            int            `json:"reads"`
+	ChangesWithdrawn int            `json:"withdrawn"`
+	JobsAdmitted     int            `json:"admitted"`
+	JobsRejected     int            `json:"turned_away"`
+	TaskActions      int            `json:"acts"`       // of holders of duties
+	TaskTransfers    int            `json:"hand_overs"` // of duties, from one to another
+	Terms            uint64         `json:"terms"`
+	Faults           map[string]int `json:"faults"`
+	Violations       []string       `json:"violations,omitempty"`
 }
 
 // unit is the world's least time; a tick has ten.
@@ -113,8 +113,8 @@
 
 // Run plays one story to its end.
 func Run(o Options) Result {
-	if o.Steps == 0 {
-		o.Steps = 40
+	if o.FaultSteps == 0 {
+		o.FaultSteps = 40
 	}
 	w := &world{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), faults: rand.New(rand.NewPCG(o.Seed, 2)),
 		cut: map[[2]string]bool{}, leaders: map[uint64]string{}, states: map[uint64][32]byte{},
@@ -184,7 +184,7 @@
 		w.client(n)
 	}
 	w.tidy()
-	for range w.o.Steps {
+	for range w.o.FaultSteps {
 		w.fault()
 		w.run(int64(5 + w.faults.IntN(60)))
 		if len(w.res.Violations) > 0 {
@@ -200,12 +200,12 @@
 // document is a valid one that is unlike others.
 func (w *world) document(n int) *clusterstate.Document {
 	d := &clusterstate.Document{
-		Classes: []clusterstate.Class{{Name: "c", Effect: "retryable", GiveUp: 5e9, Aim: 1e9,
-			Worth: float64(n)}},
+		Classes: []clusterstate.Class{{Name: "c", Effect: "retryable", Deadline: 5e9, LatencyObjective: 1e9,
+			PriorityWeight: float64(n)}},
 	}
 	d.Sections = map[string]map[string]string{leasedtask.Section: {"drill": "3"}}
 	if w.o.Seed%4 == 3 {
-		d.Sections[rollout.Section] = map[string]string{"cut_off": rollout.Serve}
+		d.Sections[rollout.Section] = map[string]string{"cut_off": rollout.KeepServing}
 	}
 	return d
 }
@@ -251,7 +251,7 @@
 		ok := w.at(msg.GetTo()) != nil
 		w.after(15, func() {
 			if sender.life == life && sender.inst != nil {
-				sender.live().SnapshotSent(msg.GetTo(), ok)
+				sender.live().ReportSnapshot(msg.GetTo(), ok)
 				sender.drive()
 			}
 		})
@@ -370,7 +370,7 @@
 func (w *world) operate(lead *machine, op *schema.Operation, number uint64) {
 	w.trace("%s is asked: %v %s %s", lead.name, op.Kind, op.Name, op.By)
 	t := lead.live().Operate(op, number)
-	lead.answers[t] = func(a consensus.Answer) { w.trace("%v %s: %v", op.Kind, op.Name, a.Err) }
+	lead.answers[t] = func(a consensus.Response) { w.trace("%v %s: %v", op.Kind, op.Name, a.Err) }
 	lead.drive()
 }
 
