--- a/internal/node/upgrade.go
+++ b/internal/node/upgrade.go
@@ -221,7 +221,7 @@
 	for name, t := range passed.ReturnedFromMaintenance {
 		s.Maintenance = append(
 			s.Maintenance,
-			hotrestart.Maintenance{Endpoint: name, StartedAt: t[0], EndedAt: t[1]},
+			hotrestart.Maintenance{Endpoint: name, StartedAt: t.Since, EndedAt: t.Ended},
 		)
 	}
 	return u.link.SendState(s, u.front.ListenerFD())
@@ -230,12 +230,12 @@
 // passed is a state as the core takes it.
 func passed(s *hotrestart.State) broker.ProcessState {
 	p := broker.ProcessState{KnownNames: s.KnownEndpoints, UnderMaintenance: map[string]time.Duration{},
-		ReturnedFromMaintenance: map[string][2]time.Duration{}, Balancer: s.Balancer}
+		ReturnedFromMaintenance: map[string]broker.MaintenancePeriod{}, Balancer: s.Balancer}
 	for _, b := range s.Maintenance {
 		if b.Active {
 			p.UnderMaintenance[b.Endpoint] = b.StartedAt
 		} else {
-			p.ReturnedFromMaintenance[b.Endpoint] = [2]time.Duration{b.StartedAt, b.EndedAt}
+			p.ReturnedFromMaintenance[b.Endpoint] = broker.MaintenancePeriod{Since: b.StartedAt, Ended: b.EndedAt}
 		}
 	}
 	return p
--- a/internal/proxy/broker/actions.go
+++ b/internal/proxy/broker/actions.go
@@ -6,124 +6,117 @@
 	"moorstack/balancer"
 )
 
-// actions is what the module has its host do.
+// actions carries out what the balancer decides. It is a type of its own, so that the actions are not among
+// the methods that fronts see.
 type actions struct{ *Broker }
 
 var _ balancer.Actions = actions{}
 
-// Send starts a branch. One that can't be started ends as never sent.
-func (c actions) Send(id balancer.RequestID, w balancer.WorkerID, until time.Duration) {
-	t := c.open[id]
-	if t == nil {
+// Send implements balancer.Actions. An attempt that can't be started ends as not sent.
+func (b actions) Send(id balancer.RequestID, worker balancer.WorkerID, until time.Duration) {
+	req := b.requests[id]
+	if req == nil {
 		return
 	}
-	now := c.clock.Now()
-	if until <= 0 || until > t.deadline {
-		until = t.deadline
+	now := b.clock.Now()
+	if until <= 0 || until > req.deadline {
+		until = req.deadline
 	}
-	if t.AttemptTimeout > 0 {
-		until = min(until, now+t.AttemptTimeout)
+	if req.AttemptTimeout > 0 {
+		until = min(until, now+req.AttemptTimeout)
 	}
-	h := c.hops[w]
-	known := h != nil && h.Endpoint != nil
-	if h == nil {
-		h = &hop{id: w, gone: true}
+	e := b.endpoints[worker]
+	reachable := e != nil && e.Endpoint != nil
+	if e == nil {
+		e = &endpoint{id: worker, removed: true}
 	}
-	b := &branch{t: t, n: len(t.branches), hop: h, sent: now}
-	b.id = c.branches.Add(b)
-	t.branches = append(t.branches, b)
-	t.out++
-	h.out++
+	a := &attempt{request: req, number: len(req.attempts), endpoint: e, sentAt: now}
+	a.id = b.attempts.Add(a)
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	e.inFlight++
 	switch {
-	case t.client == nil || !known || b.n >= max(c.set.Limits.MaxAttempts, 1):
-		c.end(b, balancer.NotSent, nil, balancer.NoLoadReport)
+	case req.client == nil || !reachable || a.number >= max(b.settings.Limits.MaxAttempts, 1):
+		b.end(a, balancer.NotSent, nil, balancer.NoLoadReport)
 		return
 	case until <= now:
-		c.end(b, balancer.TimedOut, nil, balancer.NoLoadReport)
+		b.end(a, balancer.TimedOut, nil, balancer.NoLoadReport)
 		return
 	}
-	// Hazard: a worker, or the way to it, that says nothing holds a transaction for ever.
-	b.timer = c.clock.At(until, func() { c.giveUp(b, balancer.TimedOut) })
-	b.running = h.StartAttempt(Attempt{ID: b.id, Payload: t.Payload, RequestID: t.ID, Deadline: until})
+	// Hazard: a worker that never responds, or a connection that passes nothing on, holds a request for ever.
+	a.timer = b.clock.At(until, func() { b.abandon(a, balancer.TimedOut) })
+	a.running = e.StartAttempt(Attempt{ID: a.id, Payload: req.Payload, RequestID: req.ID, Deadline: until})
 }
 
-func (c *Broker) giveUp(b *branch, res balancer.Result) {
-	if b.ended {
-		return
-	}
-	if b.running != nil {
-		b.running.Abandon()
-	}
-	c.end(b, res, nil, balancer.NoLoadReport)
-}
-
-// Reject gives a busy answer.
-func (c actions) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	c.final(id, Response{Kind: Rejected, RetryAfter: retryAfter})
+// Reject implements balancer.Actions.
+func (b actions) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	b.finish(id, Response{Kind: Rejected, RetryAfter: retryAfter})
 }
 
-// Fail gives a failure.
-func (c actions) Fail(id balancer.RequestID) { c.final(id, Response{Kind: Failed}) }
+// Fail implements balancer.Actions.
+func (b actions) Fail(id balancer.RequestID) { b.finish(id, Response{Kind: Failed}) }
 
-func (c *Broker) final(id balancer.RequestID, a Response) {
-	if t := c.open[id]; t != nil {
-		c.answer(t, a)
-		c.forget(t)
+// finish gives a final response that no worker gave.
+func (b actions) finish(id balancer.RequestID, r Response) {
+	if req := b.requests[id]; req != nil {
+		b.respond(req, r)
+		b.forget(req)
 	}
 }
 
-// Cancel gives a branch up.
-func (c actions) Cancel(id balancer.RequestID, attempt int) {
-	if t := c.open[id]; t != nil && attempt >= 0 && attempt < len(t.branches) {
-		c.giveUp(t.branches[attempt], balancer.Cancelled)
+// Cancel implements balancer.Actions: it abandons an attempt.
+func (b actions) Cancel(id balancer.RequestID, number int) {
+	if req := b.requests[id]; req != nil && number >= 0 && number < len(req.attempts) {
+		b.abandon(req.attempts[number], balancer.Cancelled)
 	}
 }
 
-// CheckHealth asks a next hop for its load.
-func (c actions) CheckHealth(w balancer.WorkerID) {
-	h := c.hops[w]
-	if h == nil || h.Endpoint == nil {
+// CheckHealth implements balancer.Actions: it requests a worker's load report.
+func (b actions) CheckHealth(worker balancer.WorkerID) {
+	e := b.endpoints[worker]
+	if e == nil || e.Endpoint == nil {
 		return
 	}
-	began := c.clock.Now()
-	h.CheckHealth(func(res balancer.Result, r balancer.LoadReport) {
-		c.do(func() {
-			now := c.clock.Now()
-			c.bal.HealthChecked(now, w, res, now-began, r)
+	began := b.clock.Now()
+	e.Endpoint.CheckHealth(func(res balancer.Result, report balancer.LoadReport) {
+		b.run(func() {
+			now := b.clock.Now()
+			b.balancer.HealthChecked(now, worker, res, now-began, report)
 		})
 	})
 }
 
-// WatchList asks the directory for changes.
-func (c actions) WatchList(on bool) {
-	if c.dir != nil {
-		c.do(func() { c.dir.WatchList(on) })
+// WatchList implements balancer.Actions.
+func (b actions) WatchList(on bool) {
+	if b.source != nil {
+		b.run(func() { b.source.WatchList(on) })
 	}
 }
 
-// FetchList asks the directory for the whole route set.
-func (c actions) FetchList() {
-	if c.dir != nil {
-		c.do(c.dir.FetchList)
+// FetchList implements balancer.Actions.
+func (b actions) FetchList() {
+	if b.source != nil {
+		b.run(b.source.FetchList)
 	}
 }
 
-// SetTimer sets a timer of the module's.
-func (c actions) SetTimer(d time.Duration, token uint64) {
-	c.clock.At(c.clock.Now()+d, func() {
-		c.do(func() { c.bal.TimerFired(c.clock.Now(), token) })
+// SetTimer implements balancer.Actions.
+func (b actions) SetTimer(d time.Duration, token uint64) {
+	b.clock.At(b.clock.Now()+d, func() {
+		b.run(func() { b.balancer.TimerFired(b.clock.Now(), token) })
 	})
 }
 
-// SendPeer has no way to go: nodes share nothing.
-func (c actions) SendPeer(int, []byte) {}
+// SendPeer implements balancer.Actions. It does nothing: the balancers of different nodes exchange no
+// messages.
+func (b actions) SendPeer(int, []byte) {}
 
-// CloseIdle closes a next hop's idle connections.
-func (c actions) CloseIdle(w balancer.WorkerID) {
-	if h := c.hops[w]; h != nil && h.Endpoint != nil {
-		h.Endpoint.CloseIdle()
+// CloseIdle implements balancer.Actions.
+func (b actions) CloseIdle(worker balancer.WorkerID) {
+	if e := b.endpoints[worker]; e != nil && e.Endpoint != nil {
+		e.Endpoint.CloseIdle()
 	}
 }
 
-// Log writes a line for the people on call.
-func (c actions) Log(text string) { c.log.Info(text) }
+// Log implements balancer.Actions.
+func (b actions) Log(text string) { b.log.Info(text) }
--- a/internal/proxy/broker/maintenance.go
+++ b/internal/proxy/broker/maintenance.go
@@ -7,128 +7,103 @@
 	"moorstack/balancer"
 )
 
-// ErrNeverListed is the answer to a ban of a next hop that was never in the route set.
+// ErrNeverListed is returned for maintenance of an endpoint whose name was never in the endpoint list. Its
+// text is sent to operators' tools, and so never changes.
 var ErrNeverListed = errors.New("no trip worker of this id was ever listed")
 
-// most names of next hops that are remembered once they have left the route set.
-const mostNames = 1 << 16
+// maxNames is how many names are remembered of endpoints that were listed at any time.
+const maxNames = 1 << 16
 
-// bans are the operators' word on next hops, by name: an overlay on the route set, which
-// the core keeps as it is listed. The module learns of a ban as of a drain.
+// MaintenancePeriod is a time of maintenance that has ended, on the broker's clock.
+type MaintenancePeriod struct{ Since, Ended time.Duration }
+
+// maintenance is an overlay on the endpoint list: which endpoints operators have taken out of service, by
+// name. The list itself is kept as it was received. To the balancer an endpoint under maintenance is
+// draining.
 //
-// Hazard: whatever the list says meanwhile, a restart under the same name, a gap with a
-// whole new list or the next hop's leaving and coming back must not lift a ban.
-type bans struct {
-	out   map[string]time.Duration // who is banned, since when
-	back  map[string]term          // who was put back, and is not listed as started since
-	known map[string]struct{}      // who was ever listed
+// Hazard: whatever the list says meanwhile, a restart under the same name, a gap with a whole new list, or
+// the removal and return of the endpoint must not end its maintenance.
+type maintenance struct {
+	since    map[string]time.Duration     // of endpoints under maintenance: when it began
+	returned map[string]MaintenancePeriod // of endpoints that are not listed as restarted since theirs ended
+	names    map[string]struct{}          // of all endpoints that were ever listed
 }
 
-// term is the time of a ban that has ended.
-type term struct{ began, ended time.Duration }
-
-func newBans() bans {
-	return bans{out: map[string]time.Duration{}, back: map[string]term{}, known: map[string]struct{}{}}
+func newMaintenance() maintenance {
+	return maintenance{since: map[string]time.Duration{}, returned: map[string]MaintenancePeriod{},
+		names: map[string]struct{}{}}
 }
 
-// listed notes that the route set names a next hop.
-func (b *bans) listed(name string) {
-	if len(b.known) < mostNames { // hazard: a list that names new ones for ever
-		b.known[name] = struct{}{}
+// addName remembers that the list has named an endpoint.
+func (m *maintenance) addName(name string) {
+	if len(m.names) < maxNames { // hazard: a list that has new names for ever
+		m.names[name] = struct{}{}
 	}
 }
 
-// over gives a line of the route set as the module is to see it.
-func (b *bans) over(name string, w balancer.Worker) balancer.Worker {
-	if _, out := b.out[name]; out {
+// apply gives an entry of the list as the balancer is to see it.
+func (m *maintenance) apply(name string, w balancer.Worker) balancer.Worker {
+	if _, ok := m.since[name]; ok {
 		if w.State == balancer.Ready {
 			w.State = balancer.Draining
 		}
 		return w
 	}
-	if t, ok := b.back[name]; ok && w.State != balancer.Removed {
-		// Hazard: it was restarted during its ban and is cold, and the list, which is late,
-		// does not tell so yet. Until it does, it counts as started when it was put back.
-		if w.StartedAt > t.began {
-			delete(b.back, name)
+	if period, ok := m.returned[name]; ok && w.State != balancer.Removed {
+		// Hazard: it was restarted during its maintenance and has to warm up, and the list, which is late,
+		// does not say so yet. Until it does, the endpoint counts as started when its maintenance ended.
+		if w.StartedAt > period.Since {
+			delete(m.returned, name)
 		} else {
-			w.StartedAt = t.ended
+			w.StartedAt = period.Ended
 		}
 	}
 	return w
 }
 
-// EverListed says whether a next hop of this name was ever in the route set.
-func (c *Broker) EverListed(name string) bool {
-	_, ok := c.bans.known[name]
+// EverListed reports whether an endpoint of this name was ever in the endpoint list.
+func (b *Broker) EverListed(name string) bool {
+	_, ok := b.maintenance.names[name]
 	return ok
 }
 
-// StartMaintenance takes a next hop out, by the operators' word, until Unban: from now on nothing new
-// goes to it. Banned twice is banned once.
-func (c *Broker) StartMaintenance(name string) { c.StartMaintenanceSince(name, c.clock.Now()) }
+// StartMaintenance takes an endpoint out of service by an operator's command, until EndMaintenance: from now
+// on no new attempt goes to it. It is idempotent.
+func (b *Broker) StartMaintenance(name string) { b.StartMaintenanceSince(name, b.clock.Now()) }
 
-// StartMaintenanceSince is Ban for one that began earlier, as another process tells it.
-func (c *Broker) StartMaintenanceSince(name string, since time.Duration) {
-	if _, out := c.bans.out[name]; out {
+// StartMaintenanceSince is StartMaintenance for one that began earlier, at another process of this node.
+func (b *Broker) StartMaintenanceSince(name string, since time.Duration) {
+	if _, ok := b.maintenance.since[name]; ok {
 		return
 	}
-	c.bans.out[name] = since
-	delete(c.bans.back, name)
-	c.again(name, false)
+	b.maintenance.since[name] = since
+	delete(b.maintenance.returned, name)
+	b.refresh(name)
 }
 
-// EndMaintenance puts a next hop back and reports whether it was banned.
-func (c *Broker) EndMaintenance(name string) bool {
-	since, out := c.bans.out[name]
-	if !out {
+// EndMaintenance puts an endpoint back into service, and returns false if it was not under maintenance.
+func (b *Broker) EndMaintenance(name string) bool {
+	since, ok := b.maintenance.since[name]
+	if !ok {
 		return false
 	}
-	delete(c.bans.out, name)
-	c.bans.back[name] = term{since, c.clock.Now()}
-	c.again(name, true)
+	delete(b.maintenance.since, name)
+	b.maintenance.returned[name] = MaintenancePeriod{since, b.clock.Now()}
+	b.refreshThen(name, b.balancer.EndMaintenance)
 	return true
 }
 
-// UnderMaintenance are the next hops that are banned, and since when.
-func (c *Broker) UnderMaintenance() map[string]time.Duration { return c.bans.out }
-
-// again tells the module of a next hop as it stands now.
-func (c *Broker) again(name string, back bool) {
-	id, ok := c.ids[name]
-	if !ok {
-		return // it is not listed now; once it is, the overlay holds
-	}
-	h := c.hops[id]
-	if h == nil || h.gone {
-		return
-	}
-	w := c.over(name, h.listed)
-	c.do(func() {
-		c.bal.UpdateWorkers(c.clock.Now(), balancer.ListDelta, []balancer.Worker{w})
-		if back {
-			c.bal.EndMaintenance(id)
-		}
-	})
-}
-
-// DiscoveredCount is how many next hops are listed.
-func (c *Broker) DiscoveredCount() int {
-	n := 0
-	for _, h := range c.hops {
-		if !h.gone {
-			n++
-		}
-	}
-	return n
-}
-
-// EjectedCount is how many of the listed next hops are avoided now: banned, or, as the module
-// says, not trusted. A drain that the list tells of is neither by hand nor by choice.
-func (c *Broker) EjectedCount() int {
-	n := c.bal.EjectedCount(c.clock.Now())
-	for name := range c.bans.out {
-		if h := c.hops[c.ids[name]]; h != nil && h.name == name && !h.gone {
+// UnderMaintenance gives the names of the endpoints under maintenance, and since when. It must not be
+// changed.
+func (b *Broker) UnderMaintenance() map[string]time.Duration { return b.maintenance.since }
+
+// EjectedCount is how many listed endpoints get no new attempts, because they are under maintenance or
+// because the balancer has ejected them as outliers. Endpoints that the list itself has as draining are not
+// among them.
+func (b *Broker) EjectedCount() int {
+	n := b.balancer.EjectedCount(b.clock.Now())
+	for name := range b.maintenance.since {
+		if e := b.endpoints[b.idByName[name]]; e != nil && e.name == name && !e.removed {
 			n++
 		}
 	}
--- a/internal/proxy/broker/maintenance_test.go
+++ b/internal/proxy/broker/maintenance_test.go
@@ -7,40 +7,46 @@
 	"moorstack/balancer"
 )
 
-// The overlay gives the module what the operators said, whatever the list says.
-func TestOverlay(t *testing.T) {
-	b := newBans()
-	listed := balancer.Worker{State: balancer.Ready, StartedAt: 10 * time.Second}
-	want := func(what string, w balancer.Worker, state balancer.WorkerState, since time.Duration) {
-		t.Helper()
-		if got := b.over("a", w); got.State != state || got.StartedAt != since {
-			t.Errorf("%s: %+v", what, got)
+// The overlay gives the balancer what the operators decided, whatever the endpoint list says.
+func TestMaintenanceOverlayHoldsWhateverTheListSays(t *testing.T) {
+	const began, ended = time.Minute, 2 * time.Minute
+	ready := balancer.Worker{State: balancer.Ready, StartedAt: 10 * time.Second}
+	removed, restarted := ready, ready
+	removed.State = balancer.Removed
+	restarted.StartedAt = began + time.Second
+	m := newMaintenance()
+	for _, c := range []struct {
+		name      string
+		before    func()
+		listed    balancer.Worker
+		state     balancer.WorkerState
+		startedAt time.Duration
+	}{
+		{"no maintenance", func() {}, ready, balancer.Ready, 10 * time.Second},
+		{"under maintenance", func() { m.since["a"] = began }, ready, balancer.Draining, 10 * time.Second},
+		{"under maintenance and removed", func() {}, removed, balancer.Removed, 10 * time.Second},
+		{"under maintenance and restarted", func() {}, restarted, balancer.Draining, restarted.StartedAt},
+		{"returned, and its restart is not listed yet", func() {
+			delete(m.since, "a")
+			m.returned["a"] = MaintenancePeriod{began, ended}
+		}, ready, balancer.Ready, ended},
+		{"the same entry again", func() {}, ready, balancer.Ready, ended},
+		{"its restart is listed", func() {}, restarted, balancer.Ready, restarted.StartedAt},
+		{"and listed again", func() {}, restarted, balancer.Ready, restarted.StartedAt},
+	} {
+		c.before()
+		if got := m.apply("a", c.listed); got.State != c.state || got.StartedAt != c.startedAt {
+			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
-	want("nobody said anything", listed, balancer.Ready, 10*time.Second)
-	b.out["a"] = time.Minute
-	want("banned", listed, balancer.Draining, 10*time.Second)
-	gone := listed
-	gone.State = balancer.Removed
-	want("banned and gone", gone, balancer.Removed, 10*time.Second)
-	restarted := listed
-	restarted.StartedAt = 61 * time.Second
-	want("banned and restarted", restarted, balancer.Draining, 61*time.Second)
-
-	delete(b.out, "a")
-	b.back["a"] = term{time.Minute, 2 * time.Minute}
-	want("put back, and its start is not told yet", listed, balancer.Ready, 2*time.Minute)
-	want("the same line again", listed, balancer.Ready, 2*time.Minute)
-	want("its start is told", restarted, balancer.Ready, 61*time.Second)
-	want("and again", restarted, balancer.Ready, 61*time.Second)
 }
 
-func TestNamesAreBounded(t *testing.T) {
-	b := newBans()
-	for i := range mostNames + 10 {
-		b.listed(time.Duration(i).String())
+func TestRememberedNamesAreBounded(t *testing.T) {
+	m := newMaintenance()
+	for i := range maxNames + 10 {
+		m.addName(time.Duration(i).String())
 	}
-	if len(b.known) != mostNames {
-		t.Errorf("%d names are remembered", len(b.known))
+	if len(m.names) != maxNames {
+		t.Errorf("%d names are remembered", len(m.names))
 	}
 }
--- a/internal/proxy/broker/process_state.go
+++ b/internal/proxy/broker/process_state.go
@@ -1,110 +1,103 @@
 package broker
 
 import (
+	"maps"
 	"time"
 
 	"moorstack/balancer"
 )
 
-// What passes from one process of a node to the one that takes its place.
-
-// ProcessState is what the core of one process tells that of another, next hops apart.
+// ProcessState is what the broker of one process of a node passes to that of the process that replaces it in
+// a hot restart, without endpoints and open requests. Times are of the sender's clock.
 type ProcessState struct {
-	KnownNames              []string // next hops that were ever listed
+	KnownNames              []string // of endpoints that were ever listed
 	UnderMaintenance        map[string]time.Duration
-	ReturnedFromMaintenance map[string][2]time.Duration // put back, and not listed as started since
+	ReturnedFromMaintenance map[string]MaintenancePeriod // and not listed as restarted since
 	Balancer                balancer.LearnedState
 }
 
-// ExportState gives what another process must know.
-func (c *Broker) ExportState() ProcessState {
-	p := ProcessState{
-		UnderMaintenance:        c.bans.out,
-		ReturnedFromMaintenance: map[string][2]time.Duration{},
-		Balancer:                c.bal.Learned(),
-	}
-	for name := range c.bans.known {
-		p.KnownNames = append(p.KnownNames, name)
-	}
-	for name, t := range c.bans.back {
-		p.ReturnedFromMaintenance[name] = [2]time.Duration{t.began, t.ended}
+// ExportState gives the state that another process needs.
+func (b *Broker) ExportState() ProcessState {
+	s := ProcessState{UnderMaintenance: b.maintenance.since,
+		ReturnedFromMaintenance: maps.Clone(b.maintenance.returned), Balancer: b.balancer.Learned()}
+	for name := range b.maintenance.names {
+		s.KnownNames = append(s.KnownNames, name)
 	}
-	return p
+	return s
 }
 
-// ImportState takes over what another process has told, after the first route set and before
-// any transaction.
-func (c *Broker) ImportState(p ProcessState) {
-	for _, name := range p.KnownNames {
-		c.bans.listed(name)
+// ImportState takes over another process's state, after the first endpoint list and before any request.
+func (b *Broker) ImportState(s ProcessState) {
+	for _, name := range s.KnownNames {
+		b.maintenance.addName(name)
 	}
-	for name, t := range p.ReturnedFromMaintenance {
-		c.bans.back[name] = term{t[0], t[1]}
-		c.again(name, false)
+	for name, period := range s.ReturnedFromMaintenance {
+		b.maintenance.returned[name] = period
+		b.refresh(name)
 	}
-	for name, since := range p.UnderMaintenance {
-		c.StartMaintenanceSince(name, since)
+	for name, since := range s.UnderMaintenance {
+		b.StartMaintenanceSince(name, since)
 	}
-	c.do(func() { c.bal.RestoreLearned(c.clock.Now(), p.Balancer) })
+	b.run(func() { b.balancer.RestoreLearned(b.clock.Now(), s.Balancer) })
 }
 
-// InFlight gives, by next hop, what this process has unfinished there.
-func (c *Broker) InFlight() map[string]float64 {
-	held := map[string]float64{}
-	for id, n := range c.bal.InFlight() {
-		if h := c.hops[id]; h != nil {
-			held[h.name] = n
+// InFlight gives, by endpoint name, the work that this process has in flight there.
+func (b *Broker) InFlight() map[string]float64 {
+	inFlight := map[string]float64{}
+	for id, n := range b.balancer.InFlight() {
+		if e := b.endpoints[id]; e != nil {
+			inFlight[e.name] = n
 		}
 	}
-	return held
+	return inFlight
 }
 
-// SetOtherInFlight tells what the process whose place this one has taken has unfinished; a next hop
-// that is not named has nothing of it.
-func (c *Broker) SetOtherInFlight(held map[string]float64) {
-	c.do(func() {
-		for id, h := range c.hops {
-			c.bal.SetOtherInFlight(id, held[h.name])
+// SetOtherInFlight sets, by endpoint name, the work that the process which this one replaces has in flight.
+// An endpoint that is not named has none of it.
+func (b *Broker) SetOtherInFlight(inFlight map[string]float64) {
+	b.run(func() {
+		for id, e := range b.endpoints {
+			b.balancer.SetOtherInFlight(id, inFlight[e.name])
 		}
 	})
 }
 
-// OpenIDs gives the ids of the transactions that have not ended.
-func (c *Broker) OpenIDs() []string {
-	ids := make([]string, 0, len(c.open))
-	for id := range c.open {
+// OpenIDs gives the IDs of the open requests, in no order.
+func (b *Broker) OpenIDs() []string {
+	ids := make([]string, 0, len(b.requests))
+	for id := range b.requests {
 		ids = append(ids, string(id))
 	}
 	return ids
 }
 
-// OutstandingAttempt is a branch that is out.
+// OutstandingAttempt is an attempt in flight.
 type OutstandingAttempt struct {
 	Endpoint string
 	Running  RunningAttempt
 }
 
-// OutstandingAttempts gives the branches that are out of a transaction whose client waits, and when the
-// client gives up.
-func (c *Broker) OutstandingAttempts(id string) (until time.Duration, outs []OutstandingAttempt) {
-	t := c.open[balancer.RequestID(id)]
-	if t == nil || t.client == nil {
+// OutstandingAttempts gives the attempts in flight of a request whose client waits, and when the client gives
+// up.
+func (b *Broker) OutstandingAttempts(id string) (deadline time.Duration, list []OutstandingAttempt) {
+	req := b.requests[balancer.RequestID(id)]
+	if req == nil || req.client == nil {
 		return 0, nil
 	}
-	for _, b := range t.branches {
-		if !b.ended {
-			outs = append(outs, OutstandingAttempt{b.hop.name, b.running})
+	for _, a := range req.attempts {
+		if !a.ended {
+			list = append(list, OutstandingAttempt{a.endpoint.name, a.running})
 		}
 	}
-	return t.deadline, outs
+	return req.deadline, list
 }
 
-// Migrate ends a transaction here that goes on at another process, with what is out of it.
-func (c *Broker) Migrate(id string) {
-	if t := c.open[balancer.RequestID(id)]; t != nil {
-		for _, b := range t.branches {
-			b.running = nil // nobody gives it up
+// Migrate ends a request here that goes on at another process, without abandoning its attempts in flight.
+func (b *Broker) Migrate(id string) {
+	if req := b.requests[balancer.RequestID(id)]; req != nil {
+		for _, a := range req.attempts {
+			a.running = nil
 		}
-		c.ClientDisconnected(id)
+		b.ClientDisconnected(id)
 	}
 }
--- a/internal/proxy/broker/subset.go
+++ b/internal/proxy/broker/subset.go
@@ -4,67 +4,56 @@
 	"moorstack/balancer"
 )
 
-// Next hops beyond the subset that this core uses are listed, and to the module they are draining:
-// nothing new goes to them, what is out there ends as it may, and what was learned of them is kept.
-
-// ListedEndpoint is a next hop of the route set that takes work, by the list's word.
+// ListedEndpoint is an endpoint that the endpoint list has as ready.
 type ListedEndpoint struct{ Name, Zone string }
 
-// OnListUpdate has f be called after each change of the route set.
-func (c *Broker) OnListUpdate(f func()) { c.onList = f }
+// OnListUpdate has f be called after each update of the endpoint list.
+func (b *Broker) OnListUpdate(f func()) { b.onListUpdate = f }
+
+// OnAttemptEnd has f be called with the end of each attempt. It must not call the broker.
+func (b *Broker) OnAttemptEnd(f func(name string, res balancer.Result)) { b.onAttemptEnd = f }
 
-// ListedEndpoints are the next hops that are listed and take work, bans apart.
-func (c *Broker) ListedEndpoints() []ListedEndpoint {
+// ListedEndpoints are the endpoints that the list has as ready, also those under maintenance, in no order.
+func (b *Broker) ListedEndpoints() []ListedEndpoint {
 	var list []ListedEndpoint
-	for _, h := range c.hops {
-		if !h.gone && h.listed.State == balancer.Ready {
-			list = append(list, ListedEndpoint{h.name, h.zone})
+	for _, e := range b.endpoints {
+		if !e.removed && e.listed.State == balancer.Ready {
+			list = append(list, ListedEndpoint{e.name, e.zone})
 		}
 	}
 	return list
 }
 
-// SetSubset has the core give work to the named next hops only; nil: to all.
-func (c *Broker) SetSubset(names map[string]bool) {
-	was := c.uses
-	c.uses = names
-	for name := range c.ids {
-		if (was == nil || was[name]) != (names == nil || names[name]) {
-			c.again(name, false)
+// SetSubset has only the named endpoints get new attempts; nil: all of them.
+func (b *Broker) SetSubset(names map[string]bool) {
+	before := b.subset
+	b.subset = names
+	for name := range b.idByName {
+		if (before == nil || before[name]) != (names == nil || names[name]) {
+			b.refresh(name)
 		}
 	}
 }
 
-// OnAttemptEnd has f be called with the end of each branch. It must not call back.
-func (c *Broker) OnAttemptEnd(f func(name string, res balancer.Result)) { c.onEnd = f }
-
-// SetEjected has the core give nothing to the named next hops until it is called again.
-func (c *Broker) SetEjected(names map[string]bool) {
-	was := c.shuns
-	c.shuns = names
-	for name := range c.ids {
-		if was[name] != names[name] {
-			c.again(name, false)
+// SetEjected has the named endpoints, which the group's outlier verdicts exclude, get no new attempts until
+// it is called again.
+func (b *Broker) SetEjected(names map[string]bool) {
+	before := b.ejected
+	b.ejected = names
+	for name := range b.idByName {
+		if before[name] != names[name] {
+			b.refresh(name)
 		}
 	}
 }
 
-// SubsetSize is how many next hops the core may give work to, of those that are listed and take work.
-func (c *Broker) SubsetSize() int {
+// SubsetSize is the number of listed, ready endpoints that are within the subset.
+func (b *Broker) SubsetSize() int {
 	n := 0
-	for _, l := range c.ListedEndpoints() {
-		if c.uses == nil || c.uses[l.Name] {
+	for _, e := range b.ListedEndpoints() {
+		if b.subset == nil || b.subset[e.Name] {
 			n++
 		}
 	}
 	return n
 }
-
-// over gives a line of the route set as the module is to see it.
-func (c *Broker) over(name string, w balancer.Worker) balancer.Worker {
-	w = c.bans.over(name, w)
-	if (c.uses != nil && !c.uses[name] || c.shuns[name]) && w.State == balancer.Ready {
-		w.State = balancer.Draining
-	}
-	return w
-}
