--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -493,9 +493,9 @@
 	if ill := behind.b.illness(behind.now, behind.b.byID[list[0].ID]); ill > 1 {
 		t.Errorf("by a clock that is behind a worker is ill by %v", ill)
 	}
-	second.b.RestoreLearned(second.now, LearnedState{Ratio: 1, Usual: []float64{1}}) // of other settings
+	second.b.RestoreLearned(second.now, LearnedState{HintRatio: 1, ClassRunTimes: []float64{1}}) // of other settings
 	// A process of before the hints' measure tells no full workers, and counts by how long jobs run.
-	m.Full, m.Loads[0], m.Ratio = nil, [2]float64{8, 4}, 2
+	m.FullKindLoads, m.KindLoads[0], m.HintRatio = nil, [2]float64{8, 4}, 2
 	older := newSeeded(t, set, 4)
 	older.now = first.now
 	older.members(ListCached, list[0], list[1], cold)
--- a/internal/proxy/hotrestart/message.go
+++ b/internal/proxy/hotrestart/message.go
@@ -106,17 +106,17 @@
 			*t += by
 		}
 	}
-	move(&m.WaitT)
-	move(&m.Surveyed)
-	for i := range m.Allowances {
-		move(&m.Allowances[i].At)
+	move(&m.RecentWaitAt)
+	move(&m.AveragedAt)
+	for i := range m.Quotas {
+		move(&m.Quotas[i].UpdatedAt)
 	}
 	for id, w := range m.Workers {
-		move(&w.WaitT)
-		move(&w.IllT)
-		move(&w.Since)
-		for i := range w.Sent {
-			move(&w.Sent[i].At)
+		move(&w.LastWaitAt)
+		move(&w.FailureScoreAt)
+		move(&w.StartedAt)
+		for i := range w.SlowStartSent {
+			move(&w.SlowStartSent[i].At)
 		}
 		m.Workers[id] = w
 	}
--- a/internal/proxy/hotrestart/rebase_test.go
+++ b/internal/proxy/hotrestart/rebase_test.go
@@ -20,11 +20,11 @@
 		},
 		WorkerStarts: map[string]WorkerStart{"a": {Reported: 7, At: at}},
 		Balancer: balancer.LearnedState{
-			WaitT:      at,
-			Surveyed:   at,
-			Allowances: []balancer.TenantQuota{{Left: 3, At: at}},
-			Workers: map[balancer.WorkerID]balancer.WorkerRecord{1: {Pace: 1, WaitT: at, IllT: at, Since: at,
-				Sent: []balancer.SentWork{{At: at, Work: 2}}}},
+			RecentWaitAt: at,
+			AveragedAt:   at,
+			Quotas:       []balancer.TenantQuota{{Tokens: 3, UpdatedAt: at}},
+			Workers: map[balancer.WorkerID]balancer.WorkerRecord{1: {RunTimeFactor: 1, LastWaitAt: at, FailureScoreAt: at, StartedAt: at,
+				SlowStartSent: []balancer.SentWork{{At: at, Work: 2}}}},
 		},
 	}
 }
