--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -186,7 +186,7 @@
 		r.pass(1500 * time.Millisecond) // the aim is 0.2 s and twice the running time
 		if busy {
 			for _, w := range r.b.workers {
-				w.others = 10
+				w.othersInFlight = 10
 			}
 		}
 		r.end(&r.sends[lost], ConnectionReset)
@@ -205,7 +205,7 @@
 	set.Tenants = []Tenant{{CapacityShare: 0.5, QuotaPerSecond: 1}, {CapacityShare: 0.5, QuotaPerSecond: 100}}
 	r := newRecorder(t, set)
 	r.members(ListFull, fleet(8)...)
-	r.b.tenants[0].at = r.now // its allowance is used up
+	r.b.quotas[0].updatedAt = r.now // its allowance is used up
 	send := func(n, tenant int) *recSend {
 		q := job(n, safeClass)
 		q.Tenant = tenant
@@ -233,7 +233,7 @@
 	}
 	r.pass(3 * time.Second)
 	for i := range 10 {
-		if send(200+i, 0) != nil && i >= spare { // what it has saved up is not excess
+		if send(200+i, 0) != nil && i >= minQuotaBurst { // what it has saved up is not excess
 			t.Fatal("excess was sent soon after jobs were turned away")
 		}
 	}
@@ -253,7 +253,7 @@
 			r.request(job(100+i, safeClass))
 			r.end(r.last(), WorkerFull)
 		}
-		if got := r.b.usualWait(r.now) > 0; got != told {
+		if got := r.b.fadedRecentWait(r.now) > 0; got != told {
 			t.Errorf("starts told %v: a wait is usual %v", told, got)
 		}
 	}
@@ -267,7 +267,7 @@
 	r.members(ListFull, fleet(2)...)
 	for i := range 20 {
 		r.request(job(i, safeClass))
-		if r.b.open[job(i, safeClass).ID].excess {
+		if r.b.requestByID[job(i, safeClass).ID].overQuota {
 			t.Fatal("a request of a tenant that is not limited is excess")
 		}
 		r.pass(50 * time.Millisecond)
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -82,8 +82,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.ReportsStart, set.Limits.HedgedRequests, set.ProgressInterval = true, c.copies,
-				200*time.Millisecond
+			set.ReportsStart, set.Limits.HedgedRequests, set.ProgressInterval = true, c.copies, 200*time.Millisecond
 			r := newRecorder(t, set)
 			r.members(ListFull, fleet(4)...)
 			r.request(job(0, c.class))
@@ -194,9 +193,9 @@
 		}
 		r.end(&r.sends[1], OK)
 		r.request(job(1, safeClass))
-		r.b.ClientDisconnected(r.now, "r1")
+		r.b.ClientDisconnected("r1")
 		r.reqs["r1"].final = "gone"
-		r.b.ClientDisconnected(r.now, "r1")
+		r.b.ClientDisconnected("r1")
 		want := []string{"r0/0", "r1/0"}
 		if !allowed {
 			want = nil
@@ -218,8 +217,8 @@
 			t.Errorf("class %d: %q after %d sends, want failed after 1", class, q.final, len(r.sends))
 		}
 		for _, w := range r.b.workers {
-			if w.ill != 0 || w.own != 0 {
-				t.Errorf("class %d: worker %d is ill by %v and holds %v", class, w.ID, w.ill, w.own)
+			if w.failureScore != 0 || w.inFlight != 0 {
+				t.Errorf("class %d: worker %d is ill by %v and holds %v", class, w.ID, w.failureScore, w.inFlight)
 			}
 		}
 	}
@@ -233,12 +232,12 @@
 	r.members(ListFull, fleet(40)...)
 	r.pass(time.Minute)
 	r.request(job(0, safeClass))
-	r.b.ClientDisconnected(r.now, "r0")
+	r.b.ClientDisconnected("r0")
 	r.reqs["r0"].final = "gone"
 	r.request(job(1, safeClass))
 	r.pass(time.Second)
-	if len(r.sends) != 1 || r.last().id != "r1" || len(r.b.asking) != 0 {
-		t.Errorf("sends %v, %d still asking; want r1 alone", r.sends, len(r.b.asking))
+	if len(r.sends) != 1 || r.last().id != "r1" || len(r.b.waiting) != 0 {
+		t.Errorf("sends %v, %d still asking; want r1 alone", r.sends, len(r.b.waiting))
 	}
 }
 
@@ -255,13 +254,13 @@
 		q := job(0, keyedClass)
 		q.Timeout = 10 * window
 		r.request(q)
-		r.pass(window - stall + c.after)
+		r.pass(window - maxStall + c.after)
 		r.end(&r.sends[0], ConnectionReset)
 		if len(r.sends) != c.sends {
 			t.Errorf("%v from a stall before the window's end: %d sends, want %d", c.after, len(r.sends),
 				c.sends)
 		}
-		if c.sends == 2 && (!r.b.StillAllowed(r.now, q.ID, 1) || r.b.StillAllowed(r.now+stall, q.ID, 1)) {
+		if c.sends == 2 && (!r.b.StillAllowed(r.now, q.ID, 1) || r.b.StillAllowed(r.now+maxStall, q.ID, 1)) {
 			t.Error("a repeat that waits to be written is allowed beyond the window, or not within it")
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,112 +1,142 @@
 package balancer
 
-// The decisions. The interface (settings, events, actions) is in api.go.
-//
-// The mechanism is the power-of-d(N) scheme of Mukherjee, Borst, van Leeuwaarden and Whiting: a job
-// draws d distinct workers and joins the one with the fewest unfinished jobs. See pick.
-
 import (
 	"math"
 	"time"
 )
 
+// The constants of the decisions. Those without a source were chosen by runs of the simulator and of the
+// model world; docs/measurements.md has the figures.
 const (
-	// blend is the weight of a new success, failure or probe's report, slow that of what varies far more:
-	// a running time or a report in an answer; a quarter of it that of one worker's own times.
-	blend, slow = 0.3, 0.08
-	doubt       = 4    // seconds of full workers that count for as much as all that was seen of a kind
-	nearly      = 0.25 // the part of its slots that a full worker may have free
-	outlier     = 4    // how many usual running times a single one may count for
-	suspect     = 0.25 // how ill a worker left out is; for an unsafe job, which an error loses, half
-	drain       = 2    // how fast a wait seen is taken to shorten; figures are flat from 2 to 8
-	early       = 0.25 // the part of a usual running time from which a wait counts for one
-	quiet       = 3    // after how many notes that did not come a worker is silent
-	home        = 0.25 // how many jobs a step of one worker away from home counts for
-	far         = 10   // how much load crossing rooms counts for, as a multiple of its price
-	farthest    = 0.5  // and at most: a near worker half taken is no better than an idle far one
-	spare       = 5    // how many requests a tenant can save up at least; else those of Cold
-	choices     = 3    // how many workers are asked for their loads
-	brief       = 16   // the part of its aim for which a job waits for their answers
-	many        = 8    // dispatchers that don't ask for the list at once
-	firstAsks   = 16   // the part of the shortest deadline over which they ask for it at their start
-	firstList   = 2    // the part of it, and of their own, for which requests wait for the first list
-	// longestAsk is the longest wait before the list is asked for again. Hazard: when its service is back
-	// after a long outage, all that it has to tell counts as told 6 s later.
-	longestAsk = 4 * time.Second
-	stale      = 2    // news older than so many of the shortest deadlines says nothing of a queue
-	tiny       = 1e-9 // keeps divisors off zero
-	// stall is how long a process may be held up between reading its clock and writing.
-	stall = 150 * time.Millisecond
+	// fastWeight is the weight of a new success, failure or health check in its average. slowWeight is that
+	// of what varies far more, a running time or the load report of a response; a quarter of it that of a
+	// worker's own running times.
+	fastWeight, slowWeight = 0.3, 0.08
+	// fullPriorSeconds: so many seconds of full workers count as much as all that was observed of a kind.
+	fullPriorSeconds = 4
+	// nearlyFullShare of its slots may be free at a worker that counts as full.
+	nearlyFullShare = 0.25
+	// maxRunTimeFactor is how many usual running times a single one may count for.
+	maxRunTimeFactor = 4
+	// ejectionScore is the failure score from which a worker is ejected. For a non-idempotent request, which
+	// a failure loses, half of it is enough.
+	ejectionScore = 0.25
+	// waitDrainRate is how many seconds an observed wait shortens by each second. Scores are flat from 2 to
+	// 8.
+	waitDrainRate = 2
+	// earlyWaitShare of a usual running time is the least wait that counts as one.
+	earlyWaitShare = 0.25
+	// silentIntervals: a worker that has missed so many progress reports is unresponsive.
+	silentIntervals = 3
+	// homeStepLoad is how many requests each worker between a dispatcher's home and a worker counts for.
+	homeStepLoad = 0.25
+	// crossZoneLoad is how much load another zone counts for, as a multiple of its cost.
+	crossZoneLoad = 10
+	// maxCrossZoneLoad bounds that: a worker of this zone that is half full is no better than an idle remote
+	// one.
+	maxCrossZoneLoad = 0.5
+	// minQuotaBurst is the least number of requests that a tenant's token bucket holds.
+	minQuotaBurst = 5
+	// checkedChoices is how many workers of a draw are asked for load reports.
+	checkedChoices = 3
+	// checkWaitDivisor: a request waits this part of its latency objective for the load reports.
+	checkWaitDivisor = 16
+	// manyDispatchers is how many must not request the list at the same time.
+	manyDispatchers = 8
+	// firstListSpread: many dispatchers spread their first calls for the list over this part of the least
+	// timeout.
+	firstListSpread = 16
+	// firstListDivisor: requests wait for the first list for this part of the least timeout, and of their
+	// own.
+	firstListDivisor = 2
+	// maxListBackoff is the longest wait before the list is requested again. Hazard: when its service is back
+	// after a long outage, all that it has to report counts as reported 6 s later.
+	maxListBackoff = 4 * time.Second
+	// staleTimeouts: load reports older than so many of the least timeouts say nothing about a queue.
+	staleTimeouts = 2
+	// epsilon keeps divisors off zero.
+	epsilon = 1e-9
+	// maxStall is how long a process may be stalled between reading its clock and writing to a socket.
+	maxStall = 150 * time.Millisecond
 )
 
-// place gives a request with no attempt out its next one, perhaps after asking, or its final answer.
+// place gives a request without an attempt in flight its next one, maybe after waiting for load reports, or
+// its final response.
 func (b *Balancer) place(now time.Duration, q *request) {
-	if !b.ask(now, q) && !b.try(now, q) {
-		b.answer(q)
+	if !b.waitForNews(now, q) && !b.startAttempt(now, q) {
+		b.rejectOrFail(q)
 	}
 }
 
-// try starts an attempt if a worker is eligible and the wait there worth it.
+// startAttempt starts an attempt if a worker is eligible and the wait there acceptable, and reports whether
+// it has.
 //
-// Where its route has tiers, the first is tried that has one, and the next ones as the route says; those
-// that are not trusted come after all tiers.
-func (b *Balancer) try(now time.Duration, q *request) bool {
-	for q.start(); ; {
-		w := b.pick(now, q)
-		if w != nil && (w.owed && len(q.tries) == 0 || b.worthIt(now, q, w)) {
+// Where the request's route has tiers, the first one with such a worker is used, as far as the route lets the
+// request spill over. Ejected workers come after all tiers.
+func (b *Balancer) startAttempt(now time.Duration, q *request) bool {
+	for q.startRoute(); ; {
+		w := b.pickWorker(now, q)
+		if w != nil && (w.owedRequest && len(q.attempts) == 0 || b.worthWaiting(now, q, w)) {
 			b.send(now, q, w)
 			return true
 		}
-		if !q.spills(w != nil) {
+		if !q.nextTier(w != nil) {
 			return false
 		}
 	}
 }
 
-// sweepEvery is the time between sweeps: an overdue answer must fall into the slack.
-func (b *Balancer) sweepEvery() time.Duration {
-	return max(b.set.Rules.ResponseSlack/2, b.set.MinEventInterval, time.Millisecond)
+// sweepInterval is the time between sweeps: an overdue response must fall into the response slack.
+func (b *Balancer) sweepInterval() time.Duration {
+	return max(b.settings.Rules.ResponseSlack/2, b.settings.MinEventInterval, time.Millisecond)
 }
 
 // sweep does what no event calls for.
 func (b *Balancer) sweep(now time.Duration) {
-	if b.set.ReportsStart {
-		for _, q := range b.list {
-			for i := range q.tries {
-				if t := &q.tries[i]; !t.ended && t.start == 0 {
-					t.w.stuck = max(t.w.stuck, (now - t.sent).Seconds())
-				}
-			}
-		}
+	if b.settings.ReportsStart {
+		b.updateUnstartedWaits(now)
 	}
 	b.hedge(now)
-	for i := len(b.list) - 1; i >= 0; i-- {
-		// Hazard: no attempt's end comes, and the client's time runs out without an answer.
-		if q := b.list[i]; !q.over && now >= q.deadline {
-			b.answer(q)
+	for i := len(b.requests) - 1; i >= 0; i-- {
+		// Hazard: an attempt's end is never reported, and the client's time runs out without a response.
+		if q := b.requests[i]; !q.responded && now >= q.deadline {
+			b.rejectOrFail(q)
 		}
 	}
-	b.release(now)
-	b.survey(now)
-	if b.refused+b.failed > 0 && now >= b.logged+b.patience {
-		b.logged = now
-		b.act.Log(b.summary(now))
+	b.releaseWaiting(now)
+	b.updateAverages(now)
+	if b.rejectedCount+b.failedCount > 0 && now >= b.loggedAt+b.minTimeout {
+		b.loggedAt = now
+		b.actions.Log(b.summary(now))
+	}
+}
+
+// updateUnstartedWaits updates how long workers have left attempts unstarted.
+func (b *Balancer) updateUnstartedWaits(now time.Duration) {
+	for _, q := range b.requests {
+		for i := range q.attempts {
+			if a := &q.attempts[i]; !a.ended && a.startedAt == 0 {
+				a.worker.unstartedWait = max(a.worker.unstartedWait, (now - a.sentAt).Seconds())
+			}
+		}
 	}
 }
 
-// survey keeps the averages, which go back a warm-up. Hazard: each sweep looks at every worker of many.
-func (b *Balancer) survey(now time.Duration) {
-	past := max(b.set.Rules.SlowStartWindow, time.Second)
-	if now < b.surveyed+past/64 {
+// updateAverages fades the averages, which go back one slow-start window, and adds the time that has passed.
+//
+// Hazard: each sweep would visit every worker of many; so this runs 64 times in a window.
+func (b *Balancer) updateAverages(now time.Duration) {
+	window := max(b.settings.Rules.SlowStartWindow, time.Second)
+	if now < b.averagedAt+window/64 {
 		return
 	}
-	dt := (now - b.surveyed).Seconds()
-	b.surveyed = now
-	b.fade(math.Exp(-dt / past.Seconds()))
-	b.watched += dt
+	dt := (now - b.averagedAt).Seconds()
+	b.averagedAt = now
+	b.fadeAverages(math.Exp(-dt / window.Seconds()))
+	b.observedSeconds += dt
 	for _, w := range b.workers {
-		if w.State == Ready && b.warmth(now, w) == 1 {
-			b.loads[w.Kind].add(0, dt, w.full)
+		if w.State == Ready && b.warmUpFactor(now, w) == 1 {
+			b.kindLoads[w.Kind].add(0, dt, w.lastReportFull)
 		}
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -19,36 +19,16 @@
 // testSettings is a deployment that allows everything and has one class of each effect.
 func testSettings() Settings {
 	class := func(e Idempotency, sc KeyScope) Class {
-		return Class{
-			LatencyObjective: 200 * time.Millisecond,
-			ObjectiveStretch: 2,
-			Timeout:          5 * time.Second,
-			PriorityWeight:   1,
-			LateShare:        0.3,
-			Idempotency:      e,
-			KeyScope:         sc,
-			KeyWindow:        2 * time.Second,
-			WorkerKind:       -1,
-		}
+		return Class{LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Timeout: 5 * time.Second, PriorityWeight: 1,
+			LateShare: 0.3, Idempotency: e, KeyScope: sc, KeyWindow: 2 * time.Second, WorkerKind: -1}
 	}
 	return Settings{
 		DispatcherCount: 1,
-		Classes: []Class{
-			class(Idempotent, ScopeAll),
-			class(IdempotentByKey, ScopeCell),
-			class(NonIdempotent, ScopeAll),
-		},
-		Limits: Limits{
-			MaxAttempts:    3,
-			CanCancel:      true,
-			HealthChecks:   true,
-			PeerMessages:   true,
-			HedgedRequests: true,
-			MaxRetryAfter:  time.Second,
-		},
+		Classes:         []Class{class(Idempotent, ScopeAll), class(IdempotentByKey, ScopeCell), class(NonIdempotent, ScopeAll)},
+		Limits: Limits{MaxAttempts: 3, CanCancel: true, HealthChecks: true, PeerMessages: true, HedgedRequests: true,
+			MaxRetryAfter: time.Second},
 		Rules: Rules{ResponseSlack: 20 * time.Millisecond, ListPollInterval: 10 * time.Second,
-			DrainGrace: time.Second, SlowStartMinShare: 0.2, SlowStartWindow: 10 * time.Second,
-			OverloadFactor: 3,
+			DrainGrace: time.Second, SlowStartMinShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadFactor: 3,
 			OverloadWindow: 2 * time.Second},
 		Goal:             Goal{Overall: 1},
 		MinEventInterval: time.Millisecond,
@@ -149,12 +129,12 @@
 		}
 		r.pass(6 * time.Second)
 		for _, w := range r.b.workers {
-			if w.own != 0 {
-				t.Errorf("after result %d worker %d holds %v", res, w.ID, w.own)
+			if w.inFlight != 0 {
+				t.Errorf("after result %d worker %d holds %v", res, w.ID, w.inFlight)
 			}
 		}
-		if len(r.b.open) != 0 || len(r.b.list) != 0 {
-			t.Errorf("after result %d, %d requests are open", res, len(r.b.open))
+		if len(r.b.requestByID) != 0 || len(r.b.requests) != 0 {
+			t.Errorf("after result %d, %d requests are open", res, len(r.b.requestByID))
 		}
 	}
 }
@@ -221,11 +201,11 @@
 		do   func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"Classes[1].Deadline", func(s *Settings) { s.Classes[1].Timeout = 0 }},
-		{"Classes[0].Kind", func(s *Settings) { s.Classes[0].WorkerKind = 7 }},
-		{"Limits.Attempts", func(s *Settings) { s.Limits.MaxAttempts = -1 }},
-		{"Rules.ColdShare", func(s *Settings) { s.Rules.SlowStartMinShare = 2 }},
-		{"Me", func(s *Settings) { s.DispatcherIndex = 1 }},
+		{"Classes[1].Timeout", func(s *Settings) { s.Classes[1].Timeout = 0 }},
+		{"Classes[0].WorkerKind", func(s *Settings) { s.Classes[0].WorkerKind = 7 }},
+		{"Limits.MaxAttempts", func(s *Settings) { s.Limits.MaxAttempts = -1 }},
+		{"Rules.SlowStartMinShare", func(s *Settings) { s.Rules.SlowStartMinShare = 2 }},
+		{"DispatcherIndex", func(s *Settings) { s.DispatcherIndex = 1 }},
 		{"Zone", func(s *Settings) { s.ZoneCount, s.Zone = 2, 2 }},
 	} {
 		set := testSettings()
@@ -250,15 +230,15 @@
 	r.b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Attempt: 9, Result: ServerError})  // unknown attempt
 	r.b.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: -1, Started: true}) // unknown attempt
 	r.b.AttemptProgressed(r.now, AttemptProgress{ID: "nobody", Started: true})          // unknown
-	r.b.HealthChecked(r.now, 9999, OK, 0, NoLoadReport)                                 // unknown worker
+	r.b.HealthChecked(r.now, 9999, OK, NoLoadReport)                                    // unknown worker
 	r.b.TimerFired(r.now, 12345)                                                        // unknown timer
-	r.b.ClientDisconnected(r.now, "nobody")                                             // unknown
+	r.b.ClientDisconnected("nobody")                                                    // unknown
 	r.end(s, OK)                                                                        // the one that counts
 	r.b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Worker: s.w, Result: ServerError}) // repeated
 	r.request(Request{ID: "late", Class: unsafeClass})                                  // no time left
 	for _, w := range r.b.workers {
-		if w.own != 0 {
-			t.Errorf("worker %d holds %v", w.ID, w.own)
+		if w.inFlight != 0 {
+			t.Errorf("worker %d holds %v", w.ID, w.inFlight)
 		}
 	}
 	if len(r.sends) != 1 {
@@ -302,16 +282,16 @@
 		case 7:
 			rep := freeSlots(float64(x % 5))
 			rep.QueueLength = float64(x / 8 % 5)
-			r.b.HealthChecked(r.now, WorkerID(100+x%6), OK, 0, rep)
+			r.b.HealthChecked(r.now, WorkerID(100+x%6), OK, rep)
 		}
 	}
 	r.pass(6 * time.Second)
-	if len(r.b.open) != 0 {
-		t.Fatalf("%d requests are open after all deadlines", len(r.b.open))
+	if len(r.b.requestByID) != 0 {
+		t.Fatalf("%d requests are open after all deadlines", len(r.b.requestByID))
 	}
 	for _, w := range r.b.workers {
-		if w.own != 0 {
-			t.Fatalf("worker %d holds %v after all ended", w.ID, w.own)
+		if w.inFlight != 0 {
+			t.Fatalf("worker %d holds %v after all ended", w.ID, w.inFlight)
 		}
 	}
 }
@@ -382,23 +362,11 @@
 
 // A change of the classes under load: what is open keeps its terms, what comes has the new.
 func TestConfigureKeepsOpenRequests(t *testing.T) {
-	r := newRecorder(
-		t,
-		Settings{Classes: []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: time.Second,
-			PriorityWeight: 1, MaxAttempts: 2, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 5},
-			WorkerKinds: 1},
-	)
+	r := newRecorder(t, Settings{Classes: []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: time.Second,
+		PriorityWeight: 1, MaxAttempts: 2, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 5}, WorkerKinds: 1})
 	b := r.b
-	set := b.set
-	set.Classes = []Class{
-		{
-			Name:             "c",
-			Timeout:          10 * time.Second,
-			LatencyObjective: 2 * time.Second,
-			PriorityWeight:   7,
-			WorkerKind:       -1,
-		},
-	}
+	set := b.settings
+	set.Classes = []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 7, WorkerKind: -1}}
 	r.members(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}, Worker{ID: 3, State: Ready})
 	r.request(Request{ID: "old", Timeout: 10 * time.Second})
 	if err := b.CanConfigure(set); err != nil {
@@ -406,13 +374,13 @@
 	}
 	b.Configure(set)
 	r.request(Request{ID: "new", Timeout: 10 * time.Second})
-	if got := b.attempts(b.open["old"]); got != 2 {
+	if got := b.maxAttempts(b.requestByID["old"]); got != 2 {
 		t.Errorf("an open request has %d attempts, came with 2", got)
 	}
-	if got := b.attempts(b.open["new"]); got != 5 {
+	if got := b.maxAttempts(b.requestByID["new"]); got != 5 {
 		t.Errorf("a new request has %d attempts, not the 5 of the limits", got)
 	}
-	if b.open["old"].class.PriorityWeight != 1 || b.open["new"].class.PriorityWeight != 7 {
+	if b.requestByID["old"].class.PriorityWeight != 1 || b.requestByID["new"].class.PriorityWeight != 7 {
 		t.Error("a request does not have the class that it came with")
 	}
 	for _, spoil := range []func(*Class){
@@ -447,9 +415,9 @@
 	cold := list[2]
 	cold.StartedAt = first.now
 	first.members(ListDelta, cold)
-	first.b.byID[cold.ID].sent = []load{{first.now, 7}}
+	first.b.workerByID[cold.ID].slowStartSent = []sentWork{{first.now, 7}}
 	for range 3 {
-		first.b.fails(first.now, first.b.byID[list[0].ID])
+		first.b.observeFailure(first.now, first.b.workerByID[list[0].ID])
 	}
 	first.request(job(1000, safeClass))
 
@@ -465,23 +433,23 @@
 	second.now = first.now
 	second.members(ListCached, list[0], list[1], cold)
 	second.b.RestoreLearned(second.now, m)
-	if w := second.b.byID[cold.ID]; len(w.sent) != 1 || w.sent[0].work != 7 {
-		t.Errorf("what was spent on the cold worker: %v", w.sent)
+	if w := second.b.workerByID[cold.ID]; len(w.slowStartSent) != 1 || w.slowStartSent[0].work != 7 {
+		t.Errorf("what was spent on the cold worker: %v", w.slowStartSent)
 	}
-	if second.b.illness(second.now, second.b.byID[list[0].ID]) < suspect {
+	if second.b.fadedFailureScore(second.now, second.b.workerByID[list[0].ID]) < ejectionScore {
 		t.Error("the failing worker is trusted")
 	}
 	out := 0.0
 	for id, n := range first.b.InFlight() {
 		second.b.SetOtherInFlight(id, n)
-		out += second.b.held(second.now, second.b.byID[id])
+		out += second.b.slotsInUse(second.now, second.b.workerByID[id])
 	}
-	if out != 1 || second.b.mean != first.b.mean || second.b.ratio != first.b.ratio {
-		t.Errorf("%v jobs are out, the usual time is %v, was %v", out, second.b.mean, first.b.mean)
+	if out != 1 || second.b.meanRunTime != first.b.meanRunTime || second.b.hintRatio != first.b.hintRatio {
+		t.Errorf("%v jobs are out, the usual time is %v, was %v", out, second.b.meanRunTime, first.b.meanRunTime)
 	}
 	for id := range first.b.InFlight() { // and they end
 		second.b.SetOtherInFlight(id, 0)
-		if n := second.b.held(second.now, second.b.byID[id]); n != 0 {
+		if n := second.b.slotsInUse(second.now, second.b.workerByID[id]); n != 0 {
 			t.Errorf("%v jobs are out of a process that has none", n)
 		}
 	}
@@ -490,7 +458,7 @@
 	behind.now = first.now - time.Minute
 	behind.members(ListCached, list[0], list[1], cold)
 	behind.b.RestoreLearned(behind.now, m)
-	if ill := behind.b.illness(behind.now, behind.b.byID[list[0].ID]); ill > 1 {
+	if ill := behind.b.fadedFailureScore(behind.now, behind.b.workerByID[list[0].ID]); ill > 1 {
 		t.Errorf("by a clock that is behind a worker is ill by %v", ill)
 	}
 	second.b.RestoreLearned(second.now, LearnedState{HintRatio: 1, ClassRunTimes: []float64{1}}) // of other settings
@@ -500,7 +468,7 @@
 	older.now = first.now
 	older.members(ListCached, list[0], list[1], cold)
 	older.b.RestoreLearned(older.now, m)
-	if rate, sent := older.b.warmRate(0), older.b.byID[cold.ID].sent[0].work; rate != 1 || sent != 3.5 {
+	if rate, sent := older.b.warmRate(0), older.b.workerByID[cold.ID].slowStartSent[0].work; rate != 1 || sent != 3.5 {
 		t.Errorf("from an older process a warm worker bears %v, want 1; 7 spent are %v, want 3.5", rate, sent)
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -26,21 +26,10 @@
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			host := &idle{}
-			bal, err := New(
-				Settings{WorkerKinds: 1, ZoneCount: 1, DispatcherCount: 1, Limits: Limits{MaxAttempts: 5},
-					Classes: []Class{
-						{
-							Name:             "c",
-							LatencyObjective: time.Second,
-							Timeout:          5 * time.Second,
-							PriorityWeight:   1,
-							WorkerKind:       -1,
-						},
-					},
-					Goal: Goal{Overall: 1}},
-				1,
-				host,
-			)
+			bal, err := New(Settings{WorkerKinds: 1, ZoneCount: 1, DispatcherCount: 1, Limits: Limits{MaxAttempts: 5},
+				Classes: []Class{{Name: "c", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 1,
+					WorkerKind: -1}},
+				Goal: Goal{Overall: 1}}, 1, host)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -54,11 +43,8 @@
 			for b.Loop() {
 				now += 100 * time.Microsecond
 				bal.Submit(now, Request{ID: "r", Timeout: 5 * time.Second})
-				bal.AttemptEnded(
-					now,
-					AttemptOutcome{ID: "r", Worker: host.to, Result: OK, Took: time.Millisecond,
-						Responded: true, Report: NoLoadReport},
-				)
+				bal.AttemptEnded(now, AttemptOutcome{ID: "r", Worker: host.to, Result: OK, Took: time.Millisecond,
+					Responded: true, Report: NoLoadReport})
 			}
 		})
 	}
--- a/balancer/configure.go
+++ b/balancer/configure.go
@@ -1,117 +1,113 @@
 package balancer
 
-// How a balancer is made, and which settings it takes.
-
 import (
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"time"
 )
 
-// New makes the balancer of one dispatcher. The same seed and events give the same actions.
-func New(set Settings, seed uint64, act Actions) (*Balancer, error) {
-	if err := check(&set, act); err != nil {
+// New makes the balancer of one dispatcher. The same seed and events give the same actions. It returns an
+// error that names the setting that is out of range.
+func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
+	if err := validate(&settings, actions); err != nil {
 		return nil, fmt.Errorf("balancer: %w", err)
 	}
+	classes, kinds := len(settings.Classes), settings.WorkerKinds
 	b := &Balancer{
-		set: set, act: act, rng: rand.New(rand.NewPCG(seed, 0)),
-		byID: map[WorkerID]*worker{}, open: map[RequestID]*request{},
-		loads: make([]kindLoad, set.WorkerKinds), slots: make([]float64, set.WorkerKinds),
-		usual: make([]float64, len(set.Classes)), tallies: make([]tally, len(set.Classes)),
-		values:   make([]float64, len(set.Classes)),
-		patience: set.Classes[0].Timeout, ratio: 1, tenants: make([]allowance, len(set.Tenants)),
-	}
-	for range set.WorkerKinds {
-		b.paces = append(b.paces, 1)
+		settings: settings, actions: actions, rng: rand.New(rand.NewPCG(seed, 0)),
+		workerByID: map[WorkerID]*worker{}, requestByID: map[RequestID]*request{},
+		kindLoads: make([]kindLoad, kinds), kindSlots: make([]float64, kinds),
+		classRunTimes: make([]float64, classes), classTallies: make([]tally, classes),
+		rateBuffer: make([]float64, classes), hintRatio: 1,
+		quotas:     make([]quotaBucket, len(settings.Tenants)),
+		minTimeout: minTimeout(settings.Classes),
 	}
-	for _, c := range set.Classes {
-		b.patience = min(b.patience, c.Timeout)
+	for range kinds {
+		b.kindRunTimeFactors = append(b.kindRunTimeFactors, 1)
 	}
 	return b, nil
 }
 
-// CanConfigure says whether Configure may be called with the settings: as many classes
-// and tenants as before, under the same names, and the same word on what may run again.
-func (b *Balancer) CanConfigure(set Settings) error {
-	if err := check(&set, b.act); err != nil {
+// minTimeout is the least timeout of the classes.
+func minTimeout(classes []Class) time.Duration {
+	least := classes[0].Timeout
+	for i := range classes {
+		least = min(least, classes[i].Timeout)
+	}
+	return least
+}
+
+// CanConfigure returns an error if Configure must not be called with the settings. They must have the same
+// classes and tenants, under the same names, and the same idempotency for each class.
+func (b *Balancer) CanConfigure(settings Settings) error {
+	if err := validate(&settings, b.actions); err != nil {
 		return err
 	}
-	if len(set.Classes) != len(b.set.Classes) || len(set.Tenants) != len(b.set.Tenants) {
+	if len(settings.Classes) != len(b.settings.Classes) || len(settings.Tenants) != len(b.settings.Tenants) {
 		return errors.New("classes and tenants can't come or go while the dispatcher runs")
 	}
-	for i, c := range set.Classes {
-		was := &b.set.Classes[i]
-		if c.Name != was.Name || c.Idempotency != was.Idempotency || c.KeyScope != was.KeyScope ||
-			c.WorkerKind != was.WorkerKind ||
-			c.Streaming != was.Streaming ||
-			c.KeyWindow != was.KeyWindow {
-			return fmt.Errorf("class %q: name, effect, scope, window, kind and stream can't change", was.Name)
+	for i := range settings.Classes {
+		if current := &b.settings.Classes[i]; !settings.Classes[i].sameContract(current) {
+			return fmt.Errorf("class %q: name, effect, scope, window, kind and stream can't change",
+				current.Name)
 		}
 	}
-	for i, t := range set.Tenants {
-		if t.Name != b.set.Tenants[i].Name {
-			return fmt.Errorf("tenant %q: its name can't change", b.set.Tenants[i].Name)
+	for i, t := range settings.Tenants {
+		if t.Name != b.settings.Tenants[i].Name {
+			return fmt.Errorf("tenant %q: its name can't change", b.settings.Tenants[i].Name)
 		}
 	}
 	return nil
 }
 
-// Configure takes over the classes and tenants of settings that CanConfigure approves.
-// Requests that are open keep the class that they came with: what a client was promised
-// when its job was taken must hold to the end.
-func (b *Balancer) Configure(set Settings) {
-	b.set.Classes = slices.Clone(set.Classes)
-	b.set.Tenants = slices.Clone(set.Tenants)
-	// Dispatchers that agree with each other come and go, and their parts with them.
-	b.set.DispatcherIndex, b.set.DispatcherCount = set.DispatcherIndex, max(set.DispatcherCount, 1)
-	b.set.Rules.OverloadFactor = set.Rules.OverloadFactor
-	b.patience = b.set.Classes[0].Timeout
-	for _, c := range b.set.Classes {
-		b.patience = min(b.patience, c.Timeout)
-	}
+// sameContract reports whether two classes are the same in what may run twice, and where.
+func (c *Class) sameContract(o *Class) bool {
+	return c.Name == o.Name && c.Idempotency == o.Idempotency && c.KeyScope == o.KeyScope &&
+		c.KeyWindow == o.KeyWindow && c.WorkerKind == o.WorkerKind && c.Streaming == o.Streaming
+}
+
+// Configure applies the classes and tenants of settings that CanConfigure accepts. Open requests keep the
+// class that they came with: what a client was promised when its request was accepted must hold to the end.
+func (b *Balancer) Configure(settings Settings) {
+	b.settings.Classes = slices.Clone(settings.Classes)
+	b.settings.Tenants = slices.Clone(settings.Tenants)
+	// The number of dispatchers that agree with each other changes, and their parts of budgets with it.
+	b.settings.DispatcherIndex = settings.DispatcherIndex
+	b.settings.DispatcherCount = max(settings.DispatcherCount, 1)
+	b.settings.Rules.OverloadFactor = settings.Rules.OverloadFactor
+	b.minTimeout = minTimeout(b.settings.Classes)
 }
 
-// check names the setting that can't be decided with, and fills in what may be absent.
-func check(s *Settings, act Actions) error {
-	if act == nil {
+// validate returns an error that names a setting that is out of range, and fills in what may be absent.
+func validate(s *Settings, actions Actions) error {
+	if actions == nil {
 		return errors.New("no actions")
 	}
-	if len(s.Classes) == 0 {
-		return errors.New("settings: Classes: none given")
-	}
-	for i, c := range s.Classes {
-		if c.Timeout <= 0 {
-			return fmt.Errorf("settings: Classes[%d].Deadline: %v is not positive", i, c.Timeout)
-		}
-		if c.LatencyObjective < 0 || c.ObjectiveStretch < 0 || c.PriorityWeight < 0 || c.KeyWindow < 0 ||
-			c.Idempotency > NonIdempotent || c.KeyScope > ScopeCell || c.MaxAttempts < 0 {
-			return fmt.Errorf("settings: Classes[%d]: a value is out of range", i)
-		}
-		if c.WorkerKind < -1 || c.WorkerKind >= s.WorkerKinds && c.WorkerKind > 0 {
-			return fmt.Errorf(
-				"settings: Classes[%d].Kind: %d is not one of %d kinds",
-				i,
-				c.WorkerKind,
-				s.WorkerKinds,
-			)
-		}
+	if err := validateClasses(s); err != nil {
+		return err
 	}
 	r := &s.Rules
 	for _, v := range []struct {
 		name string
 		bad  bool
 	}{
-		{"Limits.Attempts", s.Limits.MaxAttempts < 0}, {"Limits.MaxRetryAfter", s.Limits.MaxRetryAfter < 0},
-		{"Rules.AnswerSlack", r.ResponseSlack < 0}, {"Rules.AskEvery", r.ListPollInterval < 0},
-		{"Rules.ColdShare", r.SlowStartMinShare < 0 || r.SlowStartMinShare > 1}, {"Rules.Cold",
-			r.SlowStartWindow < 0},
-		{"Rules.OverloadFactor", r.OverloadFactor < 0}, {"Rules.Fall", r.OverloadWindow < 0},
-		{"Rules.Budget", r.RetryBudgetWindow < 0}, {"Rules.FreeFurther", r.RetryBudgetBase < 0},
-		{"Rules.FurtherShare", r.RetryBudgetShare < 0},
-		{"Fleet", s.DispatcherCount < 0}, {"Me", s.DispatcherIndex < 0 || s.DispatcherCount > 0 &&
-			s.DispatcherIndex >= s.DispatcherCount},
-		{"Zone", s.Zone < 0 || s.ZoneCount > 0 && s.Zone >= s.ZoneCount}, {"Kinds", s.WorkerKinds < 0},
+		{"Limits.MaxAttempts", s.Limits.MaxAttempts < 0},
+		{"Limits.MaxRetryAfter", s.Limits.MaxRetryAfter < 0},
+		{"Rules.ResponseSlack", r.ResponseSlack < 0},
+		{"Rules.ListPollInterval", r.ListPollInterval < 0},
+		{"Rules.SlowStartMinShare", r.SlowStartMinShare < 0 || r.SlowStartMinShare > 1},
+		{"Rules.SlowStartWindow", r.SlowStartWindow < 0},
+		{"Rules.OverloadFactor", r.OverloadFactor < 0},
+		{"Rules.OverloadWindow", r.OverloadWindow < 0},
+		{"Rules.RetryBudgetWindow", r.RetryBudgetWindow < 0},
+		{"Rules.RetryBudgetBase", r.RetryBudgetBase < 0},
+		{"Rules.RetryBudgetShare", r.RetryBudgetShare < 0},
+		{"DispatcherCount", s.DispatcherCount < 0},
+		{"DispatcherIndex", outOfRange(s.DispatcherIndex, s.DispatcherCount)},
+		{"Zone", outOfRange(s.Zone, s.ZoneCount)},
+		{"WorkerKinds", s.WorkerKinds < 0},
 	} {
 		if v.bad {
 			return fmt.Errorf("%s: out of range", v.name)
@@ -122,3 +118,26 @@
 	s.Limits.MaxAttempts = max(s.Limits.MaxAttempts, 1)
 	return nil
 }
+
+// outOfRange reports whether an index is none below count, where there is one.
+func outOfRange(index, count int) bool { return index < 0 || count > 0 && index >= count }
+
+func validateClasses(s *Settings) error {
+	if len(s.Classes) == 0 {
+		return errors.New("settings: Classes: none given")
+	}
+	for i, c := range s.Classes {
+		if c.Timeout <= 0 {
+			return fmt.Errorf("settings: Classes[%d].Timeout: %v is not positive", i, c.Timeout)
+		}
+		if c.LatencyObjective < 0 || c.ObjectiveStretch < 0 || c.PriorityWeight < 0 || c.KeyWindow < 0 ||
+			c.Idempotency > NonIdempotent || c.KeyScope > ScopeCell || c.MaxAttempts < 0 {
+			return fmt.Errorf("settings: Classes[%d]: a value is out of range", i)
+		}
+		if c.WorkerKind < -1 || c.WorkerKind >= s.WorkerKinds && c.WorkerKind > 0 {
+			return fmt.Errorf("settings: Classes[%d].WorkerKind: %d is not one of %d kinds", i, c.WorkerKind,
+				s.WorkerKinds)
+		}
+	}
+	return nil
+}
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -1,49 +1,49 @@
 package balancer
 
-// Decisions: which worker a request goes to: the draw of d(N) and the load that it compares.
+// Decisions: which worker a request goes to: the draw of d(N) workers, and the load that it compares.
 
 import (
 	"math"
 	"time"
 )
 
-// pick is the mechanism: draw d distinct eligible workers afresh, take the one that holds the
-// fewest of this dispatcher's unfinished jobs, ties at random. Nil if none is eligible. Where workers
-// were asked first, those that have answered are the draw.
-func (b *Balancer) pick(now time.Duration, q *request) *worker {
-	if w := b.creditor(now, q); w != nil {
+// pickWorker is the mechanism: draw d distinct eligible workers, and take the one with the least load, ties
+// at random. It returns nil if no worker is eligible. Where load reports were requested first, the workers
+// that have sent theirs are the draw.
+func (b *Balancer) pickWorker(now time.Duration, q *request) *worker {
+	if w := b.owedWorker(now, q); w != nil {
 		return w
 	}
 	var drawn []*worker
-	if q.heard > 0 {
-		drawn = b.eligible(now, q, q.asked[:q.heard])
+	if q.answered > 0 {
+		drawn = b.eligible(now, q, q.checked[:q.answered])
 	}
 	if len(drawn) == 0 {
-		if drawn = b.drawn(now, q); len(drawn) == 0 {
+		if drawn = b.drawWorkers(now, q); len(drawn) == 0 {
 			return nil
 		}
 	}
-	return b.least(now, q, drawn)
+	return b.leastLoaded(now, q, drawn)
 }
 
-// creditor is a worker that is owed a job and may have q as its first.
+// owedWorker is a worker that is to have one of the next requests after its maintenance, if q may be that.
 //
-// Hazard: one that operators put back is cold, and by its pace loses every draw for longer than they
-// wait to see it in use. One job, within its cold budget, shows that it works; then draws decide.
-func (b *Balancer) creditor(now time.Duration, q *request) *worker {
-	if b.owing == 0 || len(q.tries) > 0 {
+// Hazard: such a worker is warming up, and by its run times loses every draw for longer than operators wait
+// to see it in use. One request, within its slow-start budget, shows that it works; then draws decide.
+func (b *Balancer) owedWorker(now time.Duration, q *request) *worker {
+	if b.owedWorkers == 0 || len(q.attempts) > 0 {
 		return nil
 	}
 	for _, w := range b.workers {
-		if w.owed && b.trusted(now, q, w) && b.may(now, q, w) {
+		if w.owedRequest && b.healthy(now, q, w) && b.mayAttempt(now, q, w) {
 			return w
 		}
 	}
 	return nil
 }
 
-// drawn is a fresh draw.
-func (b *Balancer) drawn(now time.Duration, q *request) []*worker {
+// drawWorkers draws d(N) of the eligible workers at random.
+func (b *Balancer) drawWorkers(now time.Duration, q *request) []*worker {
 	draw := b.eligible(now, q, b.workers)
 	d := drawSize(len(draw))
 	for i := range d {
@@ -53,11 +53,12 @@
 	return draw[:d]
 }
 
-// least moves the one of least load to the front; the draw's order is random, and so equals are.
-func (b *Balancer) least(now time.Duration, q *request, draw []*worker) *worker {
+// leastLoaded moves the worker of the least load to the front. The draw's order is random, and so is the
+// choice among equals.
+func (b *Balancer) leastLoaded(now time.Duration, q *request, draw []*worker) *worker {
 	best, least := 0, math.Inf(1)
 	for i, w := range draw {
-		if n := b.load(now, w, q); n < least {
+		if n := b.loadOf(now, w, q); n < least {
 			best, least = i, n
 		}
 	}
@@ -65,81 +66,87 @@
 	return draw[0]
 }
 
-// eligible are those of the workers that q may go to: the trusted, or all if no one is trusted.
+// eligible are the workers that q may go to: the healthy ones, or all if none is healthy and q may go to
+// ejected ones.
 func (b *Balancer) eligible(now time.Duration, q *request, from []*worker) []*worker {
-	draw, well := b.draw[:0], 0
+	draw, healthy := b.drawBuffer[:0], 0
 	for _, w := range from {
-		if !b.may(now, q, w) {
+		if !b.mayAttempt(now, q, w) {
 			continue
 		}
 		draw = append(draw, w)
-		if b.trusted(now, q, w) {
+		if b.healthy(now, q, w) {
 			last := len(draw) - 1
-			draw[well], draw[last] = draw[last], draw[well]
-			well++
+			draw[healthy], draw[last] = draw[last], draw[healthy]
+			healthy++
 		}
 	}
-	b.draw = draw
-	if well > 0 || !q.anyone {
-		draw = draw[:well]
+	b.drawBuffer = draw
+	if healthy > 0 || !q.allowEjected {
+		draw = draw[:healthy]
 	}
 	return draw
 }
 
-// load is the count that pick compares: the slots held at w with q there, for each slot it has,
-// weighed by how slowly it runs. Unlike the paper's servers boxes differ, and others' jobs are unseen.
-func (b *Balancer) load(now time.Duration, w *worker, q *request) float64 {
-	n := (b.held(now, w) + q.size()*b.paceOf(now, w) + home*w.away) / b.slotsOf(w)
-	if w.Zone != b.set.Zone {
-		n += min(far*b.set.Costs.CrossZone, farthest)
+// loadOf is the load that draws compare: the slots in use at w with q there, for each slot it has, weighted
+// by how slowly it runs requests. Unlike the paper's servers, workers differ, and other dispatchers' requests
+// are not seen.
+func (b *Balancer) loadOf(now time.Duration, w *worker, q *request) float64 {
+	n := (b.slotsInUse(now, w) + q.slotsNeeded()*b.relativeRunTime(now, w) + homeStepLoad*w.homeDistance) /
+		b.slotsOf(w)
+	if w.Zone != b.settings.Zone {
+		n += min(crossZoneLoad*b.settings.Costs.CrossZone, maxCrossZoneLoad)
 	}
 	return n
 }
 
-// settle lays each zone's workers round a ring by size and counts those from this dispatcher's point on.
+// updateHomeDistances lays each zone's workers round a ring by size, and counts them from this dispatcher's
+// point on.
 //
-// Hazard: with many dispatchers each has a job or two out, all its counts are zero, and what it saw
-// of a worker is long past. Near home it meets the same few workers again.
-func (b *Balancer) settle() {
-	_, point := math.Modf(float64(b.set.DispatcherIndex) * math.Phi) // spreads any run of numbers evenly
+// Hazard: with many dispatchers each has a request or two in flight, all its counts are zero, and what it
+// observed of a worker is outdated. Near its home it meets the same few workers again.
+func (b *Balancer) updateHomeDistances() {
+	// Multiples of the golden ratio spread any run of indices evenly.
+	_, point := math.Modf(float64(b.settings.DispatcherIndex) * math.Phi)
 	total, end, number := map[int]float64{}, map[int]float64{}, map[int]float64{}
 	for _, w := range b.workers {
 		total[w.Zone] += w.Size
 		number[w.Zone]++
 	}
-	unseen := 1 - 1/float64(b.set.DispatcherCount) // a dispatcher alone sees all and needs no home
+	unseen := 1 - 1/float64(b.settings.DispatcherCount) // a dispatcher alone sees all load and needs no home
 	for _, w := range b.workers {
 		end[w.Zone] += w.Size
-		_, away := math.Modf(1 + end[w.Zone]/max(total[w.Zone], tiny) - point)
-		w.away = away * number[w.Zone] * unseen
+		_, distance := math.Modf(1 + end[w.Zone]/max(total[w.Zone], epsilon) - point)
+		w.homeDistance = distance * number[w.Zone] * unseen
 	}
 }
 
-// held is the slots' worth of unfinished jobs at w: this dispatcher's own and others', or as many as
-// the wait that our jobs have met there takes.
-func (b *Balancer) held(now time.Duration, w *worker) float64 {
-	n := w.own + w.beside + max(0, w.others)
-	if wait := b.seenWait(now, w); wait > 0 && b.mean > 0 {
-		n = max(n, b.slotsOf(w)*(1+wait/b.mean/b.paceOf(now, w)))
+// slotsInUse is how many slots requests in flight take at w, those of this dispatcher and of others, or as
+// many as the wait that this dispatcher's requests have met there takes.
+func (b *Balancer) slotsInUse(now time.Duration, w *worker) float64 {
+	n := w.inFlight + w.otherProcessInFlight + max(0, w.othersInFlight)
+	if wait := b.observedWait(now, w); wait > 0 && b.meanRunTime > 0 {
+		n = max(n, b.slotsOf(w)*(1+wait/b.meanRunTime/b.relativeRunTime(now, w)))
 	}
 	return n
 }
 
-// seenWait is the last wait seen at w, which drains, or that of our oldest job that has not started.
-func (b *Balancer) seenWait(now time.Duration, w *worker) float64 {
-	return max(w.wait-(now-w.waitT).Seconds()*drain, w.stuck)
+// observedWait is the last wait observed at w, which shortens with time, or that of the oldest unstarted
+// request, in seconds.
+func (b *Balancer) observedWait(now time.Duration, w *worker) float64 {
+	return max(w.lastWait-(now-w.lastWaitAt).Seconds()*waitDrainRate, w.unstartedWait)
 }
 
-// slotsOf is how many jobs w runs at once, as far as reports of its kind have shown.
-func (b *Balancer) slotsOf(w *worker) float64 { return max(1, math.Round(b.slots[w.Kind])) }
+// slotsOf is how many requests w runs at once, as far as load reports of its kind have shown.
+func (b *Balancer) slotsOf(w *worker) float64 { return max(1, math.Round(b.kindSlots[w.Kind])) }
 
-// paceOf is how slowly w runs jobs, against the usual: by its kind's record and its own beside it, and
-// by its age while cold.
-func (b *Balancer) paceOf(now time.Duration, w *worker) float64 {
-	return b.paces[w.Kind] * w.pace / b.warmth(now, w)
+// relativeRunTime is w's running time, relative to the usual one: by its kind's record, its own beside that,
+// and its warm-up.
+func (b *Balancer) relativeRunTime(now time.Duration, w *worker) float64 {
+	return b.kindRunTimeFactors[w.Kind] * w.runTimeFactor / b.warmUpFactor(now, w)
 }
 
-// drawSize is d(N) = min(N, max(2, ceil(sqrt(N) ln N))), just past the growth that the paper asks for.
+// drawSize is d(N) = min(N, max(2, ceil(sqrt(N) ln N))), just above the growth that the paper asks for.
 func drawSize(n int) int {
 	return min(n, max(2, int(math.Ceil(math.Sqrt(float64(n))*math.Log(float64(n))))))
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,85 +1,89 @@
 package balancer
 
-// The events that the module takes, and what each changes.
-
 import (
 	"encoding/binary"
 	"time"
 )
 
-// UpdateWorkers takes news of the list of workers.
+// UpdateWorkers applies an update of the list of workers. The first one starts the balancer's timers.
 func (b *Balancer) UpdateWorkers(now time.Duration, kind ListUpdateKind, list []Worker) {
 	if !b.started {
-		b.started, b.startedAt, b.surveyed = true, now, now
-		b.act.SetTimer(b.sweepEvery(), sweepToken)
-		switch wait := b.firstAsk(); {
-		case b.set.ListOnRequest && wait > 0:
-			b.act.SetTimer(wait, askToken)
-		case b.set.ListOnRequest:
-			b.act.WatchList(true)
-		}
+		b.start(now)
 	}
 	if kind == ListUnavailable {
-		b.act.SetTimer(b.askAgain(), askToken)
-		b.asks++
+		b.actions.SetTimer(b.listBackoff(), listTimer)
+		b.failedListCalls++
 		return
 	}
 	if kind != ListCached {
-		b.asks = 0
+		b.failedListCalls = 0
 	}
-	b.listed = b.listed || kind != ListCached || len(list) > 0
+	b.listReceived = b.listReceived || kind != ListCached || len(list) > 0
 	if kind != ListDelta {
 		for _, w := range b.workers {
 			w.State = Removed
 		}
 	}
 	for _, e := range list {
-		b.member(e)
+		b.updateWorker(e)
 	}
-	b.prune()
-	b.settle()
+	b.pruneRemoved()
+	b.updateHomeDistances()
 	if kind != ListCached {
-		b.release(now)
+		b.releaseWaiting(now)
+	}
+}
+
+// start begins the sweeps, and requests the list where that is needed.
+func (b *Balancer) start(now time.Duration) {
+	b.started, b.startedAt, b.averagedAt = true, now, now
+	b.actions.SetTimer(b.sweepInterval(), sweepTimer)
+	switch wait := b.firstListDelay(); {
+	case b.settings.ListOnRequest && wait > 0:
+		b.actions.SetTimer(wait, listTimer)
+	case b.settings.ListOnRequest:
+		b.actions.WatchList(true)
 	}
 }
 
-// Submit takes a new request and sends, refuses or fails it.
+// Submit takes a new request and sends, rejects or fails it, or has it wait for load reports or the first
+// list. A request whose ID is open already is ignored.
 func (b *Balancer) Submit(now time.Duration, r Request) {
-	if q := b.admit(now, r); q != nil {
-		b.taken.since(now - b.set.Rules.RetryBudgetWindow)
-		b.taken = append(b.taken, now)
-		b.tallies[q.Class].asked += b.units(q)
-		b.arrived++
-		b.efforts += b.effort(q)
-		b.claim(now, q)
-		if b.place(now, q); !b.blind {
-			b.askLoads(now)
+	if q := b.addRequest(now, r); q != nil {
+		b.requestTimes.countAfter(now - b.settings.Rules.RetryBudgetWindow)
+		b.requestTimes = append(b.requestTimes, now)
+		b.classTallies[q.Class].offered += b.goalUnits(q)
+		b.arrivals++
+		b.arrivedWork += b.hintedWork(q)
+		b.takeQuota(now, q)
+		if b.place(now, q); !b.loadsStale {
+			b.checkStalest(now)
 		}
 	}
 }
 
-// AttemptEnded takes the end of an attempt.
+// AttemptEnded takes the end of an attempt. Attempts that are not known, or have ended before, are ignored.
 func (b *Balancer) AttemptEnded(now time.Duration, o AttemptOutcome) {
-	q, t := b.attempt(o.ID, o.Attempt)
-	if t == nil || t.ended {
+	q, a := b.findAttempt(o.ID, o.Attempt)
+	if a == nil || a.ended {
 		return
 	}
-	t.unrun = b.proves(o.Result)
-	t.ended, t.w.stuck = true, 0
-	if t.start > 0 {
-		t.w.running--
+	a.neverRan = b.provesNeverRan(o.Result)
+	a.ended, a.worker.unstartedWait = true, 0
+	if a.startedAt > 0 {
+		a.worker.running--
 	}
 	if o.Result == OK || o.Result == ServerError || o.Result == WorkerFull {
-		t.w.heard = now // the others are no word of its own
+		a.worker.progressAt = now // the other results do not come from the worker
 	}
-	q.out--
-	b.learn(now, q, t, &o)
-	t.w.own -= q.size()
-	if o.Responded && !q.over {
-		q.over = true
-		b.stop(q)
+	q.inFlight--
+	b.learn(now, q, a, &o)
+	a.worker.inFlight -= q.slotsNeeded()
+	if o.Responded && !q.responded {
+		q.responded = true
+		b.cancelInFlight(q)
 	}
-	if q.over || q.out > 0 {
+	if q.responded || q.inFlight > 0 {
 		b.forget(q)
 		return
 	}
@@ -90,89 +94,98 @@
 	b.place(now, q)
 }
 
-// AttemptProgressed takes news of an attempt that is out.
-func (b *Balancer) AttemptProgressed(now time.Duration, n AttemptProgress) {
-	_, t := b.attempt(n.ID, n.Attempt)
-	if t == nil || t.ended {
+// AttemptProgressed takes a worker's progress report on an attempt in flight.
+func (b *Balancer) AttemptProgressed(now time.Duration, p AttemptProgress) {
+	_, a := b.findAttempt(p.ID, p.Attempt)
+	if a == nil || a.ended {
 		return
 	}
-	t.w.heard = now
-	if !n.Started || t.start > 0 {
+	a.worker.progressAt = now
+	if !p.Started || a.startedAt > 0 {
 		return
 	}
-	t.start, t.w.stuck = now, 0
-	t.w.running++
-	t.w.wait, t.w.waitT = (now - t.sent).Seconds(), now
-	b.meets(now, t.w.wait)
+	a.startedAt, a.worker.unstartedWait = now, 0
+	a.worker.running++
+	a.worker.lastWait, a.worker.lastWaitAt = (now - a.sentAt).Seconds(), now
+	b.observeWait(now, a.worker.lastWait)
 }
 
-// HealthChecked takes what a probe found.
-func (b *Balancer) HealthChecked(
-	now time.Duration,
-	id WorkerID,
-	res Result,
-	took time.Duration,
-	r LoadReport,
-) {
-	switch w := b.byID[id]; {
+// HealthChecked takes the end of a health check.
+func (b *Balancer) HealthChecked(now time.Duration, id WorkerID, res Result, r LoadReport) {
+	switch w := b.workerByID[id]; {
 	case w == nil:
 	case res == OK:
-		b.report(w, &r)
-		b.hears(now, w)
+		b.applyLoadReport(w, &r)
+		b.loadReported(now, w)
 	default:
-		b.fails(now, w)
+		b.observeFailure(now, w)
 	}
 }
 
-// hears takes the answer of a worker that was asked, and places requests that have heard from all.
-func (b *Balancer) hears(now time.Duration, from *worker) {
-	for _, q := range b.asking {
-		for i := q.heard; i < len(q.asked); i++ {
-			if q.asked[i] == from {
-				q.asked[i], q.asked[q.heard] = q.asked[q.heard], q.asked[i]
-				q.heard++
+// loadReported counts a worker's load report for the requests that wait for it, and places those that have
+// all of theirs.
+func (b *Balancer) loadReported(now time.Duration, from *worker) {
+	for _, q := range b.waiting {
+		for i := q.answered; i < len(q.checked); i++ {
+			if q.checked[i] == from {
+				q.checked[i], q.checked[q.answered] = q.checked[q.answered], q.checked[i]
+				q.answered++
 				break
 			}
 		}
 	}
-	b.release(now)
+	b.releaseWaiting(now)
 }
 
-// ReceivePeer takes a message from another dispatcher: the worker that has just failed it.
-func (b *Balancer) ReceivePeer(now time.Duration, from int, data []byte) {
+// ReceivePeer takes a message from another dispatcher: the worker that has just failed a request of its.
+func (b *Balancer) ReceivePeer(now time.Duration, data []byte) {
 	if len(data) != 4 {
 		return
 	}
-	if w := b.byID[WorkerID(binary.BigEndian.Uint32(data))]; w != nil {
-		b.fails(now, w)
+	if w := b.workerByID[WorkerID(binary.BigEndian.Uint32(data))]; w != nil {
+		b.observeFailure(now, w)
 	}
 }
 
-// TimerFired takes a timer that has come due.
+// TimerFired takes the end of a timer that Actions.SetTimer has set.
 func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	switch token {
-	case sweepToken:
+	case sweepTimer:
 		b.sweep(now)
-		b.act.SetTimer(b.sweepEvery(), sweepToken)
-	case askToken:
-		b.act.WatchList(true)
+		b.actions.SetTimer(b.sweepInterval(), sweepTimer)
+	case listTimer:
+		b.actions.WatchList(true)
 	}
 }
 
-// StreamStarted takes the start of a streamed answer: the client owns the attempt from now on, and the
-// request is over as if it had left.
-func (b *Balancer) StreamStarted(now time.Duration, id RequestID, attempt int) {
-	if q := b.open[id]; q != nil {
-		q.over = true
+// StreamStarted takes the start of a streamed response. The client owns the attempt from now on, and the
+// request needs no final response any more.
+func (b *Balancer) StreamStarted(id RequestID) {
+	if q := b.requestByID[id]; q != nil {
+		q.responded = true
 		b.forget(q)
 	}
 }
 
-// ClientDisconnected takes the end of a request whose client has left.
-func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
-	if q := b.open[id]; q != nil && !q.over {
-		q.over = true
-		b.stop(q)
+// ClientDisconnected ends a request whose client has disconnected.
+func (b *Balancer) ClientDisconnected(id RequestID) {
+	if q := b.requestByID[id]; q != nil && !q.responded {
+		q.responded = true
+		b.cancelInFlight(q)
 		b.forget(q)
 	}
 }
+
+// EndMaintenance says that operators have put a worker back into service. It was restarted meanwhile: what
+// was learned of its earlier process is dropped, and it gets one of the next requests.
+func (b *Balancer) EndMaintenance(id WorkerID) {
+	w := b.workerByID[id]
+	if w == nil {
+		return
+	}
+	w.failureScore, w.lastWait, w.unstartedWait, w.othersInFlight = 0, 0, 0, 0
+	if !w.owedRequest {
+		w.owedRequest = true
+		b.owedWorkers++
+	}
+}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -31,8 +31,7 @@
 func Example() {
 	settings := balancer.Settings{
 		Classes: []balancer.Class{{
-			Name: "resize", LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2,
-			Timeout:        5 * time.Second,
+			Name: "resize", LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Timeout: 5 * time.Second,
 			PriorityWeight: 1, Idempotency: balancer.Idempotent, WorkerKind: -1,
 		}},
 		Limits: balancer.Limits{MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second},
@@ -49,11 +48,8 @@
 	b.UpdateWorkers(now, balancer.ListFull, []balancer.Worker{{ID: 7, State: balancer.Ready}})
 	b.Submit(now, balancer.Request{ID: "b", Timeout: 5 * time.Second})
 	now += 50 * time.Millisecond
-	b.AttemptEnded(
-		now,
-		balancer.AttemptOutcome{ID: "b", Worker: host.sent, Result: balancer.OK, Responded: true,
-			Report: balancer.NoLoadReport},
-	)
+	b.AttemptEnded(now, balancer.AttemptOutcome{ID: "b", Worker: host.sent, Result: balancer.OK, Responded: true,
+		Report: balancer.NoLoadReport})
 	// Output:
 	// refuse a true
 	// send b to worker 7
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -1,91 +1,98 @@
 package balancer
 
-// Decisions: what ends of attempts and load reports tell of workers.
+// Decisions: what is learned of workers from the ends of attempts and from load reports.
 
 import (
 	"cmp"
 	"time"
 )
 
-// learn takes what the end of an attempt tells of its worker.
-func (b *Balancer) learn(now time.Duration, q *request, t *attempt, o *AttemptOutcome) {
-	w := t.w
-	b.report(w, &o.Report)
+// learn takes what the end of an attempt shows of its worker.
+func (b *Balancer) learn(now time.Duration, q *request, a *attempt, o *AttemptOutcome) {
+	w := a.worker
+	b.applyLoadReport(w, &o.Report)
 	switch o.Result {
 	case ServerError, ConnectionReset, ConnectFailed:
-		b.fails(now, w)
-		// Hazard: each of many would lose unsafe jobs to w before it knows. A broken path may be ours alone.
-		if o.Result == ServerError && b.set.Limits.PeerMessages {
-			b.act.SendPeer(AllPeers, w.name())
+		b.observeFailure(now, w)
+		// Hazard: each of many dispatchers would lose non-idempotent requests to w before it knows. A broken
+		// connection may be this dispatcher's alone.
+		if o.Result == ServerError && b.settings.Limits.PeerMessages {
+			b.actions.SendPeer(AllPeers, w.peerMessage())
 		}
-		return
 	case WorkerFull:
 		// Its queue is full: the wait there is a running time at least.
-		w.wait, w.waitT = max(b.seenWait(now, w), b.mean*b.paceOf(now, w)), now
-		if b.set.ReportsStart { // hazard: else no job is seen to meet none, and only bad news comes in
-			b.meets(now, w.wait)
+		w.lastWait, w.lastWaitAt = max(b.observedWait(now, w), b.meanRunTime*b.relativeRunTime(now, w)), now
+		// Hazard: without reports of starts no request is observed to meet no wait, and only long ones count.
+		if b.settings.ReportsStart {
+			b.observeWait(now, w.lastWait)
 		}
-		return
 	case OK:
-		w.ill = b.illness(now, w) * (1 - blend)
-	default:
-		return
+		w.failureScore = b.fadedFailureScore(now, w) * (1 - fastWeight)
+		b.learnRunTime(now, q, a)
 	}
-	if b.warmth(now, w) == 1 {
-		b.loads[w.Kind].add(b.effort(q), 0, w.full)
+}
+
+// learnRunTime takes the running time of a request that was served.
+func (b *Balancer) learnRunTime(now time.Duration, q *request, a *attempt) {
+	w := a.worker
+	if b.warmUpFactor(now, w) == 1 {
+		b.kindLoads[w.Kind].add(b.hintedWork(q), 0, w.lastReportFull)
 	}
-	ran := (now - max(t.sent, t.start)).Seconds()
-	usual := &b.usual[q.Class]
+	ran := (now - max(a.sentAt, a.startedAt)).Seconds()
+	usual := &b.classRunTimes[q.Class]
 	*usual = cmp.Or(*usual, ran)
 	if hint := q.ExpectedWork.Seconds(); hint > 0 {
-		b.ratio += slow * (min(ran/hint, outlier) - b.ratio)
+		b.hintRatio += slowWeight * (min(ran/hint, maxRunTimeFactor) - b.hintRatio)
 	}
-	expect := max(b.expect(q), tiny)
-	ran = min(ran, outlier*expect)
-	sample := ran / expect * b.warmth(now, w)
-	// Hazards: each of many workers is met too seldom to know it; times of nothing leave a pace of zero.
-	kind := &b.paces[w.Kind]
-	*kind = max(slow, *kind+slow/4*(sample/w.pace-*kind))
-	w.pace = max(slow, w.pace+slow/4*(sample / *kind - w.pace))
-	*usual += slow * (ran - *usual)
-	b.mean += slow * (ran - b.mean)
+	expected := max(b.expectedRunTime(q), epsilon)
+	ran = min(ran, maxRunTimeFactor*expected)
+	sample := ran / expected * b.warmUpFactor(now, w)
+	// Hazards: each of many workers is met too seldom to know it by itself; running times of nothing would
+	// leave a factor of zero.
+	kind := &b.kindRunTimeFactors[w.Kind]
+	*kind = max(slowWeight, *kind+slowWeight/4*(sample/w.runTimeFactor-*kind))
+	w.runTimeFactor = max(slowWeight, w.runTimeFactor+slowWeight/4*(sample / *kind - w.runTimeFactor))
+	*usual += slowWeight * (ran - *usual)
+	b.meanRunTime += slowWeight * (ran - b.meanRunTime)
 	c := q.class
-	if (now - q.came).Seconds() <= c.LatencyObjective.Seconds()+c.ObjectiveStretch*ran {
-		b.tallies[q.Class].served += b.units(q)
+	if (now - q.arrivedAt).Seconds() <= c.LatencyObjective.Seconds()+c.ObjectiveStretch*ran {
+		b.classTallies[q.Class].served += b.goalUnits(q)
 	}
 }
 
-// report takes a load report, if one came; being late and noisy, it is averaged.
+// applyLoadReport takes a load report, if there is one. It is delayed and noisy, and so is averaged.
 //
-// Hazard: reports in answers come only from where jobs go, so that all follow the same stale news and
-// refuse by it, and get no other: they count little. Probes ask every worker alike and count more.
-func (b *Balancer) report(w *worker, r *LoadReport) {
+// Hazard: reports in responses come only from where requests go, so that all dispatchers follow the same
+// outdated reports, reject by them, and get no others: they count little. Health checks reach every worker
+// alike, and their reports count more.
+func (b *Balancer) applyLoadReport(w *worker, r *LoadReport) {
 	if !r.Received || r.FreeSlots < 0 {
 		return
 	}
-	b.slots[w.Kind] = max(b.slots[w.Kind], r.FreeSlots)
-	w.full = r.FreeSlots <= nearly*b.slots[w.Kind]
-	held := b.slots[w.Kind] - r.FreeSlots + max(r.QueueLength, 0)
-	weight := slow
-	if b.set.LoadReportsByCheck {
-		weight = blend
+	b.kindSlots[w.Kind] = max(b.kindSlots[w.Kind], r.FreeSlots)
+	w.lastReportFull = r.FreeSlots <= nearlyFullShare*b.kindSlots[w.Kind]
+	inUse := b.kindSlots[w.Kind] - r.FreeSlots + max(r.QueueLength, 0)
+	weight := slowWeight
+	if b.settings.LoadReportsByCheck {
+		weight = fastWeight
 	}
-	if b.blind {
-		weight = 1 // what was known before is long past
+	if b.loadsStale {
+		weight = 1 // what was known before is outdated
 	}
-	w.others += weight * (held - w.own - w.beside - w.others)
+	w.othersInFlight += weight * (inUse - w.inFlight - w.otherProcessInFlight - w.othersInFlight)
 }
 
-// usualWait is the wait that our jobs have met lately, at whatever worker.
-func (b *Balancer) usualWait(now time.Duration) float64 {
-	return max(0, b.wait-(now-b.waitT).Seconds())
+// fadedRecentWait is the wait that requests have met lately, at any worker, in seconds. It shortens with
+// time.
+func (b *Balancer) fadedRecentWait(now time.Duration) float64 {
+	return max(0, b.recentWait-(now-b.recentWaitAt).Seconds())
 }
 
-// meets takes a wait that a job of ours has met.
-func (b *Balancer) meets(now time.Duration, wait float64) {
-	usual := b.usualWait(now)
-	b.wait, b.waitT = usual+blend*(wait-usual), now
-	if b.crowd *= 1 - slow; wait > early*b.mean {
-		b.crowd += slow
+// observeWait takes a wait that a request has met, in seconds.
+func (b *Balancer) observeWait(now time.Duration, wait float64) {
+	recent := b.fadedRecentWait(now)
+	b.recentWait, b.recentWaitAt = recent+fastWeight*(wait-recent), now
+	if b.waitingShare *= 1 - slowWeight; wait > earlyWaitShare*b.meanRunTime {
+		b.waitingShare += slowWeight
 	}
 }
--- a/balancer/learn_test.go
+++ b/balancer/learn_test.go
@@ -41,7 +41,7 @@
 			r := newRecorder(t, set)
 			r.members(ListFull, fleet(2)...)
 			for _, free := range []float64{8, 0, 0, 0} {
-				r.b.HealthChecked(r.now, 100, OK, time.Millisecond, freeSlots(free))
+				r.b.HealthChecked(r.now, 100, OK, freeSlots(free))
 			}
 			there := 0
 			for i := range 5 {
@@ -87,8 +87,8 @@
 	r := startsTold(t, 1)
 	r.serve(0, 20, safeClass, 50*time.Millisecond, freeSlots(1))
 	r.serve(100, 300, safeClass, 0, freeSlots(1))
-	if w := r.b.byID[100]; w.pace < slow || r.b.paces[w.Kind] < slow {
-		t.Errorf("paces of %v and %v after jobs that took no time", w.pace, r.b.paces[w.Kind])
+	if w := r.b.workerByID[100]; w.runTimeFactor < slowWeight || r.b.kindRunTimeFactors[w.Kind] < slowWeight {
+		t.Errorf("paces of %v and %v after jobs that took no time", w.runTimeFactor, r.b.kindRunTimeFactors[w.Kind])
 	}
 }
 
@@ -106,21 +106,21 @@
 			r.members(ListFull, fleet(40)...)
 			for i := range 30 { // rare requests: each worker is met twice a minute
 				r.request(job(i, safeClass))
-				for _, w := range r.asked[len(r.asked)-min(choices, len(r.asked)):] {
-					r.b.HealthChecked(r.now, w, OK, 0, freeSlots(4))
+				for _, w := range r.asked[len(r.asked)-min(checkedChoices, len(r.asked)):] {
+					r.b.HealthChecked(r.now, w, OK, freeSlots(4))
 				}
 				r.pass(time.Second)
 				r.end(r.last(), OK)
 			}
 			sent, asked := len(r.sends), len(r.asked)
 			r.request(job(100, safeClass))
-			if n := len(r.asked) - asked; n != choices || len(r.sends) != sent {
-				t.Fatalf("%d workers asked and %d sends, want %d and none yet", n, len(r.sends)-sent, choices)
+			if n := len(r.asked) - asked; n != checkedChoices || len(r.sends) != sent {
+				t.Fatalf("%d workers asked and %d sends, want %d and none yet", n, len(r.sends)-sent, checkedChoices)
 			}
 			for i, w := range r.asked[asked : asked+c.answers] {
-				r.b.HealthChecked(r.now, w, OK, 0, freeSlots(float64(2*i)))
+				r.b.HealthChecked(r.now, w, OK, freeSlots(float64(2*i)))
 			}
-			r.pass(set.Classes[safeClass].LatencyObjective/brief + r.b.sweepEvery())
+			r.pass(set.Classes[safeClass].LatencyObjective/checkWaitDivisor + r.b.sweepInterval())
 			if len(r.sends) != sent+1 {
 				t.Fatalf("%d sends, want one", len(r.sends)-sent)
 			}
--- /dev/null
+++ b/balancer/learned_state.go
@@ -0,0 +1,178 @@
+package balancer
+
+import "time"
+
+// LearnedState is what a balancer has learned, for the process that replaces its own in a hot restart. It
+// holds no request. Its encoded form is JSON under the names of the tags, with pairs as arrays: processes of
+// other versions read and write it. Times are of the sender's clock.
+type LearnedState struct {
+	KindLoads          [][2]float64              `json:"Loads"`   // by worker kind: work, seconds
+	FullKindLoads      [][2]float64              `json:"Full"`    // likewise, at full workers; old versions: none
+	ClassTallies       [][2]float64              `json:"Tallies"` // by class: offered, served in time
+	KindSlots          []float64                 `json:"Slots"`
+	KindRunTimeFactors []float64                 `json:"Paces"`
+	ClassRunTimes      []float64                 `json:"Usual"` // seconds
+	MeanRunTime        float64                   `json:"Mean"`  // seconds
+	HintRatio          float64                   `json:"Ratio"`
+	Arrivals           float64                   `json:"Arrived"`
+	ArrivedWork        float64                   `json:"Efforts"` // of the arrivals; old versions: none
+	ObservedSeconds    float64                   `json:"Watched"`
+	RecentWait         float64                   `json:"Wait"`  // seconds
+	WaitingShare       float64                   `json:"Crowd"` // 0 to 1
+	RecentWaitAt       time.Duration             `json:"WaitT"`
+	AveragedAt         time.Duration             `json:"Surveyed"`
+	Quotas             []TenantQuota             `json:"Allowances"` // by tenant
+	Workers            map[WorkerID]WorkerRecord `json:"Workers"`
+}
+
+// TenantQuota is a tenant's token bucket, in requests.
+type TenantQuota struct {
+	Tokens    float64       `json:"Left"`
+	Offered   float64       `json:"Asked"`
+	UpdatedAt time.Duration `json:"At"`
+}
+
+// WorkerRecord is what a balancer has learned of one worker.
+type WorkerRecord struct {
+	OthersInFlight float64       `json:"Others"`
+	RunTimeFactor  float64       `json:"Pace"`
+	LastWait       float64       `json:"Wait"` // seconds
+	FailureScore   float64       `json:"Ill"`  // 0 to 1
+	LastWaitAt     time.Duration `json:"WaitT"`
+	FailureScoreAt time.Duration `json:"IllT"`
+	StartedAt      time.Duration `json:"Since"` // of the process that SlowStartSent was sent to
+	SlowStartSent  []SentWork    `json:"Sent"`
+	OwedRequest    bool          `json:"Owed"`
+}
+
+// SentWork is one request's work that a worker was sent while it was warming up, in slot seconds.
+type SentWork struct {
+	At   time.Duration `json:"At"`
+	Work float64       `json:"Work"`
+}
+
+// Learned gives what the balancer has learned. Its requests in flight are not in it: they end one by one, and
+// the process that restores this is told of them by SetOtherInFlight.
+func (b *Balancer) Learned() LearnedState {
+	s := LearnedState{
+		KindSlots: b.kindSlots, KindRunTimeFactors: b.kindRunTimeFactors, ClassRunTimes: b.classRunTimes,
+		MeanRunTime: b.meanRunTime, HintRatio: b.hintRatio, Arrivals: b.arrivals, ArrivedWork: b.arrivedWork,
+		ObservedSeconds: b.observedSeconds, RecentWait: b.recentWait, WaitingShare: b.waitingShare,
+		RecentWaitAt: b.recentWaitAt, AveragedAt: b.averagedAt,
+		Workers: make(map[WorkerID]WorkerRecord, len(b.workers)),
+	}
+	for _, l := range b.kindLoads {
+		s.KindLoads = append(s.KindLoads, [2]float64{l.work, l.seconds})
+		s.FullKindLoads = append(s.FullKindLoads, [2]float64{l.fullWork, l.fullSeconds})
+	}
+	for _, t := range b.classTallies {
+		s.ClassTallies = append(s.ClassTallies, [2]float64{t.offered, t.served})
+	}
+	for _, q := range b.quotas {
+		s.Quotas = append(s.Quotas, TenantQuota{q.tokens, q.offered, q.updatedAt})
+	}
+	for _, w := range b.workers {
+		s.Workers[w.ID] = w.record()
+	}
+	return s
+}
+
+func (w *worker) record() WorkerRecord {
+	r := WorkerRecord{OthersInFlight: w.othersInFlight, RunTimeFactor: w.runTimeFactor, LastWait: w.lastWait,
+		FailureScore: w.failureScore, LastWaitAt: w.lastWaitAt, FailureScoreAt: w.failureScoreAt,
+		StartedAt: w.StartedAt, OwedRequest: w.owedRequest}
+	for _, s := range w.slowStartSent {
+		r.SlowStartSent = append(r.SlowStartSent, SentWork{s.at, s.work})
+	}
+	return r
+}
+
+// RestoreLearned takes over what another process of this dispatcher has learned, after the first
+// UpdateWorkers and before any request. What does not fit the settings is left out.
+//
+// Hazard: a dispatcher that starts with nothing does not know what was just sent to workers that warm up, nor
+// which workers fail. Another process's clock may be ahead of this one's, and what is to fade with time would
+// grow.
+func (b *Balancer) RestoreLearned(now time.Duration, s LearnedState) {
+	unit := 1.0 // of the work of KindLoads and SlowStartSent
+	if len(s.FullKindLoads) != len(s.KindLoads) && s.HintRatio > 0 {
+		unit = 1 / s.HintRatio // hazard: an old version counts it by running times, not by hints
+	}
+	b.restoreKinds(s, unit)
+	b.restoreClasses(now, s)
+	if len(s.Quotas) == len(b.quotas) {
+		for i, q := range s.Quotas {
+			b.quotas[i] = quotaBucket{tokens: q.Tokens, updatedAt: min(q.UpdatedAt, now), offered: q.Offered}
+		}
+	}
+	for _, w := range b.workers {
+		if r, ok := s.Workers[w.ID]; ok && r.RunTimeFactor > 0 {
+			b.restoreWorker(now, w, r, unit)
+		}
+	}
+}
+
+func (b *Balancer) restoreKinds(s LearnedState, unit float64) {
+	if len(s.KindLoads) != len(b.kindLoads) || len(s.KindSlots) != len(b.kindSlots) ||
+		len(s.KindRunTimeFactors) != len(b.kindRunTimeFactors) {
+		return
+	}
+	for i, l := range s.KindLoads {
+		b.kindLoads[i] = kindLoad{work: l[0] * unit, seconds: l[1]}
+		if len(s.FullKindLoads) == len(s.KindLoads) {
+			b.kindLoads[i].fullWork, b.kindLoads[i].fullSeconds = s.FullKindLoads[i][0], s.FullKindLoads[i][1]
+		}
+	}
+	copy(b.kindSlots, s.KindSlots)
+	copy(b.kindRunTimeFactors, s.KindRunTimeFactors)
+}
+
+func (b *Balancer) restoreClasses(now time.Duration, s LearnedState) {
+	if len(s.ClassRunTimes) != len(b.classRunTimes) || len(s.ClassTallies) != len(b.classTallies) ||
+		!(s.HintRatio > 0) {
+		return
+	}
+	copy(b.classRunTimes, s.ClassRunTimes)
+	for i, t := range s.ClassTallies {
+		b.classTallies[i] = tally{t[0], t[1]}
+	}
+	b.meanRunTime, b.hintRatio, b.observedSeconds = s.MeanRunTime, s.HintRatio, s.ObservedSeconds
+	b.arrivals, b.arrivedWork = s.Arrivals, s.ArrivedWork
+	b.recentWait, b.recentWaitAt = s.RecentWait, min(s.RecentWaitAt, now)
+	b.waitingShare, b.averagedAt = s.WaitingShare, min(s.AveragedAt, now)
+}
+
+func (b *Balancer) restoreWorker(now time.Duration, w *worker, r WorkerRecord, unit float64) {
+	w.othersInFlight, w.runTimeFactor = r.OthersInFlight, r.RunTimeFactor
+	w.lastWait, w.lastWaitAt = r.LastWait, min(r.LastWaitAt, now)
+	w.failureScore, w.failureScoreAt = r.FailureScore, min(r.FailureScoreAt, now)
+	if r.OwedRequest {
+		b.EndMaintenance(w.ID)
+	}
+	if w.StartedAt == r.StartedAt {
+		for _, s := range r.SlowStartSent {
+			w.slowStartSent = append(w.slowStartSent, sentWork{min(s.At, now), s.Work * unit})
+		}
+	}
+}
+
+// InFlight gives, by worker, how many slots this dispatcher's requests in flight take there.
+func (b *Balancer) InFlight() map[WorkerID]float64 {
+	inFlight := map[WorkerID]float64{}
+	for _, w := range b.workers {
+		if w.inFlight > 0 {
+			inFlight[w.ID] = w.inFlight
+		}
+	}
+	return inFlight
+}
+
+// SetOtherInFlight sets how many slots the requests of the process that this one replaces take at a worker.
+//
+// Hazard: counted as requests of other dispatchers they would fade only as load reports come, while this
+// process's own rise in their place: workers would look full, and requests would be rejected.
+func (b *Balancer) SetOtherInFlight(id WorkerID, inFlight float64) {
+	if w := b.workerByID[id]; w != nil {
+		w.otherProcessInFlight = inFlight
+	}
+}
--- a/balancer/list_test.go
+++ b/balancer/list_updates_test.go
@@ -60,7 +60,7 @@
 // After a release most of many dispatchers start at once: each asks for the list at a time of
 // its own, and few of a small fleet wait.
 func TestManyAskInTurn(t *testing.T) {
-	for _, fleet := range []int{1, many - 1, many, 48} {
+	for _, fleet := range []int{1, manyDispatchers - 1, manyDispatchers, 48} {
 		asked := map[time.Duration]int{}
 		var last time.Duration
 		for me := range fleet {
@@ -75,11 +75,11 @@
 			asked[r.now-began]++
 			last = max(last, r.now-began)
 		}
-		if fleet < many && last > 0 {
+		if fleet < manyDispatchers && last > 0 {
 			t.Errorf("of %d dispatchers one waits for %v", fleet, last)
 		}
 		for at, n := range asked {
-			if fleet >= many && (n > 1 || at > testSettings().Classes[0].Timeout/firstAsks) {
+			if fleet >= manyDispatchers && (n > 1 || at > testSettings().Classes[0].Timeout/firstListSpread) {
 				t.Errorf("%d of %d dispatchers ask after %v", n, fleet, at)
 			}
 		}
@@ -108,7 +108,7 @@
 	late := job(0, 0)
 	late.Timeout = time.Second
 	r.request(late)
-	r.pass(late.Timeout/firstList + 100*time.Millisecond)
+	r.pass(late.Timeout/firstListDivisor + 100*time.Millisecond)
 	if got := r.reqs[late.ID].final; got != "refused" {
 		t.Errorf("after half of its time without a list: %q", got)
 	}
@@ -116,7 +116,7 @@
 	r = newRecorder(t, set)
 	r.members(ListCached)
 	r.request(left)
-	r.b.ClientDisconnected(r.now, left.ID)
+	r.b.ClientDisconnected(left.ID)
 	r.members(ListFull, fleet(3)...)
 	if len(r.sends) != 0 {
 		t.Error("a request whose client has left is sent once the list is there")
@@ -126,7 +126,7 @@
 // However long the list's service was down, the list is asked for soon enough that nothing it has to tell
 // when it is back is missed: that counts as told 6 s later.
 func TestListIsAskedForAfterALongOutage(t *testing.T) {
-	for _, fleet := range []int{1, many, 300} {
+	for _, fleet := range []int{1, manyDispatchers, 300} {
 		set := testSettings()
 		set.ListOnRequest, set.DispatcherCount = true, fleet
 		r := newRecorder(t, set)
@@ -137,7 +137,7 @@
 			for r.watch == asked {
 				r.pass(10 * time.Millisecond)
 			}
-			if waited := r.now - began; waited > longestAsk+20*time.Millisecond {
+			if waited := r.now - began; waited > maxListBackoff+20*time.Millisecond {
 				t.Fatalf("one of %d dispatchers waits for %v", fleet, waited)
 			}
 		}
--- a/balancer/health_test.go
+++ b/balancer/outliers_test.go
@@ -73,7 +73,7 @@
 	r := newRecorder(t, testSettings())
 	r.members(ListFull, fleet(2)...)
 	bad := r.work[100].ID
-	r.b.ReceivePeer(r.now, 3, []byte{0, 0, 0, byte(bad)})
+	r.b.ReceivePeer(r.now, []byte{0, 0, 0, byte(bad)})
 	for i := range 20 {
 		r.request(job(i, unsafeClass))
 		if s := r.last(); s.w == bad {
@@ -84,7 +84,7 @@
 	if len(r.tells) != 1 || string(r.tells[0]) != "\x00\x00\x00\x65" {
 		t.Errorf("told %q after a failure, want the worker's ID", r.tells)
 	}
-	r.b.ReceivePeer(r.now, 3, []byte("?")) // not ours: no harm
+	r.b.ReceivePeer(r.now, []byte("?")) // not ours: no harm
 	r.request(job(100, safeClass))
 	r.end(r.last(), ConnectFailed)
 	if len(r.tells) != 1 {
@@ -123,7 +123,7 @@
 		if got := run(1000, 1); (got == 1) != owed {
 			t.Errorf("owed %v: the first job went there %d times", owed, got)
 		}
-		if r.b.owing != 0 {
+		if r.b.owedWorkers != 0 {
 			t.Error("it is owed more than one job")
 		}
 	}
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -306,9 +306,7 @@
 		}
 	}
 	share := ru.SlowStartMinShare + (1-ru.SlowStartMinShare)*float64(age)/float64(ru.SlowStartWindow)
-	if sum > ru.OverloadFactor*share*w.limit*ru.OverloadWindow.Seconds()/float64(
-		max(r.set.DispatcherCount, 1),
-	) {
+	if sum > ru.OverloadFactor*share*w.limit*ru.OverloadWindow.Seconds()/float64(max(r.set.DispatcherCount, 1)) {
 		r.breaks("a cold worker was pushed over")
 	}
 }
@@ -334,8 +332,7 @@
 	c := r.set.Classes[q.Class]
 	for _, i := range q.sends {
 		s := r.sends[i]
-		if r.unrun(s) || c.Idempotency == Idempotent ||
-			c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
+		if r.unrun(s) || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
 			continue
 		}
 		r.breaks("a job that may have run was refused as harmless to repeat")
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -1,44 +1,43 @@
 package balancer
 
-// Requests and their attempts, from admission to the last end.
-
 import (
 	"time"
 )
 
-// attempt finds an attempt of an open request, or returns nil for what it does not know.
-func (b *Balancer) attempt(id RequestID, n int) (*request, *attempt) {
-	q := b.open[id]
-	if q == nil || n < 0 || n >= len(q.tries) {
+// findAttempt finds an attempt of an open request; nil: it is not known.
+func (b *Balancer) findAttempt(id RequestID, number int) (*request, *attempt) {
+	q := b.requestByID[id]
+	if q == nil || number < 0 || number >= len(q.attempts) {
 		return nil, nil
 	}
-	return q, &q.tries[n]
+	return q, &q.attempts[number]
 }
 
-// attempts is how many a request may have: the least of what the deployment, its class
-// and its route say.
-func (b *Balancer) attempts(q *request) int {
-	n := b.set.Limits.MaxAttempts
-	for _, most := range [...]int{q.class.MaxAttempts, q.MaxAttempts} {
-		if most > 0 {
-			n = min(n, most)
+// maxAttempts is how many attempts a request may have: the least of what the deployment, its class and its
+// route allow.
+func (b *Balancer) maxAttempts(q *request) int {
+	n := b.settings.Limits.MaxAttempts
+	for _, limit := range [...]int{q.class.MaxAttempts, q.MaxAttempts} {
+		if limit > 0 {
+			n = min(n, limit)
 		}
 	}
 	return n
 }
 
-// onRoute reports whether w stands where q is tried now.
+// onRoute reports whether w is in the tier at which q is tried.
 func (q *request) onRoute(w *worker) bool { return q.Route == nil || q.Route.Tier(&w.Worker) == q.tier }
 
-// start has q tried at the first tier of its route.
-func (q *request) start() { q.tier, q.anyone = 0, q.Route == nil }
+// startRoute has q be tried at the first tier of its route.
+func (q *request) startRoute() { q.tier, q.allowEjected = 0, q.Route == nil }
 
-// spills moves q on to the next tier of its route, if there is one and its route says so.
-// After the last one it begins again, this time with workers that are not trusted, too.
+// nextTier has q be tried at the next tier of its route, if there is one and the route lets it spill over.
+// After the last tier it begins again, this time with ejected workers, too. It reports whether there is
+// anything left to try.
 //
-// Hazard: the only worker of the first tier can't be reached, and every job is tried there
-// before it goes to a sound one of the next.
-func (q *request) spills(busy bool) bool {
+// Hazard: the only worker of the first tier can't be reached, and every request is tried there before it goes
+// to a healthy one of the next.
+func (q *request) nextTier(busy bool) bool {
 	if q.Route == nil {
 		return false
 	}
@@ -46,58 +45,47 @@
 		q.tier++
 		return true
 	}
-	if q.anyone {
+	if q.allowEjected {
 		return false
 	}
-	q.tier, q.anyone = 0, true
+	q.tier, q.allowEjected = 0, true
 	return true
 }
 
-// admit enters a new request into the table, or returns nil if its ID is known already.
-func (b *Balancer) admit(now time.Duration, r Request) *request {
-	if b.open[r.ID] != nil {
+// addRequest enters a new request; nil: its ID is open already.
+func (b *Balancer) addRequest(now time.Duration, r Request) *request {
+	if b.requestByID[r.ID] != nil {
 		return nil
 	}
 	q := b.newRequest()
-	r.Class = min(max(r.Class, 0), len(b.set.Classes)-1)
-	q.class = &b.set.Classes[r.Class]
-	q.Request, q.came, q.deadline, q.index = r, now, now+r.Timeout, len(b.list)
-	b.open[r.ID] = q
-	b.list = append(b.list, q)
+	r.Class = min(max(r.Class, 0), len(b.settings.Classes)-1)
+	q.class = &b.settings.Classes[r.Class]
+	q.Request, q.arrivedAt, q.deadline, q.index = r, now, now+r.Timeout, len(b.requests)
+	b.requestByID[r.ID] = q
+	b.requests = append(b.requests, q)
 	return q
 }
 
+// newRequest reuses a request that is forgotten, or makes one.
 func (b *Balancer) newRequest() *request {
-	n := len(b.free)
+	n := len(b.freeRequests)
 	if n == 0 {
-		return &request{tries: make([]attempt, 0, 2)}
+		return &request{attempts: make([]attempt, 0, 2)}
 	}
-	q := b.free[n-1]
-	b.free = b.free[:n-1]
-	*q = request{tries: q.tries[:0], asked: q.asked[:0]}
+	q := b.freeRequests[n-1]
+	b.freeRequests = b.freeRequests[:n-1]
+	*q = request{attempts: q.attempts[:0], checked: q.checked[:0]}
 	return q
 }
 
-// forget drops a finished request once no attempt of it is out.
+// forget drops a request that has its response and no attempt in flight.
 func (b *Balancer) forget(q *request) {
-	if !q.over || q.out > 0 || q.holding {
+	if !q.responded || q.inFlight > 0 || q.waiting {
 		return
 	}
-	last := b.list[len(b.list)-1]
-	b.list[q.index], last.index = last, q.index
-	b.list = b.list[:len(b.list)-1]
-	delete(b.open, q.ID)
-	b.free = append(b.free, q)
-}
-
-// keep drops the elements of s that ok rejects, in place.
-func keep[T any](s []T, ok func(T) bool) []T {
-	kept := s[:0]
-	for _, x := range s {
-		if ok(x) {
-			kept = append(kept, x)
-		}
-	}
-	clear(s[len(kept):])
-	return kept
+	last := b.requests[len(b.requests)-1]
+	b.requests[q.index], last.index = last, q.index
+	b.requests = b.requests[:len(b.requests)-1]
+	delete(b.requestByID, q.ID)
+	b.freeRequests = append(b.freeRequests, q)
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slow_start_test.go
@@ -20,7 +20,7 @@
 		t.Error("the new worker never got a job while it warmed up")
 	}
 	// Hazard: what was sent to it is gone through at each request, and must not grow with its age.
-	sent := r.b.byID[200].sent
+	sent := r.b.workerByID[200].slowStartSent
 	if from, to := sent[0].at, sent[len(sent)-1].at; to-from >= set.Rules.OverloadWindow {
 		t.Errorf("sends over %v are kept, want under a window", to-from)
 	}
@@ -72,16 +72,16 @@
 	jobs := func(flood float64) (n int) {
 		r := newRecorder(t, testSettings())
 		r.members(ListFull, fleet(4)...)
-		r.b.ratio = flood
+		r.b.hintRatio = flood
 		for i := range 400 {
-			q := &request{Request: hinted(i), class: &r.b.set.Classes[safeClass]}
-			r.b.loads[0].add(r.b.effort(q), 0.1, true)
+			q := &request{Request: hinted(i), class: &r.b.settings.Classes[safeClass]}
+			r.b.kindLoads[0].add(r.b.hintedWork(q), 0.1, true)
 		}
-		r.b.ratio = 1
+		r.b.hintRatio = 1
 		r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
-		w, q := r.b.byID[200], &request{Request: hinted(400), class: &r.b.set.Classes[safeClass]}
-		for now := r.now + r.set.Rules.SlowStartWindow/2; r.b.coldRoom(now, w, r.b.effort(q)); n++ {
-			w.sent = append(w.sent, load{now, r.b.effort(q)})
+		w, q := r.b.workerByID[200], &request{Request: hinted(400), class: &r.b.settings.Classes[safeClass]}
+		for now := r.now + r.set.Rules.SlowStartWindow/2; r.b.withinSlowStart(now, w, r.b.hintedWork(q)); n++ {
+			w.slowStartSent = append(w.slowStartSent, sentWork{now, r.b.hintedWork(q)})
 		}
 		return n
 	}
@@ -96,12 +96,12 @@
 	allowed := func(work float64) (n int) {
 		r := newRecorder(t, testSettings())
 		r.members(ListFull, fleet(4)...)
-		r.b.loads[0].add(400, 100, false) // a warm worker finishes the work of four usual requests a second
-		r.b.arrived, r.b.efforts = 100, 100
+		r.b.kindLoads[0].add(400, 100, false) // a warm worker finishes the work of four usual requests a second
+		r.b.arrivals, r.b.arrivedWork = 100, 100
 		r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
-		w := r.b.byID[200]
-		for now := r.now + r.set.Rules.SlowStartWindow/2; r.b.coldRoom(now, w, work); n++ {
-			w.sent = append(w.sent, load{now, work})
+		w := r.b.workerByID[200]
+		for now := r.now + r.set.Rules.SlowStartWindow/2; r.b.withinSlowStart(now, w, work); n++ {
+			w.slowStartSent = append(w.slowStartSent, sentWork{now, work})
 		}
 		return n
 	}
@@ -152,8 +152,8 @@
 		cold.StartedAt = r.now
 		r.members(ListFull, append(fleet(4), cold)...)
 		rate := allowed / fall.Seconds() / set.Rules.OverloadFactor * shares[i] / whole
-		r.b.loads[0].add(rate*100, 100, false) // a usual request is one unit of work
-		r.b.arrived, r.b.efforts = 100, 100
+		r.b.kindLoads[0].add(rate*100, 100, false) // a usual request is one unit of work
+		r.b.arrivals, r.b.arrivedWork = 100, 100
 		all = append(all, r)
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -164,9 +164,9 @@
 	for now := cold.StartedAt; now < cold.StartedAt+set.Rules.SlowStartWindow; now += fall / steps {
 		for _, i := range rng.Perm(size) {
 			b := all[i].b
-			w := b.byID[cold.ID]
-			for b.coldRoom(now, w, 1) {
-				w.sent = append(w.sent, load{now, 1})
+			w := b.workerByID[cold.ID]
+			for b.withinSlowStart(now, w, 1) {
+				w.slowStartSent = append(w.slowStartSent, sentWork{now, 1})
 				sent = append(sent, now)
 				total++
 			}
@@ -174,7 +174,7 @@
 		for len(sent) > 0 && sent[0] <= now-fall {
 			sent = sent[1:]
 		}
-		n := allowed * first.b.warmth(now, first.b.byID[cold.ID])
+		n := allowed * first.b.warmUpFactor(now, first.b.workerByID[cold.ID])
 		bears := n + 2*math.Sqrt(n) + 2
 		if n < 30 {
 			bears = n + 3*math.Sqrt(n) + 3
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -154,7 +154,7 @@
 			IsRetry: ev.flags&2 != 0,
 		})
 	case "aborted":
-		in.bal.ClientDisconnected(s.now, balancer.RequestID(ev.handle))
+		in.bal.ClientDisconnected(balancer.RequestID(ev.handle))
 	case "outcome":
 		res, ok := results[ev.result]
 		if !ok {
@@ -170,21 +170,15 @@
 			Started: ev.sort == 1, Fraction: ev.level,
 		})
 	case "established":
-		in.bal.StreamStarted(s.now, balancer.RequestID(ev.handle), ev.attempt)
+		in.bal.StreamStarted(balancer.RequestID(ev.handle))
 	case "probe_done":
 		res, ok := results[ev.result]
 		if !ok {
 			return fmt.Errorf("unknown result %d", ev.result)
 		}
-		in.bal.HealthChecked(
-			s.now,
-			balancer.WorkerID(ev.worker),
-			res,
-			time.Duration(ev.took),
-			ev.load(in.names),
-		)
+		in.bal.HealthChecked(s.now, balancer.WorkerID(ev.worker), res, ev.load(in.names))
 	case "note_from":
-		in.bal.ReceivePeer(s.now, ev.by, ev.raw)
+		in.bal.ReceivePeer(s.now, ev.raw)
 	case "elapsed":
 		token, err := tokenOf(ev.mark)
 		if err != nil {
--- a/internal/frozen/decisions_test.go
+++ b/internal/frozen/decisions_test.go
@@ -345,7 +345,7 @@
 		tr.after(r.Timeout/4, func() {
 			if q := tr.open[id]; !q.answered {
 				q.answered = true
-				tr.bal.ClientDisconnected(tr.now, id)
+				tr.bal.ClientDisconnected(id)
 			}
 		})
 	case 1:
@@ -353,7 +353,7 @@
 			q := tr.open[id]
 			if n := len(q.attempts); !q.answered && n > 0 && !q.attempts[n-1].ended {
 				q.answered = true
-				tr.bal.StreamStarted(tr.now, id, n-1)
+				tr.bal.StreamStarted(id)
 			}
 		})
 	}
@@ -400,7 +400,7 @@
 		tr.bal.EndMaintenance(tr.list[k].ID)
 	case 7:
 		id := tr.list[k].ID
-		tr.bal.ReceivePeer(tr.now, 1, []byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)})
+		tr.bal.ReceivePeer(tr.now, []byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)})
 	case 8:
 		tr.bal.SetOtherInFlight(tr.list[k].ID, float64(tr.rng.IntN(3)))
 		tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil)
@@ -573,7 +573,7 @@
 		if tr.workers[w].silent {
 			result, report = balancer.TimedOut, balancer.NoLoadReport
 		}
-		tr.bal.HealthChecked(tr.now, w, result, took, report)
+		tr.bal.HealthChecked(tr.now, w, result, report)
 	})
 }
 
--- a/internal/proxy/broker/actions.go
+++ b/internal/proxy/broker/actions.go
@@ -77,12 +77,8 @@
 	if e == nil || e.Endpoint == nil {
 		return
 	}
-	began := b.clock.Now()
 	e.Endpoint.CheckHealth(func(res balancer.Result, report balancer.LoadReport) {
-		b.run(func() {
-			now := b.clock.Now()
-			b.balancer.HealthChecked(now, worker, res, now-began, report)
-		})
+		b.run(func() { b.balancer.HealthChecked(b.clock.Now(), worker, res, report) })
 	})
 }
 
--- a/internal/proxy/broker/request.go
+++ b/internal/proxy/broker/request.go
@@ -140,7 +140,7 @@
 	req.client = nil
 	b.pending--
 	b.run(func() {
-		b.balancer.ClientDisconnected(b.clock.Now(), balancer.RequestID(id))
+		b.balancer.ClientDisconnected(balancer.RequestID(id))
 		b.forget(req)
 	})
 }
