--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	safeClass = iota
+	idempotentClass = iota
 	keyedClass
-	unsafeClass
+	nonIdempotentClass
 )
 
 // testSettings is a deployment that allows everything and has one class of each effect.
@@ -35,8 +35,8 @@
 	}
 }
 
-// fleet is n ready workers in cells of two.
-func fleet(n int) []Worker {
+// readyWorkers is n ready workers in cells of two.
+func readyWorkers(n int) []Worker {
 	list := make([]Worker, n)
 	for i := range list {
 		list[i] = Worker{ID: WorkerID(100 + i), Cell: i / 2, State: Ready, Size: 1}
@@ -44,24 +44,24 @@
 	return list
 }
 
-func job(i, class int) Request {
+func testRequest(i, class int) Request {
 	return Request{ID: RequestID(fmt.Sprintf("r%d", i)), Class: class, Timeout: 5 * time.Second}
 }
 
-// hinted is a safe job that tells a tenth of a second's work.
-func hinted(i int) Request {
-	q := job(i, safeClass)
+// requestWithHint is a safe job that tells a tenth of a second's work.
+func requestWithHint(i int) Request {
+	q := testRequest(i, idempotentClass)
 	q.ExpectedWork = 100 * time.Millisecond
 	return q
 }
 
-// startsTold is a recorder with n ready workers that tell when a job starts.
-func startsTold(t *testing.T, n int) *recorder {
+// newRecorderWithStartReports is a recorder with n ready workers that tell when a job starts.
+func newRecorderWithStartReports(t *testing.T, n int) *recorder {
 	t.Helper()
 	set := testSettings()
 	set.ReportsStart = true
 	r := newRecorder(t, set)
-	r.members(ListFull, fleet(n)...)
+	r.updateWorkers(ListFull, readyWorkers(n)...)
 	return r
 }
 
@@ -81,15 +81,15 @@
 }
 
 // With all slots known and nothing waiting, the jobs go where the fewest are.
-func TestFewestWins(t *testing.T) {
+func TestLeastLoadedWorkerWins(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(ListFull, fleet(2)...)
+	r.updateWorkers(ListFull, readyWorkers(2)...)
 	for i := range 8 {
-		r.request(job(i, safeClass))
+		r.submit(testRequest(i, idempotentClass))
 	}
 	count := map[WorkerID]int{}
 	for _, s := range r.sends {
-		count[s.w]++
+		count[s.worker]++
 	}
 	if count[100] != 4 || count[101] != 4 {
 		t.Errorf("8 jobs on two workers went %v, want 4 each", count)
@@ -98,15 +98,15 @@
 
 func TestTiesAreSpreadEvenly(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(ListFull, fleet(4)...)
+	r.updateWorkers(ListFull, readyWorkers(4)...)
 	count := map[WorkerID]int{}
 	const rounds = 2000
 	for i := range rounds {
-		r.request(job(i, safeClass))
-		s := r.last()
-		count[s.w]++
-		r.pass(time.Millisecond)
-		r.end(s, OK)
+		r.submit(testRequest(i, idempotentClass))
+		s := r.lastSend()
+		count[s.worker]++
+		r.advance(time.Millisecond)
+		r.endAttempt(s, OK)
 	}
 	for id, n := range count {
 		if n < rounds/4*8/10 || n > rounds/4*12/10 {
@@ -118,41 +118,41 @@
 func TestCountsReturnToZero(t *testing.T) {
 	for res := OK; res <= NotSent; res++ {
 		r := newRecorder(t, testSettings())
-		r.members(ListFull, fleet(3)...)
+		r.updateWorkers(ListFull, readyWorkers(3)...)
 		for class := range 3 {
-			q := job(class, class)
+			q := testRequest(class, class)
 			q.Slots = 2
-			r.request(q)
+			r.submit(q)
 		}
 		for i := 0; i < len(r.sends); i++ {
-			r.end(&r.sends[i], res)
+			r.endAttempt(&r.sends[i], res)
 		}
-		r.pass(6 * time.Second)
-		for _, w := range r.b.workers {
+		r.advance(6 * time.Second)
+		for _, w := range r.balancer.workers {
 			if w.inFlight != 0 {
 				t.Errorf("after result %d worker %d holds %v", res, w.ID, w.inFlight)
 			}
 		}
-		if len(r.b.requestByID) != 0 || len(r.b.requests) != 0 {
-			t.Errorf("after result %d, %d requests are open", res, len(r.b.requestByID))
+		if len(r.balancer.requestByID) != 0 || len(r.balancer.requests) != 0 {
+			t.Errorf("after result %d, %d requests are open", res, len(r.balancer.requestByID))
 		}
 	}
 }
 
 // Refusals are told of in a line now and then, not one each; while all goes well nothing is.
-func TestLogLines(t *testing.T) {
+func TestSummaryLogLine(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	list := fleet(3)
+	list := readyWorkers(3)
 	list[2].State = Draining
-	r.members(ListFull, list...)
-	r.pass(20 * time.Second)
+	r.updateWorkers(ListFull, list...)
+	r.advance(20 * time.Second)
 	if len(r.logs) > 0 {
 		t.Errorf("logged %q without a refusal", r.logs)
 	}
-	r.members(ListFull)
+	r.updateWorkers(ListFull)
 	for i := range 300 {
-		r.request(job(i, safeClass))
-		r.pass(100 * time.Millisecond)
+		r.submit(testRequest(i, idempotentClass))
+		r.advance(100 * time.Millisecond)
 	}
 	if n := len(r.logs); n < 2 || n > 7 {
 		t.Fatalf("%d lines in half a minute of refusals with 5 s to a line: %q", n, r.logs)
@@ -163,32 +163,32 @@
 }
 
 // Rule 1: the host never reports the end of the attempt.
-func TestOverdueIsAnswered(t *testing.T) {
+func TestOverdueRequestIsAnswered(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.silent = true
-	r.members(ListFull, fleet(2)...)
+	r.losesEnds = true
+	r.updateWorkers(ListFull, readyWorkers(2)...)
 	for class := range 3 {
-		r.request(job(class, class))
+		r.submit(testRequest(class, class))
 	}
-	r.pass(6 * time.Second)
-	for id, q := range r.reqs {
+	r.advance(6 * time.Second)
+	for id, q := range r.requests {
 		if q.final == "" {
 			t.Errorf("%s was never answered", id)
 		}
 	}
 }
 
-// drive sends n hinted jobs gap apart from job from on, ends each attempt after 90 ms with rep,
+// submitSteadily sends n hinted jobs gap apart from job from on, ends each attempt after 90 ms with rep,
 // and counts the jobs that each worker got.
-func drive(r *recorder, from, n int, gap time.Duration, rep LoadReport) map[WorkerID]int {
+func submitSteadily(r *recorder, from, n int, gap time.Duration, rep LoadReport) map[WorkerID]int {
 	got := map[WorkerID]int{}
 	for i := range n {
-		r.request(hinted(from + i))
-		got[r.last().w]++
-		r.pass(gap)
+		r.submit(requestWithHint(from + i))
+		got[r.lastSend().worker]++
+		r.advance(gap)
 		for j := range r.sends {
 			if s := &r.sends[j]; !s.ended && r.now-s.at >= 90*time.Millisecond {
-				r.endWith(s, OK, rep)
+				r.endAttemptWith(s, OK, rep)
 			}
 		}
 	}
@@ -220,23 +220,23 @@
 }
 
 // Odd events change no count and break no rule.
-func TestOddEvents(t *testing.T) {
+func TestUnknownEventsAreIgnored(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(ListFull, fleet(2)...)
-	r.request(job(0, unsafeClass))
-	s := r.last()
-	r.b.Submit(r.now, job(0, unsafeClass))                                              // the same ID
-	r.b.AttemptEnded(r.now, AttemptOutcome{ID: "nobody"})                               // unknown
-	r.b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Attempt: 9, Result: ServerError})  // unknown attempt
-	r.b.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: -1, Started: true}) // unknown attempt
-	r.b.AttemptProgressed(r.now, AttemptProgress{ID: "nobody", Started: true})          // unknown
-	r.b.HealthChecked(r.now, 9999, OK, NoLoadReport)                                    // unknown worker
-	r.b.TimerFired(r.now, 12345)                                                        // unknown timer
-	r.b.ClientDisconnected("nobody")                                                    // unknown
-	r.end(s, OK)                                                                        // the one that counts
-	r.b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Worker: s.w, Result: ServerError}) // repeated
-	r.request(Request{ID: "late", Class: unsafeClass})                                  // no time left
-	for _, w := range r.b.workers {
+	r.updateWorkers(ListFull, readyWorkers(2)...)
+	r.submit(testRequest(0, nonIdempotentClass))
+	s := r.lastSend()
+	r.balancer.Submit(r.now, testRequest(0, nonIdempotentClass))                                    // the same ID
+	r.balancer.AttemptEnded(r.now, AttemptOutcome{ID: "nobody"})                                    // unknown
+	r.balancer.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Attempt: 9, Result: ServerError})       // unknown attempt
+	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: -1, Started: true})      // unknown attempt
+	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: "nobody", Started: true})               // unknown
+	r.balancer.HealthChecked(r.now, 9999, OK, NoLoadReport)                                         // unknown worker
+	r.balancer.TimerFired(r.now, 12345)                                                             // unknown timer
+	r.balancer.ClientDisconnected("nobody")                                                         // unknown
+	r.endAttempt(s, OK)                                                                             // the one that counts
+	r.balancer.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Worker: s.worker, Result: ServerError}) // repeated
+	r.submit(Request{ID: "late", Class: nonIdempotentClass})                                        // no time left
+	for _, w := range r.balancer.workers {
 		if w.inFlight != 0 {
 			t.Errorf("worker %d holds %v", w.ID, w.inFlight)
 		}
@@ -256,40 +256,40 @@
 		set.ListOnRequest = data[0]&8 != 0
 	}
 	r := newRecorder(t, set)
-	r.members(ListCached, fleet(4)...)
+	r.updateWorkers(ListCached, readyWorkers(4)...)
 	for i := 0; i+1 < len(data); i += 2 {
 		x := int(data[i+1])
 		switch data[i] % 8 {
 		case 0, 1:
-			q := job(i, x%3)
+			q := testRequest(i, x%3)
 			q.Slots, q.Timeout = float64(x%4), time.Duration(x)*20*time.Millisecond
-			r.request(q)
+			r.submit(q)
 		case 2, 3:
 			if n := len(r.sends); n > 0 {
 				if s := &r.sends[n-1-x%n]; !s.ended {
-					r.end(s, Result(x/8%8))
+					r.endAttempt(s, Result(x/8%8))
 				}
 			}
 		case 4:
-			r.pass(time.Duration(x) * 10 * time.Millisecond)
+			r.advance(time.Duration(x) * 10 * time.Millisecond)
 		case 5:
-			r.members(ListDelta, Worker{ID: WorkerID(100 + x%6), Cell: x % 3, State: WorkerState(x / 8 % 3),
+			r.updateWorkers(ListDelta, Worker{ID: WorkerID(100 + x%6), Cell: x % 3, State: WorkerState(x / 8 % 3),
 				StartedAt: time.Duration(x/32%2) * r.now})
 		case 6:
 			if n := len(r.sends); n > 0 {
-				r.start(&r.sends[n-1-x%n])
+				r.reportStart(&r.sends[n-1-x%n])
 			}
 		case 7:
 			rep := freeSlots(float64(x % 5))
 			rep.QueueLength = float64(x / 8 % 5)
-			r.b.HealthChecked(r.now, WorkerID(100+x%6), OK, rep)
+			r.balancer.HealthChecked(r.now, WorkerID(100+x%6), OK, rep)
 		}
 	}
-	r.pass(6 * time.Second)
-	if len(r.b.requestByID) != 0 {
-		t.Fatalf("%d requests are open after all deadlines", len(r.b.requestByID))
+	r.advance(6 * time.Second)
+	if len(r.balancer.requestByID) != 0 {
+		t.Fatalf("%d requests are open after all deadlines", len(r.balancer.requestByID))
 	}
-	for _, w := range r.b.workers {
+	for _, w := range r.balancer.workers {
 		if w.inFlight != 0 {
 			t.Fatalf("worker %d holds %v after all ended", w.ID, w.inFlight)
 		}
@@ -309,15 +309,15 @@
 }
 
 // The same seed and events give the same actions.
-func TestDeterminism(t *testing.T) {
-	play := func() []recSend {
+func TestSameEventsGiveSameActions(t *testing.T) {
+	play := func() []recordedSend {
 		r := newRecorder(t, testSettings())
-		r.members(ListFull, fleet(9)...)
+		r.updateWorkers(ListFull, readyWorkers(9)...)
 		for i := range 300 {
-			r.request(job(i, i%3))
-			r.pass(3 * time.Millisecond)
+			r.submit(testRequest(i, i%3))
+			r.advance(3 * time.Millisecond)
 			if i%2 == 0 && !r.sends[len(r.sends)/2].ended {
-				r.end(&r.sends[len(r.sends)/2], OK)
+				r.endAttempt(&r.sends[len(r.sends)/2], OK)
 			}
 		}
 		return r.sends
@@ -328,17 +328,17 @@
 }
 
 // Hazard: with many dispatchers all counts are zero and each meets every worker once in a long while.
-func TestHomes(t *testing.T) {
+func TestHomesSpreadDispatchers(t *testing.T) {
 	met := func(me int) map[WorkerID]int {
 		set := testSettings()
 		set.DispatcherIndex, set.DispatcherCount = me, 16
 		r := newRecorder(t, set)
-		r.members(ListFull, fleet(16)...)
+		r.updateWorkers(ListFull, readyWorkers(16)...)
 		got := map[WorkerID]int{}
 		for i := range 200 {
-			r.request(job(i, safeClass))
-			got[r.last().w]++
-			r.end(r.last(), OK)
+			r.submit(testRequest(i, idempotentClass))
+			got[r.lastSend().worker]++
+			r.endAttempt(r.lastSend(), OK)
 		}
 		return got
 	}
@@ -361,19 +361,19 @@
 }
 
 // A change of the classes under load: what is open keeps its terms, what comes has the new.
-func TestConfigureKeepsOpenRequests(t *testing.T) {
+func TestConfigureKeepsClassOfOpenRequests(t *testing.T) {
 	r := newRecorder(t, Settings{Classes: []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: time.Second,
 		PriorityWeight: 1, MaxAttempts: 2, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 5}, WorkerKinds: 1})
-	b := r.b
+	b := r.balancer
 	set := b.settings
 	set.Classes = []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 7, WorkerKind: -1}}
-	r.members(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}, Worker{ID: 3, State: Ready})
-	r.request(Request{ID: "old", Timeout: 10 * time.Second})
+	r.updateWorkers(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}, Worker{ID: 3, State: Ready})
+	r.submit(Request{ID: "old", Timeout: 10 * time.Second})
 	if err := b.CanConfigure(set); err != nil {
 		t.Fatal(err)
 	}
 	b.Configure(set)
-	r.request(Request{ID: "new", Timeout: 10 * time.Second})
+	r.submit(Request{ID: "new", Timeout: 10 * time.Second})
 	if got := b.maxAttempts(b.requestByID["old"]); got != 2 {
 		t.Errorf("an open request has %d attempts, came with 2", got)
 	}
@@ -397,31 +397,31 @@
 
 // A process that takes another's place knows what that one spent on a cold worker, which
 // workers fail, and what is out.
-func TestMemoryPassesOn(t *testing.T) {
+func TestLearnedStateIsRestored(t *testing.T) {
 	set := testSettings()
 	first := newRecorder(t, set)
-	list := fleet(3)
-	first.members(ListFull, list...)
+	list := readyWorkers(3)
+	first.updateWorkers(ListFull, list...)
 	for i := range 200 {
 		first.now += 20 * time.Millisecond
-		first.request(job(i, safeClass))
-		if s := first.last(); s.w == list[0].ID {
-			first.end(s, ServerError)
+		first.submit(testRequest(i, idempotentClass))
+		if s := first.lastSend(); s.worker == list[0].ID {
+			first.endAttempt(s, ServerError)
 			first.now += time.Millisecond
 			continue
 		}
-		first.end(first.last(), OK)
+		first.endAttempt(first.lastSend(), OK)
 	}
 	cold := list[2]
 	cold.StartedAt = first.now
-	first.members(ListDelta, cold)
-	first.b.workerByID[cold.ID].slowStartSent = []sentWork{{first.now, 7}}
+	first.updateWorkers(ListDelta, cold)
+	first.balancer.workerByID[cold.ID].slowStartSent = []sentWork{{first.now, 7}}
 	for range 3 {
-		first.b.observeFailure(first.now, first.b.workerByID[list[0].ID])
+		first.balancer.observeFailure(first.now, first.balancer.workerByID[list[0].ID])
 	}
-	first.request(job(1000, safeClass))
+	first.submit(testRequest(1000, idempotentClass))
 
-	raw, err := json.Marshal(first.b.Learned())
+	raw, err := json.Marshal(first.balancer.Learned())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -431,44 +431,44 @@
 	}
 	second := newSeeded(t, set, 2)
 	second.now = first.now
-	second.members(ListCached, list[0], list[1], cold)
-	second.b.RestoreLearned(second.now, m)
-	if w := second.b.workerByID[cold.ID]; len(w.slowStartSent) != 1 || w.slowStartSent[0].work != 7 {
+	second.updateWorkers(ListCached, list[0], list[1], cold)
+	second.balancer.RestoreLearned(second.now, m)
+	if w := second.balancer.workerByID[cold.ID]; len(w.slowStartSent) != 1 || w.slowStartSent[0].work != 7 {
 		t.Errorf("what was spent on the cold worker: %v", w.slowStartSent)
 	}
-	if second.b.fadedFailureScore(second.now, second.b.workerByID[list[0].ID]) < ejectionScore {
+	if second.balancer.fadedFailureScore(second.now, second.balancer.workerByID[list[0].ID]) < ejectionScore {
 		t.Error("the failing worker is trusted")
 	}
 	out := 0.0
-	for id, n := range first.b.InFlight() {
-		second.b.SetOtherInFlight(id, n)
-		out += second.b.slotsInUse(second.now, second.b.workerByID[id])
+	for id, n := range first.balancer.InFlight() {
+		second.balancer.SetOtherInFlight(id, n)
+		out += second.balancer.slotsInUse(second.now, second.balancer.workerByID[id])
 	}
-	if out != 1 || second.b.meanRunTime != first.b.meanRunTime || second.b.hintRatio != first.b.hintRatio {
-		t.Errorf("%v jobs are out, the usual time is %v, was %v", out, second.b.meanRunTime, first.b.meanRunTime)
+	if out != 1 || second.balancer.meanRunTime != first.balancer.meanRunTime || second.balancer.hintRatio != first.balancer.hintRatio {
+		t.Errorf("%v jobs are out, the usual time is %v, was %v", out, second.balancer.meanRunTime, first.balancer.meanRunTime)
 	}
-	for id := range first.b.InFlight() { // and they end
-		second.b.SetOtherInFlight(id, 0)
-		if n := second.b.slotsInUse(second.now, second.b.workerByID[id]); n != 0 {
+	for id := range first.balancer.InFlight() { // and they end
+		second.balancer.SetOtherInFlight(id, 0)
+		if n := second.balancer.slotsInUse(second.now, second.balancer.workerByID[id]); n != 0 {
 			t.Errorf("%v jobs are out of a process that has none", n)
 		}
 	}
 	// Hazard: the other process's clock is ahead, and an illness grows with time.
 	behind := newSeeded(t, set, 3)
 	behind.now = first.now - time.Minute
-	behind.members(ListCached, list[0], list[1], cold)
-	behind.b.RestoreLearned(behind.now, m)
-	if ill := behind.b.fadedFailureScore(behind.now, behind.b.workerByID[list[0].ID]); ill > 1 {
+	behind.updateWorkers(ListCached, list[0], list[1], cold)
+	behind.balancer.RestoreLearned(behind.now, m)
+	if ill := behind.balancer.fadedFailureScore(behind.now, behind.balancer.workerByID[list[0].ID]); ill > 1 {
 		t.Errorf("by a clock that is behind a worker is ill by %v", ill)
 	}
-	second.b.RestoreLearned(second.now, LearnedState{HintRatio: 1, ClassRunTimes: []float64{1}}) // of other settings
+	second.balancer.RestoreLearned(second.now, LearnedState{HintRatio: 1, ClassRunTimes: []float64{1}}) // of other settings
 	// A process of before the hints' measure tells no full workers, and counts by how long jobs run.
 	m.FullKindLoads, m.KindLoads[0], m.HintRatio = nil, [2]float64{8, 4}, 2
 	older := newSeeded(t, set, 4)
 	older.now = first.now
-	older.members(ListCached, list[0], list[1], cold)
-	older.b.RestoreLearned(older.now, m)
-	if rate, sent := older.b.warmRate(0), older.b.workerByID[cold.ID].slowStartSent[0].work; rate != 1 || sent != 3.5 {
+	older.updateWorkers(ListCached, list[0], list[1], cold)
+	older.balancer.RestoreLearned(older.now, m)
+	if rate, sent := older.balancer.warmRate(0), older.balancer.workerByID[cold.ID].slowStartSent[0].work; rate != 1 || sent != 3.5 {
 		t.Errorf("from an older process a warm worker bears %v, want 1; 7 spent are %v, want 3.5", rate, sent)
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// idle is a host that does nothing but note where the request went.
-type idle struct{ to WorkerID }
+// idleHost is a host that does nothing but note where the request went.
+type idleHost struct{ to WorkerID }
 
-func (h *idle) Send(_ RequestID, w WorkerID, _ time.Duration) { h.to = w }
-func (*idle) Reject(RequestID, time.Duration)                 {}
-func (*idle) Fail(RequestID)                                  {}
-func (*idle) Cancel(RequestID, int)                           {}
-func (*idle) CheckHealth(WorkerID)                            {}
-func (*idle) WatchList(bool)                                  {}
-func (*idle) FetchList()                                      {}
-func (*idle) SetTimer(time.Duration, uint64)                  {}
-func (*idle) SendPeer(int, []byte)                            {}
-func (*idle) CloseIdle(WorkerID)                              {}
-func (*idle) Log(string)                                      {}
+func (h *idleHost) Send(_ RequestID, w WorkerID, _ time.Duration) { h.to = w }
+func (*idleHost) Reject(RequestID, time.Duration)                 {}
+func (*idleHost) Fail(RequestID)                                  {}
+func (*idleHost) Cancel(RequestID, int)                           {}
+func (*idleHost) CheckHealth(WorkerID)                            {}
+func (*idleHost) WatchList(bool)                                  {}
+func (*idleHost) FetchList()                                      {}
+func (*idleHost) SetTimer(time.Duration, uint64)                  {}
+func (*idleHost) SendPeer(int, []byte)                            {}
+func (*idleHost) CloseIdle(WorkerID)                              {}
+func (*idleHost) Log(string)                                      {}
 
 // BenchmarkRequest is one request and its outcome: one class, one zone, no troubles.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			host := &idle{}
+			host := &idleHost{}
 			bal, err := New(Settings{WorkerKinds: 1, ZoneCount: 1, DispatcherCount: 1, Limits: Limits{MaxAttempts: 5},
 				Classes: []Class{{Name: "c", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 1,
 					WorkerKind: -1}},
--- a/balancer/list_updates_test.go
+++ b/balancer/list_updates_test.go
@@ -6,28 +6,28 @@
 )
 
 // Rule 3: nothing to a worker that the list calls draining, gone, or leaves out.
-func TestDrains(t *testing.T) {
+func TestDrainingWorkerGetsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		tell func(r *recorder)
 	}{
-		{"draining", func(r *recorder) { r.members(ListDelta, Worker{ID: 100, State: Draining}) }},
-		{"gone", func(r *recorder) { r.members(ListDelta, Worker{ID: 100, State: Removed}) }},
-		{"left out", func(r *recorder) { r.members(ListFull, fleet(2)[1]) }},
+		{"draining", func(r *recorder) { r.updateWorkers(ListDelta, Worker{ID: 100, State: Draining}) }},
+		{"gone", func(r *recorder) { r.updateWorkers(ListDelta, Worker{ID: 100, State: Removed}) }},
+		{"left out", func(r *recorder) { r.updateWorkers(ListFull, readyWorkers(2)[1]) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRecorder(t, testSettings())
-			r.members(ListFull, fleet(2)...)
+			r.updateWorkers(ListFull, readyWorkers(2)...)
 			c.tell(r)
-			r.pass(r.set.Rules.DrainGrace + time.Second)
+			r.advance(r.settings.Rules.DrainGrace + time.Second)
 			for i := range 20 {
-				r.request(job(i, safeClass))
+				r.submit(testRequest(i, idempotentClass))
 			}
 			if len(r.sends) == 0 {
 				t.Fatal("nothing went to the worker that is left")
 			}
 			for _, s := range r.sends {
-				if s.w == 100 {
+				if s.worker == 100 {
 					t.Fatal("sent to the worker that is going")
 				}
 			}
@@ -35,20 +35,20 @@
 	}
 }
 
-func TestListMustBeAskedFor(t *testing.T) {
+func TestListIsRequestedWithBackoff(t *testing.T) {
 	set := testSettings()
 	set.ListOnRequest = true
 	r := newRecorder(t, set)
-	r.members(ListCached, fleet(2)...)
-	if r.watch != 1 {
-		t.Fatalf("%d calls at the start, want 1", r.watch)
+	r.updateWorkers(ListCached, readyWorkers(2)...)
+	if r.watchCalls != 1 {
+		t.Fatalf("%d calls at the start, want 1", r.watchCalls)
 	}
 	var calls []time.Duration
 	for range 5 {
-		began, before := r.now, r.watch
-		r.b.UpdateWorkers(r.now, ListUnavailable, nil)
-		for r.watch == before && r.now < began+time.Minute {
-			r.pass(10 * time.Millisecond)
+		began, before := r.now, r.watchCalls
+		r.balancer.UpdateWorkers(r.now, ListUnavailable, nil)
+		for r.watchCalls == before && r.now < began+time.Minute {
+			r.advance(10 * time.Millisecond)
 		}
 		calls = append(calls, r.now-began)
 	}
@@ -59,7 +59,7 @@
 
 // After a release most of many dispatchers start at once: each asks for the list at a time of
 // its own, and few of a small fleet wait.
-func TestManyAskInTurn(t *testing.T) {
+func TestManyDispatchersSpreadFirstListCalls(t *testing.T) {
 	for _, fleet := range []int{1, manyDispatchers - 1, manyDispatchers, 48} {
 		asked := map[time.Duration]int{}
 		var last time.Duration
@@ -68,9 +68,9 @@
 			set.ListOnRequest, set.DispatcherCount, set.DispatcherIndex = true, fleet, me
 			r := newRecorder(t, set)
 			began := r.now
-			r.members(ListCached)
-			for r.watch == 0 {
-				r.pass(time.Millisecond)
+			r.updateWorkers(ListCached)
+			for r.watchCalls == 0 {
+				r.advance(time.Millisecond)
 			}
 			asked[r.now-began]++
 			last = max(last, r.now-began)
@@ -91,33 +91,33 @@
 	set := testSettings()
 	set.ListOnRequest = true
 	r := newRecorder(t, set)
-	r.members(ListCached)
-	early := job(0, 0)
-	r.request(early)
-	r.pass(100 * time.Millisecond)
-	if got := r.reqs[early.ID].final; got != "" || len(r.sends) != 0 {
+	r.updateWorkers(ListCached)
+	early := testRequest(0, 0)
+	r.submit(early)
+	r.advance(100 * time.Millisecond)
+	if got := r.requests[early.ID].final; got != "" || len(r.sends) != 0 {
 		t.Fatalf("before the list: %q, %d sends", got, len(r.sends))
 	}
-	r.members(ListFull, fleet(3)...)
+	r.updateWorkers(ListFull, readyWorkers(3)...)
 	if len(r.sends) != 1 {
 		t.Fatalf("%d sends with the list there", len(r.sends))
 	}
 
 	r = newRecorder(t, set)
-	r.members(ListCached)
-	late := job(0, 0)
+	r.updateWorkers(ListCached)
+	late := testRequest(0, 0)
 	late.Timeout = time.Second
-	r.request(late)
-	r.pass(late.Timeout/firstListDivisor + 100*time.Millisecond)
-	if got := r.reqs[late.ID].final; got != "refused" {
+	r.submit(late)
+	r.advance(late.Timeout/firstListDivisor + 100*time.Millisecond)
+	if got := r.requests[late.ID].final; got != "refused" {
 		t.Errorf("after half of its time without a list: %q", got)
 	}
-	left := job(1, 0)
+	left := testRequest(1, 0)
 	r = newRecorder(t, set)
-	r.members(ListCached)
-	r.request(left)
-	r.b.ClientDisconnected(left.ID)
-	r.members(ListFull, fleet(3)...)
+	r.updateWorkers(ListCached)
+	r.submit(left)
+	r.balancer.ClientDisconnected(left.ID)
+	r.updateWorkers(ListFull, readyWorkers(3)...)
 	if len(r.sends) != 0 {
 		t.Error("a request whose client has left is sent once the list is there")
 	}
@@ -125,17 +125,17 @@
 
 // However long the list's service was down, the list is asked for soon enough that nothing it has to tell
 // when it is back is missed: that counts as told 6 s later.
-func TestListIsAskedForAfterALongOutage(t *testing.T) {
+func TestListIsRequestedSoonAfterLongOutage(t *testing.T) {
 	for _, fleet := range []int{1, manyDispatchers, 300} {
 		set := testSettings()
 		set.ListOnRequest, set.DispatcherCount = true, fleet
 		r := newRecorder(t, set)
-		r.members(ListCached)
+		r.updateWorkers(ListCached)
 		for range 40 {
-			asked, began := r.watch, r.now
-			r.members(ListUnavailable)
-			for r.watch == asked {
-				r.pass(10 * time.Millisecond)
+			asked, began := r.watchCalls, r.now
+			r.updateWorkers(ListUnavailable)
+			for r.watchCalls == asked {
+				r.advance(10 * time.Millisecond)
 			}
 			if waited := r.now - began; waited > maxListBackoff+20*time.Millisecond {
 				t.Fatalf("one of %d dispatchers waits for %v", fleet, waited)
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -9,18 +9,18 @@
 )
 
 // Rule 4: a rush on a worker that has just started, for a dispatcher that knows what warm ones bear.
-func TestColdWorkerIsNotRushed(t *testing.T) {
+func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
 	set := testSettings()
 	r := newRecorder(t, set)
-	r.members(ListFull, fleet(4)...)
-	drive(r, 0, 400, 31*time.Millisecond, NoLoadReport) // four warm workers of capacity 1 bear 0.8 each
-	r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now})
-	r.work[200].limit = 1
-	if drive(r, 400, 400, 25*time.Millisecond, NoLoadReport)[200] == 0 {
+	r.updateWorkers(ListFull, readyWorkers(4)...)
+	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport) // four warm workers of capacity 1 bear 0.8 each
+	r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now})
+	r.workers[200].capacity = 1
+	if submitSteadily(r, 400, 400, 25*time.Millisecond, NoLoadReport)[200] == 0 {
 		t.Error("the new worker never got a job while it warmed up")
 	}
 	// Hazard: what was sent to it is gone through at each request, and must not grow with its age.
-	sent := r.b.workerByID[200].slowStartSent
+	sent := r.balancer.workerByID[200].slowStartSent
 	if from, to := sent[0].at, sent[len(sent)-1].at; to-from >= set.Rules.OverloadWindow {
 		t.Errorf("sends over %v are kept, want under a window", to-from)
 	}
@@ -28,39 +28,39 @@
 
 // Rule 4 and the release that replaces a whole kind: a dispatcher that has seen only warm workers of
 // another kind gives the new ones work within what the rule allows, not nothing until they are warm.
-func TestColdKindWithoutRecordBorrows(t *testing.T) {
+func TestWarmingKindWithoutRecordUsesLeastOther(t *testing.T) {
 	set := testSettings()
 	set.WorkerKinds = 2
 	r := newRecorder(t, set)
-	warm := fleet(4)
+	warm := readyWorkers(4)
 	for i := range warm {
 		warm[i].Kind = 1
 	}
-	r.members(ListFull, warm...)
-	drive(r, 0, 400, 31*time.Millisecond, NoLoadReport)
+	r.updateWorkers(ListFull, warm...)
+	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport)
 	news := []Worker{{ID: 10, State: Ready, StartedAt: r.now, Size: 1},
 		{ID: 11, State: Ready, StartedAt: r.now, Size: 1}}
-	r.members(ListFull, append(warm[:2:2], news...)...) // two of kind 0, never seen, take two places
-	r.work[10].limit, r.work[11].limit = 1, 1
+	r.updateWorkers(ListFull, append(warm[:2:2], news...)...) // two of kind 0, never seen, take two places
+	r.workers[10].capacity, r.workers[11].capacity = 1, 1
 	// Five seconds: half of Cold, so that no worker of kind 0 is warm meanwhile.
-	if got := drive(r, 400, 160, 31*time.Millisecond, NoLoadReport); got[10]+got[11] == 0 {
+	if got := submitSteadily(r, 400, 160, 31*time.Millisecond, NoLoadReport); got[10]+got[11] == 0 {
 		t.Error("no worker of the kind without a record got a job while it warmed up")
 	}
 }
 
 // Rule 4 where warm workers are far from full on the whole: a cold worker's budget is what warm ones
 // took while they were nearly full, and not only the little that they take on average; it is kept.
-func TestColdBudgetByWhatFullOnesTake(t *testing.T) {
+func TestSlowStartBudgetByFullWorkers(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.members(ListFull, fleet(4)...)
-	drive(r, 0, 100, 250*time.Millisecond, freeSlots(4)) // four slots each; a tenth of one is taken
-	full := drive(r, 100, 400, 8*time.Millisecond, freeSlots(0))
+	r.updateWorkers(ListFull, readyWorkers(4)...)
+	submitSteadily(r, 0, 100, 250*time.Millisecond, freeSlots(4)) // four slots each; a tenth of one is taken
+	full := submitSteadily(r, 100, 400, 8*time.Millisecond, freeSlots(0))
 	if full[100] == 0 {
 		t.Fatal("the warm workers were never full")
 	}
-	r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
-	r.work[200].limit = 4 // slot-seconds a second, when warm: what the recorder holds it to
-	got := drive(r, 500, 200, 5*time.Millisecond, freeSlots(4))[200]
+	r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
+	r.workers[200].capacity = 4 // slot-seconds a second, when warm: what the recorder holds it to
+	got := submitSteadily(r, 500, 200, 5*time.Millisecond, freeSlots(4))[200]
 	if got < 16 {
 		t.Errorf("the cold worker got %d jobs while warm ones were busy; want 16 or more", got)
 	}
@@ -68,20 +68,20 @@
 
 // Rule 4 after a flood: how long jobs ran while they waited must not make the budget larger. Recorded
 // while every job took three times its hint, it lets as many jobs in afterwards as one recorded in calm.
-func TestColdBudgetForgetsAFloodsWaits(t *testing.T) {
+func TestSlowStartBudgetIgnoresWaitsOfOverload(t *testing.T) {
 	jobs := func(flood float64) (n int) {
 		r := newRecorder(t, testSettings())
-		r.members(ListFull, fleet(4)...)
-		r.b.hintRatio = flood
+		r.updateWorkers(ListFull, readyWorkers(4)...)
+		r.balancer.hintRatio = flood
 		for i := range 400 {
-			q := &request{Request: hinted(i), class: &r.b.settings.Classes[safeClass]}
-			r.b.kindLoads[0].add(r.b.hintedWork(q), 0.1, true)
+			q := &request{Request: requestWithHint(i), class: &r.balancer.settings.Classes[idempotentClass]}
+			r.balancer.kindLoads[0].add(r.balancer.hintedWork(q), 0.1, true)
 		}
-		r.b.hintRatio = 1
-		r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
-		w, q := r.b.workerByID[200], &request{Request: hinted(400), class: &r.b.settings.Classes[safeClass]}
-		for now := r.now + r.set.Rules.SlowStartWindow/2; r.b.withinSlowStart(now, w, r.b.hintedWork(q)); n++ {
-			w.slowStartSent = append(w.slowStartSent, sentWork{now, r.b.hintedWork(q)})
+		r.balancer.hintRatio = 1
+		r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
+		w, q := r.balancer.workerByID[200], &request{Request: requestWithHint(400), class: &r.balancer.settings.Classes[idempotentClass]}
+		for now := r.now + r.settings.Rules.SlowStartWindow/2; r.balancer.withinSlowStart(now, w, r.balancer.hintedWork(q)); n++ {
+			w.slowStartSent = append(w.slowStartSent, sentWork{now, r.balancer.hintedWork(q)})
 		}
 		return n
 	}
@@ -92,15 +92,15 @@
 
 // Rule 4 counts requests: a cold worker's budget for requests far smaller than the mean is no more of them
 // than of usual ones, and for one far larger than the mean it is in its work.
-func TestColdBudgetCountsRequests(t *testing.T) {
+func TestSlowStartBudgetCountsRequests(t *testing.T) {
 	allowed := func(work float64) (n int) {
 		r := newRecorder(t, testSettings())
-		r.members(ListFull, fleet(4)...)
-		r.b.kindLoads[0].add(400, 100, false) // a warm worker finishes the work of four usual requests a second
-		r.b.arrivals, r.b.arrivedWork = 100, 100
-		r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
-		w := r.b.workerByID[200]
-		for now := r.now + r.set.Rules.SlowStartWindow/2; r.b.withinSlowStart(now, w, work); n++ {
+		r.updateWorkers(ListFull, readyWorkers(4)...)
+		r.balancer.kindLoads[0].add(400, 100, false) // a warm worker finishes the work of four usual requests a second
+		r.balancer.arrivals, r.balancer.arrivedWork = 100, 100
+		r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
+		w := r.balancer.workerByID[200]
+		for now := r.now + r.settings.Rules.SlowStartWindow/2; r.balancer.withinSlowStart(now, w, work); n++ {
 			w.slowStartSent = append(w.slowStartSent, sentWork{now, work})
 		}
 		return n
@@ -114,12 +114,12 @@
 // Rule 4 over a whole fleet that sends a cold worker all that it may, at every moment: in no window does it
 // get more requests of mean work than N + 2 root N + 2 (N under 30: 3 root N + 3). And the worker is not left
 // idle: over its warm-up it gets a good part of N, however many dispatchers share it.
-func TestColdWorkerBesideAGreedyFleet(t *testing.T) {
+func TestWarmingWorkerWithGreedyDispatchers(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 8, 32, 150, 300, 900} {
 		// Requests a window, of a warm worker, and the part of N that is to be used at least.
 		for allowed, least := range map[float64]float64{3: 1.2, 12: 0.6, 60: 0.45} {
 			for _, uneven := range []bool{false, true} {
-				most, used := greedy(t, size, allowed, uneven)
+				most, used := playGreedyDispatchers(t, size, allowed, uneven)
 				if most > 0.9 || used < least {
 					t.Errorf("%d dispatchers, N up to %v, uneven %v: %.2f of what the rule bears in the "+
 						"fullest window, want at most 0.9; %.2f of N in all, want at least %.2f", size,
@@ -130,9 +130,9 @@
 	}
 }
 
-// greedy plays it and gives the fullest window, as a part of what the rule bears, and the part of N that was
+// playGreedyDispatchers plays it and gives the fullest window, as a part of what the rule bears, and the part of N that was
 // sent over the whole warm-up.
-func greedy(t *testing.T, size int, allowed float64, uneven bool) (most, used float64) {
+func playGreedyDispatchers(t *testing.T, size int, allowed float64, uneven bool) (most, used float64) {
 	set := testSettings()
 	set.DispatcherCount = size
 	fall := set.Rules.OverloadWindow
@@ -150,10 +150,10 @@
 		set.DispatcherIndex = i
 		r := newRecorder(t, set)
 		cold.StartedAt = r.now
-		r.members(ListFull, append(fleet(4), cold)...)
+		r.updateWorkers(ListFull, append(readyWorkers(4), cold)...)
 		rate := allowed / fall.Seconds() / set.Rules.OverloadFactor * shares[i] / whole
-		r.b.kindLoads[0].add(rate*100, 100, false) // a usual request is one unit of work
-		r.b.arrivals, r.b.arrivedWork = 100, 100
+		r.balancer.kindLoads[0].add(rate*100, 100, false) // a usual request is one unit of work
+		r.balancer.arrivals, r.balancer.arrivedWork = 100, 100
 		all = append(all, r)
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -163,7 +163,7 @@
 	first := all[0]
 	for now := cold.StartedAt; now < cold.StartedAt+set.Rules.SlowStartWindow; now += fall / steps {
 		for _, i := range rng.Perm(size) {
-			b := all[i].b
+			b := all[i].balancer
 			w := b.workerByID[cold.ID]
 			for b.withinSlowStart(now, w, 1) {
 				w.slowStartSent = append(w.slowStartSent, sentWork{now, 1})
@@ -174,7 +174,7 @@
 		for len(sent) > 0 && sent[0] <= now-fall {
 			sent = sent[1:]
 		}
-		n := allowed * first.b.warmUpFactor(now, first.b.workerByID[cold.ID])
+		n := allowed * first.balancer.warmUpFactor(now, first.balancer.workerByID[cold.ID])
 		bears := n + 2*math.Sqrt(n) + 2
 		if n < 30 {
 			bears = n + 3*math.Sqrt(n) + 3
@@ -186,16 +186,16 @@
 }
 
 // Without any load seen, a cold worker's budget is nothing.
-func TestColdWorkerWithoutKnowledge(t *testing.T) {
+func TestWarmingWorkerGetsNothingWithoutRecord(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	list := fleet(2)
+	list := readyWorkers(2)
 	list[0].StartedAt = r.now
-	r.members(ListCached, list...)
+	r.updateWorkers(ListCached, list...)
 	for i := range 50 {
-		r.request(job(i, safeClass))
+		r.submit(testRequest(i, idempotentClass))
 	}
 	for _, s := range r.sends {
-		if s.w == list[0].ID {
+		if s.worker == list[0].ID {
 			t.Fatal("a cold worker got a job from a dispatcher that knows nothing")
 		}
 	}
@@ -203,7 +203,7 @@
 
 // Rule 4, where a dispatcher's part of a cold worker's budget is less than a job: a long quiet saves nothing
 // up, so that when all other workers go the dispatchers don't all send at once; and yet the worker gets jobs.
-func TestColdTurns(t *testing.T) {
+func TestSlowStartTimeSlots(t *testing.T) {
 	const many = 40
 	var ru Rules
 	var at []time.Duration // the sends to the cold worker, by its age
@@ -212,23 +212,23 @@
 		set.DispatcherIndex, set.DispatcherCount, set.Rules.ResponseSlack = me, many, 200*time.Millisecond
 		ru = set.Rules
 		r := newSeeded(t, set, uint64(me))
-		r.members(ListFull, fleet(4)...)
+		r.updateWorkers(ListFull, readyWorkers(4)...)
 		for i := range 40 { // each bears a fortieth of four warm workers' load of 0.8
-			r.request(hinted(i))
-			r.pass(100 * time.Millisecond)
-			r.end(r.last(), OK)
-			r.pass(1150 * time.Millisecond)
+			r.submit(requestWithHint(i))
+			r.advance(100 * time.Millisecond)
+			r.endAttempt(r.lastSend(), OK)
+			r.advance(1150 * time.Millisecond)
 		}
-		r.members(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now})
-		r.pass(5 * time.Second)
-		r.members(ListFull, Worker{ID: 200, State: Ready, StartedAt: r.work[200].StartedAt})
+		r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now})
+		r.advance(5 * time.Second)
+		r.updateWorkers(ListFull, Worker{ID: 200, State: Ready, StartedAt: r.workers[200].StartedAt})
 		for i := range 80 {
-			r.request(hinted(1000 + i))
-			if s := r.last(); !s.ended {
-				at = append(at, r.now-r.work[200].StartedAt)
-				r.end(s, OK)
+			r.submit(requestWithHint(1000 + i))
+			if s := r.lastSend(); !s.ended {
+				at = append(at, r.now-r.workers[200].StartedAt)
+				r.endAttempt(s, OK)
 			}
-			r.pass(50 * time.Millisecond)
+			r.advance(50 * time.Millisecond)
 		}
 	}
 	if len(at) < 10 {
