--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -11,8 +11,8 @@
 	r.updateWorkers(ListFull)
 	for class := range 3 {
 		r.submit(testRequest(class, class))
-		if got := r.requests[testRequest(class, class).ID].final; got != "refused" {
-			t.Errorf("class %d: %q, want refused", class, got)
+		if got := r.requests[testRequest(class, class).ID].final; got != "rejected" {
+			t.Errorf("class %d: %q, want rejected", class, got)
 		}
 	}
 	for _, w := range r.retryAfters {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Hazard: load above capacity. Jobs that would be late are refused, and the less worthy first.
+// Hazard: load above capacity. Requests that would be late are rejected, those of the least weight first.
 func TestOverloadIsRejectedLeastWeightFirst(t *testing.T) {
 	set := testSettings()
 	set.ReportsStart = true
@@ -30,7 +30,7 @@
 	r := newRecorder(t, set)
 	r.updateWorkers(ListFull, readyWorkers(1)...)
 	n := 0
-	for range 20 { // it runs jobs of 200 ms
+	for range 20 { // it runs requests of 200 ms
 		for class := range 3 {
 			r.serveEach(n, 1, class, 200*time.Millisecond, NoLoadReport)
 			n++
@@ -38,24 +38,24 @@
 	}
 	r.submit(testRequest(n, idempotentClass)) // it waits
 	r.advance(50 * time.Millisecond)
-	worthy, other := testRequest(n+1, idempotentClass), testRequest(n+2, nonIdempotentClass)
-	r.submit(other)
-	r.submit(worthy)
-	if got := r.requests[other.ID].final; got != "refused" {
-		t.Errorf("the less worthy job behind a wait: %q, want refused", got)
+	heavy, light := testRequest(n+1, idempotentClass), testRequest(n+2, nonIdempotentClass)
+	r.submit(light)
+	r.submit(heavy)
+	if got := r.requests[light.ID].final; got != "rejected" {
+		t.Errorf("the request of less weight behind a wait: %q, want rejected", got)
 	}
-	if got := r.requests[worthy.ID].final; got != "" {
-		t.Errorf("the worthier job behind the same wait: %q, want it sent", got)
+	if got := r.requests[heavy.ID].final; got != "" {
+		t.Errorf("the request of more weight behind the same wait: %q, want it sent", got)
 	}
 	r.advance(400 * time.Millisecond)
 	late := testRequest(n+3, idempotentClass)
 	r.submit(late)
-	if got := r.requests[late.ID].final; got != "refused" {
-		t.Errorf("a job that would be late: %q, want refused", got)
+	if got := r.requests[late.ID].final; got != "rejected" {
+		t.Errorf("a request that would be late: %q, want rejected", got)
 	}
 }
 
-// Hazard: the count knows only own jobs. Where a job of ours waits, others' jobs must be.
+// Hazard: a dispatcher counts only its own requests. Where one of them waits, there must be others' requests.
 func TestObservedWaitsCountAsLoad(t *testing.T) {
 	r := newRecorderWithStartReports(t, 2)
 	r.serveEach(0, 20, idempotentClass, 50*time.Millisecond, NoLoadReport)
@@ -65,14 +65,14 @@
 	for i := 21; i < 24; i++ {
 		r.submit(testRequest(i, idempotentClass))
 		if s := r.lastSend(); s.worker == slow {
-			t.Error("a job joined the queue where ours waits, though the other worker starts at once")
+			t.Error("a request joined the queue where another waits, though the other worker is free")
 		} else {
 			r.reportStart(s)
 		}
 	}
 }
 
-// Hazard: where no report tells the slots of workers, one each is too few to judge by.
+// Hazard: where no load report shows the slots of workers, one each is too few to decide by.
 func TestNoRejectionsWithoutLoadReportsOrWaits(t *testing.T) {
 	r := newRecorderWithStartReports(t, 2)
 	for i := range 200 { // four at a time on each, all start at once
@@ -84,11 +84,11 @@
 		}
 	}
 	if len(r.retryAfters) > 0 {
-		t.Errorf("%d jobs were refused though none ever waited", len(r.retryAfters))
+		t.Errorf("%d requests were rejected though none ever waited", len(r.retryAfters))
 	}
 }
 
-// Hazard: a wait remembered too long. One job waited; a while later its worker must count as free.
+// Hazard: a wait is remembered too long. One request waited; a while later its worker must count as free.
 func TestObservedWaitFades(t *testing.T) {
 	r := newRecorderWithStartReports(t, 1)
 	r.serveEach(0, 20, nonIdempotentClass, 100*time.Millisecond, freeSlots(1))
@@ -119,18 +119,18 @@
 	n := len(r.sends)
 	r.submit(testRequest(100, idempotentClass))
 	if len(r.sends) > n {
-		t.Error("a job went to a worker never met right after ten had waited 1.5 s at others")
+		t.Error("a request went to a worker never met right after ten had waited 1.5 s at others")
 	}
 	r.advance(3 * time.Second)
 	n = len(r.sends)
 	r.submit(testRequest(101, idempotentClass))
 	if len(r.sends) == n {
-		t.Error("a job was refused for waits met 3 s before")
+		t.Error("a request was rejected for waits met 3 s before")
 	}
 }
 
-// Where a tenant sends far beyond its allowance and jobs wait, the excess is refused and the others'
-// jobs go on; while nothing waits nobody is refused.
+// Where a tenant sends far beyond its quota and requests wait, those over its quota are rejected and the
+// others' requests go on; while nothing waits nothing is rejected.
 func TestRequestsOverQuotaRankLast(t *testing.T) {
 	set := testSettings()
 	set.ReportsStart, set.OverQuotaWeight, set.Classes = true, 0.05, set.Classes[:1]
@@ -145,7 +145,7 @@
 		r.submit(q)
 		return r.requests[q.ID].final
 	}
-	for range 200 { // the first sends five times its allowance, the second half of its own
+	for range 200 { // the first sends five times its quota, the second half of its own
 		for i := range 10 {
 			if got := send(i / 9); got != "" {
 				t.Fatalf("%q without a wait", got)
@@ -156,24 +156,24 @@
 			r.endAttempt(s, OK)
 		}
 	}
-	for range 2 { // a job on each worker waits for a while
+	for range 2 { // a request on each worker waits for a while
 		send(1)
 	}
 	r.advance(100 * time.Millisecond)
 	for i := range 2 {
 		r.reportStart(&r.sends[len(r.sends)-2+i])
 	}
-	send(0) // the last that its allowance has room for
-	if got := send(0); got != "refused" {
-		t.Errorf("excess is %q while jobs wait, want refused", got)
+	send(0) // the last that its quota has room for
+	if got := send(0); got != "rejected" {
+		t.Errorf("a request over quota is %q while others wait, want rejected", got)
 	}
 	if got := send(1); got != "" {
-		t.Errorf("a tenant within its allowance is %q", got)
+		t.Errorf("a tenant within its quota is %q", got)
 	}
 }
 
-// A job that is lost when its aim is past goes out again where there is room, and gives way where there is
-// none: a late answer earns less than others' jobs, but more than a failure.
+// A request that is lost after its latency objective is retried where there is capacity, and gives way where
+// there is none: a late response earns less than others' requests, but more than a failure.
 func TestLateRequestIsRetriedWhereThereIsCapacity(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		set := testSettings()
@@ -183,7 +183,7 @@
 		r.serveEach(0, 20, keyedClass, 100*time.Millisecond, NoLoadReport)
 		r.submit(testRequest(100, keyedClass))
 		lost := len(r.sends) - 1
-		r.advance(1500 * time.Millisecond) // the aim is 0.2 s and twice the running time
+		r.advance(1500 * time.Millisecond) // the latency objective is 0.2 s and twice the running time
 		if busy {
 			for _, w := range r.balancer.workers {
 				w.othersInFlight = 10
@@ -192,20 +192,20 @@
 		r.endAttempt(&r.sends[lost], ConnectionReset)
 		again := len(r.sends) == lost+2
 		if final := r.requests["r100"].final; again == busy || busy != (final == "failed") {
-			t.Errorf("busy %v: sent again %v, final answer %q", busy, again, final)
+			t.Errorf("busy %v: retried %v, final response %q", busy, again, final)
 		}
 	}
 }
 
-// Where jobs were turned away lately, excess stays out though the worker drawn looks free: it would take
-// the next gap from the others.
+// Where requests had to wait lately, those over quota are rejected though the worker drawn looks free: they
+// would take the next gap from the others.
 func TestRequestsOverQuotaAreRejectedWhileOthersWait(t *testing.T) {
 	set := testSettings()
 	set.OverQuotaWeight, set.Classes, set.ReportsStart = 0.05, set.Classes[:1], true
 	set.Tenants = []Tenant{{CapacityShare: 0.5, QuotaPerSecond: 1}, {CapacityShare: 0.5, QuotaPerSecond: 100}}
 	r := newRecorder(t, set)
 	r.updateWorkers(ListFull, readyWorkers(8)...)
-	r.balancer.quotas[0].updatedAt = r.now // its allowance is used up
+	r.balancer.quotas[0].updatedAt = r.now // its quota is used up
 	send := func(n, tenant int) *recordedSend {
 		q := testRequest(n, idempotentClass)
 		q.Tenant = tenant
@@ -222,7 +222,7 @@
 		r.endAttempt(s, OK)
 	}
 	if send(50, 0) == nil {
-		t.Fatal("excess was refused without a crowd")
+		t.Fatal("a request over quota was rejected though none has waited")
 	}
 	r.endAttempt(r.lastSend(), OK)
 	for i := range 5 {
@@ -233,18 +233,18 @@
 	}
 	r.advance(3 * time.Second)
 	for i := range 10 {
-		if send(200+i, 0) != nil && i >= minQuotaBurst { // what it has saved up is not excess
-			t.Fatal("excess was sent soon after jobs were turned away")
+		if send(200+i, 0) != nil && i >= minQuotaBurst { // its burst is within the quota
+			t.Fatal("a request over quota was sent soon after workers were full")
 		}
 	}
 }
 
-// A job turned away makes others be refused elsewhere only where starts are told, which also tell of jobs
+// A full worker makes requests be rejected elsewhere only where starts are reported, which also show requests
 // that met no wait.
 func TestFullWorkerCountsAsWaitOnlyWithStartReports(t *testing.T) {
-	for _, told := range []bool{false, true} {
+	for _, reported := range []bool{false, true} {
 		set := testSettings()
-		set.ReportsStart = told
+		set.ReportsStart = reported
 		r := newRecorder(t, set)
 		r.updateWorkers(ListFull, readyWorkers(8)...)
 		r.serveEach(0, 20, idempotentClass, time.Second, NoLoadReport)
@@ -253,13 +253,13 @@
 			r.submit(testRequest(100+i, idempotentClass))
 			r.endAttempt(r.lastSend(), WorkerFull)
 		}
-		if got := r.balancer.fadedRecentWait(r.now) > 0; got != told {
-			t.Errorf("starts told %v: a wait is usual %v", told, got)
+		if got := r.balancer.fadedRecentWait(r.now) > 0; got != reported {
+			t.Errorf("starts reported %v: a recent wait %v", reported, got)
 		}
 	}
 }
 
-// A tenant without an allowance is not limited, whatever it sends.
+// A tenant without a quota is not limited, whatever it sends.
 func TestTenantWithoutQuotaIsNotLimited(t *testing.T) {
 	set := testSettings()
 	set.OverQuotaWeight, set.Tenants = 0.05, []Tenant{{CapacityShare: 1}}
@@ -268,7 +268,7 @@
 	for i := range 20 {
 		r.submit(testRequest(i, idempotentClass))
 		if r.balancer.requestByID[testRequest(i, idempotentClass).ID].overQuota {
-			t.Fatal("a request of a tenant that is not limited is excess")
+			t.Fatal("a request of a tenant that is not limited is over quota")
 		}
 		r.advance(50 * time.Millisecond)
 		r.endAttempt(r.lastSend(), OK)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -16,20 +16,22 @@
 	nonIdempotentClass
 )
 
-// testSettings is a deployment that allows everything and has one class of each effect.
+// testSettings is a deployment that allows everything and has one class of each idempotency.
 func testSettings() Settings {
 	class := func(e Idempotency, sc KeyScope) Class {
-		return Class{LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Timeout: 5 * time.Second, PriorityWeight: 1,
-			LateShare: 0.3, Idempotency: e, KeyScope: sc, KeyWindow: 2 * time.Second, WorkerKind: -1}
+		return Class{LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Timeout: 5 * time.Second,
+			PriorityWeight: 1, LateShare: 0.3, Idempotency: e, KeyScope: sc, KeyWindow: 2 * time.Second,
+			WorkerKind: -1}
 	}
 	return Settings{
 		DispatcherCount: 1,
-		Classes:         []Class{class(Idempotent, ScopeAll), class(IdempotentByKey, ScopeCell), class(NonIdempotent, ScopeAll)},
-		Limits: Limits{MaxAttempts: 3, CanCancel: true, HealthChecks: true, PeerMessages: true, HedgedRequests: true,
-			MaxRetryAfter: time.Second},
+		Classes: []Class{class(Idempotent, ScopeAll), class(IdempotentByKey, ScopeCell),
+			class(NonIdempotent, ScopeAll)},
+		Limits: Limits{MaxAttempts: 3, CanCancel: true, HealthChecks: true, PeerMessages: true,
+			HedgedRequests: true, MaxRetryAfter: time.Second},
 		Rules: Rules{ResponseSlack: 20 * time.Millisecond, ListPollInterval: 10 * time.Second,
-			DrainGrace: time.Second, SlowStartMinShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadFactor: 3,
-			OverloadWindow: 2 * time.Second},
+			DrainGrace: time.Second, SlowStartMinShare: 0.2, SlowStartWindow: 10 * time.Second,
+			OverloadFactor: 3, OverloadWindow: 2 * time.Second},
 		Goal:             Goal{Overall: 1},
 		MinEventInterval: time.Millisecond,
 	}
@@ -48,14 +50,14 @@
 	return Request{ID: RequestID(fmt.Sprintf("r%d", i)), Class: class, Timeout: 5 * time.Second}
 }
 
-// requestWithHint is a safe job that tells a tenth of a second's work.
+// requestWithHint is an idempotent request with a hint of a tenth of a second's work.
 func requestWithHint(i int) Request {
 	q := testRequest(i, idempotentClass)
 	q.ExpectedWork = 100 * time.Millisecond
 	return q
 }
 
-// newRecorderWithStartReports is a recorder with n ready workers that tell when a job starts.
+// newRecorderWithStartReports is a recorder with n ready workers that report when a request starts.
 func newRecorderWithStartReports(t *testing.T, n int) *recorder {
 	t.Helper()
 	set := testSettings()
@@ -65,7 +67,7 @@
 	return r
 }
 
-// freeSlots is a load report that tells nothing else.
+// freeSlots is a load report of nothing else.
 func freeSlots(n float64) LoadReport {
 	rep := NoLoadReport
 	rep.Received, rep.FreeSlots = true, n
@@ -80,7 +82,7 @@
 	}
 }
 
-// With all slots known and nothing waiting, the jobs go where the fewest are.
+// With all slots known and nothing waiting, requests go where the fewest are in flight.
 func TestLeastLoadedWorkerWins(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
@@ -92,7 +94,7 @@
 		count[s.worker]++
 	}
 	if count[100] != 4 || count[101] != 4 {
-		t.Errorf("8 jobs on two workers went %v, want 4 each", count)
+		t.Errorf("8 requests on two workers went %v, want 4 each", count)
 	}
 }
 
@@ -110,7 +112,7 @@
 	}
 	for id, n := range count {
 		if n < rounds/4*8/10 || n > rounds/4*12/10 {
-			t.Errorf("worker %d got %d of %d jobs on four idle workers", id, n, rounds)
+			t.Errorf("worker %d got %d of %d requests on four idle workers", id, n, rounds)
 		}
 	}
 }
@@ -130,7 +132,7 @@
 		r.advance(6 * time.Second)
 		for _, w := range r.balancer.workers {
 			if w.inFlight != 0 {
-				t.Errorf("after result %d worker %d holds %v", res, w.ID, w.inFlight)
+				t.Errorf("after result %d worker %d has %v in flight", res, w.ID, w.inFlight)
 			}
 		}
 		if len(r.balancer.requestByID) != 0 || len(r.balancer.requests) != 0 {
@@ -139,7 +141,7 @@
 	}
 }
 
-// Refusals are told of in a line now and then, not one each; while all goes well nothing is.
+// Rejections are logged in a line now and then, not one each; without any nothing is logged.
 func TestSummaryLogLine(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	list := readyWorkers(3)
@@ -147,7 +149,7 @@
 	r.updateWorkers(ListFull, list...)
 	r.advance(20 * time.Second)
 	if len(r.logs) > 0 {
-		t.Errorf("logged %q without a refusal", r.logs)
+		t.Errorf("logged %q without a rejection", r.logs)
 	}
 	r.updateWorkers(ListFull)
 	for i := range 300 {
@@ -155,7 +157,7 @@
 		r.advance(100 * time.Millisecond)
 	}
 	if n := len(r.logs); n < 2 || n > 7 {
-		t.Fatalf("%d lines in half a minute of refusals with 5 s to a line: %q", n, r.logs)
+		t.Fatalf("%d lines in half a minute of rejections with 5 s to a line: %q", n, r.logs)
 	}
 	if want := "refused 1, failed 0; workers: 0 ready, 0 of them cold, 0 suspect"; r.logs[0] != want {
 		t.Errorf("the first line is %q, want %q", r.logs[0], want)
@@ -178,8 +180,8 @@
 	}
 }
 
-// submitSteadily sends n hinted jobs gap apart from job from on, ends each attempt after 90 ms with rep,
-// and counts the jobs that each worker got.
+// submitSteadily submits n requests with hints at intervals of gap, numbered from from on, ends each attempt
+// after 90 ms with rep, and counts the requests that each worker got.
 func submitSteadily(r *recorder, from, n int, gap time.Duration, rep LoadReport) map[WorkerID]int {
 	got := map[WorkerID]int{}
 	for i := range n {
@@ -219,26 +221,29 @@
 	}
 }
 
-// Odd events change no count and break no rule.
+// Unknown and repeated events change no count and break no rule.
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
 	r.submit(testRequest(0, nonIdempotentClass))
 	s := r.lastSend()
-	r.balancer.Submit(r.now, testRequest(0, nonIdempotentClass))                                    // the same ID
-	r.balancer.AttemptEnded(r.now, AttemptOutcome{ID: "nobody"})                                    // unknown
-	r.balancer.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Attempt: 9, Result: ServerError})       // unknown attempt
-	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: -1, Started: true})      // unknown attempt
-	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: "nobody", Started: true})               // unknown
-	r.balancer.HealthChecked(r.now, 9999, OK, NoLoadReport)                                         // unknown worker
-	r.balancer.TimerFired(r.now, 12345)                                                             // unknown timer
-	r.balancer.ClientDisconnected("nobody")                                                         // unknown
-	r.endAttempt(s, OK)                                                                             // the one that counts
-	r.balancer.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Worker: s.worker, Result: ServerError}) // repeated
-	r.submit(Request{ID: "late", Class: nonIdempotentClass})                                        // no time left
+	b := r.balancer
+	b.Submit(r.now, testRequest(0, nonIdempotentClass)) // the same ID
+	// Unknown requests, attempts, workers and timers.
+	b.AttemptEnded(r.now, AttemptOutcome{ID: "nobody"})
+	b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Attempt: 9, Result: ServerError})
+	b.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: -1, Started: true})
+	b.AttemptProgressed(r.now, AttemptProgress{ID: "nobody", Started: true})
+	b.HealthChecked(r.now, 9999, OK, NoLoadReport)
+	b.TimerFired(r.now, 12345)
+	b.ClientDisconnected("nobody")
+	// The end that counts, the same attempt's once more, and a request without any time.
+	r.endAttempt(s, OK)
+	b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Worker: s.worker, Result: ServerError})
+	r.submit(Request{ID: "late", Class: nonIdempotentClass})
 	for _, w := range r.balancer.workers {
 		if w.inFlight != 0 {
-			t.Errorf("worker %d holds %v", w.ID, w.inFlight)
+			t.Errorf("worker %d has %v in flight", w.ID, w.inFlight)
 		}
 	}
 	if len(r.sends) != 1 {
@@ -246,7 +251,7 @@
 	}
 }
 
-// fuzzRun plays the events that data spells, legal and odd, against the recorder.
+// fuzzRun plays the events that data encodes, expected and unexpected ones, against the recorder.
 func fuzzRun(t *testing.T, data []byte) {
 	set := testSettings()
 	if len(data) > 0 {
@@ -273,8 +278,8 @@
 		case 4:
 			r.advance(time.Duration(x) * 10 * time.Millisecond)
 		case 5:
-			r.updateWorkers(ListDelta, Worker{ID: WorkerID(100 + x%6), Cell: x % 3, State: WorkerState(x / 8 % 3),
-				StartedAt: time.Duration(x/32%2) * r.now})
+			r.updateWorkers(ListDelta, Worker{ID: WorkerID(100 + x%6), Cell: x % 3,
+				State: WorkerState(x / 8 % 3), StartedAt: time.Duration(x/32%2) * r.now})
 		case 6:
 			if n := len(r.sends); n > 0 {
 				r.reportStart(&r.sends[n-1-x%n])
@@ -291,7 +296,7 @@
 	}
 	for _, w := range r.balancer.workers {
 		if w.inFlight != 0 {
-			t.Fatalf("worker %d holds %v after all ended", w.ID, w.inFlight)
+			t.Fatalf("worker %d has %v in flight after all ended", w.ID, w.inFlight)
 		}
 	}
 }
@@ -327,7 +332,7 @@
 	}
 }
 
-// Hazard: with many dispatchers all counts are zero and each meets every worker once in a long while.
+// Hazard: with many dispatchers all counts are zero, and each dispatcher meets every worker seldom.
 func TestHomesSpreadDispatchers(t *testing.T) {
 	met := func(me int) map[WorkerID]int {
 		set := testSettings()
@@ -351,7 +356,7 @@
 			}
 		}
 		if most < 100 {
-			t.Errorf("dispatcher %d sent at most %d of 200 jobs to one worker, want half", me, most)
+			t.Errorf("dispatcher %d sent at most %d of 200 requests to one worker, want half", me, most)
 		}
 		homes[home] = true
 	}
@@ -360,14 +365,16 @@
 	}
 }
 
-// A change of the classes under load: what is open keeps its terms, what comes has the new.
+// A change of the classes under load: open requests keep their class, later ones have the new.
 func TestConfigureKeepsClassOfOpenRequests(t *testing.T) {
-	r := newRecorder(t, Settings{Classes: []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: time.Second,
-		PriorityWeight: 1, MaxAttempts: 2, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 5}, WorkerKinds: 1})
+	r := newRecorder(t, Settings{Classes: []Class{{Name: "c", Timeout: 10 * time.Second,
+		LatencyObjective: time.Second, PriorityWeight: 1, MaxAttempts: 2, WorkerKind: -1}},
+		Limits: Limits{MaxAttempts: 5}, WorkerKinds: 1})
 	b := r.balancer
 	set := b.settings
-	set.Classes = []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 7, WorkerKind: -1}}
-	r.updateWorkers(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready}, Worker{ID: 3, State: Ready})
+	set.Classes = []Class{{Name: "c", Timeout: 10 * time.Second, LatencyObjective: 2 * time.Second,
+		PriorityWeight: 7, WorkerKind: -1}}
+	r.updateWorkers(ListFull, readyWorkers(3)...)
 	r.submit(Request{ID: "old", Timeout: 10 * time.Second})
 	if err := b.CanConfigure(set); err != nil {
 		t.Fatal(err)
@@ -375,10 +382,10 @@
 	b.Configure(set)
 	r.submit(Request{ID: "new", Timeout: 10 * time.Second})
 	if got := b.maxAttempts(b.requestByID["old"]); got != 2 {
-		t.Errorf("an open request has %d attempts, came with 2", got)
+		t.Errorf("an open request may have %d attempts, came with 2", got)
 	}
 	if got := b.maxAttempts(b.requestByID["new"]); got != 5 {
-		t.Errorf("a new request has %d attempts, not the 5 of the limits", got)
+		t.Errorf("a new request may have %d attempts, not the 5 of the limits", got)
 	}
 	if b.requestByID["old"].class.PriorityWeight != 1 || b.requestByID["new"].class.PriorityWeight != 7 {
 		t.Error("a request does not have the class that it came with")
@@ -390,13 +397,13 @@
 		bad.Classes = append([]Class(nil), set.Classes...)
 		spoil(&bad.Classes[0])
 		if b.CanConfigure(bad) == nil {
-			t.Errorf("taken over live: %+v", bad.Classes[0])
+			t.Errorf("accepted while requests are open: %+v", bad.Classes[0])
 		}
 	}
 }
 
-// A process that takes another's place knows what that one spent on a cold worker, which
-// workers fail, and what is out.
+// A process that replaces another one knows what that one sent to a warming worker, which workers fail, and
+// what is in flight.
 func TestLearnedStateIsRestored(t *testing.T) {
 	set := testSettings()
 	first := newRecorder(t, set)
@@ -412,10 +419,10 @@
 		}
 		first.endAttempt(first.lastSend(), OK)
 	}
-	cold := list[2]
-	cold.StartedAt = first.now
-	first.updateWorkers(ListDelta, cold)
-	first.balancer.workerByID[cold.ID].slowStartSent = []sentWork{{first.now, 7}}
+	warming := list[2]
+	warming.StartedAt = first.now
+	first.updateWorkers(ListDelta, warming)
+	first.balancer.workerByID[warming.ID].slowStartSent = []sentWork{{first.now, 7}}
 	for range 3 {
 		first.balancer.observeFailure(first.now, first.balancer.workerByID[list[0].ID])
 	}
@@ -431,44 +438,49 @@
 	}
 	second := newSeeded(t, set, 2)
 	second.now = first.now
-	second.updateWorkers(ListCached, list[0], list[1], cold)
+	second.updateWorkers(ListCached, list[0], list[1], warming)
 	second.balancer.RestoreLearned(second.now, m)
-	if w := second.balancer.workerByID[cold.ID]; len(w.slowStartSent) != 1 || w.slowStartSent[0].work != 7 {
-		t.Errorf("what was spent on the cold worker: %v", w.slowStartSent)
+	if sent := second.balancer.workerByID[warming.ID].slowStartSent; len(sent) != 1 || sent[0].work != 7 {
+		t.Errorf("what was sent to the warming worker: %v", sent)
 	}
 	if second.balancer.fadedFailureScore(second.now, second.balancer.workerByID[list[0].ID]) < ejectionScore {
-		t.Error("the failing worker is trusted")
+		t.Error("the failing worker is not ejected")
 	}
-	out := 0.0
+	inUse := 0.0
 	for id, n := range first.balancer.InFlight() {
 		second.balancer.SetOtherInFlight(id, n)
-		out += second.balancer.slotsInUse(second.now, second.balancer.workerByID[id])
+		inUse += second.balancer.slotsInUse(second.now, second.balancer.workerByID[id])
 	}
-	if out != 1 || second.balancer.meanRunTime != first.balancer.meanRunTime || second.balancer.hintRatio != first.balancer.hintRatio {
-		t.Errorf("%v jobs are out, the usual time is %v, was %v", out, second.balancer.meanRunTime, first.balancer.meanRunTime)
+	if got, want := second.balancer, first.balancer; inUse != 1 || got.meanRunTime != want.meanRunTime ||
+		got.hintRatio != want.hintRatio {
+		t.Errorf("%v slots are in use, the usual running time is %v, was %v", inUse, got.meanRunTime,
+			want.meanRunTime)
 	}
 	for id := range first.balancer.InFlight() { // and they end
 		second.balancer.SetOtherInFlight(id, 0)
 		if n := second.balancer.slotsInUse(second.now, second.balancer.workerByID[id]); n != 0 {
-			t.Errorf("%v jobs are out of a process that has none", n)
+			t.Errorf("%v slots are in use of a process that has no requests", n)
 		}
 	}
-	// Hazard: the other process's clock is ahead, and an illness grows with time.
+	// Hazard: the other process's clock is ahead, and a failure score grows with time.
 	behind := newSeeded(t, set, 3)
 	behind.now = first.now - time.Minute
-	behind.updateWorkers(ListCached, list[0], list[1], cold)
+	behind.updateWorkers(ListCached, list[0], list[1], warming)
 	behind.balancer.RestoreLearned(behind.now, m)
-	if ill := behind.balancer.fadedFailureScore(behind.now, behind.balancer.workerByID[list[0].ID]); ill > 1 {
-		t.Errorf("by a clock that is behind a worker is ill by %v", ill)
+	failing := behind.balancer.workerByID[list[0].ID]
+	if score := behind.balancer.fadedFailureScore(behind.now, failing); score > 1 {
+		t.Errorf("by a clock that is behind a worker has a failure score of %v", score)
 	}
-	second.balancer.RestoreLearned(second.now, LearnedState{HintRatio: 1, ClassRunTimes: []float64{1}}) // of other settings
-	// A process of before the hints' measure tells no full workers, and counts by how long jobs run.
+	// State of other settings is ignored.
+	second.balancer.RestoreLearned(second.now, LearnedState{HintRatio: 1, ClassRunTimes: []float64{1}})
+	// An old process reports no full workers, and counts work by running times, not by hints.
 	m.FullKindLoads, m.KindLoads[0], m.HintRatio = nil, [2]float64{8, 4}, 2
 	older := newSeeded(t, set, 4)
 	older.now = first.now
-	older.updateWorkers(ListCached, list[0], list[1], cold)
+	older.updateWorkers(ListCached, list[0], list[1], warming)
 	older.balancer.RestoreLearned(older.now, m)
-	if rate, sent := older.balancer.warmRate(0), older.balancer.workerByID[cold.ID].slowStartSent[0].work; rate != 1 || sent != 3.5 {
-		t.Errorf("from an older process a warm worker bears %v, want 1; 7 spent are %v, want 3.5", rate, sent)
+	rate, sent := older.balancer.warmRate(0), older.balancer.workerByID[warming.ID].slowStartSent[0].work
+	if rate != 1 || sent != 3.5 {
+		t.Errorf("from an old process a warm worker takes %v, want 1; 7 sent are %v, want 3.5", rate, sent)
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// idleHost is a host that does nothing but note where the request went.
+// idleHost is a host that only remembers where the request went.
 type idleHost struct{ to WorkerID }
 
 func (h *idleHost) Send(_ RequestID, w WorkerID, _ time.Duration) { h.to = w }
@@ -21,14 +21,15 @@
 func (*idleHost) CloseIdle(WorkerID)                              {}
 func (*idleHost) Log(string)                                      {}
 
-// BenchmarkRequest is one request and its outcome: one class, one zone, no troubles.
+// BenchmarkRequest is one request and its outcome: one class, one zone, no faults.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			host := &idleHost{}
-			bal, err := New(Settings{WorkerKinds: 1, ZoneCount: 1, DispatcherCount: 1, Limits: Limits{MaxAttempts: 5},
-				Classes: []Class{{Name: "c", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 1,
-					WorkerKind: -1}},
+			bal, err := New(Settings{WorkerKinds: 1, ZoneCount: 1, DispatcherCount: 1,
+				Limits: Limits{MaxAttempts: 5},
+				Classes: []Class{{Name: "c", LatencyObjective: time.Second, Timeout: 5 * time.Second,
+					PriorityWeight: 1, WorkerKind: -1}},
 				Goal: Goal{Overall: 1}}, 1, host)
 			if err != nil {
 				b.Fatal(err)
@@ -43,8 +44,8 @@
 			for b.Loop() {
 				now += 100 * time.Microsecond
 				bal.Submit(now, Request{ID: "r", Timeout: 5 * time.Second})
-				bal.AttemptEnded(now, AttemptOutcome{ID: "r", Worker: host.to, Result: OK, Took: time.Millisecond,
-					Responded: true, Report: NoLoadReport})
+				bal.AttemptEnded(now, AttemptOutcome{ID: "r", Worker: host.to, Result: OK,
+					Took: time.Millisecond, Responded: true, Report: NoLoadReport})
 			}
 		})
 	}
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -14,8 +14,8 @@
 //
 //   - all calls come from one goroutine, or under one lock;
 //   - the time passed in never goes back; its origin is arbitrary;
-//   - each [Actions.Send] is followed by exactly one AttemptEnded, with TimedOut at the request's deadline at the
-//     latest, and each [Actions.SetTimer] by one TimerFired;
+//   - each [Actions.Send] is followed by exactly one AttemptEnded, with TimedOut at the request's deadline at
+//     the latest, and each [Actions.SetTimer] by one TimerFired;
 //   - methods of Actions do not call the Balancer.
 //
 // What the host may rely on: each submitted request gets one final response (an AttemptEnded with Responded
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"moorstack/balancer"
 )
 
-// printer is a host that only prints what it is asked to do.
+// printer is a host that only prints its actions.
 type printer struct{ sent balancer.WorkerID }
 
 func (p *printer) Send(id balancer.RequestID, w balancer.WorkerID, until time.Duration) {
@@ -15,7 +15,7 @@
 	fmt.Printf("send %s to worker %d\n", id, w)
 }
 func (p *printer) Reject(id balancer.RequestID, after time.Duration) {
-	fmt.Println("refuse", id, after > 0)
+	fmt.Println("reject", id, after > 0)
 }
 func (p *printer) Fail(id balancer.RequestID)             { fmt.Println("fail", id) }
 func (p *printer) Cancel(id balancer.RequestID, n int)    {}
@@ -27,11 +27,12 @@
 func (p *printer) CloseIdle(w balancer.WorkerID)          {}
 func (p *printer) Log(text string)                        {}
 
-// A dispatcher tells the balancer what happens and does what it is asked.
+// A dispatcher passes events to the balancer and carries out its actions.
 func Example() {
 	settings := balancer.Settings{
 		Classes: []balancer.Class{{
-			Name: "resize", LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Timeout: 5 * time.Second,
+			Name: "resize", LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2,
+			Timeout:        5 * time.Second,
 			PriorityWeight: 1, Idempotency: balancer.Idempotent, WorkerKind: -1,
 		}},
 		Limits: balancer.Limits{MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second},
@@ -48,9 +49,9 @@
 	b.UpdateWorkers(now, balancer.ListFull, []balancer.Worker{{ID: 7, State: balancer.Ready}})
 	b.Submit(now, balancer.Request{ID: "b", Timeout: 5 * time.Second})
 	now += 50 * time.Millisecond
-	b.AttemptEnded(now, balancer.AttemptOutcome{ID: "b", Worker: host.sent, Result: balancer.OK, Responded: true,
-		Report: balancer.NoLoadReport})
+	b.AttemptEnded(now, balancer.AttemptOutcome{ID: "b", Worker: host.sent, Result: balancer.OK,
+		Responded: true, Report: balancer.NoLoadReport})
 	// Output:
-	// refuse a true
+	// reject a true
 	// send b to worker 7
 }
--- a/balancer/learn_test.go
+++ b/balancer/learn_test.go
@@ -23,18 +23,18 @@
 		r.endAttemptWith(s, OK, rep)
 	}
 	if busy > 40 {
-		t.Errorf("%d of 190 jobs went to the worker whose slots others hold", busy)
+		t.Errorf("%d of 190 requests went to the worker whose slots others use", busy)
 	}
 }
 
-// Few reports by probe are enough to turn jobs away from a worker that others fill; those in answers
-// come only from where jobs go and count little.
+// Few load reports by health checks are enough to keep requests from a worker that others fill; those in
+// responses come only from where requests go and count little.
 func TestHealthCheckReportsCountMore(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		probed bool
 		most   int
-	}{{"probed", true, 0}, {"in answers", false, 3}} {
+	}{{"health checks", true, 0}, {"in responses", false, 3}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.LoadReportsByCheck = c.probed
@@ -51,7 +51,8 @@
 				}
 			}
 			if there > c.most || c.most > 0 && there == 0 {
-				t.Errorf("%d of 5 jobs went to the worker that others fill, want at most %d", there, c.most)
+				t.Errorf("%d of 5 requests went to the worker that others fill, want at most %d", there,
+					c.most)
 			}
 		})
 	}
@@ -62,7 +63,7 @@
 		name            string
 		probed, allowed bool
 		want            int
-	}{{"probed", true, true, 6}, {"in answers", false, true, 0}, {"forbidden", true, false, 0}} {
+	}{{"health checks", true, true, 6}, {"in responses", false, true, 0}, {"forbidden", true, false, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.LoadReportsByCheck, set.Limits.HealthChecks = c.probed, c.allowed
@@ -73,32 +74,34 @@
 				r.advance(time.Millisecond)
 			}
 			if len(r.checked) != c.want {
-				t.Errorf("%d probes, want %d", len(r.checked), c.want)
+				t.Errorf("%d health checks, want %d", len(r.checked), c.want)
 			}
 			if c.want > 0 && len(slices.Compact(slices.Sorted(slices.Values(r.checked)))) != 3 {
-				t.Errorf("probed %v, want all three in turn", r.checked)
+				t.Errorf("checked %v, want all three in turn", r.checked)
 			}
 		})
 	}
 }
 
-// Hazard: jobs shorter than the clock's tick have no running time, and a pace of zero is divided by.
+// Hazard: requests shorter than the clock's tick have no running time, and a run-time factor of zero is
+// divided by.
 func TestRunningTimesOfZero(t *testing.T) {
 	r := newRecorderWithStartReports(t, 1)
 	r.serveEach(0, 20, idempotentClass, 50*time.Millisecond, freeSlots(1))
 	r.serveEach(100, 300, idempotentClass, 0, freeSlots(1))
-	if w := r.balancer.workerByID[100]; w.runTimeFactor < slowWeight || r.balancer.kindRunTimeFactors[w.Kind] < slowWeight {
-		t.Errorf("paces of %v and %v after jobs that took no time", w.runTimeFactor, r.balancer.kindRunTimeFactors[w.Kind])
+	own, kind := r.balancer.workerByID[100].runTimeFactor, r.balancer.kindRunTimeFactors[0]
+	if own < slowWeight || kind < slowWeight {
+		t.Errorf("run-time factors of %v and %v after requests that took no time", own, kind)
 	}
 }
 
-// One of many dispatchers, whose news of a worker is long past, asks some workers before it sends: the job
-// goes to the emptiest of those that answer, and soon goes on without those that don't.
+// One of many dispatchers, whose load reports are outdated, requests some before it sends: the request goes
+// to the least loaded of the workers that report, and soon goes on without those that don't.
 func TestRequestWaitsForLoadReports(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		answers int
-	}{{"all answer", 3}, {"two answer", 2}, {"none answers", 0}} {
+		reports int
+	}{{"all report", 3}, {"two report", 2}, {"none reports", 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.LoadReportsByCheck, set.DispatcherCount = true, 100
@@ -112,20 +115,23 @@
 				r.advance(time.Second)
 				r.endAttempt(r.lastSend(), OK)
 			}
-			sent, asked := len(r.sends), len(r.checked)
+			sent, before := len(r.sends), len(r.checked)
 			r.submit(testRequest(100, idempotentClass))
-			if n := len(r.checked) - asked; n != checkedChoices || len(r.sends) != sent {
-				t.Fatalf("%d workers asked and %d sends, want %d and none yet", n, len(r.sends)-sent, checkedChoices)
+			if n := len(r.checked) - before; n != checkedChoices || len(r.sends) != sent {
+				t.Fatalf("%d workers checked and %d sends, want %d and none yet", n, len(r.sends)-sent,
+					checkedChoices)
 			}
-			for i, w := range r.checked[asked : asked+c.answers] {
+			for i, w := range r.checked[before : before+c.reports] {
 				r.balancer.HealthChecked(r.now, w, OK, freeSlots(float64(2*i)))
 			}
-			r.advance(set.Classes[idempotentClass].LatencyObjective/checkWaitDivisor + r.balancer.sweepInterval())
+			wait := set.Classes[idempotentClass].LatencyObjective / checkWaitDivisor
+			r.advance(wait + r.balancer.sweepInterval())
 			if len(r.sends) != sent+1 {
 				t.Fatalf("%d sends, want one", len(r.sends)-sent)
 			}
-			if c.answers > 0 && r.lastSend().worker != r.checked[asked+c.answers-1] {
-				t.Errorf("sent to %d, want the emptiest that answered, of %v", r.lastSend().worker, r.checked[asked:])
+			if c.reports > 0 && r.lastSend().worker != r.checked[before+c.reports-1] {
+				t.Errorf("sent to %d, want the least loaded that reported, of %v", r.lastSend().worker,
+					r.checked[before:])
 			}
 		})
 	}
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -7,7 +7,7 @@
 // other versions read and write it. Times are of the sender's clock.
 type LearnedState struct {
 	KindLoads          [][2]float64              `json:"Loads"`   // by worker kind: work, seconds
-	FullKindLoads      [][2]float64              `json:"Full"`    // likewise, at full workers; old versions: none
+	FullKindLoads      [][2]float64              `json:"Full"`    // likewise, at full workers; old: none
 	ClassTallies       [][2]float64              `json:"Tallies"` // by class: offered, served in time
 	KindSlots          []float64                 `json:"Slots"`
 	KindRunTimeFactors []float64                 `json:"Paces"`
@@ -15,7 +15,7 @@
 	MeanRunTime        float64                   `json:"Mean"`  // seconds
 	HintRatio          float64                   `json:"Ratio"`
 	Arrivals           float64                   `json:"Arrived"`
-	ArrivedWork        float64                   `json:"Efforts"` // of the arrivals; old versions: none
+	ArrivedWork        float64                   `json:"Efforts"` // of the arrivals; old: none
 	ObservedSeconds    float64                   `json:"Watched"`
 	RecentWait         float64                   `json:"Wait"`  // seconds
 	WaitingShare       float64                   `json:"Crowd"` // 0 to 1
--- a/balancer/list_updates_test.go
+++ b/balancer/list_updates_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Rule 3: nothing to a worker that the list calls draining, gone, or leaves out.
+// Rule 3: nothing is sent to a worker that the list has as draining or removed, or does not have.
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		tell func(r *recorder)
+		name   string
+		update func(r *recorder)
 	}{
 		{"draining", func(r *recorder) { r.updateWorkers(ListDelta, Worker{ID: 100, State: Draining}) }},
-		{"gone", func(r *recorder) { r.updateWorkers(ListDelta, Worker{ID: 100, State: Removed}) }},
-		{"left out", func(r *recorder) { r.updateWorkers(ListFull, readyWorkers(2)[1]) }},
+		{"removed", func(r *recorder) { r.updateWorkers(ListDelta, Worker{ID: 100, State: Removed}) }},
+		{"absent", func(r *recorder) { r.updateWorkers(ListFull, readyWorkers(2)[1]) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRecorder(t, testSettings())
 			r.updateWorkers(ListFull, readyWorkers(2)...)
-			c.tell(r)
+			c.update(r)
 			r.advance(r.settings.Rules.DrainGrace + time.Second)
 			for i := range 20 {
 				r.submit(testRequest(i, idempotentClass))
 			}
 			if len(r.sends) == 0 {
-				t.Fatal("nothing went to the worker that is left")
+				t.Fatal("nothing went to the other worker")
 			}
 			for _, s := range r.sends {
 				if s.worker == 100 {
-					t.Fatal("sent to the worker that is going")
+					t.Fatal("sent to the worker that is draining or removed")
 				}
 			}
 		})
@@ -57,30 +57,31 @@
 	}
 }
 
-// After a release most of many dispatchers start at once: each asks for the list at a time of
-// its own, and few of a small fleet wait.
+// After a release most of many dispatchers start at once: each requests the list at a time
+// of its own; few dispatchers don't wait.
 func TestManyDispatchersSpreadFirstListCalls(t *testing.T) {
-	for _, fleet := range []int{1, manyDispatchers - 1, manyDispatchers, 48} {
-		asked := map[time.Duration]int{}
+	longest := testSettings().Classes[0].Timeout / firstListSpread
+	for _, dispatchers := range []int{1, manyDispatchers - 1, manyDispatchers, 48} {
+		calledAt := map[time.Duration]int{}
 		var last time.Duration
-		for me := range fleet {
+		for me := range dispatchers {
 			set := testSettings()
-			set.ListOnRequest, set.DispatcherCount, set.DispatcherIndex = true, fleet, me
+			set.ListOnRequest, set.DispatcherCount, set.DispatcherIndex = true, dispatchers, me
 			r := newRecorder(t, set)
 			began := r.now
 			r.updateWorkers(ListCached)
 			for r.watchCalls == 0 {
 				r.advance(time.Millisecond)
 			}
-			asked[r.now-began]++
+			calledAt[r.now-began]++
 			last = max(last, r.now-began)
 		}
-		if fleet < manyDispatchers && last > 0 {
-			t.Errorf("of %d dispatchers one waits for %v", fleet, last)
+		if dispatchers < manyDispatchers && last > 0 {
+			t.Errorf("of %d dispatchers one waits for %v", dispatchers, last)
 		}
-		for at, n := range asked {
-			if fleet >= manyDispatchers && (n > 1 || at > testSettings().Classes[0].Timeout/firstListSpread) {
-				t.Errorf("%d of %d dispatchers ask after %v", n, fleet, at)
+		for at, n := range calledAt {
+			if dispatchers >= manyDispatchers && (n > 1 || at > longest) {
+				t.Errorf("%d of %d dispatchers request it after %v", n, dispatchers, at)
 			}
 		}
 	}
@@ -109,36 +110,36 @@
 	late.Timeout = time.Second
 	r.submit(late)
 	r.advance(late.Timeout/firstListDivisor + 100*time.Millisecond)
-	if got := r.requests[late.ID].final; got != "refused" {
+	if got := r.requests[late.ID].final; got != "rejected" {
 		t.Errorf("after half of its time without a list: %q", got)
 	}
-	left := testRequest(1, 0)
+	disconnected := testRequest(1, 0)
 	r = newRecorder(t, set)
 	r.updateWorkers(ListCached)
-	r.submit(left)
-	r.balancer.ClientDisconnected(left.ID)
+	r.submit(disconnected)
+	r.balancer.ClientDisconnected(disconnected.ID)
 	r.updateWorkers(ListFull, readyWorkers(3)...)
 	if len(r.sends) != 0 {
-		t.Error("a request whose client has left is sent once the list is there")
+		t.Error("a request whose client has disconnected is sent once the list is there")
 	}
 }
 
-// However long the list's service was down, the list is asked for soon enough that nothing it has to tell
-// when it is back is missed: that counts as told 6 s later.
+// However long the list's service was down, the list is requested soon enough that nothing is missed that
+// it has to report when it is back: that counts as reported 6 s later.
 func TestListIsRequestedSoonAfterLongOutage(t *testing.T) {
-	for _, fleet := range []int{1, manyDispatchers, 300} {
+	for _, dispatchers := range []int{1, manyDispatchers, 300} {
 		set := testSettings()
-		set.ListOnRequest, set.DispatcherCount = true, fleet
+		set.ListOnRequest, set.DispatcherCount = true, dispatchers
 		r := newRecorder(t, set)
 		r.updateWorkers(ListCached)
 		for range 40 {
-			asked, began := r.watchCalls, r.now
+			calls, began := r.watchCalls, r.now
 			r.updateWorkers(ListUnavailable)
-			for r.watchCalls == asked {
+			for r.watchCalls == calls {
 				r.advance(10 * time.Millisecond)
 			}
 			if waited := r.now - began; waited > maxListBackoff+20*time.Millisecond {
-				t.Fatalf("one of %d dispatchers waits for %v", fleet, waited)
+				t.Fatalf("one of %d dispatchers waits for %v", dispatchers, waited)
 			}
 		}
 	}
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Hazard: a worker that errors at once reads zero and wins every draw.
+// Hazard: a worker that responds with errors at once has nothing in flight and wins every draw.
 func TestFailingWorkerIsEjected(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(4)...)
@@ -22,7 +22,7 @@
 		r.endAttempt(s, res)
 	}
 	if bad > 5 {
-		t.Errorf("the failing worker got %d of 200 unsafe jobs", bad)
+		t.Errorf("the failing worker got %d of 200 non-idempotent requests", bad)
 	}
 	r.advance(time.Minute)
 	for i := 200; i < 240; i++ {
@@ -32,10 +32,10 @@
 		}
 		r.endAttempt(r.lastSend(), OK)
 	}
-	t.Error("a worker that failed a minute ago is never tried again")
+	t.Error("a worker that failed a minute ago never gets a request again")
 }
 
-// If all workers fail, jobs still go out.
+// If all workers fail, requests are still sent.
 func TestAllWorkersAreDrawnWhereAllAreEjected(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(3)...)
@@ -50,7 +50,7 @@
 	}
 }
 
-// Hazard: a silent worker keeps its count and wins draws until its first attempt times out.
+// Hazard: an unresponsive worker keeps its count and wins draws until its first attempt times out.
 func TestUnresponsiveWorkerIsEjected(t *testing.T) {
 	set := testSettings()
 	set.ReportsStart, set.ProgressInterval = true, 200*time.Millisecond
@@ -63,12 +63,12 @@
 	for i := 1; i < 20; i++ {
 		r.submit(testRequest(i, idempotentClass))
 		if r.lastSend().worker == silent {
-			t.Fatal("a job went to a worker that has fallen silent")
+			t.Fatal("a request went to an unresponsive worker")
 		}
 	}
 }
 
-// Hazard: each of many dispatchers loses some jobs to a failing worker before it knows.
+// Hazard: each of many dispatchers loses some requests to a failing worker before it knows.
 func TestFailureIsSentToPeers(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
@@ -77,22 +77,22 @@
 	for i := range 20 {
 		r.submit(testRequest(i, nonIdempotentClass))
 		if s := r.lastSend(); s.worker == bad {
-			t.Fatal("an unsafe job went to a worker that had just failed another dispatcher's")
+			t.Fatal("a non-idempotent request went to a worker that had just failed another dispatcher's")
 		}
 	}
 	r.endAttempt(r.lastSend(), ServerError)
 	if len(r.peerMessages) != 1 || string(r.peerMessages[0]) != "\x00\x00\x00\x65" {
-		t.Errorf("told %q after a failure, want the worker's ID", r.peerMessages)
+		t.Errorf("sent %q to peers after a failure, want the worker's ID", r.peerMessages)
 	}
-	r.balancer.ReceivePeer(r.now, []byte("?")) // not ours: no harm
+	r.balancer.ReceivePeer(r.now, []byte("?")) // unknown: ignored
 	r.submit(testRequest(100, idempotentClass))
 	r.endAttempt(r.lastSend(), ConnectFailed)
 	if len(r.peerMessages) != 1 {
-		t.Error("peers were told of a connection that failed; the path may be this dispatcher's alone")
+		t.Error("a failed connection was sent to peers; the fault may be this dispatcher's alone")
 	}
 }
 
-// A cold worker that operators have put back gets a job soon, and no more than its budget.
+// A warming worker gets a request soon after its maintenance, and no more than its budget.
 func TestWorkerAfterMaintenanceGetsARequest(t *testing.T) {
 	for _, owed := range []bool{true, false} {
 		set := testSettings()
@@ -121,10 +121,10 @@
 			r.balancer.EndMaintenance(back.ID)
 		}
 		if got := run(1000, 1); (got == 1) != owed {
-			t.Errorf("owed %v: the first job went there %d times", owed, got)
+			t.Errorf("maintenance %v: the first request went there %d times", owed, got)
 		}
 		if r.balancer.owedWorkers != 0 {
-			t.Error("it is owed more than one job")
+			t.Error("it gets more than one of the next requests")
 		}
 	}
 }
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// recorder stands in for the host. It asserts the four rules on every action,
-// from what it has told the balancer alone.
+// recorder is the host of a balancer in tests. It checks the four rules on every action, from the events that
+// it has passed to the balancer alone: (1) one response in time, (2) idempotency, (3) no draining workers,
+// (4) slow start.
 type recorder struct {
 	t            *testing.T
 	balancer     *Balancer
@@ -15,17 +16,17 @@
 	now          time.Duration
 	requests     map[RequestID]*recordedRequest
 	workers      map[WorkerID]*recordedWorker
-	sends        []recordedSend // in order, those still out and ended
+	sends        []recordedSend // in order, those in flight and those that have ended
 	timers       []recordedTimer
 	watchCalls   int
 	checked      []WorkerID
-	retryAfters  []time.Duration // the retry-afters of refusals
+	retryAfters  []time.Duration // of rejections
 	logs         []string
-	cancels      []string // of what attempts: ID/number
-	peerMessages [][]byte // what peers were told
-	losesEnds    bool     // no attempt's end is told
+	cancels      []string // attempts, as ID/number
+	peerMessages [][]byte // sent to peers
+	losesEnds    bool     // no attempt's end is reported
 
-	submitted, retries []time.Duration // requests, and attempts beyond a request's first
+	submitted, retries []time.Duration // times of requests, and of attempts after a request's first
 }
 
 type recordedRequest struct {
@@ -37,9 +38,9 @@
 
 type recordedWorker struct {
 	Worker
-	unavailableSince time.Duration // when the balancer learned that it drains or is gone; -1: it is ready
+	unavailableSince time.Duration // when the balancer learned that it is not ready; -1: it is
 	slowStartSent    []recordedWork
-	capacity         float64 // what its capacity is, for the cold rule; 0: not checked
+	capacity         float64 // for the slow-start rule, in slot seconds a second; 0: not checked
 }
 
 type recordedWork struct {
@@ -84,7 +85,7 @@
 	r.t.Fatalf("at %v: rule broken: %s", r.now, rule)
 }
 
-// updateWorkers tells the balancer of workers.
+// updateWorkers passes an update of the list to the balancer.
 func (r *recorder) updateWorkers(kind ListUpdateKind, list ...Worker) {
 	r.t.Helper()
 	if kind == ListFull || kind == ListCached {
@@ -116,7 +117,7 @@
 	r.balancer.UpdateWorkers(r.now, kind, list)
 }
 
-// submit hands a request in.
+// submit submits a request.
 func (r *recorder) submit(q Request) {
 	r.t.Helper()
 	r.requests[q.ID] = &recordedRequest{Request: q, deadline: r.now + q.Timeout}
@@ -147,12 +148,14 @@
 		Took: r.now - s.at, Responded: q.final != "", Report: rep})
 }
 
-// reportStart tells that a send's job has started.
+// reportStart reports that a send's request runs.
 func (r *recorder) reportStart(s *recordedSend) {
-	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: s.attempt, Worker: s.worker, Started: true})
+	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: s.attempt, Worker: s.worker,
+		Started: true})
 }
 
-// serveEach has n jobs of a class, numbered from first on, start at once and end well, one after another.
+// serveEach has n requests of a class, numbered from first on, start at once and be served, one after
+// another.
 func (r *recorder) serveEach(first, n, class int, took time.Duration, rep LoadReport) {
 	r.t.Helper()
 	for i := range n {
@@ -163,12 +166,12 @@
 	}
 }
 
-// reportProgress has a worker tell that it still works on an attempt.
+// reportProgress reports that a worker still runs an attempt.
 func (r *recorder) reportProgress(s *recordedSend) {
 	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: s.attempt, Worker: s.worker})
 }
 
-// advance lets time go by, with the timers that come due and the time-outs at deadlines.
+// advance moves the time on, fires the timers that are due, and times attempts out at their deadlines.
 func (r *recorder) advance(d time.Duration) {
 	r.t.Helper()
 	until := r.now + d
@@ -202,26 +205,26 @@
 	}
 }
 
-// checkOverdue asserts rule 1: an answer by the deadline and the slack.
+// checkOverdue checks rule 1: a response by the deadline and the slack.
 func (r *recorder) checkOverdue() {
 	r.t.Helper()
 	for _, q := range r.requests {
 		if q.final == "" && r.now > q.deadline+r.settings.Rules.ResponseSlack {
-			r.violated("no answer in time for " + string(q.ID))
+			r.violated("no response in time for " + string(q.ID))
 		}
 	}
 }
 
-// Send asserts rules 1 to 4.
+// Send implements Actions, and checks rules 1 to 4.
 func (r *recorder) Send(id RequestID, to WorkerID, until time.Duration) {
 	r.t.Helper()
 	q, w := r.requests[id], r.workers[to]
 	if q == nil || w == nil {
-		r.t.Fatalf("Send(%s, %d): never named", id, to)
+		r.t.Fatalf("Send(%s, %d): unknown", id, to)
 	}
 	c := r.settings.Classes[q.Class]
 	if q.final != "" {
-		r.violated("sent after the final answer")
+		r.violated("sent after the final response")
 	}
 	if len(q.sends) >= r.settings.Limits.MaxAttempts {
 		r.violated("more attempts than the limit")
@@ -233,32 +236,33 @@
 	for _, i := range q.sends {
 		s := r.sends[i]
 		if !s.ended && !r.settings.Limits.HedgedRequests {
-			r.violated("two attempts out at once")
+			r.violated("two attempts in flight at once")
 		}
 		if r.provenNotRun(s) {
 			continue
 		}
 		if c.Idempotency == NonIdempotent {
-			r.violated("an unsafe job that may have run was sent again")
+			r.violated("a non-idempotent request that may have run was retried")
 		}
-		if c.Idempotency == IdempotentByKey && (r.now-s.at >= c.KeyWindow || !r.sameKeyGroup(c, s.worker, to)) {
-			r.violated("a keyed job that may have run was sent outside its group or window")
+		if c.Idempotency == IdempotentByKey &&
+			(r.now-s.at >= c.KeyWindow || !r.sameKeyGroup(c, s.worker, to)) {
+			r.violated("a keyed request that may have run was retried outside its scope or window")
 		}
 	}
 	if w.unavailableSince >= 0 && r.now > w.unavailableSince+r.settings.Rules.DrainGrace {
-		r.violated("sent to a worker that drains or is gone")
+		r.violated("sent to a worker that is draining or removed")
 	}
 	r.checkSlowStart(w, q)
 	q.sends = append(q.sends, len(r.sends))
 	r.sends = append(r.sends, recordedSend{id: id, worker: to, at: r.now, attempt: len(q.sends) - 1})
 }
 
-// provenNotRun reports whether a send's end proves that its job never ran.
+// provenNotRun reports whether a send's end proves that its request never ran.
 func (r *recorder) provenNotRun(s recordedSend) bool {
 	return s.ended && s.result.NeverRan() && !(s.result == WorkerFull && r.settings.Rules.FullMayHaveRun)
 }
 
-// checkRetryBudget asserts the rule of further attempts over the window that ends now.
+// checkRetryBudget checks the retry budget over the window that ends now.
 func (r *recorder) checkRetryBudget() {
 	r.t.Helper()
 	ru := r.settings.Rules
@@ -274,7 +278,7 @@
 		return n
 	}
 	if within(r.retries) > ru.RetryBudgetBase+ru.RetryBudgetShare*within(r.submitted) {
-		r.violated("an attempt beyond the budget")
+		r.violated("a retry beyond the budget")
 	}
 }
 
@@ -289,7 +293,7 @@
 	return true
 }
 
-// checkSlowStart asserts rule 4 on a worker whose capacity the test knows: this dispatcher's part of the
+// checkSlowStart checks rule 4 on a worker whose capacity the test knows: this dispatcher's part of the
 // budget of any window.
 func (r *recorder) checkSlowStart(w *recordedWorker, q *recordedRequest) {
 	r.t.Helper()
@@ -306,8 +310,9 @@
 		}
 	}
 	share := ru.SlowStartMinShare + (1-ru.SlowStartMinShare)*float64(age)/float64(ru.SlowStartWindow)
-	if sum > ru.OverloadFactor*share*w.capacity*ru.OverloadWindow.Seconds()/float64(max(r.settings.DispatcherCount, 1)) {
-		r.violated("a cold worker was pushed over")
+	capacity := share * w.capacity / float64(max(r.settings.DispatcherCount, 1))
+	if sum > ru.OverloadFactor*capacity*ru.OverloadWindow.Seconds() {
+		r.violated("a warming worker was overloaded")
 	}
 }
 
@@ -315,77 +320,79 @@
 	r.t.Helper()
 	q := r.requests[id]
 	if q == nil {
-		r.t.Fatalf("%s(%s): never given", how, id)
+		r.t.Fatalf("%s(%s): not submitted", how, id)
 	}
 	if q.final != "" {
-		r.violated("two final answers")
+		r.violated("two final responses")
 	}
 	q.final = how
 	return q
 }
 
-// Reject asserts rules 1 and 2.
+// Reject implements Actions, and checks rules 1 and 2.
 func (r *recorder) Reject(id RequestID, retryAfter time.Duration) {
 	r.t.Helper()
-	q := r.recordResponse(id, "refused")
+	q := r.recordResponse(id, "rejected")
 	r.retryAfters = append(r.retryAfters, retryAfter)
 	c := r.settings.Classes[q.Class]
 	for _, i := range q.sends {
 		s := r.sends[i]
-		if r.provenNotRun(s) || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
+		if r.provenNotRun(s) || c.Idempotency == Idempotent ||
+			c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
 			continue
 		}
-		r.violated("a job that may have run was refused as harmless to repeat")
+		r.violated("a request that may have run was rejected, which says that a retry is harmless")
 	}
 }
 
-// Fail asserts rule 1.
+// Fail implements Actions, and checks rule 1.
 func (r *recorder) Fail(id RequestID) { r.recordResponse(id, "failed") }
 
-// Cancel checks that the attempt exists.
+// Cancel implements Actions, and checks that the attempt exists.
 func (r *recorder) Cancel(id RequestID, attempt int) {
 	r.t.Helper()
-	if q := r.requests[id]; q == nil || attempt < 0 || attempt >= len(q.sends) || !r.settings.Limits.CanCancel {
+	q := r.requests[id]
+	if q == nil || attempt < 0 || attempt >= len(q.sends) || !r.settings.Limits.CanCancel {
 		r.t.Fatalf("Cancel(%s, %d): not allowed", id, attempt)
 	}
 	r.cancels = append(r.cancels, fmt.Sprint(id, "/", attempt))
 }
 
-// CheckHealth checks that probes are allowed.
+// CheckHealth implements Actions, and checks that health checks are allowed.
 func (r *recorder) CheckHealth(w WorkerID) {
 	r.t.Helper()
 	if !r.settings.Limits.HealthChecks || r.workers[w] == nil {
-		r.t.Fatalf("Probe(%d): not allowed", w)
+		r.t.Fatalf("CheckHealth(%d): not allowed", w)
 	}
 	r.checked = append(r.checked, w)
 }
 
-// WatchList counts calls.
+// WatchList implements Actions.
 func (r *recorder) WatchList(on bool) { r.watchCalls++ }
 
-// FetchList is not used yet.
+// FetchList implements Actions.
 func (r *recorder) FetchList() {}
 
-// SetTimer keeps a timer.
+// SetTimer implements Actions.
 func (r *recorder) SetTimer(d time.Duration, token uint64) {
 	r.t.Helper()
 	if d <= 0 {
-		r.t.Fatalf("After(%v): a timer without a wait never rests", d)
+		r.t.Fatalf("SetTimer(%v): a timer without a wait never ends", d)
 	}
 	r.timers = append(r.timers, recordedTimer{r.now + d, token})
 }
 
-// SendPeer checks that peers are allowed.
+// SendPeer implements Actions, and checks that messages are allowed.
 func (r *recorder) SendPeer(peer int, data []byte) {
 	r.t.Helper()
 	if !r.settings.Limits.PeerMessages || len(data) > 256 {
-		r.t.Fatal("Tell: not allowed")
+		r.t.Fatal("SendPeer: not allowed")
 	}
 	r.peerMessages = append(r.peerMessages, data)
 }
 
-// CloseIdle does nothing.
+// CloseIdle implements Actions.
 func (r *recorder) CloseIdle(w WorkerID) {}
 
-// Log keeps the line.
+// Log implements Actions.
 func (r *recorder) Log(text string) { r.logs = append(r.logs, text) }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -30,7 +30,7 @@
 	SizeNone        SizeMeaning = iota // nothing
 	SizeNominal                        // the registered capacity
 	SizeApproximate                    // about the capacity
-	SizeLive                           // the capacity over one more than the requests in flight a core, delayed
+	SizeLive                           // the capacity over one more than the requests a core, delayed
 )
 
 // Class describes one class of requests.
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Rule 4: a rush on a worker that has just started, for a dispatcher that knows what warm ones bear.
+// Rule 4: many requests meet a worker that has just started, at a dispatcher that knows what warm ones take.
 func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
 	set := testSettings()
 	r := newRecorder(t, set)
 	r.updateWorkers(ListFull, readyWorkers(4)...)
-	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport) // four warm workers of capacity 1 bear 0.8 each
+	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport) // four warm ones of capacity 1 take 0.8 each
 	r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now})
 	r.workers[200].capacity = 1
 	if submitSteadily(r, 400, 400, 25*time.Millisecond, NoLoadReport)[200] == 0 {
-		t.Error("the new worker never got a job while it warmed up")
+		t.Error("the new worker never got a request while it warmed up")
 	}
-	// Hazard: what was sent to it is gone through at each request, and must not grow with its age.
+	// Hazard: the list of what was sent to it is walked at each request, and must not grow with its age.
 	sent := r.balancer.workerByID[200].slowStartSent
 	if from, to := sent[0].at, sent[len(sent)-1].at; to-from >= set.Rules.OverloadWindow {
 		t.Errorf("sends over %v are kept, want under a window", to-from)
@@ -42,13 +42,13 @@
 		{ID: 11, State: Ready, StartedAt: r.now, Size: 1}}
 	r.updateWorkers(ListFull, append(warm[:2:2], news...)...) // two of kind 0, never seen, take two places
 	r.workers[10].capacity, r.workers[11].capacity = 1, 1
-	// Five seconds: half of Cold, so that no worker of kind 0 is warm meanwhile.
+	// Five seconds: half of the slow-start window, so that no worker of kind 0 is warm meanwhile.
 	if got := submitSteadily(r, 400, 160, 31*time.Millisecond, NoLoadReport); got[10]+got[11] == 0 {
-		t.Error("no worker of the kind without a record got a job while it warmed up")
+		t.Error("no worker of the kind without a record got a request while it warmed up")
 	}
 }
 
-// Rule 4 where warm workers are far from full on the whole: a cold worker's budget is what warm ones
+// Rule 4 where warm workers are far from full on the whole: a warming worker's budget is what warm ones
 // took while they were nearly full, and not only the little that they take on average; it is kept.
 func TestSlowStartBudgetByFullWorkers(t *testing.T) {
 	r := newRecorder(t, testSettings())
@@ -62,41 +62,45 @@
 	r.workers[200].capacity = 4 // slot-seconds a second, when warm: what the recorder holds it to
 	got := submitSteadily(r, 500, 200, 5*time.Millisecond, freeSlots(4))[200]
 	if got < 16 {
-		t.Errorf("the cold worker got %d jobs while warm ones were busy; want 16 or more", got)
+		t.Errorf("the warming worker got %d requests while warm ones were busy; want 16 or more", got)
 	}
 }
 
-// Rule 4 after a flood: how long jobs ran while they waited must not make the budget larger. Recorded
-// while every job took three times its hint, it lets as many jobs in afterwards as one recorded in calm.
+// Rule 4 after overload: how long requests ran while they waited must not make the budget larger. Recorded
+// while every request took three times its hint, it allows as many requests afterwards as one without
+// overload.
 func TestSlowStartBudgetIgnoresWaitsOfOverload(t *testing.T) {
-	jobs := func(flood float64) (n int) {
+	allowed := func(hintRatio float64) (n int) {
 		r := newRecorder(t, testSettings())
 		r.updateWorkers(ListFull, readyWorkers(4)...)
-		r.balancer.hintRatio = flood
+		r.balancer.hintRatio = hintRatio
 		for i := range 400 {
 			q := &request{Request: requestWithHint(i), class: &r.balancer.settings.Classes[idempotentClass]}
 			r.balancer.kindLoads[0].add(r.balancer.hintedWork(q), 0.1, true)
 		}
 		r.balancer.hintRatio = 1
 		r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
-		w, q := r.balancer.workerByID[200], &request{Request: requestWithHint(400), class: &r.balancer.settings.Classes[idempotentClass]}
-		for now := r.now + r.settings.Rules.SlowStartWindow/2; r.balancer.withinSlowStart(now, w, r.balancer.hintedWork(q)); n++ {
+		w := r.balancer.workerByID[200]
+		q := &request{Request: requestWithHint(400), class: &r.balancer.settings.Classes[idempotentClass]}
+		now := r.now + r.settings.Rules.SlowStartWindow/2
+		for ; r.balancer.withinSlowStart(now, w, r.balancer.hintedWork(q)); n++ {
 			w.slowStartSent = append(w.slowStartSent, sentWork{now, r.balancer.hintedWork(q)})
 		}
 		return n
 	}
-	if calm, flood := jobs(1), jobs(3); calm == 0 || flood != calm {
-		t.Errorf("%d jobs by a calm record, %d by a flood's", calm, flood)
+	if calm, overload := allowed(1), allowed(3); calm == 0 || overload != calm {
+		t.Errorf("%d requests by a record without overload, %d by one with", calm, overload)
 	}
 }
 
-// Rule 4 counts requests: a cold worker's budget for requests far smaller than the mean is no more of them
+// Rule 4 counts requests: a warming worker's budget for requests far smaller than the mean is no more of them
 // than of usual ones, and for one far larger than the mean it is in its work.
 func TestSlowStartBudgetCountsRequests(t *testing.T) {
 	allowed := func(work float64) (n int) {
 		r := newRecorder(t, testSettings())
 		r.updateWorkers(ListFull, readyWorkers(4)...)
-		r.balancer.kindLoads[0].add(400, 100, false) // a warm worker finishes the work of four usual requests a second
+		// A warm worker finishes the work of four usual requests a second.
+		r.balancer.kindLoads[0].add(400, 100, false)
 		r.balancer.arrivals, r.balancer.arrivedWork = 100, 100
 		r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
 		w := r.balancer.workerByID[200]
@@ -111,9 +115,9 @@
 	}
 }
 
-// Rule 4 over a whole fleet that sends a cold worker all that it may, at every moment: in no window does it
-// get more requests of mean work than N + 2 root N + 2 (N under 30: 3 root N + 3). And the worker is not left
-// idle: over its warm-up it gets a good part of N, however many dispatchers share it.
+// Rule 4 over all dispatchers, each of which sends a warming worker all that it may, at every moment: in no
+// window does it get more requests of mean work than N + 2 root N + 2 (N under 30: 3 root N + 3). And the
+// worker is not left idle: over its warm-up it gets a good part of N, however many dispatchers share it.
 func TestWarmingWorkerWithGreedyDispatchers(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 8, 32, 150, 300, 900} {
 		// Requests a window, of a warm worker, and the part of N that is to be used at least.
@@ -121,7 +125,7 @@
 			for _, uneven := range []bool{false, true} {
 				most, used := playGreedyDispatchers(t, size, allowed, uneven)
 				if most > 0.9 || used < least {
-					t.Errorf("%d dispatchers, N up to %v, uneven %v: %.2f of what the rule bears in the "+
+					t.Errorf("%d dispatchers, N up to %v, uneven %v: %.2f of what the rule allows in the "+
 						"fullest window, want at most 0.9; %.2f of N in all, want at least %.2f", size,
 						allowed, uneven, most, used, least)
 				}
@@ -130,13 +134,13 @@
 	}
 }
 
-// playGreedyDispatchers plays it and gives the fullest window, as a part of what the rule bears, and the part of N that was
-// sent over the whole warm-up.
+// playGreedyDispatchers gives the fullest window, as a part of what the rule allows, and the part of N that
+// was sent over the whole warm-up.
 func playGreedyDispatchers(t *testing.T, size int, allowed float64, uneven bool) (most, used float64) {
 	set := testSettings()
 	set.DispatcherCount = size
-	fall := set.Rules.OverloadWindow
-	cold := Worker{ID: 200, State: Ready, Size: 1}
+	window := set.Rules.OverloadWindow
+	warming := Worker{ID: 200, State: Ready, Size: 1}
 	var all []*recorder
 	whole, shares := 0.0, make([]float64, size)
 	for i := range shares {
@@ -149,9 +153,9 @@
 	for i := range size {
 		set.DispatcherIndex = i
 		r := newRecorder(t, set)
-		cold.StartedAt = r.now
-		r.updateWorkers(ListFull, append(readyWorkers(4), cold)...)
-		rate := allowed / fall.Seconds() / set.Rules.OverloadFactor * shares[i] / whole
+		warming.StartedAt = r.now
+		r.updateWorkers(ListFull, append(readyWorkers(4), warming)...)
+		rate := allowed / window.Seconds() / set.Rules.OverloadFactor * shares[i] / whole
 		r.balancer.kindLoads[0].add(rate*100, 100, false) // a usual request is one unit of work
 		r.balancer.arrivals, r.balancer.arrivedWork = 100, 100
 		all = append(all, r)
@@ -161,20 +165,20 @@
 	var sent []time.Duration
 	total, bearable := 0.0, 0.0
 	first := all[0]
-	for now := cold.StartedAt; now < cold.StartedAt+set.Rules.SlowStartWindow; now += fall / steps {
+	for now := warming.StartedAt; now < warming.StartedAt+set.Rules.SlowStartWindow; now += window / steps {
 		for _, i := range rng.Perm(size) {
 			b := all[i].balancer
-			w := b.workerByID[cold.ID]
+			w := b.workerByID[warming.ID]
 			for b.withinSlowStart(now, w, 1) {
 				w.slowStartSent = append(w.slowStartSent, sentWork{now, 1})
 				sent = append(sent, now)
 				total++
 			}
 		}
-		for len(sent) > 0 && sent[0] <= now-fall {
+		for len(sent) > 0 && sent[0] <= now-window {
 			sent = sent[1:]
 		}
-		n := allowed * first.balancer.warmUpFactor(now, first.balancer.workerByID[cold.ID])
+		n := allowed * first.balancer.warmUpFactor(now, first.balancer.workerByID[warming.ID])
 		bears := n + 2*math.Sqrt(n) + 2
 		if n < 30 {
 			bears = n + 3*math.Sqrt(n) + 3
@@ -185,7 +189,7 @@
 	return most, total / bearable
 }
 
-// Without any load seen, a cold worker's budget is nothing.
+// Without any load observed, a warming worker's budget is nothing.
 func TestWarmingWorkerGetsNothingWithoutRecord(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	list := readyWorkers(2)
@@ -196,24 +200,25 @@
 	}
 	for _, s := range r.sends {
 		if s.worker == list[0].ID {
-			t.Fatal("a cold worker got a job from a dispatcher that knows nothing")
+			t.Fatal("a warming worker got a request from a dispatcher without any record")
 		}
 	}
 }
 
-// Rule 4, where a dispatcher's part of a cold worker's budget is less than a job: a long quiet saves nothing
-// up, so that when all other workers go the dispatchers don't all send at once; and yet the worker gets jobs.
+// Rule 4, where a dispatcher's part of a warming worker's budget is less than a request: a long time without
+// requests saves nothing up, so that when all other workers are removed the dispatchers don't all send at
+// once; and yet the worker gets requests.
 func TestSlowStartTimeSlots(t *testing.T) {
 	const many = 40
 	var ru Rules
-	var at []time.Duration // the sends to the cold worker, by its age
-	for me := range many {
+	var at []time.Duration // the sends to the warming worker, by its age
+	for index := range many {
 		set := testSettings()
-		set.DispatcherIndex, set.DispatcherCount, set.Rules.ResponseSlack = me, many, 200*time.Millisecond
+		set.DispatcherIndex, set.DispatcherCount, set.Rules.ResponseSlack = index, many, 200*time.Millisecond
 		ru = set.Rules
-		r := newSeeded(t, set, uint64(me))
+		r := newSeeded(t, set, uint64(index))
 		r.updateWorkers(ListFull, readyWorkers(4)...)
-		for i := range 40 { // each bears a fortieth of four warm workers' load of 0.8
+		for i := range 40 { // each takes a fortieth of four warm workers' load of 0.8
 			r.submit(requestWithHint(i))
 			r.advance(100 * time.Millisecond)
 			r.endAttempt(r.lastSend(), OK)
@@ -232,7 +237,7 @@
 		}
 	}
 	if len(at) < 10 {
-		t.Errorf("the cold worker got %d jobs from %d dispatchers", len(at), many)
+		t.Errorf("the warming worker got %d requests from %d dispatchers", len(at), many)
 	}
 	slices.Sort(at)
 	for i, from := range at {
@@ -244,7 +249,7 @@
 		}
 		share := ru.SlowStartMinShare + (1-ru.SlowStartMinShare)*float64(from)/float64(ru.SlowStartWindow)
 		if limit := ru.OverloadFactor * share * ru.OverloadWindow.Seconds() / 0.1; float64(n) > limit {
-			t.Fatalf("%d jobs in a window from age %v, want at most %.0f", n, from, limit)
+			t.Fatalf("%d requests in a window from age %v, want at most %.0f", n, from, limit)
 		}
 	}
 }
