--- a/internal/cluster/consensus/cluster_view.go
+++ b/internal/cluster/consensus/cluster_view.go
@@ -5,74 +5,74 @@
 	"time"
 
 	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/rollout"
 )
 
-// ClusterView is how an instance stands where something is owned by placement.
+// ClusterView is what an instance knows of the group where something is owned by placement.
 type ClusterView struct {
-	// Views are those that have come to hold since the last word, in order. An owner must see each: one
-	// that it is left out of may have had another owner act.
-	Views []placement.View
-	// SnapshotInstalled: before them there were others, which this instance was not told (a snapshot).
-	SnapshotInstalled bool
-	Session           placement.Session // the session that this instance has; the zero Seat: none
+	// Views are the placement views that came into force since the last ClusterView, in order. An owner must
+	// see each: in one that it does not belong to, another owner may have acted.
+	Views             []placement.View
+	SnapshotInstalled bool              // before them there were views that this instance skipped
+	Session           placement.Session // of this instance; the zero Session: none
 	ExpiresAt         time.Duration     // when its right to act on what it owns ends, on its clock
-	LeaseDuration     time.Duration     // how long any instance's lasts
+	LeaseDuration     time.Duration     // of any instance's lease
 }
 
-// seats are an instance's part in what is owned by placement.
-type seats struct {
-	right placement.LeaseClock
-	views []placement.View // to be told
-	last  placement.View   // the newest
-	gap   bool
-	told  ClusterView
+// ownership follows the placement views, and how long this instance may act on what it owns.
+type ownership struct {
+	replica      *replica
+	participants *participants
+
+	lease   placement.LeaseClock
+	views   []placement.View // to be emitted
+	latest  placement.View
+	skipped bool // views may have been skipped since the last ClusterView
+	emitted ClusterView
 }
 
-// seat notes the view that holds after an entry of the log.
+// observeView takes the placement view after an entry of the log.
 //
-// Hazard: two entries may be applied in one turn, and the view between the two is one that another instance
-// may have acted by. So each is noted, and told.
-func (i *Instance) seat() {
-	v := i.state.PlacementView()
-	ended := i.state.TakeExpiredSessions()
-	p := &i.ses.seats
-	if v.Number == p.last.Number {
+// Hazard: one Advance may apply two entries, and another instance may have acted by the view between them.
+// So each view is kept, and emitted.
+func (o *ownership) observeView() {
+	v := o.replica.state.PlacementView()
+	expired := o.replica.state.TakeExpiredSessions()
+	if v.Number == o.latest.Number {
 		return
 	}
-	for _, m := range p.last.Members {
-		if slices.Contains(ended, m.Session) {
+	for _, m := range o.latest.Members {
+		if slices.Contains(expired, m.Session) {
 			v.Expired = append(v.Expired, m.Session)
 		}
 	}
-	p.last = v
-	p.views = append(p.views, v)
+	o.latest = v
+	o.views = append(o.views, v)
 }
 
-// reseat notes that views may have been passed over.
-func (i *Instance) reseat() {
-	p := &i.ses.seats
-	p.views, p.last, p.gap = nil, placement.View{}, true
-	for _, p := range i.ses.parts {
-		p.part.SnapshotInstalled()
-	}
-	i.state.UpdateOwners()
-	i.seat()
+// observeGrant takes a lease of a leader that had applied the log up to an index.
+func (o *ownership) observeGrant(g rollout.Grant, index uint64) {
+	o.lease.ObserveGrant(g.Epoch, g.RequestedAt, g.Duration, index, o.replica.applied)
 }
 
-// tellStanding tells how this instance stands, when that has changed.
-func (i *Instance) tellStanding() {
-	p := &i.ses.seats
-	p.right.ObserveApplied(i.applied)
-	now := ClusterView{Views: p.views, SnapshotInstalled: p.gap, LeaseDuration: i.policy().Lease}
-	if epoch := i.ses.holder.Epoch(); epoch != 0 && !i.gone() {
-		now.Session = placement.Session{Member: i.identity.Id, Epoch: epoch}
-		now.ExpiresAt = p.right.ExpiresAt(epoch, now.LeaseDuration)
-	}
-	same := now.Session == p.told.Session && now.ExpiresAt == p.told.ExpiresAt &&
-		now.LeaseDuration == p.told.LeaseDuration
-	if len(now.Views) == 0 && same {
+// snapshotInstalled begins again with the view of a snapshot.
+func (o *ownership) snapshotInstalled() {
+	o.views, o.latest, o.skipped = nil, placement.View{}, true
+	o.participants.snapshotInstalled()
+	o.replica.state.UpdateOwners()
+	o.observeView()
+}
+
+// emit puts a ClusterView into the effects, when it has changed.
+func (o *ownership) emit(session placement.Session) {
+	o.lease.ObserveApplied(o.replica.applied)
+	lease := o.replica.policy().Lease
+	now := ClusterView{Views: o.views, SnapshotInstalled: o.skipped, Session: session, LeaseDuration: lease,
+		ExpiresAt: o.lease.ExpiresAt(session.Epoch, lease)}
+	if len(now.Views) == 0 && now.Session == o.emitted.Session && now.ExpiresAt == o.emitted.ExpiresAt &&
+		now.LeaseDuration == o.emitted.LeaseDuration {
 		return
 	}
-	p.views, p.gap, p.told = nil, false, now
-	i.out.ClusterView = &now
+	o.views, o.skipped, o.emitted = nil, false, now
+	o.replica.out.ClusterView = &now
 }
--- /dev/null
+++ b/internal/cluster/consensus/errors.go
@@ -0,0 +1,32 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+
+	"moorstack/internal/cluster/clusterstate"
+)
+
+// Why a request is not carried out.
+var (
+	ErrNoGroup  = errors.New("this instance belongs to no group yet")
+	ErrNoLeader = errors.New(
+		"no leader is known: this instance is cut off, or the group has no majority")
+	ErrOutcomeUnknown = errors.New("it could not be decided in time; it may still come into force")
+	ErrRemoved        = errors.New("this instance has been removed from its group")
+	ErrHalted         = errors.New("this instance has stopped taking part in the agreement")
+)
+
+// NotLeaderError is an operation that only the leader can carry out, at another instance.
+type NotLeaderError struct{ Leader clusterstate.Member }
+
+func (e *NotLeaderError) Error() string {
+	return fmt.Sprintf("only the leader can, which is %s", e.Leader.Name)
+}
+
+// RejectedError is an operation that would do harm or can't be carried out in the present state.
+type RejectedError struct{ Reason string }
+
+func (e *RejectedError) Error() string { return e.Reason }
+
+func rejectf(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
--- a/internal/cluster/consensus/participants.go
+++ b/internal/cluster/consensus/participants.go
@@ -1,225 +1,220 @@
 package consensus
 
 import (
-	"fmt"
-	"slices"
+	"time"
 
-	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/cluster/placement"
 	"moorstack/internal/cluster/replicated"
 	"moorstack/internal/schema"
 )
 
-// subjectPart is an instance's part in a subject.
-type subjectPart struct {
+// participants are this instance's side of each replicated state machine.
+type participants struct {
+	replica   *replica
+	sessions  *sessions
+	ownership *ownership
+	list      []participant
+}
+
+type participant struct {
 	replicated.StateMachineType
-	part replicated.Participant
+	replicated.Participant
 }
 
-func partsOf(c Config) []subjectPart {
-	own := replicated.LocalInfo{WallClock: c.WallClock, TimeZones: c.Zones, Labels: c.Labels}
-	var list []subjectPart
-	for _, x := range c.Rules.StateMachineTypes() {
-		if p := x.NewParticipant(own); p != nil {
-			list = append(list, subjectPart{x, p})
+func newParticipants(r *replica, s *sessions, o *ownership) *participants {
+	local := replicated.LocalInfo{WallClock: r.cfg.WallClock, TimeZones: r.cfg.Zones, Labels: r.cfg.Labels}
+	ps := &participants{replica: r, sessions: s, ownership: o}
+	for _, t := range r.cfg.Rules.StateMachineTypes() {
+		if p := t.NewParticipant(local); p != nil {
+			ps.list = append(ps.list, participant{t, p})
 		}
 	}
-	return list
+	return ps
 }
 
-// view is how this instance stands, as a subject's part sees it.
-func (i *Instance) view(p subjectPart) replicated.InstanceView {
-	x := &i.ses
-	v := replicated.InstanceView{
-		Now:           x.now,
-		StateMachine:  i.state.StateMachine(p.Section()),
-		AppliedIndex:  i.applied,
-		LeaseDuration: i.policy().Lease,
-		Departing:     x.away,
-		Group:         group{i},
-		MemberID:      i.identity.Id,
-		Incarnation:   x.holder.Incarnation(),
-	}
-	if epoch := x.holder.Epoch(); epoch != 0 && !i.gone() {
-		v.Session = placement.Session{Member: i.identity.Id, Epoch: epoch}
-		v.OwnershipExpiresAt = x.seats.right.ExpiresAt(epoch, v.LeaseDuration)
-	}
+// view is this instance as a participant sees it.
+func (ps *participants) view(p participant) replicated.InstanceView {
+	r := ps.replica
+	v := replicated.InstanceView{Now: r.now, StateMachine: r.state.StateMachine(p.Section()),
+		AppliedIndex: r.applied, LeaseDuration: r.policy().Lease, Departing: ps.sessions.departing,
+		Group: groupView{r, ps.sessions}, MemberID: r.identity.Id, Session: ps.sessions.session(),
+		Incarnation: ps.sessions.lease.Incarnation()}
+	v.OwnershipExpiresAt = ps.ownership.lease.ExpiresAt(v.Session.Epoch, v.LeaseDuration)
 	return v
 }
 
-// group is whom the instance belongs to, as subjects see it.
-type group struct{ i *Instance }
-
-func (g group) Size() int { return g.i.state.Size() }
+func (ps *participants) becomeLeader(now time.Duration, term uint64) {
+	for _, p := range ps.list {
+		p.BecomeLeader(now, term)
+	}
+}
 
-func (g group) Members() []replicated.Member {
-	x := &g.i.ses
-	var list []replicated.Member
-	for _, m := range g.i.state.Members() {
-		one := replicated.Member{
-			Member: placement.Member{Session: placement.Session{Member: m.ID}, Name: m.Name},
-			Voter:  slices.Contains(g.i.conf.GetVoters(), m.ID),
-		}
-		if x.leader != nil {
-			one.Healthy = x.leader.Healthy(x.now, m.ID, g.i.policy().Lease)
-		}
-		if s := g.i.state.Rollout().Sessions[m.ID]; s.Open && !s.Unleased {
-			one.Epoch = s.Epoch
-		}
-		list = append(list, one)
+func (ps *participants) fillReport(m *schema.SessionReport) {
+	for _, p := range ps.list {
+		p.FillReport(ps.view(p), m)
 	}
-	return list
 }
 
-func (g group) EligibleOwners() []placement.Member { return g.i.state.EligibleOwners() }
+func (ps *participants) observeReport(member uint64, m *schema.SessionReport) {
+	for _, p := range ps.list {
+		p.ObserveReport(ps.replica.now, member, m)
+	}
+}
 
-func (g group) Departing(member uint64) bool { return g.i.ses.aways[member] }
+func (ps *participants) fillGrant(member uint64, g *schema.SessionGrant) {
+	for _, p := range ps.list {
+		p.FillGrant(ps.view(p), member, g)
+	}
+}
 
-func (g group) Expired(member uint64) bool {
-	x := &g.i.ses
-	return x.leader != nil && x.leader.LeaseExpired(x.now, member, g.i.policy())
+func (ps *participants) observeGrant(g *schema.SessionGrant) {
+	for _, p := range ps.list {
+		p.ObserveGrant(ps.replica.now, g, ps.replica.applied)
+	}
 }
 
-func (g group) ExpiredSessions() []placement.Session {
-	var list []placement.Session
-	for _, s := range g.i.state.Rollout().List() {
-		if !s.Open && g.Expired(s.Member) {
-			list = append(list, placement.Session{Member: s.Member, Epoch: s.Epoch})
-		}
+func (ps *participants) snapshotInstalled() {
+	for _, p := range ps.list {
+		p.SnapshotInstalled()
 	}
-	return list
 }
 
-// judgeSubjects has the leader's side of each subject judge.
-func (i *Instance) judgeSubjects() {
-	for _, p := range i.ses.parts {
-		if i.state.Format() < p.SinceFormat() {
+// proposeDecisions proposes what the leader's side of each participant decides. What Raft drops they decide
+// again.
+func (ps *participants) proposeDecisions() {
+	for _, p := range ps.list {
+		if ps.replica.state.Format() < p.SinceFormat() {
 			continue
 		}
-		for _, e := range p.part.LeaderCommands(i.view(p)) {
-			_ = i.rn.Propose(encode(e)) // dropped, it is asked for again
+		for _, e := range p.LeaderCommands(ps.view(p)) {
+			ps.replica.propose(encodeEntry(e))
 		}
 	}
 }
 
-// actSubjects has each subject's part do what is its to do.
-func (i *Instance) actSubjects() {
-	for _, p := range i.ses.parts {
-		told, words := p.part.Advance(i.view(p))
-		i.out.Notifications = append(i.out.Notifications, told...)
-		for _, e := range words {
-			_ = i.rn.Propose(encode(e)) // dropped, it is asked for again
+// advance has each participant do what is due, proposes its commands and emits its notifications.
+func (ps *participants) advance() {
+	for _, p := range ps.list {
+		notifications, commands := p.Advance(ps.view(p))
+		ps.replica.out.Notifications = append(ps.replica.out.Notifications, notifications...)
+		for _, e := range commands {
+			ps.replica.propose(encodeEntry(e))
 		}
 	}
 }
 
-// heardOf takes what a member has said of itself.
-func (i *Instance) heardOf(member uint64, r *schema.SessionReport) {
-	x := &i.ses
-	if len(x.aways) > 1024 {
-		clear(x.aways)
-	}
-	x.aways[member] = r.Away
-	for _, p := range x.parts {
-		p.part.ObserveReport(x.now, member, r)
-	}
-}
-
-// NotifyParticipant gives a subject's part what the rest of the node has to say.
-func (i *Instance) NotifyParticipant(section string, word any) {
+// NotifyParticipant gives a participant a notification of the rest of the node.
+func (i *Instance) NotifyParticipant(section string, notification any) {
 	if i.state == nil || i.halted != nil {
 		return
 	}
-	for _, p := range i.ses.parts {
+	for _, p := range i.participants.list {
 		if p.Section() == section {
-			p.part.Receive(i.view(p), word)
+			p.Receive(i.participants.view(p), notification)
 		}
 	}
-	i.sessions()
+	i.sessions.evaluate()
 }
 
-// SetDeparting says whether this instance is about to end, and so hands on what it holds.
-func (i *Instance) SetDeparting(away bool) {
-	i.ses.away = away
-	i.ses.holder.ReportNow()
-	i.sessions()
-}
-
-// applyWord applies a subject's word in the log.
-func (i *Instance) applyWord(e *schema.Change) {
-	w, ok := i.state.DecodeCommand(e)
-	// Hazard: as with sessions, a deposed leader's judgement is void.
-	if !ok || w.LeaderDecision && w.Term != i.appliedTerm {
-		return
-	}
-	o := i.state.ApplyCommand(w)
-	if w.ID != "" {
-		i.outcome = append(i.outcome, outcome{w.ID, o})
-	} else if o.Code != clusterstate.Accepted {
-		i.cfg.Logger.WithField("why", o.Problems).Debug("a subject's word is void")
+// checkFormat rejects a command of a state machine that the log's format does not have yet.
+func (ps *participants) checkFormat(t replicated.StateMachineType) error {
+	if ps.replica.state.Format() < t.SinceFormat() {
+		return rejectf("an instance runs a program that knows no %s; renew it first", t.Section())
 	}
+	return nil
 }
 
-// knows says why a group does not know a subject yet.
-func (i *Instance) knows(x replicated.StateMachineType) error {
-	if i.state.Format() < x.SinceFormat() {
-		return refuse("an instance runs a program that knows no %s; renew it first", x.Section())
+func (ps *participants) checkSection(section string) error {
+	for _, p := range ps.list {
+		if p.Section() == section {
+			return ps.checkFormat(p)
+		}
 	}
 	return nil
 }
 
-// operateSubject puts an operator's wish into the log, where it can be met.
-func (i *Instance) operateSubject(r *request, op *schema.Operation) error {
-	id := fmt.Sprintf("wish/%x/%d/%d", i.identity.Id, i.ses.holder.Incarnation(), r.ticket)
-	for _, p := range i.ses.parts {
-		o, ok := p.part.(replicated.OperatorControlled)
+// commandFor gives the command that carries out an operator's operation, under an id.
+func (ps *participants) commandFor(op *schema.Operation, id string) (*schema.Change, error) {
+	for _, p := range ps.list {
+		controlled, ok := p.Participant.(replicated.OperatorControlled)
 		if !ok {
 			continue
 		}
-		e, mine, err := o.CommandFor(i.view(p), op, id)
-		if !mine {
+		e, handled, err := controlled.CommandFor(ps.view(p), op, id)
+		if !handled {
 			continue
 		}
 		if err == nil {
-			err = i.knows(p)
+			err = ps.checkFormat(p)
 		}
 		if err != nil {
-			return refuse("%v", err)
+			return nil, rejectf("%v", err)
 		}
-		r.kind, r.command, r.id, r.data = proposing, true, id, encode(e)
-		i.guarded(func() { i.try(r) })
-		return nil
+		return e, nil
 	}
-	return refuse("%v is no operation that this program knows", op.Kind)
+	return nil, rejectf("%v is no operation that this program knows", op.Kind)
 }
 
-// ProposeCommand puts a subject's word into the log: a holder's, or an operator's. Its id must be in it.
-func (i *Instance) ProposeCommand(section string, e *schema.Change, id string) RequestID {
-	r := &request{kind: proposing, id: id, command: true}
-	ticket := i.admit(r)
-	err := i.unfit()
-	for _, p := range i.ses.parts {
-		if err == nil && p.Section() == section {
-			err = i.knows(p)
+// status is the status of each participant that has one, by its section.
+func (ps *participants) status() map[string]any {
+	out := map[string]any{}
+	for _, p := range ps.list {
+		if s := p.Status(ps.view(p)); s != nil {
+			out[p.Section()] = s
 		}
 	}
-	if err != nil {
-		i.answer(r, err, clusterstate.Outcome{})
-		return ticket
+	return out
+}
+
+// groupView is the group as participants see it.
+type groupView struct {
+	replica  *replica
+	sessions *sessions
+}
+
+var _ replicated.Group = groupView{}
+
+// Size implements replicated.Group.
+func (g groupView) Size() int { return g.replica.state.Size() }
+
+// Members implements replicated.Group.
+func (g groupView) Members() []replicated.Member {
+	var list []replicated.Member
+	for _, m := range g.replica.state.Members() {
+		member := replicated.Member{
+			Member: placement.Member{Session: placement.Session{Member: m.ID}, Name: m.Name},
+			Voter:  g.replica.members.voter(m.ID),
+		}
+		if leader := g.sessions.leader; leader != nil {
+			member.Healthy = leader.Healthy(g.replica.now, m.ID, g.replica.policy().Lease)
+		}
+		if s := g.replica.state.Rollout().Sessions[m.ID]; s.Open && !s.Unleased {
+			member.Epoch = s.Epoch
+		}
+		list = append(list, member)
 	}
-	r.data = encode(e)
-	i.waiting = append(i.waiting, r)
-	i.guarded(func() { i.try(r) })
-	return ticket
+	return list
 }
 
-// subjects is how each subject stands that has something to say.
-func (i *Instance) subjects() map[string]any {
-	out := map[string]any{}
-	for _, p := range i.ses.parts {
-		if s := p.part.Status(i.view(p)); s != nil {
-			out[p.Section()] = s
+// EligibleOwners implements replicated.Group.
+func (g groupView) EligibleOwners() []placement.Member { return g.replica.state.EligibleOwners() }
+
+// Departing implements replicated.Group.
+func (g groupView) Departing(member uint64) bool { return g.sessions.departingMembers[member] }
+
+// Expired implements replicated.Group.
+func (g groupView) Expired(member uint64) bool {
+	leader := g.sessions.leader
+	return leader != nil && leader.LeaseExpired(g.replica.now, member, g.replica.policy())
+}
+
+// ExpiredSessions implements replicated.Group.
+func (g groupView) ExpiredSessions() []placement.Session {
+	var list []placement.Session
+	for _, s := range g.replica.state.Rollout().List() {
+		if !s.Open && g.Expired(s.Member) {
+			list = append(list, placement.Session{Member: s.Member, Epoch: s.Epoch})
 		}
 	}
-	return out
+	return list
 }
--- a/internal/cluster/consensus/process_ready.go
+++ b/internal/cluster/consensus/process_ready.go
@@ -7,32 +7,32 @@
 	"moorstack/internal/storage/store"
 )
 
-// LogStore is where an instance's records go: a store.Store.
+// LogStore persists an instance's records: a store.Store.
 type LogStore interface {
 	Append(...store.Record) (uint64, error)
 	Sync() error
 	WriteSnapshot([]byte) error
 }
 
-// ProcessReady carries out what an instance wants done after an input: it writes, syncs, and
-// only then has the effects carried out. After an error the instance must not be used.
+// ProcessReady carries out what an instance wants done after an input: it persists and syncs, and only then
+// calls carryOut with the effects. After an error the instance must not be used.
 //
-// Hazard: the writing may take long, and what is granted after it must not be counted from
-// before it. So the clock is read again.
-func ProcessReady(i *Instance, log LogStore, clock func() time.Duration, carry func(Effects)) error {
+// Hazard: persisting may take long, and a lease that is granted after it must not be counted from before it.
+// So the clock is read again.
+func ProcessReady(i *Instance, log LogStore, clock func() time.Duration, carryOut func(Effects)) error {
 	for {
-		work, ok := i.Ready()
+		rd, ok := i.Ready()
 		if !ok {
 			return nil
 		}
-		if len(work.Records) > 0 {
-			if _, err := log.Append(work.Records...); err != nil {
+		if len(rd.Records) > 0 {
+			if _, err := log.Append(rd.Records...); err != nil {
 				return fmt.Errorf("writing the agreement's log: %w", err)
 			}
 		}
-		// Hazard: a message or an answer that goes out before what it promises is durable
-		// is a promise that a crash breaks.
-		if work.Sync {
+		// Hazard: a message or a response that goes out before what it promises is durable is a promise that
+		// a crash breaks.
+		if rd.Sync {
 			if err := log.Sync(); err != nil {
 				return fmt.Errorf("writing the agreement's log: %w", err)
 			}
@@ -44,6 +44,6 @@
 				return fmt.Errorf("writing the agreement's snapshot: %w", err)
 			}
 		}
-		carry(effects)
+		carryOut(effects)
 	}
 }
--- a/internal/cluster/consensus/raft_logger.go
+++ b/internal/cluster/consensus/raft_logger.go
@@ -6,15 +6,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLog has Raft's few lines go where ours go. Most of what it says at info is of its
-// inner life, so it counts as debug here.
-type raftLog struct{ logrus.FieldLogger }
+// raftLogger sends Raft's log lines where the program's go. Most of what Raft logs at info concerns its
+// internals, so that counts as debug here.
+type raftLogger struct{ logrus.FieldLogger }
 
-func (l raftLog) Info(v ...any)                    { l.Debug(v...) }
-func (l raftLog) Infof(format string, v ...any)    { l.Debugf(format, v...) }
-func (l raftLog) Warning(v ...any)                 { l.Debug(v...) }
-func (l raftLog) Warningf(format string, v ...any) { l.Debugf(format, v...) }
-func (l raftLog) Fatal(v ...any)                   { panic(fmt.Sprint(v...)) }
-func (l raftLog) Fatalf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
-func (l raftLog) Panic(v ...any)                   { panic(fmt.Sprint(v...)) }
-func (l raftLog) Panicf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Info(v ...any)                    { l.Debug(v...) }
+func (l raftLogger) Infof(format string, v ...any)    { l.Debugf(format, v...) }
+func (l raftLogger) Warning(v ...any)                 { l.Debug(v...) }
+func (l raftLogger) Warningf(format string, v ...any) { l.Debugf(format, v...) }
+func (l raftLogger) Fatal(v ...any)                   { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Fatalf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Panic(v ...any)                   { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Panicf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
--- a/internal/cluster/consensus/recovered_state.go
+++ b/internal/cluster/consensus/recovered_state.go
@@ -12,35 +12,36 @@
 	"moorstack/internal/storage/store"
 )
 
-// RecoveredState collects what an instance's store gives back. Its methods are store.Open's.
+// RecoveredState collects what an instance's store holds, for New. RestoreSnapshot and ReplayRecord are the
+// callbacks of store.Open.
 type RecoveredState struct {
 	identity *schema.Identity
 	hard     *pb.HardState
 	storage  *raft.MemoryStorage
 }
 
-// NewRecoveredState is for an empty store or one to be read.
+// NewRecoveredState is that of an empty store, or of one that is to be read.
 func NewRecoveredState() *RecoveredState { return &RecoveredState{storage: raft.NewMemoryStorage()} }
 
-// RestoreSnapshot reads the snapshot of the store.
+// RestoreSnapshot reads the snapshot of the store: see Effects.Snapshot.
 func (s *RecoveredState) RestoreSnapshot(b []byte) error {
-	var im schema.Image
-	if err := proto.Unmarshal(b, &im); err != nil {
+	var stored schema.Image
+	if err := proto.Unmarshal(b, &stored); err != nil {
 		return fmt.Errorf("the image can't be read: %w", err)
 	}
-	s.identity = im.Identity
-	if len(im.HardState) > 0 {
-		if err := s.ReplayRecord(store.Record{Kind: recHardState, Data: im.HardState}); err != nil {
+	s.identity = stored.Identity
+	if len(stored.HardState) > 0 {
+		if err := s.replayHardState(stored.HardState); err != nil {
 			return err
 		}
 	}
-	if len(im.Snapshot) > 0 {
-		if err := s.ReplayRecord(store.Record{Kind: recSnapshot, Data: im.Snapshot}); err != nil {
+	if len(stored.Snapshot) > 0 {
+		if err := s.replaySnapshot(stored.Snapshot); err != nil {
 			return err
 		}
 	}
-	for _, e := range im.Entries {
-		if err := s.ReplayRecord(store.Record{Kind: recEntry, Data: e}); err != nil {
+	for _, e := range stored.Entries {
+		if err := s.replayEntry(e); err != nil {
 			return err
 		}
 	}
@@ -54,28 +55,40 @@
 		s.identity = &schema.Identity{}
 		return proto.Unmarshal(r.Data, s.identity)
 	case recHardState:
-		s.hard = &pb.HardState{}
-		return proto.Unmarshal(r.Data, s.hard)
+		return s.replayHardState(r.Data)
 	case recEntry:
-		e := &pb.Entry{}
-		if err := proto.Unmarshal(r.Data, e); err != nil {
-			return err
-		}
-		last, _ := s.storage.LastIndex()
-		first, _ := s.storage.FirstIndex()
-		if e.GetIndex() > last+1 || e.GetIndex() < first {
-			return fmt.Errorf("entry %d is not within %d and %d", e.GetIndex(), first, last+1)
-		}
-		return s.storage.Append([]*pb.Entry{e})
+		return s.replayEntry(r.Data)
 	case recSnapshot:
-		snap := &pb.Snapshot{}
-		if err := proto.Unmarshal(r.Data, snap); err != nil {
-			return err
-		}
-		if err := s.storage.ApplySnapshot(snap); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
-			return err
-		}
-		return nil
+		return s.replaySnapshot(r.Data)
 	}
 	return fmt.Errorf("a record of the unknown kind %d", r.Kind)
 }
+
+func (s *RecoveredState) replayHardState(b []byte) error {
+	s.hard = &pb.HardState{}
+	return proto.Unmarshal(b, s.hard)
+}
+
+func (s *RecoveredState) replayEntry(b []byte) error {
+	e := &pb.Entry{}
+	if err := proto.Unmarshal(b, e); err != nil {
+		return err
+	}
+	last, _ := s.storage.LastIndex()
+	first, _ := s.storage.FirstIndex()
+	if e.GetIndex() > last+1 || e.GetIndex() < first {
+		return fmt.Errorf("entry %d is not within %d and %d", e.GetIndex(), first, last+1)
+	}
+	return s.storage.Append([]*pb.Entry{e})
+}
+
+func (s *RecoveredState) replaySnapshot(b []byte) error {
+	snap := &pb.Snapshot{}
+	if err := proto.Unmarshal(b, snap); err != nil {
+		return err
+	}
+	if err := s.storage.ApplySnapshot(snap); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+		return err
+	}
+	return nil
+}
--- a/internal/cluster/consensus/runner_requests.go
+++ b/internal/cluster/consensus/runner_requests.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/schema"
 )
 
@@ -22,7 +23,7 @@
 	done := make(chan struct{})
 	select {
 	case r.calls <- func() { f(); close(done) }:
-	case <-r.ended:
+	case <-r.done:
 		return ErrHalted
 	case <-ctx.Done():
 		return ctx.Err()
@@ -30,124 +31,124 @@
 	select {
 	case <-done:
 		return nil
-	case <-r.ended:
+	case <-r.done:
 		return ErrHalted
 	}
 }
 
-// ask makes a request and waits for its answer.
-func (r *Runner) ask(ctx context.Context, f func() RequestID) (Response, error) {
+// try is do with a function that may fail.
+func (r *Runner) try(ctx context.Context, f func() error) error {
+	var err error
+	if failure := r.do(ctx, func() { err = f() }); failure != nil {
+		return failure
+	}
+	return err
+}
+
+// request makes a request and waits for its outcome.
+func (r *Runner) request(ctx context.Context, start func() RequestID) (clusterstate.Outcome, error) {
 	c := make(chan Response, 1)
-	if err := r.do(ctx, func() { r.answer[f()] = func(a Response) { c <- a } }); err != nil {
-		return Response{}, err
+	err := r.do(ctx, func() { r.onResponse[start()] = func(response Response) { c <- response } })
+	if err != nil {
+		return clusterstate.Outcome{}, err
 	}
 	select {
-	case a := <-c:
-		return a, nil
+	case response := <-c:
+		return response.Outcome, response.Err
 	case <-ctx.Done():
-		return Response{}, ErrOutcomeUnknown
+		return clusterstate.Outcome{}, ErrOutcomeUnknown
 	}
 }
 
-// Propose asks for a change, and waits until it is in force or is not to be; with noWait until
-// it begins to take hold.
+// Propose asks for a change of the configuration, and waits until it is in force or is not to be; with noWait
+// until it begins to take hold.
 func (r *Runner) Propose(
-	ctx context.Context,
-	c clusterstate.Change,
-	noWait bool,
+	ctx context.Context, c clusterstate.Change, noWait bool,
 ) (clusterstate.Outcome, error) {
-	a, err := r.ask(ctx, func() RequestID { return r.inst.Propose(c, noWait) })
-	if err != nil {
-		return clusterstate.Outcome{}, err
-	}
-	return a.Outcome, a.Err
+	return r.request(ctx, func() RequestID { return r.instance.Propose(c, noWait) })
 }
 
-// CheckChange says what would become of a change now, as far as this instance knows.
+// ProposeRolloutCommand puts an operator's command into the log and waits for its outcome.
+func (r *Runner) ProposeRolloutCommand(ctx context.Context, c rollout.Command) (clusterstate.Outcome, error) {
+	return r.request(ctx, func() RequestID { return r.instance.ProposeRolloutCommand(c) })
+}
+
+// ProposeCommand puts a command of a replicated state machine into the log, with its id in it, and waits for
+// its outcome.
+func (r *Runner) ProposeCommand(
+	ctx context.Context, section string, e *schema.Change, id string,
+) (clusterstate.Outcome, error) {
+	return r.request(ctx, func() RequestID { return r.instance.ProposeCommand(section, e, id) })
+}
+
+// CheckChange gives the outcome that a change would have now, as far as this instance knows.
 func (r *Runner) CheckChange(ctx context.Context, c clusterstate.Change) (o clusterstate.Outcome, err error) {
 	err = r.View(ctx, func(s *clusterstate.State) { o = s.CheckChange(c) })
 	return o, err
 }
 
-// Barrier waits until this instance has all that was agreed on before the call.
+// Barrier waits until this instance has applied everything that was committed before the call.
 func (r *Runner) Barrier(ctx context.Context) error {
-	a, err := r.ask(ctx, r.inst.ReadIndex)
-	if err != nil {
-		return err
-	}
-	return a.Err
+	_, err := r.request(ctx, r.instance.ReadIndex)
+	return err
 }
 
-// View calls f with the agreed state as far as this instance has it.
+// View calls f with the cluster state as far as this instance has applied it.
 func (r *Runner) View(ctx context.Context, f func(*clusterstate.State)) error {
-	err := ErrNoGroup
-	if bad := r.do(ctx, func() {
-		if s := r.inst.State(); s != nil {
-			err = nil
-			f(s)
+	return r.try(ctx, func() error {
+		s := r.instance.State()
+		if s == nil {
+			return ErrNoGroup
 		}
-	}); bad != nil {
-		return bad
-	}
-	return err
+		f(s)
+		return nil
+	})
 }
 
-// Operate changes the members, the leader or a duty, if this instance leads.
+// Operate carries out an operation on the members, the leader or a replicated state machine, if this instance
+// leads.
 func (r *Runner) Operate(ctx context.Context, op *schema.Operation, number uint64) error {
-	a, err := r.ask(ctx, func() RequestID { return r.inst.Operate(op, number) })
-	if err != nil {
-		return err
+	o, err := r.request(ctx, func() RequestID { return r.instance.Operate(op, number) })
+	if err == nil && o.Code != clusterstate.Accepted {
+		return &RejectedError{Reason: strings.Join(o.Problems, "; ")}
 	}
-	if a.Err == nil && a.Outcome.Code != clusterstate.Accepted {
-		return &RejectedError{Reason: strings.Join(a.Outcome.Problems, "; ")}
-	}
-	return a.Err
+	return err
 }
 
 // Bootstrap makes a new group of this instance.
 func (r *Runner) Bootstrap(
-	ctx context.Context,
-	cluster, address string,
-	first *clusterstate.Document,
-	after uint64,
+	ctx context.Context, cluster, address string, first *clusterstate.Document, after uint64,
 ) error {
-	var err error
-	if bad := r.do(ctx, func() { err = r.inst.Bootstrap(cluster, address, first, after) }); bad != nil {
-		return bad
-	}
-	return err
+	return r.try(ctx, func() error { return r.instance.Bootstrap(cluster, address, first, after) })
 }
 
 // Join has this instance belong to a group, durably when it returns.
 func (r *Runner) Join(ctx context.Context, cluster string) error {
-	var err error
-	if bad := r.do(ctx, func() { err = r.inst.Join(cluster) }); bad != nil || err != nil {
-		return first(bad, err)
+	if err := r.try(ctx, func() error { return r.instance.Join(cluster) }); err != nil {
+		return err
 	}
-	// The loop writes before it takes the next call.
-	return r.do(ctx, func() {})
+	return r.persisted(ctx)
 }
 
 // Compact writes a snapshot now.
 func (r *Runner) Compact(ctx context.Context) error {
-	if err := r.do(ctx, r.inst.Compact); err != nil {
+	if err := r.do(ctx, r.instance.Compact); err != nil {
 		return err
 	}
-	return r.do(ctx, func() {})
+	return r.persisted(ctx)
 }
 
-// ReportSnapshot, Unreachable and ToldRemoved are the transport's word on what became of
-// messages.
-func (r *Runner) ReportSnapshot(to uint64, ok bool) { r.post(func() { r.inst.ReportSnapshot(to, ok) }) }
+// persisted waits until the effects of earlier calls are persisted: the loop persists before it takes the
+// next call.
+func (r *Runner) persisted(ctx context.Context) error { return r.do(ctx, func() {}) }
 
-// ReportUnreachable says that an instance can't be reached.
-func (r *Runner) ReportUnreachable(id uint64) { r.post(func() { r.inst.ReportUnreachable(id) }) }
-
-// ReportRemoved says that another member knows this one to be removed.
-func (r *Runner) ReportRemoved() { r.post(r.inst.ReportRemoved) }
+// SetDeparting sets whether this instance is about to end, and so has its leased tasks transferred.
+func (r *Runner) SetDeparting(ctx context.Context, departing bool) error {
+	return r.do(ctx, func() { r.instance.SetDeparting(departing) })
+}
 
-// Watch gives a channel that is written to when the state has changed, and its end.
-func (r *Runner) Watch() (<-chan struct{}, func()) {
+// Watch gives a channel that is written to when the state has changed, and a function that ends it.
+func (r *Runner) Watch() (changed <-chan struct{}, end func()) {
 	c := make(chan struct{}, 1)
 	c <- struct{}{}
 	r.mu.Lock()
@@ -159,12 +160,3 @@
 		maps.DeleteFunc(r.watchers, func(w chan struct{}, _ bool) bool { return w == c })
 	}
 }
-
-func first(errs ...error) error {
-	for _, err := range errs {
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
--- a/internal/node/instance.go
+++ b/internal/node/instance.go
@@ -152,13 +152,14 @@
 	}
 	i.runner, err = consensus.Open(consensus.RunnerConfig{
 		Config: consensus.Config{
-			Rules:     DocumentRules(),
-			Logger:    log.WithField("part", "agreement"),
-			WallClock: wall,
-			Zones:     i.zones,
-			Labels:    cfg.labels(i.zone()),
+			Rules:        DocumentRules(),
+			Logger:       log.WithField("part", "agreement"),
+			WallClock:    wall,
+			Zones:        i.zones,
+			Labels:       cfg.labels(i.zone()),
+			TickInterval: time.Duration(cfg.Peers.Tick),
 		}, Name: cfg.Name,
-		Dir: filepath.Join(cfg.Data, "agreement"), Tick: time.Duration(cfg.Peers.Tick), Transport: i.network,
+		Dir: filepath.Join(cfg.Data, "agreement"), Transport: i.network,
 		OnRevision: func(r clusterstate.Revision) { offer(i.latest, r) },
 		OnStage:    func(r clusterstate.Revision) { offer(i.pending, r) }, OnPermit: i.permitted,
 		OnClusterView: i.stands, OnNotification: i.told})
--- a/internal/operate/controlapi/rollout.go
+++ b/internal/operate/controlapi/rollout.go
@@ -25,7 +25,7 @@
 
 func pending(st consensus.Status) *schema.PendingReply {
 	x := st.Rollout
-	out := &schema.PendingReply{Known: st.Role == "leader"}
+	out := &schema.PendingReply{Known: st.Role == consensus.RoleLeader}
 	if x.Pending == nil {
 		return out
 	}
--- a/internal/operate/controlapi/server.go
+++ b/internal/operate/controlapi/server.go
@@ -199,7 +199,7 @@
 		Name:     st.Name,
 		Id:       st.ID,
 		Cluster:  st.Cluster,
-		Role:     st.Role,
+		Role:     string(st.Role),
 		Term:     st.Term,
 		Commit:   st.Commit,
 		Applied:  st.Applied,
