--- a/internal/operate/adminproto/server.go
+++ b/internal/operate/adminproto/server.go
@@ -7,51 +7,57 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// Limits are what callers may take of the node's descriptors. They are no part of what
-// clients may take, nor the other way round.
+// MaxConnections is how many operators may be connected at once. Their connections are no part of what
+// clients may have, nor the other way round.
 //
-// Hazard: callers that connect and say nothing keep out those who have something to say.
-// The oldest silent one gives way to a new one.
+// Hazard: operators that connect and send nothing would keep out those who have something to send. The oldest
+// silent connection is closed for a new one.
+const MaxConnections = 8
+
 const (
-	MaxConnections = 8
-	held           = MaxConnections * 4096 // bytes of their buffers
-	patience       = 6 * time.Second       // for a call to come whole
+	maxBuffered    = MaxConnections * 4096 // bytes of all connections
+	commandTimeout = 6 * time.Second       // for a command to arrive complete
 )
 
-// Listen opens the second address for a node.
-func Listen(loop *eventloop.Loop, address string, n Handler) (*eventloop.Listener, error) {
-	limits := eventloop.Limits{MaxConnections: MaxConnections, MaxBufferBytes: held, MessageTimeout: patience}
-	return loop.Listen(address, limits, func(c *eventloop.Conn) { c.Handler = &caller{node: n} })
+// Listen opens the second address, and has a handler carry out the commands, on the loop.
+func Listen(loop *eventloop.Loop, address string, h Handler) (*eventloop.Listener, error) {
+	limits := eventloop.Limits{MaxConnections: MaxConnections, MaxBufferBytes: maxBuffered,
+		MessageTimeout: commandTimeout}
+	return loop.Listen(address, limits, func(c *eventloop.Conn) { c.Handler = &session{handler: h} })
 }
 
-// caller is a connection to the second address.
-type caller struct {
-	node Handler
-	done bool
+// session is a connection to the second address.
+type session struct {
+	handler Handler
+	replied bool
 }
 
-var _ eventloop.Handler = (*caller)(nil)
+var _ eventloop.Handler = (*session)(nil)
+
+// OnConnect implements eventloop.Handler.
+func (*session) OnConnect(*eventloop.Conn) {}
 
-func (*caller) OnConnect(*eventloop.Conn)      {}
-func (*caller) OnClose(*eventloop.Conn, error) {}
+// OnClose implements eventloop.Handler.
+func (*session) OnClose(*eventloop.Conn, error) {}
 
-// OnData answers once the line has come whole, in however many pieces, and closes.
-func (c *caller) OnData(conn *eventloop.Conn) {
-	if c.done {
+// OnData implements eventloop.Handler: it replies once the line is complete, in however many pieces it came,
+// and closes.
+func (s *session) OnData(conn *eventloop.Conn) {
+	if s.replied {
 		return
 	}
-	line, _, whole := bytes.Cut(conn.Input(), []byte("\n"))
-	var answer []byte
+	line, _, complete := bytes.Cut(conn.Input(), []byte("\n"))
+	var reply []byte
 	switch {
-	case len(line) > MaxLineBytes: // hazard: a line without end is read for ever
-		answer = append(append([]byte("NAK "), errLong.Error()...), '\n')
-	case !whole:
+	case len(line) > MaxLineBytes: // Hazard: a line without an end would be read for ever.
+		reply = appendNAK(nil, errTooLong)
+	case !complete:
 		return
 	default:
-		answer = HandleLine(nil, bytes.TrimSuffix(line, []byte("\r")), c.node)
+		reply = HandleLine(nil, bytes.TrimSuffix(line, []byte("\r")), s.handler)
 	}
-	c.done = true
+	s.replied = true
 	conn.BeginProcessing()
-	conn.Write(answer)
+	conn.Write(reply)
 	conn.CloseAfterFlush()
 }
--- a/internal/proxy/memtrim/memtrim_test.go
+++ b/internal/proxy/memtrim/memtrim_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestOnlyWhatCannotBeWrittenTo(t *testing.T) {
+func TestOnlyReadOnlyMappingsOfTheProgramAreFound(t *testing.T) {
 	maps := "00400000-00500000 r-xp 00000000 08:01 7 /bin/node\n" +
 		"00500000-00600000 r--p 00100000 08:01 7 /bin/node\n" +
 		"00600000-00700000 rw-p 00200000 08:01 7 /bin/node\n" +
@@ -16,13 +16,14 @@
 		"00800000-00900000 r-xp 00000000 08:01 8 /lib/libc.so.6\n" +
 		"7f000000-7f100000 rw-p 00000000 00:00 0\nnonsense\n"
 	want := []mapping{{0x400000, 0x500000}, {0x500000, 0x600000}}
-	if got := readOnly([]byte(maps), "/bin/node"); !slices.Equal(got, want) {
+	if got := readOnlyMappings([]byte(maps), "/bin/node"); !slices.Equal(got, want) {
 		t.Errorf("%x", got)
 	}
 }
 
-// fileBytes is how much of files is mapped in this process, in bytes.
-func fileBytes(t *testing.T) int {
+// residentFileBytes is how much of files is mapped in this process, in bytes.
+func residentFileBytes(t *testing.T) int {
+	t.Helper()
 	b, err := os.ReadFile("/proc/self/status")
 	if err != nil {
 		t.Fatal(err)
@@ -37,14 +38,13 @@
 	return 0
 }
 
-// The process goes on as it was, with less of its file mapped.
-func TestGiveBack(t *testing.T) {
-	before := fileBytes(t)
+func TestReleaseFilePagesShrinksTheResidentSet(t *testing.T) {
+	before := residentFileBytes(t)
 	n, err := ReleaseFilePages()
 	if err != nil || n == 0 {
 		t.Fatalf("%d bytes: %v", n, err)
 	}
-	if after := fileBytes(t); after >= before {
+	if after := residentFileBytes(t); after >= before {
 		t.Errorf("%d bytes of files are mapped, %d were", after, before)
 	}
 }
--- a/internal/proxy/metrics/metrics.go
+++ b/internal/proxy/metrics/metrics.go
@@ -1,65 +1,64 @@
-// Package figures counts what a process has done and states it as JSON. It knows no
-// socket and no clock: who does a thing counts it.
+// Package metrics counts what a process has done and formats it as JSON. It knows no socket and no clock:
+// whoever does a thing counts it, on one goroutine.
 //
-// What counts as what: a job is one that a front could read and that is not refused by
-// its form. `succeeded` are those answered with a result, `declined` those answered that
-// trying again is harmless, `aborted` those answered that they have failed. A job whose
-// client had gone before its answer is in none of them. A request that can't be read, or
-// whose id is in use, is no job. So at any time
+// What counts as what: a job is one that a front could read and that is not rejected for its form. Those
+// answered with a result are succeeded, those answered that a retry is harmless are declined, those answered
+// that they have failed are aborted. A job whose client disconnected before its answer is in none of them. A
+// request that can't be read, or whose id is in use, is no job. So at any time
 //
-//	taken = succeeded + declined + aborted + outstanding + those whose client had gone.
+//	taken = succeeded + declined + aborted + outstanding + client disconnects.
 package metrics
 
 import "strconv"
 
-// ClassCounters are the counts of one class.
+// ClassCounters are the counters of one class of jobs.
 type ClassCounters struct{ Succeeded, Declined, Aborted uint64 }
 
-// Counters are the counts of a process, from 0.
+// Counters are the counters of a process, from 0.
 type Counters struct {
 	Classes           []ClassCounters // by the class's number
-	Forwards          uint64          // attempts written whole to next hops
-	ClientDisconnects uint64          // jobs whose client had gone before the answer
+	Forwards          uint64          // attempts written complete to endpoints
+	ClientDisconnects uint64          // jobs whose client disconnected before the answer
 }
 
-// Gauges is what is true at one moment, and not counted.
+// Gauges are what holds at one moment, and is not counted.
 type Gauges struct {
 	InFlight  int // jobs taken and not ended
-	Endpoints int // next hops listed
-	Ejected   int // of them, those that the node avoids by hand or by choice
+	Endpoints int // in the endpoint list
+	Ejected   int // of them, those under maintenance or avoided by choice
 }
 
-// AppendJSON appends the figures, as one line of JSON, to dst. The classes have the names
-// given, which hold nothing that JSON must escape or were quoted by the caller.
-func (c *Counters) AppendJSON(dst []byte, names []string, now Gauges) []byte {
+// AppendJSON appends the metrics, as one line of JSON, to dst. The classes have the names given.
+func (c *Counters) AppendJSON(dst []byte, names []string, g Gauges) []byte {
 	dst = append(dst, `{"results":{`...)
 	for i, name := range names {
 		if i > 0 {
 			dst = append(dst, ',')
 		}
-		var of ClassCounters // one that came with a reload has served nothing yet
+		var class ClassCounters // one that came with a reload has served nothing yet
 		if i < len(c.Classes) {
-			of = c.Classes[i]
+			class = c.Classes[i]
 		}
 		dst = strconv.AppendQuote(dst, name)
 		dst = append(dst, ':')
-		dst = number(dst, '{', "succeeded", of.Succeeded)
-		dst = number(dst, ',', "declined", of.Declined)
-		dst = number(dst, ',', "aborted", of.Aborted)
+		dst = appendNumber(dst, '{', "succeeded", class.Succeeded)
+		dst = appendNumber(dst, ',', "declined", class.Declined)
+		dst = appendNumber(dst, ',', "aborted", class.Aborted)
 		dst = append(dst, '}')
 	}
 	dst = append(dst, '}')
-	dst = number(dst, ',', "forwards", c.Forwards)
-	dst = number(dst, ',', "outstanding", uint64(max(now.InFlight, 0)))
-	dst = number(dst, ',', "discovered", uint64(max(now.Endpoints, 0)))
-	dst = number(dst, ',', "ejected", uint64(max(now.Ejected, 0)))
-	dst = number(dst, ',', "left", c.ClientDisconnects)
+	dst = appendNumber(dst, ',', "forwards", c.Forwards)
+	dst = appendNumber(dst, ',', "outstanding", uint64(max(g.InFlight, 0)))
+	dst = appendNumber(dst, ',', "discovered", uint64(max(g.Endpoints, 0)))
+	dst = appendNumber(dst, ',', "ejected", uint64(max(g.Ejected, 0)))
+	dst = appendNumber(dst, ',', "left", c.ClientDisconnects)
 	return append(dst, '}')
 }
 
-func number(dst []byte, before byte, name string, n uint64) []byte {
+// appendNumber appends a key and its number, after the character that goes before it.
+func appendNumber(dst []byte, before byte, key string, n uint64) []byte {
 	dst = append(dst, before, '"')
-	dst = append(dst, name...)
+	dst = append(dst, key...)
 	dst = append(dst, '"', ':')
 	return strconv.AppendUint(dst, n, 10)
 }
--- a/internal/proxy/metrics/metrics_test.go
+++ b/internal/proxy/metrics/metrics_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestAppend(t *testing.T) {
+func TestAppendJSON(t *testing.T) {
 	c := Counters{Classes: []ClassCounters{{1, 2, 3}}, Forwards: 9, ClientDisconnects: 4}
 	line := c.AppendJSON([]byte("x"), []string{"quote", `bo"ok`}, Gauges{14, 10, 2})
 	var got struct {
@@ -16,12 +16,12 @@
 	if err := json.Unmarshal(line[1:], &got); err != nil {
 		t.Fatalf("%s: %v", line, err)
 	}
-	q, b := got.Results["quote"], got.Results[`bo"ok`]
-	if q["succeeded"] != 1 || q["declined"] != 2 || q["aborted"] != 3 {
-		t.Errorf("quote reads %v", q)
+	known, unserved := got.Results["quote"], got.Results[`bo"ok`]
+	if known["succeeded"] != 1 || known["declined"] != 2 || known["aborted"] != 3 {
+		t.Errorf("quote reads %v", known)
 	}
-	if len(b) != 3 || b["succeeded"]+b["declined"]+b["aborted"] != 0 {
-		t.Errorf("a class that has served nothing reads %v", b)
+	if len(unserved) != 3 || unserved["succeeded"]+unserved["declined"]+unserved["aborted"] != 0 {
+		t.Errorf("a class that has served nothing reads %v", unserved)
 	}
 	if got.Outstanding != 14 || got.Discovered != 10 || got.Ejected != 2 || got.Forwards != 9 ||
 		got.Left != 4 {
