--- /dev/null
+++ b/internal/node/admincommands.go
@@ -0,0 +1,85 @@
+package node
+
+import (
+	"moorstack/internal/operate/adminproto"
+	"moorstack/internal/proxy/broker"
+)
+
+// adminCommands carries out the commands of the second address. All of it runs on the node's loop.
+type adminCommands struct{ node *Node }
+
+var _ adminproto.Handler = adminCommands{}
+
+// AppendMetrics implements adminproto.Handler.
+func (a adminCommands) AppendMetrics(dst []byte) []byte { return a.node.front.AppendMetrics(dst) }
+
+// Ready implements adminproto.Handler for this process: while another one takes its place, one of the two is
+// not ready.
+func (a adminCommands) Ready() error {
+	if err := a.node.front.Ready(); err != nil {
+		return err
+	}
+	return a.node.hotRestart.ready()
+}
+
+// StartMaintenance implements adminproto.Handler: it excludes an endpoint at all brokers, whichever front it
+// belongs to.
+func (a adminCommands) StartMaintenance(id string) error {
+	if err := a.checkListed(id); err != nil {
+		return err
+	}
+	for _, c := range a.node.brokers {
+		c.StartMaintenance(id)
+	}
+	a.node.hotRestart.sendMaintenance(id, true)
+	a.node.log.WithField("worker", id).Info("taken out by an operator")
+	return nil
+}
+
+// EndMaintenance implements adminproto.Handler. For an endpoint that is not under maintenance it changes
+// nothing, and is no error.
+func (a adminCommands) EndMaintenance(id string) error {
+	if err := a.checkListed(id); err != nil {
+		return err
+	}
+	changed := false
+	for _, c := range a.node.brokers {
+		changed = c.EndMaintenance(id) || changed
+	}
+	a.node.hotRestart.sendMaintenance(id, false)
+	if changed {
+		a.node.log.WithField("worker", id).Info("put back by an operator")
+	}
+	return nil
+}
+
+func (a adminCommands) checkListed(id string) error {
+	for _, c := range a.node.brokers {
+		if c.EverListed(id) {
+			return nil
+		}
+	}
+	return broker.ErrNeverListed
+}
+
+// Standby implements adminproto.Handler.
+func (a adminCommands) Standby() error {
+	a.node.front.BeginStandby()
+	a.notifyStandby(true)
+	return nil
+}
+
+// EndStandby implements adminproto.Handler.
+func (a adminCommands) EndStandby() error {
+	err := a.node.front.EndStandby()
+	if err == nil {
+		a.notifyStandby(false)
+	}
+	return err
+}
+
+func (a adminCommands) notifyStandby(on bool) {
+	if a.node.OnStandby != nil {
+		a.node.OnStandby(on)
+	}
+}
--- /dev/null
+++ b/internal/node/admission.go
@@ -0,0 +1,119 @@
+package node
+
+import (
+	"fmt"
+	"sync/atomic"
+	"time"
+
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/rollout"
+	"moorstack/internal/proxy/broker"
+)
+
+// Retry-After of a rejection: a change takes hold soon, a lost leader takes about a lease.
+const (
+	retryAfterChange    = 50 * time.Millisecond
+	retryAfterLeaseLoss = time.Second
+)
+
+// admission admits jobs while this instance holds a valid permit for the revision that its fronts run. It
+// belongs to the node's loop; only the counter may be read elsewhere.
+type admission struct {
+	env       *environment
+	permit    rollout.Permit
+	running   uint64 // the revision that the fronts run; 0: none that was agreed on
+	rejected  atomic.Uint64
+	rateLimit *rateLimitDriver
+	slowStart *slowStartDriver
+}
+
+var _ broker.AdmissionController = (*admission)(nil)
+
+// newAdmission admits nothing until the group has granted a permit. The drivers are set before the loop runs.
+func newAdmission(env *environment) *admission {
+	return &admission{env: env, permit: rollout.Permit{ClosedReason: "this instance belongs to no group yet"}}
+}
+
+// Admit implements broker.AdmissionController.
+func (a *admission) Admit(t *broker.Request) (broker.Rejection, bool) {
+	// Hazard: the process may have been stalled for long with this job in its buffers. The clock is read
+	// here and now, whatever any timer has said, and this moment decides whether the job is admitted.
+	now := consensus.BootTime()
+	a.slowStart.expire(now)
+	if !a.permit.Admits(now, a.running) {
+		a.rejected.Add(1)
+		return broker.Rejection{Reason: a.rejectionReason(), RetryAfter: a.retryAfter()}, false
+	}
+	if rejection, ok := a.rateLimit.admit(now, t); !ok {
+		return rejection, false
+	}
+	if a.env.audit.enabled() {
+		a.env.audit.writeAt(now, "admit %d %s", a.running, t.ID)
+	}
+	return broker.Rejection{}, true
+}
+
+func (a *admission) rejectionReason() string {
+	switch {
+	case a.permit.ClosedReason != "":
+		return a.permit.ClosedReason
+	case a.permit.Revision != a.running:
+		return fmt.Sprintf("revision %d is in force, and %d runs here", a.permit.Revision, a.running)
+	}
+	return "its lease has run out"
+}
+
+func (a *admission) retryAfter() time.Duration {
+	if a.permit.Change != "" {
+		return retryAfterChange
+	}
+	return retryAfterLeaseLoss
+}
+
+// setRunning takes the revision that the fronts run from this turn on; an older one changes nothing.
+func (a *admission) setRunning(revision uint64) {
+	if revision <= a.running {
+		return
+	}
+	a.running = revision
+	a.env.audit.write("run %d", revision)
+	a.auditOpening()
+}
+
+// auditOpening writes that jobs are admitted from this turn on, if the permit and the fronts go by the same
+// revision.
+func (a *admission) auditOpening() {
+	if a.permit.Open && a.permit.Revision == a.running && (a.permit.NoExpiry || a.permit.ExpiresAt > 0) {
+		a.env.audit.write("open %d", a.running)
+	}
+}
+
+// permitChanged takes a permit, or that there is none. It is called on the runner's goroutine.
+func (a *admission) permitChanged(p rollout.Permit) {
+	a.env.loop().Post(func() {
+		a.logPermit(p)
+		a.permit = p
+		a.auditOpening()
+		// Hazard: the acknowledgement must follow the turn in which the fronts have ceased to admit.
+		if !p.Open && p.Change != "" {
+			a.env.runner.ReportAdmissionClosed(p.Change, p.Attempt)
+		}
+	})
+}
+
+// logPermit writes a line where the new permit differs from the one before in more than its time.
+func (a *admission) logPermit(p rollout.Permit) {
+	if a.permit.Open == p.Open && (p.Open || a.permit.ClosedReason == p.ClosedReason) {
+		return
+	}
+	a.env.audit.write("permit open=%v revision=%d why=%q", p.Open, p.Revision, p.ClosedReason)
+	entry := a.env.log.WithField("revision", p.Revision)
+	switch {
+	case p.Open:
+		entry.Info("jobs are admitted")
+	case p.Change != "":
+		entry.WithField("change", p.Change).Info("jobs wait for a change to take hold")
+	default:
+		entry.WithField("reason", p.ClosedReason).Warn("no job is admitted")
+	}
+}
--- a/internal/node/backups.go
+++ b/internal/node/backups.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/cluster/consensus"
 	"moorstack/internal/cluster/leasedtask"
@@ -14,95 +16,98 @@
 	"moorstack/internal/operate/controlapi"
 )
 
-// labels are what this instance has that duties ask for, and where it is.
-func (c *ServeConfig) labels(zone string) []string {
-	list := []string{leasedtask.ZoneLabelPrefix + zone}
-	if c.LeasedTasks.Backups != "" {
-		list = append(list, leasedtask.BackupLabel)
-	}
-	return list
+// backupCheckInterval is how often the holder of the backup task checks whether a period has begun.
+const backupCheckInterval = 100 * time.Millisecond
+
+// backupTask writes a backup of the agreed state for each period. The period goes by the wall clock, and
+// nothing else does: that no two instances write at once is ensured by the lease and the directory.
+type backupTask struct {
+	env *environment
+	log logrus.FieldLogger
+	dir backups.Dir
 }
 
-// backups keeps a backup of the agreed state for each period. Which period it is goes by the wall
-// clock, and nothing else does: that no two write at once is the duty's and the directory's to see to.
-func (k *keeper) backups(ctx context.Context, t *turn) error {
-	dir := backups.Dir{Path: k.i.cfg.LeasedTasks.Backups, Verify: func(b []byte) error {
+func newBackupTask(env *environment, path string) *backupTask {
+	verify := func(b []byte) error {
 		_, err := controlapi.DecodeBackup(b)
 		return err
-	}}
-	for {
-		if err := k.backup(ctx, t, dir); err != nil && ctx.Err() == nil {
-			return err
-		}
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-time.After(100 * time.Millisecond):
-		}
 	}
+	return &backupTask{env: env, log: env.component("backups"), dir: backups.Dir{Path: path, Verify: verify}}
 }
 
-// backup writes the backup of this period, unless it is noted to be there.
-func (k *keeper) backup(ctx context.Context, t *turn, dir backups.Dir) error {
-	var cluster string
-	var p leasedtask.Policy
-	var content []byte
-	r := k.i.runner
-	if err := r.View(ctx, func(s *clusterstate.State) {
-		p, _ = leasedtask.ParsePolicy(s.CurrentRevision().Document.Sections[leasedtask.Section],
-			clusterstate.LatestFormat)
-	}); err != nil || p.BackupInterval == 0 {
-		return nil // the group has just lost it
+// run is a taskFunc.
+func (b *backupTask) run(ctx context.Context, r *taskRun) error {
+	return repeat(ctx, backupCheckInterval, func() error { return b.backUpIfDue(ctx, r) })
+}
+
+// backUpIfDue writes the backup of this period, unless the task's note has it, and notes it.
+func (b *backupTask) backUpIfDue(ctx context.Context, r *taskRun) error {
+	policy, ok := b.policy(ctx)
+	if !ok {
+		return nil // the group has just lost the task
 	}
-	held := t.now()
-	var done backups.Result
-	if len(held.Note) > 0 {
-		if err := json.Unmarshal(held.Note, &done); err != nil {
-			return fmt.Errorf("the note of the backups can't be read: %w", err)
-		}
+	lease := r.current()
+	last, err := lastBackup(lease.Note)
+	if err != nil {
+		return err
 	}
-	period := time.Now().UTC().Truncate(p.BackupInterval)
-	if !period.After(done.Period) || !t.May(consensus.BootTime()) {
+	period := time.Now().UTC().Truncate(policy.BackupInterval)
+	if !period.After(last.Period) || !r.Valid(consensus.BootTime()) {
 		return nil
 	}
-	// What is backed up is at least as new as the period's beginning.
-	if err := r.Barrier(ctx); err != nil {
-		return nil // the lease ends, or a leader comes
-	}
-	if err := r.View(ctx, func(s *clusterstate.State) {
-		cluster, content = s.ClusterID(), controlapi.EncodeBackup(s.ClusterID(), s.Revisions())
-	}); err != nil {
-		return nil
+	cluster, content, err := b.content(ctx)
+	if err != nil {
+		return nil // the lease ends, or there is no leader: the next check tries again
 	}
-	kept, err := dir.Write(
-		backups.WriteRequest{Group: cluster, Task: t.duty, FencingToken: t.number, Period: period,
-			Content: content, Retain: p.BackupsKept,
-			LeaseValid: func() bool { return t.May(consensus.BootTime()) }},
-	)
+	kept, err := b.dir.Write(backups.WriteRequest{
+		Group: cluster, Task: r.task, FencingToken: r.token, Period: period, Content: content,
+		Retain: policy.BackupsKept, LeaseValid: func() bool { return r.Valid(consensus.BootTime()) },
+	})
 	var stale *leasedtask.StaleTokenError
 	switch {
 	case errors.As(err, &stale) || errors.Is(err, backups.ErrLeaseExpired):
-		k.log.WithError(err).Warn("a backup is not written: this instance holds the duty no more")
+		b.log.WithError(err).Warn("backup not written: this instance no longer holds the lease")
 		return nil
 	case err != nil:
 		return err
 	}
 	note, err := json.Marshal(kept)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode the note of backup %s: %w", kept.File, err)
 	}
-	o, err := k.say(
-		ctx,
-		leasedtask.Command{
-			Kind:         leasedtask.UpdateNote,
-			Task:         t.duty,
-			FencingToken: t.number,
-			NoteRevision: held.NoteRevision,
-			Note:         note,
-		},
-	)
-	if err == nil && o.Code == clusterstate.Accepted {
-		k.log.WithField("file", kept.File).Info("a backup is kept")
+	if r.updateNote(ctx, lease, note) {
+		b.log.WithField("path", kept.File).Info("backup written")
 	}
-	return nil // without an answer the next look tells
+	return nil
+}
+
+// policy is false where the agreed configuration has no backups, or the runner does not answer.
+func (b *backupTask) policy(ctx context.Context) (p leasedtask.Policy, ok bool) {
+	err := b.env.runner.View(ctx, func(s *clusterstate.State) {
+		p, _ = leasedtask.ParsePolicy(s.CurrentRevision().Document.Sections[leasedtask.Section],
+			clusterstate.LatestFormat)
+	})
+	return p, err == nil && p.BackupInterval != 0
+}
+
+// lastBackup reads the task's note; an empty one is of no backup.
+func lastBackup(note []byte) (last backups.Result, err error) {
+	if len(note) == 0 {
+		return last, nil
+	}
+	if err := json.Unmarshal(note, &last); err != nil {
+		return last, fmt.Errorf("the note of the backups can't be read: %w", err)
+	}
+	return last, nil
+}
+
+// content is a backup of the agreed state, at least as new as the call.
+func (b *backupTask) content(ctx context.Context) (cluster string, content []byte, err error) {
+	if err := b.env.runner.Barrier(ctx); err != nil {
+		return "", nil, err
+	}
+	err = b.env.runner.View(ctx, func(s *clusterstate.State) {
+		cluster, content = s.ClusterID(), controlapi.EncodeBackup(s.ClusterID(), s.Revisions())
+	})
+	return cluster, content, err
 }
--- /dev/null
+++ b/internal/node/configurator.go
@@ -0,0 +1,217 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/rollout"
+)
+
+// configurator puts the revisions that the group agrees on into force at this instance's fronts and drivers.
+// One goroutine, run, does so once the node runs.
+type configurator struct {
+	env       *environment
+	cfg       *ServeConfig
+	local     balancer.Settings // this instance's own
+	routes    *routeRules
+	drivers   driverSet
+	admission *admission
+	committed chan clusterstate.Revision // of which only the newest counts
+	proposed  chan clusterstate.Revision // likewise: changes to be staged
+
+	mu      sync.Mutex
+	running uint64 // the revision that the fronts run; 0: none that was agreed on
+	current clusterstate.Revision
+	problem string // why the fronts don't run the revision that is in force
+	staged  stagedChange
+}
+
+// stagedChange is a change that is ready to be applied.
+type stagedChange struct {
+	id     string // the change's; empty: there is none
+	config RuntimeConfig
+}
+
+func newConfigurator(env *environment, cfg *ServeConfig, local balancer.Settings, routes *routeRules,
+	a *admission) *configurator {
+	return &configurator{env: env, cfg: cfg, local: local, routes: routes, admission: a,
+		committed: make(chan clusterstate.Revision, 1), proposed: make(chan clusterstate.Revision, 1)}
+}
+
+// revisionCommitted takes a revision that comes into force, and changeProposed a change that must be made
+// ready. They are called on the runner's goroutine, and never wait.
+func (c *configurator) revisionCommitted(r clusterstate.Revision) { replaceNewest(c.committed, r) }
+func (c *configurator) changeProposed(r clusterstate.Revision)    { replaceNewest(c.proposed, r) }
+
+// clusterChanged hands a new view of the group's sessions to the drivers. It is called on the runner's
+// goroutine.
+func (c *configurator) clusterChanged(v consensus.ClusterView) { c.drivers.ClusterChanged(v) }
+
+// replaceNewest sends a revision without waiting: the receiver gets the newest. The channel has room for one.
+func replaceNewest(ch chan clusterstate.Revision, r clusterstate.Revision) {
+	for {
+		select {
+		case ch <- r:
+			return
+		default:
+		}
+		select {
+		case <-ch: // an older one that has not been received
+		default:
+		}
+	}
+}
+
+// run works until the context ends.
+func (c *configurator) run(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case r := <-c.proposed:
+			c.stage(r)
+		case r := <-c.committed:
+			c.apply(r, c.env.node.Configure)
+		}
+	}
+}
+
+// stage makes everything ready for a change, so that the switch takes one turn of the loop, and reports
+// whether this instance can run it.
+func (c *configurator) stage(r clusterstate.Revision) {
+	c.env.audit.write("staging %s", r.ChangeID)
+	entry := c.env.log.WithFields(logrus.Fields{"revision": r.Number, "change": r.ChangeID})
+	config, err := c.check(r.Document)
+	if err != nil {
+		entry.WithError(err).Warn("a change can't be run here")
+		c.env.runner.ReportStaged(r.ChangeID, []string{err.Error()})
+		return
+	}
+	c.mu.Lock()
+	c.staged = stagedChange{r.ChangeID, config}
+	c.mu.Unlock()
+	entry.Info("ready for a change")
+	c.env.audit.write("staged %s", r.ChangeID)
+	c.env.runner.ReportStaged(r.ChangeID, nil)
+}
+
+// check says why a document can't be run here, or gives what the node is to run.
+func (c *configurator) check(d *clusterstate.Document) (RuntimeConfig, error) {
+	config, err := c.runtimeConfig(d)
+	if err != nil {
+		return config, err
+	}
+	if err := c.checkLeases(d); err != nil {
+		return config, err
+	}
+	if err := c.drivers.Supports(d); err != nil {
+		return config, err
+	}
+	return config, c.env.node.ValidateConfig(config)
+}
+
+// checkLeases says why this instance's clock of ticks can't keep the leases of a document.
+func (c *configurator) checkLeases(d *clusterstate.Document) error {
+	p, _ := rollout.ParsePolicy(d.Sections[rollout.Section])
+	if err := p.CheckTick(time.Duration(c.cfg.Peers.Tick)); err != nil {
+		return c.cfg.errorAt("peers.tick", "%v", err)
+	}
+	return nil
+}
+
+// runtimeConfig fits a document to this instance's own files.
+func (c *configurator) runtimeConfig(d *clusterstate.Document) (config RuntimeConfig, err error) {
+	if config.Settings, err = d.ApplyTo(c.local); err != nil {
+		return config, fmt.Errorf("%s: %w", c.cfg.Front.Platform, err)
+	}
+	config.Routes, err = c.routes.tableFor(d)
+	return config, err
+}
+
+// apply puts a revision into force by configure, which is the node's: before the loop runs its own, and then
+// the one that waits for the loop.
+func (c *configurator) apply(r clusterstate.Revision, configure func(RuntimeConfig) error) {
+	err := c.configure(r, configure)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	entry := c.env.log.WithField("revision", r.Number)
+	if err != nil {
+		// Only files that differ from what they were when it was staged can bring this about: the fronts
+		// admit nothing more, for what they run is not in force.
+		c.problem = fmt.Sprintf("revision %d: %v", r.Number, err)
+		entry.WithError(err).Error("the agreed configuration can't be run here")
+		return
+	}
+	if r.Number < c.running {
+		return
+	}
+	c.running, c.current, c.problem = r.Number, r, ""
+	c.env.runner.ReportRunningRevision(r.Number)
+	entry.Info("the fronts run this configuration")
+}
+
+func (c *configurator) configure(r clusterstate.Revision, configure func(RuntimeConfig) error) error {
+	config, ok := c.takeStaged(r.ChangeID)
+	if !ok {
+		var err error
+		if config, err = c.runtimeConfig(r.Document); err != nil {
+			return err
+		}
+	}
+	change := c.drivers.Prepare(r.Document, config.Settings)
+	config.OnApplied = func() {
+		change.Apply()
+		c.admission.setRunning(r.Number)
+	}
+	return configure(config)
+}
+
+// takeStaged gives what was staged for a change; whatever was staged is dropped.
+func (c *configurator) takeStaged(change string) (RuntimeConfig, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	staged := c.staged
+	c.staged = stagedChange{}
+	return staged.config, change != "" && staged.id == change
+}
+
+// status is the revision that the fronts run, and why they don't run the one that is in force.
+func (c *configurator) status() (running uint64, problem string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.running, c.problem
+}
+
+// reloadRoutes reads this instance's own rules again, where it routes by them. It is called on the node's
+// loop, or before that runs.
+func (c *configurator) reloadRoutes() error {
+	if c.hasAgreedRoutes() {
+		return nil
+	}
+	t, err := c.routes.localTable()
+	if err != nil {
+		return err
+	}
+	for k := range c.env.node.brokers {
+		c.env.node.brokers[k].route(t)
+	}
+	c.env.log.Info("routing rules loaded")
+	return nil
+}
+
+func (c *configurator) hasAgreedRoutes() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.running == 0 {
+		return false
+	}
+	_, ok := c.current.Document.Sections[RoutesSection]
+	return ok
+}
--- /dev/null
+++ b/internal/node/drivers.go
@@ -0,0 +1,87 @@
+package node
+
+import (
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/schedule"
+)
+
+// driver carries out one section of the agreed document: it connects a package of rules, which has no
+// goroutine, clock or socket, to the node's loop and the group.
+type driver interface {
+	// Supports says why this instance can't carry out a valid document, or nil. Any goroutine may call it.
+	Supports(d *clusterstate.Document) error
+	// Prepare reads the driver's section of a document that takes effect, with the settings that the fronts
+	// get from it, and changes nothing yet.
+	Prepare(d *clusterstate.Document, set balancer.Settings) preparedChange
+	// ClusterChanged takes a new view of the group's sessions. It is called on the runner's goroutine, and
+	// must not wait.
+	ClusterChanged(v consensus.ClusterView)
+}
+
+// preparedChange is what a driver is about to take over from a document.
+type preparedChange interface {
+	// Apply takes it over. It is called on the node's loop, in the turn in which the fronts begin to run the
+	// document.
+	Apply()
+}
+
+// driverSet is all drivers, in the order in which they are called.
+type driverSet []driver
+
+// Supports implements driver: the first reason of any driver.
+func (s driverSet) Supports(d *clusterstate.Document) error {
+	for _, one := range s {
+		if err := one.Supports(d); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Prepare implements driver.
+func (s driverSet) Prepare(d *clusterstate.Document, set balancer.Settings) preparedChange {
+	changes := make(preparedChanges, len(s))
+	for n, one := range s {
+		changes[n] = one.Prepare(d, set)
+	}
+	return changes
+}
+
+// ClusterChanged implements driver.
+func (s driverSet) ClusterChanged(v consensus.ClusterView) {
+	for _, one := range s {
+		one.ClusterChanged(v)
+	}
+}
+
+// preparedChanges are those of all drivers.
+type preparedChanges []preparedChange
+
+// Apply implements preparedChange.
+func (p preparedChanges) Apply() {
+	for _, one := range p {
+		one.Apply()
+	}
+}
+
+var _ driver = driverSet(nil)
+
+// notified dispatches a notification of a replicated state machine to its driver. It is called on the
+// runner's goroutine.
+func (i *Instance) notified(notification any) {
+	switch n := notification.(type) {
+	case leasedtask.PlanChanged:
+		i.restart.planChanged(n)
+	case []leasedtask.Lease:
+		i.tasks.leasesChanged(n)
+	case schedule.ClusterClock:
+		i.schedule.clockChanged(n)
+	case []schedule.Event:
+		i.schedule.writeAudit(n)
+	case []schedule.Firing:
+		i.schedule.fire(n)
+	}
+}
--- /dev/null
+++ b/internal/node/explainroute.go
@@ -0,0 +1,106 @@
+package node
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"moorstack/balancer"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/routing"
+	"moorstack/internal/schema"
+)
+
+// defaultFront is the front that a question without one is about.
+const defaultFront = "http"
+
+// routeExplainer says where a job would go, by the running brokers. It belongs to the node's loop.
+type routeExplainer struct {
+	node  *Node
+	names routing.KnownNames
+	local balancer.Settings // this instance's own
+}
+
+func (x *routeExplainer) explain(in *schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error) {
+	c, err := x.frontBroker(in.Front)
+	if err != nil {
+		return nil, err
+	}
+	job, err := x.jobOf(c.front, in)
+	if err != nil {
+		return nil, err
+	}
+	d := routing.Decision{Class: job.Class}
+	if c.table != nil {
+		d = c.table.Decide(job)
+	}
+	out := &schema.ExplainRouteReply{Refused: d.RejectReason}
+	if d.Rule != nil {
+		out.Rule = fmt.Sprintf("rule %d (%s), %v", d.Rule.Number, d.Rule.Name, d.Rule.Position)
+	}
+	if d.Class < 0 || d.RejectReason != "" {
+		return out, nil
+	}
+	out.Class = x.names.Classes[d.Class]
+	out.Tiers = x.explainTiers(c, job, d)
+	return out, nil
+}
+
+func (x *routeExplainer) frontBroker(front string) (*frontBroker, error) {
+	if front == "" {
+		front = defaultFront
+	}
+	at := slices.IndexFunc(x.node.brokers, func(c frontBroker) bool { return c.front == front })
+	if at < 0 {
+		return nil, fmt.Errorf("this instance has no front %q", front)
+	}
+	return &x.node.brokers[at], nil
+}
+
+func (x *routeExplainer) jobOf(front string, in *schema.ExplainRouteRequest) (*routing.Job, error) {
+	job := &routing.Job{
+		Frontend: front,
+		Class:    slices.Index(x.names.Classes, in.Class),
+		Host:     in.Host,
+		Path:     in.Path,
+		Tenant:   slices.Index(x.names.Tenants, in.Tenant),
+		RouteKey: in.Key,
+		Queue:    in.Queue,
+		JobType:  in.Jobtype,
+		Header:   func(name string) string { return in.Header[name] },
+		CostHint: time.Duration(in.CostUs) * time.Microsecond,
+	}
+	if in.Class != "" && job.Class < 0 {
+		return nil, fmt.Errorf("there is no class %q", in.Class)
+	}
+	if in.Tenant != "" && job.Tenant < 0 {
+		return nil, fmt.Errorf("there is no tenant %q", in.Tenant)
+	}
+	return job, nil
+}
+
+// explainTiers gives the pools in the order in which they are tried, and which workers of each could have the
+// job now.
+func (x *routeExplainer) explainTiers(c *frontBroker, job *routing.Job,
+	d routing.Decision) (tiers []*schema.Tier) {
+	pools := []string{"any worker"}
+	if r, ok := d.Route.(*routing.Route); ok && r != nil {
+		pools = r.PoolNames()
+	}
+	request := broker.Request{Class: d.Class, Tenant: max(job.Tenant, 0), ExpectedWork: job.CostHint,
+		Route:       d.Route,
+		MaxAttempts: d.MaxAttempts, Timeout: x.local.Classes[d.Class].Timeout}
+	for n, pool := range pools {
+		tier := &schema.Tier{Pool: pool, Out: map[string]string{}}
+		for worker, verdict := range c.Explain(request, n) {
+			if verdict.Reason == "" {
+				tier.Left = append(tier.Left, worker)
+			} else {
+				tier.Out[worker] = verdict.Reason
+			}
+		}
+		slices.Sort(tier.Left)
+		tiers = append(tiers, tier)
+	}
+	return tiers
+}
--- /dev/null
+++ b/internal/node/hotrestart_state.go
@@ -0,0 +1,54 @@
+package node
+
+import (
+	"time"
+
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/hotrestart"
+)
+
+// sendState sends the child all that it must know of what this process did, and the listening socket.
+func (h *hotRestart) sendState() error {
+	if len(h.node.brokers) != 1 {
+		return errSeveralFronts
+	}
+	front := h.node.front
+	generation, list, err := front.CurrentList()
+	if err != nil {
+		return err
+	}
+	s := encodeBrokerState(h.broker().ExportState())
+	s.Generation, s.Instances = generation, list
+	s.SentAt, s.WorkerStarts = h.node.loop.Now(), front.WorkerStarts()
+	s.DiscoveryAddress, s.ConfiguredDiscovery = front.DiscoveryAddresses()
+	return h.link.SendState(s, front.ListenerFD())
+}
+
+// encodeBrokerState is the broker's part of what is passed on.
+func encodeBrokerState(p broker.ProcessState) *hotrestart.State {
+	s := &hotrestart.State{KnownEndpoints: p.KnownNames, Balancer: p.Balancer}
+	for name, since := range p.UnderMaintenance {
+		s.Maintenance = append(s.Maintenance, hotrestart.Maintenance{Endpoint: name, Active: true,
+			StartedAt: since})
+	}
+	for name, t := range p.ReturnedFromMaintenance {
+		s.Maintenance = append(s.Maintenance, hotrestart.Maintenance{Endpoint: name, StartedAt: t.Since,
+			EndedAt: t.Ended})
+	}
+	return s
+}
+
+// decodeBrokerState is encodeBrokerState's opposite.
+func decodeBrokerState(s *hotrestart.State) broker.ProcessState {
+	p := broker.ProcessState{KnownNames: s.KnownEndpoints, UnderMaintenance: map[string]time.Duration{},
+		ReturnedFromMaintenance: map[string]broker.MaintenancePeriod{}, Balancer: s.Balancer}
+	for _, b := range s.Maintenance {
+		if b.Active {
+			p.UnderMaintenance[b.Endpoint] = b.StartedAt
+		} else {
+			p.ReturnedFromMaintenance[b.Endpoint] = broker.MaintenancePeriod{
+				Since: b.StartedAt, Ended: b.EndedAt}
+		}
+	}
+	return p
+}
--- /dev/null
+++ b/internal/node/listfollower.go
@@ -0,0 +1,164 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/listrelay"
+	"moorstack/internal/schema"
+)
+
+const (
+	// resubscribeBackoff is the time between the end of one subscription and the next attempt.
+	resubscribeBackoff = 100 * time.Millisecond
+	// relayLookupTimeout bounds the lookup in the agreed state of who relays the list.
+	relayLookupTimeout = time.Second
+)
+
+var (
+	errRelaySilent  = errors.New("the relay is silent")
+	errRelayChanged = errors.New("another instance relays the list")
+)
+
+// listFollower has this instance get the endpoint list from the one that relays it, and poll discovery by
+// itself while that fails. One goroutine, run, works on it; it ends with close.
+type listFollower struct {
+	env    *environment
+	log    logrus.FieldLogger
+	rules  *listrelay.Subscriber
+	polls  bool // this instance polls discovery by itself
+	cancel context.CancelFunc
+	closed chan struct{} // closed once run has ended
+}
+
+// relay is the instance that relays the list, and the fencing token of its lease.
+type relay struct {
+	clusterstate.Member
+	token uint64
+}
+
+func newListFollower(env *environment) *listFollower {
+	return &listFollower{env: env, log: env.component("listrelay"), polls: true, closed: make(chan struct{}),
+		rules: listrelay.NewSubscriber(consensus.BootTime(), rand.Float64())}
+}
+
+// start starts the goroutine that follows the list; close ends it.
+func (f *listFollower) start() {
+	ctx, cancel := context.WithCancel(context.Background())
+	f.cancel = cancel
+	go f.run(ctx)
+}
+
+func (f *listFollower) close() error {
+	f.cancel()
+	<-f.closed
+	return nil
+}
+
+func (f *listFollower) run(ctx context.Context) {
+	defer close(f.closed)
+	for ctx.Err() == nil {
+		from, ok := f.currentRelay(ctx)
+		if ok {
+			f.rules.ObserveFencingToken(from.token)
+			// The subscription ends by itself when the relay is silent for too long.
+			err := f.subscribe(ctx, from)
+			f.log.WithError(err).WithField("keeper", from.Name).
+				Debug("subscription to the endpoint list ended")
+		}
+		f.fallBack(ctx, !ok)
+		select {
+		case <-ctx.Done():
+		case <-time.After(resubscribeBackoff):
+		}
+	}
+}
+
+// fallBack goes back to polling discovery, where it is time: at once where nobody relays the list.
+func (f *listFollower) fallBack(ctx context.Context, noRelay bool) {
+	if f.polls || !noRelay && !f.rules.ShouldPoll(consensus.BootTime()) {
+		return
+	}
+	f.rules.Invalidate()
+	if f.env.onLoop(ctx, func() { f.env.node.front.SetFedByPeer(false) }) == nil {
+		f.polls = true
+		f.log.Info("this instance asks discovery by itself")
+	}
+}
+
+// currentRelay is who relays the list; false: this instance, or nobody, or the configuration has no such
+// task.
+func (f *listFollower) currentRelay(ctx context.Context) (r relay, ok bool) {
+	ctx, stop := context.WithTimeout(ctx, relayLookupTimeout)
+	defer stop()
+	_ = f.env.runner.View(ctx, func(s *clusterstate.State) {
+		task := s.LeasedTasks().Tasks[leasedtask.EndpointListTask]
+		if task == nil || !task.IsHeld() || task.HolderName == f.env.name {
+			return
+		}
+		r.Member, ok = s.Member(task.Holder.Member)
+		r.token = task.FencingToken
+	})
+	return r, ok
+}
+
+// subscribe takes what a relay sends, until it is silent, another relays the list, or a message is wrong.
+func (f *listFollower) subscribe(ctx context.Context, from relay) error {
+	ctx, stop := context.WithCancelCause(ctx)
+	defer stop(nil)
+	silence := time.AfterFunc(listrelay.SilenceTimeout, func() { stop(errRelaySilent) })
+	defer silence.Stop()
+	go f.watchRelay(ctx, from, stop)
+	return f.env.network.WatchEndpointLists(ctx, from.Member, func(m *schema.ListNews) error {
+		silence.Reset(listrelay.SilenceTimeout)
+		return f.receive(ctx, from, decodeListUpdate(m))
+	})
+}
+
+// watchRelay ends a subscription when another instance relays the list: the one before goes on for as long as
+// it does not know. It ends with the context.
+func (f *listFollower) watchRelay(ctx context.Context, from relay, stop context.CancelCauseFunc) {
+	for ctx.Err() == nil {
+		if now, ok := f.currentRelay(ctx); !ok || now.ID != from.ID {
+			stop(errRelayChanged)
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(listrelay.HeartbeatInterval):
+		}
+	}
+}
+
+func (f *listFollower) receive(ctx context.Context, from relay, update listrelay.EndpointListUpdate) error {
+	take, err := f.rules.Receive(consensus.BootTime(), update)
+	if err != nil || !take && !f.polls {
+		return err
+	}
+	if bad := f.env.onLoop(ctx, func() {
+		if take {
+			err = f.env.node.front.ApplyList(update.Payload)
+		}
+		if err == nil {
+			f.env.node.front.SetFedByPeer(true)
+		}
+	}); bad != nil {
+		f.rules.Invalidate()
+		return bad // Hazard: err may be written yet
+	}
+	if err != nil {
+		f.rules.Invalidate()
+		return err
+	}
+	if f.polls = false; update.Complete {
+		f.log.WithFields(logrus.Fields{"keeper": from.Name, "generation": update.Generation}).
+			Info("another instance gives this one the list")
+	}
+	return nil
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,3 @@
-// Package node builds a node from its configuration: the loop, a core for each front,
-// the fronts. It starts them in that order and ends them in the opposite one. It is
-// the one place that knows all the parts.
 package node
 
 import (
@@ -19,60 +16,63 @@
 	"moorstack/internal/netio/eventloop"
 	"moorstack/internal/operate/adminproto"
 	"moorstack/internal/proxy/broker"
-	"moorstack/internal/proxy/hotrestart"
 	"moorstack/internal/proxy/memtrim"
 	"moorstack/internal/proxy/routing"
 )
 
 // Options are what a node is built from.
 type Options struct {
-	Platform  *platform.Config
-	Faktory   *faktory.Config // nil: this front is off
-	Log       logrus.FieldLogger
-	Admission broker.AdmissionController // before the module, in all fronts; nil: none
-	MaxProcs  int                        // goroutines that run at once; 1, if 0: the loop does all the work
+	Platform *platform.Config
+	Faktory  *faktory.Config // nil: this front is off
+	Log      logrus.FieldLogger
+	// Admission decides on every job, in all fronts, before the balancer; nil: all are admitted.
+	Admission broker.AdmissionController
+	MaxProcs  int // goroutines that run at once; 1, if 0: the loop does all the work
 }
 
-// Node is a node that serves.
+// Node is a node that serves: one event loop, the fronts, and a broker for each front. Its methods may be
+// called from any goroutine, unless they say otherwise.
 type Node struct {
 	// OnReload, where it is set, is called on SIGHUP, on the node's loop.
 	OnReload func()
-	// OnShutdown, where it is set, is called when the node is asked to end, on its loop, before it drains.
+	// OnShutdown, where it is set, is called on the loop when the node is ordered to end, before it drains.
 	OnShutdown func()
 	// OnStandby, where it is set, is called on the loop when an operator has the node stand by (true), and
 	// when that ends.
 	OnStandby func(bool)
 
-	loop  *eventloop.Loop
-	log   logrus.FieldLogger
-	front *platform.Front
-	cores []hosted
-	drain func(done func())
+	loop    *eventloop.Loop
+	log     logrus.FieldLogger
+	front   *platform.Front
+	brokers []frontBroker
+	drain   func(done func())
 
-	memory  int64    // the collector's limit, where this process is alone
-	upgrade *upgrade // nil: no other process takes this one's place
+	memoryLimit int64       // the collector's, in bytes, where this process is alone
+	hotRestart  *hotRestart // nil: no other process can take this one's place
 }
 
-// hosted is a core and how the node's settings are fitted to its front.
-type hosted struct {
+// frontBroker is a front's broker, and how the node's configuration reaches the two.
+type frontBroker struct {
 	*broker.Broker
-	front string
-	table *routing.Table // by which its front routes; nil: by none
-	fit   func(balancer.Settings) balancer.Settings
-	// told, where it is set, is the front's word of settings that its core has taken over.
-	told   func(balancer.Settings)
-	routes func(*routing.Table)
+	front string         // its name
+	table *routing.Table // by which the front routes; nil: by none
+	// fit makes the front's settings of the node's.
+	fit func(balancer.Settings) balancer.Settings
+	// configureFront, where it is set, is called with settings that the broker has taken over.
+	configureFront func(balancer.Settings)
+	setRoutes      func(*routing.Table)
 }
 
-// route has the front go by a table.
-func (h *hosted) route(t *routing.Table) {
-	h.table = t
-	h.routes(t)
+// route has the front route by a table.
+func (c *frontBroker) route(t *routing.Table) {
+	c.table = t
+	c.setRoutes(t)
 }
 
-// clock is the loop's clock as the core takes it.
+// clock is the loop's clock as the broker takes it.
 type clock struct{ *eventloop.Loop }
 
+// At implements broker.Clock.
 func (c clock) At(at time.Duration, f func()) broker.Timer { return c.Loop.At(at, f) }
 
 // New builds a node and opens its fronts. Nothing is served before Run.
@@ -82,67 +82,25 @@
 	if err != nil {
 		return nil, err
 	}
-	// One goroutine does all the work of the fronts. The collector works harder before
-	// the memory limit, beyond which the node is killed, is near.
-	runtime.GOMAXPROCS(max(o.MaxProcs, 1))
-	memory := cfg.Limits.MemoryMB << 20 * 6 / 10
-	debug.SetMemoryLimit(memory)
+	memoryLimit := limitProcess(o)
 	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{loop: loop, log: o.Log, memory: memory}
-	var place hotrestart.SocketPath
-	var offered *hotrestart.Inheritance
-	began, strange := loop.Now(), false
-	if cfg.HotRestartEnabled() && o.Faktory == nil {
-		place, offered, strange = join(cfg, o.Log)
-	}
-	if o.Faktory != nil {
-		// Its file may allow more than this node has.
-		o.Faktory.Connections = min(o.Faktory.Connections, cfg.Limits.Sockets/4)
-		o.Faktory.Bytes = min(o.Faktory.Bytes, int(cfg.Limits.MemoryMB<<20/4))
-		cfg.Limits.ReservedDescriptors = o.Faktory.Connections
-	}
-	n.front = platform.New(loop, cfg, o.Log)
-	c, err := broker.New(set, cfg.SeedValue(), clock{loop}, n.front.EndpointSource(), o.Log)
-	if err != nil {
-		return nil, err
-	}
-	c.SetAdmissionController(o.Admission)
-	n.cores = append(
-		n.cores,
-		hosted{Broker: c, front: "http", fit: func(s balancer.Settings) balancer.Settings { return s },
-			routes: n.front.SetRoutes},
-	)
-	if offered != nil {
-		cfg.InheritDiscovery(offered.State.DiscoveryAddress, offered.State.ConfiguredDiscovery)
-		offered.State.RebaseTimes(n.loop.Now())
-		err = n.front.OpenInherited(c, offered.ListenerFD, offered.State, passed(offered.State))
-	} else {
-		err = n.front.Open(c)
-	}
-	if err != nil {
+	n := &Node{loop: loop, log: o.Log, memoryLimit: memoryLimit}
+	if err := n.openPlatform(o, set); err != nil {
 		return nil, err
 	}
-	if strange {
-		n.front.ExpectUnknownPeer()
-	}
-	if cfg.HotRestartEnabled() && o.Faktory == nil {
-		if err := n.begin(place, offered, began); err != nil {
-			return nil, err
-		}
-	}
 	n.drain = n.front.BeginShutdown
 	if o.Faktory != nil {
-		other, err := n.openFaktory(o.Faktory, set, cfg.SeedValue(), o.Admission)
+		other, err := n.openFaktory(o, set)
 		if err != nil {
 			return nil, err
 		}
 		n.drain = func(done func()) { other.Drain(func() { n.front.BeginShutdown(done) }) }
 	}
 	if cfg.AdminAddress != "" {
-		if _, err := adminproto.Listen(loop, cfg.AdminAddress, operators{n}); err != nil {
+		if _, err := adminproto.Listen(loop, cfg.AdminAddress, adminCommands{n}); err != nil {
 			return nil, fmt.Errorf("the second address (admin_addr): %w", err)
 		}
 	}
@@ -150,126 +108,130 @@
 	return n, nil
 }
 
-// openFaktory opens the second front. It has a route set of its own, and so a core
-// of its own: jobs of the one protocol can't be worked on in the other.
-func (n *Node) openFaktory(cfg *faktory.Config, set balancer.Settings, seed uint64,
-	gate broker.AdmissionController) (*faktory.Front, error) {
+// limitProcess sets how many goroutines run at once, and the collector's limit, which it gives in bytes.
+func limitProcess(o Options) (memoryLimit int64) {
+	// One goroutine does all the work of the fronts.
+	runtime.GOMAXPROCS(max(o.MaxProcs, 1))
+	// The collector works harder before the memory limit, beyond which the node is killed, is near.
+	memoryLimit = o.Platform.Limits.MemoryMB << 20 * 6 / 10
+	debug.SetMemoryLimit(memoryLimit)
+	return memoryLimit
+}
+
+// openPlatform opens the platform's front: in the place of the process before this one, if there is one that
+// passes its state on.
+func (n *Node) openPlatform(o Options, set balancer.Settings) error {
+	cfg, began := o.Platform, n.loop.Now()
+	restartable := cfg.HotRestartEnabled() && o.Faktory == nil
+	var p parentProcess
+	if restartable {
+		p = joinParent(cfg, o.Log)
+	}
+	if o.Faktory != nil {
+		limitFaktory(o)
+	}
+	n.front = platform.New(n.loop, cfg, o.Log)
+	c, err := broker.New(set, cfg.SeedValue(), clock{n.loop}, n.front.EndpointSource(), o.Log)
+	if err != nil {
+		return err
+	}
+	c.SetAdmissionController(o.Admission)
+	n.brokers = append(n.brokers, frontBroker{Broker: c, front: "http", setRoutes: n.front.SetRoutes,
+		fit: func(s balancer.Settings) balancer.Settings { return s }})
+	if p.offered == nil {
+		err = n.front.Open(c)
+	} else {
+		err = n.openFromParent(cfg, c, p.offered)
+	}
+	if err != nil {
+		return err
+	}
+	if p.serves {
+		n.front.ExpectUnknownPeer()
+	}
+	if restartable {
+		return n.startHotRestart(p, began)
+	}
+	return nil
+}
+
+// limitFaktory bounds what the Faktory front takes of the node's sockets and memory: its file may allow more
+// than the node has.
+func limitFaktory(o Options) {
+	limits := &o.Platform.Limits
+	o.Faktory.Connections = min(o.Faktory.Connections, limits.Sockets/4)
+	o.Faktory.Bytes = min(o.Faktory.Bytes, int(limits.MemoryMB<<20/4))
+	limits.ReservedDescriptors = o.Faktory.Connections
+}
+
+// openFaktory opens the second front. It has an endpoint list of its own, and so a broker of its own: jobs of
+// the one protocol can't be worked on in the other.
+func (n *Node) openFaktory(o Options, set balancer.Settings) (*faktory.Front, error) {
 	set = faktory.Settings(set)
 	log := n.log.WithField("front", "faktory")
-	front, err := faktory.New(n.loop, cfg, set, log)
+	front, err := faktory.New(n.loop, o.Faktory, set, log)
 	if err != nil {
 		return nil, err
 	}
-	c, err := broker.New(set, seed, clock{n.loop}, nil, log)
+	c, err := broker.New(set, o.Platform.SeedValue(), clock{n.loop}, nil, log)
 	if err != nil {
 		return nil, err
 	}
-	c.SetAdmissionController(gate)
+	c.SetAdmissionController(o.Admission)
 	if err := front.Open(c); err != nil {
 		return nil, err
 	}
-	n.cores = append(n.cores, hosted{Broker: c, front: "faktory", fit: faktory.Settings,
-		told: front.Configure, routes: front.SetRoutes})
-	log.WithField("listen", cfg.Listen).Info("serving")
+	n.brokers = append(n.brokers, frontBroker{Broker: c, front: "faktory", fit: faktory.Settings,
+		configureFront: front.Configure, setRoutes: front.SetRoutes})
+	log.WithField("listen", o.Faktory.Listen).Info("serving")
 	return front, nil
 }
 
-// Run serves until the node has been asked to end and has finished what it took. A
-// SIGHUP among the signals reads the configuration anew, any other one ends the node.
+// Run serves until the node has been ordered to end and has finished what it took. A SIGHUP among the signals
+// reloads the configuration, any other one ends the node.
 //
-// Hazard: a signal that nobody waits for yet ends the process, so the caller must have
-// had them notified before it built the node.
+// Hazard: a signal that nobody waits for yet ends the process, so the caller must have had them notified
+// before it built the node.
 func (n *Node) Run(signals <-chan os.Signal) error {
 	go func() {
 		for sig := range signals {
-			n.loop.Post(func() {
-				if sig == syscall.SIGHUP {
-					n.front.Reload()
-					if n.OnReload != nil {
-						n.OnReload()
-					}
-					return
-				}
-				n.log.Info("asked to end")
-				if n.OnShutdown != nil {
-					n.OnShutdown()
-				}
-				n.drain(n.loop.Stop)
-			})
+			n.loop.Post(func() { n.handleSignal(sig) })
 		}
 	}()
-	n.loop.After(atRest, func() { n.rest(0) })
+	n.loop.After(idleCheckInterval, func() { n.trimMemory(0) })
 	return n.loop.Run()
 }
 
-// atRest is how often a node looks whether it has nothing to do.
-const atRest = 2 * time.Second
-
-// rest gives back what only the start, or work that is over, has used, where no job has come since
-// the last look. Under load it would only cost faults.
-func (n *Node) rest(before uint64) {
-	sent, open := n.front.ForwardedCount(), 0
-	for i := range n.cores {
-		open += n.cores[i].PendingCount()
-	}
-	if sent == before && open == 0 {
-		if _, err := memtrim.ReleaseFilePages(); err != nil {
-			n.log.WithError(err).Debug("memory is not given back")
-			return // nor will it be
+func (n *Node) handleSignal(sig os.Signal) {
+	if sig == syscall.SIGHUP {
+		n.front.Reload()
+		if n.OnReload != nil {
+			n.OnReload()
 		}
+		return
 	}
-	n.loop.After(atRest, func() { n.rest(sent) })
-}
-
-// RuntimeConfig are what a running node can take over: the classes and tenants of settings, and
-// the rules by which jobs are routed.
-type RuntimeConfig struct {
-	Settings  balancer.Settings
-	Routes    *routing.Table // nil: jobs go where the balancer decides
-	OnApplied func()         // called in the turn that takes them over; may be nil
-}
-
-// Configure takes terms over, in all cores and fronts as one whole between two events of
-// the loop. It may be called from any goroutine and returns when it is done: with an error
-// if a core can't take them, and then none has.
-func (n *Node) Configure(t RuntimeConfig) error {
-	done := make(chan error, 1)
-	n.loop.Post(func() { done <- n.configure(t) })
-	return <-done
-}
-
-// ValidateConfig says why Configure would fail, and changes nothing.
-func (n *Node) ValidateConfig(t RuntimeConfig) error {
-	done := make(chan error, 1)
-	n.loop.Post(func() { done <- n.canConfigure(t) })
-	return <-done
-}
-
-func (n *Node) canConfigure(t RuntimeConfig) error {
-	for _, c := range n.cores {
-		if err := c.CanConfigure(c.fit(t.Settings)); err != nil {
-			return fmt.Errorf("the settings can't be taken over: %w", err)
-		}
+	n.log.WithField("signal", sig.String()).Info("graceful shutdown started")
+	if n.OnShutdown != nil {
+		n.OnShutdown()
 	}
-	return nil
+	n.drain(n.loop.Stop)
 }
 
-func (n *Node) configure(t RuntimeConfig) error {
-	set := t.Settings
-	if err := n.canConfigure(t); err != nil {
-		return err
+// idleCheckInterval is how often a node checks whether it is idle.
+const idleCheckInterval = 2 * time.Second
+
+// trimMemory gives memory back that only the start, or work that has ended, has used, where no job has come
+// since the last check. Under load it would only cost page faults.
+func (n *Node) trimMemory(forwardsBefore uint64) {
+	forwards, inFlight := n.front.ForwardedCount(), 0
+	for i := range n.brokers {
+		inFlight += n.brokers[i].PendingCount()
 	}
-	for i := range n.cores {
-		c := &n.cores[i]
-		fitted := c.fit(set)
-		c.Configure(fitted)
-		if c.told != nil {
-			c.told(fitted)
+	if forwards == forwardsBefore && inFlight == 0 {
+		if _, err := memtrim.ReleaseFilePages(); err != nil {
+			n.log.WithError(err).Debug("resident memory not trimmed")
+			return // nor will it be
 		}
-		c.route(t.Routes)
-	}
-	if t.OnApplied != nil {
-		t.OnApplied()
 	}
-	return nil
+	n.loop.After(idleCheckInterval, func() { n.trimMemory(forwards) })
 }
--- /dev/null
+++ b/internal/node/open.go
@@ -0,0 +1,234 @@
+package node
+
+import (
+	"fmt"
+	"net"
+	"path/filepath"
+	"time"
+
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/leasedtask"
+	"moorstack/internal/cluster/transport"
+	"moorstack/internal/frontend/faktory"
+	"moorstack/internal/frontend/platform"
+	"moorstack/internal/operate/controlapi"
+	"moorstack/internal/operate/keys"
+	"moorstack/internal/proxy/routing"
+)
+
+// open builds the parts of an instance in the order in which they depend on each other. Nothing runs before
+// startServices.
+func (i *Instance) open() error {
+	certificates, err := i.openKeys()
+	if err != nil {
+		return err
+	}
+	platformConfig, faktoryConfig, err := i.cfg.fronts()
+	if err != nil {
+		return err
+	}
+	if err := i.readLocal(platformConfig); err != nil {
+		return err
+	}
+	i.env.network = transport.New(certificates, i.cfg.Name, i.cfg.Peers.Advertise, i.cfg.Peers.From, i.program,
+		i.env.component("transport"))
+	i.onStop("the transport", func() error { i.env.network.Close(); return nil })
+	if err := i.openRunner(); err != nil {
+		return err
+	}
+	if err := i.openAudit(); err != nil {
+		return err
+	}
+	if err := i.openNode(platformConfig, faktoryConfig); err != nil {
+		return err
+	}
+	i.makeDrivers()
+	if err := i.applyCommitted(); err != nil {
+		return err
+	}
+	i.connectTransport()
+	i.connectNode()
+	return i.startServices(certificates)
+}
+
+// openKeys opens the certificates, which must be this instance's.
+func (i *Instance) openKeys() (*keys.Reloader, error) {
+	certificates, err := keys.NewReloader(i.cfg.Keys, i.log)
+	if err != nil {
+		return nil, err
+	}
+	if name, role := certificates.Identity(); name != i.cfg.Name || role != keys.RoleInstance {
+		return nil, fmt.Errorf("%s is the certificate of %s %q; wanted is that of instance %q",
+			i.cfg.Keys.Cert, role, name, i.cfg.Name)
+	}
+	return certificates, nil
+}
+
+// readLocal reads what this instance's own files say, which the fronts run until the group has agreed on
+// something, and checks its rules.
+func (i *Instance) readLocal(cfg *platform.Config) error {
+	local, err := cfg.Settings.Balancer()
+	if err != nil {
+		return err
+	}
+	i.names = routing.KnownNames{Zones: cfg.Settings.Zones, Kinds: cfg.Settings.Kinds}
+	for _, c := range local.Classes {
+		i.names.Classes = append(i.names.Classes, c.Name)
+	}
+	for _, t := range local.Tenants {
+		i.names.Tenants = append(i.names.Tenants, t.Name)
+	}
+	routes := &routeRules{names: i.names, file: i.cfg.Front.Routes, log: i.log}
+	if _, err := routes.localTable(); err != nil {
+		return err
+	}
+	i.admission = newAdmission(i.env)
+	i.configurator = newConfigurator(i.env, i.cfg, local, routes, i.admission)
+	return nil
+}
+
+// openRunner opens the consensus module and its directory.
+func (i *Instance) openRunner() error {
+	wall, err := i.cfg.wallClock()
+	if err != nil {
+		return i.cfg.errorAt("test.clock", "%v", err)
+	}
+	if i.zones, err = i.cfg.zoneRules(); err != nil {
+		return i.cfg.errorAt("test.zones", "%v", err)
+	}
+	i.env.runner, err = consensus.Open(consensus.RunnerConfig{
+		Config: consensus.Config{Rules: DocumentRules(), Logger: i.env.component("consensus"),
+			WallClock: wall,
+			Zones:     i.zones, Labels: i.cfg.labels(i.zone()),
+			TickInterval: time.Duration(i.cfg.Peers.Tick)},
+		Name:           i.cfg.Name,
+		Dir:            filepath.Join(i.cfg.Data, "agreement"),
+		Transport:      i.env.network,
+		OnRevision:     i.configurator.revisionCommitted,
+		OnStage:        i.configurator.changeProposed,
+		OnPermit:       i.admission.permitChanged,
+		OnClusterView:  i.configurator.clusterChanged,
+		OnNotification: i.notified})
+	if err != nil {
+		return err
+	}
+	i.onStop("the consensus module", i.env.runner.Stop)
+	i.env.network.AttachRunner(i.env.runner)
+	return nil
+}
+
+func (i *Instance) openAudit() error {
+	if i.cfg.AuditLog == "" {
+		return nil
+	}
+	audit, err := openAuditLog(i.cfg.AuditLog)
+	if err != nil {
+		return i.cfg.errorAt("audit", "%v", err)
+	}
+	i.env.audit = audit
+	i.onStop("the audit log", audit.close)
+	audit.write("start %s", i.cfg.Name)
+	return nil
+}
+
+// instanceProcs is how many goroutines of an instance run at once: the loop, and all the others.
+const instanceProcs = 2
+
+func (i *Instance) openNode(platformConfig *platform.Config, faktoryConfig *faktory.Config) (err error) {
+	i.env.node, err = New(Options{Platform: platformConfig, Faktory: faktoryConfig, Log: i.log,
+		MaxProcs: instanceProcs, Admission: i.admission})
+	return err
+}
+
+// makeDrivers makes the drivers, which need the node and the runner.
+func (i *Instance) makeDrivers() {
+	i.rateLimit = newRateLimitDriver(i.env, i.names)
+	i.schedule = newScheduleDriver(i.env, i.names, i.zones)
+	i.membership = newMembershipDriver(i.env)
+	i.outliers = newOutlierDriver(i.env)
+	slowStart, subset := newSlowStartDriver(i.env), newSubsetDriver(i.env)
+	i.configurator.drivers = driverSet{i.rateLimit, i.schedule, slowStart, subset, i.outliers, i.membership}
+	i.admission.rateLimit, i.admission.slowStart = i.rateLimit, slowStart
+	for k := range i.env.node.brokers {
+		i.env.node.brokers[k].OnListUpdate(subset.choose)
+	}
+	i.restart = newSelfRestart(i.env, i.cfg.LeasedTasks.Restart)
+	i.listServer, i.listFollower = newListServer(i.env), newListFollower(i.env)
+	i.tasks = newTaskDriver(i.env, map[string]taskFunc{
+		leasedtask.BackupTask:         newBackupTask(i.env, i.cfg.LeasedTasks.Backups).run,
+		leasedtask.RollingRestartTask: newRestartTask(i.env).run,
+		leasedtask.EndpointListTask:   i.listServer.runTask,
+	})
+}
+
+// applyCommitted has the fronts run the revision that was agreed on last, or this instance's own rules. They
+// admit nothing under it before the group has confirmed that it is in force still.
+func (i *Instance) applyCommitted() error {
+	if r, ok := i.env.runner.CommittedRevision(); ok {
+		i.configurator.apply(r, i.env.node.configure)
+		return nil
+	}
+	return i.configurator.reloadRoutes()
+}
+
+// connectTransport has the transport hand messages of other instances to the drivers.
+func (i *Instance) connectTransport() {
+	i.env.network.HandleDescribe(i.describeFronts)
+	i.env.network.HandleWatchEndpointLists(i.listServer.serve)
+	i.env.network.HandleRateMessages(i.rateLimit.receive)
+	i.env.network.HandleOutlierReports(i.outliers.receive)
+	i.env.network.HandleMembershipMessages(i.membership.receive)
+}
+
+// connectNode has the node's events reach the drivers.
+func (i *Instance) connectNode() {
+	n := i.env.node
+	n.OnShutdown = func() {
+		i.schedule.drain()
+		go i.tasks.drain()
+	}
+	n.OnStandby = i.tasks.setStandby
+	drain := n.drain
+	n.drain = func(done func()) { drain(func() { i.schedule.awaitDrained(done) }) }
+	n.OnReload = func() {
+		if err := i.configurator.reloadRoutes(); err != nil {
+			i.log.WithError(err).Error("routing rules not reloaded")
+		}
+	}
+}
+
+// startServices opens what other instances and operators connect to, and starts the goroutines.
+func (i *Instance) startServices(certificates *keys.Reloader) error {
+	l, err := net.Listen("tcp", i.cfg.Peers.Listen)
+	if err != nil {
+		return fmt.Errorf("the peers' address: %w", err)
+	}
+	server := i.env.network.Server()
+	i.onStop("the peer service", func() error { server.Stop(); _ = l.Close(); return nil })
+	i.control = controlapi.New(i, i.env.component("controlapi"))
+	i.onStop("the control service", func() error { i.control.Stop(); return nil })
+	if err := i.control.ServeSocket(i.cfg.Control.Socket); err != nil {
+		return err
+	}
+	if i.cfg.Control.Listen != "" {
+		if err := i.control.ServeTLS(i.cfg.Control.Listen, certificates); err != nil {
+			return err
+		}
+	}
+	i.env.runner.Start()
+	go server.Serve(l)
+	i.onStop("the leased tasks", i.tasks.close)
+	go i.tasks.run()
+	i.onStop("the endpoint list follower", i.listFollower.close)
+	i.listFollower.start()
+	return nil
+}
+
+// zone is where this instance is; empty: its settings name no zones.
+func (i *Instance) zone() string {
+	zones, own := i.names.Zones, i.configurator.local.Zone
+	if own >= len(zones) {
+		return ""
+	}
+	return zones[own]
+}
--- /dev/null
+++ b/internal/node/outliers.go
@@ -0,0 +1,166 @@
+package node
+
+import (
+	"maps"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/schema"
+)
+
+// outlierReportInterval is how often instances send each other what they have observed of workers, where
+// there is anything.
+const outlierReportInterval = 250 * time.Millisecond
+
+// outlierDriver drives the quorum on outliers of package placement: instances report failing workers to each
+// other, and eject one that several have seen fail. All but the counter belongs to the node's loop. A front's
+// workers are its own, and so is what was observed of them; only the platform's are reported.
+type outlierDriver struct {
+	env      *environment
+	log      logrus.FieldLogger
+	enabled  bool
+	reported bool // the last message had reports in it
+	session  placement.Session
+	view     placement.View
+	quorum   *placement.OutlierQuorum
+	ejected  map[string]bool
+	count    atomic.Int64 // of those ejected
+	timer    *eventloop.Timer
+}
+
+func newOutlierDriver(env *environment) *outlierDriver {
+	return &outlierDriver{env: env, log: env.component("outliers"), quorum: placement.NewOutlierQuorum()}
+}
+
+// placementPolicy reads the section of a document that has been validated.
+func placementPolicy(d *clusterstate.Document) placement.Policy {
+	p, _ := placement.ParsePolicy(d.Sections[placement.Section])
+	return p
+}
+
+// Supports implements driver.
+func (o *outlierDriver) Supports(*clusterstate.Document) error { return nil }
+
+// Prepare implements driver.
+func (o *outlierDriver) Prepare(d *clusterstate.Document, _ balancer.Settings) preparedChange {
+	return &outlierChange{driver: o, enabled: placementPolicy(d).OutlierReports}
+}
+
+type outlierChange struct {
+	driver  *outlierDriver
+	enabled bool
+}
+
+// Apply implements preparedChange.
+func (c *outlierChange) Apply() {
+	o := c.driver
+	if c.enabled == o.enabled {
+		return
+	}
+	o.enabled = c.enabled
+	o.timer.Stop()
+	if !o.enabled {
+		o.broker().OnAttemptEnd(nil)
+		o.eject(nil)
+		return
+	}
+	o.broker().OnAttemptEnd(o.observe)
+	o.log.Info("outlier reports are exchanged in the group")
+	o.tick()
+}
+
+// broker is the platform front's.
+func (o *outlierDriver) broker() *frontBroker { return &o.env.node.brokers[0] }
+
+// ClusterChanged implements driver.
+func (o *outlierDriver) ClusterChanged(v consensus.ClusterView) {
+	o.env.loop().Post(func() { o.setView(v) })
+}
+
+func (o *outlierDriver) setView(v consensus.ClusterView) {
+	// Hazard: this comes with every lease, and who owns what takes thousands of hashes to work out, on the
+	// loop.
+	if len(v.Views) == 0 && v.Session == o.session {
+		return
+	}
+	o.session = v.Session
+	if n := len(v.Views); n > 0 {
+		o.view = v.Views[n-1]
+	}
+	o.quorum.SetView(placement.NewTable(o.view), o.session)
+}
+
+// observe takes the result of an attempt at a worker.
+func (o *outlierDriver) observe(worker string, result balancer.Result) {
+	switch result {
+	case balancer.OK, balancer.ServerError, balancer.TimedOut, balancer.ConnectFailed,
+		balancer.ConnectionReset:
+		o.quorum.ObserveAttempt(consensus.BootTime(), worker, result != balancer.OK)
+	}
+}
+
+// tick sends this instance's reports, and ejects by those of all.
+func (o *outlierDriver) tick() {
+	o.timer = o.env.loop().After(outlierReportInterval, o.tick)
+	now := consensus.BootTime()
+	// After the last report an empty message takes it back.
+	if reports := o.quorum.Reports(now); len(reports) > 0 || o.reported {
+		o.reported = len(reports) > 0
+		o.send(reports)
+	}
+	var listed []string
+	for _, l := range o.broker().ListedEndpoints() {
+		listed = append(listed, l.Name)
+	}
+	o.eject(o.quorum.Ejected(now, listed))
+}
+
+func (o *outlierDriver) send(reports []placement.OutlierReport) {
+	m := &schema.WitnessMessage{FromEpoch: o.session.Epoch}
+	for _, x := range reports {
+		m.Words = append(m.Words, &schema.WitnessWord{Worker: x.Worker, Bad: uint32(x.Failed),
+			All: uint32(x.Attempts)})
+	}
+	for _, x := range o.env.runner.Status().Members {
+		if x.ID != o.session.Member {
+			o.env.network.SendSession(x.Member, &schema.SessionMessage{Witness: m})
+		}
+	}
+}
+
+func (o *outlierDriver) eject(workers map[string]bool) {
+	if maps.Equal(workers, o.ejected) {
+		return
+	}
+	o.ejected = workers
+	o.count.Store(int64(len(workers)))
+	o.broker().SetEjected(workers)
+	o.env.audit.write("shuns %d", len(workers))
+	o.log.WithFields(logrus.Fields{"count": len(workers), "worker": slices.Sorted(maps.Keys(workers))}).
+		Warn("ejected workers changed by outlier reports of several instances")
+}
+
+// receive takes another instance's reports. It is called on a goroutine of the transport.
+func (o *outlierDriver) receive(from uint64, m *schema.WitnessMessage) {
+	reports := make([]placement.OutlierReport, 0, len(m.Words))
+	for _, x := range m.Words {
+		reports = append(reports, placement.OutlierReport{Worker: x.Worker, Failed: int(x.Bad),
+			Attempts: int(x.All)})
+	}
+	o.env.loop().Post(func() {
+		// Hazard: reports of a session that has expired, which came late.
+		if o.enabled && slices.ContainsFunc(o.view.Members, func(x placement.Member) bool {
+			return x.Member == from && x.Epoch == m.FromEpoch
+		}) {
+			o.quorum.ObserveReports(consensus.BootTime(), from, reports)
+		}
+	})
+}
--- a/internal/node/preview.go
+++ b/internal/node/preview.go
@@ -9,30 +9,36 @@
 	"moorstack/internal/cluster/calendar"
 	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/schedule"
 	"moorstack/internal/cluster/weights"
 )
 
-// mostLines is how many triggers, or accounts, a preview names.
-const mostLines = 50
+const (
+	// maxPreviewNames is how many triggers, or accounts, a preview names.
+	maxPreviewNames = 50
+	// previewOccurrences is how many occurrences of a trigger it shows.
+	previewOccurrences = 5
+)
 
-// PreviewTriggers implements control.Host: what a document would do, a line each: when triggers come next,
-// what accounts may send where, and what changes hands.
+// PreviewTriggers implements controlapi.Host: what a document would do, a line each: the next occurrences of
+// triggers, the rates of accounts, and what would get other owners.
 func (i *Instance) PreviewTriggers(d *clusterstate.Document, from time.Time) ([]string, error) {
-	lines, err := i.nextOf(d, from)
+	triggers, err := previewTriggers(d, i.zones, from)
 	if err != nil {
 		return nil, err
 	}
-	return slices.Concat(lines, accountsOf(d), i.ownersOf(d)), nil
+	view := i.env.runner.Status().PlacementView
+	return slices.Concat(triggers, previewAccounts(d), previewOwners(d, view)), nil
 }
 
-// accountsOf says what accounts may send, and what each instance may admit of it by itself.
-func accountsOf(d *clusterstate.Document) (lines []string) {
-	p := limitsOf(d)
+// previewAccounts is the rates of accounts, and what each instance may admit of them by itself.
+func previewAccounts(d *clusterstate.Document) (lines []string) {
+	p := rateLimitPolicy(d)
 	names := slices.Sorted(maps.Keys(p.AccountLimits))
-	for _, name := range names[:min(len(names), mostLines)] {
+	for _, name := range names[:min(len(names), maxPreviewNames)] {
 		lines = append(lines, fmt.Sprintf("account %s: %s", name, p.Describe(p.AccountLimits[name])))
 	}
-	if n := len(names) - mostLines; n > 0 {
+	if n := len(names) - maxPreviewNames; n > 0 {
 		lines = append(lines, fmt.Sprintf("and %d accounts more", n))
 	}
 	if p.DefaultLimit != nil {
@@ -41,66 +47,64 @@
 	return lines
 }
 
-// ownersOf says what other weights would have change hands, of the instances that are there now.
-func (i *Instance) ownersOf(d *clusterstate.Document) (lines []string) {
-	now := i.runner.Status().PlacementView
+// previewOwners is what would get other owners by a document's weights, among the instances of a view.
+func previewOwners(d *clusterstate.Document, now placement.View) (lines []string) {
 	then := placement.View{Members: slices.Clone(now.Members)}
-	by, _ := weights.Parse(d.Sections[weights.Section])
+	byName, _ := weights.Parse(d.Sections[weights.Section])
 	for k := range then.Members {
 		m := &then.Members[k]
-		m.Weight = by[m.Name]
-		delete(by, m.Name)
+		m.Weight = byName[m.Name]
+		delete(byName, m.Name)
 	}
-	for _, name := range slices.Sorted(maps.Keys(by)) {
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		lines = append(lines, fmt.Sprintf("weight.%s: no instance of that name has a session now", name))
 	}
 	if slices.Equal(now.Members, then.Members) {
 		return lines
 	}
 	before, after := placement.NewTable(now), placement.NewTable(then)
-	was, is := before.OwnedFractions(), after.OwnedFractions()
+	ownedBefore, ownedAfter := before.OwnedFractions(), after.OwnedFractions()
 	for _, m := range then.Members {
 		lines = append(lines, fmt.Sprintf("%s owns %.0f%% of accounts and triggers, %.0f%% now", m.Name,
-			100*is[m.Member], 100*was[m.Member]))
+			100*ownedAfter[m.Member], 100*ownedBefore[m.Member]))
 	}
 	return append(lines, fmt.Sprintf("%.0f%% of them change hands", 100*before.MovedFraction(after)))
 }
 
-// nextOf says when each trigger of a document comes next.
-func (i *Instance) nextOf(d *clusterstate.Document, from time.Time) ([]string, error) {
-	p := triggersOf(d)
-	plans, err := p.Recurrences(i.zones)
+// previewTriggers is the next occurrences of each trigger.
+func previewTriggers(d *clusterstate.Document, zones *calendar.ZoneDB, from time.Time) ([]string, error) {
+	p := schedulePolicy(d)
+	plans, err := p.Recurrences(zones)
 	if err != nil || len(plans) == 0 {
 		return nil, err
 	}
-	lines := []string{fmt.Sprintf("zone rules here: zones = \"%016x\"", i.zones.RulesVersion(p.ZoneNames()))}
-	for k, plan := range plans[:min(len(plans), mostLines)] {
-		t := &p.Triggers[k]
-		if t.Paused {
-			lines = append(lines, t.Name+": paused")
-			continue
-		}
-		line := t.Name + " (" + t.Zone + "):"
-		at := from.Unix()
-		for range 5 {
-			o, ok := plan.Next(at)
-			if !ok {
-				break
-			}
-			at = o.At
-			line += " " + o.LocalTime.String()
-			if o.Adjustment != calendar.Unadjusted {
-				line += fmt.Sprintf(
-					" (at %s: %v)",
-					time.Unix(o.WallClock, 0).UTC().Format("01-02T15:04"),
-					o.Adjustment,
-				)
-			}
-		}
-		lines = append(lines, line)
+	lines := []string{fmt.Sprintf("zone rules here: zones = \"%016x\"", zones.RulesVersion(p.ZoneNames()))}
+	for k, plan := range plans[:min(len(plans), maxPreviewNames)] {
+		lines = append(lines, previewTrigger(&p.Triggers[k], plan, from))
 	}
-	if len(plans) > mostLines {
-		lines = append(lines, fmt.Sprintf("and %d more", len(plans)-mostLines))
+	if n := len(plans) - maxPreviewNames; n > 0 {
+		lines = append(lines, fmt.Sprintf("and %d more", n))
 	}
 	return lines, nil
 }
+
+func previewTrigger(t *schedule.Trigger, plan *calendar.Recurrence, from time.Time) string {
+	if t.Paused {
+		return t.Name + ": paused"
+	}
+	line := t.Name + " (" + t.Zone + "):"
+	at := from.Unix()
+	for range previewOccurrences {
+		o, ok := plan.Next(at)
+		if !ok {
+			break
+		}
+		at = o.At
+		line += " " + o.LocalTime.String()
+		if o.Adjustment != calendar.Unadjusted {
+			line += fmt.Sprintf(" (at %s: %v)", time.Unix(o.WallClock, 0).UTC().Format("01-02T15:04"),
+				o.Adjustment)
+		}
+	}
+	return line
+}
--- /dev/null
+++ b/internal/node/ratelimit.go
@@ -0,0 +1,225 @@
+package node
+
+import (
+	"fmt"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/placement"
+	"moorstack/internal/cluster/ratelimit"
+	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/routing"
+)
+
+const (
+	// maxAccountName is how many bytes of an account's name count: a name from a client is no place to
+	// store data.
+	maxAccountName = 128
+	// rejectionLogInterval is the time between two log lines on rejections by rate.
+	rejectionLogInterval = 10 * time.Second
+	// maxRejectedAccounts is how many accounts are counted for one such line.
+	maxRejectedAccounts = 1000
+)
+
+// rateLimitDriver drives package ratelimit: this instance's local token buckets, and the buckets of the
+// accounts that it owns. All but the counter belongs to the node's loop: a job is admitted, and tokens are
+// granted, in the turn in which the clock was read.
+type rateLimitDriver struct {
+	env       *environment
+	log       logrus.FieldLogger
+	names     routing.KnownNames // of classes and tenants, by their numbers
+	limiter   *ratelimit.Limiter
+	authority *ratelimit.Authority
+	table     *placement.Table
+	view      consensus.ClusterView
+	session   placement.Session // as it was when the table was set
+	timer     *eventloop.Timer
+	rejected  atomic.Uint64
+	recent    rejections
+}
+
+// rejections counts rejected jobs by bucket since the last log line.
+type rejections struct {
+	byKey  map[ratelimit.Key]uint64
+	logged time.Duration
+}
+
+func newRateLimitDriver(env *environment, names routing.KnownNames) *rateLimitDriver {
+	return &rateLimitDriver{env: env, log: env.component("ratelimit"), names: names,
+		authority: ratelimit.NewAuthority(), limiter: ratelimit.NewLimiter(consensus.BootTime()),
+		recent: rejections{byKey: map[ratelimit.Key]uint64{}}}
+}
+
+// rateLimitPolicy reads the section of a document that has been validated.
+func rateLimitPolicy(d *clusterstate.Document) ratelimit.Policy {
+	p, _ := ratelimit.ParsePolicy(d.Sections[ratelimit.Section], classNames(d))
+	return p
+}
+
+func classNames(d *clusterstate.Document) []string {
+	names := make([]string, len(d.Classes))
+	for n, c := range d.Classes {
+		names[n] = c.Name
+	}
+	return names
+}
+
+// Supports implements driver.
+func (r *rateLimitDriver) Supports(*clusterstate.Document) error { return nil }
+
+// Prepare implements driver.
+func (r *rateLimitDriver) Prepare(d *clusterstate.Document, _ balancer.Settings) preparedChange {
+	return &rateLimitChange{driver: r, policy: rateLimitPolicy(d)}
+}
+
+type rateLimitChange struct {
+	driver *rateLimitDriver
+	policy ratelimit.Policy
+}
+
+// Apply implements preparedChange.
+func (c *rateLimitChange) Apply() {
+	r, p := c.driver, c.policy
+	now := consensus.BootTime()
+	if p.Version == r.limiter.Policy().Version {
+		return
+	}
+	r.limiter.Configure(now, p)
+	r.authority.Configure(now, p)
+	header := ""
+	if p.Version != 0 && p.AccountHeader != ratelimit.AccountIsTenant {
+		header = p.AccountHeader
+	}
+	r.env.node.front.SetAccountHeader(header)
+	r.env.audit.write("rates %d", p.Version)
+	r.timer.Stop()
+	if p.Version != 0 {
+		r.log.WithFields(logrus.Fields{"count": len(p.AccountLimits), "interval": p.TickInterval,
+			"duration": p.GrantDuration}).
+			Info("rate limits are enforced across all instances")
+		r.timer = r.env.loop().After(p.TickInterval, r.tick)
+	}
+}
+
+// ClusterChanged implements driver.
+func (r *rateLimitDriver) ClusterChanged(v consensus.ClusterView) {
+	// The tables take thousands of hashes: they are worked out here, and not on the loop.
+	tables := make([]*placement.Table, len(v.Views))
+	for n, view := range v.Views {
+		tables[n] = placement.NewTable(view)
+	}
+	r.env.loop().Post(func() { r.setView(v, tables) })
+}
+
+func (r *rateLimitDriver) setView(v consensus.ClusterView, tables []*placement.Table) {
+	now := consensus.BootTime()
+	skipped := v.SnapshotInstalled
+	for _, t := range tables {
+		r.setTable(now, t, v, skipped)
+		skipped = false
+	}
+	if len(tables) == 0 && v.Session != r.session && r.table != nil {
+		r.setTable(now, r.table, v, false)
+	}
+	r.view = v
+}
+
+func (r *rateLimitDriver) setTable(now time.Duration, t *placement.Table, v consensus.ClusterView,
+	skipped bool) {
+	var session placement.Session // the zero Session: this view does not have this instance
+	for _, m := range t.View.Members {
+		if m.Session == v.Session {
+			session = v.Session
+		}
+	}
+	r.table, r.session = t, v.Session
+	r.limiter.SetView(now, t, session)
+	r.authority.SetView(now, t, session, v.LeaseDuration, skipped)
+	r.env.audit.write("view %d %d", t.View.Number, len(t.View.Members))
+}
+
+// admit takes a token of the job's account, or rejects the job with the time after which to retry.
+func (r *rateLimitDriver) admit(now time.Duration, t *broker.Request) (broker.Rejection, bool) {
+	if !r.limiter.Enabled() {
+		return broker.Rejection{}, true
+	}
+	account, class := r.accountOf(t), r.names.Classes[t.Class]
+	rejection, ok := r.limiter.Admit(now, account, class)
+	if ok {
+		if r.env.audit.enabled() {
+			r.env.audit.writeAt(now, "rate %q %q", account, class)
+		}
+		return broker.Rejection{}, true
+	}
+	r.rejected.Add(1)
+	r.recent.add(rejection.Key)
+	return broker.Rejection{Reason: fmt.Sprintf("account %q has used its rate", rejection.Key),
+		RetryAfter: rejection.RetryAfter}, false
+}
+
+func (r *rateLimitDriver) accountOf(t *broker.Request) string {
+	account := t.Account
+	if r.limiter.Policy().AccountHeader == ratelimit.AccountIsTenant {
+		if account = ""; t.Tenant < len(r.names.Tenants) {
+			account = r.names.Tenants[t.Tenant]
+		}
+	}
+	return account[:min(len(account), maxAccountName)]
+}
+
+// tick sends what other instances are due, and serves this instance's own requests.
+//
+// Hazard: the process may have been stalled before this turn. The lease is checked with the clock as it is
+// now, and tokens that are granted expire at their front by a time that the front read itself.
+func (r *rateLimitDriver) tick() {
+	p := r.limiter.Policy()
+	r.timer = r.env.loop().After(p.TickInterval, r.tick)
+	now := consensus.BootTime()
+	requests, confirmations := r.limiter.Tick(now)
+	r.sendRequests(now, requests)
+	// Hazard: what an owner transfers must arrive before its confirmation that it has drained, which is based
+	// on less.
+	r.sendTransfers()
+	r.sendConfirmations(now, confirmations)
+	if now < r.view.ExpiresAt {
+		r.sendGrants(now)
+	}
+	if now-r.recent.logged > rejectionLogInterval {
+		r.recent.log(now, r.log)
+	}
+}
+
+func (r *rejections) add(k ratelimit.Key) {
+	if len(r.byKey) < maxRejectedAccounts || r.byKey[k] > 0 {
+		r.byKey[k]++
+	}
+}
+
+// log writes a line on the jobs rejected since the last one, if there are any, with the account that had
+// most.
+func (r *rejections) log(now time.Duration, log logrus.FieldLogger) {
+	if len(r.byKey) == 0 {
+		return
+	}
+	most, sum := r.summary()
+	log.WithFields(logrus.Fields{"count": sum, "accounts": len(r.byKey), "account": most.String(),
+		"account_count": r.byKey[most]}).Info("jobs are rejected by rate limits")
+	clear(r.byKey)
+	r.logged = now
+}
+
+// summary is the bucket with the most rejections, and how many all have.
+func (r *rejections) summary() (most ratelimit.Key, sum uint64) {
+	for k, n := range r.byKey {
+		if sum += n; n > r.byKey[most] {
+			most = k
+		}
+	}
+	return most, sum
+}
--- /dev/null
+++ b/internal/node/rollingrestart.go
@@ -0,0 +1,116 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"google.golang.org/grpc/status"
+
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/rollingrestart"
+)
+
+const (
+	// restartCheckInterval is how often the controller of a rolling restart surveys the instances.
+	restartCheckInterval = 100 * time.Millisecond
+	// describeTimeout is how long the instances may take to answer one survey.
+	describeTimeout = time.Second
+)
+
+// restartTask drives package rollingrestart: it takes the instances out one after another.
+type restartTask struct {
+	env *environment
+	log logrus.FieldLogger
+}
+
+func newRestartTask(env *environment) *restartTask {
+	return &restartTask{env: env, log: env.component("rollingrestart")}
+}
+
+// run is a taskFunc.
+func (t *restartTask) run(ctx context.Context, r *taskRun) error {
+	controller := rollingrestart.NewController()
+	return repeat(ctx, restartCheckInterval, func() error { return t.step(ctx, r, controller) })
+}
+
+// step notes the next action of the plan, if there is one. It counts once it is agreed on: the instance that
+// is to restart reads it there (selfRestart), and goes by that.
+func (t *restartTask) step(ctx context.Context, r *taskRun, controller *rollingrestart.Controller) error {
+	lease := r.current()
+	plan, err := rollingrestart.DecodePlan(lease.Note)
+	if err != nil || !plan.Active() {
+		return err
+	}
+	observed, err := t.survey(ctx)
+	if err != nil {
+		return nil // the runner ends, or the lease does
+	}
+	next, changed := controller.Reconcile(consensus.BootTime(), plan, observed)
+	if !changed || !r.Valid(consensus.BootTime()) {
+		return nil
+	}
+	note, err := next.Encode()
+	if err != nil {
+		return err
+	}
+	if r.updateNote(ctx, lease, note) {
+		t.log.WithFields(logrus.Fields{"task": r.task, "fencing_token": r.token, "state": next.Progress()}).
+			Info("rolling restart advanced")
+	}
+	return nil
+}
+
+// survey observes all instances: their sessions in the agreed state, and how each describes itself.
+func (t *restartTask) survey(ctx context.Context) ([]rollingrestart.InstanceStatus, error) {
+	st := t.env.runner.Status()
+	var observed []rollingrestart.InstanceStatus
+	var newest uint64
+	err := t.env.runner.View(ctx, func(s *clusterstate.State) {
+		newest = s.CurrentRevision().Number
+		for _, m := range st.Members {
+			one := rollingrestart.InstanceStatus{Member: m.ID, Name: m.Name, Voter: m.Voter,
+				RestartLast: m.ID == st.ID || m.ID == st.Leader}
+			if x := s.Rollout().Sessions[m.ID]; x.Open {
+				one.Incarnation = x.Incarnation
+			}
+			observed = append(observed, one)
+		}
+	})
+	if err != nil {
+		return nil, err
+	}
+	ctx, stop := context.WithTimeout(ctx, describeTimeout)
+	defer stop()
+	var calls sync.WaitGroup
+	for n := range observed {
+		calls.Go(func() { t.describe(ctx, st.Members[n].Member, newest, &observed[n]) })
+	}
+	calls.Wait()
+	return observed, nil
+}
+
+// describe asks an instance for its description, and completes what was observed of it.
+func (t *restartTask) describe(ctx context.Context, m clusterstate.Member, newest uint64,
+	o *rollingrestart.InstanceStatus) {
+	d, err := t.env.network.Describe(ctx, m)
+	if err != nil {
+		o.Reason = "it does not answer: " + status.Convert(err).Message()
+		return
+	}
+	o.Zone = d.Zone
+	switch {
+	case o.Incarnation == 0:
+		o.Reason = "it has no session"
+	case d.Life != o.Incarnation:
+		o.Reason = "its process has no session yet"
+	case d.Running != newest:
+		o.Reason = fmt.Sprintf("its fronts run revision %d, and %d is in force", d.Running, newest)
+	default:
+		o.Reason = d.Why
+	}
+	o.Healthy = o.Reason == ""
+}
--- /dev/null
+++ b/internal/node/schedule.go
@@ -0,0 +1,318 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"moorstack/balancer"
+	"moorstack/internal/cluster/calendar"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/schedule"
+	"moorstack/internal/frontend/platform"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/routing"
+)
+
+const (
+	// maxFiringsPerTurn is how many occurrences are begun in one turn of the loop.
+	maxFiringsPerTurn = 200
+	// firingInterval is the time between two such turns.
+	firingInterval = 5 * time.Millisecond
+	// minFiringBackoff is the least time before a rejected occurrence is fired again.
+	minFiringBackoff = 200 * time.Millisecond
+	// maxScheduleDrain bounds the wait for open occurrences in a graceful shutdown.
+	maxScheduleDrain = 20 * time.Second
+)
+
+// scheduleDriver drives package schedule: it fires the occurrences of triggers that this instance has
+// recorded as its intent. All but the counter belongs to the node's loop: a job is begun in the turn in which
+// the clock was read.
+type scheduleDriver struct {
+	env      *environment
+	log      logrus.FieldLogger
+	names    routing.KnownNames // of classes and tenants, by their numbers
+	zones    *calendar.ZoneDB
+	policy   *schedule.Policy
+	deadline map[string]time.Duration // by class
+	view     consensus.ClusterView
+	clock    schedule.ClusterClock
+	pending  map[uint64]*occurrence  // by number, until the outcome is handed to the runner
+	queue    []*occurrence           // to be begun, the first first
+	outcomes []schedule.FiringResult // to be handed to the runner
+	begun    atomic.Uint64
+	woken    bool   // a turn is scheduled
+	draining bool   // in graceful shutdown: what has not begun is released
+	drained  func() // called once when nothing is pending; nil: nobody waits
+}
+
+// occurrence is one that this instance is to fire, until its outcome is known. It is the broker's client for
+// the job.
+type occurrence struct {
+	schedule.Firing
+	driver   *scheduleDriver
+	open     bool          // the broker has the job
+	notUntil time.Duration // on the boot clock
+	attempts int
+}
+
+func newScheduleDriver(env *environment, names routing.KnownNames, zones *calendar.ZoneDB) *scheduleDriver {
+	return &scheduleDriver{env: env, log: env.component("schedule"), names: names, zones: zones,
+		policy: &schedule.Policy{}, pending: map[uint64]*occurrence{}}
+}
+
+// schedulePolicy reads the section of a document that has been validated.
+func schedulePolicy(d *clusterstate.Document) schedule.Policy {
+	p, _ := schedule.ParsePolicy(d.Sections[schedule.Section], schedule.KnownNames{Classes: classNames(d),
+		Tenants: tenantNames(d)})
+	return p
+}
+
+func tenantNames(d *clusterstate.Document) []string {
+	names := make([]string, len(d.Tenants))
+	for n, t := range d.Tenants {
+		names[n] = t.Name
+	}
+	return names
+}
+
+// Supports implements driver: the machine's zone rules must know the zones of all triggers.
+func (s *scheduleDriver) Supports(d *clusterstate.Document) error {
+	p := schedulePolicy(d)
+	if _, err := p.Recurrences(s.zones); err != nil {
+		return fmt.Errorf("section %q: %w", schedule.Section, err)
+	}
+	return nil
+}
+
+// Prepare implements driver.
+func (s *scheduleDriver) Prepare(d *clusterstate.Document, _ balancer.Settings) preparedChange {
+	p := schedulePolicy(d)
+	c := &scheduleChange{driver: s, policy: &p, deadline: map[string]time.Duration{}}
+	for _, class := range d.Classes {
+		c.deadline[class.Name] = time.Duration(class.Deadline)
+	}
+	return c
+}
+
+type scheduleChange struct {
+	driver   *scheduleDriver
+	policy   *schedule.Policy
+	deadline map[string]time.Duration
+}
+
+// Apply implements preparedChange.
+func (c *scheduleChange) Apply() {
+	s, p := c.driver, c.policy
+	s.deadline = c.deadline
+	if p.Version == s.policy.Version {
+		return
+	}
+	s.policy = p
+	s.env.audit.write("triggers %d", p.Version)
+	s.log.WithFields(logrus.Fields{"count": len(p.Triggers),
+		"zones": fmt.Sprintf("%016x", s.zones.RulesVersion(p.ZoneNames()))}).Info("triggers are scheduled")
+}
+
+// ClusterChanged implements driver.
+func (s *scheduleDriver) ClusterChanged(v consensus.ClusterView) {
+	s.env.loop().Post(func() {
+		s.view = v
+		s.wake(0)
+	})
+}
+
+// clockChanged takes the cluster's clock. It is called on the runner's goroutine.
+func (s *scheduleDriver) clockChanged(c schedule.ClusterClock) {
+	s.env.loop().Post(func() { s.clock = c })
+}
+
+// fire takes occurrences that this instance is to fire. It is called on the runner's goroutine.
+func (s *scheduleDriver) fire(items []schedule.Firing) {
+	s.env.loop().Post(func() {
+		for _, item := range items {
+			s.enqueue(item)
+		}
+		s.run()
+	})
+}
+
+func (s *scheduleDriver) enqueue(item schedule.Firing) {
+	o := s.pending[item.Number]
+	if o == nil {
+		o = &occurrence{driver: s}
+		s.pending[item.Number] = o
+		s.queue = append(s.queue, o)
+	}
+	// Hazard: a session may have expired while the job was open, and the instance's next one has taken the
+	// occurrence over: the job that is open is the one.
+	o.Firing = item
+}
+
+// wake schedules a turn, if there is something to do and none is scheduled.
+func (s *scheduleDriver) wake(after time.Duration) {
+	if len(s.queue) == 0 && len(s.outcomes) == 0 || s.woken {
+		return
+	}
+	s.woken = true
+	s.env.loop().After(after, func() {
+		s.woken = false
+		s.run()
+	})
+}
+
+// run hands over the outcomes, and begins what may be begun.
+func (s *scheduleDriver) run() {
+	if len(s.outcomes) > 0 {
+		s.env.runner.NotifyParticipant(schedule.Section, s.outcomes)
+		s.outcomes = nil
+	}
+	s.beginQueued(consensus.BootTime())
+	if s.drained != nil && len(s.pending) == 0 && len(s.outcomes) == 0 {
+		s.drained()
+		s.drained = nil
+	}
+	s.wake(firingInterval)
+}
+
+func (s *scheduleDriver) beginQueued(now time.Duration) {
+	begun := 0
+	queue := s.queue
+	s.queue = nil
+	for _, o := range queue {
+		switch {
+		case o.Session != s.view.Session || s.draining:
+			// It surely never ran, and whoever owns it next should know.
+			s.finish(o, schedule.Released)
+		case begun >= maxFiringsPerTurn || now < o.notUntil || now >= s.view.ExpiresAt:
+			// Hazard: the process may have been stalled, and the next owner have the occurrence already.
+			s.queue = append(s.queue, o)
+		default:
+			begun++
+			s.begin(o, now)
+		}
+	}
+}
+
+// drain begins a graceful shutdown: nothing more is begun, and what has not begun is released.
+func (s *scheduleDriver) drain() {
+	s.draining = true
+	s.run()
+}
+
+// awaitDrained calls done once no occurrence's job is open here and the outcomes have been handed over, or
+// after maxScheduleDrain.
+func (s *scheduleDriver) awaitDrained(done func()) {
+	called := false
+	s.drained = func() {
+		if !called {
+			called = true
+			done()
+		}
+	}
+	s.env.loop().After(maxScheduleDrain, s.drained)
+	s.run()
+}
+
+// clusterTime is the cluster's time in Unix seconds; 0: it is not known.
+func (s *scheduleDriver) clusterTime(now time.Duration) int64 {
+	return s.clock.TimeAt(now) / int64(time.Second)
+}
+
+// begin hands the job of an occurrence to the platform's front, unless its trigger was removed or it is too
+// late.
+func (s *scheduleDriver) begin(o *occurrence, now time.Duration) {
+	trigger := findTrigger(s.policy, o.Trigger)
+	if trigger == nil {
+		s.log.WithField("occurrence", o.IdempotencyKey()).Warn("occurrence dropped: its trigger was removed")
+		s.finish(o, schedule.Rejected)
+		return
+	}
+	latest := int64((trigger.StartingDeadline + trigger.MaxJitter) / time.Second)
+	if o.attempts > 0 && s.clusterTime(now)-o.At > latest {
+		s.log.WithField("occurrence", o.IdempotencyKey()).
+			Error("occurrence dropped: rejected until it was too late")
+		s.finish(o, schedule.Rejected)
+		return
+	}
+	o.open = true
+	o.attempts++
+	s.begun.Add(1)
+	s.env.audit.write("fire %q %d %d %d %v", o.IdempotencyKey(), o.Number, o.Session.Epoch, o.At,
+		o.Redelivered)
+	if err := s.env.node.front.SubmitScheduled(s.jobOf(o, trigger), o); err != nil {
+		o.open = false
+		if !errors.Is(err, broker.ErrDuplicateID) {
+			s.log.WithError(err).WithField("occurrence", o.IdempotencyKey()).
+				Error("occurrence can't be fired yet")
+		}
+		s.env.audit.write("answer %q %d busy", o.IdempotencyKey(), o.Number)
+		s.retry(o, minFiringBackoff)
+	}
+}
+
+// findTrigger is the trigger of a name, or nil. A policy's triggers are sorted by name.
+func findTrigger(p *schedule.Policy, name string) *schedule.Trigger {
+	n, ok := slices.BinarySearchFunc(p.Triggers, name, func(t schedule.Trigger, name string) int {
+		return strings.Compare(t.Name, name)
+	})
+	if !ok {
+		return nil
+	}
+	return &p.Triggers[n]
+}
+
+func (s *scheduleDriver) jobOf(o *occurrence, t *schedule.Trigger) platform.ScheduledRequest {
+	return platform.ScheduledRequest{ID: o.IdempotencyKey(), Class: slices.Index(s.names.Classes, t.Class),
+		Tenant: max(slices.Index(s.names.Tenants, t.Tenant), 0), Account: t.Account, Path: t.Path,
+		Body: t.Body, ExpectedWork: t.ExpectedCost, Timeout: s.deadline[t.Class],
+		IsRetry: o.Redelivered || o.attempts > 1}
+}
+
+func (s *scheduleDriver) retry(o *occurrence, after time.Duration) {
+	o.notUntil = consensus.BootTime() + max(after, minFiringBackoff)
+	s.queue = append(s.queue, o)
+	s.wake(firingInterval)
+}
+
+func (s *scheduleDriver) finish(o *occurrence, r schedule.Result) {
+	delete(s.pending, o.Number)
+	s.outcomes = append(s.outcomes, schedule.FiringResult{Number: o.Number, Session: o.Session, Result: r})
+	s.wake(firingInterval)
+}
+
+// Respond implements broker.Client: the outcome of the job.
+func (o *occurrence) Respond(a broker.Response) {
+	s := o.driver
+	o.open = false
+	s.env.audit.write("answer %q %d %s", o.IdempotencyKey(), o.Number, auditOutcomes[a.Kind])
+	switch a.Kind {
+	case broker.Served:
+		s.finish(o, schedule.Succeeded)
+	case broker.Rejected: // it surely never ran
+		s.retry(o, a.RetryAfter)
+	default:
+		s.log.WithField("occurrence", o.IdempotencyKey()).
+			Error("job of an occurrence failed: it may have run")
+		s.finish(o, schedule.Failed)
+	}
+}
+
+// auditOutcomes are the audit log's spellings of outcomes.
+var auditOutcomes = map[broker.ResponseKind]string{broker.Served: "served", broker.Rejected: "busy",
+	broker.Failed: "failed"}
+
+// writeAudit writes committed events of the schedule to the audit log. It is called on the runner's
+// goroutine.
+func (s *scheduleDriver) writeAudit(events []schedule.Event) {
+	for _, e := range events {
+		s.env.audit.write("agreed %s %q %d %d %d %d", e.Kind, e.Key, e.Number, e.At, e.Session.Epoch,
+			e.Result)
+	}
+}
--- /dev/null
+++ b/internal/node/subset.go
@@ -0,0 +1,93 @@
+package node
+
+import (
+	"github.com/sirupsen/logrus"
+
+	"moorstack/balancer"
+	"moorstack/internal/cluster/clusterstate"
+	"moorstack/internal/cluster/consensus"
+	"moorstack/internal/cluster/placement"
+)
+
+// subsetDriver drives subsetting of package placement: each instance uses some of the workers only. All of it
+// belongs to the node's loop.
+type subsetDriver struct {
+	env     *environment
+	log     logrus.FieldLogger
+	size    int // 0: all workers are used
+	session placement.Session
+	members []placement.Member // of the newest view
+	version int                // of the subset that is being worked out; an older one comes too late
+}
+
+func newSubsetDriver(env *environment) *subsetDriver {
+	return &subsetDriver{env: env, log: env.component("subset")}
+}
+
+// Supports implements driver.
+func (s *subsetDriver) Supports(*clusterstate.Document) error { return nil }
+
+// Prepare implements driver.
+func (s *subsetDriver) Prepare(d *clusterstate.Document, _ balancer.Settings) preparedChange {
+	return &subsetChange{driver: s, size: placementPolicy(d).SubsetSize}
+}
+
+type subsetChange struct {
+	driver *subsetDriver
+	size   int
+}
+
+// Apply implements preparedChange.
+func (c *subsetChange) Apply() {
+	s := c.driver
+	if s.size != c.size {
+		s.size = c.size
+		s.choose()
+	}
+	if s.size > 0 {
+		s.log.WithField("count", s.size).Info("a subset of the workers is used")
+	}
+}
+
+// ClusterChanged implements driver.
+func (s *subsetDriver) ClusterChanged(v consensus.ClusterView) {
+	s.env.loop().Post(func() {
+		s.session = v.Session
+		if n := len(v.Views); n > 0 {
+			s.members = v.Views[n-1].Members
+			s.choose()
+		}
+	})
+}
+
+// choose works out which workers this instance uses, and has the brokers use them.
+func (s *subsetDriver) choose() {
+	s.version++
+	for k := range s.env.node.brokers {
+		s.chooseFor(&s.env.node.brokers[k])
+	}
+}
+
+func (s *subsetDriver) chooseFor(c *frontBroker) {
+	if s.size == 0 || s.session == (placement.Session{}) {
+		c.SetSubset(nil)
+		return
+	}
+	var list []placement.Worker
+	for _, l := range c.ListedEndpoints() {
+		list = append(list, placement.Worker{Name: l.Name, Zone: l.Zone})
+	}
+	version, members, session, size := s.version, s.members, s.session, s.size
+	// Hazard: for hundreds of instances and thousands of workers this takes longer than a job may wait. The
+	// goroutine ends by itself, at the latest when the loop drops what is posted.
+	go func() {
+		use := placement.Subset(members, session, list, size)
+		s.env.loop().Post(func() {
+			if s.version != version {
+				return
+			}
+			c.SetSubset(use)
+			s.env.audit.write("uses %d of %d", c.SubsetSize(), len(list))
+		})
+	}()
+}
