--- a/internal/frozen/handover_test.go
+++ b/internal/frozen/handover_test.go
@@ -149,8 +149,10 @@
 			Quotas:             []balancer.TenantQuota{{Tokens: 3, Offered: 4, UpdatedAt: 52 * time.Minute}},
 			Workers: map[balancer.WorkerID]balancer.WorkerRecord{
 				1: {OthersInFlight: 1, RunTimeFactor: 0.9, LastWait: 0.3, FailureScore: 0.25,
-					LastWaitAt: 53 * time.Minute, FailureScoreAt: 54 * time.Minute, StartedAt: 55 * time.Minute,
-					SlowStartSent: []balancer.SentWork{{At: 56 * time.Minute, Work: 0.75}}, OwedRequest: true},
+					LastWaitAt: 53 * time.Minute, FailureScoreAt: 54 * time.Minute,
+					StartedAt:     55 * time.Minute,
+					SlowStartSent: []balancer.SentWork{{At: 56 * time.Minute, Work: 0.75}},
+					OwedRequest:   true},
 				2: {RunTimeFactor: 1},
 			},
 		}}
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -30,7 +30,8 @@
 	if err := i.readLocal(platformConfig); err != nil {
 		return err
 	}
-	i.env.network = transport.New(certificates, i.cfg.Name, i.cfg.Peers.Advertise, i.cfg.Peers.From, i.program,
+	i.env.network = transport.New(certificates, i.cfg.Name, i.cfg.Peers.Advertise, i.cfg.Peers.From,
+		i.program,
 		i.env.component("transport"))
 	i.onStop("the transport", func() error { i.env.network.Close(); return nil })
 	if err := i.openRunner(); err != nil {
--- a/internal/proxy/hotrestart/rebase_test.go
+++ b/internal/proxy/hotrestart/rebase_test.go
@@ -23,7 +23,8 @@
 			RecentWaitAt: at,
 			AveragedAt:   at,
 			Quotas:       []balancer.TenantQuota{{Tokens: 3, UpdatedAt: at}},
-			Workers: map[balancer.WorkerID]balancer.WorkerRecord{1: {RunTimeFactor: 1, LastWaitAt: at, FailureScoreAt: at, StartedAt: at,
+			Workers: map[balancer.WorkerID]balancer.WorkerRecord{1: {RunTimeFactor: 1, LastWaitAt: at,
+				FailureScoreAt: at, StartedAt: at,
 				SlowStartSent: []balancer.SentWork{{At: at, Work: 2}}}},
 		},
 	}
