--- a/internal/cluster/clusterstate/document.go
+++ b/internal/cluster/clusterstate/document.go
@@ -61,30 +61,30 @@
 type Class struct {
 	Name string `toml:"name" json:"name"`
 	// Retryable, dedup or fragile.
-	Effect string `toml:"effect" json:"effect"`
+	Idempotency string `toml:"effect" json:"effect"`
 	// All, zone or cell; for dedup.
 	KeyScope string `toml:"key_scope,omitempty,omitzero" json:"key_scope,omitempty"`
 	// For how long repeats are dropped; for dedup.
-	DedupWindow Duration `toml:"window,omitempty,omitzero" json:"window,omitempty"`
+	KeyWindow Duration `toml:"window,omitempty,omitzero" json:"window,omitempty"`
 	// The client's patience over all its tries.
-	Deadline Duration `toml:"give_up" json:"give_up"`
+	Timeout Duration `toml:"give_up" json:"give_up"`
 	// An answer within it earns the whole worth.
 	LatencyObjective Duration `toml:"aim" json:"aim"`
 	// ObjectiveStretch: the aim grows by this many times the job's own work.
 	ObjectiveStretch float64 `toml:"aim_stretch,omitempty,omitzero" json:"aim_stretch,omitempty"`
 	PriorityWeight   float64 `toml:"worth" json:"worth"`
 	// Of the worth, after the aim.
-	LateWeightShare float64 `toml:"late_share,omitempty,omitzero" json:"late_share,omitempty"`
+	LateShare float64 `toml:"late_share,omitempty,omitzero" json:"late_share,omitempty"`
 	// 0: as many as the deployment allows.
 	MaxAttempts int `toml:"attempts,omitempty,omitzero" json:"attempts,omitempty"`
 }
 
 // Tenant is a team that shares the workers.
 type Tenant struct {
-	Name  string  `toml:"name" json:"name"`
-	Quota float64 `toml:"share" json:"share"`
+	Name          string  `toml:"name" json:"name"`
+	CapacityShare float64 `toml:"share" json:"share"`
 	// Requests a second, over all instances.
-	RateLimit float64 `toml:"allowance_per_s,omitempty,omitzero" json:"allowance_per_s,omitempty"`
+	QuotaPerSecond float64 `toml:"allowance_per_s,omitempty,omitzero" json:"allowance_per_s,omitempty"`
 }
 
 // Encode gives the document's one form in bytes: equal documents have equal bytes.
@@ -136,23 +136,23 @@
 	for _, c := range s.Classes {
 		k := Class{
 			Name:             c.Name,
-			Effect:           wordFor(effects, c.Idempotency),
-			Deadline:         Duration(c.Timeout),
+			Idempotency:      wordFor(effects, c.Idempotency),
+			Timeout:          Duration(c.Timeout),
 			LatencyObjective: Duration(c.LatencyObjective),
 			ObjectiveStretch: c.ObjectiveStretch,
 			PriorityWeight:   c.PriorityWeight,
-			LateWeightShare:  c.LateShare,
+			LateShare:        c.LateShare,
 			MaxAttempts:      c.MaxAttempts,
 		}
 		if c.Idempotency == balancer.IdempotentByKey {
-			k.KeyScope, k.DedupWindow = wordFor(scopes, c.KeyScope), Duration(c.KeyWindow)
+			k.KeyScope, k.KeyWindow = wordFor(scopes, c.KeyScope), Duration(c.KeyWindow)
 		}
 		d.Classes = append(d.Classes, k)
 	}
 	for _, t := range s.Tenants {
 		d.Tenants = append(
 			d.Tenants,
-			Tenant{Name: t.Name, Quota: t.CapacityShare, RateLimit: t.QuotaPerSecond},
+			Tenant{Name: t.Name, CapacityShare: t.CapacityShare, QuotaPerSecond: t.QuotaPerSecond},
 		)
 	}
 	return d
@@ -182,19 +182,19 @@
 			return s, fmt.Errorf("this instance's own settings have no class %q", k.Name)
 		}
 		c := &s.Classes[i]
-		if c.Idempotency != effects[k.Effect] || c.Idempotency == balancer.IdempotentByKey &&
-			(c.KeyScope != scopes[k.KeyScope] || c.KeyWindow != time.Duration(k.DedupWindow)) {
+		if c.Idempotency != effects[k.Idempotency] || c.Idempotency == balancer.IdempotentByKey &&
+			(c.KeyScope != scopes[k.KeyScope] || c.KeyWindow != time.Duration(k.KeyWindow)) {
 			return s, fmt.Errorf(
 				"class %q: this instance's own settings say otherwise what may run again",
 				k.Name,
 			)
 		}
 		c.Timeout, c.LatencyObjective, c.ObjectiveStretch = time.Duration(
-			k.Deadline,
+			k.Timeout,
 		), time.Duration(
 			k.LatencyObjective,
 		), k.ObjectiveStretch
-		c.PriorityWeight, c.LateShare, c.MaxAttempts = k.PriorityWeight, k.LateWeightShare, k.MaxAttempts
+		c.PriorityWeight, c.LateShare, c.MaxAttempts = k.PriorityWeight, k.LateShare, k.MaxAttempts
 	}
 	clear(at)
 	for i, t := range s.Tenants {
@@ -205,7 +205,7 @@
 		if !ok {
 			return s, fmt.Errorf("this instance's own settings have no tenant %q", k.Name)
 		}
-		s.Tenants[i].CapacityShare, s.Tenants[i].QuotaPerSecond = k.Quota, k.RateLimit
+		s.Tenants[i].CapacityShare, s.Tenants[i].QuotaPerSecond = k.CapacityShare, k.QuotaPerSecond
 	}
 	return s, nil
 }
--- a/internal/cluster/clusterstate/state_machines.go
+++ b/internal/cluster/clusterstate/state_machines.go
@@ -106,8 +106,8 @@
 		t.Format = LatestFormat
 	}
 	for _, c := range d.Classes {
-		t.Classes = append(t.Classes, replicated.Class{Name: c.Name, Effect: c.Effect, KeyScope: c.KeyScope,
-			Deadline: time.Duration(c.Deadline), DedupWindow: time.Duration(c.DedupWindow)})
+		t.Classes = append(t.Classes, replicated.Class{Name: c.Name, Idempotency: c.Idempotency, KeyScope: c.KeyScope,
+			Timeout: time.Duration(c.Timeout), KeyWindow: time.Duration(c.KeyWindow)})
 	}
 	for _, x := range d.Tenants {
 		t.Tenants = append(t.Tenants, x.Name)
--- a/internal/cluster/clusterstate/state_test.go
+++ b/internal/cluster/clusterstate/state_test.go
@@ -18,24 +18,24 @@
 		Classes: []Class{
 			{
 				Name:             "trip-quote",
-				Effect:           "retryable",
-				Deadline:         Duration(5 * time.Second),
+				Idempotency:      "retryable",
+				Timeout:          Duration(5 * time.Second),
 				LatencyObjective: Duration(time.Second),
 				PriorityWeight:   worth,
 			},
 			{
 				Name:        "dialysis-book",
-				Effect:      "dedup",
+				Idempotency: "dedup",
 				KeyScope:    "cell",
-				DedupWindow: Duration(25 * time.Second),
-				Deadline: Duration(
+				KeyWindow:   Duration(25 * time.Second),
+				Timeout: Duration(
 					15 * time.Second,
 				),
 				LatencyObjective: Duration(time.Second),
 				PriorityWeight:   15,
 			},
 		},
-		Tenants:  []Tenant{{Name: "muscat", Quota: 0.47}, {Name: "batinah", Quota: 0.27, RateLimit: 9}},
+		Tenants:  []Tenant{{Name: "muscat", CapacityShare: 0.47}, {Name: "batinah", CapacityShare: 0.27, QuotaPerSecond: 9}},
 		Sections: map[string]map[string]string{"levels": {"a": "1"}},
 	}
 }
@@ -152,19 +152,19 @@
 		"two of this name": func(d *Document) { d.Classes[1].Name = "trip-quote" },
 		"it is empty":      func(d *Document) { d.Classes[0].Name = "" },
 		"can't be added": func(d *Document) {
-			d.Classes = append(d.Classes, Class{Name: "x", Effect: "fragile", Deadline: 1e9})
+			d.Classes = append(d.Classes, Class{Name: "x", Idempotency: "fragile", Timeout: 1e9})
 		},
 		"can't be removed":     func(d *Document) { d.Classes = d.Classes[:1] },
-		"is not retryable":     func(d *Document) { d.Classes[0].Effect = "maybe" },
-		"effect, key_scope":    func(d *Document) { d.Classes[1].DedupWindow = Duration(time.Minute) },
-		"belong to the effect": func(d *Document) { d.Classes[0].DedupWindow = 1 },
-		"give_up: 0s":          func(d *Document) { d.Classes[0].Deadline = 0 },
+		"is not retryable":     func(d *Document) { d.Classes[0].Idempotency = "maybe" },
+		"effect, key_scope":    func(d *Document) { d.Classes[1].KeyWindow = Duration(time.Minute) },
+		"belong to the effect": func(d *Document) { d.Classes[0].KeyWindow = 1 },
+		"give_up: 0s":          func(d *Document) { d.Classes[0].Timeout = 0 },
 		"aim: 6s": func(d *Document) {
 			d.Classes[0].LatencyObjective = Duration(6 * time.Second)
 		},
-		"late_share: 2":           func(d *Document) { d.Classes[0].LateWeightShare = 2 },
+		"late_share: 2":           func(d *Document) { d.Classes[0].LateShare = 2 },
 		"attempts: -1":            func(d *Document) { d.Classes[0].MaxAttempts = -1 },
-		"add up to 1.07":          func(d *Document) { d.Tenants[0].Quota = 0.8 },
+		"add up to 1.07":          func(d *Document) { d.Tenants[0].CapacityShare = 0.8 },
 		"a tenant can't be added": func(d *Document) { d.Tenants = append(d.Tenants, Tenant{Name: "new"}) },
 		"number that is none":     func(d *Document) { d.Classes[0].PriorityWeight = math.NaN() },
 		"not plain text":          func(d *Document) { d.Sections["a b"] = nil },
@@ -224,7 +224,7 @@
 
 func TestDifferences(t *testing.T) {
 	a, b := sample(5), sample(6)
-	b.Tenants[0].Quota = 0.4
+	b.Tenants[0].CapacityShare = 0.4
 	b.Sections["levels"] = map[string]string{"b": "2"}
 	want := []string{`class "trip-quote": worth 5 -> 6`, `tenant "muscat": share 0.47 -> 0.4`,
 		`section "levels": a removed`, `section "levels": b added: 2`}
--- a/internal/cluster/clusterstate/validate.go
+++ b/internal/cluster/clusterstate/validate.go
@@ -58,13 +58,13 @@
 			p.add(at, "there are two of this name")
 		}
 		seen[t.Name] = true
-		if !(t.Quota >= 0 && t.Quota <= 1) {
-			p.add(at, "share: %v is not from 0 to 1", t.Quota)
+		if !(t.CapacityShare >= 0 && t.CapacityShare <= 1) {
+			p.add(at, "share: %v is not from 0 to 1", t.CapacityShare)
 		} else {
-			sum += t.Quota
+			sum += t.CapacityShare
 		}
-		if !(t.RateLimit >= 0 && t.RateLimit < 1e9) {
-			p.add(at, "allowance_per_s: %v is not a number of requests a second", t.RateLimit)
+		if !(t.QuotaPerSecond >= 0 && t.QuotaPerSecond < 1e9) {
+			p.add(at, "allowance_per_s: %v is not a number of requests a second", t.QuotaPerSecond)
 		}
 	}
 	if sum > 1+1e-9 {
@@ -92,7 +92,7 @@
 			continue
 		}
 		delete(old, c.Name)
-		if c.Effect != o.Effect || c.KeyScope != o.KeyScope || c.DedupWindow != o.DedupWindow {
+		if c.Idempotency != o.Idempotency || c.KeyScope != o.KeyScope || c.KeyWindow != o.KeyWindow {
 			p.add(
 				fmt.Sprintf("class %q", c.Name),
 				"effect, key_scope and window can't change while instances run: open jobs may have run",
@@ -131,23 +131,23 @@
 }
 
 func (p *problems) class(at string, c Class) {
-	if _, ok := effects[c.Effect]; !ok {
-		p.add(at, "effect: %q is not retryable, dedup or fragile", c.Effect)
+	if _, ok := effects[c.Idempotency]; !ok {
+		p.add(at, "effect: %q is not retryable, dedup or fragile", c.Idempotency)
 	}
 	if _, ok := scopes[c.KeyScope]; !ok {
 		p.add(at, "key_scope: %q is not all, zone or cell", c.KeyScope)
 	}
-	if c.Effect != "dedup" && (c.KeyScope != "" || c.DedupWindow != 0) {
+	if c.Idempotency != "dedup" && (c.KeyScope != "" || c.KeyWindow != 0) {
 		p.add(at, "key_scope and window belong to the effect dedup")
 	}
-	if c.Effect == "dedup" && (c.DedupWindow <= 0 || time.Duration(c.DedupWindow) > longest) {
-		p.add(at, "window: %v is not above 0 and up to %v", c.DedupWindow, longest)
+	if c.Idempotency == "dedup" && (c.KeyWindow <= 0 || time.Duration(c.KeyWindow) > longest) {
+		p.add(at, "window: %v is not above 0 and up to %v", c.KeyWindow, longest)
 	}
-	if c.Deadline <= 0 || time.Duration(c.Deadline) > longest {
-		p.add(at, "give_up: %v is not above 0 and up to %v", c.Deadline, longest)
+	if c.Timeout <= 0 || time.Duration(c.Timeout) > longest {
+		p.add(at, "give_up: %v is not above 0 and up to %v", c.Timeout, longest)
 	}
-	if c.LatencyObjective < 0 || c.LatencyObjective > c.Deadline {
-		p.add(at, "aim: %v is not from 0 to give_up, %v", c.LatencyObjective, c.Deadline)
+	if c.LatencyObjective < 0 || c.LatencyObjective > c.Timeout {
+		p.add(at, "aim: %v is not from 0 to give_up, %v", c.LatencyObjective, c.Timeout)
 	}
 	if !(c.ObjectiveStretch >= 0 && c.ObjectiveStretch <= 1000) {
 		p.add(at, "aim_stretch: %v is not from 0 to 1000", c.ObjectiveStretch)
@@ -155,8 +155,8 @@
 	if !(c.PriorityWeight >= 0 && c.PriorityWeight <= 1e9) {
 		p.add(at, "worth: %v is not from 0 to 1e9", c.PriorityWeight)
 	}
-	if !(c.LateWeightShare >= 0 && c.LateWeightShare <= 1) {
-		p.add(at, "late_share: %v is not from 0 to 1", c.LateWeightShare)
+	if !(c.LateShare >= 0 && c.LateShare <= 1) {
+		p.add(at, "late_share: %v is not from 0 to 1", c.LateShare)
 	}
 	if c.MaxAttempts < 0 || c.MaxAttempts > 100 {
 		p.add(at, "attempts: %d is not from 0 to 100", c.MaxAttempts)
@@ -221,14 +221,14 @@
 			p.add(at, "added")
 			continue
 		}
-		p.differ(at, "effect", o.Effect, c.Effect)
+		p.differ(at, "effect", o.Idempotency, c.Idempotency)
 		p.differ(at, "key_scope", o.KeyScope, c.KeyScope)
-		p.differ(at, "window", o.DedupWindow, c.DedupWindow)
-		p.differ(at, "give_up", o.Deadline, c.Deadline)
+		p.differ(at, "window", o.KeyWindow, c.KeyWindow)
+		p.differ(at, "give_up", o.Timeout, c.Timeout)
 		p.differ(at, "aim", o.LatencyObjective, c.LatencyObjective)
 		p.differ(at, "aim_stretch", o.ObjectiveStretch, c.ObjectiveStretch)
 		p.differ(at, "worth", o.PriorityWeight, c.PriorityWeight)
-		p.differ(at, "late_share", o.LateWeightShare, c.LateWeightShare)
+		p.differ(at, "late_share", o.LateShare, c.LateShare)
 		p.differ(at, "attempts", o.MaxAttempts, c.MaxAttempts)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
@@ -245,8 +245,8 @@
 			p.add(at, "added")
 			continue
 		}
-		p.differ(at, "share", o.Quota, t.Quota)
-		p.differ(at, "allowance_per_s", o.RateLimit, t.RateLimit)
+		p.differ(at, "share", o.CapacityShare, t.CapacityShare)
+		p.differ(at, "allowance_per_s", o.QuotaPerSecond, t.QuotaPerSecond)
 	}
 	for _, name := range slices.Sorted(maps.Keys(tenants)) {
 		p.add(fmt.Sprintf("tenant %q", name), "removed")
@@ -313,11 +313,11 @@
 // finite guards Encode: JSON has no word for the other numbers.
 func (d *Document) finite() bool {
 	for _, c := range d.Classes {
-		if bad(c.ObjectiveStretch) || bad(c.PriorityWeight) || bad(c.LateWeightShare) {
+		if bad(c.ObjectiveStretch) || bad(c.PriorityWeight) || bad(c.LateShare) {
 			return false
 		}
 	}
-	return !slices.ContainsFunc(d.Tenants, func(t Tenant) bool { return bad(t.Quota) || bad(t.RateLimit) })
+	return !slices.ContainsFunc(d.Tenants, func(t Tenant) bool { return bad(t.CapacityShare) || bad(t.QuotaPerSecond) })
 }
 
 func bad(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) }
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -28,7 +28,7 @@
 
 func document(weight float64) *clusterstate.Document {
 	return &clusterstate.Document{
-		Classes: []clusterstate.Class{{Name: "c", Effect: "retryable", Deadline: 5e9,
+		Classes: []clusterstate.Class{{Name: "c", Idempotency: "retryable", Timeout: 5e9,
 			PriorityWeight: weight}},
 	}
 }
--- a/internal/cluster/replicated/state_machine.go
+++ b/internal/cluster/replicated/state_machine.go
@@ -47,10 +47,10 @@
 // Class is a class of jobs.
 type Class struct {
 	Name        string
-	Effect      string
+	Idempotency string
 	KeyScope    string
-	Deadline    time.Duration
-	DedupWindow time.Duration
+	Timeout     time.Duration
+	KeyWindow   time.Duration
 }
 
 // ClassNames lists the classes.
--- a/internal/cluster/schedule/participant.go
+++ b/internal/cluster/schedule/participant.go
@@ -86,14 +86,14 @@
 		if c.Name != t.Class {
 			continue
 		}
-		switch c.Effect {
+		switch c.Idempotency {
 		case "retryable":
 			return true
 		case "dedup":
 			// Hazard: workers know a key for a time only, and for some classes only where the first
 			// attempt went, which nobody knows any more.
 			whole := c.KeyScope == "" || c.KeyScope == "all"
-			return whole && ago+c.Deadline < c.DedupWindow
+			return whole && ago+c.Timeout < c.KeyWindow
 		}
 	}
 	return false
--- a/internal/node/schedule.go
+++ b/internal/node/schedule.go
@@ -96,7 +96,7 @@
 	p := schedulePolicy(d)
 	c := &scheduleChange{driver: s, policy: &p, deadline: map[string]time.Duration{}}
 	for _, class := range d.Classes {
-		c.deadline[class.Name] = time.Duration(class.Deadline)
+		c.deadline[class.Name] = time.Duration(class.Timeout)
 	}
 	return c
 }
--- a/internal/verify/simulation/world.go
+++ b/internal/verify/simulation/world.go
@@ -200,7 +200,7 @@
 // document is a valid one that is unlike others.
 func (w *world) document(n int) *clusterstate.Document {
 	d := &clusterstate.Document{
-		Classes: []clusterstate.Class{{Name: "c", Effect: "retryable", Deadline: 5e9, LatencyObjective: 1e9,
+		Classes: []clusterstate.Class{{Name: "c", Idempotency: "retryable", Timeout: 5e9, LatencyObjective: 1e9,
 			PriorityWeight: float64(n)}},
 	}
 	d.Sections = map[string]map[string]string{leasedtask.Section: {"drill": "3"}}
