--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -1,6 +1,7 @@
-// Package faultfs is a file system in memory that fails as real ones do: what was not
-// synced is lost at a crash, wholly or in part and not in order, writes come short when
-// the disk is full, and syncs fail. All of it is drawn from a seed or asked for.
+// Package faultfs is an in-memory file system that fails as real ones do: what was not
+// synced is lost at a power failure, wholly or in part and not in order, writes come short
+// when the disk is full, and syncs fail. Faults are drawn from a seed or requested by the
+// caller. It has no locks: one goroutine uses it at a time.
 package faultfs
 
 import (
@@ -8,6 +9,7 @@
 	"fmt"
 	"io"
 	"io/fs"
+	"maps"
 	"math/rand/v2"
 	"path/filepath"
 	"slices"
@@ -17,210 +19,196 @@
 	"moorstack/internal/storage/store"
 )
 
+// tornBlockBytes is the granularity in which parts of an unsynced write survive a power failure. Real
+// disks have 512 or 4096; it is small here so that short records are torn too.
+const tornBlockBytes = 16
+
+// unlimited is the value of FS.FreeBytes that sets no bound.
+const unlimited = -1
+
 // FS is the file system of one machine.
 type FS struct {
-	rng    *rand.Rand
-	files  map[string]*data // as the processes see them
-	stable map[string]*data // the names that would be there after a crash
-	locked map[string]bool
-	epoch  int // crashes so far: a handle from before one is dead
+	rng         *rand.Rand
+	inodes      map[string]*inode // by path, as the processes see them
+	stable      map[string]*inode // the paths that would be there after a power failure
+	locked      map[string]bool
+	incarnation int // of the processes: a handle from an earlier one is dead
 
 	FreeBytes    int64 // bytes that may still be written; below 0: no limit
 	FailNextSync bool  // the next sync fails
-	IgnoreSyncs  bool  // syncs do nothing and report success: a disk, or a build, that lies
-	SyncCalls    int
-	WriteCalls   int
 }
 
-type data struct {
+// inode is a file's content.
+type inode struct {
 	bytes  []byte
-	synced []byte // what a crash can't take
+	synced []byte // what a power failure can't take
 }
 
 var _ store.FS = (*FS)(nil)
 
-// ErrCrashed is what a handle from before a crash answers.
+// ErrCrashed is returned by a handle from before LosePower or KillProcesses.
 var ErrCrashed = errors.New("the machine has crashed")
 
-// New makes an empty file system.
+// New makes an empty file system without a bound on its size.
 func New(seed uint64) *FS {
-	return &FS{rng: rand.New(rand.NewPCG(seed, 0xf5)), files: map[string]*data{}, stable: map[string]*data{},
-		locked: map[string]bool{}, FreeBytes: -1}
+	return &FS{rng: rand.New(rand.NewPCG(seed, 0xf5)), inodes: map[string]*inode{},
+		stable: map[string]*inode{}, locked: map[string]bool{}, FreeBytes: unlimited}
 }
 
-// LosePower takes the power away: names and bytes that were not synced may be lost. Of a
-// file's unsynced end a prefix stays, or else blocks of it stay and others are zero.
+// LosePower cuts the power: names and bytes that were not synced may be lost. Of a file's
+// unsynced end a prefix stays, or else blocks of it stay and others are zero.
 func (f *FS) LosePower() {
-	f.epoch++
-	f.locked = map[string]bool{}
-	names := make([]string, 0, len(f.files))
-	for name := range f.files {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	after := map[string]*data{}
-	for name, d := range f.stable {
-		after[name] = d
-	}
-	for _, name := range names {
-		if f.stable[name] != f.files[name] && f.rng.IntN(2) == 0 {
-			after[name] = f.files[name] // the name may have been written out by itself
+	f.KillProcesses()
+	after := maps.Clone(f.stable)
+	for _, path := range f.Paths() {
+		if f.stable[path] != f.inodes[path] && f.rng.IntN(2) == 0 {
+			after[path] = f.inodes[path] // the kernel may have written the name out by itself
 		}
 	}
-	seen := map[*data]bool{}
-	kept := make([]string, 0, len(after))
-	for name := range after {
-		kept = append(kept, name)
-	}
-	slices.Sort(kept)
-	for _, name := range kept {
-		if d := after[name]; !seen[d] {
-			seen[d] = true
-			f.tear(d)
+	torn := map[*inode]bool{}
+	for _, path := range slices.Sorted(maps.Keys(after)) {
+		if n := after[path]; !torn[n] {
+			torn[n] = true
+			f.tear(n)
 		}
 	}
-	f.files = after
-	f.stable = map[string]*data{}
-	for name, d := range after {
-		f.stable[name] = d
-	}
+	f.inodes = after
+	f.stable = maps.Clone(after)
 }
 
-// KillProcesses ends the processes and leaves the kernel: nothing is lost but the handles.
+// KillProcesses ends the processes and leaves the kernel running: only the handles and locks
+// are lost.
 func (f *FS) KillProcesses() {
-	f.epoch++
+	f.incarnation++
 	f.locked = map[string]bool{}
 }
 
-func (f *FS) tear(d *data) {
-	// What was truncated and not synced may be back; what was appended may be gone.
-	n := len(d.synced)
-	if len(d.bytes) < n || !slices.Equal(d.bytes[:n], d.synced) {
+// tear takes unsynced changes of a file's content back, wholly or in part.
+func (f *FS) tear(n *inode) {
+	synced := len(n.synced)
+	if len(n.bytes) < synced || !slices.Equal(n.bytes[:synced], n.synced) {
+		// It was truncated and not synced: the old content may be back.
 		if f.rng.IntN(2) == 0 {
-			d.bytes = slices.Clone(d.synced)
+			n.bytes = slices.Clone(n.synced)
 		}
-	} else if rest := len(d.bytes) - n; rest > 0 {
+	} else if appended := len(n.bytes) - synced; appended > 0 {
 		switch f.rng.IntN(3) {
 		case 0:
-			d.bytes = d.bytes[:n+f.rng.IntN(rest+1)]
+			n.bytes = n.bytes[:synced+f.rng.IntN(appended+1)]
 		case 1:
-			const block = 16
-			for at := n; at < len(d.bytes); at += block {
+			for start := synced; start < len(n.bytes); start += tornBlockBytes {
 				if f.rng.IntN(2) == 0 {
-					clear(d.bytes[at:min(at+block, len(d.bytes))])
+					clear(n.bytes[start:min(start+tornBlockBytes, len(n.bytes))])
 				}
 			}
 		}
 	}
-	d.synced = slices.Clone(d.bytes)
+	n.synced = slices.Clone(n.bytes)
 }
 
-// Paths lists the paths.
-func (f *FS) Paths() []string {
-	var names []string
-	for name := range f.files {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
+// Paths lists the files, sorted.
+func (f *FS) Paths() []string { return slices.Sorted(maps.Keys(f.inodes)) }
 
-// Content is a file's content; changes to it are changes to the disk.
-func (f *FS) Content(path string) []byte { return f.files[path].bytes }
+// Content returns a file's bytes; changes to them are changes to the disk.
+func (f *FS) Content(path string) []byte { return f.inodes[path].bytes }
 
-// WriteDurable writes a file, durably.
+// WriteDurable writes a whole file that survives a power failure.
 func (f *FS) WriteDurable(path string, b []byte) {
-	d := &data{bytes: slices.Clone(b), synced: slices.Clone(b)}
-	f.files[path], f.stable[path] = d, d
+	n := &inode{bytes: slices.Clone(b), synced: slices.Clone(b)}
+	f.inodes[path], f.stable[path] = n, n
 }
 
-// EraseDisk empties the disk.
+// EraseDisk kills the processes and removes all files.
 func (f *FS) EraseDisk() {
 	f.KillProcesses()
-	f.files, f.stable = map[string]*data{}, map[string]*data{}
+	f.inodes, f.stable = map[string]*inode{}, map[string]*inode{}
 }
 
 // ListFiles implements store.FS.
 func (f *FS) ListFiles(dir string) ([]string, error) {
 	var names []string
-	for name := range f.files {
-		if filepath.Dir(name) == filepath.Clean(dir) {
-			names = append(names, filepath.Base(name))
+	for path := range f.inodes {
+		if inDir(path, dir) {
+			names = append(names, filepath.Base(path))
 		}
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
+func inDir(path, dir string) bool { return filepath.Dir(path) == filepath.Clean(dir) }
+
 // MkdirAll implements store.FS.
 func (f *FS) MkdirAll(string) error { return nil }
 
-// Open implements store.FS.
+// Open implements store.FS. On a full disk it can't create a file.
 func (f *FS) Open(path string) (store.File, error) {
-	d := f.files[path]
-	if d == nil {
+	n := f.inodes[path]
+	if n == nil {
 		if f.FreeBytes == 0 {
 			return nil, fmt.Errorf("open %s: %w", path, syscall.ENOSPC)
 		}
-		d = &data{}
-		f.files[path] = d
+		n = &inode{}
+		f.inodes[path] = n
 	}
-	return &file{f, d, f.epoch}, nil
+	return &handle{f, n, f.incarnation}, nil
 }
 
 // ReadFile implements store.FS.
 func (f *FS) ReadFile(path string) ([]byte, error) {
-	d := f.files[path]
-	if d == nil {
+	n := f.inodes[path]
+	if n == nil {
 		return nil, fmt.Errorf("open %s: %w", path, fs.ErrNotExist)
 	}
-	return slices.Clone(d.bytes), nil
+	return slices.Clone(n.bytes), nil
 }
 
 // Rename implements store.FS.
 func (f *FS) Rename(from, to string) error {
-	d := f.files[from]
-	if d == nil {
+	n := f.inodes[from]
+	if n == nil {
 		return fmt.Errorf("rename %s: %w", from, fs.ErrNotExist)
 	}
-	delete(f.files, from)
-	f.files[to] = d
+	delete(f.inodes, from)
+	f.inodes[to] = n
 	return nil
 }
 
 // Remove implements store.FS.
 func (f *FS) Remove(path string) error {
-	if f.files[path] == nil {
+	if f.inodes[path] == nil {
 		return fmt.Errorf("remove %s: %w", path, fs.ErrNotExist)
 	}
-	delete(f.files, path)
+	delete(f.inodes, path)
 	return nil
 }
 
 // SyncDir implements store.FS.
 func (f *FS) SyncDir(dir string) error {
-	for name := range f.stable {
-		if filepath.Dir(name) == filepath.Clean(dir) && f.files[name] == nil {
-			delete(f.stable, name)
+	for path := range f.stable {
+		if inDir(path, dir) && f.inodes[path] == nil {
+			delete(f.stable, path)
 		}
 	}
-	for name, d := range f.files {
-		if filepath.Dir(name) == filepath.Clean(dir) {
-			f.stable[name] = d
+	for path, n := range f.inodes {
+		if inDir(path, dir) {
+			f.stable[path] = n
 		}
 	}
 	return nil
 }
 
+// lock is a lock that a process holds.
 type lock struct {
-	f     *FS
-	path  string
-	epoch int
+	fs          *FS
+	path        string
+	incarnation int
 }
 
+// Close releases the lock, unless its process has been killed.
 func (l lock) Close() error {
-	if l.epoch == l.f.epoch {
-		delete(l.f.locked, l.path)
+	if l.incarnation == l.fs.incarnation {
+		delete(l.fs.locked, l.path)
 	}
 	return nil
 }
@@ -231,60 +219,62 @@
 		return nil, fmt.Errorf("%s: %w", strings.TrimSuffix(path, "/LOCK"), store.ErrLocked)
 	}
 	f.locked[path] = true
-	return lock{f, path, f.epoch}, nil
+	return lock{f, path, f.incarnation}, nil
 }
 
-type file struct {
-	f     *FS
-	d     *data
-	epoch int
+// handle is an open file.
+type handle struct {
+	fs          *FS
+	inode       *inode
+	incarnation int
 }
 
-func (h *file) alive() error {
-	if h.epoch != h.f.epoch {
+// usable fails once the handle's process has been killed.
+func (h *handle) usable() error {
+	if h.incarnation != h.fs.incarnation {
 		return ErrCrashed
 	}
 	return nil
 }
 
-func (h *file) Write(b []byte) (int, error) {
-	if err := h.alive(); err != nil {
+// Write implements store.File. On a disk that fills up it writes a part.
+func (h *handle) Write(b []byte) (int, error) {
+	if err := h.usable(); err != nil {
 		return 0, err
 	}
-	h.f.WriteCalls++
 	n := len(b)
-	if h.f.FreeBytes >= 0 {
-		n = int(min(int64(n), h.f.FreeBytes))
-		h.f.FreeBytes -= int64(n)
+	if h.fs.FreeBytes >= 0 {
+		n = int(min(int64(n), h.fs.FreeBytes))
+		h.fs.FreeBytes -= int64(n)
 	}
-	h.d.bytes = append(h.d.bytes, b[:n]...)
+	h.inode.bytes = append(h.inode.bytes, b[:n]...)
 	if n < len(b) {
 		return n, syscall.ENOSPC
 	}
 	return n, nil
 }
 
-func (h *file) Sync() error {
-	if err := h.alive(); err != nil {
+// Sync implements store.File.
+func (h *handle) Sync() error {
+	if err := h.usable(); err != nil {
 		return err
 	}
-	h.f.SyncCalls++
-	if h.f.FailNextSync {
-		h.f.FailNextSync = false
+	if h.fs.FailNextSync {
+		h.fs.FailNextSync = false
 		return syscall.EIO
 	}
-	if !h.f.IgnoreSyncs {
-		h.d.synced = slices.Clone(h.d.bytes)
-	}
+	h.inode.synced = slices.Clone(h.inode.bytes)
 	return nil
 }
 
-func (h *file) Truncate(size int64) error {
-	if err := h.alive(); err != nil {
+// Truncate implements store.File.
+func (h *handle) Truncate(size int64) error {
+	if err := h.usable(); err != nil {
 		return err
 	}
-	h.d.bytes = h.d.bytes[:min(int(size), len(h.d.bytes))]
+	h.inode.bytes = h.inode.bytes[:min(int(size), len(h.inode.bytes))]
 	return nil
 }
 
-func (h *file) Close() error { return h.alive() }
+// Close implements store.File.
+func (h *handle) Close() error { return h.usable() }
--- a/internal/storage/store/check.go
+++ b/internal/storage/store/check.go
@@ -9,19 +9,20 @@
 type CheckReport struct {
 	Dir           string `json:"dir"`
 	Format        int    `json:"format"`
-	Snapshot      string `json:"snapshot,omitempty"`
-	SnapshotBytes int    `json:"snapshot_bytes"`
+	Snapshot      string `json:"snapshot,omitempty"` // the file's name
+	SnapshotBytes int    `json:"snapshot_bytes"`     // of its payload
 	Segments      int    `json:"segments"`
-	Records       int    `json:"records"`
+	Records       int    `json:"records"` // that the snapshot does not hold
 	SyncMarkers   int    `json:"seals"`
 	NextSeq       uint64 `json:"next_record"`
-	Bytes         int64  `json:"bytes"`
-	TornTail      string `json:"torn,omitempty"`      // an end that the next start will cut off
+	Bytes         int64  `json:"bytes"`               // of all files
+	TornTail      string `json:"torn,omitempty"`      // the end of the log that the next start will cut off
 	Leftovers     int    `json:"leftovers,omitempty"` // files that the next start will remove
 }
 
-// Check walks a store and verifies every byte of it. It changes nothing, and fails with
-// ErrLocked while a process has the store open.
+// Check reads a store and verifies every byte of it; a nil fs is the machine's file system. It
+// changes nothing. It fails with ErrLocked while a process has the store open, and with a
+// CorruptError if acknowledged data is damaged.
 func Check(dir string, fs FS) (*CheckReport, error) {
 	if fs == nil {
 		fs = OS{}
@@ -29,26 +30,34 @@
 	if _, err := fs.ListFiles(dir); err != nil {
 		return nil, fmt.Errorf("reading the store: %w", err)
 	}
-	lock, err := fs.Lock(filepath.Join(dir, "LOCK"))
+	lock, err := fs.Lock(filepath.Join(dir, lockFile))
 	if err != nil {
 		return nil, err
 	}
 	defer lock.Close()
-	w, err := walk(fs, dir, nil)
+	found, err := scanDir(fs, dir, nil)
 	if err != nil {
 		return nil, err
 	}
-	r := &CheckReport{Dir: dir, Format: version, SnapshotBytes: len(w.snapshot), Segments: len(w.segments),
-		Records: w.records, SyncMarkers: w.seals, NextSeq: w.next, Bytes: w.bytes,
-		Leftovers: len(w.leftovers)}
-	if w.hasSnapshot {
-		r.Snapshot = filepath.Base(w.snapshotFile)
+	if len(found.segments) == 0 && !found.hasSnapshot {
+		return nil, fmt.Errorf("%s holds no store", dir)
 	}
-	if w.tear != nil {
-		r.TornTail = w.tear.String()
+	r := &CheckReport{
+		Dir:           dir,
+		Format:        formatVersion,
+		SnapshotBytes: len(found.snapshot),
+		Segments:      len(found.segments),
+		Records:       found.records,
+		SyncMarkers:   found.syncMarkers,
+		NextSeq:       found.nextSeq,
+		Bytes:         found.bytes,
+		Leftovers:     len(found.leftovers),
 	}
-	if len(w.segments) == 0 && !w.hasSnapshot {
-		return nil, fmt.Errorf("%s holds no store", dir)
+	if found.hasSnapshot {
+		r.Snapshot = filepath.Base(found.snapshotPath)
+	}
+	if found.tornTail != nil {
+		r.TornTail = found.tornTail.String()
 	}
 	return r, nil
 }
--- a/internal/storage/store/fs.go
+++ b/internal/storage/store/filesystem.go
@@ -11,15 +11,19 @@
 )
 
 // FS is the part of a file system that a store needs. OS is the real one; tests and
-// simulations have one that loses what was not synced, fills up and fails.
+// simulations have one that loses what was not synced, fills up and fails (package faultfs).
 type FS interface {
-	// ListFiles lists the plain files of the directory.
+	// ListFiles returns the names of the regular files in a directory.
 	ListFiles(dir string) ([]string, error)
+	// MkdirAll creates a directory and its parents.
 	MkdirAll(dir string) error
 	// Open opens a file for reading and appending, and creates it if it isn't there.
 	Open(path string) (File, error)
+	// ReadFile returns a file's whole content.
 	ReadFile(path string) ([]byte, error)
+	// Rename replaces the file at to by the one at from.
 	Rename(from, to string) error
+	// Remove removes a file.
 	Remove(path string) error
 	// SyncDir makes the names in a directory durable.
 	SyncDir(dir string) error
@@ -30,11 +34,13 @@
 // File is an open file. Write appends.
 type File interface {
 	io.WriteCloser
+	// Sync makes what was written durable.
 	Sync() error
+	// Truncate cuts the file off after size bytes.
 	Truncate(size int64) error
 }
 
-// ErrLocked says that another process has the directory open.
+// ErrLocked means that another process has the directory open.
 var ErrLocked = errors.New("in use by another process")
 
 // OS is the machine's file system.
@@ -57,7 +63,7 @@
 	return names, nil
 }
 
-// MkdirAll implements FS. What a store holds is for its owner alone.
+// MkdirAll implements FS. Only the owner may read what a store holds.
 func (OS) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
 // Open implements FS.
@@ -84,7 +90,7 @@
 	return d.Sync()
 }
 
-// Lock implements FS by flock(2), which ends with the process however it ends.
+// Lock implements FS by flock(2), which the kernel releases however the process ends.
 func (OS) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -16,134 +16,171 @@
 //	8 bytes   the sequence number of its first record
 //	4 bytes   CRC32C of the 20 bytes before
 //
-// and goes on with records:
+// and continues with records:
 //
 //	4 bytes   CRC32C of all that follows
 //	4 bytes   the payload's length
 //	8 bytes   the sequence number
-//	1 byte    kind; 0 is a seal
+//	1 byte    kind; 0 is a sync marker
 //	3 bytes   zero
 //	          the payload
 //
-// A seal has no payload and the sequence number of the next record. One is written
-// after each sync, so that what stands before it is known to have been durable: a bad
-// record before a seal is damage, one that nothing valid follows is a write that was
-// never acknowledged.
+// A sync marker (a "seal" in what `moorstack store check` prints) has no payload and the
+// sequence number of the next record. One is written after each sync, so that what stands
+// before it is known to have been durable: a bad record before a marker is damage, one that
+// no marker follows is a write that was never acknowledged.
 //
 // A snapshot is named by the sequence number of the first record that it does not
 // hold, and ".snap": "MOORSNAP", version, that number, the payload's length (8 bytes),
 // CRC32C of the payload, CRC32C of the 32 bytes before, the payload.
 const (
-	version       = 1
+	formatVersion = 1
 	segmentMagic  = "MOORSLOG"
-	snapMagic     = "MOORSNAP"
-	segmentHeader = 24
-	snapHeader    = 36
-	recordHeader  = 20
+	snapshotMagic = "MOORSNAP"
+
+	magicBytes          = 8
+	segmentHeaderBytes  = 24
+	snapshotHeaderBytes = 36
+	recordHeaderBytes   = 20
+
+	versionOffset     = magicBytes // in both headers
+	segmentSeqOffset  = 12
+	segmentCRCOffset  = 20
+	snapshotSeqOffset = 12
+	payloadLenOffset  = 20 // in a snapshot's header, as the two after it
+	payloadCRCOffset  = 28
+	snapshotCRCOffset = 32
+
+	lengthOffset = 4 // in a record's header, as the two after it
+	seqOffset    = 8
+	kindOffset   = 16
 
 	// MaxRecordBytes is the largest payload of a record, in bytes.
 	MaxRecordBytes = 64 << 20
 
-	seal = 0
+	// kindSyncMarker is the kind of the records that the store writes itself.
+	kindSyncMarker = 0
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Record is what a store keeps. Kinds are the user's, from 1 on.
+// Record is an entry of the log.
 type Record struct {
-	Seq  uint64 // given by the store
-	Kind uint8
+	Seq  uint64 // assigned by the store
+	Kind uint8  // the caller's, from 1 on
 	Data []byte
 }
 
-func appendRecord(to []byte, seq uint64, kind uint8, data []byte) []byte {
-	at := len(to)
-	to = append(to, 0, 0, 0, 0)
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(data)))
-	to = binary.LittleEndian.AppendUint64(to, seq)
-	to = append(to, kind, 0, 0, 0)
-	to = append(to, data...)
-	binary.LittleEndian.PutUint32(to[at:], crc32.Checksum(to[at+4:], castagnoli))
-	return to
+func appendRecord(b []byte, seq uint64, kind uint8, data []byte) []byte {
+	start := len(b)
+	b = append(b, 0, 0, 0, 0)
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(data)))
+	b = binary.LittleEndian.AppendUint64(b, seq)
+	b = append(b, kind, 0, 0, 0)
+	b = append(b, data...)
+	binary.LittleEndian.PutUint32(b[start:], crc32.Checksum(b[start+lengthOffset:], castagnoli))
+	return b
 }
 
-// parseRecord reads the record at the start of b. The reason says why there is none.
+// parseRecord reads the record at the start of b. A reason that is not empty says why there is none.
 func parseRecord(b []byte) (r Record, size int, reason string) {
-	if len(b) < recordHeader {
+	if len(b) < recordHeaderBytes {
 		return r, 0, "the record's head is cut short"
 	}
-	length := binary.LittleEndian.Uint32(b[4:])
-	if length > MaxRecordBytes || b[17]|b[18]|b[19] != 0 {
+	length := binary.LittleEndian.Uint32(b[lengthOffset:])
+	if length > MaxRecordBytes || !zero(b[kindOffset+1:recordHeaderBytes]) {
 		return r, 0, "the record's head makes no sense"
 	}
-	size = recordHeader + int(length)
+	size = recordHeaderBytes + int(length)
 	if len(b) < size {
 		return r, 0, "the record is cut short"
 	}
-	if crc32.Checksum(b[4:size], castagnoli) != binary.LittleEndian.Uint32(b) {
+	if crc32.Checksum(b[lengthOffset:size], castagnoli) != binary.LittleEndian.Uint32(b) {
 		return r, 0, "the record's checksum is wrong"
 	}
 	return Record{
-		Seq:  binary.LittleEndian.Uint64(b[8:]),
-		Kind: b[16],
-		Data: b[recordHeader:size:size],
+		Seq:  binary.LittleEndian.Uint64(b[seqOffset:]),
+		Kind: b[kindOffset],
+		Data: b[recordHeaderBytes:size:size],
 	}, size, ""
 }
 
-func appendSegmentHeader(to []byte, first uint64) []byte {
-	at := len(to)
-	to = append(to, segmentMagic...)
-	to = binary.LittleEndian.AppendUint32(to, version)
-	to = binary.LittleEndian.AppendUint64(to, first)
-	return binary.LittleEndian.AppendUint32(to, crc32.Checksum(to[at:], castagnoli))
+func zero(b []byte) bool {
+	for _, v := range b {
+		if v != 0 {
+			return false
+		}
+	}
+	return true
 }
 
-func parseSegmentHeader(b []byte) (first uint64, reason string) {
-	if len(b) < segmentHeader {
+func appendSegmentHeader(b []byte, firstSeq uint64) []byte {
+	start := len(b)
+	b = append(b, segmentMagic...)
+	b = binary.LittleEndian.AppendUint32(b, formatVersion)
+	b = binary.LittleEndian.AppendUint64(b, firstSeq)
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
+}
+
+// parseSegmentHeader reads the header at the start of b. A reason that is not empty says why there is
+// none.
+func parseSegmentHeader(b []byte) (firstSeq uint64, reason string) {
+	if len(b) < segmentHeaderBytes {
 		return 0, "the segment's head is cut short"
 	}
-	if string(b[:8]) != segmentMagic {
+	if string(b[:magicBytes]) != segmentMagic {
 		return 0, "this is no segment of a store"
 	}
-	if crc32.Checksum(b[:20], castagnoli) != binary.LittleEndian.Uint32(b[20:]) {
+	if crc32.Checksum(b[:segmentCRCOffset], castagnoli) != binary.LittleEndian.Uint32(b[segmentCRCOffset:]) {
 		return 0, "the segment head's checksum is wrong"
 	}
-	if v := binary.LittleEndian.Uint32(b[8:]); v != version {
-		return 0, fmt.Sprintf("its format is version %d, this program reads version %d", v, version)
+	if reason := wrongVersion(b); reason != "" {
+		return 0, reason
+	}
+	return binary.LittleEndian.Uint64(b[segmentSeqOffset:]), ""
+}
+
+// wrongVersion says why a file with this header can't be read; empty: it can.
+func wrongVersion(header []byte) string {
+	if v := binary.LittleEndian.Uint32(header[versionOffset:]); v != formatVersion {
+		return fmt.Sprintf("its format is version %d, this program reads version %d", v, formatVersion)
 	}
-	return binary.LittleEndian.Uint64(b[12:]), ""
+	return ""
 }
 
-func appendSnapshot(to []byte, next uint64, data []byte) []byte {
-	at := len(to)
-	to = append(to, snapMagic...)
-	to = binary.LittleEndian.AppendUint32(to, version)
-	to = binary.LittleEndian.AppendUint64(to, next)
-	to = binary.LittleEndian.AppendUint64(to, uint64(len(data)))
-	to = binary.LittleEndian.AppendUint32(to, crc32.Checksum(data, castagnoli))
-	to = binary.LittleEndian.AppendUint32(to, crc32.Checksum(to[at:], castagnoli))
-	return append(to, data...)
+func appendSnapshot(b []byte, nextSeq uint64, data []byte) []byte {
+	start := len(b)
+	b = append(b, snapshotMagic...)
+	b = binary.LittleEndian.AppendUint32(b, formatVersion)
+	b = binary.LittleEndian.AppendUint64(b, nextSeq)
+	b = binary.LittleEndian.AppendUint64(b, uint64(len(data)))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(data, castagnoli))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
+	return append(b, data...)
 }
 
-func parseSnapshot(b []byte) (next uint64, data []byte, offset int64, reason string) {
-	if len(b) < snapHeader {
+// parseSnapshot reads a snapshot file. A reason that is not empty says what is wrong with it, at which
+// offset.
+func parseSnapshot(b []byte) (nextSeq uint64, data []byte, offset int64, reason string) {
+	if len(b) < snapshotHeaderBytes {
 		return 0, nil, 0, "the snapshot's head is cut short"
 	}
-	if string(b[:8]) != snapMagic {
+	if string(b[:magicBytes]) != snapshotMagic {
 		return 0, nil, 0, "this is no snapshot of a store"
 	}
-	if crc32.Checksum(b[:32], castagnoli) != binary.LittleEndian.Uint32(b[32:]) {
+	if crc := crc32.Checksum(b[:snapshotCRCOffset], castagnoli); crc !=
+		binary.LittleEndian.Uint32(b[snapshotCRCOffset:]) {
 		return 0, nil, 0, "the snapshot head's checksum is wrong"
 	}
-	if v := binary.LittleEndian.Uint32(b[8:]); v != version {
-		return 0, nil, 8, fmt.Sprintf("its format is version %d, this program reads version %d", v, version)
+	if reason := wrongVersion(b); reason != "" {
+		return 0, nil, versionOffset, reason
 	}
-	if n := binary.LittleEndian.Uint64(b[20:]); n != uint64(len(b)-snapHeader) {
-		return 0, nil, snapHeader, fmt.Sprintf("the snapshot has %d bytes of %d", len(b)-snapHeader, n)
+	data = b[snapshotHeaderBytes:]
+	if n := binary.LittleEndian.Uint64(b[payloadLenOffset:]); n != uint64(len(data)) {
+		return 0, nil, snapshotHeaderBytes, fmt.Sprintf("the snapshot has %d bytes of %d", len(data), n)
 	}
-	data = b[snapHeader:]
-	if crc32.Checksum(data, castagnoli) != binary.LittleEndian.Uint32(b[28:]) {
-		return 0, nil, snapHeader, "the snapshot's checksum is wrong"
+	if crc32.Checksum(data, castagnoli) != binary.LittleEndian.Uint32(b[payloadCRCOffset:]) {
+		return 0, nil, snapshotHeaderBytes, "the snapshot's checksum is wrong"
 	}
-	return binary.LittleEndian.Uint64(b[12:]), data, 0, ""
+	return binary.LittleEndian.Uint64(b[snapshotSeqOffset:]), data, 0, ""
 }
--- a/internal/storage/store/group_commit.go
+++ b/internal/storage/store/group_commit.go
@@ -2,98 +2,121 @@
 
 import "sync"
 
-// GroupCommitter lets many goroutines, and an event loop, commit to one store. What comes while a
-// sync is under way is written together and shares the next one.
+// maxBatchBytes bounds the records that one sync covers, so that the first commit of a batch does not
+// wait without limit.
+const maxBatchBytes = 4 << 20
+
+// GroupCommitter lets many goroutines, and an event loop, commit to one store. What arrives while a
+// sync is running is written together and shares the next sync. Its methods may be called from any
+// goroutine.
 type GroupCommitter struct {
-	store *Store
-	mu    sync.Mutex
-	wake  sync.Cond
-	queue []commit
-	ended bool
-	done  chan struct{}
+	store   *Store
+	mu      sync.Mutex
+	changed sync.Cond // pending has grown, or closed is set
+	pending []pendingCommit
+	closed  bool
+	done    chan struct{} // closed when the committer's goroutine has ended
 }
 
-type commit struct {
+type pendingCommit struct {
 	records []Record
-	told    func(first uint64, err error)
+	notify  func(firstSeq uint64, err error)
 }
 
-// mostGroup bounds a group's bytes, so that the first in it doesn't wait for ever.
-const mostGroup = 4 << 20
+// bytes returns how much the commit adds to the log.
+func (c pendingCommit) bytes() int {
+	n := 0
+	for _, r := range c.records {
+		n += recordHeaderBytes + len(r.Data)
+	}
+	return n
+}
 
-// NewGroupCommitter takes the store over. Close gives it back.
+// NewGroupCommitter starts a goroutine that has the store for itself until Close.
 func NewGroupCommitter(s *Store) *GroupCommitter {
 	g := &GroupCommitter{store: s, done: make(chan struct{})}
-	g.wake.L = &g.mu
+	g.changed.L = &g.mu
 	go g.run()
 	return g
 }
 
-// CommitAsync commits records and calls told, from the group's goroutine, when they are durable
-// or can't be. Posts are committed in their order.
-func (g *GroupCommitter) CommitAsync(told func(first uint64, err error), records ...Record) {
+// CommitAsync commits records and calls notify, on the committer's goroutine, once they are
+// durable or can't be made so. Commits are made in the order of the calls. After Close it
+// calls notify with ErrClosed, on the caller's goroutine.
+func (g *GroupCommitter) CommitAsync(notify func(firstSeq uint64, err error), records ...Record) {
 	g.mu.Lock()
-	if g.ended {
+	if g.closed {
 		g.mu.Unlock()
-		told(0, ErrClosed)
+		notify(0, ErrClosed)
 		return
 	}
-	g.queue = append(g.queue, commit{records, told})
+	g.pending = append(g.pending, pendingCommit{records, notify})
 	g.mu.Unlock()
-	g.wake.Signal()
+	g.changed.Signal()
 }
 
-// Commit commits records and waits until they are durable.
+// Commit commits records, waits until they are durable and returns the sequence number of the
+// first.
 func (g *GroupCommitter) Commit(records ...Record) (uint64, error) {
 	type result struct {
-		first uint64
-		err   error
+		firstSeq uint64
+		err      error
 	}
-	c := make(chan result, 1)
-	g.CommitAsync(func(first uint64, err error) { c <- result{first, err} }, records...)
-	r := <-c
-	return r.first, r.err
+	results := make(chan result, 1)
+	g.CommitAsync(func(firstSeq uint64, err error) { results <- result{firstSeq, err} }, records...)
+	r := <-results
+	return r.firstSeq, r.err
 }
 
+// run is the committer's goroutine.
 func (g *GroupCommitter) run() {
 	defer close(g.done)
 	for {
-		g.mu.Lock()
-		for len(g.queue) == 0 && !g.ended {
-			g.wake.Wait()
-		}
-		n, bytes := 0, 0
-		for n < len(g.queue) && bytes < mostGroup {
-			for _, r := range g.queue[n].records {
-				bytes += recordHeader + len(r.Data)
-			}
-			n++
-		}
-		batch := append([]commit(nil), g.queue[:n]...)
-		g.queue = append(g.queue[:0], g.queue[n:]...)
-		g.mu.Unlock()
-		if n == 0 {
+		batch := g.nextBatch()
+		if len(batch) == 0 {
 			return
 		}
-		firsts, errs := make([]uint64, n), make([]error, n)
-		for i, c := range batch {
-			firsts[i], errs[i] = g.store.Append(c.records...)
-		}
-		err := g.store.Sync()
-		for i, c := range batch {
-			if errs[i] == nil {
-				errs[i] = err
-			}
-			c.told(firsts[i], errs[i])
+		g.commit(batch)
+	}
+}
+
+// nextBatch waits for commits and takes as many as share one sync; none, once it is closed.
+func (g *GroupCommitter) nextBatch() []pendingCommit {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for len(g.pending) == 0 && !g.closed {
+		g.changed.Wait()
+	}
+	n, bytes := 0, 0
+	for n < len(g.pending) && bytes < maxBatchBytes {
+		bytes += g.pending[n].bytes()
+		n++
+	}
+	batch := append([]pendingCommit(nil), g.pending[:n]...)
+	g.pending = append(g.pending[:0], g.pending[n:]...)
+	return batch
+}
+
+// commit appends a batch, syncs once and notifies each caller.
+func (g *GroupCommitter) commit(batch []pendingCommit) {
+	firstSeqs, errs := make([]uint64, len(batch)), make([]error, len(batch))
+	for i, c := range batch {
+		firstSeqs[i], errs[i] = g.store.Append(c.records...)
+	}
+	err := g.store.Sync()
+	for i, c := range batch {
+		if errs[i] == nil {
+			errs[i] = err
 		}
+		c.notify(firstSeqs[i], errs[i])
 	}
 }
 
-// Close commits what was posted and ends. The store stays open.
+// Close commits what is pending and ends the goroutine. The store stays open.
 func (g *GroupCommitter) Close() {
 	g.mu.Lock()
-	g.ended = true
+	g.closed = true
 	g.mu.Unlock()
-	g.wake.Signal()
+	g.changed.Signal()
 	<-g.done
 }
