--- a/internal/cluster/weights/weights.go
+++ b/internal/cluster/weights/weights.go
@@ -1,9 +1,10 @@
-// Package weights has a group agree on how much of what is owned by placement each instance owns beside the
-// others: accounts' rates and triggers. A larger machine may have more of them, one that is to be spared
-// less.
+// Package weights has a group agree on how much of what is owned by placement each instance owns,
+// relative to the others: accounts' rates and triggers. A larger machine may own more of them, one
+// that is to be spared fewer.
 //
-// A change of the weights is a change of the view, as one of the open sessions is: owners hand on by the same
-// rules. So the state counts the changes, and the view's number goes by that count too.
+// A change of the weights changes the placement view, as a change of the open sessions does: owners
+// transfer what they own by the same rules. So the state counts the changes, and the view's number
+// includes that count.
 package weights
 
 import (
@@ -19,114 +20,127 @@
 	"moorstack/internal/schema"
 )
 
-// Section is the section of the agreed document that names weights, and prefix begins its keys.
+// Section is the section of the document that sets weights.
+const Section = "placement"
+
 const (
-	Section = "placement"
-	prefix  = "weight."
+	keyPrefix     = "weight." // of the section's keys, before an instance's name
+	snapshotField = "weights"
+	firstFormat   = 6 // of the group's log, that knows weights
 )
 
-// The least and the most that a weight may be, beside the 1 of who has none.
+// The bounds of a weight. An instance without a key has 1.
 const (
-	least = 0.1
-	most  = 10
+	minWeight     = 0.1
+	maxWeight     = 10
+	defaultWeight = 1
 )
 
-// Parse reads the section, and gives what is wrong with it.
-func Parse(values map[string]string) (by map[string]float64, wrong []string) {
-	by = map[string]float64{}
+// Parse reads the section into weights by instance name, without those of 1, and returns what is
+// wrong with it. The problems are part of the replicated state, and so never reworded.
+func Parse(values map[string]string) (byInstance map[string]float64, problems []string) {
+	byInstance = map[string]float64{}
 	for _, key := range slices.Sorted(maps.Keys(values)) {
-		name, ok := strings.CutPrefix(key, prefix)
+		name, ok := strings.CutPrefix(key, keyPrefix)
 		if !ok || name == "" {
-			wrong = append(wrong, fmt.Sprintf("%q is no key of this section; \"weight.INSTANCE\" is", key))
+			problems = append(problems,
+				fmt.Sprintf("%q is no key of this section; \"weight.INSTANCE\" is", key))
 			continue
 		}
 		w, err := strconv.ParseFloat(values[key], 64)
-		if err != nil || !(w >= least && w <= most) {
-			wrong = append(wrong, fmt.Sprintf("%s: %q is not a number from %v to %v; who has no line has 1",
-				key, values[key], least, most))
+		if err != nil || !valid(w) {
+			problems = append(problems,
+				fmt.Sprintf("%s: %q is not a number from %v to %v; who has no line has 1",
+					key, values[key], minWeight, maxWeight))
 			continue
 		}
-		if w != 1 {
-			by[name] = w
+		if w != defaultWeight {
+			byInstance[name] = w
 		}
 	}
-	return by, wrong
+	return byInstance, problems
 }
 
-// Type has a group agree on weights.
+// valid is false for NaN too.
+func valid(w float64) bool { return w >= minWeight && w <= maxWeight }
+
+// Type is the type of the weights' state machine. There are no commands: only the document sets
+// weights.
 type Type struct{}
 
 var _ replicated.StateMachineType = Type{}
 
-// Section implements subject.Subject.
+// Section implements replicated.StateMachineType.
 func (Type) Section() string { return Section }
 
-// SinceFormat implements subject.Subject.
-func (Type) SinceFormat() int { return 6 }
+// SinceFormat implements replicated.StateMachineType.
+func (Type) SinceFormat() int { return firstFormat }
 
-// Validate implements subject.Subject.
-func (Type) Validate(t replicated.Config) []string {
-	_, wrong := Parse(t.Values)
-	return wrong
+// Validate implements replicated.StateMachineType.
+func (Type) Validate(c replicated.Config) []string {
+	_, problems := Parse(c.Values)
+	return problems
 }
 
-// OwnsEntry implements subject.Subject: there is nothing to say of weights but the document.
+// OwnsEntry implements replicated.StateMachineType.
 func (Type) OwnsEntry(*schema.Change) bool { return false }
 
-// NewStateMachine implements subject.Subject.
+// NewStateMachine implements replicated.StateMachineType.
 func (Type) NewStateMachine(uint64) replicated.StateMachine { return &StateMachine{} }
 
-// NewParticipant implements subject.Subject.
+// NewParticipant implements replicated.StateMachineType: there is none.
 func (Type) NewParticipant(replicated.LocalInfo) replicated.Participant { return nil }
 
-// StateMachine is the agreed part.
+// StateMachine is the weights in force.
 type StateMachine struct {
-	ByInstance  map[string]float64 `json:"by,omitempty"` // by instance's name; who isn't there has 1
+	ByInstance  map[string]float64 `json:"by,omitempty"` // by name; an instance that isn't there has 1
 	ChangeCount uint64             `json:"changes"`
 }
 
-// Configure implements subject.State.
-func (a *StateMachine) Configure(t replicated.Config) {
-	by, _ := Parse(t.Values)
-	if !maps.Equal(by, a.ByInstance) {
-		a.ByInstance = by
-		a.ChangeCount++
+var _ replicated.StateMachine = (*StateMachine)(nil)
+
+// Configure implements replicated.StateMachine.
+func (s *StateMachine) Configure(c replicated.Config) {
+	byInstance, _ := Parse(c.Values)
+	if !maps.Equal(byInstance, s.ByInstance) {
+		s.ByInstance = byInstance
+		s.ChangeCount++
 	}
 }
 
-// Weight is an instance's weight.
-func (a *StateMachine) Weight(name string) float64 {
-	if a == nil {
+// Weight returns an instance's weight; 0 means the default. A nil StateMachine has only defaults.
+func (s *StateMachine) Weight(name string) float64 {
+	if s == nil {
 		return 0
 	}
-	return a.ByInstance[name]
+	return s.ByInstance[name]
 }
 
-// Decode implements subject.State.
-func (a *StateMachine) Decode(*schema.Change) (replicated.Command, bool) {
+// Decode implements replicated.StateMachine.
+func (s *StateMachine) Decode(*schema.Change) (replicated.Command, bool) {
 	return replicated.Command{}, false
 }
 
-// SetOwners implements subject.State.
-func (a *StateMachine) SetOwners([]placement.Member) {}
+// SetOwners implements replicated.StateMachine.
+func (s *StateMachine) SetOwners([]placement.Member) {}
 
-// SessionsExpired implements subject.State.
-func (a *StateMachine) SessionsExpired(func(placement.Session) bool, string, int64) {}
+// SessionsExpired implements replicated.StateMachine.
+func (s *StateMachine) SessionsExpired(func(placement.Session) bool, string, int64) {}
 
-// Snapshot implements subject.State.
-func (a *StateMachine) Snapshot() []replicated.SnapshotField {
-	f := replicated.SnapshotField{Name: "weights"}
-	if a.ChangeCount > 0 {
-		f.Value = a
+// Snapshot implements replicated.StateMachine.
+func (s *StateMachine) Snapshot() []replicated.SnapshotField {
+	f := replicated.SnapshotField{Name: snapshotField}
+	if s.ChangeCount > 0 {
+		f.Value = s
 	}
 	return []replicated.SnapshotField{f}
 }
 
-// Restore implements subject.State.
-func (a *StateMachine) Restore(read func(string, any) (bool, error)) error {
-	_, err := read("weights", a)
-	for _, w := range a.ByInstance {
-		if !(w >= least && w <= most) {
+// Restore implements replicated.StateMachine.
+func (s *StateMachine) Restore(read func(field string, into any) (bool, error)) error {
+	_, err := read(snapshotField, s)
+	for _, w := range s.ByInstance {
+		if !valid(w) {
 			err = errors.Join(err, fmt.Errorf("a weight of %v", w))
 		}
 	}
