--- a/internal/cluster/clusterstate/document.go
+++ b/internal/cluster/clusterstate/document.go
@@ -1,56 +1,42 @@
-// Package agreement is the state that the instances of a group agree on: a versioned
-// document of classes, tenants and sections, who belongs to the group, and which changes
-// have been applied.
-//
-// It is a state machine without I/O, clock or randomness: the same changes in the same
-// order give the same state, byte for byte, at every instance. Package consensus brings
-// the changes in that order.
 package clusterstate
 
 import (
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"math"
+	"slices"
 	"time"
-
-	"moorstack/balancer"
 )
 
-// LatestFormat is the newest form of the agreed state and its log that this program reads. An
-// instance that meets a newer one stops applying changes rather than reading it in part.
-//
-// Format 1 is a group in which a change is in force when it is agreed on. In one of format 2
-// it takes hold as package rollout says, one of format 3 has duties, one of format 4 keeps rates over
-// all fronts, one of format 5 has triggers, one of format 6 weights of its instances, and one of format 7 a
-// conductor of rolling restarts, and probes. A group goes to a newer one once all its instances can.
-const LatestFormat = 7
-
-// Bounds on a document. A change beyond them is refused before it is proposed.
+// Bounds on a document. A change beyond them is rejected before it is proposed.
 const (
-	MaxDocumentBytes = 256 << 10 // bytes, as JSON
+	MaxDocumentBytes = 256 << 10 // as JSON
 	maxClasses       = 256
 	maxTenants       = 10_000
 	maxSections      = 64
 	maxKeys          = 4096
-	maxName          = 128 // bytes, of any name
+	maxNameBytes     = 128 // of any name
 )
 
-// Duration is a time span, written as in "1.5s".
+// Duration is a time span that is written as in "1.5s".
 type Duration time.Duration
 
-// MarshalText writes it.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// UnmarshalText reads it.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return err
 }
 
+// String formats the duration as time.Duration does.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Document is what is agreed.
+// Document is the configuration that a group agrees on. Its sections are named groups of keys and
+// values; the rules of some are known (see Rules).
 type Document struct {
 	Classes  []Class                      `toml:"class" json:"class"`
 	Tenants  []Tenant                     `toml:"tenant" json:"tenant,omitempty"`
@@ -60,152 +46,71 @@
 // Class is a class of jobs.
 type Class struct {
 	Name string `toml:"name" json:"name"`
-	// Retryable, dedup or fragile.
+	// Idempotency is retryable, dedup or fragile.
 	Idempotency string `toml:"effect" json:"effect"`
-	// All, zone or cell; for dedup.
+	// KeyScope is all, zone or cell; for dedup.
 	KeyScope string `toml:"key_scope,omitempty,omitzero" json:"key_scope,omitempty"`
-	// For how long repeats are dropped; for dedup.
+	// KeyWindow is for how long repeats are dropped; for dedup.
 	KeyWindow Duration `toml:"window,omitempty,omitzero" json:"window,omitempty"`
-	// The client's patience over all its tries.
+	// Timeout is the client's time limit for all attempts.
 	Timeout Duration `toml:"give_up" json:"give_up"`
-	// An answer within it earns the whole worth.
+	// LatencyObjective is the time within which a response has the whole priority weight.
 	LatencyObjective Duration `toml:"aim" json:"aim"`
-	// ObjectiveStretch: the aim grows by this many times the job's own work.
+	// ObjectiveStretch lengthens the objective by this many times the job's own running time.
 	ObjectiveStretch float64 `toml:"aim_stretch,omitempty,omitzero" json:"aim_stretch,omitempty"`
 	PriorityWeight   float64 `toml:"worth" json:"worth"`
-	// Of the worth, after the aim.
+	// LateShare is the part of the priority weight that remains after the objective, from 0 to 1.
 	LateShare float64 `toml:"late_share,omitempty,omitzero" json:"late_share,omitempty"`
-	// 0: as many as the deployment allows.
+	// MaxAttempts bounds the attempts of a job; 0: as many as the deployment allows.
 	MaxAttempts int `toml:"attempts,omitempty,omitzero" json:"attempts,omitempty"`
 }
 
 // Tenant is a team that shares the workers.
 type Tenant struct {
 	Name          string  `toml:"name" json:"name"`
-	CapacityShare float64 `toml:"share" json:"share"`
-	// Requests a second, over all instances.
+	CapacityShare float64 `toml:"share" json:"share"` // of the workers' capacity, from 0 to 1
+	// QuotaPerSecond is in requests a second, over all instances; 0: not limited.
 	QuotaPerSecond float64 `toml:"allowance_per_s,omitempty,omitzero" json:"allowance_per_s,omitempty"`
 }
 
-// Encode gives the document's one form in bytes: equal documents have equal bytes.
+// Encode returns the document's one form in bytes: equal documents have equal bytes.
 func (d *Document) Encode() []byte {
 	b, err := json.Marshal(d) // maps are written in the order of their keys
 	if err != nil {
-		panic(fmt.Sprintf("agreement: a document can't be written: %v", err)) // NaN; Validate has refused it
+		// Only a number that isFinite has rejected fails.
+		panic(fmt.Sprintf("clusterstate: a document can't be encoded: %v", err))
 	}
 	return b
 }
 
-// DecodeDocument reads what Encode wrote. A field that it doesn't know is an error: to pass over
-// it would be to agree on something else than the others.
+// DecodeDocument reads what Encode wrote. An unknown field is an error: to skip it would be to agree
+// on something else than the other instances.
 func DecodeDocument(b []byte) (*Document, error) {
 	d := &Document{}
-	dec := json.NewDecoder(bytes.NewReader(b))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(d); err != nil {
+	if err := decodeStrictly(b, d); err != nil {
 		return nil, fmt.Errorf("reading a document: %w", err)
 	}
 	return d, nil
 }
 
-var effects = map[string]balancer.Idempotency{
-	"retryable": balancer.Idempotent,
-	"dedup":     balancer.IdempotentByKey,
-	"fragile":   balancer.NonIdempotent,
-}
-
-var scopes = map[string]balancer.KeyScope{
-	"":     balancer.ScopeAll,
-	"all":  balancer.ScopeAll,
-	"zone": balancer.ScopeZone,
-	"cell": balancer.ScopeCell,
-}
-
-func wordFor[V comparable](words map[string]V, v V) string {
-	for word, has := range words {
-		if has == v && word != "" {
-			return word
-		}
-	}
-	return ""
+// decodeStrictly decodes a JSON value. Hazard: to skip a field that this program does not know would be
+// to continue from another state than the other instances.
+func decodeStrictly(b []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(b))
+	decoder.DisallowUnknownFields()
+	return decoder.Decode(into)
 }
 
-// DocumentFromSettings is the document that says what the settings say: a new group's first one.
-func DocumentFromSettings(s balancer.Settings) *Document {
-	d := &Document{}
-	for _, c := range s.Classes {
-		k := Class{
-			Name:             c.Name,
-			Idempotency:      wordFor(effects, c.Idempotency),
-			Timeout:          Duration(c.Timeout),
-			LatencyObjective: Duration(c.LatencyObjective),
-			ObjectiveStretch: c.ObjectiveStretch,
-			PriorityWeight:   c.PriorityWeight,
-			LateShare:        c.LateShare,
-			MaxAttempts:      c.MaxAttempts,
-		}
-		if c.Idempotency == balancer.IdempotentByKey {
-			k.KeyScope, k.KeyWindow = wordFor(scopes, c.KeyScope), Duration(c.KeyWindow)
+// isFinite guards Encode: JSON can't express infinities and NaN.
+func (d *Document) isFinite() bool {
+	for _, c := range d.Classes {
+		if !isFinite(c.ObjectiveStretch) || !isFinite(c.PriorityWeight) || !isFinite(c.LateShare) {
+			return false
 		}
-		d.Classes = append(d.Classes, k)
 	}
-	for _, t := range s.Tenants {
-		d.Tenants = append(
-			d.Tenants,
-			Tenant{Name: t.Name, CapacityShare: t.CapacityShare, QuotaPerSecond: t.QuotaPerSecond},
-		)
-	}
-	return d
+	return !slices.ContainsFunc(d.Tenants, func(t Tenant) bool {
+		return !isFinite(t.CapacityShare) || !isFinite(t.QuotaPerSecond)
+	})
 }
 
-// ApplyTo puts the document's word over an instance's own settings. The classes and tenants
-// must be the same ones, in any order.
-func (d *Document) ApplyTo(s balancer.Settings) (balancer.Settings, error) {
-	if len(d.Classes) != len(s.Classes) || len(d.Tenants) != len(s.Tenants) {
-		return s, fmt.Errorf(
-			"the document has %d classes and %d tenants, this instance's own settings %d and %d",
-			len(d.Classes),
-			len(d.Tenants),
-			len(s.Classes),
-			len(s.Tenants),
-		)
-	}
-	s.Classes = append([]balancer.Class(nil), s.Classes...)
-	s.Tenants = append([]balancer.Tenant(nil), s.Tenants...)
-	at := map[string]int{}
-	for i, c := range s.Classes {
-		at[c.Name] = i
-	}
-	for _, k := range d.Classes {
-		i, ok := at[k.Name]
-		if !ok {
-			return s, fmt.Errorf("this instance's own settings have no class %q", k.Name)
-		}
-		c := &s.Classes[i]
-		if c.Idempotency != effects[k.Idempotency] || c.Idempotency == balancer.IdempotentByKey &&
-			(c.KeyScope != scopes[k.KeyScope] || c.KeyWindow != time.Duration(k.KeyWindow)) {
-			return s, fmt.Errorf(
-				"class %q: this instance's own settings say otherwise what may run again",
-				k.Name,
-			)
-		}
-		c.Timeout, c.LatencyObjective, c.ObjectiveStretch = time.Duration(
-			k.Timeout,
-		), time.Duration(
-			k.LatencyObjective,
-		), k.ObjectiveStretch
-		c.PriorityWeight, c.LateShare, c.MaxAttempts = k.PriorityWeight, k.LateShare, k.MaxAttempts
-	}
-	clear(at)
-	for i, t := range s.Tenants {
-		at[t.Name] = i
-	}
-	for _, k := range d.Tenants {
-		i, ok := at[k.Name]
-		if !ok {
-			return s, fmt.Errorf("this instance's own settings have no tenant %q", k.Name)
-		}
-		s.Tenants[i].CapacityShare, s.Tenants[i].QuotaPerSecond = k.CapacityShare, k.QuotaPerSecond
-	}
-	return s, nil
-}
+func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/cluster/clusterstate/placement_view_test.go
+++ b/internal/cluster/clusterstate/placement_view_test.go
@@ -10,20 +10,17 @@
 )
 
 // A change of weights makes a new view with a higher number, also after a snapshot; a group that does not
-// know weights yet goes by none, whatever its document says.
-func TestWeightsMakeNewViews(t *testing.T) {
-	weighed := func(n1 string) *Document {
-		d := sample(5)
+// know weights yet ignores them, whatever its document holds.
+func TestWeightChangesMakeNewViews(t *testing.T) {
+	weighted := func(n1 string) *Document {
+		d := sampleDocument(5)
 		d.Sections["placement"] = map[string]string{"weight.n1": n1}
 		return d
 	}
-	s, err := New(Rules{}, "g", weighed("2"), 0, Member{1, "n1", "127.0.0.1:1"})
-	if err != nil {
-		t.Fatal(err)
-	}
+	s := newState(t, Rules{}, weighted("2"))
 	last := s.PlacementView().Number
 	for n, w := range []string{"3", "1", "1.5"} {
-		force(s, Change{ID: w, BaseRevision: uint64(n + 1), Document: weighed(w)})
+		applyAndCommit(s, Change{ID: w, BaseRevision: uint64(n + 1), Document: weighted(w)})
 		if v := s.PlacementView(); v.Number <= last {
 			t.Errorf("with a weight of %s the view %d comes after %d", w, v.Number, last)
 		}
@@ -34,14 +31,15 @@
 		t.Fatalf("%+v", v)
 	}
 	last = s.PlacementView().Number
-	r, err := Restore(Rules{}, s.Encode())
-	if err != nil || r.PlacementView().Number != last || !bytes.Equal(r.Encode(), s.Encode()) {
-		t.Errorf("restored, the view is %+v, %v; it was %d", r.PlacementView(), err, last)
+	r := restoreCopy(t, s)
+	if r.PlacementView().Number != last || !bytes.Equal(r.Encode(), s.Encode()) {
+		t.Errorf("restored, the view is %+v; it was %d", r.PlacementView(), last)
 	}
 	old := strings.Replace(string(s.Encode()), fmt.Sprintf(`"format":%d`, LatestFormat), `"format":5`, 1)
 	old = old[:strings.Index(old, `,"weights":`)] + "}"
-	if r, err = Restore(Rules{}, []byte(old)); err != nil || r.PlacementView().Members[0].Weight != 0 {
-		t.Fatalf("a group of format 5 goes by weights: %v", err)
+	r, err := Restore(Rules{}, []byte(old))
+	if err != nil || r.PlacementView().Members[0].Weight != 0 {
+		t.Fatalf("a group of format 5 uses weights: %v", err)
 	}
 	before := r.PlacementView().Number
 	r.UpgradeFormat()
--- a/internal/cluster/clusterstate/snapshot.go
+++ b/internal/cluster/clusterstate/snapshot.go
@@ -1,58 +1,59 @@
 package clusterstate
 
 import (
-	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 
 	"moorstack/internal/cluster/rollout"
 )
 
-// image is a State as it is written, without the subjects' fields, which follow it.
-type image struct {
-	Format  int        `json:"format"`
-	Cluster string     `json:"cluster"`
-	History []Revision `json:"history"`
-	IDs     []idImage  `json:"ids"`
-	Members []Member   `json:"members"`
-	Removed []uint64   `json:"removed,omitempty"`
+// snapshot is a State as it is written, without the fields of the state machines, which follow it.
+type snapshot struct {
+	Format    int            `json:"format"`
+	ClusterID string         `json:"cluster"`
+	Revisions []Revision     `json:"history"`
+	Outcomes  []savedOutcome `json:"ids"`
+	Members   []Member       `json:"members"`
+	Removed   []uint64       `json:"removed,omitempty"`
 
-	// From format 2 on.
-	Sessions []rollout.Session      `json:"sessions,omitempty"`
-	Epoch    uint64                 `json:"epoch,omitempty"`
-	Phase    *rollout.PendingChange `json:"phase,omitempty"`
-	Pending  *Revision              `json:"pending,omitempty"`
+	// From formatRollout on.
+	Sessions  []rollout.Session      `json:"sessions,omitempty"`
+	LastEpoch uint64                 `json:"epoch,omitempty"`
+	Rollout   *rollout.PendingChange `json:"phase,omitempty"`
+	Pending   *Revision              `json:"pending,omitempty"`
 }
 
-type idImage struct {
+// savedOutcome is an outcome with its change's or command's id.
+type savedOutcome struct {
 	ID string `json:"id"`
 	Outcome
 }
 
-// Encode writes the state: equal states have equal bytes.
+// Encode returns the state in bytes: equal states have equal bytes.
 func (s *State) Encode() []byte {
-	im := image{
-		Format:   s.format,
-		Cluster:  s.cluster,
-		History:  s.history,
-		Members:  s.Members(),
-		Removed:  s.removed,
-		Sessions: s.rollout.List(),
-		Epoch:    s.rollout.LastEpoch,
-		Phase:    s.rollout.Pending,
-		Pending:  s.pending,
-	}
-	for _, id := range s.order {
-		im.IDs = append(im.IDs, idImage{id, s.ids[id]})
-	}
-	b := written(im)
-	for _, p := range s.parts {
-		for _, f := range p.state.Snapshot() {
-			switch value := written(f.Value); string(value) {
+	saved := snapshot{
+		Format:    s.format,
+		ClusterID: s.clusterID,
+		Revisions: s.revisions.list,
+		Members:   s.Members(),
+		Removed:   s.removed,
+		Sessions:  s.rollout.List(),
+		LastEpoch: s.rollout.LastEpoch,
+		Rollout:   s.rollout.Pending,
+		Pending:   s.pending,
+	}
+	for _, id := range s.outcomes.ids {
+		saved.Outcomes = append(saved.Outcomes, savedOutcome{id, s.outcomes.byID[id]})
+	}
+	b := encode(saved)
+	for _, m := range s.machines {
+		for _, f := range m.state.Snapshot() {
+			switch value := encode(f.Value); string(value) {
 			case "null", "0", "[]", "{}", `""`:
 			default:
 				b = append(b[:len(b)-1], ',')
-				b = append(append(append(b, written(f.Name)...), ':'), value...)
+				b = append(append(append(b, encode(f.Name)...), ':'), value...)
 				b = append(b, '}')
 			}
 		}
@@ -60,100 +61,108 @@
 	return b
 }
 
-func written(v any) []byte {
+// encode encodes a value of the state, which has been checked for what JSON can't express.
+func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		// Check has refused all that can't.
-		panic(fmt.Sprintf("agreement: the state can't be written: %v", err))
+		panic(fmt.Sprintf("clusterstate: the state can't be encoded: %v", err))
 	}
 	return b
 }
 
-// apart takes the subjects' fields out of an image, and reads the rest.
-func (im *image) apart(parts []statePart, b []byte) (map[string]json.RawMessage, error) {
-	all, own := map[string]json.RawMessage{}, map[string]json.RawMessage{}
+// decode reads a snapshot and returns the fields of the state machines apart.
+func (s *snapshot) decode(machines []machine, b []byte) (map[string]json.RawMessage, error) {
+	all, machineFields := map[string]json.RawMessage{}, map[string]json.RawMessage{}
 	if err := json.Unmarshal(b, &all); err != nil {
 		return nil, err
 	}
-	for _, p := range parts {
-		for _, f := range p.state.Snapshot() {
+	for _, m := range machines {
+		for _, f := range m.state.Snapshot() {
 			if text, ok := all[f.Name]; ok {
-				own[f.Name] = text
+				machineFields[f.Name] = text
 				delete(all, f.Name)
 			}
 		}
 	}
-	return own, strictly(written(all), im)
+	return machineFields, decodeStrictly(encode(all), s)
 }
 
-// strictly reads a value. Hazard: to pass over a field that this program does not know would be to go on
-// from another state than the others.
-func strictly(b []byte, into any) error {
-	dec := json.NewDecoder(bytes.NewReader(b))
-	dec.DisallowUnknownFields()
-	return dec.Decode(into)
+// validate checks what the rest of the program relies on.
+func (s *snapshot) validate() error {
+	switch {
+	case s.Format < 1 || s.Format > LatestFormat:
+		return fmt.Errorf("an agreed state of format %d; this program reads 1 to %d", s.Format, LatestFormat)
+	case (s.Rollout == nil) != (s.Pending == nil) || s.Pending != nil && s.Pending.Document == nil:
+		return errors.New("reading an agreed state: half a change is pending")
+	case len(s.Revisions) == 0 || len(s.Outcomes) > MaxOutcomes:
+		return fmt.Errorf("reading an agreed state: %d revisions, %d ids", len(s.Revisions), len(s.Outcomes))
+	}
+	last := uint64(0)
+	for _, r := range s.Revisions {
+		if r.Document == nil || r.Number <= last {
+			return fmt.Errorf("reading an agreed state: revision %d after %d", r.Number, last)
+		}
+		last = r.Number
+	}
+	return nil
 }
 
 // Restore reads what Encode wrote.
 func Restore(rules Rules, b []byte) (*State, error) {
-	var im image
-	parts := rules.parts(0)
-	fields, err := im.apart(parts, b)
+	var saved snapshot
+	machines := rules.newMachines(0)
+	machineFields, err := saved.decode(machines, b)
 	if err != nil {
 		return nil, fmt.Errorf("reading an agreed state: %w", err)
 	}
-	if im.Format < 1 || im.Format > LatestFormat {
-		return nil, fmt.Errorf(
-			"an agreed state of format %d; this program reads 1 to %d",
-			im.Format,
-			LatestFormat,
-		)
-	}
-	if (im.Phase == nil) != (im.Pending == nil) || im.Pending != nil && im.Pending.Document == nil {
-		return nil, fmt.Errorf("reading an agreed state: half a change is pending")
-	}
-	if len(im.History) == 0 || len(im.IDs) > MaxOutcomes {
-		return nil, fmt.Errorf("reading an agreed state: %d revisions, %d ids", len(im.History), len(im.IDs))
-	}
-	s := &State{rules: rules, cluster: im.Cluster, ids: map[string]Outcome{}, members: map[uint64]Member{},
-		removed: im.Removed, format: im.Format, pending: im.Pending,
-		rollout: &rollout.State{
-			Sessions:  map[uint64]rollout.Session{},
-			LastEpoch: im.Epoch,
-			Pending:   im.Phase,
-		},
-		parts: parts}
+	if err := saved.validate(); err != nil {
+		return nil, err
+	}
+	if err := restoreMachines(machines, machineFields); err != nil {
+		return nil, err
+	}
+	s := &State{
+		rules:     rules,
+		clusterID: saved.ClusterID,
+		format:    saved.Format,
+		pending:   saved.Pending,
+		outcomes:  newOutcomeLog(),
+		members:   map[uint64]Member{},
+		removed:   saved.Removed,
+		rollout: &rollout.State{Sessions: map[uint64]rollout.Session{}, LastEpoch: saved.LastEpoch,
+			Pending: saved.Rollout},
+		machines: machines,
+	}
+	for _, session := range saved.Sessions {
+		s.rollout.Sessions[session.Member] = session
+	}
+	for _, r := range saved.Revisions {
+		s.addRevision(r)
+	}
+	s.configureMachines()
+	for _, o := range saved.Outcomes {
+		s.outcomes.add(o.ID, o.Outcome)
+	}
+	for _, m := range saved.Members {
+		s.members[m.ID] = m
+	}
+	// Hazard: the first entry after a snapshot must find the same owners as where there was none.
+	s.UpdateOwners()
+	return s, nil
+}
+
+func restoreMachines(machines []machine, fields map[string]json.RawMessage) error {
 	read := func(field string, into any) (bool, error) {
 		text, ok := fields[field]
 		if !ok {
 			return false, nil
 		}
-		return true, strictly(text, into)
-	}
-	for _, p := range parts {
-		if err := p.state.Restore(read); err != nil {
-			return nil, fmt.Errorf("reading an agreed state: %s: %w", p.Section(), err)
-		}
+		return true, decodeStrictly(text, into)
 	}
-	for _, x := range im.Sessions {
-		s.rollout.Sessions[x.Member] = x
-	}
-	last := uint64(0)
-	for _, r := range im.History {
-		if r.Document == nil || r.Number <= last {
-			return nil, fmt.Errorf("reading an agreed state: revision %d after %d", r.Number, last)
+	for _, m := range machines {
+		if err := m.state.Restore(read); err != nil {
+			return fmt.Errorf("reading an agreed state: %s: %w", m.Section(), err)
 		}
-		last = r.Number
-		s.push(r)
-	}
-	s.plan()
-	for _, id := range im.IDs {
-		s.remember(id.ID, id.Outcome)
-	}
-	for _, m := range im.Members {
-		s.members[m.ID] = m
 	}
-	// Hazard: the first entry after a snapshot must find the same owners as where there was none.
-	s.UpdateOwners()
-	return s, nil
+	return nil
 }
--- a/internal/cluster/clusterstate/snapshot_test.go
+++ b/internal/cluster/clusterstate/snapshot_test.go
@@ -2,86 +2,68 @@
 
 import (
 	"bytes"
+	"fmt"
 	"math/rand/v2"
+	"strings"
 	"testing"
+	"time"
 
 	"moorstack/internal/cluster/placement"
 	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/cluster/schedule"
 )
 
-// At whatever entry an instance goes on from a snapshot, it comes to the same state as one that never
+func TestSnapshotRestoresTheSameState(t *testing.T) {
+	s := newState(t, Rules{}, sampleDocument(5))
+	applyAndCommit(s, Change{ID: "a", BaseRevision: 1, Document: sampleDocument(6), Author: "x", Note: "n",
+		ProposedAt: time.UnixMilli(17)})
+	applyAndCommit(s, proposal("b", 1, 7))
+	s.ApplyMembership([]Member{{2, "n2", "127.0.0.1:2"}}, []uint64{1})
+	r := restoreCopy(t, s)
+	if !bytes.Equal(r.Encode(), s.Encode()) || !r.WasRemoved(1) {
+		t.Fatalf("%s is restored from %s", r.Encode(), s.Encode())
+	}
+	restored, original := applyAndCommit(r, proposal("c", 2, 8)), applyAndCommit(s, proposal("c", 2, 8))
+	if restored.Revision != 3 || original.Revision != 3 || !bytes.Equal(r.Encode(), s.Encode()) {
+		t.Errorf("they differ after a change: %+v, %+v", restored, original)
+	}
+	for _, invalid := range []string{"", "{}", fmt.Sprintf(`{"format":%d}`, LatestFormat+1),
+		`{"format":1,"history":[{"revision":1}]}`,
+		strings.Replace(string(s.Encode()), `,"cluster":`, `,"new":1,"cluster":`, 1)} {
+		if _, err := Restore(Rules{}, []byte(invalid)); err == nil {
+			t.Errorf("restored from %q", invalid)
+		}
+	}
+}
+
+// At whatever entry an instance continues from a snapshot, it comes to the same state as one that never
 // did.
-func TestTriggersGoOnFromASnapshot(t *testing.T) {
-	d := sample(5)
+func TestTriggersContinueFromASnapshot(t *testing.T) {
+	d := sampleDocument(5)
 	d.Sections["schedule"] = map[string]string{"zone": "UTC", "trigger.a": "* * * * * class=trip-quote",
 		"trigger.b": "* * * * * class=dialysis-book", "trigger.c": "*/2 * * * * class=trip-quote"}
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		s, err := New(Rules{}, "g", d, 0, Member{1, "n1", "127.0.0.1:1"})
-		if err != nil {
-			t.Fatal(err)
-		}
+		s := newState(t, Rules{}, d)
 		r := s
-		now, version := int64(1_800_000_000), s.Schedule().Policy().Version
-		seat := func() schedule.Session {
-			x := s.rollout.Sessions[uint64(1+rng.IntN(3))]
-			return schedule.Session{Member: x.Member, Epoch: x.Epoch}
-		}
+		now := int64(1_800_000_000)
 		for range 200 {
 			if rng.IntN(5) == 0 {
-				if r, err = Restore(Rules{}, r.Encode()); err != nil {
-					t.Fatal(err)
-				}
+				r = restoreCopy(t, r)
 			}
 			now += int64(rng.IntN(60))
-			var session rollout.Command
-			c := schedule.Command{
-				Session:          seat(),
-				PolicyVersion:    version,
-				ZoneRulesVersion: 1,
-				ClusterTime:      now,
-			}
-			switch rng.IntN(6) {
-			case 0:
-				session = rollout.Command{Kind: rollout.OpenSession, Member: uint64(1 + rng.IntN(3)),
-					Incarnation: rng.Uint64()}
-			case 1:
-				session = rollout.Command{
-					Kind: rollout.ExpireSessions,
-					Sessions: []rollout.SessionID{{Member: c.Session.Member,
-						Epoch: c.Session.Epoch}},
-				}
-			case 2:
-				c.Kind = schedule.DeclarePolicy
-			case 3:
-				c.Kind = schedule.RecordResults
-				for _, i := range s.Schedule().OpenFirings() {
-					c.Session = i.Session
-					c.Numbers, c.Results = append(c.Numbers, i.Number), append(c.Results, schedule.Succeeded)
-				}
-			default:
-				c.Kind = schedule.IntendFirings
-				for n, trigger := range s.Schedule().Policy().Triggers {
-					shard := placement.ShardOf(trigger.Name)
-					c.Advances = append(c.Advances, schedule.ShardAdvance{Shard: shard,
-						FromVersion: s.Schedule().Shards[shard].Version})
-					c.Occurrences = append(
-						c.Occurrences,
-						schedule.DueOccurrence{Trigger: n, LocalTime: 1000, At: now - 1, WallClock: now - 1},
-					)
-				}
-			}
+			session, command := randomTriggerCommand(rng, s, now)
 			for _, x := range []*State{s, r} {
 				if session.Kind != rollout.None {
 					x.ApplyRollout(session)
 				} else {
-					_ = x.ApplySchedule(c)
+					_ = x.Schedule().Apply(command)
 				}
 				x.UpdateOwners()
 			}
 			if !bytes.Equal(s.Encode(), r.Encode()) {
-				t.Fatalf("seed %d, after %v %+v:\n%s\n%s", seed, session.Kind, c, s.Encode(), r.Encode())
+				t.Fatalf("seed %d, after %v %+v:\n%s\n%s", seed, session.Kind, command, s.Encode(),
+					r.Encode())
 			}
 		}
 		if s.Schedule().LastNumber == 0 {
@@ -89,3 +71,38 @@
 		}
 	}
 }
+
+// randomTriggerCommand draws a command of the sessions, or, if that is None, one of the triggers.
+func randomTriggerCommand(rng *rand.Rand, s *State, now int64) (rollout.Command, schedule.Command) {
+	triggers := s.Schedule().Policy()
+	member := s.rollout.Sessions[uint64(1+rng.IntN(3))]
+	c := schedule.Command{Session: schedule.Session{Member: member.Member, Epoch: member.Epoch},
+		PolicyVersion: triggers.Version, ZoneRulesVersion: 1, ClusterTime: now}
+	var session rollout.Command
+	switch rng.IntN(6) {
+	case 0:
+		session = rollout.Command{Kind: rollout.OpenSession, Member: uint64(1 + rng.IntN(3)),
+			Incarnation: rng.Uint64()}
+	case 1:
+		session = rollout.Command{Kind: rollout.ExpireSessions,
+			Sessions: []rollout.SessionID{{Member: member.Member, Epoch: member.Epoch}}}
+	case 2:
+		c.Kind = schedule.DeclarePolicy
+	case 3:
+		c.Kind = schedule.RecordResults
+		for _, firing := range s.Schedule().OpenFirings() {
+			c.Session = firing.Session
+			c.Numbers, c.Results = append(c.Numbers, firing.Number), append(c.Results, schedule.Succeeded)
+		}
+	default:
+		c.Kind = schedule.IntendFirings
+		for n, trigger := range triggers.Triggers {
+			shard := placement.ShardOf(trigger.Name)
+			c.Advances = append(c.Advances, schedule.ShardAdvance{Shard: shard,
+				FromVersion: s.Schedule().Shards[shard].Version})
+			c.Occurrences = append(c.Occurrences, schedule.DueOccurrence{Trigger: n, LocalTime: 1000,
+				At: now - 1, WallClock: now - 1})
+		}
+	}
+	return session, c
+}
--- a/internal/cluster/clusterstate/validate.go
+++ b/internal/cluster/clusterstate/validate.go
@@ -3,31 +3,35 @@
 import (
 	"fmt"
 	"maps"
-	"math"
 	"slices"
 	"strings"
 	"time"
-
-	"moorstack/internal/cluster/replicated"
 )
 
-// SectionValidator checks a section that the program knows. It must be a pure function.
-type SectionValidator func(d *Document, values map[string]string) []string
+// maxDuration is the longest time that a document may name.
+const maxDuration = 24 * time.Hour
 
-// Rules are what documents are checked by. Every instance of a group must have the same.
-type Rules struct {
-	// Sections are those with rules that no subject has. One that isn't named may hold anything.
-	Sections map[string]SectionValidator
-	Types    []replicated.StateMachineType // what is agreed on beside the document; nil: Subjects()
-	format   int                           // of the group that judges; 0: what this program knows
-}
+// shareTolerance allows for the rounding of a sum of shares.
+const shareTolerance = 1e-9
+
+// problems collects what is wrong with a document, or what differs between two, a line each.
+type problems []string
 
-// longest is the longest time that a document may name.
-const longest = 24 * time.Hour
+func (p *problems) add(where, format string, args ...any) {
+	*p = append(*p, where+": "+fmt.Sprintf(format, args...))
+}
 
-// Validate gives all that is wrong with a document by itself.
+// Validate returns all that is wrong with a document by itself.
 func (r Rules) Validate(d *Document) []string {
 	var p problems
+	p.checkCounts(d)
+	p.checkClasses(d.Classes)
+	p.checkTenants(d.Tenants)
+	p.checkSections(r, d)
+	return p
+}
+
+func (p *problems) checkCounts(d *Document) {
 	if len(d.Classes) == 0 {
 		p.add("class", "there must be at least one")
 	}
@@ -37,287 +41,170 @@
 	if len(d.Tenants) > maxTenants {
 		p.add("tenant", "there are %d, %d are allowed", len(d.Tenants), maxTenants)
 	}
-	seen := map[string]bool{}
-	for i, c := range d.Classes {
-		at := fmt.Sprintf("class %q", c.Name)
-		if why := badName(c.Name); why != "" {
-			p.add(fmt.Sprintf("class[%d]", i), "name: %s", why)
-		} else if seen[c.Name] {
-			p.add(at, "there are two of this name")
-		}
-		seen[c.Name] = true
-		p.class(at, c)
-	}
-	clear(seen)
-	sum := 0.0
-	for i, t := range d.Tenants {
-		at := fmt.Sprintf("tenant %q", t.Name)
-		if why := badName(t.Name); why != "" {
-			p.add(fmt.Sprintf("tenant[%d]", i), "name: %s", why)
-		} else if seen[t.Name] {
-			p.add(at, "there are two of this name")
-		}
-		seen[t.Name] = true
-		if !(t.CapacityShare >= 0 && t.CapacityShare <= 1) {
-			p.add(at, "share: %v is not from 0 to 1", t.CapacityShare)
-		} else {
-			sum += t.CapacityShare
-		}
-		if !(t.QuotaPerSecond >= 0 && t.QuotaPerSecond < 1e9) {
-			p.add(at, "allowance_per_s: %v is not a number of requests a second", t.QuotaPerSecond)
-		}
-	}
-	if sum > 1+1e-9 {
-		p.add("tenant", "the shares add up to %.4g, which is more than 1", sum)
-	}
-	p.sections(r, d)
-	return p
 }
 
-// ValidateChange gives all that is wrong with a document as the next one after another:
-// what can't change while instances run, with the reason.
-func (r Rules) ValidateChange(was, d *Document) []string {
-	p := problems(r.Validate(d))
-	old := map[string]Class{}
-	for _, c := range was.Classes {
-		old[c.Name] = c
-	}
-	for _, c := range d.Classes {
-		o, ok := old[c.Name]
-		if !ok {
-			p.add(
-				fmt.Sprintf("class %q", c.Name),
-				"a class can't be added while instances run: their own files must name it first",
-			)
-			continue
-		}
-		delete(old, c.Name)
-		if c.Idempotency != o.Idempotency || c.KeyScope != o.KeyScope || c.KeyWindow != o.KeyWindow {
-			p.add(
-				fmt.Sprintf("class %q", c.Name),
-				"effect, key_scope and window can't change while instances run: open jobs may have run",
-			)
-		}
-	}
-	for _, name := range slices.Sorted(maps.Keys(old)) {
-		p.add(
-			fmt.Sprintf("class %q", name),
-			"a class can't be removed while instances run: jobs of it may be open",
-		)
-	}
-	tenants := map[string]bool{}
-	for _, t := range was.Tenants {
-		tenants[t.Name] = true
+// checkName checks the name of the entry at an index of an array of tables.
+func (p *problems) checkName(table string, index int, name string, seen map[string]bool) {
+	if why := invalidName(name); why != "" {
+		p.add(fmt.Sprintf("%s[%d]", table, index), "name: %s", why)
+	} else if seen[name] {
+		p.add(fmt.Sprintf("%s %q", table, name), "there are two of this name")
 	}
-	for _, t := range d.Tenants {
-		if !tenants[t.Name] {
-			p.add(fmt.Sprintf("tenant %q", t.Name), "a tenant can't be added while instances run")
-		}
-		delete(tenants, t.Name)
-	}
-	for _, name := range slices.Sorted(maps.Keys(tenants)) {
-		p.add(
-			fmt.Sprintf("tenant %q", name),
-			"a tenant can't be removed while instances run: jobs of it may be open",
-		)
-	}
-	return p
+	seen[name] = true
 }
 
-type problems []string
-
-func (p *problems) add(at, format string, args ...any) {
-	*p = append(*p, at+": "+fmt.Sprintf(format, args...))
+func (p *problems) checkClasses(classes []Class) {
+	seen := map[string]bool{}
+	for i, c := range classes {
+		p.checkName("class", i, c.Name, seen)
+		p.checkClass(fmt.Sprintf("class %q", c.Name), c)
+	}
 }
 
-func (p *problems) class(at string, c Class) {
+func (p *problems) checkClass(where string, c Class) {
 	if _, ok := effects[c.Idempotency]; !ok {
-		p.add(at, "effect: %q is not retryable, dedup or fragile", c.Idempotency)
+		p.add(where, "effect: %q is not retryable, dedup or fragile", c.Idempotency)
 	}
 	if _, ok := scopes[c.KeyScope]; !ok {
-		p.add(at, "key_scope: %q is not all, zone or cell", c.KeyScope)
+		p.add(where, "key_scope: %q is not all, zone or cell", c.KeyScope)
 	}
 	if c.Idempotency != "dedup" && (c.KeyScope != "" || c.KeyWindow != 0) {
-		p.add(at, "key_scope and window belong to the effect dedup")
+		p.add(where, "key_scope and window belong to the effect dedup")
 	}
-	if c.Idempotency == "dedup" && (c.KeyWindow <= 0 || time.Duration(c.KeyWindow) > longest) {
-		p.add(at, "window: %v is not above 0 and up to %v", c.KeyWindow, longest)
+	if c.Idempotency == "dedup" && (c.KeyWindow <= 0 || time.Duration(c.KeyWindow) > maxDuration) {
+		p.add(where, "window: %v is not above 0 and up to %v", c.KeyWindow, maxDuration)
 	}
-	if c.Timeout <= 0 || time.Duration(c.Timeout) > longest {
-		p.add(at, "give_up: %v is not above 0 and up to %v", c.Timeout, longest)
+	if c.Timeout <= 0 || time.Duration(c.Timeout) > maxDuration {
+		p.add(where, "give_up: %v is not above 0 and up to %v", c.Timeout, maxDuration)
 	}
 	if c.LatencyObjective < 0 || c.LatencyObjective > c.Timeout {
-		p.add(at, "aim: %v is not from 0 to give_up, %v", c.LatencyObjective, c.Timeout)
+		p.add(where, "aim: %v is not from 0 to give_up, %v", c.LatencyObjective, c.Timeout)
 	}
 	if !(c.ObjectiveStretch >= 0 && c.ObjectiveStretch <= 1000) {
-		p.add(at, "aim_stretch: %v is not from 0 to 1000", c.ObjectiveStretch)
+		p.add(where, "aim_stretch: %v is not from 0 to 1000", c.ObjectiveStretch)
 	}
 	if !(c.PriorityWeight >= 0 && c.PriorityWeight <= 1e9) {
-		p.add(at, "worth: %v is not from 0 to 1e9", c.PriorityWeight)
+		p.add(where, "worth: %v is not from 0 to 1e9", c.PriorityWeight)
 	}
 	if !(c.LateShare >= 0 && c.LateShare <= 1) {
-		p.add(at, "late_share: %v is not from 0 to 1", c.LateShare)
+		p.add(where, "late_share: %v is not from 0 to 1", c.LateShare)
 	}
 	if c.MaxAttempts < 0 || c.MaxAttempts > 100 {
-		p.add(at, "attempts: %d is not from 0 to 100", c.MaxAttempts)
+		p.add(where, "attempts: %d is not from 0 to 100", c.MaxAttempts)
+	}
+}
+
+func (p *problems) checkTenants(tenants []Tenant) {
+	seen := map[string]bool{}
+	sum := 0.0
+	for i, t := range tenants {
+		p.checkName("tenant", i, t.Name, seen)
+		where := fmt.Sprintf("tenant %q", t.Name)
+		if !(t.CapacityShare >= 0 && t.CapacityShare <= 1) {
+			p.add(where, "share: %v is not from 0 to 1", t.CapacityShare)
+		} else {
+			sum += t.CapacityShare
+		}
+		if !(t.QuotaPerSecond >= 0 && t.QuotaPerSecond < 1e9) {
+			p.add(where, "allowance_per_s: %v is not a number of requests a second", t.QuotaPerSecond)
+		}
+	}
+	if sum > 1+shareTolerance {
+		p.add("tenant", "the shares add up to %.4g, which is more than 1", sum)
 	}
 }
 
-func (p *problems) sections(r Rules, d *Document) {
-	sections := d.Sections
-	if len(sections) > maxSections {
-		p.add("section", "there are %d, %d are allowed", len(sections), maxSections)
+func (p *problems) checkSections(r Rules, d *Document) {
+	if len(d.Sections) > maxSections {
+		p.add("section", "there are %d, %d are allowed", len(d.Sections), maxSections)
 	}
-	for _, name := range slices.Sorted(maps.Keys(sections)) {
-		at := fmt.Sprintf("section %q", name)
-		if why := badName(name); why != "" {
-			p.add(at, "%s", why)
+	for _, name := range slices.Sorted(maps.Keys(d.Sections)) {
+		where := fmt.Sprintf("section %q", name)
+		if why := invalidName(name); why != "" {
+			p.add(where, "%s", why)
 		}
-		values := sections[name]
+		values := d.Sections[name]
 		if len(values) > maxKeys {
-			p.add(at, "there are %d keys, %d are allowed", len(values), maxKeys)
+			p.add(where, "there are %d keys, %d are allowed", len(values), maxKeys)
 		}
 		for _, key := range slices.Sorted(maps.Keys(values)) {
-			if why := badName(key); why != "" {
-				p.add(at, "key %q: %s", key, why)
+			if why := invalidName(key); why != "" {
+				p.add(where, "key %q: %s", key, why)
 			}
 		}
-		if x := r.subject(name); x != nil {
-			for _, why := range x.Validate(r.termsOf(d, name)) {
-				p.add(at, "%s", why)
+		if t := r.typeOf(name); t != nil {
+			for _, problem := range t.Validate(r.config(d, name)) {
+				p.add(where, "%s", problem)
 			}
 		}
-		if rule := r.Sections[name]; rule != nil {
-			for _, why := range rule(d, values) {
-				p.add(at, "%s", why)
+		if validate := r.Sections[name]; validate != nil {
+			for _, problem := range validate(d, values) {
+				p.add(where, "%s", problem)
 			}
 		}
 	}
 }
 
-func badName(s string) string {
+// invalidName reports why a text can't be a name; empty: it can.
+func invalidName(s string) string {
 	switch {
 	case s == "":
 		return "it is empty"
-	case len(s) > maxName:
-		return fmt.Sprintf("it has %d bytes, %d are allowed", len(s), maxName)
+	case len(s) > maxNameBytes:
+		return fmt.Sprintf("it has %d bytes, %d are allowed", len(s), maxNameBytes)
 	case strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == '"' || r >= 0x7f }):
 		return "it is not plain text without blanks"
 	}
 	return ""
 }
 
-// Diff says, a line each, what is different in b.
-func Diff(a, b *Document) []string {
-	var p problems
-	classes := map[string]Class{}
-	for _, c := range a.Classes {
-		classes[c.Name] = c
-	}
-	for _, c := range b.Classes {
-		at := fmt.Sprintf("class %q", c.Name)
-		o, ok := classes[c.Name]
-		if delete(classes, c.Name); !ok {
-			p.add(at, "added")
-			continue
-		}
-		p.differ(at, "effect", o.Idempotency, c.Idempotency)
-		p.differ(at, "key_scope", o.KeyScope, c.KeyScope)
-		p.differ(at, "window", o.KeyWindow, c.KeyWindow)
-		p.differ(at, "give_up", o.Timeout, c.Timeout)
-		p.differ(at, "aim", o.LatencyObjective, c.LatencyObjective)
-		p.differ(at, "aim_stretch", o.ObjectiveStretch, c.ObjectiveStretch)
-		p.differ(at, "worth", o.PriorityWeight, c.PriorityWeight)
-		p.differ(at, "late_share", o.LateShare, c.LateShare)
-		p.differ(at, "attempts", o.MaxAttempts, c.MaxAttempts)
-	}
-	for _, name := range slices.Sorted(maps.Keys(classes)) {
-		p.add(fmt.Sprintf("class %q", name), "removed")
-	}
-	tenants := map[string]Tenant{}
-	for _, t := range a.Tenants {
-		tenants[t.Name] = t
-	}
-	for _, t := range b.Tenants {
-		at := fmt.Sprintf("tenant %q", t.Name)
-		o, ok := tenants[t.Name]
-		if delete(tenants, t.Name); !ok {
-			p.add(at, "added")
-			continue
-		}
-		p.differ(at, "share", o.CapacityShare, t.CapacityShare)
-		p.differ(at, "allowance_per_s", o.QuotaPerSecond, t.QuotaPerSecond)
-	}
-	for _, name := range slices.Sorted(maps.Keys(tenants)) {
-		p.add(fmt.Sprintf("tenant %q", name), "removed")
-	}
-	names := map[string]bool{}
-	for name := range a.Sections {
-		names[name] = true
-	}
-	for name := range b.Sections {
-		names[name] = true
-	}
-	for _, name := range slices.Sorted(maps.Keys(names)) {
-		p.section(name, a.Sections[name], b.Sections[name])
-	}
-	if len(p) == 0 && !slices.Equal(a.Encode(), b.Encode()) {
-		p.add("document", "the order of its entries")
-	}
+// ValidateChange returns all that is wrong with a document as the next one after the current: also
+// what can't change while instances run, with the reason.
+func (r Rules) ValidateChange(current, next *Document) []string {
+	p := problems(r.Validate(next))
+	p.checkClassChanges(current.Classes, next.Classes)
+	p.checkTenantChanges(current.Tenants, next.Tenants)
 	return p
 }
 
-func (p *problems) section(name string, a, b map[string]string) {
-	keys := map[string]bool{}
-	for key := range a {
-		keys[key] = true
-	}
-	for key := range b {
-		keys[key] = true
+func (p *problems) checkClassChanges(current, next []Class) {
+	removed := map[string]Class{}
+	for _, c := range current {
+		removed[c.Name] = c
 	}
-	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		at := fmt.Sprintf("section %q", name)
-		before, had := a[key]
-		after, has := b[key]
-		switch {
-		case !had:
-			p.add(at, "%s added: %s", key, brief(after))
-		case !has:
-			p.add(at, "%s removed", key)
-		case before != after:
-			p.add(at, "%s %s -> %s", key, brief(before), brief(after))
+	for _, c := range next {
+		where := fmt.Sprintf("class %q", c.Name)
+		before, ok := removed[c.Name]
+		if !ok {
+			p.add(where, "a class can't be added while instances run: their own files must name it first")
+			continue
+		}
+		delete(removed, c.Name)
+		if c.Idempotency != before.Idempotency || c.KeyScope != before.KeyScope ||
+			c.KeyWindow != before.KeyWindow {
+			p.add(where,
+				"effect, key_scope and window can't change while instances run: open jobs may have run")
 		}
 	}
-}
-
-func (p *problems) differ(at, what string, a, b any) {
-	if a != b {
-		p.add(at, "%s %s -> %s", what, brief(fmt.Sprint(a)), brief(fmt.Sprint(b)))
+	for _, name := range slices.Sorted(maps.Keys(removed)) {
+		p.add(fmt.Sprintf("class %q", name),
+			"a class can't be removed while instances run: jobs of it may be open")
 	}
 }
 
-// brief keeps a line of a diff readable.
-func brief(s string) string {
-	if s == "" {
-		return `""`
-	}
-	if len(s) > 60 {
-		return fmt.Sprintf("%.57q...", s)
-	}
-	if strings.ContainsAny(s, "\n\t ") {
-		return fmt.Sprintf("%q", s)
+func (p *problems) checkTenantChanges(current, next []Tenant) {
+	removed := map[string]bool{}
+	for _, t := range current {
+		removed[t.Name] = true
 	}
-	return s
-}
-
-// finite guards Encode: JSON has no word for the other numbers.
-func (d *Document) finite() bool {
-	for _, c := range d.Classes {
-		if bad(c.ObjectiveStretch) || bad(c.PriorityWeight) || bad(c.LateShare) {
-			return false
+	for _, t := range next {
+		if !removed[t.Name] {
+			p.add(fmt.Sprintf("tenant %q", t.Name), "a tenant can't be added while instances run")
 		}
+		delete(removed, t.Name)
+	}
+	for _, name := range slices.Sorted(maps.Keys(removed)) {
+		p.add(fmt.Sprintf("tenant %q", name),
+			"a tenant can't be removed while instances run: jobs of it may be open")
 	}
-	return !slices.ContainsFunc(d.Tenants, func(t Tenant) bool { return bad(t.CapacityShare) || bad(t.QuotaPerSecond) })
 }
-
-func bad(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) }
