--- a/internal/storage/store/append.go
+++ b/internal/storage/store/append.go
@@ -68,7 +68,7 @@
 		return s.fail(fmt.Errorf("syncing the store: %w", err))
 	}
 	s.unsynced = false
-	// The marker needs no sync of its own: it only helps to tell damage from a torn tail. If the disk
+	// The marker needs no sync of its own: it only helps to distinguish damage from a torn tail. If the disk
 	// has no space for it, that help is missing and nothing else.
 	if err := s.write(appendRecord(nil, s.nextSeq, kindSyncMarker, nil)); err != nil && s.failure != nil {
 		return s.failure
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -82,7 +82,7 @@
 	return b
 }
 
-// parseRecord reads the record at the start of b. A reason that is not empty says why there is none.
+// parseRecord reads the record at the start of b. A reason that is not empty reports why there is none.
 func parseRecord(b []byte) (r Record, size int, reason string) {
 	if len(b) < recordHeaderBytes {
 		return r, 0, "the record's head is cut short"
@@ -122,7 +122,7 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
 }
 
-// parseSegmentHeader reads the header at the start of b. A reason that is not empty says why there is
+// parseSegmentHeader reads the header at the start of b. A reason that is not empty reports why there is
 // none.
 func parseSegmentHeader(b []byte) (firstSeq uint64, reason string) {
 	if len(b) < segmentHeaderBytes {
@@ -140,7 +140,7 @@
 	return binary.LittleEndian.Uint64(b[segmentSeqOffset:]), ""
 }
 
-// wrongVersion says why a file with this header can't be read; empty: it can.
+// wrongVersion reports why a file with this header can't be read; empty: it can.
 func wrongVersion(header []byte) string {
 	if v := binary.LittleEndian.Uint32(header[versionOffset:]); v != formatVersion {
 		return fmt.Sprintf("its format is version %d, this program reads version %d", v, formatVersion)
@@ -159,7 +159,7 @@
 	return append(b, data...)
 }
 
-// parseSnapshot reads a snapshot file. A reason that is not empty says what is wrong with it, at which
+// parseSnapshot reads a snapshot file. A reason that is not empty reports what is wrong with it, at which
 // offset.
 func parseSnapshot(b []byte) (nextSeq uint64, data []byte, offset int64, reason string) {
 	if len(b) < snapshotHeaderBytes {
--- a/internal/storage/store/scan.go
+++ b/internal/storage/store/scan.go
@@ -17,7 +17,7 @@
 	seqDigits       = 20 // of the sequence number that a file is named by
 )
 
-// CorruptError says where a store is damaged. A damaged store does not open: to continue
+// CorruptError reports where a store is damaged. A damaged store does not open: to continue
 // without what was acknowledged would be a silent loss.
 type CorruptError struct {
 	File   string
@@ -170,7 +170,7 @@
 	return s.readRecords(path, b, firstSeq, last)
 }
 
-// gapBefore says why a segment with that first record can't follow what has been read.
+// gapBefore reports why a segment with that first record can't follow what has been read.
 func (s *scanner) gapBefore(firstSeq uint64) string {
 	switch {
 	case len(s.segments) == 0 && firstSeq > s.nextSeq:
@@ -231,7 +231,7 @@
 	return false
 }
 
-// isNumbered says whether a file is named by a sequence number and the suffix.
+// isNumbered reports whether a file is named by a sequence number and the suffix.
 func isNumbered(name, suffix string) bool {
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) != seqDigits {
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 )
 
-// defaultSegmentBytes is the size past which a segment is closed unless Options says otherwise.
+// defaultSegmentBytes is the size past which a segment is closed unless Options sets another.
 const defaultSegmentBytes = 64 << 20
 
 // ErrClosed is returned by the calls of a Store or GroupCommitter that has been closed.
