--- /dev/null
+++ b/internal/cluster/schedule/scheduler_results.go
@@ -0,0 +1,103 @@
+package schedule
+
+import (
+	"maps"
+	"time"
+)
+
+const (
+	// orphanGraceLeases is how many leases an orphaned firing whose job may not be sent again waits for its
+	// former session to report its result.
+	orphanGraceLeases = 10
+	// maxResultsPerCommand is how many results a command records.
+	maxResultsPerCommand = 2000
+)
+
+// pendingResult is a result that is not known to be in the replicated state.
+type pendingResult struct {
+	session Session // that had the firing
+	result  Result
+	sentAt  time.Duration
+	sent    bool
+}
+
+// RecordResult takes the result of a firing that this instance had under a session. It is proposed until the
+// replicated state has it.
+func (sc *Scheduler) RecordResult(number uint64, session Session, r Result) {
+	if _, known := sc.pendingResults[number]; !known {
+		sc.pendingResults[number] = pendingResult{session: session, result: r}
+	}
+}
+
+// recordResults proposes the pending results, also those of a session that has ended as long as no other
+// session has adopted the firing.
+func (sc *Scheduler) recordResults(s *State, in Input) (out []Command) {
+	bySession := map[Session]*Command{}
+	for n, x := range sc.pendingResults {
+		if f, open := s.OpenFiring(n); !open && n <= s.LastNumber || open && f.Session != x.session {
+			delete(sc.pendingResults, n)
+			continue
+		}
+		if x.sent && in.Now-x.sentAt < in.LeaseDuration {
+			continue
+		}
+		x.sentAt, x.sent = in.Now, true
+		sc.pendingResults[n] = x
+		c := bySession[x.session]
+		if c == nil {
+			c = &Command{Kind: RecordResults, Session: x.session}
+			bySession[x.session] = c
+		}
+		c.Numbers, c.Results = append(c.Numbers, n), append(c.Results, x.result)
+		if len(c.Numbers) >= maxResultsPerCommand {
+			out = append(out, *c)
+			delete(bySession, x.session)
+		}
+	}
+	for _, c := range bySession {
+		out = append(out, *c)
+	}
+	return out
+}
+
+// resolveOrphans proposes to adopt the orphaned firings of the shards that this instance owns, or to finish
+// them.
+func (sc *Scheduler) resolveOrphans(s *State, in Input) []Command {
+	c := Command{Kind: ResolveOrphans, Session: in.Session}
+	for n, f := range s.open {
+		if !f.Orphaned || !s.ownsTrigger(in.Session, f.Trigger) {
+			continue
+		}
+		if at, sent := sc.resolveSentAt[n]; sent && in.Now-at < in.LeaseDuration {
+			continue
+		}
+		// Its former session's process may be alive, and report the result or that the job never started.
+		if _, known := sc.orphanSeenAt[n]; !known {
+			sc.orphanSeenAt[n] = in.Now
+		}
+		result := sc.orphanResult(f, in)
+		if result == Unknown && in.Now-sc.orphanSeenAt[n] < orphanGraceLeases*in.LeaseDuration {
+			continue
+		}
+		sc.resolveSentAt[n] = in.Now
+		c.Numbers, c.Results = append(c.Numbers, n), append(c.Results, result)
+	}
+	isFinished := func(n uint64, _ time.Duration) bool { return s.open[n] == nil }
+	maps.DeleteFunc(sc.orphanSeenAt, isFinished)
+	maps.DeleteFunc(sc.resolveSentAt, isFinished)
+	if len(c.Numbers) == 0 {
+		return nil
+	}
+	return []Command{c}
+}
+
+// orphanResult is Succeeded if an orphaned firing may be adopted, else Unknown.
+func (sc *Scheduler) orphanResult(f *Firing, in Input) Result {
+	k := sc.policy.indexOf(f.Trigger)
+	// Both times are whole seconds, so one more may have passed.
+	ago := time.Duration(in.ClusterTime-f.IntendedAt+1) * time.Second
+	if f.NeverStarted || k >= 0 && in.Retryable(&sc.policy.Triggers[k], ago) {
+		return Succeeded
+	}
+	return Unknown
+}
