--- a/internal/cluster/calendar/next.go
+++ b/internal/cluster/calendar/next.go
@@ -1,20 +1,23 @@
 package calendar
 
-// Next is the first occurrence after an instant; false: there is none within some years.
-func (p *Recurrence) Next(after int64) (Occurrence, bool) {
-	if p.intervalSeconds > 0 && !p.rules.WallClockIntervals {
-		at := (floorDiv(after, p.intervalSeconds) + 1) * p.intervalSeconds
-		y, m, d := dateOfDay(floorDiv(at, secondsPerDay))
-		secs := int(at - floorDiv(at, secondsPerDay)*secondsPerDay)
-		return Occurrence{At: at, WallClock: at, LocalTime: newLocalTime(y, m, d, secs, 0)}, true
-	}
-	most := after + searchHorizonSeconds
-	periods := p.zone.periods
-	for i := p.zone.periodIndex(after); i < len(periods) && periods[i].start <= most; i++ {
-		lower := max(after+1, periods[i].start)
-		o, ok := p.nextExisting(i, lower, most)
-		if moved, is := p.nextInGap(i, lower); is && (!ok || moved.At < o.At) {
-			o, ok = moved, true
+import "math/bits"
+
+// Next returns the first occurrence after an instant, in Unix seconds; false: there is none within the search
+// horizon.
+func (r *Recurrence) Next(after int64) (Occurrence, bool) {
+	if r.intervalSeconds > 0 && !r.rules.WallClockIntervals {
+		at := (floorDiv(after, r.intervalSeconds) + 1) * r.intervalSeconds
+		days, secondOfDay := splitDay(at)
+		local := newLocalTime(dateOfDay(days), secondOfDay, 0)
+		return Occurrence{At: at, WallClock: at, LocalTime: local}, true
+	}
+	horizon := after + searchHorizonSeconds
+	periods := r.zone.periods
+	for i := r.zone.periodIndex(after); i < len(periods) && periods[i].start <= horizon; i++ {
+		from := max(after+1, periods[i].start)
+		o, ok := r.nextExisting(i, from, horizon)
+		if inGap, found := r.nextInGap(i, from); found && (!ok || inGap.At < o.At) {
+			o, ok = inGap, true
 		}
 		if ok {
 			return o, true
@@ -23,215 +26,246 @@
 	return Occurrence{}, false
 }
 
-// nextExisting is the first occurrence in a period whose local time is there as the expression gives it.
-func (p *Recurrence) nextExisting(i int, lower, most int64) (Occurrence, bool) {
-	now := p.zone.periods[i]
-	civil := lower + now.offset
-	limit := min(now.end, most) + now.offset
+// nextExisting returns the first occurrence in a period at or after an instant whose local time exists as the
+// expression gives it.
+func (r *Recurrence) nextExisting(i int, from, horizon int64) (Occurrence, bool) {
+	period := r.zone.periods[i]
+	civil := from + period.offset
+	limit := min(period.end, horizon) + period.offset
 	for {
-		c, day, ok := p.nextCivil(civil, limit)
+		match, ok := r.nextCivil(civil, limit)
 		if !ok {
 			return Occurrence{}, false
 		}
-		o := Occurrence{At: c - now.offset, WallClock: c}
-		if day.adjusted {
+		o := Occurrence{At: match.civil - period.offset, WallClock: match.civil}
+		if match.adjusted {
 			o.Adjustment = AdjustedMissingDay
 		}
 		fold := uint64(0)
-		if i > 0 {
-			// Was it there before the clocks were set back?
-			if was := p.zone.periods[i-1]; was.offset > now.offset && c-was.offset < now.start {
-				if p.rules.Fold == FirstFold {
-					civil = now.start + was.offset
-					continue
-				}
-				fold, o.Adjustment = 1, SecondOccurrence
+		if firstEnd, repeated := r.repeatedFromBefore(i, match.civil); repeated {
+			if r.rules.Fold == FirstFold {
+				civil = firstEnd
+				continue
 			}
+			fold, o.Adjustment = 1, SecondOccurrence
 		}
-		if fold == 0 && p.rules.Fold == SecondFold && i+1 < len(p.zone.periods) {
-			// Will it be there again? So will all that follow in this period.
-			if next := p.zone.periods[i+1]; next.offset < now.offset && c-next.offset >= now.end {
-				return Occurrence{}, false
-			}
+		if fold == 0 && r.rules.Fold == SecondFold && r.repeatedAfter(i, match.civil) {
+			// So is everything that follows in this period.
+			return Occurrence{}, false
 		}
-		o.LocalTime = newLocalTime(day.y, day.m, day.d, int(c-floorDiv(c, secondsPerDay)*secondsPerDay), fold)
+		o.LocalTime = match.localTime(fold)
 		return o, true
 	}
 }
 
-// nextInGap is the first occurrence that comes in a period because the shift at its start leaves its local
-// time out. One that would come at the instant of another of the plan's is that other one.
-func (p *Recurrence) nextInGap(i int, lower int64) (Occurrence, bool) {
-	if i == 0 || p.rules.Gap == SkipGap {
+// repeatedFromBefore reports whether a local time of a period existed in the period before, too, as the
+// clocks were set back in between; firstEnd is the first local time that did not.
+func (r *Recurrence) repeatedFromBefore(i int, civil int64) (firstEnd int64, repeated bool) {
+	if i == 0 {
+		return 0, false
+	}
+	before, period := r.zone.periods[i-1], r.zone.periods[i]
+	return period.start + before.offset,
+		before.offset > period.offset && civil-before.offset < period.start
+}
+
+// repeatedAfter reports whether a local time of a period exists in the period after, too.
+func (r *Recurrence) repeatedAfter(i int, civil int64) bool {
+	if i+1 == len(r.zone.periods) {
+		return false
+	}
+	period, after := r.zone.periods[i], r.zone.periods[i+1]
+	return after.offset < period.offset && civil-after.offset >= period.end
+}
+
+// nextInGap returns the first occurrence in a period, at or after an instant, whose local time is in the gap
+// at the period's start. One that would be at the instant of another occurrence is that other one.
+func (r *Recurrence) nextInGap(i int, from int64) (Occurrence, bool) {
+	if i == 0 || r.rules.Gap == SkipGap {
 		return Occurrence{}, false
 	}
-	was, now := p.zone.periods[i-1], p.zone.periods[i]
-	from, to := now.start+was.offset, now.start+now.offset // local times that are not there
-	if from >= to || lower > now.start && p.rules.Gap == AfterGap || lower >= now.start+(to-from) {
+	before, period := r.zone.periods[i-1], r.zone.periods[i]
+	gapStart, gapEnd := period.start+before.offset, period.start+period.offset
+	if gapStart >= gapEnd || from > period.start && r.rules.Gap == AfterGap ||
+		from >= period.start+(gapEnd-gapStart) {
 		return Occurrence{}, false
 	}
-	if p.rules.Gap == ShiftGap {
-		from = max(from, lower+was.offset)
+	civil := gapStart
+	if r.rules.Gap == ShiftGap {
+		civil = max(civil, from+before.offset)
 	}
 	for {
-		c, day, ok := p.nextCivil(from, to)
-		at := c - was.offset
-		if p.rules.Gap == AfterGap {
-			at = now.start
+		match, ok := r.nextCivil(civil, gapEnd)
+		at := match.civil - before.offset
+		if r.rules.Gap == AfterGap {
+			at = period.start
 		}
-		if !ok || at >= now.end {
+		if !ok || at >= period.end {
 			return Occurrence{}, false
 		}
-		if n, is := p.nextExisting(i, at, at+1); is && n.At == at {
-			if p.rules.Gap == AfterGap {
+		if other, exists := r.nextExisting(i, at, at+1); exists && other.At == at {
+			if r.rules.Gap == AfterGap {
 				return Occurrence{}, false
 			}
-			from = c + 1
+			civil = match.civil + 1
 			continue
 		}
-		return Occurrence{At: at, WallClock: at + now.offset, Adjustment: AdjustedGap,
-			LocalTime: newLocalTime(
-				day.y,
-				day.m,
-				day.d,
-				int(c-floorDiv(c, secondsPerDay)*secondsPerDay),
-				0,
-			)}, true
+		return Occurrence{At: at, WallClock: at + period.offset, Adjustment: AdjustedGap,
+			LocalTime: match.localTime(0)}, true
 	}
 }
 
-// matchedDate is a local date, by the name that the expression has for it.
+// civilMatch is a local time at which the recurrence occurs if local time is continuous.
+type civilMatch struct {
+	civil int64 // seconds since 1970 in local time
+	matchedDate
+}
+
+// matchedDate is a date as the expression gives it, which a rule may have adjusted to another day.
 type matchedDate struct {
-	y, m, d  int
+	date
 	adjusted bool
 }
 
-// nextCivil is the first local time at or after c, and before limit, at which the plan comes if local
-// time ran on evenly.
-func (p *Recurrence) nextCivil(c, limit int64) (int64, matchedDate, bool) {
-	number := floorDiv(c, secondsPerDay)
-	secs := int(c - number*secondsPerDay)
-	y, m, d := dateOfDay(number)
-	for number*secondsPerDay < limit {
-		if day, ok := p.matchDay(y, m, d); ok {
-			if s := p.nextTimeOfDay(secs); s >= 0 {
-				c := number*secondsPerDay + int64(s)
-				return c, day, c < limit
+func (m civilMatch) localTime(fold uint64) LocalTime {
+	_, secondOfDay := splitDay(m.civil)
+	return newLocalTime(m.date, secondOfDay, fold)
+}
+
+// nextCivil returns the first match at or after a local time, and before the limit.
+func (r *Recurrence) nextCivil(civil, limit int64) (civilMatch, bool) {
+	days, secondOfDay := splitDay(civil)
+	d := dateOfDay(days)
+	for days*secondsPerDay < limit {
+		if matched, ok := r.matchDay(d); ok {
+			if s := r.nextTimeOfDay(secondOfDay); s >= 0 {
+				civil := days*secondsPerDay + int64(s)
+				return civilMatch{civil, matched}, civil < limit
 			}
 		}
-		secs = 0
-		if !p.monthMayMatch(y, m) {
-			number += int64(daysInMonth(y, m) - d + 1)
-			d = daysInMonth(y, m) + 1
+		secondOfDay = 0
+		if r.monthMayMatch(d) && d.day < d.daysInMonth() {
+			days++
+			d.day++
 		} else {
-			number++
-			d++
-		}
-		if d > daysInMonth(y, m) {
-			if d, m = 1, m+1; m > 12 {
-				m, y = 1, y+1
-			}
+			days += int64(d.daysInMonth() - d.day + 1)
+			d = d.nextMonth()
 		}
 	}
-	return 0, matchedDate{}, false
+	return civilMatch{}, false
 }
 
-// monthMayMatch says whether any day of a month may be one of the plan's.
-func (p *Recurrence) monthMayMatch(y, m int) bool {
-	if p.intervalSeconds > 0 || hasBit(p.months, m) {
+// monthMayMatch reports whether the recurrence may occur on some day of a date's month.
+func (r *Recurrence) monthMayMatch(d date) bool {
+	if r.intervalSeconds > 0 || r.months.has(d.month) {
 		return true
 	}
-	before := m - 1
-	if before == 0 {
-		before = 12
-	}
-	return hasBit(p.months, before) && (p.rules.LeapDay == NextDay || p.rules.ShortMonth == NextDay)
+	return r.months.has(d.previousMonth().month) &&
+		(r.rules.LeapDay == NextDay || r.rules.ShortMonth == NextDay)
 }
 
-// matchDay says whether a date is one of the plan's, and by which name: its own, or that of a day that the
-// month, or the one before, lacks.
-func (p *Recurrence) matchDay(y, m, d int) (matchedDate, bool) {
-	if p.intervalSeconds > 0 {
-		return matchedDate{y, m, d, false}, true
-	}
-	if hasBit(p.months, m) {
-		dom := hasBit(p.daysOfMonth, d) || p.includesLastDay && d == daysInMonth(y, m)
-		weekday := int((daysSinceEpoch(y, m, d)%7 + 11) % 7)
-		dow := hasBit(p.daysOfWeek, weekday)
-		// As cron has it: where both are restricted, either will do.
-		if p.daysOfMonth&unrestrictedBit != 0 || p.daysOfWeek&unrestrictedBit != 0 {
-			if dom && dow {
-				return matchedDate{y, m, d, false}, true
-			}
-		} else if dom || dow {
-			return matchedDate{y, m, d, false}, true
+// matchDay reports whether the recurrence occurs on a date, and returns the date as the expression gives it:
+// the date itself, or the day that its month, or the one before, does not have.
+func (r *Recurrence) matchDay(d date) (matchedDate, bool) {
+	if r.intervalSeconds > 0 {
+		return matchedDate{date: d}, true
+	}
+	if r.months.has(d.month) {
+		if r.matchExistingDay(d) {
+			return matchedDate{date: d}, true
 		}
-		if d == daysInMonth(y, m) {
-			if e := p.firstMissingDay(y, m, LastDay); e > 0 {
-				return matchedDate{y, m, e, true}, true
+		if d.day == d.daysInMonth() {
+			if missing := r.firstMissingDay(d, LastDay); missing > 0 {
+				return matchedDate{date{d.year, d.month, missing}, true}, true
 			}
 		}
 	}
-	if d == 1 {
-		py, pm := y, m-1
-		if pm == 0 {
-			py, pm = y-1, 12
-		}
-		if hasBit(p.months, pm) {
-			if e := p.firstMissingDay(py, pm, NextDay); e > 0 {
-				return matchedDate{py, pm, e, true}, true
+	if d.day == 1 {
+		if before := d.previousMonth(); r.months.has(before.month) {
+			if missing := r.firstMissingDay(before, NextDay); missing > 0 {
+				return matchedDate{date{before.year, before.month, missing}, true}, true
 			}
 		}
 	}
 	return matchedDate{}, false
 }
 
-// firstMissingDay is the first day that the plan names and a month lacks, where the rule for it is the given
-// one.
-func (p *Recurrence) firstMissingDay(y, m int, rule MissingDayRule) int {
-	if p.daysOfMonth&unrestrictedBit != 0 {
+// matchExistingDay reports whether a date of a month that matches is given by the expression.
+func (r *Recurrence) matchExistingDay(d date) bool {
+	dayOfMonth := r.daysOfMonth.has(d.day) || r.includesLastDay && d.day == d.daysInMonth()
+	dayOfWeek := r.daysOfWeek.has(d.weekday())
+	// As cron has it: if both are restricted, either will do.
+	if r.daysOfMonth.unrestricted() || r.daysOfWeek.unrestricted() {
+		return dayOfMonth && dayOfWeek
+	}
+	return dayOfMonth || dayOfWeek
+}
+
+// firstMissingDay returns the first day that the expression gives and a date's month does not have, if the
+// rule for that day is the given one; else 0.
+func (r *Recurrence) firstMissingDay(d date, rule MissingDayRule) int {
+	if r.daysOfMonth.unrestricted() {
 		return 0
 	}
-	for e := nextBit(p.daysOfMonth, daysInMonth(y, m)+1); e > 0; e = nextBit(p.daysOfMonth, e+1) {
-		of := p.rules.ShortMonth
-		if m == 2 && e == 29 {
-			of = p.rules.LeapDay
+	for day := r.daysOfMonth.next(d.daysInMonth() + 1); day > 0; day = r.daysOfMonth.next(day + 1) {
+		applies := r.rules.ShortMonth
+		if d.month == 2 && day == 29 {
+			applies = r.rules.LeapDay
 		}
-		if of == rule {
-			return e
+		if applies == rule {
+			return day
 		}
 	}
 	return 0
 }
 
-// nextTimeOfDay is the first second of a day, at or after the given one, at which the plan comes; -1: none.
-func (p *Recurrence) nextTimeOfDay(secs int) int {
-	if p.intervalSeconds > 0 {
-		n := (int64(secs) + p.intervalSeconds - 1) / p.intervalSeconds * p.intervalSeconds
-		if n >= secondsPerDay {
+// nextTimeOfDay returns the first second of a day, at or after the given one, at which the recurrence occurs;
+// -1: none.
+func (r *Recurrence) nextTimeOfDay(secondOfDay int) int {
+	if r.intervalSeconds > 0 {
+		next := (int64(secondOfDay) + r.intervalSeconds - 1) / r.intervalSeconds * r.intervalSeconds
+		if next >= secondsPerDay {
 			return -1
 		}
-		return int(n)
+		return int(next)
 	}
-	h, m, s := secs/3600, secs/60%60, secs%60
-	hour := nextBit(p.hours, h)
+	h, m, s := secondOfDay/3600, secondOfDay/60%60, secondOfDay%60
+	hour := r.hours.next(h)
 	if hour < 0 {
 		return -1
 	}
 	if hour == h {
-		minute := nextBit(p.minutes, m)
+		minute := r.minutes.next(m)
 		if minute == m {
-			if second := nextBit(p.seconds, s); second >= 0 {
+			if second := r.seconds.next(s); second >= 0 {
 				return hour*3600 + minute*60 + second
 			}
-			minute = nextBit(p.minutes, m+1)
+			minute = r.minutes.next(m + 1)
 		}
 		if minute >= 0 {
-			return hour*3600 + minute*60 + nextBit(p.seconds, 0)
+			return hour*3600 + minute*60 + r.seconds.next(0)
 		}
-		if hour = nextBit(p.hours, h+1); hour < 0 {
+		if hour = r.hours.next(h + 1); hour < 0 {
 			return -1
 		}
 	}
-	return hour*3600 + nextBit(p.minutes, 0)*60 + nextBit(p.seconds, 0)
+	return hour*3600 + r.minutes.next(0)*60 + r.seconds.next(0)
+}
+
+// cronField is a field of a cron expression: a bit for each value, and unrestrictedBit.
+type cronField uint64
+
+// unrestrictedBit is set by package cron in a field that is "*" or "?".
+const unrestrictedBit cronField = 1 << 63
+
+func (f cronField) unrestricted() bool { return f&unrestrictedBit != 0 }
+
+func (f cronField) has(value int) bool { return f>>uint(value)&1 == 1 }
+
+// next returns the first value that is set at or above the given one, or -1.
+func (f cronField) next(value int) int {
+	if rest := f &^ unrestrictedBit >> uint(value) << uint(value); rest != 0 {
+		return bits.TrailingZeros64(uint64(rest))
+	}
+	return -1
 }
--- a/internal/cluster/calendar/zone.go
+++ b/internal/cluster/calendar/zone.go
@@ -7,31 +7,38 @@
 	"slices"
 	"sync"
 	"time"
-	_ "time/tzdata" // where the machine has no rules of its own
+	_ "time/tzdata" // for machines without zone rules of their own
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Zone is the rules of a place, from 1900 to 2110.
+// Zone is the rules of a time zone from 1900 to 2110. It is immutable.
 type Zone struct {
 	name    string
-	periods []period
+	periods []period // without gaps, in order
 }
 
-// period is a stretch of time with one offset: [start, end), in Unix seconds.
+// period is a time span with one offset from UTC: [start, end), in Unix seconds.
 type period struct{ start, end, offset int64 }
 
+// The span for which a location's rules are read, in Unix seconds.
 var (
 	rulesFrom  = time.Date(1900, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
 	rulesUntil = time.Date(2110, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
 )
 
-// UTC is the zone without rules.
+// The ends of time: half of what fits, so that adding an offset or a horizon does not overflow.
+const (
+	beginningOfTime = math.MinInt64 / 2
+	endOfTime       = math.MaxInt64 / 2
+)
+
+// UTC returns the zone UTC.
 func UTC() *Zone {
-	return &Zone{name: "UTC", periods: []period{{math.MinInt64 / 2, math.MaxInt64 / 2, 0}}}
+	return &Zone{name: "UTC", periods: []period{{beginningOfTime, endOfTime, 0}}}
 }
 
-// NewZone reads the rules out of a location.
+// NewZone reads the rules of a location.
 func NewZone(loc *time.Location) *Zone {
 	z := &Zone{name: loc.String()}
 	at := rulesFrom
@@ -45,13 +52,13 @@
 			begin = min(at, start.Unix())
 		}
 		if last < 0 {
-			z.periods = append(z.periods, period{math.MinInt64 / 2, 0, int64(offset)})
+			z.periods = append(z.periods, period{beginningOfTime, 0, int64(offset)})
 		} else if z.periods[last].offset != int64(offset) {
 			z.periods[last].end = begin
 			z.periods = append(z.periods, period{begin, 0, int64(offset)})
 		}
-		// Hazard: past the last change that is written out, the library tells the end of a year that a
-		// rule is for, and it may be the very instant that it was asked for.
+		// Hazard: after the last change that the location lists, the library returns the end of the year that
+		// its rule is applied to, which may be the very instant that was asked for.
 		next := at + secondsPerDay
 		if end.IsZero() {
 			break
@@ -61,20 +68,20 @@
 		}
 		at = next
 	}
-	z.periods[len(z.periods)-1].end = math.MaxInt64 / 2
+	z.periods[len(z.periods)-1].end = endOfTime
 	return z
 }
 
-// Name is the zone's.
+// Name returns the zone's name in the tz database.
 func (z *Zone) Name() string { return z.name }
 
-// periodIndex is the period that an instant is in.
-func (z *Zone) periodIndex(t int64) int {
-	i, ok := slices.BinarySearchFunc(z.periods, t, func(p period, t int64) int {
+// periodIndex returns the index of the period that an instant is in.
+func (z *Zone) periodIndex(at int64) int {
+	i, ok := slices.BinarySearchFunc(z.periods, at, func(p period, at int64) int {
 		switch {
-		case p.start < t:
+		case p.start < at:
 			return -1
-		case p.start > t:
+		case p.start > at:
 			return 1
 		}
 		return 0
@@ -85,54 +92,54 @@
 	return i
 }
 
-// WallClock is what local clocks show at an instant.
-func (z *Zone) WallClock(t int64) int64 { return t + z.periods[z.periodIndex(t)].offset }
+// WallClock returns what local clocks show at an instant, as seconds since 1970 there.
+func (z *Zone) WallClock(at int64) int64 { return at + z.periods[z.periodIndex(at)].offset }
 
-// ZoneDB loads zones, each once. It may be used from several goroutines.
+// ZoneDB loads zones by name, each once. Several goroutines may use it.
 type ZoneDB struct {
 	mu    sync.Mutex
 	cache map[string]*Zone
 	load  func(string) (*time.Location, error)
 }
 
-// NewZoneDB uses the machine's rules, or those that the program has in it.
-func NewZoneDB() *ZoneDB { return &ZoneDB{cache: map[string]*Zone{}, load: time.LoadLocation} }
+// NewZoneDB returns a ZoneDB of the machine's rules, or of those in the program if the machine has none.
+func NewZoneDB() *ZoneDB { return NewZoneDBWithLoader(time.LoadLocation) }
 
-// NewZoneDBWithLoader uses the given rules: other ones, for tests.
+// NewZoneDBWithLoader returns a ZoneDB of other rules, for tests.
 func NewZoneDBWithLoader(load func(string) (*time.Location, error)) *ZoneDB {
 	return &ZoneDB{cache: map[string]*Zone{}, load: load}
 }
 
-// Lookup is the zone of a name, as in "Asia/Muscat".
-func (z *ZoneDB) Lookup(name string) (*Zone, error) {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	if zone := z.cache[name]; zone != nil {
+// Lookup returns the zone of a name, as in "Asia/Muscat".
+func (db *ZoneDB) Lookup(name string) (*Zone, error) {
+	db.mu.Lock()
+	defer db.mu.Unlock()
+	if zone := db.cache[name]; zone != nil {
 		return zone, nil
 	}
-	// Hazard: "Local" is whatever the machine is set to, and differs from instance to instance.
+	// Hazard: "Local" is whatever the machine is set to, and differs between instances.
 	if name == "" || name == "Local" {
 		return nil, fmt.Errorf("%q is no zone of the tz database, as \"Asia/Muscat\" is", name)
 	}
-	loc, err := z.load(name)
+	loc, err := db.load(name)
 	if err != nil {
 		return nil, fmt.Errorf("%q is no zone that the rules here know", name)
 	}
 	zone := NewZone(loc)
-	z.cache[name] = zone
+	db.cache[name] = zone
 	return zone, nil
 }
 
-// RulesVersion is a number for the rules of the named zones: equal rules have equal ones, wherever they were
-// read from. A zone that is not known here counts as one without rules.
+// RulesVersion returns a version of the rules of the named zones: equal rules have equal versions, wherever
+// they were read from. A zone that is unknown here counts as one without rules.
 //
-// Hazard: a release's name ("2026a") says what somebody has packed, with or without changes, and a
-// program can't read it off the rules that it uses. So the rules themselves are counted.
-func (z *ZoneDB) RulesVersion(names []string) uint64 {
+// Hazard: a release's name ("2026a") states what somebody has packaged, with or without changes, and a
+// program can't derive it from the rules that it uses. So the version is a hash of the rules themselves.
+func (db *ZoneDB) RulesVersion(names []string) uint64 {
 	h := xxhash.New()
 	for _, name := range slices.Sorted(slices.Values(names)) {
 		_, _ = h.WriteString(name)
-		zone, err := z.Lookup(name)
+		zone, err := db.Lookup(name)
 		if err != nil {
 			continue
 		}
