--- a/internal/proxy/routing/enumerate.go
+++ b/internal/proxy/routing/enumerate.go
@@ -8,109 +8,58 @@
 	"time"
 )
 
-// maxEnumeratedJobs bounds how many jobs Space makes.
-const maxEnumeratedJobs = 2_000_000
+const (
+	// maxEnumeratedJobs bounds how many jobs EnumerateJobs makes.
+	maxEnumeratedJobs = 2_000_000
+	// keysPerSplit is how many route keys are made for a rule with a split.
+	keysPerSplit = 16
+)
 
-// EnumerateJobs makes jobs that between them have every value that the files' rules tell apart,
-// in all combinations, from the plainest to the most special, until tell says no. It
-// reports whether it came to the end.
-func EnumerateJobs(names KnownNames, a, b *File, tell func(*Job) bool) bool {
-	hosts, paths, queues, types := valueSet{""}, valueSet{""}, valueSet{""}, valueSet{""}
-	fronts, keys := valueSet{"http", "faktory"}, valueSet{""}
-	headers := map[string]valueSet{}
-	costs := []time.Duration{0}
+// EnumerateJobs makes jobs that between them have every value that the rules of two files distinguish, in all
+// combinations, from the plainest to the most special, until visit returns false or there are too many. It
+// reports whether it made all of them.
+func EnumerateJobs(names KnownNames, a, b *File, visit func(*Job) bool) bool {
+	s := newJobSpace(names)
 	for _, f := range []*File{a, b} {
-		for _, r := range f.Rules {
-			m := &r.Match
-			for _, h := range m.Hosts {
-				if strings.HasPrefix(h, "*") {
-					hosts.add("any" + h[1:])
-				} else {
-					hosts.add(h)
-				}
-			}
-			for _, p := range m.PathPrefixes {
-				paths.add(p)
-			}
-			for _, q := range m.Queues {
-				queues.add(q)
-			}
-			for _, t := range m.JobTypes {
-				types.add(t)
-			}
-			for name, v := range m.Headers {
-				list := headers[name]
-				list.add("")
-				list.add(strings.ReplaceAll(v, "*", "any"))
-				headers[name] = list
-			}
-			if m.RouteKeyPrefix != "" {
-				keys.add(m.RouteKeyPrefix)
-			}
-			for _, c := range []time.Duration{time.Duration(m.MinCost), time.Duration(m.CostBelow)} {
-				if c > 0 && !slices.Contains(costs, c) {
-					costs = append(costs, c)
-				}
-			}
-			if len(r.Split) > 0 {
-				for i := range 16 {
-					keys.add(fmt.Sprint(m.RouteKeyPrefix, "key", i))
-				}
-			}
+		for i := range f.Rules {
+			s.addRule(&f.Rules[i])
 		}
 	}
-	heads := slices.Sorted(maps.Keys(headers))
-	sizes := []int{
-		len(fronts),
-		len(names.Classes) + 1,
-		len(names.Tenants) + 1,
-		len(hosts),
-		len(paths),
-		len(queues),
-		len(types),
-		len(keys),
-		len(costs),
-	}
-	for _, h := range heads {
-		sizes = append(sizes, len(headers[h]))
-	}
+	s.headerNames = slices.Sorted(maps.Keys(s.headers))
+	sizes := s.sizes()
 	at := make([]int, len(sizes))
-	for made := 0; made < maxEnumeratedJobs; made++ {
-		j := &Job{
-			Frontend: fronts[at[0]],
-			Class:    at[1] - 1,
-			Tenant:   at[2] - 1,
-			Host:     hosts[at[3]],
-			Path:     paths[at[4]],
-			Queue:    queues[at[5]],
-			JobType:  types[at[6]],
-			RouteKey: keys[at[7]],
-			CostHint: costs[at[8]],
-			ID:       "job",
-		}
-		set := map[string]string{}
-		for i, h := range heads {
-			set[h] = headers[h][at[9+i]]
-		}
-		j.Header = func(name string) string { return set[name] }
-		j.headers = set
-		if !tell(j) {
+	for range maxEnumeratedJobs {
+		if !visit(s.job(at)) {
 			return false
 		}
-		i := 0
-		for ; i < len(at); i++ {
-			if at[i]++; at[i] < sizes[i] {
-				break
-			}
-			at[i] = 0
+		if !increment(at, sizes) {
+			return true
 		}
-		if i == len(at) {
+	}
+	return false
+}
+
+// increment moves on to the next combination; false: there is none.
+func increment(at, sizes []int) bool {
+	for i := range at {
+		if at[i]++; at[i] < sizes[i] {
 			return true
 		}
+		at[i] = 0
 	}
 	return false
 }
 
+// jobSpace has the values that the jobs' properties take.
+type jobSpace struct {
+	names                                        KnownNames
+	frontends, hosts, paths, queues, types, keys valueSet
+	costs                                        []time.Duration
+	headers                                      map[string]valueSet
+	headerNames                                  []string
+}
+
+// valueSet is a list of values, each once. In each, the empty value is the first, and stands for none.
 type valueSet []string
 
 func (v *valueSet) add(s string) {
@@ -119,7 +68,74 @@
 	}
 }
 
-// DescribeJob says in words what a job is like, leaving out what it does not name.
+func newJobSpace(names KnownNames) *jobSpace {
+	return &jobSpace{names: names, frontends: valueSet{FrontendHTTP, FrontendFaktory}, hosts: valueSet{""},
+		paths: valueSet{""}, queues: valueSet{""}, types: valueSet{""}, keys: valueSet{""},
+		costs: []time.Duration{0}, headers: map[string]valueSet{}}
+}
+
+// addRule adds the values that a rule distinguishes.
+func (s *jobSpace) addRule(r *RuleSpec) {
+	m := &r.Match
+	for _, h := range m.Hosts {
+		if strings.HasPrefix(h, "*") {
+			h = "any" + h[1:]
+		}
+		s.hosts.add(h)
+	}
+	for _, p := range m.PathPrefixes {
+		s.paths.add(p)
+	}
+	for _, q := range m.Queues {
+		s.queues.add(q)
+	}
+	for _, t := range m.JobTypes {
+		s.types.add(t)
+	}
+	for name, v := range m.Headers {
+		values := s.headers[name]
+		values.add("")
+		values.add(strings.ReplaceAll(v, anyValue, "any"))
+		s.headers[name] = values
+	}
+	if m.RouteKeyPrefix != "" {
+		s.keys.add(m.RouteKeyPrefix)
+	}
+	for _, cost := range []time.Duration{time.Duration(m.MinCost), time.Duration(m.CostBelow)} {
+		if cost > 0 && !slices.Contains(s.costs, cost) {
+			s.costs = append(s.costs, cost)
+		}
+	}
+	if len(r.Split) > 0 {
+		for i := range keysPerSplit {
+			s.keys.add(fmt.Sprint(m.RouteKeyPrefix, "key", i))
+		}
+	}
+}
+
+// sizes returns how many values each property takes, in the order that job expects.
+func (s *jobSpace) sizes() []int {
+	sizes := []int{len(s.frontends), len(s.names.Classes) + 1, len(s.names.Tenants) + 1, len(s.hosts),
+		len(s.paths), len(s.queues), len(s.types), len(s.keys), len(s.costs)}
+	for _, h := range s.headerNames {
+		sizes = append(sizes, len(s.headers[h]))
+	}
+	return sizes
+}
+
+// job makes the job of a combination of values.
+func (s *jobSpace) job(at []int) *Job {
+	headers := map[string]string{}
+	for i, h := range s.headerNames {
+		headers[h] = s.headers[h][at[9+i]]
+	}
+	return &Job{Frontend: s.frontends[at[0]], Class: at[1] - 1, Tenant: at[2] - 1, Host: s.hosts[at[3]],
+		Path: s.paths[at[4]], Queue: s.queues[at[5]], JobType: s.types[at[6]], RouteKey: s.keys[at[7]],
+		CostHint: s.costs[at[8]], ID: "job", headers: headers,
+		Header: func(name string) string { return headers[name] }}
+}
+
+// DescribeJob describes a job, without what it does not name.
 func DescribeJob(names KnownNames, j *Job) string {
 	parts := []string{j.Frontend}
 	add := func(what, value string) {
@@ -148,11 +164,3 @@
 	}
 	return strings.Join(parts, ", ")
 }
-
-// String says the pools in their order, and when a job goes on to the next.
-func (r *Route) String() string {
-	if len(r.pools) == 1 {
-		return r.pools[0].name
-	}
-	return fmt.Sprintf("%s (on when %s)", strings.Join(r.PoolNames(), ", then "), r.spillover)
-}
--- a/internal/proxy/routing/file.go
+++ b/internal/proxy/routing/file.go
@@ -1,21 +1,17 @@
-// Package routing decides which workers a job may go to, in which order, and on what
-// terms, by rules that operators write. It narrows and orders; which of the workers left
-// gets the job is package balancer's to decide, and none of balancer's bars is lifted here.
-//
-// It has no I/O, clock or goroutine: a Table is made once from a file's text and is the
-// same for all who read it, until another takes its place as one whole.
 package routing
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"time"
 
 	"moorstack/internal/tomlfile"
 )
 
-// File is the rules as people write them.
+// fileVersion is the only version of the format.
+const fileVersion = 1
+
+// File is a file of rules.
 type File struct {
 	Version int        `toml:"version"` // 1
 	Pools   []PoolSpec `toml:"pool"`
@@ -30,7 +26,7 @@
 	Name   string   `toml:"name"`
 	Zones  []string `toml:"zone"`
 	Kinds  []string `toml:"kind"`
-	Cells  []int    `toml:"cell"`  // pods
+	Cells   []int    `toml:"cell"`
 	Labels []string `toml:"label"` // all of them
 }
 
@@ -39,30 +35,58 @@
 	Name  string    `toml:"name"`
 	Match MatchSpec `toml:"match"`
 
-	Class          string      `toml:"class"`       // given to a job that names none
-	PreferredPools []string    `toml:"prefer"`      // pools, the most wanted first
-	Spillover      string      `toml:"spill"`       // when to go on: never, empty (if not given) or busy
-	Split          []SplitSpec `toml:"split"`       // one of these pools comes before those of prefer
-	SplitBy        string      `toml:"split_by"`    // key, tenant or id; key, if not given
-	MaxAttempts    int         `toml:"attempts"`    // within the class's
-	AttemptTimeout duration    `toml:"timeout"`     // of each attempt, within the job's
-	RejectReason   string      `toml:"refuse"`      // the reason; no worker gets the job
-	RetryAfter     duration    `toml:"retry_after"` // with refuse
+	Class          string      `toml:"class"`       // for a job that names none
+	PreferredPools []string    `toml:"prefer"`      // the most preferred first
+	Spillover      Spillover   `toml:"spill"`       // empty: SpillIfEmpty
+	Split          []SplitSpec `toml:"split"`       // one of these pools comes before the preferred ones
+	SplitBy        SplitBy     `toml:"split_by"`    // empty: SplitByRouteKey
+	MaxAttempts    int         `toml:"attempts"`    // within the class's; 0: the class's
+	AttemptTimeout duration    `toml:"timeout"`     // of each attempt, within the job's; 0: the job's
+	RejectReason   string      `toml:"refuse"`      // if given, no worker gets the job
+	RetryAfter     duration    `toml:"retry_after"` // with RejectReason
 }
 
-// MatchSpec is what a job must be like. Of a list, one must fit; of what is not given,
-// anything does.
+// Spillover determines when a job goes on to its rule's next pool.
+type Spillover string
+
+// The values of Spillover.
+const (
+	SpillNever   Spillover = "never"
+	SpillIfEmpty Spillover = "empty" // if no worker of the pool may have the job now
+	SpillIfBusy  Spillover = "busy"  // also if waiting for a worker of the pool is not worth it
+)
+
+// SplitBy determines which property of a job decides its part of a split.
+type SplitBy string
+
+// The values of SplitBy.
+const (
+	SplitByRouteKey SplitBy = "key" // or the ID, for a job without route key
+	SplitByTenant   SplitBy = "tenant"
+	SplitByID       SplitBy = "id"
+)
+
+// The frontends that a rule may name.
+const (
+	FrontendHTTP    = "http"
+	FrontendFaktory = "faktory"
+)
+
+// anyValue as a header's value in a rule stands for any value.
+const anyValue = "*"
+
+// MatchSpec is what a job must be like. Of a list one element must match; what is not given matches anything.
 type MatchSpec struct {
 	Classes        []string          `toml:"class"` // "" stands for a job that names none
 	Tenants        []string          `toml:"tenant"`
-	Frontends      []string          `toml:"front"` // http or faktory
+	Frontends      []string          `toml:"front"`
 	Queues         []string          `toml:"queue"`
 	JobTypes       []string          `toml:"jobtype"`
-	Hosts          []string          `toml:"host"`        // whole, or "*.example.org" for all below
-	PathPrefixes   []string          `toml:"path_prefix"` // of the path, without the query
+	Hosts          []string          `toml:"host"`        // whole, or "*.example.org" for all subdomains
+	PathPrefixes   []string          `toml:"path_prefix"` // of the path without the query
 	Headers        map[string]string `toml:"header"`      // all of them; "*": any value
-	RouteKeyPrefix string            `toml:"key_prefix"`  // of the route key
-	MinCost        duration          `toml:"cost_from"`   // the hint, at least
+	RouteKeyPrefix string            `toml:"key_prefix"`
+	MinCost        duration          `toml:"cost_from"` // of the cost hint
 	CostBelow      duration          `toml:"cost_below"`
 }
 
@@ -74,6 +98,7 @@
 
 type duration time.Duration
 
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err == nil && v < 0 {
@@ -83,37 +108,23 @@
 	return err
 }
 
-// Parse reads the text of a file. The path is for what errors say.
+// Parse reads the text of a file of rules. The path is for error messages.
 func Parse(path string, raw []byte) (*File, error) {
 	f := &File{path: path, raw: raw}
 	if err := tomlfile.Decode(path, raw, f); err != nil {
 		return nil, err
 	}
-	if f.Version != 1 {
-		return nil, tomlfile.ErrorAt(
-			path,
-			raw,
-			"version",
-			"%d is not 1, the only version that there is",
-			f.Version,
-		)
+	if f.Version != fileVersion {
+		return nil, tomlfile.ErrorAt(path, raw, "version", "%d is not 1, the only version that there is",
+			f.Version)
 	}
 	return f, nil
 }
 
-// Position is where something stands in a file.
-type Position struct {
-	Path string `json:"path"`
-	Line int    `json:"line"`
-}
-
-func (p Position) String() string { return fmt.Sprintf("%s:%d", p.Path, p.Line) }
-
 // position finds the nth table of an array, and a key in it if one is given.
 func (f *File) position(array string, n int, key string) Position {
-	lines := strings.Split(string(f.raw), "\n")
 	found := -1
-	for i, line := range lines {
+	for i, line := range strings.Split(string(f.raw), "\n") {
 		line = strings.TrimSpace(line)
 		if line == "[["+array+"]]" {
 			if found >= 0 {
@@ -132,41 +143,3 @@
 	}
 	return Position{f.path, found + 1}
 }
-
-// Problem is what is wrong with a file, or odd about it.
-type Problem struct {
-	Position
-	Rule string // or pool
-	Text string
-}
-
-func (p Problem) Error() string { return fmt.Sprintf("%v: %s: %s", p.Position, p.Rule, p.Text) }
-
-// Problems is everything that is wrong with a file.
-type Problems []Problem
-
-func (p Problems) Error() string {
-	lines := make([]string, len(p))
-	for i, one := range p {
-		lines[i] = one.Error()
-	}
-	return strings.Join(lines, "\n")
-}
-
-// KnownNames are what a deployment calls its classes, tenants, zones and kinds, by number. A
-// list that is nil is not known, and names are then not checked against it.
-type KnownNames struct {
-	Classes, Tenants, Zones, Kinds []string
-}
-
-// resolveNames gives the numbers of names, and those that have none.
-func resolveNames(names, known []string) (numbers []int, unknown []string) {
-	for _, name := range names {
-		if i := slices.Index(known, name); i >= 0 {
-			numbers = append(numbers, i)
-		} else if known != nil {
-			unknown = append(unknown, name)
-		}
-	}
-	return numbers, unknown
-}
--- /dev/null
+++ b/internal/proxy/routing/pool.go
@@ -0,0 +1,78 @@
+package routing
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"moorstack/balancer"
+)
+
+// pool is a compiled set of workers.
+type pool struct {
+	name         string
+	zones, kinds []bool // by number; nil: any
+	cells         []int  // nil: any
+	labels       []string
+}
+
+func (p *pool) contains(w *balancer.Worker) bool {
+	if p.zones != nil && (w.Zone < 0 || w.Zone >= len(p.zones) || !p.zones[w.Zone]) {
+		return false
+	}
+	if p.kinds != nil && (w.Kind < 0 || w.Kind >= len(p.kinds) || !p.kinds[w.Kind]) {
+		return false
+	}
+	if p.cells != nil && !slices.Contains(p.cells, w.Cell) {
+		return false
+	}
+	for _, l := range p.labels {
+		if !slices.Contains(w.Labels, l) {
+			return false
+		}
+	}
+	return true
+}
+
+// Route is a list of pools, the most preferred first. A worker that is in several counts in the first.
+type Route struct {
+	pools     []*pool
+	spillover Spillover
+}
+
+var _ balancer.Route = (*Route)(nil)
+
+// TierCount implements balancer.Route: a tier is a pool.
+func (r *Route) TierCount() int { return len(r.pools) }
+
+// Tier implements balancer.Route.
+func (r *Route) Tier(w *balancer.Worker) int {
+	for i, p := range r.pools {
+		if p.contains(w) {
+			return i
+		}
+	}
+	return -1
+}
+
+// SpillsOver implements balancer.Route.
+func (r *Route) SpillsOver(_ int, busy bool) bool {
+	return r.spillover == SpillIfBusy || r.spillover == SpillIfEmpty && !busy
+}
+
+// PoolNames lists the pools, the most preferred first.
+func (r *Route) PoolNames() []string {
+	names := make([]string, len(r.pools))
+	for i, p := range r.pools {
+		names[i] = p.name
+	}
+	return names
+}
+
+// String lists the pools in their order, and when a job goes on to the next.
+func (r *Route) String() string {
+	if len(r.pools) == 1 {
+		return r.pools[0].name
+	}
+	return fmt.Sprintf("%s (on when %s)", strings.Join(r.PoolNames(), ", then "), r.spillover)
+}
--- a/internal/verify/expect/expect_test.go
+++ b/internal/verify/expect/expect_test.go
@@ -161,7 +161,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := *s.rules
 		f.Rules = []routing.RuleSpec{
-			{Name: "r", Spillover: rapid.SampledFrom([]string{"never", "empty", "busy"}).Draw(t, "spill"),
+			{Name: "r", Spillover: rapid.SampledFrom([]routing.Spillover{routing.SpillNever, routing.SpillIfEmpty,
+				routing.SpillIfBusy}).Draw(t, "spillover"),
 				PreferredPools: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 4, rapid.ID[string]).
 					Draw(t, "prefer"),
 				MaxAttempts: rapid.IntRange(0, 4).Draw(t, "attempts")},
