--- /dev/null
+++ b/internal/verify/expect/doc.go
@@ -0,0 +1,6 @@
+// Package expect checks where jobs would go, without traffic: it runs the real routing rules, the real broker
+// and the real balancer in virtual time, with stub endpoints and without a socket.
+//
+// A file of expectations (File) describes workers, jobs, and what is expected of each job. A Suite is such a
+// file with everything that it refers to; Suite.Run checks it.
+package expect
--- a/internal/verify/expect/simulation.go
+++ b/internal/verify/expect/simulation.go
@@ -1,8 +1,8 @@
 package expect
 
 import (
-	"container/heap"
 	"io"
+	"slices"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -12,176 +12,31 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// virtualClock is virtual time: what is due runs in its order, and nothing waits.
-type virtualClock struct {
-	now   time.Duration
-	queue timers
-	seq   int
-}
-
-type timer struct {
-	at   time.Duration
-	seq  int
-	f    func()
-	done bool
-}
-
-func (t *timer) Stop() { t.done = true }
-
-type timers []*timer
-
-func (q timers) Len() int { return len(q) }
-func (q timers) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
-}
-func (q timers) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *timers) Push(x any)   { *q = append(*q, x.(*timer)) }
-func (q *timers) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return last
-}
-
-func (c *virtualClock) Now() time.Duration { return c.now }
-
-func (c *virtualClock) At(at time.Duration, f func()) broker.Timer {
-	c.seq++
-	t := &timer{at: max(at, c.now), seq: c.seq, f: f}
-	heap.Push(&c.queue, t)
-	return t
-}
-
-// runUntil runs what is due up to a time, or until stop says so.
-func (c *virtualClock) runUntil(end time.Duration, stop func() bool) {
-	for len(c.queue) > 0 && c.queue[0].at <= end && !stop() {
-		t := heap.Pop(&c.queue).(*timer)
-		if t.done {
-			continue
-		}
-		c.now = t.at
-		t.f()
-	}
-	if !stop() {
-		c.now = max(c.now, end)
-	}
-}
-
-// startTime is the time of day at which a world begins: a Sunday at seven, so that ages
-// reach back without a start time of 0, which means long ago.
+// startTime is the time at which a simulation begins: ages reach back from it without a start time of 0,
+// which means long ago.
 const startTime = 1_000 * time.Hour
 
 const (
-	healthCheckLatency = time.Millisecond       // until a probe is answered
-	connectTimeout     = 250 * time.Millisecond // until an attempt at a worker that is not reached fails
-	errorLatency       = 5 * time.Millisecond   // until a worker answers with an error, or that it is full
+	healthCheckLatency = time.Millisecond       // of a worker that is reachable
+	connectTimeout     = 250 * time.Millisecond // of an attempt at a worker that is not
+	errorLatency       = 5 * time.Millisecond   // until a worker responds with an error, or that it is full
+	defaultServiceTime = time.Second            // of a job without cost hint
+	// defaultJobDelay is how long after the endpoint list a job comes, if the expectation gives no delay: the
+	// first health checks have ended.
+	defaultJobDelay = 200 * time.Millisecond
 )
 
-// simulation is one node with its workers and one job.
-type simulation struct {
-	suite       *Suite
-	clock       virtualClock
-	broker      *broker.Broker
-	endpoints   map[string]*stubEndpoint
-	attempts    []*stubEndpoint
-	response    *broker.Response
-	respondedAt time.Duration
-}
-
-// stubEndpoint is a stand-in for a worker.
-type stubEndpoint struct {
-	sim         *simulation
-	worker      *Worker
-	state       balancer.WorkerState
-	reachable   bool
-	jobResponse string
-}
-
-var _ broker.Endpoint = (*stubEndpoint)(nil)
-
-// StartAttempt implements core.NextHop.
-func (h *stubEndpoint) StartAttempt(b broker.Attempt) broker.RunningAttempt {
-	h.sim.attempts = append(h.sim.attempts, h)
-	took, res := h.sim.serviceTime(b), balancer.OK
-	switch {
-	case !h.reachable:
-		took, res = connectTimeout, balancer.ConnectFailed
-	case h.jobResponse == "error":
-		took, res = errorLatency, balancer.ServerError
-	case h.jobResponse == "full":
-		took, res = errorLatency, balancer.WorkerFull
-	}
-	h.sim.clock.At(
-		h.sim.clock.now+took,
-		func() { h.sim.broker.EndAttempt(b.ID, res, []byte("done"), balancer.NoLoadReport) },
-	)
-	return stubAttempt{}
-}
-
-func (w *simulation) serviceTime(b broker.Attempt) time.Duration {
-	if t, ok := b.Payload.(*Job); ok && t.CostHint > 0 {
-		return time.Duration(t.CostHint)
-	}
-	return time.Second
-}
-
-type stubAttempt struct{}
-
-func (stubAttempt) Abandon() {}
-
-// CheckHealth implements core.NextHop.
-func (h *stubEndpoint) CheckHealth(done func(balancer.Result, balancer.LoadReport)) {
-	h.sim.clock.At(h.sim.clock.now+healthCheckLatency, func() {
-		if !h.reachable {
-			done(balancer.ConnectFailed, balancer.NoLoadReport)
-			return
-		}
-		r := balancer.NoLoadReport
-		r.Received, r.FreeSlots, r.QueueLength = true, h.worker.FreeSlots, h.worker.QueueLength
-		done(balancer.OK, r)
-	})
-}
-
-// CloseIdle implements core.NextHop.
-func (h *stubEndpoint) CloseIdle() {}
-
-func (h *stubEndpoint) entry() broker.ListEntry {
-	w := h.worker
-	e := broker.ListEntry{
-		Name:     w.Name,
-		Zone:     indexOf(h.sim.suite.knownNames.Zones, w.Zone),
-		Kind:     indexOf(h.sim.suite.knownNames.Kinds, w.Kind),
-		Cell:     w.Cell,
-		State:    h.state,
-		Size:     1,
-		Labels:   w.Labels,
-		Endpoint: h,
-	}
-	if w.Age > 0 {
-		e.StartedAt = startTime - time.Duration(w.Age)
-	}
-	return e
-}
+// requestID is the ID of each simulation's job.
+const requestID = "expectation"
 
-// routingJob is the job as the rules see it.
-func (s *Suite) routingJob(j *Job) *routing.Job {
-	front := j.Frontend
-	if front == "" {
-		front = "http"
-	}
-	return &routing.Job{
-		Frontend: front,
-		Class:    indexOf(s.knownNames.Classes, j.Class),
-		Tenant:   indexOf(s.knownNames.Tenants, j.Tenant),
-		Host:     j.Host,
-		Path:     j.Path,
-		Header:   func(name string) string { return j.Headers[name] },
-		RouteKey: j.RouteKey,
-		CostHint: time.Duration(j.CostHint),
-		Queue:    j.Queue,
-		JobType:  j.JobType,
-		ID:       "expectation",
-	}
+// simulation is one node with its workers and one job. It is used by one goroutine.
+type simulation struct {
+	suite     *Suite
+	clock     virtualClock
+	broker    *broker.Broker
+	endpoints map[string]*stubEndpoint // by worker
+	attempts  []*stubEndpoint          // where they went, in order
+	response  *broker.Response         // nil: there is none yet
 }
 
 var discardLogger = func() *logrus.Logger {
@@ -190,76 +45,79 @@
 	return log
 }()
 
-// newSimulation makes the world of an expectation, up to the moment before its job comes.
+// newSimulation returns the simulation of an expectation just before its job comes.
 func (s *Suite) newSimulation(e *Expectation, seed uint64) (*simulation, error) {
-	w := &simulation{suite: s, clock: virtualClock{now: startTime}, endpoints: map[string]*stubEndpoint{}}
+	sim := &simulation{suite: s, clock: virtualClock{now: startTime}, endpoints: map[string]*stubEndpoint{}}
 	var err error
-	if w.broker, err = broker.New(s.settings, seed, &w.clock, nil, discardLogger); err != nil {
+	if sim.broker, err = broker.New(s.settings, seed, &sim.clock, nil, discardLogger); err != nil {
 		return nil, err
 	}
 	var entries []broker.ListEntry
 	for _, worker := range s.workerSets[e.WorkerSet] {
-		h := &stubEndpoint{
-			sim:       w,
-			worker:    worker,
-			state:     workerStates[worker.Lifecycle],
-			reachable: worker.Reachable == nil || *worker.Reachable,
-		}
-		w.endpoints[worker.Name] = h
-		entries = append(entries, h.entry())
+		endpoint := newStubEndpoint(sim, worker)
+		sim.endpoints[worker.Name] = endpoint
+		entries = append(entries, endpoint.entry())
 	}
-	w.broker.UpdateEndpoints(balancer.ListFull, entries)
+	sim.broker.UpdateEndpoints(balancer.ListFull, entries)
 	for _, v := range e.Events {
-		w.clock.At(startTime+time.Duration(v.At), func() { w.applyEvent(v) })
+		sim.clock.At(startTime+time.Duration(v.At), func() { sim.applyEvent(v) })
 	}
-	after := time.Duration(e.After)
-	if after == 0 {
-		after = defaultJobDelay
+	delay := time.Duration(e.After)
+	if delay == 0 {
+		delay = defaultJobDelay
 	}
-	// What happens at the moment of the job has happened before it.
-	w.clock.runUntil(startTime+after, func() bool { return false })
-	return w, nil
+	// An event at the moment of the job comes before it.
+	sim.clock.runUntil(startTime+delay, func() bool { return false })
+	return sim, nil
 }
 
-// defaultJobDelay is how long after the news of the roster a job comes, where nothing is said: the
-// first probes have come back.
-const defaultJobDelay = 200 * time.Millisecond
-
-func (w *simulation) applyEvent(v Event) {
-	h := w.endpoints[v.Worker]
-	if h == nil {
-		return // not of this roster
+func (sim *simulation) applyEvent(v Event) {
+	endpoint := sim.endpoints[v.Worker]
+	if endpoint == nil {
+		return // not in this worker set
 	}
 	if v.Reachable != nil {
-		h.reachable = *v.Reachable
+		endpoint.reachable = *v.Reachable
 	}
 	if v.JobResponse != "" {
-		h.jobResponse = v.JobResponse
+		endpoint.jobResponse = v.JobResponse
 	}
 	if v.Lifecycle != "" {
-		h.state = workerStates[v.Lifecycle]
-		e := h.entry()
-		if e.State == balancer.Removed {
-			e.Endpoint = nil
+		endpoint.state, _ = v.Lifecycle.workerState()
+		entry := endpoint.entry()
+		if entry.State == balancer.Removed {
+			entry.Endpoint = nil
 		}
-		w.broker.UpdateEndpoints(balancer.ListDelta, []broker.ListEntry{e})
+		sim.broker.UpdateEndpoints(balancer.ListDelta, []broker.ListEntry{entry})
+	}
+}
+
+// run submits the job and goes on until its response or, if that is all that counts, its first attempt.
+func (sim *simulation) run(j *Job, d routing.Decision, firstAttemptOnly bool) error {
+	request := sim.suite.brokerRequest(j, d)
+	if err := sim.broker.Submit(request, sim); err != nil {
+		return err
 	}
+	sim.clock.runUntil(sim.clock.now+request.Timeout+time.Second, func() bool {
+		return sim.response != nil || firstAttemptOnly && len(sim.attempts) > 0
+	})
+	return nil
 }
 
-// Respond implements core.Client.
-func (w *simulation) Respond(a broker.Response) { w.response, w.respondedAt = &a, w.clock.now }
+// Respond implements broker.Client.
+func (sim *simulation) Respond(r broker.Response) { sim.response = &r }
 
-// brokerRequest is the job as the core takes it.
+// brokerRequest is the job as the broker takes it.
 func (s *Suite) brokerRequest(j *Job, d routing.Decision) broker.Request {
-	left := time.Duration(j.Timeout)
-	if left == 0 {
-		left = s.settings.Classes[d.Class].Timeout
+	timeout := time.Duration(j.Timeout)
+	if timeout == 0 {
+		timeout = s.settings.Classes[d.Class].Timeout
 	}
 	return broker.Request{
-		ID:             "expectation",
+		ID:             requestID,
 		Class:          d.Class,
-		Tenant:         max(indexOf(s.knownNames.Tenants, j.Tenant), 0),
-		Timeout:        left,
+		Tenant:         max(slices.Index(s.knownNames.Tenants, j.Tenant), 0),
+		Timeout:        timeout,
 		ExpectedWork:   time.Duration(j.CostHint),
 		Payload:        j,
 		Route:          d.Route,
@@ -268,14 +126,86 @@
 	}
 }
 
-// run has the job come and goes on until it is answered, or as far as first asks.
-func (w *simulation) run(j *Job, d routing.Decision, firstOnly bool) error {
-	t := w.suite.brokerRequest(j, d)
-	if err := w.broker.Submit(t, w); err != nil {
-		return err
+// stubEndpoint stands for a worker.
+type stubEndpoint struct {
+	sim         *simulation
+	worker      *Worker
+	state       balancer.WorkerState
+	reachable   bool
+	jobResponse JobResponse // empty: RespondOK
+}
+
+var _ broker.Endpoint = (*stubEndpoint)(nil)
+
+func newStubEndpoint(sim *simulation, w *Worker) *stubEndpoint {
+	state, _ := w.Lifecycle.workerState()
+	return &stubEndpoint{sim: sim, worker: w, state: state,
+		reachable: w.Reachable == nil || *w.Reachable}
+}
+
+// StartAttempt implements broker.Endpoint.
+func (e *stubEndpoint) StartAttempt(a broker.Attempt) broker.RunningAttempt {
+	e.sim.attempts = append(e.sim.attempts, e)
+	took, result := serviceTime(a), balancer.OK
+	switch {
+	case !e.reachable:
+		took, result = connectTimeout, balancer.ConnectFailed
+	case e.jobResponse == RespondError:
+		took, result = errorLatency, balancer.ServerError
+	case e.jobResponse == RespondFull:
+		took, result = errorLatency, balancer.WorkerFull
+	}
+	e.sim.clock.At(e.sim.clock.now+took, func() {
+		e.sim.broker.EndAttempt(a.ID, result, []byte("done"), balancer.NoLoadReport)
+	})
+	return stubAttempt{}
+}
+
+func serviceTime(a broker.Attempt) time.Duration {
+	if j, ok := a.Payload.(*Job); ok && j.CostHint > 0 {
+		return time.Duration(j.CostHint)
 	}
-	w.clock.runUntil(w.clock.now+t.Timeout+time.Second, func() bool {
-		return w.response != nil || firstOnly && len(w.attempts) > 0
+	return defaultServiceTime
+}
+
+// stubAttempt is an attempt that goes on when it is abandoned.
+type stubAttempt struct{}
+
+// Abandon implements broker.RunningAttempt.
+func (stubAttempt) Abandon() {}
+
+// CheckHealth implements broker.Endpoint.
+func (e *stubEndpoint) CheckHealth(done func(balancer.Result, balancer.LoadReport)) {
+	e.sim.clock.At(e.sim.clock.now+healthCheckLatency, func() {
+		if !e.reachable {
+			done(balancer.ConnectFailed, balancer.NoLoadReport)
+			return
+		}
+		report := balancer.NoLoadReport
+		report.Received = true
+		report.FreeSlots, report.QueueLength = e.worker.FreeSlots, e.worker.QueueLength
+		done(balancer.OK, report)
 	})
-	return nil
+}
+
+// CloseIdle implements broker.Endpoint.
+func (e *stubEndpoint) CloseIdle() {}
+
+// entry is the worker's entry in the endpoint list.
+func (e *stubEndpoint) entry() broker.ListEntry {
+	w, names := e.worker, &e.sim.suite.knownNames
+	entry := broker.ListEntry{
+		Name:     w.Name,
+		Zone:     slices.Index(names.Zones, w.Zone),
+		Kind:     slices.Index(names.Kinds, w.Kind),
+		Cell:     w.Cell,
+		State:    e.state,
+		Size:     1,
+		Labels:   w.Labels,
+		Endpoint: e,
+	}
+	if w.Age > 0 {
+		entry.StartedAt = startTime - time.Duration(w.Age)
+	}
+	return entry
 }
