--- a/internal/verify/compat/placement_test.go
+++ b/internal/verify/compat/placement_test.go
@@ -1,9 +1,11 @@
 package compat
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"sort"
+	"strconv"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
@@ -11,85 +13,90 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// owning is a way to say which of n instances owns a shard; the last is the one that joins or leaves.
-type owning func(n, draw int) func(shard int) int
+// ownership returns which of n instances owns a shard.
+type ownership func(shard int) int
 
-// points is how many virtual nodes an instance has on the ring.
-const points = 100
+// placer assigns shards to n instances; in another draw their IDs are others. The last instance is the one
+// that joins.
+type placer func(n, draw int) ownership
 
-func ring(n, draw int) func(int) int {
+// virtualNodes is how many points an instance has on the ring.
+const virtualNodes = 100
+
+func ringPlacer(n, draw int) ownership {
 	type point struct {
-		at uint64
-		of int
+		hash     uint64
+		instance int
 	}
-	var list []point
+	var ring []point
 	for i := range n {
-		for k := range points {
-			list = append(list, point{xxhash.Sum64String(fmt.Sprint(draw, "i", i, "#", k)), i})
+		for k := range virtualNodes {
+			ring = append(ring, point{xxhash.Sum64String(fmt.Sprint(draw, "i", i, "#", k)), i})
 		}
 	}
-	slices.SortFunc(list, func(a, b point) int {
-		if a.at < b.at {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(ring, func(a, b point) int { return cmp.Compare(a.hash, b.hash) })
 	return func(shard int) int {
 		h := xxhash.Sum64String(fmt.Sprint(draw, "s", shard))
-		k := sort.Search(len(list), func(k int) bool { return list[k].at >= h })
-		return list[k%len(list)].of
+		k := sort.Search(len(ring), func(k int) bool { return ring[k].hash >= h })
+		return ring[k%len(ring)].instance
 	}
 }
 
-func modulo(n, draw int) func(int) int {
-	return func(shard int) int { return int(xxhash.Sum64String(fmt.Sprint(draw, "s", shard)) % uint64(n)) }
+func moduloPlacer(n, draw int) ownership {
+	return func(shard int) int {
+		return int(xxhash.Sum64String(fmt.Sprint(draw, "s", shard)) % uint64(n))
+	}
 }
 
-func rendezvous(n, draw int) func(int) int {
+// tablePlacer is package placement's.
+func tablePlacer(n, draw int) ownership {
 	var v placement.View
 	for i := range n {
-		// Numbers as they are: drawn at random.
-		seat := placement.Session{Member: xxhash.Sum64String(fmt.Sprint(draw, "i", i)), Epoch: uint64(i + 1)}
-		v.Members = append(v.Members, placement.Member{Session: seat, Name: fmt.Sprint(i)})
+		// Member numbers are drawn at random.
+		session := placement.Session{Member: xxhash.Sum64String(fmt.Sprint(draw, "i", i)),
+			Epoch: uint64(i + 1)}
+		v.Members = append(v.Members, placement.Member{Session: session, Name: strconv.Itoa(i)})
 	}
-	t := placement.NewTable(v)
+	table := placement.NewTable(v)
 	return func(shard int) int {
-		m, _ := t.Owner(shard)
-		var i int
-		_, _ = fmt.Sscan(m.Name, &i)
+		m, _ := table.Owner(shard)
+		i, err := strconv.Atoi(m.Name)
+		if err != nil {
+			panic(err)
+		}
 		return i
 	}
 }
 
-// draws is over how many draws of the instances' numbers the ways are weighed.
-const draws = 5
+// placementDraws is how many draws a placer is measured on.
+const placementDraws = 5
 
-// weigh gives the most that any owns over the mean, of all draws, and how many shards move when one more
-// joins, over 1/(n+1), of the draws' mean.
-func weigh(way owning, n int) (most, moved float64) {
-	for draw := range draws {
+// measurePlacer returns the most shards that an instance owns, over the mean, in all draws; and how many
+// shards move when one more instance joins, over 1/(n+1), in the mean of the draws.
+func measurePlacer(p placer, n int) (maxOverMean, moved float64) {
+	for draw := range placementDraws {
 		counts := make([]int, n)
-		before, after := way(n, draw), way(n+1, draw)
+		before, after := p(n, draw), p(n+1, draw)
 		changed := 0
-		for s := range placement.ShardCount {
-			a := before(s)
-			counts[a]++
-			if after(s) != a {
+		for shard := range placement.ShardCount {
+			owner := before(shard)
+			counts[owner]++
+			if after(shard) != owner {
 				changed++
 			}
 		}
-		most = max(most, float64(slices.Max(counts))/float64(placement.ShardCount)*float64(n))
-		moved += float64(changed) / placement.ShardCount * float64(n+1) / draws
+		maxOverMean = max(maxOverMean, float64(slices.Max(counts))/float64(placement.ShardCount)*float64(n))
+		moved += float64(changed) / placement.ShardCount * float64(n+1) / placementDraws
 	}
-	return most, moved
+	return maxOverMean, moved
 }
 
-// The way that is built beside a ring with virtual nodes and modulo, on the same shards and draws.
+// Package placement beside a ring with virtual nodes and modulo, on the same shards and draws.
 func TestPlacementBesideRingAndModulo(t *testing.T) {
 	for _, n := range []int{3, 5, 15, 40, 100, 400} {
-		ours, moved := weigh(rendezvous, n)
-		onRing, ringMoved := weigh(ring, n)
-		_, moduloMoved := weigh(modulo, n)
+		ours, moved := measurePlacer(tablePlacer, n)
+		onRing, ringMoved := measurePlacer(ringPlacer, n)
+		_, moduloMoved := measurePlacer(moduloPlacer, n)
 		t.Logf("%4d instances: most over mean %.2f, moved %.2f; a ring %.2f, %.2f; modulo moves %.1f", n,
 			ours, moved, onRing, ringMoved, moduloMoved)
 		if ours > 1.2 || ours > onRing {
