--- a/cmd/simadapter/drill_test.go
+++ b/cmd/simadapter/simadapter_test.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf(`{"spawn":{"who":%q,"entropy":7,"params":%s}}`, who, testParams)
 }
 
-// list and cached give an instance two workers.
+// list and cached give a dispatcher two workers.
 const list = `{"snapshot_rows":{"slot":3,"rows_in":[{"worker":11,"rack_zone":0,"sku":0,"block":0,` +
 	`"health":2,"size":1,"up_since":null},{"worker":4294967295,"health":2,"extra":{}}]}}`
 
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("{\"batch\":{\"moment\":%d}}\n%s\n{\"commit\":{}}\n", moment, body)
 }
 
-func play(t *testing.T, in string) string {
+func replies(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -49,14 +49,14 @@
 }
 
 func TestEmptyBatch(t *testing.T) {
-	got := play(t, "{\"batch\":{\"moment\":8412250000}}\n{\"commit\":{}}\n")
+	got := replies(t, "{\"batch\":{\"moment\":8412250000}}\n{\"commit\":{}}\n")
 	if want := "{\"ok\":{}}\n"; got != want {
 		t.Errorf("reply %q, want %q", got, want)
 	}
 }
 
 func TestTranscript(t *testing.T) {
-	out := play(t, batch(1000, spawn("dispatcher/3"), list, cached("dispatcher/3"),
+	out := replies(t, batch(1000, spawn("dispatcher/3"), list, cached("dispatcher/3"),
 		newRequest("dispatcher/3", "r-a"))+
 		batch(2000, `{"elapsed":{"who":"dispatcher/3","mark":"0"}}`))
 	for _, want := range []string{
@@ -108,8 +108,8 @@
 	}
 }
 
-// Two instances in one process act as each does alone.
-func TestInstancesShareNothing(t *testing.T) {
+// Two dispatchers in one process act as each does alone.
+func TestDispatchersShareNothing(t *testing.T) {
 	events := func(who string) []string {
 		lines := []string{spawn(who), list, cached(who)}
 		for i := range 20 {
@@ -119,31 +119,30 @@
 	}
 	alone := ""
 	for _, who := range []string{"dispatcher/0", "dispatcher/1"} {
-		alone += strings.TrimSuffix(play(t, batch(1, events(who)...)), "{\"ok\":{}}\n")
+		alone += strings.TrimSuffix(replies(t, batch(1, events(who)...)), "{\"ok\":{}}\n")
 	}
-	together := play(t, batch(1, append(events("dispatcher/0"), events("dispatcher/1")...)...))
+	together := replies(t, batch(1, append(events("dispatcher/0"), events("dispatcher/1")...)...))
 	if together != alone+"{\"ok\":{}}\n" {
 		t.Errorf("together:\n%s\nalone:\n%s", together, alone)
 	}
 }
 
-// A killed instance is forgotten; one of the same name starts empty.
-func TestKillAndSpawnAgain(t *testing.T) {
-	out := play(t, batch(1, spawn("d"), list, cached("d"), `{"kill":{"who":"d"}}`, spawn("d"),
+// A dispatcher that was stopped is forgotten; one of the same name starts empty.
+func TestStoppedDispatcherStartsEmpty(t *testing.T) {
+	out := replies(t, batch(1, spawn("d"), list, cached("d"), `{"kill":{"who":"d"}}`, spawn("d"),
 		newRequest("d", "r-a")))
 	if !strings.Contains(out, `{"overload_reply":{"who":"d","handle":"r-a"`) {
-		t.Errorf("want a refusal for want of workers:\n%s", out)
+		t.Errorf("want a rejection for want of workers:\n%s", out)
 	}
 }
 
-// A panic in the module becomes a bail_out and the reply is still whole.
+// A panic of the balancer becomes a bail_out, and the reply is still complete.
 func TestPanicBailsOut(t *testing.T) {
 	s := newServer()
-	in := &instance{who: "d", out: &s.out} // without a balancer every call panics
-	s.instances["d"] = in
+	s.dispatchers["d"] = &dispatcher{name: "d", out: &s.out} // without a balancer every call panics
 	for _, l := range []string{`{"batch":{"moment":1}}`, `{"aborted":{"who":"d","handle":"r"}}`,
 		`{"commit":{}}`} {
-		if _, err := s.line([]byte(l)); err != nil {
+		if err := s.line([]byte(l)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -157,7 +156,7 @@
 	s := newServer()
 	feed := func(text string) {
 		for l := range strings.Lines(text) {
-			if _, err := s.line([]byte(l)); err != nil {
+			if err := s.line([]byte(l)); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -174,8 +173,8 @@
 	}
 }
 
-// The further rules and the goal's share of misses reach the module.
-func TestFurtherSettings(t *testing.T) {
+// The optional rules and the goal's allowed share of misses reach the balancer.
+func TestOptionalSettingsReachBalancer(t *testing.T) {
 	p, err := settings.Parse([]byte(`{"classes":[],"blend":{"punctual":0.2,"miss_allowed":0.02},"contract":` +
 		`{"free_resends":5,"repeat_ratio":0.03,"budget_span":5000000000,"full_unproven":true}}`))
 	if err != nil {
