--- a/cmd/simadapter/simadapter_test.go
+++ b/cmd/simadapter/simadapter_test.go
@@ -5,10 +5,6 @@
 	"fmt"
 	"strings"
 	"testing"
-	"time"
-
-	"moorstack/balancer"
-	"moorstack/internal/proxy/settings"
 )
 
 const testParams = `{"az":0,"me":0,"fleet_size":2,"classes":[{"name":"c","credit":1,"effect":"retryable",` +
@@ -172,25 +168,3 @@
 			`"duration":18500000,"settled":true,"feedback":{"served_ps":140.2,"pending":3,"x0":0.5}}}`, id)))
 	}
 }
-
-// The optional rules and the goal's allowed share of misses reach the balancer.
-func TestOptionalSettingsReachBalancer(t *testing.T) {
-	p, err := settings.Parse([]byte(`{"classes":[],"blend":{"punctual":0.2,"miss_allowed":0.02},"contract":` +
-		`{"free_resends":5,"repeat_ratio":0.03,"budget_span":5000000000,"full_unproven":true}}`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	set, err := p.Balancer()
-	if err != nil {
-		t.Fatal(err)
-	}
-	rules := balancer.Rules{
-		RetryBudgetWindow: 5 * time.Second,
-		RetryBudgetBase:   5,
-		RetryBudgetShare:  0.03,
-		FullMayHaveRun:    true,
-	}
-	if set.Rules != rules || set.Goal.OnTime != 0.2 || set.Goal.AllowedMissShare != 0.02 {
-		t.Errorf("rules %+v, goal %+v", set.Rules, set.Goal)
-	}
-}
--- a/internal/frontend/platform/discovery.go
+++ b/internal/frontend/platform/discovery.go
@@ -47,10 +47,10 @@
 	return &directory{front: f, polls: map[*discoveryCall]struct{}{},
 		generations: discovery.GenerationTracker{Generation: f.cfg.InitialList.Generation},
 		policy: discovery.RefreshPolicy{
-			LocalAgent: s.MembershipMode == "pushed",
-			DrainGrace: time.Duration(s.Contract.DrainGrace),
-			NodeIndex:  s.Me,
-			FleetSize:  s.Fleet,
+			LocalAgent: s.ListMode == "pushed",
+			DrainGrace: time.Duration(s.Rules.DrainGrace),
+			NodeIndex:  s.DispatcherIndex,
+			FleetSize:  s.DispatcherCount,
 		}}
 }
 
--- a/internal/frontend/platform/worker.go
+++ b/internal/frontend/platform/worker.go
@@ -210,7 +210,7 @@
 // idleTimeout is how long a connection stays idle: well short of the time at which the
 // next hop closes it, for what crosses that ends as a reset.
 func (f *Front) idleTimeout() time.Duration {
-	if d := time.Duration(f.cfg.Settings.Limits.ConnIdle); d > 0 {
+	if d := time.Duration(f.cfg.Settings.Limits.IdleTimeout); d > 0 {
 		return d / 2
 	}
 	return 5 * time.Second
