--- a/balancer/api.go
+++ b/balancer/api.go
@@ -131,8 +131,8 @@
 
 // Actions are what the balancer can have its host do.
 type Actions interface {
-	// Send starts an attempt, to be abandoned at the time until; 0: when the client gives up.
-	Send(id RequestID, w WorkerID, until time.Duration)
+	// Send starts an attempt, to be abandoned when the client gives up.
+	Send(id RequestID, w WorkerID)
 	// Reject is a final response: a retry is harmless, after the wait.
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail is a final response: the request was not served, and may have run.
@@ -143,14 +143,10 @@
 	CheckHealth(w WorkerID)
 	// WatchList subscribes to updates of the list, or ends the subscription.
 	WatchList(on bool)
-	// FetchList requests the whole list once.
-	FetchList()
 	// SetTimer has TimerFired be called with the token, once.
 	SetTimer(d time.Duration, token uint64)
 	// SendPeer sends at most 256 bytes to a peer, or to AllPeers.
 	SendPeer(peer int, data []byte)
-	// CloseIdle closes the idle connections to a worker.
-	CloseIdle(w WorkerID)
 	// Log writes a line for the people on call.
 	Log(text string)
 }
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -102,7 +102,7 @@
 		w.slowStartSent = append(filter(w.slowStartSent, func(s sentWork) bool { return s.at > oldest }),
 			sentWork{now, b.hintedWork(q)})
 	}
-	b.actions.Send(q.ID, w.ID, 0)
+	b.actions.Send(q.ID, w.ID)
 }
 
 // provesNeverRan reports whether an attempt's end proves that the request never ran. Hazard: a worker may
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -9,17 +9,15 @@
 // idleHost is a host that only remembers where the request went.
 type idleHost struct{ to WorkerID }
 
-func (h *idleHost) Send(_ RequestID, w WorkerID, _ time.Duration) { h.to = w }
-func (*idleHost) Reject(RequestID, time.Duration)                 {}
-func (*idleHost) Fail(RequestID)                                  {}
-func (*idleHost) Cancel(RequestID, int)                           {}
-func (*idleHost) CheckHealth(WorkerID)                            {}
-func (*idleHost) WatchList(bool)                                  {}
-func (*idleHost) FetchList()                                      {}
-func (*idleHost) SetTimer(time.Duration, uint64)                  {}
-func (*idleHost) SendPeer(int, []byte)                            {}
-func (*idleHost) CloseIdle(WorkerID)                              {}
-func (*idleHost) Log(string)                                      {}
+func (h *idleHost) Send(_ RequestID, w WorkerID)  { h.to = w }
+func (*idleHost) Reject(RequestID, time.Duration) {}
+func (*idleHost) Fail(RequestID)                  {}
+func (*idleHost) Cancel(RequestID, int)           {}
+func (*idleHost) CheckHealth(WorkerID)            {}
+func (*idleHost) WatchList(bool)                  {}
+func (*idleHost) SetTimer(time.Duration, uint64)  {}
+func (*idleHost) SendPeer(int, []byte)            {}
+func (*idleHost) Log(string)                      {}
 
 // BenchmarkRequest is one request and its outcome: one class, one zone, no faults.
 func BenchmarkRequest(b *testing.B) {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -10,7 +10,7 @@
 // printer is a host that only prints its actions.
 type printer struct{ sent balancer.WorkerID }
 
-func (p *printer) Send(id balancer.RequestID, w balancer.WorkerID, until time.Duration) {
+func (p *printer) Send(id balancer.RequestID, w balancer.WorkerID) {
 	p.sent = w
 	fmt.Printf("send %s to worker %d\n", id, w)
 }
@@ -21,10 +21,8 @@
 func (p *printer) Cancel(id balancer.RequestID, n int)    {}
 func (p *printer) CheckHealth(w balancer.WorkerID)        {}
 func (p *printer) WatchList(on bool)                      {}
-func (p *printer) FetchList()                             {}
 func (p *printer) SetTimer(d time.Duration, token uint64) {}
 func (p *printer) SendPeer(peer int, data []byte)         {}
-func (p *printer) CloseIdle(w balancer.WorkerID)          {}
 func (p *printer) Log(text string)                        {}
 
 // A dispatcher passes events to the balancer and carries out its actions.
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -216,7 +216,7 @@
 }
 
 // Send implements Actions, and checks rules 1 to 4.
-func (r *recorder) Send(id RequestID, to WorkerID, until time.Duration) {
+func (r *recorder) Send(id RequestID, to WorkerID) {
 	r.t.Helper()
 	q, w := r.requests[id], r.workers[to]
 	if q == nil || w == nil {
@@ -370,9 +370,6 @@
 // WatchList implements Actions.
 func (r *recorder) WatchList(on bool) { r.watchCalls++ }
 
-// FetchList implements Actions.
-func (r *recorder) FetchList() {}
-
 // SetTimer implements Actions.
 func (r *recorder) SetTimer(d time.Duration, token uint64) {
 	r.t.Helper()
@@ -391,8 +388,5 @@
 	r.peerMessages = append(r.peerMessages, data)
 }
 
-// CloseIdle implements Actions.
-func (r *recorder) CloseIdle(w WorkerID) {}
-
 // Log implements Actions.
 func (r *recorder) Log(text string) { r.logs = append(r.logs, text) }
--- a/cmd/simadapter/dispatcher.go
+++ b/cmd/simadapter/dispatcher.go
@@ -42,13 +42,10 @@
 }
 
 // Send implements balancer.Actions.
-func (d *dispatcher) Send(id balancer.RequestID, w balancer.WorkerID, until time.Duration) {
+func (d *dispatcher) Send(id balancer.RequestID, w balancer.WorkerID) {
 	d.begin("route")
 	d.request(id)
 	d.number(`,"worker":`, int64(w))
-	if until > 0 {
-		d.number(`,"expire_at":`, int64(until))
-	}
 	d.end()
 }
 
@@ -92,12 +89,6 @@
 	d.end()
 }
 
-// FetchList implements balancer.Actions.
-func (d *dispatcher) FetchList() {
-	d.begin("get_list")
-	d.end()
-}
-
 // SetTimer implements balancer.Actions. The token is decimal text.
 func (d *dispatcher) SetTimer(after time.Duration, token uint64) {
 	d.begin("after")
@@ -120,13 +111,6 @@
 	d.end()
 }
 
-// CloseIdle implements balancer.Actions.
-func (d *dispatcher) CloseIdle(w balancer.WorkerID) {
-	d.begin("hang_up")
-	d.number(`,"worker":`, int64(w))
-	d.end()
-}
-
 // Log implements balancer.Actions.
 func (d *dispatcher) Log(text string) {
 	d.begin("trace")
--- a/internal/frozen/decisions_test.go
+++ b/internal/frozen/decisions_test.go
@@ -461,17 +461,13 @@
 }
 
 // Send implements balancer.Actions: the attempt's end comes later.
-func (tr *trace) Send(id balancer.RequestID, to balancer.WorkerID, until time.Duration) {
-	tr.act("send %s %d %d", id, to, until)
+func (tr *trace) Send(id balancer.RequestID, to balancer.WorkerID) {
+	tr.act("send %s %d 0", id, to) // the 0 is a time limit of the attempt's own, which was never set
 	q, w := tr.open[id], tr.workers[to]
 	a := &traceAttempt{to: to, sent: tr.now}
 	q.attempts = append(q.attempts, a)
 	n := len(q.attempts) - 1
 	w.inFlight++
-	limit := q.deadline
-	if until > 0 {
-		limit = min(limit, until)
-	}
 	took := time.Duration(w.slow*float64(tr.span(40*time.Millisecond))) +
 		time.Duration(w.inFlight)*5*time.Millisecond
 	result := balancer.OK
@@ -491,8 +487,8 @@
 	case p == 5:
 		result = balancer.Unprocessable
 	}
-	if tr.now+took > limit {
-		result, took = balancer.TimedOut, max(limit-tr.now, time.Microsecond)
+	if tr.now+took > q.deadline {
+		result, took = balancer.TimedOut, max(q.deadline-tr.now, time.Microsecond)
 	}
 	if tr.set.ReportsStart && result != balancer.WorkerFull && result != balancer.ConnectFailed && !w.silent {
 		tr.after(took/4, func() { tr.progress(id, n, a, true, 0) })
@@ -589,9 +585,6 @@
 	})
 }
 
-// FetchList implements balancer.Actions.
-func (tr *trace) FetchList() { tr.act("fetch") }
-
 // SetTimer implements balancer.Actions.
 func (tr *trace) SetTimer(d time.Duration, token uint64) {
 	tr.act("after %d %d", d, token)
@@ -606,8 +599,5 @@
 // SendPeer implements balancer.Actions.
 func (tr *trace) SendPeer(peer int, data []byte) { tr.act("tell %d %x", peer, data) }
 
-// CloseIdle implements balancer.Actions.
-func (tr *trace) CloseIdle(w balancer.WorkerID) { tr.act("close idle %d", w) }
-
 // Log implements balancer.Actions. Its words are for people and may change; when it comes may not.
 func (tr *trace) Log(string) { tr.act("log") }
--- a/internal/proxy/broker/actions.go
+++ b/internal/proxy/broker/actions.go
@@ -13,17 +13,14 @@
 var _ balancer.Actions = actions{}
 
 // Send implements balancer.Actions. An attempt that can't be started ends as not sent.
-func (b actions) Send(id balancer.RequestID, worker balancer.WorkerID, until time.Duration) {
+func (b actions) Send(id balancer.RequestID, worker balancer.WorkerID) {
 	req := b.requests[id]
 	if req == nil {
 		return
 	}
-	now := b.clock.Now()
-	if until <= 0 || until > req.deadline {
-		until = req.deadline
-	}
+	now, deadline := b.clock.Now(), req.deadline
 	if req.AttemptTimeout > 0 {
-		until = min(until, now+req.AttemptTimeout)
+		deadline = min(deadline, now+req.AttemptTimeout)
 	}
 	e := b.endpoints[worker]
 	reachable := e != nil && e.Endpoint != nil
@@ -39,13 +36,13 @@
 	case req.client == nil || !reachable || a.number >= max(b.settings.Limits.MaxAttempts, 1):
 		b.end(a, balancer.NotSent, nil, balancer.NoLoadReport)
 		return
-	case until <= now:
+	case deadline <= now:
 		b.end(a, balancer.TimedOut, nil, balancer.NoLoadReport)
 		return
 	}
 	// Hazard: a worker that never responds, or a connection that passes nothing on, holds a request for ever.
-	a.timer = b.clock.At(until, func() { b.abandon(a, balancer.TimedOut) })
-	a.running = e.StartAttempt(Attempt{ID: a.id, Payload: req.Payload, RequestID: req.ID, Deadline: until})
+	a.timer = b.clock.At(deadline, func() { b.abandon(a, balancer.TimedOut) })
+	a.running = e.StartAttempt(Attempt{ID: a.id, Payload: req.Payload, RequestID: req.ID, Deadline: deadline})
 }
 
 // Reject implements balancer.Actions.
@@ -89,13 +86,6 @@
 	}
 }
 
-// FetchList implements balancer.Actions.
-func (b actions) FetchList() {
-	if b.source != nil {
-		b.run(b.source.FetchList)
-	}
-}
-
 // SetTimer implements balancer.Actions.
 func (b actions) SetTimer(d time.Duration, token uint64) {
 	b.clock.At(b.clock.Now()+d, func() {
@@ -107,12 +97,5 @@
 // messages.
 func (b actions) SendPeer(int, []byte) {}
 
-// CloseIdle implements balancer.Actions.
-func (b actions) CloseIdle(worker balancer.WorkerID) {
-	if e := b.endpoints[worker]; e != nil && e.Endpoint != nil {
-		e.Endpoint.CloseIdle()
-	}
-}
-
 // Log implements balancer.Actions.
 func (b actions) Log(text string) { b.log.Info(text) }
--- a/internal/proxy/broker/endpoint.go
+++ b/internal/proxy/broker/endpoint.go
@@ -15,8 +15,6 @@
 	StartAttempt(a Attempt) RunningAttempt
 	// CheckHealth requests a load report and calls done once.
 	CheckHealth(done func(balancer.Result, balancer.LoadReport))
-	// CloseIdle closes the connections to the worker that are not in use.
-	CloseIdle()
 }
 
 // ListEntry is an entry of the endpoint list.
@@ -35,8 +33,6 @@
 type EndpointSource interface {
 	// WatchList subscribes to watch events, or ends the subscription.
 	WatchList(on bool)
-	// FetchList requests the whole list once.
-	FetchList()
 }
 
 // endpoint is one that is listed, or was and has attempts in flight.
