--- a/internal/frontend/platform/adoption.go
+++ b/internal/frontend/platform/adoption.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/netio/http1"
 	"moorstack/internal/proxy/broker"
 	"moorstack/internal/proxy/hotrestart"
 )
@@ -122,7 +123,7 @@
 func (f *Front) abandonAdopted(c *client) {
 	for _, name := range c.adoption.workers {
 		if h := f.workers[name]; h != nil {
-			request := eventloop.AppendRequest(
+			request := http1.AppendRequest(
 				nil,
 				"DELETE",
 				"/jobs/"+url.PathEscape(c.requestID),
@@ -130,7 +131,7 @@
 				"",
 				nil,
 			)
-			f.loop.After(cancelTimeout, h.sendIdempotent(request, func(*eventloop.Message, []byte, bool) {}))
+			f.loop.After(cancelTimeout, h.sendIdempotent(request, func(*http1.Message, []byte, bool) {}))
 		}
 	}
 	f.removeAdopted(c)
--- a/internal/frontend/platform/discovery.go
+++ b/internal/frontend/platform/discovery.go
@@ -13,6 +13,7 @@
 	"moorstack/balancer"
 	"moorstack/internal/cluster/discovery"
 	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/netio/http1"
 )
 
 const (
@@ -191,7 +192,7 @@
 type discoveryCall struct {
 	directory *directory
 	conn      *eventloop.Conn
-	parser    eventloop.Parser
+	parser    http1.Parser
 	unparsed  []byte // of which the end has not come yet
 	startedAt time.Duration
 	timer     *eventloop.Timer
@@ -203,7 +204,7 @@
 func (d *directory) startCall(target string) *discoveryCall {
 	c := &discoveryCall{
 		directory: d,
-		parser:    eventloop.Parser{ReadsResponses: true, StreamsBody: true},
+		parser:    http1.Parser{ReadsResponses: true, StreamsBody: true},
 		startedAt: d.front.loop.Now(),
 	}
 	conn, err := d.front.loop.Dial(d.front.cfg.DiscoveryAddress, c)
@@ -212,7 +213,7 @@
 		return c
 	}
 	c.conn = conn
-	c.conn.Write(eventloop.AppendRequest(nil, "GET", target, d.front.cfg.DiscoveryAddress, "", nil))
+	c.conn.Write(http1.AppendRequest(nil, "GET", target, d.front.cfg.DiscoveryAddress, "", nil))
 	c.resetTimeout()
 	return c
 }
--- a/internal/frontend/platform/front.go
+++ b/internal/frontend/platform/front.go
@@ -13,6 +13,7 @@
 
 	"moorstack/balancer"
 	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/netio/http1"
 	"moorstack/internal/proxy/broker"
 	"moorstack/internal/proxy/drain"
 	"moorstack/internal/proxy/metrics"
@@ -109,7 +110,7 @@
 type client struct {
 	front          *Front
 	conn           *eventloop.Conn
-	parser         eventloop.Parser
+	parser         http1.Parser
 	requestID      string // of the transaction it waits for
 	class          int    // its class
 	rule           string // by which it was routed, if by any
@@ -142,7 +143,7 @@
 		whole, err := c.parser.Feed(c.conn.Input())
 		if err == nil && !whole && c.conn.InputFull() {
 			// Hazard: a body in chunks of a byte is mostly framing, and would wait here unread.
-			err = &eventloop.ProtocolError{Status: 413, Reason: "the framing of the body is too large"}
+			err = &http1.ProtocolError{Status: 413, Reason: "the framing of the body is too large"}
 		}
 		if err != nil {
 			c.rejectMalformed(err)
@@ -174,7 +175,7 @@
 // rejectMalformed ends a connection whose input can't be read on.
 func (c *client) rejectMalformed(err error) {
 	status := 400
-	if b, ok := err.(*eventloop.ProtocolError); ok {
+	if b, ok := err.(*http1.ProtocolError); ok {
 		status = b.Status
 	}
 	c.rejectInvalid(status, err)
@@ -188,7 +189,7 @@
 }
 
 func (c *client) respond(status int, extra string, body []byte) {
-	c.conn.Write(eventloop.AppendResponse(nil, status, c.closeAfterResponse, extra, body))
+	c.conn.Write(http1.AppendResponse(nil, status, c.closeAfterResponse, extra, body))
 	if c.closeAfterResponse {
 		c.conn.CloseAfterFlush()
 		c.forget()
@@ -197,7 +198,7 @@
 	c.conn.EndProcessing()
 }
 
-func (c *client) handle(m *eventloop.Message, body []byte) {
+func (c *client) handle(m *http1.Message, body []byte) {
 	path, _, _ := strings.Cut(m.Target, "?")
 	switch {
 	case m.Method == "POST" && path == callBackPath:
@@ -237,7 +238,7 @@
 	body        []byte
 }
 
-func (c *client) submit(m *eventloop.Message, body []byte) {
+func (c *client) submit(m *http1.Message, body []byte) {
 	t, d, err := c.front.parseRequest(m, body)
 	// Hazard: a request that was sent ahead has waited here for the answer to the one before it.
 	t.Timeout -= c.front.loop.Now() - c.conn.LastActivity()
@@ -271,14 +272,14 @@
 
 // parseRequest reads what the headers say of a job.
 func (f *Front) parseRequest(
-	m *eventloop.Message,
+	m *http1.Message,
 	body []byte,
 ) (t broker.Request, d routing.Decision, err error) {
 	j := &payload{target: m.Target, key: m.Get("Idempotency-Key"), body: body}
 	t.ID, t.Payload = m.Get("X-Request-ID"), j
 	// Hazard: on what a next hop can't read it closes the connection, which counts as a
 	// reset and against it, and for a job that may be repeated at the next one, too.
-	if !eventloop.IsVisibleASCII(t.ID) || len(t.ID) > 200 {
+	if !http1.IsVisibleASCII(t.ID) || len(t.ID) > 200 {
 		return t, d, fmt.Errorf("X-Request-ID is missing, too long or no plain text")
 	}
 	class := m.Get("X-Priority-Class")
@@ -322,7 +323,7 @@
 }
 
 // route has the rules say where the job goes, and checks what depends on its class.
-func (f *Front) route(m *eventloop.Message, t *broker.Request, j *payload) (d routing.Decision, err error) {
+func (f *Front) route(m *http1.Message, t *broker.Request, j *payload) (d routing.Decision, err error) {
 	if f.routes != nil {
 		path, _, _ := strings.Cut(m.Target, "?")
 		about := routing.Job{
@@ -347,7 +348,7 @@
 	}
 	// Hazard: without its key, a repeat of a keyed job is not known for one, and runs again.
 	if d.RejectReason == "" && f.cfg.Settings.Classes[t.Class].Effect == "dedup" &&
-		!eventloop.IsVisibleASCII(j.key) {
+		!http1.IsVisibleASCII(j.key) {
 		return d, fmt.Errorf("Idempotency-Key is missing or no plain text")
 	}
 	return d, nil
--- a/internal/frontend/platform/scheduled.go
+++ b/internal/frontend/platform/scheduled.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/netio/http1"
 	"moorstack/internal/proxy/broker"
 )
 
@@ -36,7 +36,7 @@
 		IsRetry:      p.IsRetry,
 		Payload:      j,
 	}
-	m := &eventloop.Message{Method: "POST", Target: p.Path}
+	m := &http1.Message{Method: "POST", Target: p.Path}
 	d, err := f.route(m, &t, j)
 	switch {
 	case err != nil:
--- a/internal/frontend/platform/worker.go
+++ b/internal/frontend/platform/worker.go
@@ -10,6 +10,7 @@
 
 	"moorstack/balancer"
 	"moorstack/internal/netio/eventloop"
+	"moorstack/internal/netio/http1"
 	"moorstack/internal/proxy/broker"
 )
 
@@ -46,7 +47,7 @@
 type exchange struct {
 	worker              *worker
 	conn                *eventloop.Conn
-	parser              eventloop.Parser
+	parser              http1.Parser
 	timer               *eventloop.Timer
 	address             string
 	inFlight            bool
@@ -55,7 +56,7 @@
 	// buildRequest words the request when the connection can take it; nil: nobody waits for it any more.
 	buildRequest func() []byte
 	// onResponse is told once: the answer, or nil and whether the request never went out whole.
-	onResponse func(m *eventloop.Message, body []byte, unsent bool)
+	onResponse func(m *http1.Message, body []byte, unsent bool)
 }
 
 var _ eventloop.Handler = (*exchange)(nil)
@@ -66,7 +67,7 @@
 // Hazard: a new connection may come up late. What the request says of time must be true when it is
 // written, and its client may have left meanwhile.
 func (h *worker) send(compose func() []byte, fresh, attempt bool,
-	done func(*eventloop.Message, []byte, bool)) *exchange {
+	done func(*http1.Message, []byte, bool)) *exchange {
 	var x *exchange
 	for !fresh && len(h.idle) > 0 && x == nil {
 		last := len(h.idle) - 1
@@ -80,7 +81,7 @@
 		}
 	}
 	if x == nil {
-		x = &exchange{worker: h, address: h.address, parser: eventloop.Parser{ReadsResponses: true}}
+		x = &exchange{worker: h, address: h.address, parser: http1.Parser{ReadsResponses: true}}
 		conn, err := h.front.loop.Dial(h.address, x)
 		if err != nil {
 			h.front.log.WithError(err).Warn("a next hop can't be dialled")
@@ -125,10 +126,10 @@
 // sendIdempotent sends what does no harm twice, and so once more on a new connection if a kept one
 // breaks under it: that tells of the connection, not of the next hop. It returns what
 // ends the call without telling.
-func (h *worker) sendIdempotent(request []byte, done func(*eventloop.Message, []byte, bool)) (end func()) {
+func (h *worker) sendIdempotent(request []byte, done func(*http1.Message, []byte, bool)) (end func()) {
 	var x *exchange
 	compose := func() []byte { return request }
-	x = h.send(compose, false, false, func(m *eventloop.Message, body []byte, unsent bool) {
+	x = h.send(compose, false, false, func(m *http1.Message, body []byte, unsent bool) {
 		if m == nil && x != nil && x.reused && x.resetBeforeResponse {
 			x = h.send(compose, true, false, done)
 			return
@@ -192,7 +193,7 @@
 }
 
 // complete hands the answer over and keeps the connection for the next request.
-func (x *exchange) complete(m *eventloop.Message, body []byte) {
+func (x *exchange) complete(m *http1.Message, body []byte) {
 	x.inFlight = false
 	done := x.onResponse
 	x.onResponse = nil
@@ -280,7 +281,7 @@
 func (h *worker) StartAttempt(b broker.Attempt) broker.RunningAttempt {
 	br := &attempt{worker: h, requestID: b.RequestID}
 	br.exchange = h.send(func() []byte { return h.buildAttempt(b) }, h.front.avoidsReuse(), true,
-		func(m *eventloop.Message, body []byte, unsent bool) {
+		func(m *http1.Message, body []byte, unsent bool) {
 			br.acceptTimer.Stop()
 			if m != nil && m.Status == 202 {
 				br.accepted = true // its end comes as a call-back
@@ -316,12 +317,12 @@
 	if j.key != "" {
 		extra += "Idempotency-Key: " + j.key + "\r\n"
 	}
-	return eventloop.AppendRequest(nil, "POST", j.target, h.address, extra, j.body)
+	return http1.AppendRequest(nil, "POST", j.target, h.address, extra, j.body)
 }
 
 // resultOf is the protocol's table of what comes back. Only what proves that the
 // job never ran may say so.
-func resultOf(m *eventloop.Message, unsent bool) balancer.Result {
+func resultOf(m *http1.Message, unsent bool) balancer.Result {
 	switch {
 	case m == nil && unsent:
 		return balancer.ConnectFailed
@@ -345,7 +346,7 @@
 		}
 		return
 	}
-	request := eventloop.AppendRequest(
+	request := http1.AppendRequest(
 		nil,
 		"DELETE",
 		"/jobs/"+url.PathEscape(b.requestID),
@@ -357,7 +358,7 @@
 	// its connection for ever.
 	b.worker.front.loop.After(
 		cancelTimeout,
-		b.worker.sendIdempotent(request, func(*eventloop.Message, []byte, bool) {}),
+		b.worker.sendIdempotent(request, func(*http1.Message, []byte, bool) {}),
 	)
 }
 
@@ -371,8 +372,8 @@
 		}
 	}
 	var timer *eventloop.Timer
-	end := h.sendIdempotent(eventloop.AppendRequest(nil, "GET", "/_load", h.address, "", nil),
-		func(m *eventloop.Message, body []byte, unsent bool) {
+	end := h.sendIdempotent(http1.AppendRequest(nil, "GET", "/_load", h.address, "", nil),
+		func(m *http1.Message, body []byte, unsent bool) {
 			timer.Stop()
 			switch {
 			case m == nil:
@@ -392,7 +393,7 @@
 }
 
 // loadReportOf is the load report that an answer carries.
-func (f *Front) loadReportOf(m *eventloop.Message) balancer.LoadReport {
+func (f *Front) loadReportOf(m *http1.Message) balancer.LoadReport {
 	if m == nil {
 		return balancer.NoLoadReport
 	}
--- a/internal/netio/eventloop/http_test.go
+++ b/internal/netio/http1/parser_test.go
@@ -1,4 +1,4 @@
-package eventloop
+package http1
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// corpus are messages, whole and bad, as peers send them.
+// corpus are well-formed and malformed messages, as peers send them.
 var corpus = []struct {
 	response bool
 	text     string
@@ -26,30 +26,30 @@
 	{true, "HTTP/1.1 abc\r\n\r\n"},
 }
 
-// outcome is all that a parser says of an input that came in these pieces.
+// outcome describes all that a parser makes of an input that comes in these pieces.
 func outcome(response bool, pieces ...string) string {
 	p := Parser{ReadsResponses: response}
 	var buf []byte
 	for _, piece := range pieces {
 		buf = append(buf, piece...)
-		whole, err := p.Feed(buf)
+		complete, err := p.Feed(buf)
 		if err != nil {
 			return "bad: " + err.Error()
 		}
-		if whole {
+		if complete {
 			return fmt.Sprintf("%s %s %d close %v expects %v %v body %q, %d left", p.Method, p.Target,
 				p.Status, p.Close, p.ExpectsContinue, p.Fields, p.Body(buf), len(buf)-p.MessageSize())
 		}
 	}
-	return "not whole"
+	return "incomplete"
 }
 
-// A message reads the same in whatever pieces it comes.
-func TestCutAtEveryByte(t *testing.T) {
+// A message parses alike, in whatever pieces it comes.
+func TestMessageParsesAlikeInAnyPieces(t *testing.T) {
 	for _, c := range corpus {
 		want := outcome(c.response, c.text)
-		if want == "not whole" {
-			t.Errorf("%q: not whole", c.text)
+		if want == "incomplete" {
+			t.Errorf("%q: incomplete", c.text)
 		}
 		for i := 1; i < len(c.text); i++ {
 			if got := outcome(c.response, c.text[:i], c.text[i:]); got != want {
