--- a/internal/frontend/platform/adoption.go
+++ b/internal/frontend/platform/adoption.go
@@ -2,53 +2,43 @@
 
 import (
 	"fmt"
-	"net/url"
 	"slices"
+	"time"
 
 	"moorstack/internal/netio/eventloop"
-	"moorstack/internal/netio/http1"
 	"moorstack/internal/proxy/broker"
 	"moorstack/internal/proxy/hotrestart"
 )
 
-// A adoption is an open job that another process of the node took, and could not finish in
-// the time that it had. Its attempts are out at next hops; this process waits for their
-// call-backs and answers the client. It begins no further attempt: what the job may have
-// done is the other's to know.
+// adoption is an open request that another process of the node accepted and could not finish in the time
+// that it had. Its attempts are outstanding at workers; this process waits for their call-backs and responds
+// to the client. It begins no further attempt: only the other process knows what the first may have done.
 type adoption struct {
-	workers []string // that have it
-	timer   *eventloop.Timer
+	workers []string         // that have accepted it and not called back yet
+	timer   *eventloop.Timer // for the request's deadline
 }
 
-// MigrateRequests gives the open jobs that it can to another process, by give. What has an
-// attempt that no next hop has accepted yet, or waits for one, stays.
-func (f *Front) MigrateRequests(give func(j hotrestart.MigratedRequest, fd int) error) (given int) {
+// MigrateRequests migrates open requests to the other process, by send, until send fails. It returns how
+// many. A request stays if one of its attempts was not accepted by the worker yet, or if it waits for a
+// worker.
+func (f *Front) MigrateRequests(
+	send func(r hotrestart.MigratedRequest, clientFD int) error,
+) (migrated int) {
 	for c := range f.clients {
 		if !c.awaitsResponse || c.conn.Closed() || c.conn.UnsentBytes() > 0 || len(c.conn.Input()) > 0 {
 			continue
 		}
-		j := hotrestart.MigratedRequest{ID: c.requestID, Class: c.class}
-		accepted := true
-		if c.adoption != nil {
-			j.Endpoints, j.Deadline = c.adoption.workers, c.deadline
-		} else {
-			until, outs := f.broker.OutstandingAttempts(c.requestID)
-			j.Deadline = until
-			for _, o := range outs {
-				b, ok := o.Running.(*attempt)
-				accepted = accepted && ok && b.accepted
-				j.Endpoints = append(j.Endpoints, o.Endpoint)
-			}
-		}
-		if !accepted || len(j.Endpoints) == 0 {
+		r := hotrestart.MigratedRequest{ID: c.requestID, Class: c.class}
+		var ok bool
+		if r.Endpoints, r.Deadline, ok = f.outstanding(c); !ok {
 			continue
 		}
-		j.Timeout = max(j.Deadline-f.loop.Now(), 1)
-		if err := give(j, c.conn.FD()); err != nil {
-			f.log.WithError(err).Warn("an open job can't be given to the other process")
-			return given
+		r.Timeout = max(r.Deadline-f.loop.Now(), 1)
+		if err := send(r, c.conn.FD()); err != nil {
+			f.log.WithError(err).WithField("request_id", r.ID).Warn("migrating a request failed")
+			return migrated
 		}
-		given++
+		migrated++
 		c.awaitsResponse = false
 		if c.adoption != nil {
 			f.removeAdopted(c)
@@ -58,32 +48,51 @@
 		c.conn.Detach()
 		c.forget()
 	}
-	return given
+	return migrated
+}
+
+// outstanding returns the workers that have accepted the client's request, and its deadline. It is not ok if
+// there are none, or if an attempt was not accepted yet.
+func (f *Front) outstanding(c *client) (workers []string, deadline time.Duration, ok bool) {
+	if c.adoption != nil {
+		return c.adoption.workers, c.deadline, len(c.adoption.workers) > 0
+	}
+	deadline, attempts := f.broker.OutstandingAttempts(c.requestID)
+	for _, o := range attempts {
+		if a, ok := o.Running.(*attempt); !ok || !a.accepted {
+			return nil, 0, false
+		}
+		workers = append(workers, o.Endpoint)
+	}
+	return workers, deadline, len(workers) > 0
 }
 
-// AdoptRequest takes an open job with its client's connection.
-func (f *Front) AdoptRequest(j *hotrestart.MigratedRequest, fd int) error {
-	until := j.Deadline // an older process tells of no span
-	if j.Timeout > 0 {
-		until = f.loop.Now() + j.Timeout
+// AdoptRequest takes over a request that the other process has migrated, with its client's connection. The
+// descriptor is this process's from here on, unless an error is returned.
+func (f *Front) AdoptRequest(r *hotrestart.MigratedRequest, clientFD int) error {
+	deadline := r.Deadline // an older process sends no timeout
+	if r.Timeout > 0 {
+		deadline = f.loop.Now() + r.Timeout
 	}
 	c := &client{
 		front:          f,
-		requestID:      j.ID,
-		class:          j.Class,
+		requestID:      r.ID,
+		class:          r.Class,
 		awaitsResponse: true,
 		sentMessage:    true,
-		deadline:       until,
-		adoption:       &adoption{workers: j.Endpoints},
+		deadline:       deadline,
+		adoption:       &adoption{workers: r.Endpoints},
 	}
-	conn, err := f.listener.Adopt(fd, c)
+	conn, err := f.listener.Adopt(clientFD, c)
 	if err != nil {
-		return fmt.Errorf("taking job %s over: %w", j.ID, err)
+		return fmt.Errorf("adopting request %s: %w", r.ID, err)
 	}
 	c.conn = conn
 	f.clients[c] = struct{}{}
-	f.adopted[j.ID] = c
-	c.adoption.timer = f.loop.At(until, func() { f.respondAdopted(c, broker.Response{Kind: broker.Failed}) })
+	f.adopted[r.ID] = c
+	c.adoption.timer = f.loop.At(deadline, func() {
+		f.respondAdopted(c, broker.Response{Kind: broker.Failed})
+	})
 	return nil
 }
 
@@ -93,25 +102,27 @@
 	c.adoption = nil
 }
 
-// respondAdopted gives its final answer, once.
-func (f *Front) respondAdopted(c *client, a broker.Response) {
+// respondAdopted gives an adopted request its final response.
+func (f *Front) respondAdopted(c *client, r broker.Response) {
 	f.removeAdopted(c)
-	c.Respond(a)
+	c.Respond(r)
 }
 
-// handleAdoptedCallBack takes a call-back for a job that another process took, and reports whether
-// there is one: the first result counts, and when no attempt is left it has failed.
-func (f *Front) handleAdoptedCallBack(id, from, state string, result *string) bool {
-	c := f.adopted[id]
-	if c == nil || !slices.Contains(c.adoption.workers, from) {
+// handleAdoptedCallBack reports whether the call-back was for an adopted request. The first result is the
+// response; once no attempt is outstanding the request has failed.
+func (f *Front) handleAdoptedCallBack(cb *callBack) bool {
+	c := f.adopted[cb.RequestID]
+	if c == nil || !slices.Contains(c.adoption.workers, cb.Worker) {
 		return false
 	}
 	switch {
-	case state == "done" && result != nil:
-		f.respondAdopted(c, broker.Response{Kind: broker.Served, Body: []byte(*result)})
-	case state == "started" || state == "running":
+	case cb.State == callBackDone && cb.Result != nil:
+		f.respondAdopted(c, broker.Response{Kind: broker.Served, Body: []byte(*cb.Result)})
+	case cb.State == callBackStarted || cb.State == callBackRunning:
 	default:
-		c.adoption.workers = slices.DeleteFunc(c.adoption.workers, func(h string) bool { return h == from })
+		c.adoption.workers = slices.DeleteFunc(c.adoption.workers, func(name string) bool {
+			return name == cb.Worker
+		})
 		if len(c.adoption.workers) == 0 {
 			f.respondAdopted(c, broker.Response{Kind: broker.Failed})
 		}
@@ -119,19 +130,11 @@
 	return true
 }
 
-// abandonAdopted gives up a job whose client has left.
+// abandonAdopted cancels an adopted request whose client has disconnected.
 func (f *Front) abandonAdopted(c *client) {
 	for _, name := range c.adoption.workers {
-		if h := f.workers[name]; h != nil {
-			request := http1.AppendRequest(
-				nil,
-				"DELETE",
-				"/jobs/"+url.PathEscape(c.requestID),
-				h.address,
-				"",
-				nil,
-			)
-			f.loop.After(cancelTimeout, h.sendIdempotent(request, func(*http1.Message, []byte, bool) {}))
+		if w := f.workers[name]; w != nil {
+			w.cancel(c.requestID)
 		}
 	}
 	f.removeAdopted(c)
--- a/internal/frontend/platform/adoption_test.go
+++ b/internal/frontend/platform/adoption_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"bufio"
-	stdnet "net"
+	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -12,43 +12,44 @@
 	"moorstack/internal/proxy/hotrestart"
 )
 
-// A job comes from a process whose clock is an hour ahead or behind, since the wall clock was stepped between
-// the two processes' starts: its client has the time that it had left, no more and no less.
-func TestJobOfAProcessWithAnotherClock(t *testing.T) {
-	const left = 600 * time.Millisecond
+// A request is migrated by a process whose clock is an hour ahead or behind, since the wall clock was stepped
+// between the starts of the two processes: it keeps the rest of its timeout, no more and no less.
+func TestAdoptedRequestKeepsTimeoutAcrossClocks(t *testing.T) {
+	const timeout = 600 * time.Millisecond
 	for name, ahead := range map[string]time.Duration{"ahead": time.Hour, "behind": -time.Hour, "alike": 0} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, _ := served(t, newWorker(t))
-			done, late := given(t, f, "done", ahead, left), given(t, f, "late", ahead, left)
+			f, _ := newFrontWithWorkers(t, newFakeWorker(t))
+			done, late := adopt(t, f, "done", ahead, timeout), adopt(t, f, "late", ahead, timeout)
 			began := time.Now()
-			time.AfterFunc(left/2, func() {
-				word := []byte(`{"id":"done","from":"s-2","state":"done","result":"r"}`)
-				f.loop.Post(func() { f.handleCallBack(word) })
+			time.AfterFunc(timeout/2, func() {
+				callBack := []byte(`{"id":"done","from":"s-2","state":"done","result":"r"}`)
+				f.loop.Post(func() { f.handleCallBack(callBack) })
 			})
-			if got := status(t, done); got != http.StatusOK {
-				t.Errorf("the job that is done in time gets %d", got)
+			if got := readStatus(t, done); got != http.StatusOK {
+				t.Errorf("the request that is done in time gets %d", got)
 			}
-			if got := status(t, late); got != http.StatusBadGateway {
-				t.Errorf("the one that is not gets %d", got)
+			if got := readStatus(t, late); got != http.StatusBadGateway {
+				t.Errorf("the one that is not done gets %d", got)
 			}
 			took := time.Since(began)
-			if took < left-100*time.Millisecond || took > left+500*time.Millisecond {
-				t.Errorf("its answer comes after %v, of %v", took, left)
+			if took < timeout-100*time.Millisecond || took > timeout+500*time.Millisecond {
+				t.Errorf("its response comes after %v, its timeout is %v", took, timeout)
 			}
 		})
 	}
 }
 
-// given has the front take over a job whose sender's clock is so far ahead, and is its client.
-func given(t *testing.T, f *Front, id string, ahead, left time.Duration) stdnet.Conn {
+// adopt has the front adopt a request from a process whose clock is that far ahead, and returns its client's
+// connection.
+func adopt(t *testing.T, f *Front, id string, ahead, timeout time.Duration) net.Conn {
 	t.Helper()
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	client, err := stdnet.Dial("tcp", ln.Addr().String())
+	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	file, err := server.(*stdnet.TCPConn).File()
+	file, err := server.(*net.TCPConn).File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,22 +68,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := make(chan error, 1)
+	adopted := make(chan error, 1)
 	f.loop.Post(func() {
-		taken <- f.AdoptRequest(&hotrestart.MigratedRequest{ID: id, Endpoints: []string{"s-2"},
-			Deadline: f.loop.Now() + ahead + left,
-			Timeout:  left}, fd)
+		adopted <- f.AdoptRequest(&hotrestart.MigratedRequest{ID: id, Endpoints: []string{"s-2"},
+			Deadline: f.loop.Now() + ahead + timeout,
+			Timeout:  timeout}, fd)
 	})
-	if err := <-taken; err != nil {
+	if err := <-adopted; err != nil {
 		t.Fatal(err)
 	}
 	return client
 }
 
-// status is that of the answer that comes.
-func status(t *testing.T, c stdnet.Conn) int {
+// readStatus returns the status of the next response.
+func readStatus(t *testing.T, c net.Conn) int {
 	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(requestTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/frontend/platform/call_back.go
@@ -0,0 +1,66 @@
+package platform
+
+import (
+	"encoding/json"
+
+	"moorstack/balancer"
+)
+
+// callBackState is what a worker reports of an attempt that it has accepted.
+type callBackState string
+
+const (
+	callBackDone     callBackState = "done"
+	callBackFailed   callBackState = "failed"
+	callBackReturned callBackState = "returned" // it was not run, and may run elsewhere
+	callBackLost     callBackState = "lost"     // whether it ran is unknown
+	callBackStarted  callBackState = "started"
+	callBackRunning  callBackState = "running"
+)
+
+// callBack is the body of a worker's call-back.
+type callBack struct {
+	RequestID string             `json:"id"`
+	Worker    string             `json:"from"`
+	State     callBackState      `json:"state"`
+	Result    *string            `json:"result"`
+	Share     float64            `json:"share"` // of the work that is done
+	Load      map[string]float64 `json:"load"`
+}
+
+// handleCallBack reports whether the call-back was for an attempt of this process. It may come before the
+// 202, more than once, or late: it ends only the attempt that is outstanding at the worker that sent it.
+func (f *Front) handleCallBack(body []byte) bool {
+	var cb callBack
+	if err := json.Unmarshal(body, &cb); err != nil {
+		f.log.WithError(err).Warn("malformed call-back")
+		return true
+	}
+	if f.handleAdoptedCallBack(&cb) {
+		return true
+	}
+	report := balancer.NoLoadReport
+	for name, v := range cb.Load {
+		f.names.report.Set(&report, name, v)
+	}
+	end := func(result balancer.Result, body []byte) bool {
+		return f.broker.EndAttemptAt(cb.RequestID, cb.Worker, result, body, report)
+	}
+	switch cb.State {
+	case callBackDone:
+		if cb.Result == nil {
+			f.log.WithField("worker", cb.Worker).Warn("call-back without a result")
+			return end(balancer.ServerError, nil)
+		}
+		return end(balancer.OK, []byte(*cb.Result))
+	case callBackFailed:
+		return end(balancer.ServerError, nil)
+	case callBackReturned:
+		return end(balancer.WorkerFull, nil)
+	case callBackLost:
+		return end(balancer.ConnectionReset, nil)
+	case callBackStarted, callBackRunning:
+		return f.broker.ReportProgress(cb.RequestID, cb.Worker, cb.State == callBackStarted, cb.Share)
+	}
+	return true // no state of the protocol
+}
--- a/internal/frontend/platform/discovery.go
+++ b/internal/frontend/platform/discovery.go
@@ -1,11 +1,8 @@
 package platform
 
 import (
-	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"maps"
 	"slices"
 	"time"
@@ -13,52 +10,54 @@
 	"moorstack/balancer"
 	"moorstack/internal/cluster/discovery"
 	"moorstack/internal/netio/eventloop"
-	"moorstack/internal/netio/http1"
+	"moorstack/internal/proxy/broker"
 )
 
-const (
-	membersPath = "/catalog/members"
+// membersPath is discovery's resource: the endpoint list, or with stream=1 a watch of its changes.
+const membersPath = "/catalog/members"
 
-	// maxListBytes is the longest list, or line of a watch, that is taken in.
-	maxListBytes = 4 << 20
-)
-
-// directory asks discovery for the route set.
+// directory is the broker's EndpointSource: it watches discovery, and polls it where a local agent relays
+// the list.
 type directory struct {
 	front       *Front
 	policy      discovery.RefreshPolicy
 	generations discovery.GenerationTracker
-	watchWanted bool // the core wants a watch; a list that is pushed is always wanted
-	watch       *discoveryCall
-	fedByPeer   bool // another instance asks, and gives the list to this one
-	// onUpdate is told what discovery says, as it says it; nil: nobody is.
-	onUpdate func(generation int64, whole bool, text []byte)
-
-	// Where lists are pushed: the calls that are out beside the watch, the next one, and the answer
-	// that was taken last, since most say the same.
+	watchWanted bool           // the broker wants a watch; one of a local agent is always wanted
+	watch       *discoveryCall // nil: none is open
+	fedByPeer   bool           // another instance watches discovery, and relays the list to this one
+	// onUpdate is notified of each list update in discovery's form; nil: nobody is.
+	onUpdate func(generation int64, full bool, text []byte)
+
+	// With a local agent: the polls in flight, the timer of the next one, and the list that was polled last,
+	// since most are equal.
 	polls          map[*discoveryCall]struct{}
 	pollTimer      *eventloop.Timer
-	retryTimer     *eventloop.Timer // begins the watch anew
+	retryTimer     *eventloop.Timer // of the watch
 	lastPolled     []byte
-	lastCallFailed bool // the last call did
+	lastCallFailed bool
 }
 
+var _ broker.EndpointSource = (*directory)(nil)
+
 func newDirectory(f *Front) *directory {
 	s := &f.cfg.Settings
-	return &directory{front: f, polls: map[*discoveryCall]struct{}{},
+	return &directory{
+		front:       f,
+		polls:       map[*discoveryCall]struct{}{},
 		generations: discovery.GenerationTracker{Generation: f.cfg.InitialList.Generation},
 		policy: discovery.RefreshPolicy{
 			LocalAgent: s.ListMode == "pushed",
 			DrainGrace: time.Duration(s.Rules.DrainGrace),
 			NodeIndex:  s.DispatcherIndex,
 			FleetSize:  s.DispatcherCount,
-		}}
+		},
+	}
 }
 
-// open begins to follow a list that is pushed. One that must be asked for waits for the core's word.
+// open begins to watch a local agent. Discovery itself is watched once the broker requests it.
 //
-// Hazard: the module asks for nothing where lists are pushed, and the simulator pushes unasked. Here
-// somebody has to open the watch.
+// Hazard: the balancer requests nothing where a local agent pushes lists, and the simulator pushes them
+// unasked. Here the watch must be opened.
 func (d *directory) open() {
 	if d.policy.LocalAgent {
 		d.watchWanted = true
@@ -66,8 +65,8 @@
 	}
 }
 
-// WatchList begins to watch, or stops. One that is under way goes on: the core may ask for
-// another after a failure that a move of discovery has mended meanwhile.
+// WatchList implements broker.EndpointSource. A watch that is open stays open: the broker may request
+// another after a failure that a change of discovery's address has mended meanwhile.
 func (d *directory) WatchList(on bool) {
 	if d.watchWanted = on; on {
 		d.ensureWatch()
@@ -76,14 +75,14 @@
 	}
 }
 
-// ensureWatch has a watch open, and calls beside it where lists are pushed.
+// ensureWatch opens the watch if it is wanted and not open, and begins to poll a local agent.
 func (d *directory) ensureWatch() {
 	if !d.watchWanted || d.fedByPeer {
 		return
 	}
 	d.retryTimer.Stop()
 	if d.watch == nil {
-		// Take up where the last news ended: what was told meanwhile comes first.
+		// It resumes after the last update: what was announced meanwhile comes first.
 		d.watch = d.startCall(fmt.Sprintf("%s?stream=1&index=%d", membersPath, d.generations.Generation))
 	}
 	if d.policy.LocalAgent && d.pollTimer == nil {
@@ -91,14 +90,15 @@
 	}
 }
 
-// poll asks the agent for the whole list, and again after a while, whatever becomes of this call.
+// poll requests the whole list from the agent, and again after an interval, whatever becomes of this call.
 //
-// Hazard: a watch that is open and deaf says nothing of a drain, and what the agent has counts as told.
+// Hazard: a watch that is open and silent announces no drain, and what the agent has counts as announced.
 func (d *directory) poll() {
 	d.polls[d.startCall(membersPath)] = struct{}{}
 	d.pollTimer = d.front.loop.After(d.policy.PollInterval(), d.poll)
 }
 
+// stop ends the watch and the polls.
 func (d *directory) stop() {
 	d.pollTimer.Stop()
 	d.retryTimer.Stop()
@@ -113,302 +113,104 @@
 	}
 }
 
-// addressChanged leaves the old address at once, and does not wait for the core to ask again:
-// the old one closes its watches only after a while, and its news may end before.
+// addressChanged leaves the old address at once, without a request of the broker: the old one closes its
+// watches only after a while, and its updates may end before.
 func (d *directory) addressChanged() {
 	d.stop()
 	d.generations.Reset(d.front.loop.Now())
 	d.ensureWatch()
 }
 
-// SetFedByPeer says whether another instance gives this one the list: then it asks discovery for nothing.
-// Called on the loop.
-func (f *Front) SetFedByPeer(on bool) {
-	d := f.directory
-	if d.fedByPeer == on {
-		return
-	}
-	if d.fedByPeer = on; on {
-		d.stop()
-	} else {
-		d.ensureWatch()
-	}
-}
-
-// WatchesDiscovery says whether discovery is watched from here, has spoken, and has told a list. Called on
-// the loop.
-//
-// Hazard: one that has just started has no list, and would pass that on as one without workers.
-func (f *Front) WatchesDiscovery() bool {
-	d := f.directory
-	return d.watch != nil && !d.watch.closed && d.watch.parser.HeadDone() && d.generations.Generation > 0 &&
-		!f.initial.pending
-}
-
-// OnListUpdate has what discovery says be told as it says it. Called on the loop, as is the function.
-func (f *Front) OnListUpdate(tell func(generation int64, whole bool, text []byte)) {
-	f.directory.onUpdate = tell
-}
-
-// ApplyList takes over a list, or a change of it, that discovery has told another instance. Called on
-// the loop.
-func (f *Front) ApplyList(text []byte) error {
-	var set workerList
-	if err := json.Unmarshal(text, &set); err != nil {
-		return fmt.Errorf("a list that was passed on: %w", err)
-	}
-	// Who passes it on has taken it already, in its order.
-	f.directory.generations.Generation = set.Generation
-	f.directory.applyUpdate(&set)
-	return nil
-}
-
-// FullList is the list as it stands here, in discovery's words, and its generation. Called on the
-// loop.
-func (f *Front) FullList() (generation int64, text []byte, err error) {
-	set := workerList{Generation: f.directory.generations.Generation, Full: true, Workers: []workerEntry{}}
-	for _, id := range slices.Sorted(maps.Keys(f.entries)) {
-		set.Workers = append(set.Workers, f.entries[id])
-	}
-	text, err = json.Marshal(set)
-	return set.Generation, text, err
-}
-
-// FetchList asks for the whole list once. One that is given it has it already: the core asks for the
-// sake of a watch that may be deaf, and here each beat says that nothing was missed.
+// FetchList implements broker.EndpointSource: it requests the whole list once. A front that is fed by a peer
+// has it already: the broker requests it in case the watch is silent, and a peer's heartbeat shows that
+// nothing was missed.
 func (d *directory) FetchList() {
 	if !d.fedByPeer {
 		d.startCall(membersPath)
 		return
 	}
-	d.front.loop.After(0, func() { // not from within the core's call
+	d.front.loop.After(0, func() { // not from within the broker's call
 		if _, text, err := d.front.FullList(); err == nil {
 			_ = d.front.ApplyList(text)
 		}
 	})
 }
 
-// discoveryCall is a call of discovery: a list, or a watch's lines.
-type discoveryCall struct {
-	directory *directory
-	conn      *eventloop.Conn
-	parser    http1.Parser
-	unparsed  []byte // of which the end has not come yet
-	startedAt time.Duration
-	timer     *eventloop.Timer
-	closed    bool
-}
-
-var _ eventloop.Handler = (*discoveryCall)(nil)
-
-func (d *directory) startCall(target string) *discoveryCall {
-	c := &discoveryCall{
-		directory: d,
-		parser:    http1.Parser{ReadsResponses: true, StreamsBody: true},
-		startedAt: d.front.loop.Now(),
-	}
-	conn, err := d.front.loop.Dial(d.front.cfg.DiscoveryAddress, c)
-	if err != nil {
-		d.front.loop.After(0, func() { c.fail(err) }) // not from within the core's call
-		return c
-	}
-	c.conn = conn
-	c.conn.Write(http1.AppendRequest(nil, "GET", target, d.front.cfg.DiscoveryAddress, "", nil))
-	c.resetTimeout()
-	return c
-}
-
-// resetTimeout puts off the time at which the call is taken for dead.
-//
-// Hazard: a list that never ends, or drips, keeps a call alive that tells nothing. So the call has to
-// say something whole.
-func (c *discoveryCall) resetTimeout() {
-	d := c.directory
-	limit := d.policy.PollTimeout()
-	if c == d.watch && c.parser.HeadDone() {
-		limit = d.policy.WatchTimeout()
-	}
-	c.timer.Stop()
-	c.timer = d.front.loop.After(limit, c.timedOut)
-}
-
-// timedOut gives up a call that says nothing. A watch that has spoken is begun anew at once.
-//
-// Hazard: what a watch that fell silent misses counts as told soon, heard or not. The core's pause before
-// it asks again is for discovery that is down, and is too long here.
-func (c *discoveryCall) timedOut() {
-	d := c.directory
-	if c != d.watch || !c.parser.HeadDone() {
-		c.fail(errors.New("discovery is silent"))
-		return
-	}
-	c.close()
-	d.watch = nil
-	d.front.log.Warn("discovery's watch has fallen silent, and is begun anew")
-	d.ensureWatch()
-}
-
-func (c *discoveryCall) OnConnect(*eventloop.Conn) {}
-
-// OnData takes in what has come.
-func (c *discoveryCall) OnData(*eventloop.Conn) {
-	headDone := c.parser.HeadDone()
-	whole, err := c.parser.Feed(c.conn.Input())
-	if err == nil && c.parser.HeadDone() && c.parser.Status != 200 {
-		err = fmt.Errorf("discovery answers %d", c.parser.Status)
-	}
-	if err != nil {
-		c.fail(err)
-		return
-	}
-	if c.parser.HeadDone() {
-		body, n := c.parser.TakeBody(c.conn.Input())
-		c.unparsed = append(c.unparsed, body...)
-		c.conn.Discard(n)
-		if !headDone {
-			c.resetTimeout()
-		}
-	}
-	if len(c.unparsed) > maxListBytes {
-		c.fail(errors.New("discovery sends a list without end"))
-		return
-	}
-	c.parseLists(whole)
-	if whole && !c.closed {
-		c.completed()
+// applyUpdate passes a list, or a delta of it, to the broker.
+func (d *directory) applyUpdate(list *workerList) {
+	d.front.initial.release()
+	kind := balancer.ListDelta
+	if list.Full {
+		kind = balancer.ListFull
 	}
+	d.front.updateEndpoints(kind, list)
+	d.front.startTimes.confirm(d.front.loop.Now())
 }
 
-// parseLists takes the whole lists that have come; whole: there will be no more.
-//
-// Hazard: a list may be indented, over many lines, so that a line's end is not a list's.
-func (c *discoveryCall) parseLists(whole bool) {
-	if len(c.unparsed) == 0 {
+// callFailed schedules the next call. Where there is no local agent the broker chooses when.
+func (d *directory) callFailed(err error) {
+	if !d.policy.LocalAgent {
+		d.front.log.WithError(err).Warn("discovery call failed")
+		d.front.broker.UpdateEndpoints(balancer.ListUnavailable, nil)
 		return
 	}
-	same := c.directory.lastPolled != nil && c != c.directory.watch && whole &&
-		bytes.Equal(c.unparsed, c.directory.lastPolled)
-	if same {
-		c.unparsed = c.unparsed[:0]
-		c.directory.callSucceeded()
-		return
-	}
-	in := json.NewDecoder(bytes.NewReader(c.unparsed))
-	used := 0
-	for !c.closed {
-		var h receivedList
-		var set *workerList
-		err := in.Decode(&h)
-		if err == io.EOF { // what is left is blank: nothing has changed
-			used = len(c.unparsed)
-			c.resetTimeout()
-			if c == c.directory.watch {
-				c.directory.front.initial.confirm()
-				c.directory.front.startTimes.confirm(c.directory.front.loop.Now())
-			}
-			break
-		}
-		if err == io.ErrUnexpectedEOF && !whole {
-			break
-		}
-		if err == nil {
-			set, err = h.validate()
-		}
-		if err != nil {
-			c.fail(fmt.Errorf("discovery's list: %w", err))
-			return
-		}
-		text := bytes.TrimSpace(c.unparsed[used:in.InputOffset()])
-		used = int(in.InputOffset())
-		c.resetTimeout()
-		c.handleList(set, text)
+	if !d.lastCallFailed { // it is polled often: one line of the log is enough
+		d.front.log.WithError(err).Warn("discovery call failed")
 	}
-	if c.closed {
-		return
+	d.lastCallFailed = true
+	if d.watch == nil {
+		d.retryTimer.Stop()
+		d.retryTimer = d.front.loop.After(d.policy.PollInterval(), d.ensureWatch)
 	}
-	c.unparsed = append(c.unparsed[:0], c.unparsed[used:]...)
 }
 
-func (c *discoveryCall) handleList(set *workerList, text []byte) {
-	d := c.directory
-	if err := d.generations.Accept(d.front.loop.Now(), c.startedAt, set.Generation); err != nil {
-		c.fail(err)
+// SetFedByPeer sets whether another instance relays the list to this one, which then makes no calls of
+// discovery.
+func (f *Front) SetFedByPeer(on bool) {
+	d := f.directory
+	if d.fedByPeer == on {
 		return
 	}
-	d.callSucceeded()
-	if c != d.watch {
-		d.lastPolled = append(d.lastPolled[:0], text...)
-	}
-	d.applyUpdate(set)
-	if d.onUpdate != nil {
-		d.onUpdate(set.Generation, set.Full, text)
-	}
-}
-
-func (d *directory) applyUpdate(set *workerList) {
-	d.front.initial.release()
-	kind := balancer.ListDelta
-	if set.Full {
-		kind = balancer.ListFull
+	if d.fedByPeer = on; on {
+		d.stop()
+	} else {
+		d.ensureWatch()
 	}
-	d.front.updateEndpoints(kind, set)
-	d.front.startTimes.confirm(d.front.loop.Now())
 }
 
-// completed is the end of an answer: a list's right end, a watch's failure.
-func (c *discoveryCall) completed() {
-	if c == c.directory.watch {
-		c.fail(errors.New("the watch has ended"))
-		return
-	}
-	c.close()
-	delete(c.directory.polls, c)
+// WatchesDiscovery reports whether this front watches discovery, and has received a list from it.
+//
+// Hazard: a front that has just started has no list, and would relay an empty one.
+func (f *Front) WatchesDiscovery() bool {
+	d := f.directory
+	return d.watch != nil && !d.watch.closed && d.watch.parser.HeadDone() && d.generations.Generation > 0 &&
+		!f.initial.pending
 }
 
-func (c *discoveryCall) OnClose(_ *eventloop.Conn, err error) {
-	if !c.closed && c.parser.CompleteAtEOF() {
-		if c.parseLists(true); !c.closed {
-			c.completed()
-		}
-		return
-	}
-	c.fail(err)
+// OnListUpdate sets the function that is notified of each list update, on the loop, in discovery's form;
+// nil: none is.
+func (f *Front) OnListUpdate(notify func(generation int64, full bool, text []byte)) {
+	f.directory.onUpdate = notify
 }
 
-// callSucceeded notes that discovery has spoken.
-func (d *directory) callSucceeded() { d.lastCallFailed = false }
-
-// fail notes that a call has failed, once. Where the list must be asked for, the core says when to ask
-// again; an agent beside the node is asked again soon.
-func (c *discoveryCall) fail(err error) {
-	if c.closed {
-		return
-	}
-	c.close()
-	d := c.directory
-	delete(d.polls, c)
-	if d.watch == c {
-		d.watch = nil
-	}
-	if d.policy.LocalAgent {
-		if !d.lastCallFailed { // it is asked often: once is enough for the log
-			d.front.log.WithError(err).Warn("a call of discovery has failed")
-		}
-		d.lastCallFailed = true
-		if d.watch == nil {
-			d.retryTimer.Stop()
-			d.retryTimer = d.front.loop.After(d.policy.PollInterval(), d.ensureWatch)
-		}
-		return
+// ApplyList applies a list, or a delta of it, that another instance has received from discovery and relays.
+func (f *Front) ApplyList(text []byte) error {
+	var list workerList
+	if err := json.Unmarshal(text, &list); err != nil {
+		return fmt.Errorf("decoding a relayed list: %w", err)
 	}
-	d.front.log.WithError(err).Warn("a call of discovery has failed")
-	d.front.broker.UpdateEndpoints(balancer.ListUnavailable, nil)
+	// The instance that relays it has accepted it already, in the order of generations.
+	f.directory.generations.Generation = list.Generation
+	f.directory.applyUpdate(&list)
+	return nil
 }
 
-func (c *discoveryCall) close() {
-	c.closed = true
-	c.timer.Stop()
-	if c.conn != nil {
-		c.conn.Close()
+// FullList returns the list as it is known here, in discovery's form, and its generation.
+func (f *Front) FullList() (generation int64, text []byte, err error) {
+	list := workerList{Generation: f.directory.generations.Generation, Full: true, Workers: []workerEntry{}}
+	for _, id := range slices.Sorted(maps.Keys(f.entries)) {
+		list.Workers = append(list.Workers, f.entries[id])
 	}
+	text, err = json.Marshal(list)
+	return list.Generation, text, err
 }
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -7,9 +7,23 @@
 	"moorstack/internal/proxy/drain"
 )
 
+const (
+	// closeIdleInterval is how often idle connections are closed while the node drains: some are opened
+	// meanwhile and left idle, some held a request that was not read.
+	closeIdleInterval = 100 * time.Millisecond
+
+	// partialRequestGrace is how long the shutdown waits for requests that have come in part, or not been
+	// read.
+	partialRequestGrace = time.Second
+
+	// drainedInterval is how often the shutdown looks whether all responses have been written.
+	drainedInterval = 10 * time.Millisecond
+)
+
 var errNoWorker = errors.New("no trip worker is known")
 
-// Ready is nil while the front is for more clients, or says why it is not.
+// Ready is nil while the front may get more clients. Otherwise the error is the reason; operators see its
+// text.
 func (f *Front) Ready() error {
 	switch {
 	case f.drain.ShuttingDown():
@@ -24,26 +38,26 @@
 	return nil
 }
 
-// BeginStandby sends the clients away until Active.
+// BeginStandby drains the clients until EndStandby: health checks fail, then idle connections are closed.
 func (f *Front) BeginStandby() {
 	if f.drain.BeginStandby(f.loop.Now()) {
-		f.log.Info("standing by: health says no, and clients are sent away")
+		f.log.Info("standby begun, draining clients")
 		f.scheduleClosing()
 	}
 }
 
-// EndStandby ends what Standby began. Nothing has to be undone: what is open stays open, and
-// health says yes from here on.
+// EndStandby ends what BeginStandby began. Nothing has to be undone: open connections stay open, and health
+// checks succeed from here on. It fails with drain.ErrShuttingDown or drain.ErrTakenOver.
 func (f *Front) EndStandby() error {
 	changed, err := f.drain.EndStandby()
 	if changed {
-		f.log.Info("serving again")
+		f.log.Info("standby ended")
 	}
 	return err
 }
 
-// BeginShutdown begins the end: what comes is still taken for a while and all that was
-// taken is finished; then done is called.
+// BeginShutdown begins a graceful shutdown: requests are still accepted for a while and all that were
+// accepted are finished; then done is called. Only the first call has an effect.
 func (f *Front) BeginShutdown(done func()) {
 	if !f.drain.BeginShutdown(f.loop.Now()) {
 		return
@@ -53,10 +67,10 @@
 	f.loop.At(f.drain.ClosingAt(), func() { f.awaitDrained(f.loop.Now()+partialRequestGrace, done) })
 }
 
-// ShutdownRequestedAt is when the process was asked to end; 0: it was not.
+// ShutdownRequestedAt returns when the process was asked to end; 0: it was not.
 func (f *Front) ShutdownRequestedAt() time.Duration { return f.shutdownAt }
 
-// scheduleClosing closes idle connections once the notice is over.
+// scheduleClosing closes idle connections once health checks have failed for long enough.
 func (f *Front) scheduleClosing() {
 	f.loop.At(f.drain.ClosingAt(), func() {
 		if f.drain.Advance(f.loop.Now()) {
@@ -65,10 +79,8 @@
 	})
 }
 
-// closeIdleInterval is how often connections are looked at while clients are sent away: some are
-// opened meanwhile and left idle, some held a request that was not read.
-const closeIdleInterval = 100 * time.Millisecond
-
+// closeIdleClients closes the connections that are idle now, and again at each interval while the node
+// drains.
 func (f *Front) closeIdleClients() {
 	if f.drain.State() != drain.ClosingConnections {
 		return
@@ -79,40 +91,23 @@
 	f.loop.After(closeIdleInterval, f.closeIdleClients)
 }
 
-// partialRequestGrace is how long the end waits for requests that have come in part, or not been read.
-const partialRequestGrace = time.Second
-
-// awaitDrained waits for the last answers to be written. The listener stays open until
-// then: next hops call back on it.
+// awaitDrained calls done once the last responses are written. The listener stays open until then: workers
+// call back on it.
 //
 // Hazards: between two looks at a connection a request may have come on it; one may come on a connection
-// that waits to be accepted, or was just opened; an answer is on its way on a connection that is being
-// ended, and the end of the process would reset it.
-func (f *Front) awaitDrained(until time.Duration, done func()) {
+// that waits to be accepted, or was just opened; a response is on its way on a connection that is being
+// closed, and the end of the process would reset it.
+func (f *Front) awaitDrained(partialUntil time.Duration, done func()) {
 	f.listener.AcceptPending()
 	now := f.loop.Now()
 	busy := f.broker.PendingCount() > 0 || f.listener.LingeringCount() > 0
 	for c := range f.clients {
-		busy = busy || c.owedResponse() || now < until && c.mayStillRequest(now)
+		busy = busy || c.owedResponse() || now < partialUntil && c.mayStillRequest(now)
 	}
 	if busy {
-		f.loop.After(10*time.Millisecond, func() { f.awaitDrained(until, done) })
+		f.loop.After(drainedInterval, func() { f.awaitDrained(partialUntil, done) })
 		return
 	}
 	f.listener.Close()
 	done()
 }
-
-// owedResponse says whether the connection still has to get an answer, or may have to: a request that has
-// come whole and was not read is owed one, however long ago the end began.
-func (c *client) owedResponse() bool {
-	return c.awaitsResponse || c.callBackForwarded || c.conn.UnsentBytes() > 0 ||
-		!c.isWorker && c.conn.HasUnreadInput()
-}
-
-// mayStillRequest says whether a request is on its way: a part of it has come, or it would be the
-// connection's first.
-func (c *client) mayStillRequest(now time.Duration) bool {
-	fresh := !c.sentMessage && now < c.openedAt+drain.HealthCheckGrace
-	return !c.isWorker && (fresh || c.conn.HasPendingInput())
-}
--- a/internal/frontend/platform/peer_process.go
+++ b/internal/frontend/platform/peer_process.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"time"
 
 	"moorstack/balancer"
@@ -9,41 +10,46 @@
 	"moorstack/internal/proxy/hotrestart"
 )
 
+const (
+	// unknownPeerSpan is how long a process with which this one has no link may share the address: the
+	// platform ends it some 10 s after this one's start.
+	unknownPeerSpan = 10 * time.Second
+
+	// forwardTimeout is how long the other process may take over a call-back. The worker calls again after
+	// that, as it does when nobody responds.
+	forwardTimeout = time.Second
+)
+
 // PeerProcess is the other process of this node, while one takes the other's place.
 type PeerProcess interface {
-	// ForwardCallBack passes a call-back on; Heard tells what has become of it, by the number.
+	// ForwardCallBack passes a call-back on. CallBackHandled is called with the same number once the other
+	// process has handled it.
 	ForwardCallBack(number uint64, body []byte)
-	// RequestBegun tells of a transaction that the other must not begin, too.
+	// RequestBegun notifies it of a request that it must not begin, too.
 	RequestBegun(id string)
 }
 
-// peerState is what passes between this process and the one beside it.
+// peerState is what concerns the other process.
 type peerState struct {
 	peer          PeerProcess // nil: there is none
-	limitsShared  bool        // the limits are for both
+	limitsShared  bool        // the limits are for both processes
 	lastForwarded uint64
-	forwarded     map[uint64]*client  // next hops whose call-back is with the other
-	peerRequests  map[string]struct{} // transactions that are open there
+	forwarded     map[uint64]*client  // connections of workers whose call-back is with the other process
+	peerRequests  map[string]struct{} // ids of requests that are open there
 
-	unknownPeerUntil time.Duration // there may be one that can't be spoken to
+	unknownPeerUntil time.Duration // until when there may be one with which this process has no link
 }
 
-// unknownPeerSpan is how long a process that can't be spoken to may share the address: the
-// platform ends it some 10 s after this one's start.
-const unknownPeerSpan = 10 * time.Second
-
-// ExpectUnknownPeer says that another process of the node may be there, and can't be spoken to.
+// ExpectUnknownPeer notes that another process of the node may share the address for some time, though this
+// one has no link with it.
 func (f *Front) ExpectUnknownPeer() { f.unknownPeerUntil = f.loop.Now() + unknownPeerSpan }
 
-// forwardTimeout is how long the other process may take over a call-back. The next hop calls
-// again after that, as it does when nobody answers.
-const forwardTimeout = time.Second
-
-// forwardCallBack passes a call-back that is for no branch of ours to the other process, and
-// reports whether there is one. A next hop calls the shared address, and whoever accepts
-// may not be the one whose attempt it is.
+// forwardCallBack passes a call-back that is for no attempt of this process to the other one, and reports
+// whether there is one. A worker calls the shared address, and the process that accepts may not be the one
+// whose attempt it is.
 //
-// Hazard: to answer before the other has it loses the result if that one dies meanwhile.
+// Hazard: a response before the other process has the call-back loses the result if that process dies
+// meanwhile.
 func (f *Front) forwardCallBack(c *client, body []byte) bool {
 	if f.peer == nil {
 		return false
@@ -56,8 +62,8 @@
 	return true
 }
 
-// CallBackHandled tells that the other process has taken a call-back, or knows nothing of it either:
-// calling again would not help.
+// CallBackHandled notes that the other process has handled a call-back, or knows nothing of it either: in
+// both cases the worker need not call again.
 func (f *Front) CallBackHandled(number uint64) { f.respondForwarded(number, 204) }
 
 func (f *Front) respondForwarded(number uint64, status int) {
@@ -70,14 +76,15 @@
 		return
 	}
 	c.respond(status, "", nil)
-	f.loop.After(0, func() { c.OnData(c.conn) }) // the next one may be in the buffer
+	f.loop.After(0, func() { c.OnData(c.conn) }) // the next request may be in the buffer
 }
 
-// HandleForwardedCallBack takes a call-back that the other process got. If nobody knows it, calling again
-// would not help.
+// HandleForwardedCallBack handles a call-back that the other process accepted. One that is for no attempt
+// here either is dropped: another call would not help.
 func (f *Front) HandleForwardedCallBack(body []byte) { f.handleCallBack(body) }
 
-// openElsewhere says that the other process has a transaction of this id open.
+// openElsewhere reports whether the request is open at the other process, or adopted from it. If it is not,
+// the other process is notified that it begins here.
 func (f *Front) openElsewhere(id string) bool {
 	if _, open := f.peerRequests[id]; open || f.adopted[id] != nil {
 		return true
@@ -88,7 +95,7 @@
 	return false
 }
 
-// AddPeerRequests takes the ids of transactions that are open at the other process.
+// AddPeerRequests adds ids of requests that are open at the other process.
 func (f *Front) AddPeerRequests(ids []string) {
 	if f.peerRequests == nil {
 		f.peerRequests = map[string]struct{}{}
@@ -98,19 +105,19 @@
 	}
 }
 
-// SetPeerProcess says whether another process of this node is there, whom the limits are for as
-// well, and who may be told what.
-func (f *Front) SetPeerProcess(with PeerProcess) {
-	if f.peer, f.limitsShared = with, with != nil; with == nil {
+// SetPeerProcess sets the other process of this node, which then shares the limits; nil: there is none any
+// more.
+func (f *Front) SetPeerProcess(peer PeerProcess) {
+	if f.peer, f.limitsShared = peer, peer != nil; peer == nil {
 		f.peerRequests = nil
 		for n := range f.forwarded {
-			f.respondForwarded(n, 503) // the next hop calls again, and finds us alone
+			f.respondForwarded(n, 503) // the worker calls again, and reaches this process
 		}
 	}
 	f.listener.SetLimits(f.listenerLimits())
 }
 
-// Drained says that there is no client whom this process owes anything.
+// Drained reports whether no client is owed anything by this process.
 func (f *Front) Drained() bool {
 	if f.broker.PendingCount() > 0 {
 		return false
@@ -123,17 +130,18 @@
 	return true
 }
 
-// StopAccepting has the other process accept from here on, and sends the clients to it.
+// StopAccepting leaves new connections to the other process, and has the clients of this one reconnect
+// there.
 func (f *Front) StopAccepting() {
 	f.listener.SetSuspended(true)
 	f.drain.HandOver()
-	for _, h := range f.workers {
-		h.CloseIdle()
+	for _, w := range f.workers {
+		w.CloseIdle()
 	}
 	f.closeIdleClients()
 }
 
-// ResumeAccepting has this process accept again.
+// ResumeAccepting undoes StopAccepting: the other process has ended.
 func (f *Front) ResumeAccepting() {
 	f.drain.AbortHandOver()
 	f.listener.SetSuspended(false)
@@ -142,17 +150,17 @@
 // ListenerFD is the listening socket.
 func (f *Front) ListenerFD() int { return f.listener.FD() }
 
-// CurrentList is the list as it was heard last, and its generation.
-func (f *Front) CurrentList() (int64, json.RawMessage, error) {
-	lines := f.initial.unconfirmedWorkers()
-	for _, l := range f.entries {
-		lines = append(lines, l)
+// CurrentList returns the endpoint list as it was received last, in discovery's form, and its generation.
+func (f *Front) CurrentList() (generation int64, list json.RawMessage, err error) {
+	entries := f.initial.unconfirmedWorkers()
+	for _, e := range f.entries {
+		entries = append(entries, e)
 	}
-	raw, err := json.Marshal(lines)
-	return f.directory.generations.Generation, raw, err
+	list, err = json.Marshal(entries)
+	return f.directory.generations.Generation, list, err
 }
 
-// WorkerStarts are the workers' starts, as they are known here.
+// WorkerStarts returns when workers started, by their ids, as far as it is known here.
 func (f *Front) WorkerStarts() map[string]hotrestart.WorkerStart {
 	starts := make(map[string]hotrestart.WorkerStart, len(f.startTimes.known))
 	for name, s := range f.startTimes.known {
@@ -161,35 +169,26 @@
 	return starts
 }
 
-// DiscoveryAddresses is the address of discovery, and the one that the file gave last.
-func (f *Front) DiscoveryAddresses() (address, written string) {
+// DiscoveryAddresses returns the address of discovery, and the one that the file gave last.
+func (f *Front) DiscoveryAddresses() (address, configured string) {
 	return f.cfg.DiscoveryAddress, f.cfg.configuredDiscovery
 }
 
-// InheritDiscovery has a process that takes another's place ask where that one asks.
-//
-// Hazard: the variable that comes first at a start names the address of before a reload.
-// A file that was changed since is newer than both.
-func (c *Config) InheritDiscovery(address, written string) {
-	if c.configuredDiscovery == written && address != "" {
-		c.DiscoveryAddress = address
-	}
-}
-
-// OpenInherited is Open for a process that takes another one's place: with that one's listening socket and
-// state, whose times are by this one's clock, and what its core has told.
-func (f *Front) OpenInherited(c *broker.Broker, fd int, s *hotrestart.State, p broker.ProcessState) error {
-	known := workerList{Generation: s.Generation, Full: true}
-	if err := json.Unmarshal(s.Instances, &known.Workers); err != nil {
-		return err
+// OpenInherited is Open for a process that takes another one's place, with that one's listening socket and
+// state. The times in the state must be of this process's clock (hotrestart.State.RebaseTimes).
+func (f *Front) OpenInherited(b *broker.Broker, listenerFD int, s *hotrestart.State,
+	p broker.ProcessState) error {
+	list := workerList{Generation: s.Generation, Full: true}
+	if err := json.Unmarshal(s.Instances, &list.Workers); err != nil {
+		return fmt.Errorf("the inherited endpoint list: %w", err)
 	}
 	f.startTimes.restore(s.WorkerStarts)
-	f.cfg.InitialList, f.directory.generations.Generation = known, s.Generation
-	f.broker, f.limitsShared = c, true
+	f.cfg.InitialList, f.directory.generations.Generation = list, s.Generation
+	f.broker, f.limitsShared = b, true
 	f.updateEndpoints(balancer.ListCached, &f.cfg.InitialList)
-	c.ImportState(p)
+	b.ImportState(p)
 	var err error
-	f.listener, err = f.loop.ListenFD(fd, f.listenerLimits(), f.onAccept)
+	f.listener, err = f.loop.ListenFD(listenerFD, f.listenerLimits(), f.onAccept)
 	f.directory.open()
 	return err
 }
--- /dev/null
+++ b/internal/frontend/platform/request.go
@@ -0,0 +1,144 @@
+package platform
+
+import (
+	"errors"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"moorstack/internal/netio/http1"
+	"moorstack/internal/proxy/broker"
+	"moorstack/internal/proxy/routing"
+)
+
+const (
+	maxRequestIDBytes = 200
+	maxCostMicros     = 1e12 // of a request's expected work
+	maxTimeout        = 24 * time.Hour
+)
+
+// What is wrong with a request's fields; the texts are sent to the client.
+var (
+	errRequestID   = errors.New("X-Request-ID is missing, too long or no plain text")
+	errClass       = errors.New("X-Priority-Class names no class")
+	errNoClass     = errors.New("X-Priority-Class is missing, and no rule gives the job a class")
+	errTenant      = errors.New("X-Tenant-Id names no tenant")
+	errTimeout     = errors.New("X-Timeout is not a time")
+	errCost        = errors.New("X-Cost is not a time in microseconds")
+	errIdempotency = errors.New("Idempotency-Key is missing or no plain text")
+)
+
+// payload is what of a client's request is sent on to a worker.
+type payload struct {
+	target, idempotencyKey string
+	body                   []byte
+}
+
+// parseRequest reads the request from a message's fields, and has it routed.
+func (f *Front) parseRequest(m *http1.Message, body []byte) (broker.Request, routing.Decision, error) {
+	p := &payload{target: m.Target, idempotencyKey: m.Get("Idempotency-Key"), body: body}
+	r := broker.Request{ID: m.Get("X-Request-ID"), Payload: p}
+	var d routing.Decision
+	// Hazard: on what a worker can't parse it closes the connection. That counts as a reset and against the
+	// worker, and an idempotent request would go on to do so at the next one.
+	if !http1.IsVisibleASCII(r.ID) || len(r.ID) > maxRequestIDBytes {
+		return r, d, errRequestID
+	}
+	class := m.Get("X-Priority-Class")
+	if r.Class = indexOrNone(f.names.classes, class); r.Class < 0 && (class != "" || f.routes == nil) {
+		return r, d, errClass
+	}
+	if tenant := m.Get("X-Tenant-Id"); tenant != "" {
+		if r.Tenant = indexOrNone(f.names.tenants, tenant); r.Tenant < 0 {
+			return r, d, errTenant
+		}
+	}
+	var err error
+	if r.Timeout, err = parseTimeout(m.Get("X-Timeout")); err != nil {
+		return r, d, err
+	}
+	if cost := m.Get("X-Cost"); cost != "" {
+		micros, err := strconv.ParseFloat(cost, 64)
+		if err != nil || !(micros >= 0 && micros < maxCostMicros) {
+			return r, d, errCost
+		}
+		r.ExpectedWork = time.Duration(micros * float64(time.Microsecond))
+	}
+	r.IsRetry = m.Get("X-Retried") == "1"
+	if f.accountHeader != "" {
+		r.Account = m.Get(f.accountHeader)
+	}
+	parseAttributes(&r, m.Get("X-Attrs"))
+	d, err = f.route(m, &r, p)
+	return r, d, err
+}
+
+// parseAttributes reads "name=value, name=value", what the request is expected to need. These are hints:
+// what is unknown or no number is passed over.
+func parseAttributes(r *broker.Request, attributes string) {
+	for attribute := range strings.SplitSeq(attributes, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(attribute), "=")
+		v, err := strconv.ParseFloat(value, 64)
+		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
+			continue
+		}
+		switch name {
+		case "slots", "cores_needed":
+			r.Slots = v
+		case "memory", "ram_units":
+			r.Memory = v
+		}
+	}
+}
+
+// route has the rules choose the request's workers and class, and checks what depends on the class.
+func (f *Front) route(m *http1.Message, r *broker.Request, p *payload) (d routing.Decision, err error) {
+	if f.routes != nil {
+		path, _, _ := strings.Cut(m.Target, "?")
+		job := routing.Job{
+			Frontend: "http",
+			Class:    r.Class,
+			Tenant:   r.Tenant,
+			Host:     m.Get("Host"),
+			Path:     path,
+			Header:   m.Get,
+			RouteKey: m.Get("X-Route-Key"),
+			CostHint: r.ExpectedWork,
+			ID:       r.ID,
+		}
+		if m.Get("X-Tenant-Id") == "" {
+			job.Tenant = -1
+		}
+		d = f.routes.Decide(&job)
+		r.Class, r.Route, r.MaxAttempts, r.AttemptTimeout = d.Class, d.Route, d.MaxAttempts, d.AttemptTimeout
+		if r.Class < 0 && d.RejectReason == "" {
+			return d, errNoClass
+		}
+	}
+	// Hazard: without its key, a retry of a request that is idempotent by key is not known for one, and the
+	// work runs again.
+	if d.RejectReason == "" && f.cfg.Settings.Classes[r.Class].Effect == "dedup" &&
+		!http1.IsVisibleASCII(p.idempotencyKey) {
+		return d, errIdempotency
+	}
+	return d, nil
+}
+
+// parseTimeout reads a number and its unit: m for milliseconds, u for microseconds.
+func parseTimeout(s string) (time.Duration, error) {
+	unit := time.Duration(0)
+	switch {
+	case strings.HasSuffix(s, "m"):
+		unit = time.Millisecond
+	case strings.HasSuffix(s, "u"):
+		unit = time.Microsecond
+	}
+	if unit > 0 {
+		n, err := strconv.ParseFloat(s[:len(s)-1], 64)
+		if d := n * float64(unit); err == nil && d >= 1 && d <= float64(maxTimeout) {
+			return time.Duration(d), nil
+		}
+	}
+	return 0, errTimeout
+}
--- a/internal/frontend/platform/scheduled.go
+++ b/internal/frontend/platform/scheduled.go
@@ -8,46 +8,43 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// ScheduledRequest is a job that this node begins by itself, at its time.
+// ScheduledRequest is a request that this node begins by itself, at its scheduled time.
 type ScheduledRequest struct {
-	ID           string // its key, too
-	Class        int
-	Tenant       int
-	Account      string
+	ID           string // also its idempotency key
+	Class        int    // the class's number
+	Tenant       int    // the tenant's number
+	Account      string // empty: none
 	Path         string
 	Body         string
-	ExpectedWork time.Duration
+	ExpectedWork time.Duration // 0: unknown
 	Timeout      time.Duration
 	IsRetry      bool
 }
 
-// SubmitScheduled hands a planned job to the core, as if a client had sent it: rules of routing, limits and
-// gates hold for it as for any other. Unless it returns an error, the client is answered once. It is called
-// on the loop.
-func (f *Front) SubmitScheduled(p ScheduledRequest, client broker.Client) error {
-	j := &payload{target: p.Path, key: p.ID, body: []byte(p.Body)}
-	t := broker.Request{
-		ID:           p.ID,
-		Class:        p.Class,
-		Tenant:       p.Tenant,
-		Account:      p.Account,
-		ExpectedWork: p.ExpectedWork,
-		Timeout:      p.Timeout,
-		IsRetry:      p.IsRetry,
-		Payload:      j,
+// SubmitScheduled submits a scheduled request to the broker as if a client had sent it: routing rules, limits
+// and admission control apply as to any other. Unless it returns an error, client.Respond is called once.
+func (f *Front) SubmitScheduled(s ScheduledRequest, client broker.Client) error {
+	p := &payload{target: s.Path, idempotencyKey: s.ID, body: []byte(s.Body)}
+	r := broker.Request{
+		ID:           s.ID,
+		Class:        s.Class,
+		Tenant:       s.Tenant,
+		Account:      s.Account,
+		ExpectedWork: s.ExpectedWork,
+		Timeout:      s.Timeout,
+		IsRetry:      s.IsRetry,
+		Payload:      p,
 	}
-	m := &http1.Message{Method: "POST", Target: p.Path}
-	d, err := f.route(m, &t, j)
+	d, err := f.route(&http1.Message{Method: "POST", Target: s.Path}, &r, p)
 	switch {
 	case err != nil:
-		return fmt.Errorf("%s: %w", p.ID, err)
+		return fmt.Errorf("%s: %w", s.ID, err)
 	case d.RejectReason != "":
-		client.Respond(
-			broker.Response{Kind: broker.Rejected, RetryAfter: d.RetryAfter, Reason: d.RejectReason},
-		)
+		client.Respond(broker.Response{Kind: broker.Rejected, RetryAfter: d.RetryAfter,
+			Reason: d.RejectReason})
 		return nil
-	case f.openElsewhere(t.ID):
+	case f.openElsewhere(r.ID):
 		return broker.ErrDuplicateID
 	}
-	return f.broker.Submit(t, client)
+	return f.broker.Submit(r, client)
 }
--- a/internal/frontend/platform/start_times_test.go
+++ b/internal/frontend/platform/start_times_test.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// A worker's start is found whichever clocks are stepped, by seconds or by an hour, and is never taken for
+// A worker's start is found whichever clocks are stepped, by seconds or by an hour, and is never estimated
 // much earlier than it was.
-func TestStartsBesideSteppedClocks(t *testing.T) {
-	const start, heard, now = 1000 * time.Hour, 1000*time.Hour + time.Second, 1000*time.Hour + 2*time.Second
+func TestStartTimesUnderClockSteps(t *testing.T) {
+	const start = 1000 * time.Hour
+	const confirmed, now = start + time.Second, start + 2*time.Second
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
-		for name, said := range map[string]time.Duration{"all clocks": start + step, "ours alone": start} {
+		for name, reported := range map[string]time.Duration{"all clocks": start + step,
+			"ours alone": start} {
 			s := startTimes{}
-			s.confirm(heard)
-			if got := s.resolve("w", said, now, step); got < start || got > now {
-				t.Errorf("%s stepped by %v: it started %v after its start, told %v after it", name, step,
+			s.confirm(confirmed)
+			if got := s.resolve("w", reported, now, step); got < start || got > now {
+				t.Errorf("%s stepped by %v: estimated %v after its start, listed %v after it", name, step,
 					got-start, now-start)
 			}
 		}
 		s := startTimes{}
-		s.confirm(heard)
+		s.confirm(confirmed)
 		got := s.resolve("w", start+step, now, 0)
 		if got > now || step == -time.Hour && got < start || step == 0 && got != start {
 			t.Errorf("all but ours stepped by %v: %v after its start", step, got-start)
@@ -27,7 +29,7 @@
 	}
 }
 
-func TestStartsAreRemembered(t *testing.T) {
+func TestStartTimesAreRemembered(t *testing.T) {
 	s := startTimes{}
 	if got := s.resolve("old", 10*time.Second, time.Hour, 0); got != 10*time.Second {
 		t.Errorf("the first list of a process: %v", got)
--- a/internal/proxy/routing/file.go
+++ b/internal/proxy/routing/file.go
@@ -26,7 +26,7 @@
 	Name   string   `toml:"name"`
 	Zones  []string `toml:"zone"`
 	Kinds  []string `toml:"kind"`
-	Cells   []int    `toml:"cell"`
+	Cells  []int    `toml:"cell"`
 	Labels []string `toml:"label"` // all of them
 }
 
--- a/internal/proxy/routing/pool.go
+++ b/internal/proxy/routing/pool.go
@@ -12,7 +12,7 @@
 type pool struct {
 	name         string
 	zones, kinds []bool // by number; nil: any
-	cells         []int  // nil: any
+	cells        []int  // nil: any
 	labels       []string
 }
 
