--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -11,84 +10,85 @@
 	"moorstack/internal/proxy/slotmap"
 )
 
-// Handler is told what happens on a connection. None of it is called after Close.
-type Handler interface {
-	OnConnect(c *Conn)          // a dialled connection has come up
-	OnData(c *Conn)             // there is more in In
-	OnClose(c *Conn, err error) // the peer, or the network, has ended it; it is closed already
-}
-
-// maxUnreadBytes is how much unread input a connection may hold: a head, a body of
-// 64 KiB in small chunks, and some. Beyond it nothing is read until some is used.
-const maxUnreadBytes = 1 << 18
+const (
+	// maxUnreadBytes is how much input a connection may hold that was not discarded: a head, a body of 64 KiB
+	// in small chunks, and some. Beyond it nothing is read.
+	maxUnreadBytes = 1 << 18
 
-// maxIdleBufferBytes is the size of buffer that an idle connection may keep.
-const maxIdleBufferBytes = 16 << 10
+	// maxIdleBufferBytes is the largest buffer that an idle connection keeps.
+	maxIdleBufferBytes = 16 << 10
 
-// lingerTimeout is how long a peer may take to close after us, and maxLingerBytes how much it
-// may send meanwhile. Hazard: some send on for ever; to read it all costs the CPU of others.
-const (
+	// lingerTimeout is how long a peer may take to close after CloseAfterFlush, and maxLingerBytes how much
+	// it may send meanwhile. Hazard: some peers send on for ever; to read it all costs the CPU of others.
 	lingerTimeout  = time.Second
 	maxLingerBytes = 256 << 10
 )
 
-// A peer that connects, or begins a message, must send it whole. Hazard: connections
-// that say nothing, or stop half-way, hold the descriptors that others need. One that
-// is slow but goes on sending is let go on.
+// A peer that connects, or begins a message, must send it whole in time. Hazard: connections that send
+// nothing, or stop half-way, hold the descriptors that others need. One that is slow but goes on sending is
+// let go on.
 const (
 	messageTimeout = 2500 * time.Millisecond // from its connecting, or its first byte
-	stallTimeout   = time.Second             // but while something comes this often
-	maxMessageTime = 20 * time.Second        // at most this
+	stallTimeout   = time.Second             // longer than messageTimeout, if something comes this often
+	maxMessageTime = 20 * time.Second        // never longer than this
 )
 
-// Why a listener's connection was ended by us.
+// Why a listener's connection was closed by this side.
 var (
 	errMessageTimeout = errors.New("the message did not come whole in time")
 	errEvicted        = errors.New("others need the room")
 )
 
-// connState is what a connection is to its listener. The lowest are shed first.
+// Handler handles the events of a connection, on the loop. None of it is called after Close.
+type Handler interface {
+	OnConnect(c *Conn)          // a dialled connection has come up
+	OnData(c *Conn)             // Input has grown
+	OnClose(c *Conn, err error) // the peer, the network or a limit has ended it; it is closed already
+}
+
+// connState is what a connection is to its listener. The lowest are evicted first.
 type connState uint8
 
 const (
-	stateClosing    connState = iota // Finish was called
-	stateNew                         // has not sent a whole message yet
+	stateClosing    connState = iota // CloseAfterFlush was called
+	stateNew                         // it has not sent a whole message yet
 	stateIdle                        // between two messages
-	stateProcessing                  // its message is being worked on; never shed
+	stateProcessing                  // its message is being processed; never evicted
 )
 
-// Conn is a connection with one buffer, which grows as it needs and is compacted
-// in place: unread input first, then output that the kernel has not taken yet.
-// Nothing is read while output waits, so that the two never cross, and a peer
-// that doesn't read can't make us hold more than a turn's output.
+// Conn is a connection with one buffer, which grows as needed and is compacted in place: first input that was
+// not discarded, then output that the kernel has not taken yet. Nothing is read while output waits, so that
+// the two never cross, and a peer that doesn't read can't have more than a turn's output buffered.
 type Conn struct {
-	Handler  Handler
+	Handler Handler
+
+	// OnSent, if set, is called once when the kernel has taken all that was written.
+	OnSent func()
+
+	// ReceiveFDs has descriptors that come along on a Unix socket be kept for TakeFD.
+	ReceiveFDs  bool
+	receivedFDs []int
+
 	loop     *Loop
-	listener *Listener
+	listener *Listener // nil: it was dialled
 	fd       int
 	id       slotmap.ID
 	buf      []byte
-	inputEnd int // input is buf[:mid], output is buf[mid:]
+	inputEnd int // input is buf[:inputEnd], output is buf[inputEnd:]
 
 	state        connState
 	messageStart time.Duration // when it connected, or its message began
-	lastActivity time.Duration // when something came last, or its last message was done with
+	lastActivity time.Duration // when something came last, or its last message was processed
 	messageTimer *Timer        // by which the message must be whole
 	countedBytes int           // what the listener counts for its buffer
 
-	// OnSent, where it is set, is called once when the kernel has taken all that was written.
-	OnSent func()
-
-	// ReceiveFDs has descriptors that come along on a Unix socket be kept for TakeFD.
-	ReceiveFDs  bool
-	receivedFDs []int
-
 	connecting, closed, finishing bool
-	inputBlocked                  bool // there was no room for what it sends ahead
-	paused                        bool // the kernel had no room for its last call
-	interest                      uint32
-	unsentAtClose                 int // output that the kernel had not taken at the end
-	discardedBytes                int // input that came after Finish
+
+	interest       uint32 // the events that epoll reports
+	paused         bool   // epoll reports nothing: the kernel had no room for the last call
+	inputBlocked   bool   // there was no room for what is pipelined behind the message being processed
+	unsentAtClose  int    // bytes of output that the kernel had not taken when the connection closed
+	discardedBytes int    // input that came after CloseAfterFlush
 }
 
 func (l *Loop) newConn(fd int, connecting bool) (*Conn, error) {
@@ -100,18 +100,18 @@
 	return c, err
 }
 
-// Dial begins a connection. The handler is told when it is up; an error here
-// means that it never will be.
+// Dial begins a connection to an IPv4 address and port. The handler's OnConnect is called when it is
+// up; after an error here it never will be.
 func (l *Loop) Dial(address string, h Handler) (*Conn, error) {
 	fd, addr, err := l.newSocket(address)
 	if isResourceExhausted(err) && l.freeDescriptor(evictForDescriptor) {
-		fd, addr, err = l.newSocket(address) // what goes out must not wait for who comes in
+		fd, addr, err = l.newSocket(address) // outgoing connections must not wait for incoming ones
 	}
 	if err != nil {
 		return nil, err
 	}
 	err = l.system.Connect(fd, addr)
-	// A signal that comes meanwhile leaves the connection to come up, as if it had not come.
+	// A connect that a signal interrupts goes on, as one that does not block.
 	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) {
 		_ = l.system.Close(fd)
 		return nil, fmt.Errorf("connecting to %s: %w", address, err)
@@ -125,7 +125,8 @@
 	return c, nil
 }
 
-// Adopt takes over a connected stream that was made elsewhere.
+// Adopt makes a connection of a connected stream socket, which is the connection's from here on unless an
+// error is returned.
 func (l *Loop) Adopt(fd int, h Handler) (*Conn, error) {
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, err
@@ -138,7 +139,7 @@
 	return c, nil
 }
 
-// Input is the unread input; it is good until the next Write, Use or return to the loop.
+// Input is the input that was not discarded. It is valid until the next Write, Discard or return to the loop.
 func (c *Conn) Input() []byte { return c.buf[:c.inputEnd] }
 
 // Discard drops the first n bytes of the input.
@@ -146,20 +147,21 @@
 	c.buf = c.buf[:copy(c.buf, c.buf[n:])]
 	c.inputEnd -= n
 	if len(c.buf) == 0 && cap(c.buf) > maxIdleBufferBytes {
-		c.buf = nil // hundreds of idle connections must not keep the room of their largest message
+		c.buf = nil // hundreds of idle connections must not keep buffers of their largest message
 		c.updateBufferCount()
 	}
 	c.updateInterest()
 }
 
-// BeginProcessing says that a whole message has come and is worked on.
+// BeginProcessing notes that a whole message has come and is processed: the connection is not evicted until
+// EndProcessing.
 func (c *Conn) BeginProcessing() {
 	c.state = stateProcessing
 	c.messageTimer.Stop()
 	c.messageTimer = nil
 }
 
-// EndProcessing says that the message is done with: the connection may be shed from here on.
+// EndProcessing notes that the message is processed: the connection may be evicted from here on.
 func (c *Conn) EndProcessing() {
 	c.inputBlocked = false
 	if c.state = stateIdle; c.finishing {
@@ -172,7 +174,7 @@
 	}
 	c.updateInterest()
 	if c.listener != nil {
-		c.listener.setPaused(false) // it can be shed now for one that waits
+		c.listener.setPaused(false) // it can be evicted now for one that waits
 	}
 }
 
@@ -180,24 +182,24 @@
 func (c *Conn) startMessageTimer() {
 	if c.listener != nil && c.messageTimer == nil && !c.closed {
 		c.messageStart = c.loop.Now()
-		by := messageTimeout
+		timeout := messageTimeout
 		if c.listener.limits.MessageTimeout > 0 {
-			by = c.listener.limits.MessageTimeout
+			timeout = c.listener.limits.MessageTimeout
 		}
-		c.messageTimer = c.loop.At(c.messageStart+by, c.messageTimerFired)
+		c.messageTimer = c.loop.At(c.messageStart+timeout, c.messageTimerFired)
 	}
 }
 
 func (c *Conn) messageTimerFired() {
-	at := min(c.lastActivity+stallTimeout, c.messageStart+maxMessageTime)
-	if c.loop.Now() < at {
-		c.messageTimer = c.loop.At(at, c.messageTimerFired)
+	deadline := min(c.lastActivity+stallTimeout, c.messageStart+maxMessageTime)
+	if c.loop.Now() < deadline {
+		c.messageTimer = c.loop.At(deadline, c.messageTimerFired)
 		return
 	}
 	c.terminate(errMessageTimeout)
 }
 
-// updateBufferCount keeps the listener's count of the room that its connections take.
+// updateBufferCount updates the listener's count of what its connections' buffers take.
 func (c *Conn) updateBufferCount() {
 	if c.listener != nil {
 		c.listener.bufferBytes += cap(c.buf) - c.countedBytes
@@ -205,7 +207,7 @@
 	}
 }
 
-// UnsentBytes is how many bytes the kernel has not taken yet.
+// UnsentBytes is how many bytes of output the kernel has not taken, or had not when the connection closed.
 func (c *Conn) UnsentBytes() int {
 	if c.closed {
 		return c.unsentAtClose
@@ -213,22 +215,22 @@
 	return len(c.buf) - c.inputEnd
 }
 
-// Connecting says that the connection is not up yet.
+// Connecting reports whether the connection is not up yet.
 func (c *Conn) Connecting() bool { return c.connecting }
 
-// LastActivity is when something came last, or when the last message was done with if nothing waits.
+// LastActivity is when something came last or, if no input is pending, when the last message was processed.
 func (c *Conn) LastActivity() time.Duration { return c.lastActivity }
 
-// Closed says that the connection has ended, from whichever side.
+// Closed reports whether the connection has ended, from whichever side.
 func (c *Conn) Closed() bool { return c.closed }
 
-// InputFull says that nothing more is read until some input is used.
+// InputFull reports whether nothing more is read until some input is discarded.
 func (c *Conn) InputFull() bool { return c.inputEnd >= maxUnreadBytes }
 
-// Finishing says that Finish was called.
+// Finishing reports whether CloseAfterFlush was called.
 func (c *Conn) Finishing() bool { return c.finishing }
 
-// Write sends p, now or as the peer takes it.
+// Write sends p, as the peer takes it. After CloseAfterFlush and Close it does nothing.
 func (c *Conn) Write(p []byte) {
 	if c.closed || c.finishing {
 		return
@@ -236,7 +238,7 @@
 	if c.UnsentBytes() == 0 && !c.connecting {
 		n, err := c.loop.system.Write(c.fd, p)
 		if err != nil {
-			n = 0 // the loop tries again, or reports the break, with these bytes unsent
+			n = 0 // the loop tries again, or reports the error, with these bytes unsent
 		}
 		p = p[n:]
 	}
@@ -253,8 +255,8 @@
 	}
 }
 
-// Close ends the connection at once, and drops output that waits. The input stays
-// readable.
+// Close closes the connection at once, without a call of OnClose, and drops output that waits. The
+// input stays readable.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -264,7 +266,7 @@
 		c.listener.lingering--
 	}
 	c.loop.sources.Remove(c.id)
-	_ = c.loop.system.Close(c.fd) // leaves the epoll set, too
+	_ = c.loop.system.Close(c.fd) // this takes it out of the epoll set, too
 	for _, fd := range c.receivedFDs {
 		unix.Close(fd)
 	}
@@ -277,8 +279,9 @@
 	}
 }
 
-// CloseAfterFlush ends the connection once its output is sent: writing first, so that
-// input which has not been read does not make the kernel drop the answer.
+// CloseAfterFlush closes the connection once its output is sent and the peer has closed, too: the
+// sending side first, so that input which has not been read does not make the kernel drop the response.
+// OnClose is not called.
 func (c *Conn) CloseAfterFlush() {
 	if c.listener != nil && !c.finishing && !c.closed {
 		c.listener.lingering++
@@ -291,154 +294,13 @@
 	}
 }
 
-// linger half-closes and reads on until the peer has closed too, for a second at most.
+// linger closes the sending side and reads on until the peer has closed too, for lingerTimeout at most.
 func (c *Conn) linger() {
 	_ = c.loop.system.Shutdown(c.fd)
 	c.loop.After(lingerTimeout, c.Close)
 }
 
-func (c *Conn) wantedEvents() uint32 {
-	switch {
-	case c.connecting || c.UnsentBytes() > 0:
-		return unix.EPOLLOUT
-	case c.InputFull() || c.state == stateProcessing && c.inputBlocked:
-		return unix.EPOLLRDHUP // hazard: unheard, an end would keep its message in work
-	}
-	return unix.EPOLLIN | unix.EPOLLRDHUP
-}
-
-// updateInterest has epoll report what is wanted now.
-func (c *Conn) updateInterest() {
-	if w := c.wantedEvents(); !c.closed && !c.paused && w != c.interest {
-		c.setInterest(unix.EPOLL_CTL_MOD, w)
-	}
-}
-
-// setInterest tells epoll which events are wanted.
-func (c *Conn) setInterest(operation int, events uint32) {
-	if err := c.loop.system.EpollCtl(c.loop.epoll, operation, c.fd, epollEvent(events, c.id)); err != nil {
-		// Hazard: unheard of, the connection would stand for ever.
-		c.paused = true
-		c.loop.After(retryDelay, c.resumeEvents)
-		return
-	}
-	c.interest = events
-}
-
-// pauseEvents leaves the connection alone for a while: the kernel has no room for what it was asked.
-//
-// Hazard: some events can't be masked, and would spin the loop meanwhile.
-func (c *Conn) pauseEvents() {
-	c.setInterest(unix.EPOLL_CTL_DEL, 0)
-	if !c.paused {
-		c.paused = true
-		c.loop.After(retryDelay, c.resumeEvents)
-	}
-}
-
-// resumeEvents ends a pause.
-func (c *Conn) resumeEvents() {
-	if c.closed {
-		return
-	}
-	operation := unix.EPOLL_CTL_ADD
-	if c.interest != 0 {
-		operation = unix.EPOLL_CTL_MOD // it was never taken out
-	}
-	c.paused = false
-	c.setInterest(operation, c.wantedEvents())
-}
-
-func (c *Conn) handleEvents(events uint32) {
-	if c.connecting {
-		if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
-			c.terminate(unix.Errno(code))
-			return
-		}
-		c.connecting = false
-		c.updateInterest()
-		if c.Handler.OnConnect(c); c.closed {
-			return
-		}
-	}
-	if c.UnsentBytes() > 0 {
-		if c.flush(); c.closed || c.UnsentBytes() > 0 {
-			return
-		}
-	}
-	switch {
-	case events&unix.EPOLLRDHUP != 0 && c.interest&unix.EPOLLIN == 0:
-		c.terminate(io.EOF) // what lies before the end is not read: nobody waits for what would come of it
-	case events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0:
-		c.read()
-	case events&(unix.EPOLLERR|unix.EPOLLHUP) != 0:
-		c.terminate(io.ErrUnexpectedEOF)
-	}
-}
-
-func (c *Conn) flush() {
-	n, err := c.loop.system.Write(c.fd, c.buf[c.inputEnd:])
-	switch {
-	case err == nil:
-	case isRetryable(err):
-		return
-	case isResourceExhausted(err):
-		c.pauseEvents()
-		return
-	default:
-		c.terminate(err)
-		return
-	}
-	c.buf = c.buf[:c.inputEnd+copy(c.buf[c.inputEnd:], c.buf[c.inputEnd+n:])]
-	c.updateInterest()
-	c.notifySent()
-	if c.finishing && c.UnsentBytes() == 0 {
-		c.linger()
-	}
-}
-
-func (c *Conn) read() {
-	if cap(c.buf)-c.inputEnd < 1024 {
-		room := max(2048, 2*cap(c.buf))
-		if c.listener != nil && !c.listener.reserveBuffer(room-cap(c.buf), c) {
-			if c.state == stateProcessing {
-				// Hazard: its message is worked on, and is owed an answer. What it sends ahead waits.
-				c.inputBlocked = true
-				c.updateInterest()
-				return
-			}
-			c.terminate(errEvicted)
-			return
-		}
-		c.buf = append(make([]byte, 0, room), c.buf...)
-		c.updateBufferCount()
-	}
-	n, err := c.receive(c.buf[c.inputEnd:min(cap(c.buf), maxUnreadBytes+1024)])
-	switch {
-	case isRetryable(err):
-	case isResourceExhausted(err):
-		c.pauseEvents()
-	case err != nil:
-		c.terminate(err)
-	case n == 0:
-		c.terminate(io.EOF)
-	case c.finishing: // what still comes is not wanted
-		if c.discardedBytes += n; c.discardedBytes > maxLingerBytes {
-			c.Close()
-		}
-	default:
-		c.inputEnd += n
-		c.buf = c.buf[:c.inputEnd]
-		c.lastActivity = c.loop.Now()
-		if c.state == stateIdle {
-			c.startMessageTimer()
-		}
-		c.updateInterest()
-		c.Handler.OnData(c)
-	}
-}
-
-// terminate is the end from the other side.
+// terminate closes the connection for the handler: the peer, the network or a limit has ended it.
 func (c *Conn) terminate(err error) {
 	if c.Close(); !c.finishing {
 		c.Handler.OnClose(c, err)
--- /dev/null
+++ b/internal/netio/eventloop/conn_events.go
@@ -0,0 +1,170 @@
+package eventloop
+
+import (
+	"io"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	minReadRoom   = 1024 // a buffer with less room grows before a read
+	minBufferSize = 2048
+)
+
+// wantedEvents returns the events that epoll should report now.
+func (c *Conn) wantedEvents() uint32 {
+	switch {
+	case c.connecting || c.UnsentBytes() > 0:
+		return unix.EPOLLOUT
+	case c.InputFull() || c.state == stateProcessing && c.inputBlocked:
+		// Hazard: a close that is not reported would keep the message in processing.
+		return unix.EPOLLRDHUP
+	}
+	return unix.EPOLLIN | unix.EPOLLRDHUP
+}
+
+// updateInterest has epoll report the wanted events.
+func (c *Conn) updateInterest() {
+	if w := c.wantedEvents(); !c.closed && !c.paused && w != c.interest {
+		c.setInterest(unix.EPOLL_CTL_MOD, w)
+	}
+}
+
+func (c *Conn) setInterest(operation int, events uint32) {
+	if err := c.loop.system.EpollCtl(c.loop.epoll, operation, c.fd, epollEvent(events, c.id)); err != nil {
+		// Hazard: with its events unreported, the connection would stay open for ever.
+		c.paused = true
+		c.loop.After(retryDelay, c.resumeEvents)
+		return
+	}
+	c.interest = events
+}
+
+// pauseEvents takes the connection out of epoll for retryDelay: the kernel has no room for a call.
+//
+// Hazard: some events can't be masked, and would spin the loop meanwhile.
+func (c *Conn) pauseEvents() {
+	c.setInterest(unix.EPOLL_CTL_DEL, 0)
+	if !c.paused {
+		c.paused = true
+		c.loop.After(retryDelay, c.resumeEvents)
+	}
+}
+
+func (c *Conn) resumeEvents() {
+	if c.closed {
+		return
+	}
+	operation := unix.EPOLL_CTL_ADD
+	if c.interest != 0 {
+		operation = unix.EPOLL_CTL_MOD // it was never taken out
+	}
+	c.paused = false
+	c.setInterest(operation, c.wantedEvents())
+}
+
+// handleEvents implements eventSource.
+func (c *Conn) handleEvents(events uint32) {
+	if c.connecting && !c.connected() {
+		return
+	}
+	if c.UnsentBytes() > 0 {
+		if c.flush(); c.closed || c.UnsentBytes() > 0 {
+			return
+		}
+	}
+	switch {
+	case events&unix.EPOLLRDHUP != 0 && c.interest&unix.EPOLLIN == 0:
+		c.terminate(io.EOF) // pipelined input is not read: nobody waits for the responses
+	case events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0:
+		c.read()
+	case events&(unix.EPOLLERR|unix.EPOLLHUP) != 0:
+		c.terminate(io.ErrUnexpectedEOF)
+	}
+}
+
+// connected handles the end of a connect, and reports whether the connection is open after it.
+func (c *Conn) connected() bool {
+	if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
+		c.terminate(unix.Errno(code))
+		return false
+	}
+	c.connecting = false
+	c.updateInterest()
+	c.Handler.OnConnect(c)
+	return !c.closed
+}
+
+// flush writes output that waits.
+func (c *Conn) flush() {
+	n, err := c.loop.system.Write(c.fd, c.buf[c.inputEnd:])
+	switch {
+	case err == nil:
+	case isRetryable(err):
+		return
+	case isResourceExhausted(err):
+		c.pauseEvents()
+		return
+	default:
+		c.terminate(err)
+		return
+	}
+	c.buf = c.buf[:c.inputEnd+copy(c.buf[c.inputEnd:], c.buf[c.inputEnd+n:])]
+	c.updateInterest()
+	c.notifySent()
+	if c.finishing && c.UnsentBytes() == 0 {
+		c.linger()
+	}
+}
+
+// read reads what has come.
+func (c *Conn) read() {
+	if !c.growBuffer() {
+		return
+	}
+	n, err := c.receive(c.buf[c.inputEnd:min(cap(c.buf), maxUnreadBytes+minReadRoom)])
+	switch {
+	case isRetryable(err):
+	case isResourceExhausted(err):
+		c.pauseEvents()
+	case err != nil:
+		c.terminate(err)
+	case n == 0:
+		c.terminate(io.EOF)
+	case c.finishing: // input is not wanted any more
+		if c.discardedBytes += n; c.discardedBytes > maxLingerBytes {
+			c.Close()
+		}
+	default:
+		c.inputEnd += n
+		c.buf = c.buf[:c.inputEnd]
+		c.lastActivity = c.loop.Now()
+		if c.state == stateIdle {
+			c.startMessageTimer()
+		}
+		c.updateInterest()
+		c.Handler.OnData(c)
+	}
+}
+
+// growBuffer makes room to read, and reports whether there is some. Without, it blocks the input of a
+// connection whose message is processed, and evicts any other.
+func (c *Conn) growBuffer() bool {
+	if cap(c.buf)-c.inputEnd >= minReadRoom {
+		return true
+	}
+	size := max(minBufferSize, 2*cap(c.buf))
+	if c.listener != nil && !c.listener.reserveBuffer(size-cap(c.buf), c) {
+		if c.state == stateProcessing {
+			// Hazard: its message is owed a response. What is pipelined behind it waits.
+			c.inputBlocked = true
+			c.updateInterest()
+			return false
+		}
+		c.terminate(errEvicted)
+		return false
+	}
+	c.buf = append(make([]byte, 0, size), c.buf...)
+	c.updateBufferCount()
+	return true
+}
--- a/internal/netio/eventloop/conn_test.go
+++ b/internal/netio/eventloop/conn_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"testing"
 	"time"
 
@@ -13,37 +13,37 @@
 	"moorstack/internal/netio/kernel"
 )
 
-// echo takes a line as a message, and answers it when the test says so, or at once.
-type echo struct {
-	conn  *Conn
-	works bool // a message is worked on
-	slow  bool // it is answered by answer, not at once
-	ended chan error
+// lineServer takes a line as a message, and responds at once or, if deferred, when the test calls respond.
+type lineServer struct {
+	conn       *Conn
+	processing bool // a message is being processed
+	deferred   bool // respond is called by the test
+	closed     chan error
 }
 
-func (e *echo) OnConnect(*Conn) {}
+func (e *lineServer) OnConnect(*Conn) {}
 
-func (e *echo) OnData(c *Conn) {
-	if e.works || !bytes.ContainsRune(c.Input(), '\n') {
+func (e *lineServer) OnData(c *Conn) {
+	if e.processing || !bytes.ContainsRune(c.Input(), '\n') {
 		return
 	}
 	c.Discard(bytes.IndexByte(c.Input(), '\n') + 1)
 	c.BeginProcessing()
-	if e.works = true; !e.slow {
-		e.answer()
+	if e.processing = true; !e.deferred {
+		e.respond()
 	}
 }
 
-func (e *echo) answer() {
-	e.works = false
+func (e *lineServer) respond() {
+	e.processing = false
 	e.conn.Write([]byte("ok\n"))
 	e.conn.EndProcessing()
 }
 
-func (e *echo) OnClose(_ *Conn, err error) { e.ended <- err }
+func (e *lineServer) OnClose(_ *Conn, err error) { e.closed <- err }
 
-// listening has a loop of its own, on the system, accept on an address with the limits.
-func listening(t *testing.T, system kernel.System, limits Limits,
+// listenOn listens with the limits on a running loop of its own on the system.
+func listenOn(t *testing.T, system kernel.System, limits Limits,
 	accept func(*Conn)) (loop *Loop, ln *Listener, address string) {
 	t.Helper()
 	loop, err := NewWithSystem(system)
@@ -58,11 +58,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan error, 1)
-	go func() { over <- loop.Run() }()
+	stopped := make(chan error, 1)
+	go func() { stopped <- loop.Run() }()
 	t.Cleanup(func() {
 		loop.Post(loop.Stop)
-		if err := <-over; err != nil {
+		if err := <-stopped; err != nil {
 			t.Error(err)
 		}
 		ln.Close()
@@ -70,22 +70,22 @@
 	return loop, ln, fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
 }
 
-// inlet listens with the limits on a loop of its own; conns has what was accepted.
-func inlet(t *testing.T, limits Limits, slow bool) (loop *Loop, ln *Listener, address string,
-	conns chan *echo) {
+// listenLines listens with the limits and has a lineServer for each connection; conns receives them.
+func listenLines(t *testing.T, limits Limits, deferred bool) (loop *Loop, ln *Listener, address string,
+	conns chan *lineServer) {
 	t.Helper()
-	conns = make(chan *echo, 64)
-	loop, ln, address = listening(t, kernel.Linux{}, limits, func(c *Conn) {
-		e := &echo{conn: c, slow: slow, ended: make(chan error, 1)}
+	conns = make(chan *lineServer, 64)
+	loop, ln, address = listenOn(t, kernel.Linux{}, limits, func(c *Conn) {
+		e := &lineServer{conn: c, deferred: deferred, closed: make(chan error, 1)}
 		c.Handler = e
 		conns <- e
 	})
 	return loop, ln, address, conns
 }
 
-func dialed(t *testing.T, address string) stdnet.Conn {
+func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
-	c, err := stdnet.Dial("tcp", address)
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 	return c
 }
 
-func wantOK(t *testing.T, c stdnet.Conn, what string) {
+func requireOK(t *testing.T, c net.Conn, what string) {
 	t.Helper()
 	var got [3]byte
 	if _, err := io.ReadFull(c, got[:]); err != nil || string(got[:]) != "ok\n" {
@@ -102,48 +102,48 @@
 	}
 }
 
-// on runs f on the loop and waits for it.
-func on(loop *Loop, f func()) {
+// runOn runs f on the loop and waits until it returns.
+func runOn(loop *Loop, f func()) {
 	done := make(chan struct{})
 	loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// There is no room for what a client sends ahead: the message of its that is worked on has its answer all
-// the same, and what was sent ahead is answered after it.
-func TestNoRoomForWhatIsSentAhead(t *testing.T) {
-	loop, _, address, conns := inlet(
+// There is no room for what a client pipelines: its message that is being processed gets its response all the
+// same, and what was pipelined is read after it.
+func TestPipelinedInputWaitsWhenBuffersAreFull(t *testing.T) {
+	loop, _, address, conns := listenLines(
 		t,
 		Limits{MaxConnections: 8, MaxBufferBytes: 3000, MessageTimeout: time.Minute},
 		true,
 	)
-	c := dialed(t, address)
+	c := dial(t, address)
 	fmt.Fprintln(c, "first")
 	e := <-conns
-	for works := false; !works; on(loop, func() { works = e.works }) {
+	for works := false; !works; runOn(loop, func() { works = e.processing }) {
 		time.Sleep(time.Millisecond)
 	}
-	ahead := bytes.Repeat([]byte("x"), 2500) // the room for it would be 4,096
-	if _, err := c.Write(append(ahead, '\n')); err != nil {
+	pipelined := bytes.Repeat([]byte("x"), 2500) // a buffer for it would have 4,096 bytes
+	if _, err := c.Write(append(pipelined, '\n')); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case err := <-e.ended:
-		t.Fatalf("the connection is ended under its message: %v", err)
+	case err := <-e.closed:
+		t.Fatalf("the connection is closed while its message is processed: %v", err)
 	case <-time.After(100 * time.Millisecond):
 	}
-	on(loop, e.answer)
-	wantOK(t, c, "the message that was worked on")
+	runOn(loop, e.respond)
+	requireOK(t, c, "the message that was processed")
 }
 
-// The end of a client that has sent much ahead is heard, though no more of it is read.
-func TestEndBehindMuchSentAhead(t *testing.T) {
-	_, _, address, conns := inlet(
+// The close of a client that has pipelined more than is read is reported all the same.
+func TestCloseBehindFullInputIsReported(t *testing.T) {
+	_, _, address, conns := listenLines(
 		t,
 		Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20, MessageTimeout: time.Minute},
 		true,
 	)
-	c := dialed(t, address)
+	c := dial(t, address)
 	fmt.Fprintln(c, "first")
 	e := <-conns
 	if _, err := c.Write(bytes.Repeat([]byte("x\n"), (maxUnreadBytes+40_000)/2)); err != nil {
@@ -151,49 +151,49 @@
 	}
 	c.Close()
 	select {
-	case <-e.ended:
+	case <-e.closed:
 	case <-time.After(time.Second):
-		t.Error("a second after the client closed its connection nobody has heard of it")
+		t.Error("the close is not reported within a second")
 	}
 }
 
-// A connection comes when there is room for none, and a request on an idle one has not been read yet: the
-// idle one is not closed for the new one.
-func TestIdleConnectionWithAnUnreadRequestIsKept(t *testing.T) {
-	loop, _, address, conns := inlet(
+// A connection comes at the limit, and a request on an idle one has not been read yet: the idle one is not
+// evicted.
+func TestIdleConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
+	loop, _, address, conns := listenLines(
 		t,
 		Limits{MaxConnections: 1, MaxBufferBytes: 1 << 20, MessageTimeout: time.Minute},
 		false,
 	)
-	c := dialed(t, address)
+	c := dial(t, address)
 	fmt.Fprintln(c, "first")
-	wantOK(t, c, "the first request")
+	requireOK(t, c, "the first request")
 	<-conns
-	held, free := make(chan struct{}), make(chan struct{})
-	loop.Post(func() { close(held); <-free })
-	<-held
-	newcomer := dialed(t, address)
-	fmt.Fprintln(newcomer, "hello")
-	time.Sleep(20 * time.Millisecond) // the loop is told of the newcomer first
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	loop.Post(func() { close(blocked); <-unblock })
+	<-blocked
+	second := dial(t, address)
+	fmt.Fprintln(second, "hello")
+	time.Sleep(20 * time.Millisecond) // the loop gets the event of the new connection first
 	fmt.Fprintln(c, "second")
 	time.Sleep(20 * time.Millisecond)
-	close(free)
-	wantOK(t, c, "the request that had come")
-	wantOK(t, newcomer, "the newcomer's")
+	close(unblock)
+	requireOK(t, c, "the request that had come")
+	requireOK(t, second, "the new connection's request")
 }
 
-// What is being ended is counted until the peer has closed, too.
-func TestLingering(t *testing.T) {
-	loop, ln, address, conns := inlet(t, Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20}, false)
-	c := dialed(t, address)
+// A connection that is being closed is counted until the peer has closed, too.
+func TestLingeringConnectionsAreCountedUntilPeerCloses(t *testing.T) {
+	loop, ln, address, conns := listenLines(t, Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20}, false)
+	c := dial(t, address)
 	e := <-conns
 	lingering := func() (n int) {
-		on(loop, func() { n = ln.LingeringCount() })
+		runOn(loop, func() { n = ln.LingeringCount() })
 		return n
 	}
-	on(loop, e.conn.CloseAfterFlush)
+	runOn(loop, e.conn.CloseAfterFlush)
 	if n := lingering(); n != 1 {
-		t.Errorf("%d connections are being ended, want 1", n)
+		t.Errorf("%d connections are lingering, want 1", n)
 	}
 	c.Close()
 	for began := time.Now(); lingering() != 0; time.Sleep(time.Millisecond) {
@@ -203,61 +203,61 @@
 	}
 }
 
-// What waits with the kernel can be accepted within a turn of the loop.
-func TestAcceptPending(t *testing.T) {
-	loop, ln, address, conns := inlet(t, Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20}, false)
-	held, free := make(chan struct{}), make(chan struct{})
+// What is in the kernel's queue can be accepted within a turn of the loop.
+func TestAcceptPendingAcceptsWithinTurn(t *testing.T) {
+	loop, ln, address, conns := listenLines(t, Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20}, false)
+	blocked, unblock := make(chan struct{}), make(chan struct{})
 	accepted := make(chan int, 1)
 	loop.Post(func() {
-		close(held)
-		<-free
+		close(blocked)
+		<-unblock
 		ln.AcceptPending()
 		accepted <- len(conns)
 	})
-	<-held
-	dialed(t, address)
-	close(free)
+	<-blocked
+	dial(t, address)
+	close(unblock)
 	if n := <-accepted; n != 1 {
 		t.Errorf("%d connections were accepted, want 1", n)
 	}
 }
 
-// A message comes whole while the loop is held up, beyond the time by which it had to come: it is read first,
-// and answered.
-func TestWhatHasComeGoesBeforeItsDeadline(t *testing.T) {
+// A message comes whole while the loop is blocked, beyond the time by which it had to come: it is read before
+// its timer runs.
+func TestUnreadInputIsReadBeforeItsTimer(t *testing.T) {
 	limits := Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20, MessageTimeout: 100 * time.Millisecond}
-	loop, _, address, conns := inlet(t, limits, false)
-	c := dialed(t, address)
+	loop, _, address, conns := listenLines(t, limits, false)
+	c := dial(t, address)
 	<-conns
-	held, free := make(chan struct{}), make(chan struct{})
-	loop.Post(func() { close(held); <-free })
-	<-held
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	loop.Post(func() { close(blocked); <-unblock })
+	<-blocked
 	fmt.Fprintln(c, "late, but here")
-	time.Sleep(stallTimeout + 100*time.Millisecond) // so long nothing need come before the message is overdue
-	close(free)
-	wantOK(t, c, "the message that lay unread")
+	time.Sleep(stallTimeout + 100*time.Millisecond) // the message may stall for that long
+	close(unblock)
+	requireOK(t, c, "the unread message")
 }
 
-// More sources are ready than are asked for at a time, and a deadline has passed: it waits for all of them.
-func TestManyReadySourcesGoBeforeADeadline(t *testing.T) {
-	loop, _, address, conns := inlet(
+// More sources are ready than one poll returns, and a timer is due: it runs after all of them are handled.
+func TestAllReadySourcesAreHandledBeforeTimers(t *testing.T) {
+	loop, _, address, conns := listenLines(
 		t,
 		Limits{MaxConnections: 3 * maxEventsPerPoll, MaxBufferBytes: 1 << 20},
 		false,
 	)
-	var peers []stdnet.Conn
+	var peers []net.Conn
 	for range 2 * maxEventsPerPoll {
-		peers = append(peers, dialed(t, address))
+		peers = append(peers, dial(t, address))
 		<-conns
 	}
-	held, free := make(chan struct{}), make(chan struct{})
-	loop.Post(func() { close(held); <-free })
-	<-held
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	loop.Post(func() { close(blocked); <-unblock })
+	<-blocked
 	for _, c := range peers {
 		fmt.Fprintln(c, "hello")
 	}
 	unread := make(chan int, 1)
-	on := func() {
+	countUnread := func() {
 		n := 0
 		for _, s := range loop.sources.All {
 			if c, ok := s.(*Conn); ok && c.HasUnreadInput() {
@@ -266,9 +266,9 @@
 		}
 		unread <- n
 	}
-	loop.At(loop.Now(), on) // the loop's goroutine is held, and touches nothing meanwhile
-	close(free)
+	loop.At(loop.Now(), countUnread) // the loop's goroutine is blocked, and touches nothing meanwhile
+	close(unblock)
 	if n := <-unread; n > 0 {
-		t.Errorf("%d messages lie unread when a deadline that came after them has its turn", n)
+		t.Errorf("%d messages are unread when the timer runs", n)
 	}
 }
--- a/internal/netio/eventloop/descriptors.go
+++ b/internal/netio/eventloop/descriptors.go
@@ -1,18 +1,24 @@
 package eventloop
 
-// Descriptors that pass between processes, with connections or for them.
-
 import (
 	"errors"
 
 	"golang.org/x/sys/unix"
 )
 
-// WriteFDs sends p with descriptors, which the peer gets as its own. The connection must
-// be a Unix socket on which no output waits.
+// The functions here pass descriptors between processes (SCM_RIGHTS).
+
+// maxControlBytes is the room for control messages of one read: a few descriptors.
+const maxControlBytes = 64
+
+// errOutputPending is the error where output waits, before which descriptors would be sent.
+var errOutputPending = errors.New("the connection can't take descriptors now")
+
+// WriteFDs sends p with descriptors, which the peer receives as its own. The connection must be a Unix socket
+// on which no output waits.
 func (c *Conn) WriteFDs(p []byte, fds ...int) error {
 	if c.closed || c.UnsentBytes() > 0 {
-		return errors.New("the connection can't take descriptors now")
+		return errOutputPending
 	}
 	n, err := unix.SendmsgN(c.fd, p, unix.UnixRights(fds...), nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 	if err != nil {
@@ -22,17 +28,17 @@
 	return nil
 }
 
-// receive reads, and takes the descriptors that come along, where they are wanted.
+// receive reads, and keeps the descriptors that come along if ReceiveFDs is set.
 func (c *Conn) receive(p []byte) (int, error) {
 	if !c.ReceiveFDs {
 		return c.loop.system.Read(c.fd, p)
 	}
-	var oob [64]byte
-	n, on, _, _, err := unix.Recvmsg(c.fd, p, oob[:], unix.MSG_CMSG_CLOEXEC)
-	if err != nil || on == 0 {
+	var control [maxControlBytes]byte
+	n, controlLen, _, _, err := unix.Recvmsg(c.fd, p, control[:], unix.MSG_CMSG_CLOEXEC)
+	if err != nil || controlLen == 0 {
 		return n, err
 	}
-	messages, err := unix.ParseSocketControlMessage(oob[:on])
+	messages, err := unix.ParseSocketControlMessage(control[:controlLen])
 	for i := range messages {
 		if fds, err := unix.ParseUnixRights(&messages[i]); err == nil {
 			c.receivedFDs = append(c.receivedFDs, fds...)
@@ -41,23 +47,24 @@
 	return n, err
 }
 
-// TakeFD gives the descriptor that came first and was not taken yet; the caller owns it.
-func (c *Conn) TakeFD() (int, bool) {
+// TakeFD returns the descriptor that was received first and not taken yet; the caller owns it.
+func (c *Conn) TakeFD() (fd int, ok bool) {
 	if len(c.receivedFDs) == 0 {
 		return -1, false
 	}
-	fd := c.receivedFDs[0]
+	fd = c.receivedFDs[0]
 	c.receivedFDs = c.receivedFDs[1:]
 	return fd, true
 }
 
-// FD is the connection's socket, to be given to another process.
+// FD is the connection's socket, to be sent to another process. It stays the connection's.
 func (c *Conn) FD() int { return c.fd }
 
-// Detach closes this process's descriptor alone: the connection goes on at another one's.
+// Detach closes this process's descriptor alone: the connection stays open in another process.
 func (c *Conn) Detach() {
 	if !c.closed {
-		// Hazard: closed here, it stays in the epoll set for as long as the other has it.
+		// Hazard: a descriptor closed here stays in the epoll set for as long as the other process has it
+		// open.
 		_ = unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_DEL, c.fd, nil)
 		c.Close()
 	}
--- a/internal/netio/eventloop/errno.go
+++ b/internal/netio/eventloop/errno.go
@@ -7,23 +7,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// What is done about calls that fail.
-
-// retryDelay is how long a call waits that failed for want of something the kernel may have again soon.
+// retryDelay is how long a system call is not repeated that failed for want of something that the kernel may
+// have again soon.
 //
 // Hazard: events are level-triggered, and would be reported again and again meanwhile.
 const retryDelay = 20 * time.Millisecond
 
-// isRetryable reports that a call did nothing and may be made again at the next event.
+// isRetryable reports whether a call did nothing and may be repeated at the next event.
 func isRetryable(err error) bool { return errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) }
 
-// isResourceExhausted reports that descriptors, or the kernel's memory, have run out.
+// isResourceExhausted reports whether descriptors, or the kernel's memory, have run out.
 func isResourceExhausted(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) || errors.Is(err, unix.ENOBUFS) ||
 		errors.Is(err, unix.ENOMEM)
 }
 
-// isAbortedAccept reports that one connection broke before it was accepted, as Linux lists the errors.
+// isAbortedAccept reports whether only the connection broke that would have been accepted, as accept(2) lists
+// the errors.
 func isAbortedAccept(err error) bool {
 	for _, e := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENOPROTOOPT,
 		unix.ENETDOWN, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.ENETUNREACH,
--- a/internal/netio/eventloop/loop.go
+++ b/internal/netio/eventloop/loop.go
@@ -1,8 +1,3 @@
-// Package net is the project's network code: one epoll loop that owns every
-// socket and every deadline of the program, connections with one buffer each,
-// and an HTTP/1.1 parser that takes its input in any pieces.
-//
-// Everything runs on the goroutine that calls Loop.Run, but for Loop.Post.
 package eventloop
 
 import (
@@ -19,57 +14,33 @@
 	"moorstack/internal/proxy/slotmap"
 )
 
-// Timer is a deadline that hangs in the loop's heap.
-type Timer struct {
-	loop      *Loop
-	deadline  time.Duration
-	heapIndex int // in the heap; -1 when it has run or was stopped
-	callback  func()
-}
-
-type timerHeap []*Timer
+const (
+	maxEventsPerPoll = 128 // how many events one epoll_wait may return
+	maxPollsPerTurn  = 8   // how often more events are fetched before timers have their turn
 
-func (d timerHeap) Len() int           { return len(d) }
-func (d timerHeap) Less(i, j int) bool { return d[i].deadline < d[j].deadline }
-func (d timerHeap) Swap(i, j int) {
-	d[i], d[j] = d[j], d[i]
-	d[i].heapIndex, d[j].heapIndex = i, j
-}
-func (d *timerHeap) Push(x any) {
-	t := x.(*Timer)
-	t.heapIndex = len(*d)
-	*d = append(*d, t)
-}
-func (d *timerHeap) Pop() any {
-	old := *d
-	t := old[len(old)-1]
-	old[len(old)-1] = nil
-	*d = old[:len(old)-1]
-	t.heapIndex = -1
-	return t
-}
+	maxPollMillis = 60_000 // how long one epoll_wait may block
+)
 
-// eventSource is what epoll reports on: a connection, a listener or the wake-up.
+// eventSource is what epoll reports events of: a connection, a listener or the wake-up descriptor.
 type eventSource interface{ handleEvents(events uint32) }
 
-// Loop is the event loop.
+// Loop is the event loop. Make one with New.
 type Loop struct {
 	system        kernel.System
-	epoll, wakeup int
+	epoll, wakeup int // descriptors
 	sources       slotmap.Map[eventSource]
+	listeners     []*Listener
 	timers        timerHeap
 	started       time.Time
-	origin        time.Duration
+	origin        time.Duration // the loop's clock at started
 	stopped       bool
-	listeners     []*Listener
 	events        [maxEventsPerPoll]unix.EpollEvent
 
 	mu     sync.Mutex
 	posted []func()
 }
 
-// New makes a loop. Its clock counts from the Unix epoch, for start times are
-// given so, and goes on by the monotonic clock, so that it never goes back.
+// New makes a loop on the Linux kernel. It fails if descriptors have run out.
 func New() (*Loop, error) { return NewWithSystem(kernel.Linux{}) }
 
 // NewWithSystem is New with another system in the kernel's place.
@@ -78,7 +49,7 @@
 	l := &Loop{system: system, started: now, origin: time.Duration(now.UnixNano())}
 	var err error
 	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("epoll_create1: %w", err)
 	}
 	if l.wakeup, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
@@ -87,27 +58,11 @@
 	return l, err
 }
 
-// Now is the loop's clock.
+// Now is the loop's clock. It began at the Unix time of New and goes on by the monotonic clock, so that it
+// never goes back.
 func (l *Loop) Now() time.Duration { return l.origin + time.Since(l.started) }
 
-// At runs f at the given time, never before At has returned.
-func (l *Loop) At(at time.Duration, f func()) *Timer {
-	t := &Timer{loop: l, deadline: at, callback: f}
-	heap.Push(&l.timers, t)
-	return t
-}
-
-// After runs f after d.
-func (l *Loop) After(d time.Duration, f func()) *Timer { return l.At(l.Now()+d, f) }
-
-// Stop takes the timer out. One that has run, or is nil, is left alone.
-func (t *Timer) Stop() {
-	if t != nil && t.heapIndex >= 0 {
-		heap.Remove(&t.loop.timers, t.heapIndex)
-	}
-}
-
-// Post runs f on the loop. It may be called from any goroutine.
+// Post runs f on the loop. It may be called from any goroutine, and does not wait.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
@@ -116,27 +71,28 @@
 	_, _ = unix.Write(l.wakeup, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-type wakeupSource struct{ l *Loop }
+// wakeupSource runs what was posted.
+type wakeupSource struct{ loop *Loop }
 
 func (w wakeupSource) handleEvents(uint32) {
 	var count [8]byte
-	_, _ = unix.Read(w.l.wakeup, count[:])
-	w.l.mu.Lock()
-	fs := w.l.posted
-	w.l.posted = nil
-	w.l.mu.Unlock()
-	for _, f := range fs {
+	_, _ = unix.Read(w.loop.wakeup, count[:])
+	w.loop.mu.Lock()
+	posted := w.loop.posted
+	w.loop.posted = nil
+	w.loop.mu.Unlock()
+	for _, f := range posted {
 		f()
 	}
 }
 
-// Stop ends Run.
+// Stop ends Run after the current callback.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run serves until Stop.
+// Run handles events and timers until Stop. It fails if epoll does.
 //
-// Hazard: the process is held up, and an answer or a request lies unread when a deadline for it has passed.
-// So whatever had come by the time at which deadlines are judged is taken before them.
+// Hazard: the process is held up, and a response or a request lies unread when a timer for it is due. So all
+// that had come by the time at which timers are judged is read before they run.
 func (l *Loop) Run() error {
 	for !l.stopped {
 		if err := l.pollEvents(l.pollTimeout()); err != nil {
@@ -156,23 +112,13 @@
 	return nil
 }
 
-// timerDue reports whether the first deadline has come by the given time.
-func (l *Loop) timerDue(now time.Duration) bool {
-	return len(l.timers) > 0 && l.timers[0].deadline <= now
-}
-
-const (
-	maxEventsPerPoll = 128 // events that are asked for at a time
-	maxPollsPerTurn  = 8   // how often more are asked for before deadlines have their turn
-)
-
-// pollEvents waits so many milliseconds for events, and has their sources take them, with all that wait
-// already.
-func (l *Loop) pollEvents(wait int) error {
+// pollEvents waits so many milliseconds for events, and has their sources handle them, with all that are
+// there already.
+func (l *Loop) pollEvents(millis int) error {
 	for range maxPollsPerTurn {
-		n, err := l.system.EpollWait(l.epoll, l.events[:], wait)
+		n, err := l.system.EpollWait(l.epoll, l.events[:], millis)
 		if err != nil && !errors.Is(err, unix.EINTR) {
-			return fmt.Errorf("epoll: %w", err)
+			return fmt.Errorf("epoll_wait: %w", err)
 		}
 		for i := range max(n, 0) {
 			l.dispatch(&l.events[i])
@@ -180,38 +126,39 @@
 		if n < len(l.events) || l.stopped {
 			return nil
 		}
-		wait = 0
+		millis = 0
 	}
 	return nil
 }
 
-// dispatch has the source of an event take it.
+// dispatch has the source of an event handle it.
 func (l *Loop) dispatch(e *unix.EpollEvent) {
-	// An earlier event of this batch may have closed what this one is about, and its slot may be in use
-	// again: then the generation misses.
+	// An earlier event of this batch may have closed the source of this one, and its slot may be in use
+	// again: then the generation differs.
 	if s, ok := l.sources.Get(slotmap.MakeID(uint32(e.Fd), uint32(e.Pad))); ok {
 		s.handleEvents(e.Events)
 	}
 }
 
-// pollTimeout is how long epoll may sleep, in milliseconds, rounded up so as not to spin.
+// pollTimeout is how long epoll_wait may block, in milliseconds, rounded up so as not to spin; -1: for ever.
 func (l *Loop) pollTimeout() int {
 	if len(l.timers) == 0 {
 		return -1
 	}
-	left := l.timers[0].deadline - l.Now()
-	return int(min(max(left+time.Millisecond-1, 0)/time.Millisecond, 60_000))
+	rest := l.timers[0].deadline - l.Now()
+	return int(min(max(rest+time.Millisecond-1, 0)/time.Millisecond, maxPollMillis))
 }
 
 func epollEvent(events uint32, id slotmap.ID) *unix.EpollEvent {
 	return &unix.EpollEvent{Events: events, Fd: int32(id.Index()), Pad: int32(id.Generation())}
 }
 
+// register has epoll report a descriptor's events to the source.
 func (l *Loop) register(fd int, events uint32, s eventSource) (slotmap.ID, error) {
 	id := l.sources.Add(s)
 	if err := l.system.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, epollEvent(events, id)); err != nil {
 		l.sources.Remove(id)
-		return 0, fmt.Errorf("epoll: %w", err)
+		return 0, fmt.Errorf("epoll_ctl: %w", err)
 	}
 	return id, nil
 }
@@ -223,7 +170,7 @@
 		return -1, nil, fmt.Errorf("address %q: %w", address, err)
 	}
 	if !ap.Addr().Unmap().Is4() {
-		return -1, nil, fmt.Errorf("address %q: only IPv4 is spoken", address)
+		return -1, nil, fmt.Errorf("address %q: not IPv4, the only family supported", address)
 	}
 	fd, err := l.system.Socket()
 	if err != nil {
--- a/internal/netio/eventloop/peek.go
+++ b/internal/netio/eventloop/peek.go
@@ -1,17 +1,17 @@
 package eventloop
 
-// Looks at what the kernel holds for a connection, without waiting for the loop to tell.
-
 import (
 	"errors"
 
 	"golang.org/x/sys/unix"
 )
 
-// HasPendingInput says that input has come which has not been used, read or unread.
+// The functions here ask the kernel about a connection, without waiting for the loop to report an event.
+
+// HasPendingInput reports whether input has come that was not discarded, whether read by the loop or not.
 func (c *Conn) HasPendingInput() bool { return c.inputEnd > 0 || c.HasUnreadInput() }
 
-// HasUnreadInput says that input lies with the kernel.
+// HasUnreadInput reports whether input lies in the kernel's buffer.
 func (c *Conn) HasUnreadInput() bool {
 	if c.closed {
 		return false
@@ -20,7 +20,7 @@
 	return n > 0
 }
 
-// peek looks whether input has come: n is more than 0 if so.
+// peek reads without consuming: n is more than 0 if there is input.
 func (c *Conn) peek() (n int, err error) {
 	var one [1]byte
 	for {
@@ -30,20 +30,18 @@
 	}
 }
 
-// PeerClosed looks whether the peer has closed the connection, without waiting for the loop to tell and
-// whatever input lies before the end.
+// PeerClosed reports whether the peer has closed the connection, whatever input lies before the end.
 func (c *Conn) PeerClosed() bool {
 	if c.closed {
 		return true
 	}
-	const ends = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	state := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(state, 0)
-	return err == nil && n > 0 && state[0].Revents&ends != 0
+	return err == nil && n > 0 && state[0].Revents&closedEvents != 0
 }
 
-// Stale looks whether a connection that should be idle has ended, or holds
-// something unasked for, without waiting for the loop to tell.
+// Stale reports whether a connection that should be idle has ended, or holds input that nobody requested.
 func (c *Conn) Stale() bool {
 	if c.closed || c.inputEnd > 0 {
 		return true
--- a/internal/netio/eventloop/system_test.go
+++ b/internal/netio/eventloop/syscall_faults_test.go
@@ -5,7 +5,7 @@
 	"bytes"
 	"cmp"
 	"fmt"
-	stdnet "net"
+	"net"
 	"os"
 	"strings"
 	"sync"
@@ -17,12 +17,12 @@
 	"moorstack/internal/netio/faultnet"
 )
 
-// lines answers each line that comes.
-type lines struct{}
+// immediateLineServer responds to each line that comes.
+type immediateLineServer struct{}
 
-func (lines) OnConnect(*Conn)      {}
-func (lines) OnClose(*Conn, error) {}
-func (lines) OnData(c *Conn) {
+func (immediateLineServer) OnConnect(*Conn)      {}
+func (immediateLineServer) OnClose(*Conn, error) {}
+func (immediateLineServer) OnData(c *Conn) {
 	for i := bytes.IndexByte(c.Input(), '\n'); i >= 0; i = bytes.IndexByte(c.Input(), '\n') {
 		c.Discard(i + 1)
 		c.BeginProcessing()
@@ -31,18 +31,19 @@
 	}
 }
 
-// faultyInlet answers lines on a system whose calls fail.
-func faultyInlet(t *testing.T, system *faultnet.System, limits Limits) (loop *Loop, address string) {
+// listenFaulty responds to lines on a system whose calls fail.
+func listenFaulty(t *testing.T, system *faultnet.System, limits Limits) (loop *Loop, address string) {
 	t.Helper()
-	loop, _, address = listening(t, system, limits, func(c *Conn) { c.Handler = lines{} })
+	loop, _, address = listenOn(t, system, limits, func(c *Conn) { c.Handler = immediateLineServer{} })
 	return loop, address
 }
 
-// exchanges has clients send lines, some in pieces and some ahead, and wants each answered.
-func exchanges(t *testing.T, address string) {
+// requireExchanges has clients send lines, some in pieces and some pipelined, and fails without a response to
+// each.
+func requireExchanges(t *testing.T, address string) {
 	t.Helper()
 	for i := range 8 {
-		c, err := stdnet.Dial("tcp", address)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,7 +51,7 @@
 		in := bufio.NewReader(c)
 		for j := range 6 {
 			fmt.Fprintf(c, "line %d", i)
-			fmt.Fprintf(c, " of %d\nahead\n", j)
+			fmt.Fprintf(c, " of %d\npipelined\n", j)
 			for range 2 {
 				if line, err := in.ReadString('\n'); err != nil || line != "ok\n" {
 					t.Fatalf("client %d, line %d: %q, %v", i, j, line, err)
@@ -61,8 +62,8 @@
 	}
 }
 
-// descriptors is how many this process has open.
-func descriptors(t *testing.T) int {
+// openDescriptors returns how many descriptors this process has open.
+func openDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -71,9 +72,9 @@
 	return len(all)
 }
 
-// Calls fail for want of something that the kernel has again soon, or are interrupted: every message has its
-// answer all the same, no descriptor is leaked and the loop doesn't spin.
-func TestCallsThatFailForAWhile(t *testing.T) {
+// Calls fail for want of something that the kernel has again soon, or are interrupted: every message gets its
+// response all the same, no descriptor is leaked and the loop doesn't spin.
+func TestTransientSystemCallFailures(t *testing.T) {
 	for call, failures := range map[faultnet.Syscall][]error{
 		faultnet.Accept: {unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
 			unix.EPROTO, unix.EPERM, unix.EHOSTUNREACH, unix.EAGAIN, unix.EIO},
@@ -88,12 +89,12 @@
 		for _, err := range failures {
 			t.Run(fmt.Sprintf("%s %v", call, err), func(t *testing.T) {
 				system := faultnet.New(nil)
-				_, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
-				exchanges(t, address)
-				before := settle(t, system)
+				_, address := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
+				requireExchanges(t, address)
+				before := awaitClosed(t, system)
 				system.SetScript(faultnet.FailSometimes(call, err))
-				exchanges(t, address)
-				if after := settle(t, system); after > before {
+				requireExchanges(t, address)
+				if after := awaitClosed(t, system); after > before {
 					t.Errorf("%d descriptors, %d before", after, before)
 				}
 			})
@@ -101,9 +102,9 @@
 	}
 }
 
-// The kernel has no room to change what epoll reports just when that matters: a connection with output that
-// waits, and a listener that is to be left alone, are reported on all the same.
-func TestEventsThatCannotBeChanged(t *testing.T) {
+// The kernel has no room to change what epoll reports just when that matters: for a connection with
+// output that waits, and a listener that is paused.
+func TestEpollCtlFailures(t *testing.T) {
 	for call, err := range map[faultnet.Syscall]error{faultnet.Write: unix.EAGAIN,
 		faultnet.Accept: unix.EIO} {
 		t.Run(string(call), func(t *testing.T) {
@@ -113,23 +114,23 @@
 			system := faultnet.New(func(made faultnet.Syscall, n int) error {
 				return cmp.Or(failing(made, n), changes(made, n))
 			})
-			_, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
-			exchanges(t, address)
+			_, address := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
+			requireExchanges(t, address)
 		})
 	}
 }
 
-// A look at what lies unread is interrupted: it is made again.
-func TestInterruptedLook(t *testing.T) {
+// A peek at unread input is interrupted: it is repeated.
+func TestInterruptedPeekIsRepeated(t *testing.T) {
 	system := faultnet.New(faultnet.FailSometimes(faultnet.Peek, unix.EINTR))
-	loop, _ := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
-	peer, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	loop, _ := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
+	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
 	var c *Conn
-	on(loop, func() { c, err = loop.Dial(peer.Addr().String(), lines{}) })
+	runOn(loop, func() { c, err = loop.Dial(peer.Addr().String(), immediateLineServer{}) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,48 +139,48 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	on(loop, func() {
+	runOn(loop, func() {
 		fmt.Fprint(other, "unread")
 		if !c.HasUnreadInput() {
-			t.Error("what lies unread was not seen")
+			t.Error("unread input was not seen")
 		}
 		c.Close()
 	})
 }
 
-// settle waits until the connections of the clients that have gone are closed, and counts descriptors.
-func settle(t *testing.T, system *faultnet.System) int {
+// awaitClosed waits until the connections of disconnected clients are closed, and counts descriptors.
+func awaitClosed(t *testing.T, system *faultnet.System) int {
 	t.Helper()
 	for began := time.Now(); ; time.Sleep(time.Millisecond) {
-		was := system.OpenConns()
-		if was == 0 {
-			return descriptors(t)
+		open := system.OpenConns()
+		if open == 0 {
+			return openDescriptors(t)
 		}
 		if time.Since(began) > 5*time.Second {
-			t.Fatalf("%d connections are open still", was)
+			t.Fatalf("%d connections are open still", open)
 		}
 	}
 }
 
-// A call that goes on failing is not made again and again at once.
-func TestCallsThatGoOnFailingDoNotSpin(t *testing.T) {
+// A call that goes on failing is not repeated without a delay.
+func TestPersistentFailuresDoNotSpin(t *testing.T) {
 	for call, err := range map[faultnet.Syscall]error{faultnet.Accept: unix.EIO, faultnet.Read: unix.ENOMEM,
 		faultnet.Write: unix.ENOBUFS} {
 		t.Run(string(call), func(t *testing.T) {
 			t.Parallel()
 			system := faultnet.New(nil)
 			limits := Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20, MessageTimeout: time.Minute}
-			_, address := faultyInlet(t, system, limits)
-			c := dialed(t, address)
+			_, address := listenFaulty(t, system, limits)
+			c := dial(t, address)
 			fmt.Fprintln(c, "before")
-			wantOK(t, c, "before")
+			requireOK(t, c, "before")
 			system.SetScript(func(made faultnet.Syscall, _ int) error {
 				if made == call {
 					return err
 				}
 				return nil
 			})
-			other := dialed(t, address)
+			other := dial(t, address)
 			fmt.Fprintln(other, "while")
 			fmt.Fprintln(c, "while")
 			time.Sleep(10 * retryDelay)
@@ -190,8 +191,8 @@
 				t.Error("the call was not made at all")
 			}
 			system.SetScript(nil)
-			wantOK(t, other, "a new connection, once calls are well again")
-			wantOK(t, c, "the one that was there")
+			requireOK(t, other, "a new connection, once calls succeed again")
+			requireOK(t, c, "the one that was there")
 		})
 	}
 }
@@ -200,23 +201,23 @@
 func TestShortReadsAndWrites(t *testing.T) {
 	system := faultnet.New(nil)
 	system.OneByteIO = true
-	_, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
-	exchanges(t, address)
+	_, address := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
+	requireExchanges(t, address)
 }
 
-// A connection that breaks ends, once, and tells its handler; others go on.
-func TestConnectionsThatBreak(t *testing.T) {
+// A connection that breaks is closed, once, and others stay open.
+func TestBrokenConnectionClosesOnce(t *testing.T) {
 	for _, call := range []faultnet.Syscall{faultnet.Read, faultnet.Write} {
 		for _, err := range []error{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE,
 			unix.ENETUNREACH} {
 			t.Run(fmt.Sprintf("%s %v", call, err), func(t *testing.T) {
 				t.Parallel()
 				system := faultnet.New(nil)
-				_, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
-				c, other := dialed(t, address), dialed(t, address)
-				for _, c := range []stdnet.Conn{c, other} {
+				_, address := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
+				c, other := dial(t, address), dial(t, address)
+				for _, c := range []net.Conn{c, other} {
 					fmt.Fprintln(c, "before")
-					wantOK(t, c, "before")
+					requireOK(t, c, "before")
 				}
 				var once sync.Once
 				system.SetScript(func(made faultnet.Syscall, n int) (fault error) {
@@ -230,27 +231,27 @@
 				})
 				fmt.Fprintln(c, "while it breaks")
 				if n, err := c.Read(make([]byte, 1)); err == nil {
-					t.Fatalf("%d bytes of an answer", n)
+					t.Fatalf("%d bytes of a response", n)
 				}
 				fmt.Fprintln(other, "after")
-				wantOK(t, other, "another connection")
+				requireOK(t, other, "another connection")
 			})
 		}
 	}
 }
 
-// dialler waits for a connection that it has begun.
-type dialler struct{ up, ended chan error }
+// dialHandler reports what becomes of a dialled connection.
+type dialHandler struct{ connected, closed chan error }
 
-func (d *dialler) OnConnect(*Conn)            { d.up <- nil }
-func (d *dialler) OnData(*Conn)               {}
-func (d *dialler) OnClose(_ *Conn, err error) { d.ended <- err }
+func (d *dialHandler) OnConnect(*Conn)            { d.connected <- nil }
+func (d *dialHandler) OnData(*Conn)               {}
+func (d *dialHandler) OnClose(_ *Conn, err error) { d.closed <- err }
 
-// A connection that can't be begun is an error at once, without a descriptor left open; one whose beginning a
-// signal interrupts comes up.
-func TestConnectionsThatCannotBeBegun(t *testing.T) {
+// A connection that can't be begun is an error at once, and no descriptor is leaked; one whose connect is
+// interrupted by a signal comes up.
+func TestDialFailures(t *testing.T) {
 	system := faultnet.New(nil)
-	loop, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
+	loop, address := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
 	for call, failures := range map[faultnet.Syscall][]error{
 		faultnet.Socket: {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EACCES},
 		faultnet.Connect: {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ECONNREFUSED, unix.EAGAIN,
@@ -263,45 +264,45 @@
 				}
 				return nil
 			})
-			before := descriptors(t)
+			before := openDescriptors(t)
 			var err error
-			on(loop, func() { _, err = loop.Dial(address, &dialler{}) })
+			runOn(loop, func() { _, err = loop.Dial(address, &dialHandler{}) })
 			if err == nil || !strings.Contains(err.Error(), fault.Error()) {
 				t.Errorf("%s fails with %v: %v", call, fault, err)
 			}
-			if after := descriptors(t); after != before {
+			if after := openDescriptors(t); after != before {
 				t.Errorf("%s fails with %v: %d descriptors, %d before", call, fault, after, before)
 			}
 		}
 	}
 	system.SetScript(faultnet.FailSometimes(faultnet.Connect, unix.EINTR))
-	d := &dialler{make(chan error, 1), make(chan error, 1)}
-	on(loop, func() {
+	d := &dialHandler{make(chan error, 1), make(chan error, 1)}
+	runOn(loop, func() {
 		if _, err := loop.Dial(address, d); err != nil {
 			t.Errorf("interrupted: %v", err)
 		}
 	})
 	select {
-	case <-d.up:
-	case err := <-d.ended:
+	case <-d.connected:
+	case err := <-d.closed:
 		t.Errorf("interrupted: %v", err)
 	case <-time.After(5 * time.Second):
 		t.Error("an interrupted connection never came up")
 	}
 }
 
-// What has come before a connection's end is read though reads fail meanwhile.
-func TestEndBehindAReadThatFails(t *testing.T) {
+// What came before a connection's close is read though reads fail meanwhile.
+func TestInputBeforeCloseIsReadThroughReadFailures(t *testing.T) {
 	system := faultnet.New(nil)
-	loop, address := faultyInlet(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
-	got := &collector{whole: make(chan string, 1)}
-	peer, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	loop, address := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
+	got := &collector{complete: make(chan string, 1)}
+	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
 	system.SetScript(faultnet.FailSometimes(faultnet.Read, unix.ENOMEM))
-	on(loop, func() { _, err = loop.Dial(peer.Addr().String(), got) })
+	runOn(loop, func() { _, err = loop.Dial(peer.Addr().String(), got) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,16 +312,16 @@
 	}
 	fmt.Fprint(c, "all of it")
 	c.Close()
-	if text := <-got.whole; text != "all of it" {
+	if text := <-got.complete; text != "all of it" {
 		t.Errorf("%q came", text)
 	}
 	_ = address
 }
 
-// collector keeps all that comes, and tells it at the end.
+// collector collects all that comes, and reports it at the close.
 type collector struct {
-	text  bytes.Buffer
-	whole chan string
+	text     bytes.Buffer
+	complete chan string
 }
 
 func (c *collector) OnConnect(*Conn) {}
@@ -328,24 +329,24 @@
 	c.text.Write(conn.Input())
 	conn.Discard(len(conn.Input()))
 }
-func (c *collector) OnClose(*Conn, error) { c.whole <- c.text.String() }
+func (c *collector) OnClose(*Conn, error) { c.complete <- c.text.String() }
 
 // Descriptors have run out when a connection comes, and the first message of another one, opened a while ago,
-// lies unread: that one is not ended for the new one.
-func TestFirstMessageUnreadWhileDescriptorsRunOut(t *testing.T) {
+// is unread: that one is not evicted.
+func TestUnreadFirstMessageSurvivesDescriptorExhaustion(t *testing.T) {
 	system := faultnet.New(nil)
-	loop, address := faultyInlet(
+	loop, address := listenFaulty(
 		t,
 		system,
 		Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20, MessageTimeout: time.Minute},
 	)
-	c := dialed(t, address)
+	c := dial(t, address)
 	for system.OpenConns() < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	held, free := make(chan struct{}), make(chan struct{})
-	loop.Post(func() { close(held); <-free })
-	<-held
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	loop.Post(func() { close(blocked); <-unblock })
+	<-blocked
 	system.SetScript(func(made faultnet.Syscall, n int) error {
 		if made == faultnet.Accept && n == 1 {
 			return unix.EMFILE
@@ -353,11 +354,11 @@
 		return nil
 	})
 	time.Sleep(newConnGrace)
-	newer := dialed(t, address) // the loop is told of it first
+	newer := dial(t, address) // the loop gets its event first
 	fmt.Fprintln(newer, "hello")
 	time.Sleep(10 * time.Millisecond)
 	fmt.Fprintln(c, "first")
-	close(free)
-	wantOK(t, c, "the message that lay unread")
-	wantOK(t, newer, "the new connection's")
+	close(unblock)
+	requireOK(t, c, "the unread message")
+	requireOK(t, newer, "the new connection's")
 }
--- a/internal/netio/faultnet/faultnet.go
+++ b/internal/netio/faultnet/faultnet.go
@@ -1,8 +1,10 @@
-// Package faultnet stands in the kernel's place in tests: system calls fail by script, as Linux documents.
+// Package faultnet is a kernel.System for tests whose system calls fail by a script, in the ways that Linux
+// documents. Its functions may be called from any goroutine.
 package faultnet
 
 import (
 	"cmp"
+	"errors"
 	"sync"
 
 	"golang.org/x/sys/unix"
@@ -19,7 +21,7 @@
 	Connect   Syscall = "connect"
 	Accept    Syscall = "accept"
 	EpollWait Syscall = "epoll_wait"
-	EpollCtl  Syscall = "epoll_ctl" // a change; what is new is always taken
+	EpollCtl  Syscall = "epoll_ctl" // EPOLL_CTL_MOD only
 	Read      Syscall = "read"
 	Peek      Syscall = "peek"
 	Write     Syscall = "write"
@@ -27,10 +29,10 @@
 	Close     Syscall = "close"
 )
 
-// Script says whether the n-th call of its kind fails, counted from 1, and how.
+// Script returns the error with which the n-th call of its kind fails, counted from 1; nil: it succeeds.
 type Script func(call Syscall, n int) error
 
-// System is a kernel whose calls fail by script.
+// System is a kernel whose calls fail by a script. Make one with New.
 type System struct {
 	kernel.Linux
 	OneByteIO bool // reads and writes take a byte at a time
@@ -43,7 +45,7 @@
 
 var _ kernel.System = (*System)(nil)
 
-// OpenConns is how many connections were accepted and not closed, where none was dialled.
+// OpenConns returns how many connections were accepted and not closed. It is right only if none was dialled.
 func (s *System) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,8 +58,8 @@
 	s.openConns += n
 }
 
-// New makes a system that fails by the script; nil: nothing fails.
-func New(fails Script) *System { return &System{script: fails, calls: map[Syscall]int{}} }
+// New makes a system whose calls fail by the script; nil: none fails.
+func New(script Script) *System { return &System{script: script, calls: map[Syscall]int{}} }
 
 func (s *System) nextFault(call Syscall) error {
 	s.mu.Lock()
@@ -69,21 +71,21 @@
 	return s.script(call, s.calls[call])
 }
 
-// SetScript sets what fails from now on, and counts calls anew.
-func (s *System) SetScript(fails Script) {
+// SetScript sets what fails from now on, and resets the counts of calls.
+func (s *System) SetScript(script Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.script, s.calls = fails, map[Syscall]int{}
+	s.script, s.calls = script, map[Syscall]int{}
 }
 
-// CallCount is how often a call has been made since the script was set.
+// CallCount returns how often a call has been made since the script was set.
 func (s *System) CallCount(call Syscall) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[call]
 }
 
-// Socket makes a socket.
+// Socket implements kernel.System.
 func (s *System) Socket() (int, error) {
 	if err := s.nextFault(Socket); err != nil {
 		return -1, err
@@ -91,18 +93,18 @@
 	return s.Linux.Socket()
 }
 
-// Connect begins a connection.
+// Connect implements kernel.System.
 func (s *System) Connect(fd int, to unix.Sockaddr) error {
 	if err := s.nextFault(Connect); err != nil {
-		if err == unix.EINTR {
-			_ = s.Linux.Connect(fd, to) // it goes on, whatever is said
+		if errors.Is(err, unix.EINTR) {
+			_ = s.Linux.Connect(fd, to) // it goes on all the same
 		}
 		return err
 	}
 	return s.Linux.Connect(fd, to)
 }
 
-// Accept takes a connection that waits.
+// Accept implements kernel.System.
 func (s *System) Accept(fd int) (int, error) {
 	if err := s.nextFault(Accept); err != nil {
 		return -1, err
@@ -114,7 +116,7 @@
 	return fd, err
 }
 
-// EpollWait waits for events.
+// EpollWait implements kernel.System.
 func (s *System) EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
 	if err := s.nextFault(EpollWait); err != nil {
 		return -1, err
@@ -122,7 +124,7 @@
 	return s.Linux.EpollWait(epoll, events, milliseconds)
 }
 
-// EpollCtl says which events are waited for.
+// EpollCtl implements kernel.System.
 func (s *System) EpollCtl(epoll, operation, fd int, event *unix.EpollEvent) error {
 	if operation == unix.EPOLL_CTL_MOD {
 		if err := s.nextFault(EpollCtl); err != nil {
@@ -132,7 +134,7 @@
 	return s.Linux.EpollCtl(epoll, operation, fd, event)
 }
 
-// Read reads what has come.
+// Read implements kernel.System.
 func (s *System) Read(fd int, p []byte) (int, error) {
 	if err := s.nextFault(Read); err != nil {
 		return -1, err
@@ -143,7 +145,7 @@
 	return s.Linux.Read(fd, p)
 }
 
-// Peek looks at what has come.
+// Peek implements kernel.System.
 func (s *System) Peek(fd int, p []byte) (int, error) {
 	if err := s.nextFault(Peek); err != nil {
 		return -1, err
@@ -151,7 +153,7 @@
 	return s.Linux.Peek(fd, p)
 }
 
-// Write writes what there is room for.
+// Write implements kernel.System.
 func (s *System) Write(fd int, p []byte) (int, error) {
 	if err := s.nextFault(Write); err != nil {
 		return -1, err
@@ -162,7 +164,7 @@
 	return s.Linux.Write(fd, p)
 }
 
-// Shutdown ends the sending side.
+// Shutdown implements kernel.System.
 func (s *System) Shutdown(fd int) error {
 	if err := s.nextFault(Shutdown); err != nil {
 		return err
@@ -170,14 +172,14 @@
 	return s.Linux.Shutdown(fd)
 }
 
-// Close gives the descriptor up, and then may fail.
+// Close implements kernel.System.
 func (s *System) Close(fd int) error {
 	err := s.Linux.Close(fd)
 	s.addOpen(-1)
 	return cmp.Or(s.nextFault(Close), err)
 }
 
-// FailSometimes fails a call the first five times, and then one time in three.
+// FailSometimes returns a script that fails a call the first five times, and then one time in three.
 func FailSometimes(call Syscall, err error) Script {
 	return func(made Syscall, n int) error {
 		if made == call && (n <= 5 || n%3 == 0) {
--- a/internal/netio/http1/message.go
+++ b/internal/netio/http1/message.go
@@ -12,7 +12,7 @@
 // ProtocolError is input that is not HTTP/1.1, or exceeds a limit of this package. The connection can't be
 // read on after it.
 type ProtocolError struct {
-	Status int    // the response status that tells a client of it: 400, 413 or 431
+	Status int    // of the response to a client: 400, 413 or 431
 	Reason string // what is wrong; it may be sent as the response's body
 }
 
--- a/internal/netio/http1/parser.go
+++ b/internal/netio/http1/parser.go
@@ -235,7 +235,7 @@
 	return version[7], nil
 }
 
-// framing is what a head's fields say of where the message and the connection end.
+// framing is by what a head's fields frame the message, and whether the connection ends after it.
 type framing struct {
 	contentLength int // -1: not given
 	chunked       bool
--- a/internal/netio/http1/parser_test.go
+++ b/internal/netio/http1/parser_test.go
@@ -37,7 +37,7 @@
 			return "bad: " + err.Error()
 		}
 		if complete {
-			return fmt.Sprintf("%s %s %d close %v expects %v %v body %q, %d left", p.Method, p.Target,
+			return fmt.Sprintf("%s %s %d close %v expects %v %v body %q, %d unread", p.Method, p.Target,
 				p.Status, p.Close, p.ExpectsContinue, p.Fields, p.Body(buf), len(buf)-p.MessageSize())
 		}
 	}
