--- a/internal/verify/modelcheck/modelcheck.go
+++ b/internal/verify/modelcheck/modelcheck.go
@@ -1,5 +1,5 @@
-// Package explore visits every state of a small model, by all processors, without a path to each: what
-// it shows is that no order of events leads to a wrong one.
+// Package modelcheck visits every reachable state of a small model, on all processors, and checks an
+// invariant in each: it shows that no order of events leads to a state that violates it.
 package modelcheck
 
 import (
@@ -9,12 +9,13 @@
 	"sync/atomic"
 )
 
-// State is a state of a model. Two that have one key are the same: all that can follow from them is.
+// State is a state of a model. Two states with the same key are the same: all that can follow from them is.
 type State[S any] interface {
 	Key() uint64
-	// Transitions gives copies of the state after each event that may happen next, with the events' names.
+	// Transitions gives each event that may happen next, with a copy of the state after it.
 	Transitions() []Transition[S]
-	// Violation says what is wrong in this state; empty: nothing. It is asked once of each, and first.
+	// Violation describes the invariant that the state violates; empty: none. It is called before Key and
+	// Transitions.
 	Violation() string
 }
 
@@ -24,106 +25,118 @@
 	State S
 }
 
-// Result is what was found.
+// Result is what a check found.
 type Result struct {
 	States    int64
-	Complete  bool // all that there are
-	Violation string
-	Trace     []string // the events that lead there
+	Complete  bool     // every reachable state was visited
+	Violation string   // empty: none was found
+	Trace     []string // the events that lead to the violation
 }
 
-// visited is the states that have been. Of each it keeps 64 bits: of a hundred million, two are
-// taken for one with a chance of 1 in 3,000.
-type visited struct {
+// sharedStates is how many states are found breadth-first before the processors share them out.
+const sharedStates = 2000
+
+// visitedStates are the keys of the states that were visited. Of each it keeps 64 bits: of a hundred million,
+// two are taken for one with a chance of 1 in 3,000.
+type visitedStates struct {
 	shards [256]struct {
 		sync.Mutex
-		seen map[uint64]struct{}
+		keys map[uint64]struct{}
 	}
 	count atomic.Int64
 }
 
-func (v *visited) first(key uint64) bool {
+// add reports whether a key is new.
+func (v *visitedStates) add(key uint64) bool {
 	s := &v.shards[key>>56]
 	s.Lock()
 	defer s.Unlock()
-	if _, ok := s.seen[key]; ok {
+	if _, ok := s.keys[key]; ok {
 		return false
 	}
-	if s.seen == nil {
-		s.seen = map[uint64]struct{}{}
+	if s.keys == nil {
+		s.keys = map[uint64]struct{}{}
 	}
-	s.seen[key] = struct{}{}
+	s.keys[key] = struct{}{}
 	v.count.Add(1)
 	return true
 }
 
+// search is a check under way. Its methods may be called from several goroutines.
 type search[S State[S]] struct {
-	most  int64
-	seen  visited
-	stop  atomic.Bool
-	mu    sync.Mutex
-	wrong string
-	way   []string
+	maxStates int64
+	visited   visitedStates
+	stopped   atomic.Bool
+
+	mu        sync.Mutex
+	violation string
+	trace     []string
 }
 
-func (s *search[S]) found(wrong string, way []string) {
+func (s *search[S]) report(violation string, trace []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wrong == "" {
-		s.wrong, s.way = wrong, slices.Clone(way)
+	if s.violation == "" {
+		s.violation, s.trace = violation, slices.Clone(trace)
 	}
-	s.stop.Store(true)
+	s.stopped.Store(true)
 }
 
-// from visits what follows from a state.
-func (s *search[S]) from(at S, way []string, visit func(S, []string)) {
-	for _, x := range at.Transitions() {
-		if s.stop.Load() {
+// expand visits the states that follow from one, and calls next for each that is new.
+func (s *search[S]) expand(state S, trace []string, next func(S, []string)) {
+	for _, t := range state.Transitions() {
+		if s.stopped.Load() {
 			return
 		}
-		way := append(way, x.Event)
-		if wrong := x.State.Violation(); wrong != "" {
-			s.found(wrong, way)
+		trace := append(trace, t.Event)
+		if violation := t.State.Violation(); violation != "" {
+			s.report(violation, trace)
 			return
 		}
-		if s.seen.first(x.State.Key()) {
-			if s.seen.count.Load() >= s.most {
-				s.stop.Store(true)
+		if s.visited.add(t.State.Key()) {
+			if s.visited.count.Load() >= s.maxStates {
+				s.stopped.Store(true)
 			}
-			visit(x.State, way)
+			next(t.State, trace)
 		}
 	}
 }
 
-func (s *search[S]) deep(at S, way []string) { s.from(at, way, s.deep) }
+// expandDeep visits depth-first all that follows from a state.
+func (s *search[S]) expandDeep(state S, trace []string) { s.expand(state, trace, s.expandDeep) }
 
-// Check visits every state that can be reached, but no more than most, and stops at the first that is
-// wrong. It searches broadly until there is enough to share out, then each processor deeply.
-func Check[S State[S]](start S, most int64) Result {
-	type place struct {
-		at  S
-		way []string
-	}
-	s := &search[S]{most: most}
-	if wrong := start.Violation(); wrong != "" {
-		return Result{States: 1, Violation: wrong}
+// frontier is a state that is yet to be expanded, with the events that lead to it.
+type frontier[S any] struct {
+	state S
+	trace []string
+}
+
+// Check visits every state that can be reached, but no more than maxStates, and stops at the first that
+// violates an invariant. It searches breadth-first until there is enough to share out, then each processor
+// depth-first. The states are used by several goroutines, one at a time.
+func Check[S State[S]](start S, maxStates int64) Result {
+	s := &search[S]{maxStates: maxStates}
+	if violation := start.Violation(); violation != "" {
+		return Result{States: 1, Violation: violation}
 	}
-	places := []place{{start, nil}}
-	s.seen.first(start.Key())
-	for len(places) > 0 && len(places) < 2000 && !s.stop.Load() {
-		p := places[0]
-		places = places[1:]
-		s.from(p.at, p.way, func(n S, way []string) { places = append(places, place{n, slices.Clone(way)}) })
+	open := []frontier[S]{{start, nil}}
+	s.visited.add(start.Key())
+	for len(open) > 0 && len(open) < sharedStates && !s.stopped.Load() {
+		f := open[0]
+		open = open[1:]
+		s.expand(f.state, f.trace, func(next S, trace []string) {
+			open = append(open, frontier[S]{next, slices.Clone(trace)})
+		})
 	}
 	var wg sync.WaitGroup
-	var at atomic.Int64
+	var taken atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
-			for k := at.Add(1) - 1; k < int64(len(places)); k = at.Add(1) - 1 {
-				s.deep(places[k].at, slices.Clip(places[k].way))
+			for k := taken.Add(1) - 1; k < int64(len(open)); k = taken.Add(1) - 1 {
+				s.expandDeep(open[k].state, slices.Clip(open[k].trace))
 			}
 		})
 	}
 	wg.Wait()
-	return Result{s.seen.count.Load(), !s.stop.Load(), s.wrong, s.way}
+	return Result{s.visited.count.Load(), !s.stopped.Load(), s.violation, s.trace}
 }
