--- a/internal/verify/simulation/leased_tasks.go
+++ b/internal/verify/simulation/leased_tasks.go
@@ -8,138 +8,119 @@
 	"moorstack/internal/cluster/leasedtask"
 )
 
-// practice is what a machine does with the duties that it holds: it acts whenever it may, notes how
-// often, and gives them back when it is asked to.
-type practice struct {
-	held    []leasedtask.Lease
-	leaving map[uint64]bool // numbers that it gives back
+// taskHolder is what a machine does with its leased tasks: it acts whenever it may, updates their notes, and
+// releases them when it is requested to.
+type taskHolder struct {
+	leases    []leasedtask.Lease
+	releasing map[uint64]bool // by fencing token
 }
 
-// act is the newest of a duty, as a receiver has seen it.
-type act struct {
-	number uint64
-	by     string
+func newTaskHolder() taskHolder { return taskHolder{releasing: map[uint64]bool{}} }
+
+// action is the newest action in a task, as a receiver has seen it.
+type action struct {
+	token   uint64
+	machine string
 }
 
-// holds takes the instance's word. Words may overtake each other here, as they may not at a loop:
-// one that holds less than it knows does no harm, and an old number is of no use.
-func (m *machine) holds(held []leasedtask.Lease) {
-	m.duties.held = held
-	if m.duties.leaving == nil {
-		m.duties.leaving = map[uint64]bool{}
-	}
-	for _, h := range held {
-		if h.ReleaseReason == "" || m.duties.leaving[h.FencingToken] {
+// setLeases takes the instance's leases. Notifications may overtake each other here, as they may not at an
+// event loop: one that holds less than the instance knows does no harm, and an old token is of no use.
+func (m *machine) setLeases(leases []leasedtask.Lease) {
+	m.tasks.leases = leases
+	for _, l := range leases {
+		if l.ReleaseReason == "" || m.tasks.releasing[l.FencingToken] {
 			continue
 		}
-		m.later(int64(1+m.w.rng.IntN(40)), func() { m.release(h) })
+		m.after(int64(1+m.sim.rng.IntN(40)), func() { m.release(l) })
 	}
 }
 
-// release gives a duty back: from here on it does not act in it.
-func (m *machine) release(h leasedtask.Lease) {
-	m.duties.leaving[h.FencingToken] = true
-	m.word(
-		leasedtask.Command{
-			Kind:         leasedtask.Release,
-			Task:         h.Task,
-			FencingToken: h.FencingToken,
-			Reason:       h.ReleaseReason,
-			Failed:       m.w.rng.IntN(8) == 0,
-		},
-		func(consensus.Response) {
-			m.later(int64(50+m.w.rng.IntN(100)), func() { m.repeat(h) })
-		},
-	)
+// release releases a lease: from here on the machine does not act by it.
+func (m *machine) release(l leasedtask.Lease) {
+	m.tasks.releasing[l.FencingToken] = true
+	m.proposeCommand(leasedtask.Command{Kind: leasedtask.Release, Task: l.Task, FencingToken: l.FencingToken,
+		Reason: l.ReleaseReason, Failed: m.sim.rng.IntN(8) == 0}, func(consensus.Response) {
+		m.after(int64(50+m.sim.rng.IntN(100)), func() { m.releaseAgain(l) })
+	})
 }
 
-// repeat gives it back once more, where that has not come about.
-func (m *machine) repeat(h leasedtask.Lease) {
-	for _, x := range m.duties.held {
-		if x.FencingToken == h.FencingToken {
-			m.release(x)
+// releaseAgain releases a lease once more, if the machine still has it.
+func (m *machine) releaseAgain(l leasedtask.Lease) {
+	for _, current := range m.tasks.leases {
+		if current.FencingToken == l.FencingToken {
+			m.release(current)
 			return
 		}
 	}
 }
 
-func (m *machine) word(c leasedtask.Command, then func(consensus.Response)) {
-	m.w.made++
-	c.ID = fmt.Sprintf("duty-%d", m.w.made)
-	t := m.live().ProposeCommand(leasedtask.Section, leasedtask.EncodeCommand(c), c.ID)
-	m.answers[t] = then
-	m.drive()
+func (m *machine) proposeCommand(c leasedtask.Command, then func(consensus.Response)) {
+	c.ID = fmt.Sprintf("task-%d", m.sim.newID())
+	id := m.input().ProposeCommand(leasedtask.Section, leasedtask.EncodeCommand(c), c.ID)
+	m.onResponse[id] = then
+	m.processReady()
 }
 
-// practise acts now and then.
-func (m *machine) practise() {
-	m.later(int64(1+m.w.rng.IntN(20)), func() {
-		for _, h := range m.duties.held {
-			m.act(h)
+// scheduleTaskActions has the machine act in its tasks, and an operator intervene, now and then.
+func (m *machine) scheduleTaskActions() {
+	m.after(int64(1+m.sim.rng.IntN(20)), func() {
+		for _, l := range m.tasks.leases {
+			m.act(l)
 		}
-		if w := m.w; !w.calm && w.rng.IntN(300) == 0 {
-			kind := []leasedtask.Kind{leasedtask.Transfer, leasedtask.Transfer, leasedtask.Pause,
-				leasedtask.Resume, leasedtask.Resume}[w.rng.IntN(5)]
-			m.word(
-				leasedtask.Command{
-					Kind:       kind,
-					Task:       fmt.Sprintf(leasedtask.DrillTaskFormat, 1+w.rng.IntN(3)),
-					Name:       "op",
-					Reason:     "by wish",
-					TransferTo: w.machines[w.rng.IntN(len(w.machines))].number,
-				},
-				func(consensus.Response) {},
-			)
+		if s := m.sim; !s.calm && s.rng.IntN(300) == 0 {
+			m.interveneInTask()
 		}
-		if m.inst != nil {
-			m.practise()
+		if m.instance != nil {
+			m.scheduleTaskActions()
 		}
 	})
 }
 
-// act does a step of a duty, if the machine may. No receiver may see an older number after a newer
-// one, nor one number from two machines; and who begins must have every note that was agreed on.
-func (m *machine) act(h leasedtask.Lease) {
-	w := m.w
-	if m.duties.leaving[h.FencingToken] || !h.Valid(m.local()) {
+// interveneInTask is an operator's command on a task.
+func (m *machine) interveneInTask() {
+	s := m.sim
+	kinds := []leasedtask.Kind{leasedtask.Transfer, leasedtask.Transfer, leasedtask.Pause, leasedtask.Resume,
+		leasedtask.Resume}
+	kind := kinds[s.rng.IntN(len(kinds))]
+	task := fmt.Sprintf(leasedtask.DrillTaskFormat, 1+s.rng.IntN(3))
+	m.proposeCommand(leasedtask.Command{Kind: kind, Task: task, Name: "op", Reason: "request",
+		TransferTo: s.machines[s.rng.IntN(len(s.machines))].number}, func(consensus.Response) {})
+}
+
+// act does a step of a task, if the machine may. No receiver may see an older fencing token after a newer
+// one, nor one token from two machines; and a new holder must have every update of the note that was
+// committed.
+func (m *machine) act(l leasedtask.Lease) {
+	s := m.sim
+	if m.tasks.releasing[l.FencingToken] || !l.Valid(m.localTime()) {
 		return
 	}
-	was := w.acts[h.Task]
-	if h.FencingToken < was.number || h.FencingToken == was.number && was.by != m.name {
-		w.violate(
-			"%s acts in %s under the number %d after %s has under %d",
-			m.name,
-			h.Task,
-			h.FencingToken,
-			was.by,
-			was.number,
-		)
+	newest := s.observed.actions[l.Task]
+	if l.FencingToken < newest.token || l.FencingToken == newest.token && newest.machine != m.name {
+		s.violatef("%s acts in %s under the token %d after %s has under %d", m.name, l.Task, l.FencingToken,
+			newest.machine, newest.token)
 	}
-	w.res.TaskActions++
-	note, _ := strconv.Atoi(string(h.Note))
-	if h.FencingToken > was.number {
-		w.res.TaskTransfers++
-		w.trace("%s acts in %s under %d, from note %d on", m.name, h.Task, h.FencingToken, note)
-		if note < w.noted[h.Task] {
-			w.violate("%s begins %s at note %d, and %d was agreed on", m.name, h.Task, note, w.noted[h.Task])
+	s.result.TaskActions++
+	note, _ := strconv.Atoi(string(l.Note))
+	if l.FencingToken > newest.token {
+		s.result.TaskTransfers++
+		s.tracef("%s acts in %s under %d, from note %d on", m.name, l.Task, l.FencingToken, note)
+		if committed := s.observed.notes[l.Task]; note < committed {
+			s.violatef("%s begins %s at note %d, and %d was committed", m.name, l.Task, note, committed)
 		}
-		w.acts[h.Task] = act{h.FencingToken, m.name}
+		s.observed.actions[l.Task] = action{l.FencingToken, m.name}
 	}
-	if !w.calm && w.rng.IntN(40) == 0 {
-		next := note + 1
-		m.word(
-			leasedtask.Command{
-				Kind:         leasedtask.UpdateNote,
-				Task:         h.Task,
-				FencingToken: h.FencingToken,
-				NoteRevision: h.NoteRevision,
-				Note:         []byte(strconv.Itoa(next)),
-			},
-			func(a consensus.Response) {
-				if a.Err == nil && a.Outcome.Code == 0 {
-					w.noted[h.Task] = max(w.noted[h.Task], next)
-				}
-			},
-		)
+	if !s.calm && s.rng.IntN(40) == 0 {
+		m.updateNote(l, note+1)
 	}
 }
+
+func (m *machine) updateNote(l leasedtask.Lease, note int) {
+	m.proposeCommand(leasedtask.Command{Kind: leasedtask.UpdateNote, Task: l.Task,
+		FencingToken: l.FencingToken, NoteRevision: l.NoteRevision,
+		Note: []byte(strconv.Itoa(note))}, func(response consensus.Response) {
+		if response.Err == nil && response.Outcome.Code == 0 {
+			m.sim.observed.notes[l.Task] = max(m.sim.observed.notes[l.Task], note)
+		}
+	})
+}
--- a/internal/verify/simulation/machine.go
+++ b/internal/verify/simulation/machine.go
@@ -7,232 +7,262 @@
 	"time"
 
 	"moorstack/internal/cluster/consensus"
-	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/storage/faultfs"
 	"moorstack/internal/storage/store"
 )
 
 // machine is where an instance runs, or doesn't.
 type machine struct {
-	w        *world
+	sim      *simulator
 	name     string
-	fs       *faultfs.FS
-	inst     *consensus.Instance // nil while it is down
+	disk     *faultfs.FS
+	instance *consensus.Instance // nil while it is down
 	store    *store.Store
 	number   uint64
-	spare    bool // it follows without a vote, to take another's
-	life     int  // grows at each start: what an earlier life had on its way is dropped
-	pace     int64
-	dieIn    int // calls of the log until it dies; 0: it doesn't
-	told     uint64
-	applied  uint64
-	answers  map[consensus.RequestID]func(consensus.Response)
-	unsynced int
-
-	clock   time.Duration // its own, as of clockAt
-	clockAt int64
-	stalled int64 // it stands still until then
-	front   front
-	permits []rollout.Permit // that its fronts have not come to yet
-	duties  practice
-}
-
-// start begins a life of the machine, from what its disk has.
+	spare    bool // it follows as a learner, to replace a voter
+	// incarnation grows at each start and end: what an earlier one had scheduled is dropped.
+	incarnation    int
+	unitsPerTick   int64 // its clock's rate
+	callsToFailure int   // calls of the log until it loses power; 0: it doesn't
+	lastRevision   uint64
+	lastApplied    uint64
+	onResponse     map[consensus.RequestID]func(consensus.Response)
+	unsyncedCalls  int // with Options.AcknowledgeBeforeSync
+
+	clock        time.Duration // its own, as of clockReadAt
+	clockReadAt  int64
+	stalledUntil int64
+	front        front
+	tasks        taskHolder
+}
+
+const (
+	snapshotCount          = 25
+	snapshotCatchUpEntries = 5
+	segmentBytes           = 20_000
+	brokenSyncEvery        = 20 // calls, with Options.AcknowledgeBeforeSync
+)
+
+// start begins an incarnation of the machine, from what its disk has.
 func (m *machine) start() {
-	if m.inst != nil {
+	if m.instance != nil {
 		return
 	}
-	w := m.w
-	m.life++
-	m.told, m.applied, m.dieIn, m.stalled = 0, 0, 0, 0
-	m.front, m.permits, m.duties = front{}, nil, practice{}
-	m.answers = map[consensus.RequestID]func(consensus.Response){}
-	saved := consensus.NewRecoveredState()
+	s := m.sim
+	m.incarnation++
+	m.lastRevision, m.lastApplied, m.callsToFailure, m.stalledUntil = 0, 0, 0, 0
+	m.front, m.tasks = front{}, newTaskHolder()
+	m.onResponse = map[consensus.RequestID]func(consensus.Response){}
+	recovered := consensus.NewRecoveredState()
 	var err error
-	m.store, err = store.Open(
-		"/d",
-		store.Options{FS: m.fs, SegmentBytes: 20_000},
-		saved.RestoreSnapshot,
-		saved.ReplayRecord,
-	)
+	m.store, err = store.Open("/d", store.Options{FS: m.disk, SegmentBytes: segmentBytes},
+		recovered.RestoreSnapshot, recovered.ReplayRecord)
 	if err != nil {
-		if m.fs.FreeBytes >= 0 {
-			m.again() // there was no room to begin
+		if m.disk.FreeBytes >= 0 {
+			m.restartLater() // the disk was full
 			return
 		}
-		w.violate("%s can't open its store: %v", m.name, err)
+		s.violatef("%s can't open its store: %v", m.name, err)
 		return
 	}
-	w.numbers++
-	m.inst, err = consensus.New(
-		consensus.Config{SnapshotCount: 25, SnapshotCatchUpEntries: 5, Seed: w.o.Seed<<16 + uint64(m.life),
-			Logger: w.log.WithField("at", m.name)},
-		saved,
-		w.numbers,
-		m.name,
-	)
+	s.lastDrawn++
+	m.instance, err = consensus.New(
+		consensus.Config{SnapshotCount: snapshotCount, SnapshotCatchUpEntries: snapshotCatchUpEntries,
+			Seed: s.options.Seed<<16 + uint64(m.incarnation), Logger: s.log.WithField("at", m.name)},
+		recovered, s.lastDrawn, m.name)
 	if err != nil {
-		w.violate("%s can't start: %v", m.name, err)
+		s.violatef("%s can't start: %v", m.name, err)
 		return
 	}
-	m.number, _, _ = m.inst.Identity()
-	w.trace("%s starts as %x", m.name, m.number)
-	m.drive()
-	m.beat()
-	m.jobs()
-	m.practise()
+	m.number, _, _ = m.instance.Identity()
+	s.tracef("%s starts as %x", m.name, m.number)
+	m.processReady()
+	m.scheduleTick()
+	m.scheduleJob()
+	m.scheduleTaskActions()
 }
 
-func (m *machine) beat() {
-	m.later(m.pace, func() {
-		m.live().Tick()
-		m.drive()
-		m.beat()
+func (m *machine) scheduleTick() {
+	m.after(m.unitsPerTick, func() {
+		m.input().Tick()
+		m.processReady()
+		m.scheduleTick()
 	})
 }
 
-// again starts the machine after a while.
-func (m *machine) again() {
-	m.w.after(int64(20+m.w.faults.IntN(300)), func() {
-		m.fs.FreeBytes = -1
+// restartLater starts the machine after a while, with room on its disk.
+func (m *machine) restartLater() {
+	m.sim.after(int64(20+m.sim.faultRNG.IntN(300)), func() {
+		m.disk.FreeBytes = -1
 		m.start()
 	})
 }
 
-// die ends a life: with the power, or of the process alone.
-func (m *machine) die(power bool) {
-	if m.inst == nil {
+// stop ends an incarnation: by a loss of power, or of the process alone.
+func (m *machine) stop(power bool) {
+	if m.instance == nil {
 		return
 	}
-	m.w.trace("%s dies (power: %v)", m.name, power)
-	m.inst, m.store = nil, nil
-	m.life++
+	m.sim.tracef("%s stops (power: %v)", m.name, power)
+	m.instance, m.store = nil, nil
+	m.incarnation++
 	if power {
-		m.fs.LosePower()
+		m.disk.LosePower()
 	} else {
-		m.fs.KillProcesses()
+		m.disk.KillProcesses()
 	}
-	m.fs.FreeBytes = -1
-	m.again()
+	m.disk.FreeBytes = -1
+	m.restartLater()
+}
+
+// wipe ends an incarnation and loses its disk.
+func (m *machine) wipe() {
+	m.stop(false)
+	m.disk.EraseDisk()
+}
+
+// stall has the machine stand still, with all that comes to it waiting.
+func (m *machine) stall(units int64) { m.stalledUntil = m.sim.now + units }
+
+// localTime is the machine's own clock, which goes on while it stands still, at its own rate.
+func (m *machine) localTime() time.Duration {
+	s := m.sim
+	m.clock += time.Duration(s.now-m.clockReadAt) * unit * unitsPerTick / time.Duration(m.unitsPerTick)
+	m.clockReadAt = s.now
+	return m.clock
 }
 
-// The machine is its instance's log, and may die at each call of it.
+// input is the instance with its clock set, for an input.
+func (m *machine) input() *consensus.Instance {
+	m.instance.SetClock(m.localTime())
+	return m.instance
+}
+
+// after schedules f in this incarnation of the machine: after a stall, where it stands still.
+func (m *machine) after(units int64, f func()) {
+	incarnation := m.incarnation
+	m.sim.after(units, func() {
+		switch {
+		case m.incarnation != incarnation || m.instance == nil:
+		case m.sim.now < m.stalledUntil:
+			m.after(m.stalledUntil-m.sim.now+int64(m.sim.rng.IntN(3)), f)
+		default:
+			f()
+		}
+	})
+}
+
+// Append implements consensus.LogStore. The machine may lose power at each call of its log.
 func (m *machine) Append(r ...store.Record) (uint64, error) {
-	if m.fatal() {
-		return 0, errCrash
+	if m.losesPower() {
+		return 0, errPowerLoss
 	}
 	return m.store.Append(r...)
 }
 
+// Sync implements consensus.LogStore.
 func (m *machine) Sync() error {
-	if m.fatal() {
-		return errCrash
+	if m.losesPower() {
+		return errPowerLoss
 	}
-	if m.w.o.AcknowledgeBeforeSync {
+	if m.sim.options.AcknowledgeBeforeSync {
 		// Acknowledged now, synced some time later.
-		if m.unsynced++; m.unsynced%20 != 0 {
+		if m.unsyncedCalls++; m.unsyncedCalls%brokenSyncEvery != 0 {
 			return nil
 		}
 	}
 	return m.store.Sync()
 }
 
+// WriteSnapshot implements consensus.LogStore.
 func (m *machine) WriteSnapshot(b []byte) error {
-	if m.fatal() {
-		return errCrash
+	if m.losesPower() {
+		return errPowerLoss
 	}
 	return m.store.WriteSnapshot(b)
 }
 
-func (m *machine) fatal() bool {
-	if m.dieIn > 0 {
-		m.dieIn--
-		return m.dieIn == 0
+func (m *machine) losesPower() bool {
+	if m.callsToFailure > 0 {
+		m.callsToFailure--
+		return m.callsToFailure == 0
 	}
 	return false
 }
 
-// drive has the instance do what it must after an input, and checks it.
-func (m *machine) drive() {
-	if m.inst == nil {
+// processReady has the instance do what is due after an input, and checks it.
+func (m *machine) processReady() {
+	if m.instance == nil {
 		return
 	}
-	life := m.life
-	err := consensus.ProcessReady(m.inst, m, m.local, func(e consensus.Effects) {
-		if m.life == life {
-			m.carry(e)
+	incarnation := m.incarnation
+	err := consensus.ProcessReady(m.instance, m, m.localTime, func(e consensus.Effects) {
+		if m.incarnation == incarnation {
+			m.carryOut(e)
 		}
 	})
-	if m.life != life {
+	if m.incarnation != incarnation {
 		return
 	}
 	if err != nil {
-		m.w.trace("%s: %v", m.name, err)
-		m.die(errors.Is(err, errCrash))
+		m.sim.tracef("%s: %v", m.name, err)
+		m.stop(errors.Is(err, errPowerLoss))
 		return
 	}
 	m.check()
 }
 
-func (m *machine) carry(e consensus.Effects) {
+func (m *machine) carryOut(e consensus.Effects) {
 	for _, r := range e.Revisions {
-		if r.Number <= m.told {
-			m.w.violate("%s tells revision %d after %d", m.name, r.Number, m.told)
+		if r.Number <= m.lastRevision {
+			m.sim.violatef("%s gives revision %d after %d", m.name, r.Number, m.lastRevision)
 		}
-		m.told = r.Number
-		m.w.agreed(m.name, r.Number, r.ChangeID)
+		m.lastRevision = r.Number
+		m.sim.observeRevision(m.name, r.Number, r.ChangeID)
 	}
-	m.toldFronts(e)
-	for _, x := range e.SessionMessages {
-		m.w.say(m, x)
+	m.notifyFront(e)
+	for _, msg := range e.SessionMessages {
+		m.sim.sendSession(m, msg)
 	}
 	for _, msg := range e.Messages {
-		if m.fatal() { // with some of the messages gone out
-			m.w.after(1, func(life int) func() {
-				return func() {
-					if m.life == life {
-						m.die(true)
-					}
+		if m.losesPower() { // after some of the messages were sent
+			incarnation := m.incarnation
+			m.sim.after(1, func() {
+				if m.incarnation == incarnation {
+					m.stop(true)
 				}
-			}(m.life))
+			})
 			return
 		}
-		m.w.send(m, msg)
+		m.sim.send(m, msg)
 	}
-	for _, a := range e.Responses {
-		if f := m.answers[a.RequestID]; f != nil {
-			delete(m.answers, a.RequestID)
-			f(a)
+	for _, response := range e.Responses {
+		if f := m.onResponse[response.RequestID]; f != nil {
+			delete(m.onResponse, response.RequestID)
+			f(response)
 		}
 	}
 }
 
-// check looks at the instance after each of its steps.
+// check checks the invariants of the instance after each of its steps.
 func (m *machine) check() {
-	s := m.inst.Status()
-	w := m.w
-	if s.Halted != nil {
-		w.violate("%s halts: %v", m.name, s.Halted)
+	st := m.instance.Status()
+	s := m.sim
+	if st.Halted != nil {
+		s.violatef("%s halts: %v", m.name, st.Halted)
 		return
 	}
-	if s.Role == "leader" {
-		if was := w.leaders[s.Term]; was != "" && was != fmt.Sprintf("%x", m.number) {
-			w.violate("term %d has the leaders %s and %x", s.Term, was, m.number)
-		}
-		if w.leaders[s.Term] == "" {
-			w.trace("%s leads in term %d", m.name, s.Term)
-		}
-		w.leaders[s.Term] = fmt.Sprintf("%x", m.number)
+	if st.Role == consensus.RoleLeader {
+		s.observeLeader(m, st.Term)
 	}
-	if s.Applied < m.applied {
-		w.violate("%s applied entry %d and then %d", m.name, m.applied, s.Applied)
+	if st.Applied < m.lastApplied {
+		s.violatef("%s applied entry %d and then %d", m.name, m.lastApplied, st.Applied)
 	}
-	if s.Applied != m.applied && m.inst.State() != nil {
-		m.applied = s.Applied
-		sum := sha256.Sum256(m.inst.State().Encode())
-		if was, ok := w.states[s.Applied]; ok && was != sum {
-			w.violate("%s has another state than others after entry %d", m.name, s.Applied)
-		}
-		w.states[s.Applied] = sum
+	if st.Applied != m.lastApplied && m.instance.State() != nil {
+		m.lastApplied = st.Applied
+		s.observeState(m, st.Applied, sha256.Sum256(m.instance.State().Encode()))
 	}
 }
+
+// hexNumber is an instance's number as traces show it.
+func (m *machine) hexNumber() string { return fmt.Sprintf("%x", m.number) }
--- a/internal/verify/simulation/seeds.go
+++ b/internal/verify/simulation/seeds.go
@@ -4,9 +4,9 @@
 	"sync"
 )
 
-// RunSeeds plays the stories of seeds from first on, on several cores, and tells each result
-// in the order of the seeds.
-func RunSeeds(first uint64, count int, workers int, options func(seed uint64) Options, tell func(Result)) {
+// RunSeeds makes the runs of the seeds from first on, on several workers, and reports each result in the
+// order of the seeds, on the caller's goroutine. It returns once all are reported.
+func RunSeeds(first uint64, count, workers int, options func(seed uint64) Options, report func(Result)) {
 	results := make([]chan Result, count)
 	for i := range results {
 		results[i] = make(chan Result, 1)
@@ -27,7 +27,7 @@
 		close(next)
 	}()
 	for _, c := range results {
-		tell(<-c)
+		report(<-c)
 	}
 	wg.Wait()
 }
