--- a/internal/verify/simulation/simulator.go
+++ b/internal/verify/simulation/simulator.go
@@ -195,8 +195,9 @@
 // document is a valid document, unlike that of any other n.
 func (s *simulator) document(n int) *clusterstate.Document {
 	d := &clusterstate.Document{
-		Classes: []clusterstate.Class{{Name: "c", Idempotency: "retryable", Timeout: 5e9, LatencyObjective: 1e9,
-			PriorityWeight: float64(n)}},
+		Classes: []clusterstate.Class{{Name: "c", Idempotency: "retryable", Timeout: 5e9,
+			LatencyObjective: 1e9,
+			PriorityWeight:   float64(n)}},
 	}
 	d.Sections = map[string]map[string]string{leasedtask.Section: {"drill": "3"}}
 	if s.options.Seed%4 == 3 {
