--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -315,7 +315,7 @@
 
 // The same seed and events give the same actions.
 func TestSameEventsGiveSameActions(t *testing.T) {
-	play := func() []recordedSend {
+	run := func() []recordedSend {
 		r := newRecorder(t, testSettings())
 		r.updateWorkers(ListFull, readyWorkers(9)...)
 		for i := range 300 {
@@ -327,7 +327,7 @@
 		}
 		return r.sends
 	}
-	if !slices.Equal(play(), play()) {
+	if !slices.Equal(run(), run()) {
 		t.Error("two runs of the same events differ")
 	}
 }
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -52,7 +52,7 @@
 }
 
 // Learned gives what the balancer has learned. Its requests in flight are not in it: they end one by one, and
-// the process that restores this is told of them by SetOtherInFlight.
+// the process that restores this is notified of them by SetOtherInFlight.
 func (b *Balancer) Learned() LearnedState {
 	s := LearnedState{
 		KindSlots: b.kindSlots, KindRunTimeFactors: b.kindRunTimeFactors, ClassRunTimes: b.classRunTimes,
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -163,7 +163,7 @@
 	rng := rand.New(rand.NewPCG(7, 7))
 	const steps = 50 // in a window
 	var sent []time.Duration
-	total, bearable := 0.0, 0.0
+	total, possible := 0.0, 0.0
 	first := all[0]
 	for now := warming.StartedAt; now < warming.StartedAt+set.Rules.SlowStartWindow; now += window / steps {
 		for _, i := range rng.Perm(size) {
@@ -179,14 +179,14 @@
 			sent = sent[1:]
 		}
 		n := allowed * first.balancer.warmUpFactor(now, first.balancer.workerByID[warming.ID])
-		bears := n + 2*math.Sqrt(n) + 2
+		limit := n + 2*math.Sqrt(n) + 2
 		if n < 30 {
-			bears = n + 3*math.Sqrt(n) + 3
+			limit = n + 3*math.Sqrt(n) + 3
 		}
-		most = max(most, float64(len(sent))/bears)
-		bearable += n / steps
+		most = max(most, float64(len(sent))/limit)
+		possible += n / steps
 	}
-	return most, total / bearable
+	return most, total / possible
 }
 
 // Without any load observed, a warming worker's budget is nothing.
--- /dev/null
+++ b/internal/frozen/trace_test.go
@@ -0,0 +1,303 @@
+package frozen
+
+import (
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"sort"
+	"strings"
+	"testing"
+	"time"
+
+	"moorstack/balancer"
+)
+
+// traceOptions say what happens in a trace beside its settings.
+type traceOptions struct {
+	arrivals int
+	every    time.Duration // the mean time between two arrivals
+	workers  int
+	spread   bool // workers differ in zone, kind, cell and size
+	routed   bool // requests have routes with tiers
+	released bool // half of the workers have just started
+}
+
+// trace drives a balancer by events that its seed alone decides, and digests what the balancer does.
+type trace struct {
+	t       *testing.T
+	bal     *balancer.Balancer
+	set     balancer.Settings
+	opts    traceOptions
+	rng     *rand.Rand
+	now     time.Duration
+	queue   []traceEvent
+	seq     int
+	open    map[balancer.RequestID]*traceRequest
+	workers map[balancer.WorkerID]*traceWorker
+	list    []balancer.Worker
+	digest  hash.Hash
+	first   []string
+	events  int
+	counts  map[string]int // of actions
+}
+
+type traceEvent struct {
+	at  time.Duration
+	seq int
+	do  func()
+}
+
+type traceRequest struct {
+	deadline time.Duration
+	answered bool
+	attempts []*traceAttempt
+}
+
+type traceAttempt struct {
+	to    balancer.WorkerID
+	sent  time.Duration
+	ended bool
+}
+
+type traceWorker struct {
+	inFlight     int
+	failing      bool
+	unresponsive bool
+	slow         float64
+}
+
+const firstActions = 80 // of a trace, in text
+
+func newTrace(t *testing.T, set balancer.Settings, opts traceOptions, seed uint64) *trace {
+	t.Helper()
+	tr := &trace{t: t, set: set, opts: opts, rng: rand.New(rand.NewPCG(seed, 40)), now: time.Hour,
+		open: map[balancer.RequestID]*traceRequest{}, workers: map[balancer.WorkerID]*traceWorker{},
+		digest: sha256.New(), counts: map[string]int{}}
+	bal, err := balancer.New(set, seed*1000+7, tr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	tr.bal = bal
+	return tr
+}
+
+func (tr *trace) after(d time.Duration, do func()) {
+	e := traceEvent{at: tr.now + d, seq: tr.seq, do: do}
+	tr.seq++
+	i := sort.Search(len(tr.queue), func(i int) bool { return tr.queue[i].at > e.at })
+	tr.queue = append(tr.queue, traceEvent{})
+	copy(tr.queue[i+1:], tr.queue[i:])
+	tr.queue[i] = e
+}
+
+// act digests an action or an answer of the balancer.
+func (tr *trace) act(format string, args ...any) {
+	line := fmt.Sprintf("%d ", tr.now-time.Hour) + fmt.Sprintf(format, args...)
+	tr.digest.Write([]byte(line + "\n"))
+	kind, _, _ := strings.Cut(format, " ")
+	tr.counts[kind]++
+	if len(tr.first) < firstActions {
+		tr.first = append(tr.first, line)
+	}
+}
+
+func (tr *trace) span(mean time.Duration) time.Duration {
+	return time.Duration(tr.rng.ExpFloat64()*float64(mean)) + time.Microsecond
+}
+
+func (tr *trace) run() {
+	for i := range tr.opts.workers {
+		tr.list = append(tr.list, tr.newWorker(i+1, 0))
+	}
+	at := time.Duration(0)
+	if tr.set.ListOnRequest {
+		tr.after(0, func() { tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil) })
+		at = 30 * time.Millisecond
+	}
+	tr.after(
+		at,
+		func() {
+			tr.bal.UpdateWorkers(tr.now, balancer.ListFull, append([]balancer.Worker(nil),
+				tr.list...))
+		},
+	)
+	end := 20 * time.Millisecond
+	for n := range tr.opts.arrivals {
+		end += tr.span(tr.opts.every)
+		tr.after(end, func() { tr.arrive(n) })
+	}
+	for at := 150 * time.Millisecond; at < end; at += 150*time.Millisecond + tr.span(100*time.Millisecond) {
+		tr.after(at, tr.disturb)
+	}
+	tr.after(end/2, tr.replace)
+	tr.after(end/3, tr.configure)
+	stop := tr.now + end + 5*time.Second
+	for len(tr.queue) > 0 && tr.queue[0].at <= stop {
+		e := tr.queue[0]
+		tr.queue = tr.queue[1:]
+		tr.now = e.at
+		tr.events++
+		e.do()
+	}
+	tr.learned()
+}
+
+func (tr *trace) newWorker(id int, since time.Duration) balancer.Worker {
+	w := balancer.Worker{ID: balancer.WorkerID(id), State: balancer.Ready, Size: 4, StartedAt: since}
+	if tr.opts.spread {
+		w.Zone, w.Kind, w.Cell = id%2, id/2%2, id/3
+		w.Size = 2 + float64(id%5)
+	} else {
+		w.Kind = id % tr.set.WorkerKinds
+	}
+	if tr.opts.routed {
+		w.Labels = []string{fmt.Sprint("tier", id%3)}
+	}
+	if tr.opts.released && w.Kind == 1 {
+		w.StartedAt = tr.now
+	}
+	tr.workers[w.ID] = &traceWorker{slow: 0.5 + tr.rng.Float64()}
+	return w
+}
+
+func (tr *trace) arrive(n int) {
+	id := balancer.RequestID(fmt.Sprint("r", n))
+	r := balancer.Request{ID: id, Class: tr.rng.IntN(len(tr.set.Classes)), Slots: float64(1 + tr.rng.IntN(2))}
+	r.Timeout = tr.set.Classes[r.Class].Timeout
+	if tr.rng.IntN(10) == 0 {
+		r.Timeout /= 3
+		r.IsRetry = true
+	}
+	if tr.rng.IntN(3) > 0 {
+		r.ExpectedWork = tr.span(40 * time.Millisecond)
+	}
+	if len(tr.set.Tenants) > 0 {
+		r.Tenant = min(tr.rng.IntN(5), len(tr.set.Tenants)-1)
+	}
+	if tr.opts.routed {
+		r.Route = tierRoute{spills: tr.rng.IntN(2) == 0}
+		r.MaxAttempts = tr.rng.IntN(3)
+	}
+	tr.open[id] = &traceRequest{deadline: tr.now + r.Timeout}
+	tr.bal.Submit(tr.now, r)
+	switch tr.rng.IntN(40) {
+	case 0:
+		tr.after(r.Timeout/4, func() {
+			if q := tr.open[id]; !q.answered {
+				q.answered = true
+				tr.bal.ClientDisconnected(id)
+			}
+		})
+	case 1:
+		tr.after(r.Timeout/8, func() {
+			q := tr.open[id]
+			if n := len(q.attempts); !q.answered && n > 0 && !q.attempts[n-1].ended {
+				q.answered = true
+				tr.bal.StreamStarted(id)
+			}
+		})
+	}
+}
+
+// tierRoute has three tiers by the worker's label, and leaves some workers out.
+type tierRoute struct{ spills bool }
+
+func (tierRoute) TierCount() int { return 3 }
+
+func (tierRoute) Tier(w *balancer.Worker) int {
+	if w.ID%7 == 0 {
+		return -1
+	}
+	return int(w.Labels[0][4] - '0')
+}
+
+func (r tierRoute) SpillsOver(_ int, busy bool) bool { return r.spills || !busy }
+
+// disturb changes something about the workers, as faults, drains and restarts do.
+func (tr *trace) disturb() {
+	k := tr.rng.IntN(len(tr.list))
+	w := tr.workers[tr.list[k].ID]
+	switch tr.rng.IntN(9) {
+	case 0:
+		w.failing = !w.failing
+	case 1:
+		w.unresponsive = !w.unresponsive
+	case 2:
+		tr.list[k].State = balancer.Draining
+		tr.bal.UpdateWorkers(tr.now, balancer.ListDelta, []balancer.Worker{tr.list[k]})
+	case 3:
+		removed := tr.list[k]
+		removed.State = balancer.Removed
+		tr.bal.UpdateWorkers(tr.now, balancer.ListDelta, []balancer.Worker{removed})
+		tr.list[k] = tr.newWorker(tr.seq+1000, tr.now)
+		tr.bal.UpdateWorkers(tr.now, balancer.ListDelta, []balancer.Worker{tr.list[k]})
+	case 4:
+		tr.list[k].State, tr.list[k].StartedAt = balancer.Ready, tr.now
+		tr.bal.UpdateWorkers(tr.now, balancer.ListFull, append([]balancer.Worker(nil), tr.list...))
+	case 5:
+		tr.bal.UpdateWorkers(tr.now, balancer.ListCached, append([]balancer.Worker(nil), tr.list...))
+	case 6:
+		tr.bal.EndMaintenance(tr.list[k].ID)
+	case 7:
+		id := tr.list[k].ID
+		tr.bal.ReceivePeer(tr.now, []byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)})
+	case 8:
+		tr.bal.SetOtherInFlight(tr.list[k].ID, float64(tr.rng.IntN(3)))
+		tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil)
+	}
+	tr.act("excluded %d", tr.bal.EjectedCount(tr.now))
+	for _, v := range tr.bal.Explain(tr.now, balancer.Request{ID: "x", Timeout: time.Second, Slots: 1}, 0) {
+		tr.act("explain %d %t", v.Worker.ID, v.Reason == "")
+	}
+}
+
+// replace has another balancer go on from what this one has learned, as in an upgrade.
+func (tr *trace) replace() {
+	raw := tr.learned()
+	inFlight := tr.bal.InFlight()
+	next, err := balancer.New(tr.set, 99, tr)
+	if err != nil {
+		tr.t.Fatal(err)
+	}
+	var m balancer.LearnedState
+	if err := json.Unmarshal(raw, &m); err != nil {
+		tr.t.Fatal(err)
+	}
+	tr.bal = next
+	for _, q := range tr.open {
+		q.answered = true // the process before sees them out
+		for _, a := range q.attempts {
+			a.ended = true
+		}
+	}
+	next.UpdateWorkers(tr.now, balancer.ListFull, append([]balancer.Worker(nil), tr.list...))
+	next.RestoreLearned(tr.now, m)
+	for _, w := range tr.list {
+		if inFlight[w.ID] > 0 {
+			next.SetOtherInFlight(w.ID, inFlight[w.ID])
+		}
+	}
+}
+
+// learned digests what the balancer passes to the process after it.
+func (tr *trace) learned() []byte {
+	raw, err := json.Marshal(tr.bal.Learned())
+	if err != nil {
+		tr.t.Fatal(err)
+	}
+	tr.act("memory %s", raw)
+	tr.act("in flight %v", tr.bal.InFlight()) // maps are printed in the order of their keys
+	return raw
+}
+
+// configure has the balancer go on by other settings.
+func (tr *trace) configure() {
+	set := tr.set
+	set.Classes = append([]balancer.Class(nil), set.Classes...)
+	set.Classes[0].PriorityWeight *= 1.5
+	set.Classes[0].LatencyObjective *= 2
+	tr.act("configure %v", tr.bal.CanConfigure(set) == nil)
+	tr.bal.Configure(set)
+}
