--- a/cmd/moorstack/lists_test.go
+++ b/cmd/moorstack/lists_test.go
@@ -94,6 +94,11 @@
 	}
 }
 
+// relayedBy is what an instance's log has once another one relays the endpoint list to it.
+func relayedBy(name string) string {
+	return `"instance":"` + name + `","level":"info","msg":"endpoint list received from another instance"`
+}
+
 // One instance asks discovery for all; the others know what it is told. When it stands still each asks
 // by itself until there is another, and goes back.
 func TestListKeeper(t *testing.T) {
@@ -143,7 +148,7 @@
 	for _, name := range rest {
 		if name != next.Holder {
 			eventually(t, name+" hears the new keeper", func() bool {
-				return strings.Contains(g.logOf(name), `"keeper":"`+next.Holder+`"`)
+				return strings.Contains(g.logOf(name), relayedBy(next.Holder))
 			})
 		}
 	}
@@ -156,7 +161,7 @@
 	c.CloseClientConnections()
 	eventually(t, "each tries by itself", func() bool {
 		return strings.Count(g.logOf("n1")+g.logOf("n2")+g.logOf("n3"),
-			"this instance asks discovery by itself") >= 2
+			"polling discovery directly") >= 2
 	})
 	// One that has just started, and knows of no worker, does not tell the others that there is none.
 	fresh := without(all, g.held("list", 0, all...).Holder)[0]
@@ -209,8 +214,8 @@
 		t.Helper()
 		eventually(t, follower+" hears the keeper", func() bool {
 			log := g.logOf(follower)
-			return c.watched() == 1 && strings.LastIndex(log, `"keeper":"`+keeper+`"`) >
-				strings.LastIndex(log, "asks discovery by itself")
+			return c.watched() == 1 && strings.LastIndex(log, relayedBy(keeper)) >
+				strings.LastIndex(log, "polling discovery directly")
 		})
 	}
 	hears()
--- a/cmd/moorstack/roll_test.go
+++ b/cmd/moorstack/roll_test.go
@@ -79,7 +79,7 @@
 	}
 	g.admits(all...)
 	for _, n := range all {
-		outs := strings.Count(g.logOf(n), "taken out by a rolling restart")
+		outs := strings.Count(g.logOf(n), "process ends for a rolling restart")
 		if outs > 2 || outs < 1 || n != conductor && outs < 2 {
 			t.Errorf("%s was taken out %d times, the conductor was %s", n, outs, conductor)
 		}
--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -32,7 +32,7 @@
 		c.StartMaintenance(id)
 	}
 	a.node.hotRestart.sendMaintenance(id, true)
-	a.node.log.WithField("worker", id).Info("taken out by an operator")
+	a.node.log.WithField("worker", id).Info("maintenance started by an operator")
 	return nil
 }
 
@@ -48,7 +48,7 @@
 	}
 	a.node.hotRestart.sendMaintenance(id, false)
 	if changed {
-		a.node.log.WithField("worker", id).Info("put back by an operator")
+		a.node.log.WithField("worker", id).Info("maintenance ended by an operator")
 	}
 	return nil
 }
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -110,10 +110,10 @@
 	entry := a.env.log.WithField("revision", p.Revision)
 	switch {
 	case p.Open:
-		entry.Info("jobs are admitted")
+		entry.Info("admission opened")
 	case p.Change != "":
-		entry.WithField("change", p.Change).Info("jobs wait for a change to take hold")
+		entry.WithField("change", p.Change).Info("admission paused for a change")
 	default:
-		entry.WithField("reason", p.ClosedReason).Warn("no job is admitted")
+		entry.WithField("reason", p.ClosedReason).Warn("admission closed")
 	}
 }
--- a/internal/node/configurator.go
+++ b/internal/node/configurator.go
@@ -90,14 +90,14 @@
 	entry := c.env.log.WithFields(logrus.Fields{"revision": r.Number, "change": r.ChangeID})
 	config, err := c.check(r.Document)
 	if err != nil {
-		entry.WithError(err).Warn("a change can't be run here")
+		entry.WithError(err).Warn("change can't be staged")
 		c.env.runner.ReportStaged(r.ChangeID, []string{err.Error()})
 		return
 	}
 	c.mu.Lock()
 	c.staged = stagedChange{r.ChangeID, config}
 	c.mu.Unlock()
-	entry.Info("ready for a change")
+	entry.Info("change staged")
 	c.env.audit.write("staged %s", r.ChangeID)
 	c.env.runner.ReportStaged(r.ChangeID, nil)
 }
@@ -146,7 +146,7 @@
 		// Only files that differ from what they were when it was staged can bring this about: the fronts
 		// admit nothing more, for what they run is not in force.
 		c.problem = fmt.Sprintf("revision %d: %v", r.Number, err)
-		entry.WithError(err).Error("the agreed configuration can't be run here")
+		entry.WithError(err).Error("configuration can't be applied")
 		return
 	}
 	if r.Number < c.running {
@@ -154,7 +154,7 @@
 	}
 	c.running, c.current, c.problem = r.Number, r, ""
 	c.env.runner.ReportRunningRevision(r.Number)
-	entry.Info("the fronts run this configuration")
+	entry.Info("configuration applied")
 }
 
 func (c *configurator) configure(r clusterstate.Revision, configure func(RuntimeConfig) error) error {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -55,9 +55,9 @@
 	case errors.Is(err, hotrestart.ErrNoParent):
 	case err != nil:
 		p.serves = true
-		log.WithError(err).Warn("the process before this one can't be taken over from; serving beside it")
+		log.WithError(err).Warn("hot restart failed: serving beside the parent process")
 	default:
-		log.Info("taking the place of the process before this one")
+		log.Info("hot restart: taking over from the parent process")
 	}
 	return p
 }
@@ -107,7 +107,7 @@
 	}
 	var err error
 	if h.listener, err = h.place.Listen(h.node.loop, h.accept); err != nil {
-		h.log.WithError(err).Warn("no other process will be able to take this one's place")
+		h.log.WithError(err).Warn("hot restart not possible: its socket can't be opened")
 	}
 }
 
@@ -135,7 +135,7 @@
 	if l != h.link {
 		return // one that was rejected, or sent nothing
 	}
-	h.log.WithError(err).WithField("phase", h.machine.Phase().String()).Info("the other process is gone")
+	h.log.WithError(err).WithField("phase", h.machine.Phase().String()).Info("hot restart: connection to the other process lost")
 	h.step(hotrestart.PeerLost)
 }
 
@@ -182,14 +182,14 @@
 		}
 		h.link = l
 		if err := h.sendState(); err != nil {
-			h.log.WithError(err).Error("the state can't be passed on")
+			h.log.WithError(err).Error("hot restart failed: state not sent")
 			h.step(hotrestart.PeerLost)
 			return
 		}
 		h.shareLimits(true)
 		h.node.loop.After(hotrestart.ChildServesTimeout, func() {
 			if h.link == l && h.machine.Phase() == hotrestart.Offering {
-				h.log.Warn("the process that asked for this one's place does not serve in time")
+				h.log.Warn("hot restart failed: the child process does not serve in time")
 				h.step(hotrestart.TimedOut)
 			}
 		})
@@ -209,11 +209,11 @@
 func (h *hotRestart) handleJob(l *hotrestart.Link, m *hotrestart.Message) {
 	fd, ok := l.TakeFD()
 	if !ok {
-		h.log.Error("an open job came without its client's connection")
+		h.log.Error("hot restart: migrated request without its client's connection")
 		return
 	}
 	if err := h.node.front.AdoptRequest(m.Request, fd); err != nil {
-		h.log.WithError(err).Error("an open job is lost")
+		h.log.WithError(err).Error("hot restart: migrated request lost")
 	}
 }
 
@@ -253,7 +253,7 @@
 		}
 	}
 	if now := h.machine.Phase(); now != before {
-		h.log.WithField("phase", now.String()).Info("the handover goes on")
+		h.log.WithField("phase", now.String()).Info("hot restart phase changed")
 	}
 }
 
@@ -270,7 +270,7 @@
 	if end := h.node.front.ShutdownRequestedAt(); end > 0 &&
 		h.node.loop.Now() >= end+hotrestart.MigrateAfter {
 		if n := h.node.front.MigrateRequests(h.link.SendRequest); n > 0 {
-			h.log.WithField("jobs", n).Info("open jobs are the other process's now")
+			h.log.WithField("count", n).Info("hot restart: in-flight requests migrated")
 		}
 	}
 	if h.node.front.Drained() {
--- a/internal/node/listfollower.go
+++ b/internal/node/listfollower.go
@@ -70,7 +70,7 @@
 			f.rules.ObserveFencingToken(from.token)
 			// The subscription ends by itself when the relay is silent for too long.
 			err := f.subscribe(ctx, from)
-			f.log.WithError(err).WithField("keeper", from.Name).
+			f.log.WithError(err).WithField("instance", from.Name).
 				Debug("subscription to the endpoint list ended")
 		}
 		f.fallBack(ctx, !ok)
@@ -89,7 +89,7 @@
 	f.rules.Invalidate()
 	if f.env.onLoop(ctx, func() { f.env.node.front.SetFedByPeer(false) }) == nil {
 		f.polls = true
-		f.log.Info("this instance asks discovery by itself")
+		f.log.Info("polling discovery directly")
 	}
 }
 
@@ -157,8 +157,8 @@
 		return err
 	}
 	if f.polls = false; update.Complete {
-		f.log.WithFields(logrus.Fields{"keeper": from.Name, "generation": update.Generation}).
-			Info("another instance gives this one the list")
+		f.log.WithFields(logrus.Fields{"instance": from.Name, "generation": update.Generation}).
+			Info("endpoint list received from another instance")
 	}
 	return nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -104,7 +104,7 @@
 			return nil, fmt.Errorf("the second address (admin_addr): %w", err)
 		}
 	}
-	o.Log.WithField("listen", cfg.ListenAddress).Info("serving")
+	o.Log.WithField("address", cfg.ListenAddress).Info("serving")
 	return n, nil
 }
 
@@ -183,7 +183,7 @@
 	}
 	n.brokers = append(n.brokers, frontBroker{Broker: c, front: "faktory", fit: faktory.Settings,
 		configureFront: front.Configure, setRoutes: front.SetRoutes})
-	log.WithField("listen", o.Faktory.Listen).Info("serving")
+	log.WithField("address", o.Faktory.Listen).Info("serving")
 	return front, nil
 }
 
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -80,7 +80,7 @@
 	}
 	t, warnings, err := routing.Compile(f, r.names)
 	for _, w := range warnings {
-		r.log.WithField("rule", w.Rule).Warn(w.Error())
+		r.log.WithField("rule", w.Rule).WithError(w).Warn("routing rule problem")
 	}
 	return t, err
 }
--- a/internal/node/selfrestart.go
+++ b/internal/node/selfrestart.go
@@ -49,7 +49,7 @@
 	if err != nil || !plan.MustRestart(n.Member, n.Incarnation) || s.takenOut.Swap(true) {
 		return
 	}
-	s.log.WithField("author", plan.Author).Info("this instance is taken out by a rolling restart")
+	s.log.WithField("author", plan.Author).Info("process ends for a rolling restart")
 	s.audit.write("out %d", plan.MaxUnavailable)
 	s.signals <- syscall.SIGTERM
 }
