--- /dev/null
+++ b/internal/node/configurator_test.go
@@ -0,0 +1,34 @@
+package node
+
+import (
+	"testing"
+
+	"moorstack/internal/cluster/clusterstate"
+)
+
+func TestNewestRevisionReplacesOlder(t *testing.T) {
+	ch := make(chan clusterstate.Revision, 1)
+	for n := range uint64(3) {
+		replaceNewest(ch, clusterstate.Revision{Number: n})
+	}
+	if got := <-ch; got.Number != 2 || len(ch) != 0 {
+		t.Errorf("got revision %d, and %d more", got.Number, len(ch))
+	}
+}
+
+func TestStagedChangeIsTakenOnce(t *testing.T) {
+	c := &configurator{staged: stagedChange{id: "x"}}
+	if _, ok := c.takeStaged("x"); !ok {
+		t.Error("it is not taken")
+	}
+	if _, ok := c.takeStaged("x"); ok {
+		t.Error("it is taken twice")
+	}
+	c.staged = stagedChange{id: "x"}
+	if _, ok := c.takeStaged("y"); ok || c.staged.id != "" {
+		t.Error("another change takes it, or leaves it")
+	}
+	if _, ok := c.takeStaged(""); ok {
+		t.Error("a revision without a change takes what is not staged")
+	}
+}
--- /dev/null
+++ b/internal/node/leasedtasks_test.go
@@ -0,0 +1,61 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"time"
+
+	"moorstack/internal/cluster/leasedtask"
+)
+
+func TestEndedTaskRunIsInvalidUnderAnyLease(t *testing.T) {
+	lease := leasedtask.Lease{Task: "backup", FencingToken: 1, ExpiresAt: time.Hour}
+	stopped := false
+	r := &taskRun{lease: lease, stop: func() { stopped = true }}
+	if !r.Valid(time.Minute) || r.Valid(2*time.Hour) {
+		t.Error("it does not go by its lease")
+	}
+	lease.ReleaseReason = "transferred"
+	r.renew(lease)
+	if reason := r.end(); reason != "transferred" || !stopped {
+		t.Errorf("reason %q, stopped %v", reason, stopped)
+	}
+	lease.ReleaseReason = ""
+	r.renew(lease)
+	if r.Valid(time.Minute) {
+		t.Error("it acts after its end")
+	}
+}
+
+func TestUnknownTaskFails(t *testing.T) {
+	env, _ := testEnvironment(t)
+	known := func(context.Context, *taskRun) error { return nil }
+	d := newTaskDriver(env, map[string]taskFunc{"known": known})
+	if err := d.workOf("known")(t.Context(), nil); err != nil {
+		t.Error(err)
+	}
+	if err := d.workOf("other")(t.Context(), nil); err == nil {
+		t.Error("a task of another program is done")
+	}
+}
+
+func TestRepeatEndsWithErrorOrContext(t *testing.T) {
+	failed := errors.New("failed")
+	if err := repeat(t.Context(), time.Millisecond, func() error { return failed }); !errors.Is(err, failed) {
+		t.Errorf("got %v", err)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	if err := repeat(ctx, time.Millisecond, func() error { stop(); return failed }); err != nil {
+		t.Errorf("got %v after the context's end", err)
+	}
+}
+
+func TestBackupNote(t *testing.T) {
+	if last, err := lastBackup(nil); err != nil || !last.Period.IsZero() {
+		t.Errorf("no note: %v, %v", last, err)
+	}
+	if _, err := lastBackup([]byte("{")); err == nil {
+		t.Error("half a note is read")
+	}
+}
