--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -35,7 +35,7 @@
 }
 
 // Admit implements broker.AdmissionController.
-func (a *admission) Admit(t *broker.Request) (broker.Rejection, bool) {
+func (a *admission) Admit(r *broker.Request) (broker.Rejection, bool) {
 	// Hazard: the process may have been stalled for long with this job in its buffers. The clock is read
 	// here and now, whatever any timer has said, and this moment decides whether the job is admitted.
 	now := consensus.BootTime()
@@ -44,11 +44,11 @@
 		a.rejected.Add(1)
 		return broker.Rejection{Reason: a.rejectionReason(), RetryAfter: a.retryAfter()}, false
 	}
-	if rejection, ok := a.rateLimit.admit(now, t); !ok {
+	if rejection, ok := a.rateLimit.admit(now, r); !ok {
 		return rejection, false
 	}
 	if a.env.audit.enabled() {
-		a.env.audit.writeAt(now, "admit %d %s", a.running, t.ID)
+		a.env.audit.writeAt(now, "admit %d %s", a.running, r.ID)
 	}
 	return broker.Rejection{}, true
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -135,7 +135,8 @@
 	if l != h.link {
 		return // one that was rejected, or sent nothing
 	}
-	h.log.WithError(err).WithField("phase", h.machine.Phase().String()).Info("hot restart: connection to the other process lost")
+	h.log.WithError(err).WithField("phase", h.machine.Phase().String()).
+		Info("hot restart: connection to the other process lost")
 	h.step(hotrestart.PeerLost)
 }
 
--- a/internal/node/leasedtasks.go
+++ b/internal/node/leasedtasks.go
@@ -98,15 +98,13 @@
 // rejected or the outcome is not known: the lease, once renewed, shows it.
 func (r *taskRun) updateNote(ctx context.Context, lease leasedtask.Lease, note []byte) bool {
 	o, err := r.driver.propose(ctx, leasedtask.Command{Kind: leasedtask.UpdateNote, Task: r.task,
-		FencingToken: r.token,
-		NoteRevision: lease.NoteRevision, Note: note})
+		FencingToken: r.token, NoteRevision: lease.NoteRevision, Note: note})
 	return err == nil && o.Code == clusterstate.Accepted
 }
 
 func newTaskDriver(env *environment, work map[string]taskFunc) *taskDriver {
-	return &taskDriver{env: env, log: env.component("leasedtasks"), work: work,
-		changed: make(chan struct{}, 1),
-		closing: make(chan struct{}), closed: make(chan struct{}), runs: map[string]*taskRun{}}
+	return &taskDriver{env: env, log: env.component("leasedtasks"), work: work, runs: map[string]*taskRun{},
+		changed: make(chan struct{}, 1), closing: make(chan struct{}), closed: make(chan struct{})}
 }
 
 // leasesChanged takes the leases that this instance holds. It is called on the runner's goroutine, and never
--- a/internal/node/listrelay.go
+++ b/internal/node/listrelay.go
@@ -133,7 +133,7 @@
 	var err error
 	// The complete list and the changes after it are taken up in one turn: none is missed between.
 	if bad := s.env.onLoop(ctx, func() { first, err = s.register(sub) }); bad != nil {
-		// the turn may be yet to come: first and err are its own
+		// Hazard: the turn may be yet to come: first and err are its own.
 		return nil, listrelay.EndpointListUpdate{}, bad
 	}
 	return sub, first, err
@@ -197,6 +197,5 @@
 
 func decodeListUpdate(m *schema.ListNews) listrelay.EndpointListUpdate {
 	return listrelay.EndpointListUpdate{FencingToken: m.Number, Generation: m.Generation,
-		PreviousGeneration: m.Previous, Complete: m.Whole,
-		Payload: m.Text}
+		PreviousGeneration: m.Previous, Complete: m.Whole, Payload: m.Text}
 }
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -31,8 +31,7 @@
 		return err
 	}
 	i.env.network = transport.New(certificates, i.cfg.Name, i.cfg.Peers.Advertise, i.cfg.Peers.From,
-		i.program,
-		i.env.component("transport"))
+		i.program, i.env.component("transport"))
 	i.onStop("the transport", func() error { i.env.network.Close(); return nil })
 	if err := i.openRunner(); err != nil {
 		return err
@@ -99,8 +98,7 @@
 	}
 	i.env.runner, err = consensus.Open(consensus.RunnerConfig{
 		Config: consensus.Config{Rules: DocumentRules(), Logger: i.env.component("consensus"),
-			WallClock: wall,
-			Zones:     i.zones, Labels: i.cfg.labels(i.zone()),
+			WallClock: wall, Zones: i.zones, Labels: i.cfg.labels(i.zone()),
 			TickInterval: time.Duration(i.cfg.Peers.Tick)},
 		Name:           i.cfg.Name,
 		Dir:            filepath.Join(i.cfg.Data, "agreement"),
--- a/internal/node/ratelimit.go
+++ b/internal/node/ratelimit.go
@@ -145,11 +145,11 @@
 }
 
 // admit takes a token of the job's account, or rejects the job with the time after which to retry.
-func (r *rateLimitDriver) admit(now time.Duration, t *broker.Request) (broker.Rejection, bool) {
+func (r *rateLimitDriver) admit(now time.Duration, request *broker.Request) (broker.Rejection, bool) {
 	if !r.limiter.Enabled() {
 		return broker.Rejection{}, true
 	}
-	account, class := r.accountOf(t), r.names.Classes[t.Class]
+	account, class := r.accountOf(request), r.names.Classes[request.Class]
 	rejection, ok := r.limiter.Admit(now, account, class)
 	if ok {
 		if r.env.audit.enabled() {
@@ -163,11 +163,11 @@
 		RetryAfter: rejection.RetryAfter}, false
 }
 
-func (r *rateLimitDriver) accountOf(t *broker.Request) string {
-	account := t.Account
+func (r *rateLimitDriver) accountOf(request *broker.Request) string {
+	account := request.Account
 	if r.limiter.Policy().AccountHeader == ratelimit.AccountIsTenant {
-		if account = ""; t.Tenant < len(r.names.Tenants) {
-			account = r.names.Tenants[t.Tenant]
+		if account = ""; request.Tenant < len(r.names.Tenants) {
+			account = r.names.Tenants[request.Tenant]
 		}
 	}
 	return account[:min(len(account), maxAccountName)]
--- a/internal/node/rollingrestart.go
+++ b/internal/node/rollingrestart.go
@@ -93,7 +93,7 @@
 	return observed, nil
 }
 
-// describe asks an instance for its description, and completes what was observed of it.
+// describe requests the description of an instance, and completes what was observed of it.
 func (t *restartTask) describe(ctx context.Context, m clusterstate.Member, newest uint64,
 	o *rollingrestart.InstanceStatus) {
 	d, err := t.env.network.Describe(ctx, m)
