--- a/cmd/moorstack/cluster_test.go
+++ b/cmd/moorstack/cluster_test.go
@@ -353,15 +353,15 @@
 	})
 	g.edit("c.toml", "n2", "worth = 7.0", "worth = 8.0")
 	g.must("config", "propose", "c.toml", "--config", "n2.toml")
-	if !strings.Contains(g.logOf("n1"), "the keys have changed") {
-		t.Error("n1 does not say that its keys have changed")
+	if !strings.Contains(g.logOf("n1"), "certificates reloaded") {
+		t.Error("n1 does not log that its certificates were reloaded")
 	}
 	// A certificate that has expired, and files that are no keys, change nothing.
 	check(t, os.WriteFile(filepath.Join(g.dir, "keys", "n1.crt"), []byte("nothing"), 0o600))
 	time.Sleep(1200 * time.Millisecond)
 	g.expect(0, "revision = 3", with(remote("foreign/ca.crt", "op2"), "config", "get")...)
-	if !strings.Contains(g.logOf("n1"), "the keys stay as they were") {
-		t.Error("n1 does not say that its keys are no good")
+	if !strings.Contains(g.logOf("n1"), "certificates not reloaded") {
+		t.Error("n1 does not log that its new files are not valid")
 	}
 }
 
--- a/internal/operate/keys/certificate.go
+++ b/internal/operate/keys/certificate.go
@@ -1,9 +1,10 @@
-// Package keys makes and reads the certificates that instances and operators know each
-// other by: a small authority (CA) of the group's own and, from it, a certificate for each.
+// Package keys makes and reads the certificates by which instances and operators authenticate each
+// other: a small certificate authority (CA) of the group's own and, issued by it, a certificate for
+// each.
 //
-// A certificate names its holder in the common name and says in the organizational unit
-// what the holder may do: instance, operator or reader. An instance's also has its name
-// for a DNS name, so that one instance can't take another's place.
+// A certificate names its holder in the common name and the holder's role in the organizational
+// unit: instance, operator or reader. An instance's certificate also has its name as a DNS name, so
+// that one instance can't impersonate another.
 package keys
 
 import (
@@ -32,138 +33,174 @@
 	RoleReader   Role = "reader"
 )
 
-var names = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+// The types of the PEM blocks in the files.
+const (
+	certificateBlock = "CERTIFICATE"
+	privateKeyBlock  = "PRIVATE KEY" // PKCS #8
+)
+
+const (
+	backdate   = 5 * time.Minute // a certificate is valid from before it is made, since clocks differ
+	serialBits = 120             // of the random serial numbers
+)
 
-// ValidateName says whether a name can be a holder's.
+// The access to what KeyPair.Write writes.
+const (
+	directoryMode   = 0o700
+	keyMode         = 0o600
+	certificateMode = 0o644
+)
+
+var validName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+
+// ValidateName returns why a certificate can't be issued for a name, or nil.
 func ValidateName(name string) error {
-	if !names.MatchString(name) {
+	if !validName.MatchString(name) {
 		return fmt.Errorf("%q is no name: small letters, digits and hyphens, up to 63", name)
 	}
 	return nil
 }
 
-// KeyPair is a certificate and its key, in PEM.
+// KeyPair is a certificate and its private key, in PEM.
 type KeyPair struct{ Cert, Key []byte }
 
-// backdate allows for clocks that differ.
-const backdate = 5 * time.Minute
-
-func serial() (*big.Int, error) { return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)) }
+func newSerialNumber() (*big.Int, error) {
+	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
+}
 
-// NewCA makes an authority that is good for so long from now on.
-func NewCA(name string, now time.Time, life time.Duration) (*KeyPair, error) {
+// NewCA makes a certificate authority that is valid for a time from now on.
+func NewCA(name string, now time.Time, validity time.Duration) (*KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	n, err := serial()
+	serial, err := newSerialNumber()
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{
-		SerialNumber:          n,
+	template := &x509.Certificate{
+		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: name},
 		NotBefore:             now.Add(-backdate),
-		NotAfter:              now.Add(life),
+		NotAfter:              now.Add(validity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		MaxPathLenZero:        true,
 		KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, err
 	}
-	return pair(der, key)
+	return encodePair(der, key)
 }
 
-// Issue makes a certificate for a holder.
-func (ca *KeyPair) Issue(name string, role Role, now time.Time, life time.Duration) (*KeyPair, error) {
+// Issue makes a certificate for a holder. It is valid for a time from now on, but not longer than the
+// authority itself. It fails if the name or role is not valid or the pair is no authority's.
+func (p *KeyPair) Issue(name string, role Role, now time.Time, validity time.Duration) (*KeyPair, error) {
 	if err := ValidateName(name); err != nil {
 		return nil, err
 	}
 	if role != RoleInstance && role != RoleOperator && role != RoleReader {
 		return nil, fmt.Errorf("%q is no role: instance, operator or reader", role)
 	}
-	parent, err := ca.Certificate()
+	authority, err := p.Certificate()
 	if err != nil {
 		return nil, err
 	}
-	parentKey, err := ca.key()
+	authorityKey, err := p.privateKey()
 	if err != nil {
 		return nil, err
 	}
-	if !parent.IsCA {
-		return nil, fmt.Errorf("the certificate of %q is no authority's", parent.Subject.CommonName)
+	if !authority.IsCA {
+		return nil, fmt.Errorf("the certificate of %q is no authority's", authority.Subject.CommonName)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	n, err := serial()
+	template, err := holderTemplate(name, role)
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{SerialNumber: n, NotBefore: now.Add(-backdate), NotAfter: now.Add(life),
-		Subject:  pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
-		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
-	if role == RoleInstance {
-		t.DNSNames = []string{name}
-		t.ExtKeyUsage = append(t.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
+	template.NotBefore, template.NotAfter = now.Add(-backdate), now.Add(validity)
+	if template.NotAfter.After(authority.NotAfter) {
+		template.NotAfter = authority.NotAfter
 	}
-	if t.NotAfter.After(parent.NotAfter) {
-		t.NotAfter = parent.NotAfter
+	der, err := x509.CreateCertificate(rand.Reader, template, authority, &key.PublicKey, authorityKey)
+	if err != nil {
+		return nil, err
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, parent, &key.PublicKey, parentKey)
+	return encodePair(der, key)
+}
+
+// holderTemplate returns a holder's certificate without its times.
+func holderTemplate(name string, role Role) (*x509.Certificate, error) {
+	serial, err := newSerialNumber()
 	if err != nil {
 		return nil, err
 	}
-	return pair(der, key)
+	template := &x509.Certificate{
+		SerialNumber: serial,
+		Subject:      pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
+	}
+	if role == RoleInstance {
+		template.DNSNames = []string{name}
+		template.ExtKeyUsage = append(template.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
+	}
+	return template, nil
 }
 
-func pair(der []byte, key *ecdsa.PrivateKey) (*KeyPair, error) {
-	k, err := x509.MarshalPKCS8PrivateKey(key)
+func encodePair(der []byte, key *ecdsa.PrivateKey) (*KeyPair, error) {
+	pkcs8, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return nil, err
 	}
-	return &KeyPair{Cert: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
-		Key: pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: k})}, nil
+	return &KeyPair{
+		Cert: pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: der}),
+		Key:  pem.EncodeToMemory(&pem.Block{Type: privateKeyBlock, Bytes: pkcs8}),
+	}, nil
 }
 
-// Certificate reads the certificate.
+// Certificate parses the certificate.
 func (p *KeyPair) Certificate() (*x509.Certificate, error) {
 	block, _ := pem.Decode(p.Cert)
-	if block == nil || block.Type != "CERTIFICATE" {
+	if block == nil || block.Type != certificateBlock {
 		return nil, errors.New("there is no certificate in PEM")
 	}
 	return x509.ParseCertificate(block.Bytes)
 }
 
-func (p *KeyPair) key() (any, error) {
+func (p *KeyPair) privateKey() (any, error) {
 	block, _ := pem.Decode(p.Key)
-	if block == nil || block.Type != "PRIVATE KEY" {
+	if block == nil || block.Type != privateKeyBlock {
 		return nil, errors.New("there is no private key in PEM")
 	}
 	return x509.ParsePKCS8PrivateKey(block.Bytes)
 }
 
-// Write writes name.crt and name.key, the key for its owner alone. It does not replace
-// files that are there unless told to.
+// Write writes name.crt, and name.key for its owner alone, and makes the directory if there is none.
+// Existing files are replaced only on request; otherwise they are an error.
 func (p *KeyPair) Write(dir, name string, replace bool) error {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return err
 	}
 	for _, f := range []struct {
-		path string
-		mode os.FileMode
-		data []byte
-	}{{filepath.Join(dir, name+".key"), 0o600, p.Key}, {filepath.Join(dir, name+".crt"), 0o644, p.Cert}} {
+		path    string
+		mode    os.FileMode
+		content []byte
+	}{
+		{filepath.Join(dir, name+".key"), keyMode, p.Key},
+		{filepath.Join(dir, name+".crt"), certificateMode, p.Cert},
+	} {
 		if _, err := os.Stat(f.path); err == nil && !replace {
 			return fmt.Errorf("%s is there already; --replace writes over it", f.path)
 		}
 		// Hazard: a running instance reads these files at any time, so none is there in part.
 		tmp := f.path + ".tmp"
-		if err := os.WriteFile(tmp, f.data, f.mode); err != nil {
+		if err := os.WriteFile(tmp, f.content, f.mode); err != nil {
 			return err
 		}
 		if err := os.Rename(tmp, f.path); err != nil {
@@ -173,20 +210,20 @@
 	return nil
 }
 
-// ReadKeyPair reads what Write wrote.
-func ReadKeyPair(cert, key string) (*KeyPair, error) {
-	c, err := os.ReadFile(cert)
+// ReadKeyPair reads the files that Write wrote.
+func ReadKeyPair(certPath, keyPath string) (*KeyPair, error) {
+	cert, err := os.ReadFile(certPath)
 	if err != nil {
 		return nil, err
 	}
-	k, err := os.ReadFile(key)
+	key, err := os.ReadFile(keyPath)
 	if err != nil {
 		return nil, err
 	}
-	return &KeyPair{c, k}, nil
+	return &KeyPair{cert, key}, nil
 }
 
-// RoleOf says what the holder of a verified certificate may do.
+// RoleOf returns the role in a verified certificate; empty: it names none, or several.
 func RoleOf(c *x509.Certificate) Role {
 	if len(c.Subject.OrganizationalUnit) != 1 {
 		return ""
--- a/internal/operate/keys/keys_test.go
+++ b/internal/operate/keys/keys_test.go
@@ -13,127 +13,132 @@
 	"github.com/sirupsen/logrus"
 )
 
-func quiet() logrus.FieldLogger {
+func quietLog() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// holder issues a certificate and opens it.
-func holder(t *testing.T, ca *KeyPair, name string, role Role, now time.Time, life time.Duration) *Reloader {
+func newCA(t *testing.T, name string, now time.Time, validity time.Duration) *KeyPair {
+	t.Helper()
+	ca, err := NewCA(name, now, validity)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ca
+}
+
+// newHolder issues a certificate, valid for an hour, and opens its files.
+func newHolder(t *testing.T, ca *KeyPair, name string, role Role, now time.Time) *Reloader {
 	t.Helper()
 	dir := t.TempDir()
-	p, err := ca.Issue(name, role, now, life)
+	p, err := ca.Issue(name, role, now, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Write(dir, name, false); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "ca.crt"), ca.Cert, 0o600); err != nil {
+	caPath := filepath.Join(dir, "ca.crt")
+	if err := os.WriteFile(caPath, ca.Cert, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := NewReloader(
-		Files{filepath.Join(dir, "ca.crt"), filepath.Join(dir, name+".crt"), filepath.Join(dir, name+".key")},
-		quiet(),
-	)
+	r, err := NewReloader(Files{
+		CA:   caPath,
+		Cert: filepath.Join(dir, name+".crt"),
+		Key:  filepath.Join(dir, name+".key"),
+	}, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return r
 }
 
-// greet has two holders meet, and gives what each of them made of it.
-func greet(server, client *Reloader, wanted string) error {
-	// Not net.Pipe: there, an alert that nobody reads yet holds both sides.
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return err
-	}
-	defer l.Close()
-	b, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		return err
-	}
-	defer b.Close()
-	a, err := l.Accept()
-	if err != nil {
-		return err
-	}
-	defer a.Close()
-	for _, c := range []net.Conn{a, b} {
-		_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-	}
+// connect has a client call the instance of a name, and returns the first error of either side.
+func connect(t *testing.T, server, client *Reloader, name string) error {
+	t.Helper()
+	serverConn, clientConn := connPair(t)
 	done := make(chan error, 1)
 	go func() {
-		s := tls.Server(a, server.ServerTLSConfig(RoleInstance))
-		err := s.Handshake()
+		c := tls.Server(serverConn, server.ServerTLSConfig(RoleInstance))
+		err := c.Handshake()
 		if err == nil {
-			_, err = s.Write([]byte("x"))
+			_, err = c.Write([]byte("x"))
 		}
-		a.Close()
+		serverConn.Close()
 		done <- err
 	}()
-	c := tls.Client(b, client.ClientTLSConfig(wanted))
-	err = c.Handshake()
+	c := tls.Client(clientConn, client.ClientTLSConfig(name))
+	err := c.Handshake()
 	if err == nil {
-		// Under TLS 1.3 the client hears of a refusal with its first read.
+		// Under TLS 1.3 the client learns of a rejection with its first read.
 		_, err = c.Read(make([]byte, 1))
 	}
-	b.Close()
-	if other := <-done; err == nil {
-		err = other
+	clientConn.Close()
+	if serverErr := <-done; err == nil {
+		err = serverErr
 	}
 	return err
 }
 
-func TestWhoIsLetIn(t *testing.T) {
-	now := time.Now()
-	ca, err := NewCA("a", now, time.Hour)
+// connPair makes a connection over loopback. It is no net.Pipe: there, an alert that nobody reads yet
+// blocks both sides.
+func connPair(t *testing.T) (server, client net.Conn) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	foreign, err := NewCA("b", now, time.Hour)
-	if err != nil {
+	defer l.Close()
+	if client, err = net.Dial("tcp", l.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	n1 := holder(t, ca, "n1", RoleInstance, now, time.Hour)
-	n2 := holder(t, ca, "n2", RoleInstance, now, time.Hour)
-	if err := greet(n1, n2, "n1"); err != nil {
-		t.Errorf("two instances of one authority: %v", err)
-	}
-	long := now.Add(-48 * time.Hour)
-	oldCA, err := NewCA("a", long, 1000*time.Hour)
-	if err != nil {
+	if server, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
+	for _, c := range []net.Conn{server, client} {
+		_ = c.SetDeadline(time.Now().Add(5 * time.Second))
+		t.Cleanup(func() { c.Close() })
+	}
+	return server, client
+}
+
+func TestOnlyInstancesOfTheAuthorityConnect(t *testing.T) {
+	now := time.Now()
+	longAgo := now.Add(-48 * time.Hour)
+	ca, foreign := newCA(t, "a", now, time.Hour), newCA(t, "b", now, time.Hour)
+	oldCA := newCA(t, "a", longAgo, 1000*time.Hour)
+	n1 := newHolder(t, ca, "n1", RoleInstance, now)
+	n2 := newHolder(t, ca, "n2", RoleInstance, now)
+	if err := connect(t, n1, n2, "n1"); err != nil {
+		t.Errorf("two instances of one authority: %v", err)
+	}
 	for what, c := range map[string]struct {
 		server, client *Reloader
 		name           string
 	}{
 		"another's name":         {n1, n2, "n3"},
-		"a foreign client":       {n1, holder(t, foreign, "n2", RoleInstance, now, time.Hour), "n1"},
-		"a foreign server":       {holder(t, foreign, "n1", RoleInstance, now, time.Hour), n2, "n1"},
-		"a reader as a peer":     {n1, holder(t, ca, "desk", RoleReader, now, time.Hour), "n1"},
-		"an operator as a peer":  {n1, holder(t, ca, "op", RoleOperator, now, time.Hour), "n1"},
-		"an operator's listener": {holder(t, ca, "op", RoleOperator, now, time.Hour), n2, "op"},
-		"an expired client": {holder(t, oldCA, "n1", RoleInstance, now, time.Hour),
-			holder(t, oldCA, "n2", RoleInstance, long, time.Hour), "n1"},
-		"an expired server": {holder(t, oldCA, "n1", RoleInstance, long, time.Hour),
-			holder(t, oldCA, "n2", RoleInstance, now, time.Hour), "n1"},
+		"a foreign client":       {n1, newHolder(t, foreign, "n2", RoleInstance, now), "n1"},
+		"a foreign server":       {newHolder(t, foreign, "n1", RoleInstance, now), n2, "n1"},
+		"a reader as a peer":     {n1, newHolder(t, ca, "desk", RoleReader, now), "n1"},
+		"an operator as a peer":  {n1, newHolder(t, ca, "op", RoleOperator, now), "n1"},
+		"an operator's listener": {newHolder(t, ca, "op", RoleOperator, now), n2, "op"},
+		"an expired client": {newHolder(t, oldCA, "n1", RoleInstance, now),
+			newHolder(t, oldCA, "n2", RoleInstance, longAgo), "n1"},
+		"an expired server": {newHolder(t, oldCA, "n1", RoleInstance, longAgo),
+			newHolder(t, oldCA, "n2", RoleInstance, now), "n1"},
 	} {
-		if err := greet(c.server, c.client, c.name); err == nil {
-			t.Errorf("%s is let in", what)
-		}
+		t.Run(what, func(t *testing.T) {
+			if err := connect(t, c.server, c.client, c.name); err == nil {
+				t.Error("the connection is accepted")
+			}
+		})
 	}
 }
 
-func TestWhatIsNotIssued(t *testing.T) {
+func TestInvalidCertificatesAreNotIssued(t *testing.T) {
 	now := time.Now()
-	ca, err := NewCA("a", now, time.Hour)
-	if err != nil {
-		t.Fatal(err)
-	}
+	ca := newCA(t, "a", now, time.Hour)
 	for _, name := range []string{"", "N1", "n 1", "-n", "n1.example", strings.Repeat("n", 64), "../n1"} {
 		if _, err := ca.Issue(name, RoleInstance, now, time.Hour); err == nil {
 			t.Errorf("%q is issued", name)
@@ -158,7 +163,7 @@
 		t.Fatal(err)
 	}
 	if err := p.Write(dir, "n1", false); err == nil {
-		t.Error("files that are there are written over without being told to")
+		t.Error("existing files are replaced without a request")
 	}
 	if info, err := os.Stat(filepath.Join(dir, "n1.key")); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the key's mode is %v, %v", info.Mode(), err)
