--- a/internal/operate/backups/backups.go
+++ b/internal/operate/backups/backups.go
@@ -1,13 +1,14 @@
-// Package backups keeps files of backups in a directory that several may write to, one at a time.
+// Package backups keeps backup files in a directory that several instances may write to, one at a
+// time.
 //
-// The directory remembers the newest fencing number that has written there, under a lock of the
-// kernel's: one that holds the duty no more, and was stopped between its look and its write, is refused.
+// The directory remembers the newest fencing token that has written there, under a lock of the
+// kernel's: an instance that no longer holds the task's lease, and was stopped between its check and
+// its write, is rejected.
 package backups
 
 import (
 	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -16,64 +17,60 @@
 	"strings"
 	"syscall"
 	"time"
+)
 
-	"moorstack/internal/cluster/leasedtask"
+// The files of a directory.
+const (
+	filePrefix       = "agreed-"
+	fileSuffix       = ".backup"
+	periodLayout     = "20060102T150405Z" // of the time in a file's name, in UTC
+	fenceFile        = "fence.json"
+	lockFile         = "lock"
+	temporarySuffix  = ".tmp"
+	directoryMode    = 0o700 // backups are for their owner alone
+	fileMode         = 0o600
+	minimumRetention = 1 // backups that stay, whatever is requested
 )
 
-// Dir is a directory of backups.
+// ErrLeaseExpired means that the requester's lease ended before the backup was written.
+var ErrLeaseExpired = errors.New("the lease is over")
+
+// Dir is a directory of backups. Its methods may be called from any goroutine and any process.
 type Dir struct {
 	Path   string
-	Verify func([]byte) error // whether a file's content is a whole backup
+	Verify func([]byte) error // fails unless a file's content is a complete backup
 }
 
-// WriteRequest is that a backup be kept.
+// WriteRequest asks for the backup of a period.
 type WriteRequest struct {
-	Group        string
-	Task         string
-	FencingToken uint64 // the fencing number
+	Group        string // the group's identity; a directory belongs to one group
+	Task         string // the leased task under which the request is made
+	FencingToken uint64 // of the task's lease
 	Period       time.Time
 	Content      []byte
-	Retain       int         // how many stay
-	LeaseValid   func() bool // asked once more under the lock
+	Retain       int         // how many backups stay
+	LeaseValid   func() bool // checked once more under the lock
 }
 
-// Result is what was done, as it is noted in the agreed state.
+// Result is the backup of a period, as the leased task's state records it.
 type Result struct {
 	Period time.Time `json:"period"`
-	File   string    `json:"file"`
-	SHA256 string    `json:"sha256"`
+	File   string    `json:"file"`   // its name in the directory
+	SHA256 string    `json:"sha256"` // of its content, in hexadecimal
 }
 
-// ErrLeaseExpired is that the holder's time was over before it wrote.
-var ErrLeaseExpired = errors.New("the lease is over")
-
-// fence is what the directory remembers.
-type fence struct {
-	Group   string            `json:"group"`
-	Numbers map[string]uint64 `json:"numbers"`
-}
-
-const (
-	suffix    = ".backup"
-	layout    = "20060102T150405Z"
-	fenceFile = "fence.json"
-	lockFile  = "lock"
-)
-
-// Write writes the backup of a period, verifies what it has written, and drops the oldest. One that
-// is there already stays, and is what was kept: whoever wrote it could not say so any more.
+// Write writes the backup of a period, verifies what it has written, and removes the oldest ones. A
+// valid backup of the period that exists already stays and is the result: its writer may have
+// stopped before it could record it.
+//
+// It waits for other writers. It fails with a *leasedtask.StaleTokenError if a newer fencing token has
+// written here, and with ErrLeaseExpired if the lease has ended.
 func (d Dir) Write(r WriteRequest) (Result, error) {
-	if err := os.MkdirAll(d.Path, 0o700); err != nil {
-		return Result{}, err
-	}
-	lock, err := os.OpenFile(filepath.Join(d.Path, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
+	unlock, err := d.lock()
 	if err != nil {
 		return Result{}, err
 	}
-	defer lock.Close() // with it the lock goes
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
-		return Result{}, fmt.Errorf("locking %s: %w", d.Path, err)
-	}
+	defer unlock()
 	if err := d.admit(r); err != nil {
 		return Result{}, err
 	}
@@ -81,60 +78,50 @@
 	if !r.LeaseValid() {
 		return Result{}, ErrLeaseExpired
 	}
-	name := "agreed-" + r.Period.UTC().Format(layout) + suffix
-	if there, err := os.ReadFile(filepath.Join(d.Path, name)); err == nil && d.Verify(there) == nil {
-		return Result{r.Period, name, digest(there)}, nil
+	name := filePrefix + r.Period.UTC().Format(periodLayout) + fileSuffix
+	path := filepath.Join(d.Path, name)
+	if existing, err := os.ReadFile(path); err == nil && d.Verify(existing) == nil {
+		return Result{r.Period, name, digest(existing)}, nil
 	}
-	if err := d.write(name, r.Content); err != nil {
+	if err := d.replaceFile(name, r.Content); err != nil {
 		return Result{}, err
 	}
-	written, err := os.ReadFile(filepath.Join(d.Path, name))
+	written, err := os.ReadFile(path)
 	if err == nil {
 		err = d.Verify(written)
 	}
 	if err != nil {
-		return Result{}, fmt.Errorf("%s can't be read back: %w", filepath.Join(d.Path, name), err)
+		return Result{}, fmt.Errorf("%s can't be read back: %w", path, err)
 	}
-	return Result{r.Period, name, digest(written)}, d.drop(r.Retain)
-}
-
-func digest(b []byte) string {
-	sum := sha256.Sum256(b)
-	return hex.EncodeToString(sum[:])
+	return Result{r.Period, name, digest(written)}, d.removeOldest(r.Retain)
 }
 
-// admit refuses an old number, and remembers a new one before anything is written under it.
-func (d Dir) admit(r WriteRequest) error {
-	path := filepath.Join(d.Path, fenceFile)
-	var f fence
-	raw, err := os.ReadFile(path)
-	if err == nil {
-		err = json.Unmarshal(raw, &f)
-	}
-	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s: %w; if no other group writes here, remove it", path, err)
-	}
-	if f.Group != "" && f.Group != r.Group {
-		return fmt.Errorf("%s is of the group %s, not %s; give each its own directory, or remove it", path,
-			f.Group, r.Group)
-	}
-	numbers := leasedtask.NewFence(f.Numbers)
-	if err := numbers.Admit(r.Task, r.FencingToken); err != nil {
-		return err
+// lock makes the directory if there is none, and waits until no other process writes to it.
+func (d Dir) lock() (unlock func(), err error) {
+	if err := os.MkdirAll(d.Path, directoryMode); err != nil {
+		return nil, err
 	}
-	if f.Numbers[r.Task] == r.FencingToken {
-		return nil
+	f, err := os.OpenFile(filepath.Join(d.Path, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
+	if err != nil {
+		return nil, err
 	}
-	if raw, err = json.Marshal(fence{r.Group, numbers.NewestTokens()}); err != nil {
-		return err
+	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX); err != nil {
+		f.Close()
+		return nil, fmt.Errorf("locking %s: %w", d.Path, err)
 	}
-	return d.write(fenceFile, raw)
+	return func() { f.Close() }, nil // the kernel releases the lock with the descriptor
 }
 
-// write puts a whole file in the place of one, or leaves that.
-func (d Dir) write(name string, b []byte) error {
-	tmp := filepath.Join(d.Path, name+".tmp")
-	f, err := os.OpenFile(tmp, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+// digest returns a content's SHA-256 in hexadecimal.
+func digest(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:])
+}
+
+// replaceFile puts a complete file in the place of the one of that name, or leaves that unchanged.
+func (d Dir) replaceFile(name string, b []byte) error {
+	tmp := filepath.Join(d.Path, name+temporarySuffix)
+	f, err := os.OpenFile(tmp, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
 		return err
 	}
@@ -149,15 +136,15 @@
 	if err != nil {
 		return errors.Join(err, os.Remove(tmp))
 	}
-	at, err := os.Open(d.Path)
+	dir, err := os.Open(d.Path)
 	if err != nil {
 		return err
 	}
-	defer at.Close()
-	return at.Sync()
+	defer dir.Close()
+	return dir.Sync()
 }
 
-// List names the backups that are there, the oldest first.
+// List returns the names of the backups in the directory, oldest first.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(d.Path)
 	if err != nil {
@@ -165,24 +152,32 @@
 	}
 	var list []string
 	for _, e := range entries {
-		name, ok := strings.CutSuffix(e.Name(), suffix)
-		if at, is := strings.CutPrefix(name, "agreed-"); ok && is {
-			if _, err := time.Parse(layout, at); err == nil {
-				list = append(list, e.Name())
-			}
+		if isBackup(e.Name()) {
+			list = append(list, e.Name())
 		}
 	}
 	slices.Sort(list)
 	return list, nil
 }
 
-// drop removes the oldest. What has another name than a backup of ours is left alone.
-func (d Dir) drop(keep int) error {
+// isBackup says whether a file has the name of a backup.
+func isBackup(name string) bool {
+	period, hasSuffix := strings.CutSuffix(name, fileSuffix)
+	period, hasPrefix := strings.CutPrefix(period, filePrefix)
+	if !hasSuffix || !hasPrefix {
+		return false
+	}
+	_, err := time.Parse(periodLayout, period)
+	return err == nil
+}
+
+// removeOldest removes the oldest backups. Files with other names are left alone.
+func (d Dir) removeOldest(retain int) error {
 	list, err := d.List()
 	if err != nil {
 		return err
 	}
-	for len(list) > max(keep, 1) {
+	for len(list) > max(retain, minimumRetention) {
 		if err := os.Remove(filepath.Join(d.Path, list[0])); err != nil {
 			return err
 		}
--- a/internal/operate/backups/backups_test.go
+++ b/internal/operate/backups/backups_test.go
@@ -12,66 +12,68 @@
 	"moorstack/internal/cluster/leasedtask"
 )
 
-func TestDirectory(t *testing.T) {
-	d := Dir{Path: filepath.Join(t.TempDir(), "kept"), Verify: func(b []byte) error {
+func period(hour int) time.Time { return time.Date(2026, 12, 1, hour, 0, 0, 0, time.UTC) }
+
+func newDir(t *testing.T) Dir {
+	t.Helper()
+	return Dir{Path: filepath.Join(t.TempDir(), "kept"), Verify: func(b []byte) error {
 		if !bytes.HasPrefix(b, []byte("whole")) {
 			return errors.New("it is not whole")
 		}
 		return nil
 	}}
-	at := func(hour int) time.Time { return time.Date(2026, 12, 1, hour, 0, 0, 0, time.UTC) }
-	ask := func(number uint64, hour int, text string) (Result, error) {
-		return d.Write(WriteRequest{Group: "g", Task: "backup", FencingToken: number, Period: at(hour),
-			Content: []byte(text),
-			Retain:  3, LeaseValid: func() bool { return true }})
-	}
-	first, err := ask(7, 1, "whole 1")
+}
+
+func request(token uint64, hour int, content string) WriteRequest {
+	return WriteRequest{Group: "g", Task: "backup", FencingToken: token, Period: period(hour),
+		Content: []byte(content), Retain: 3, LeaseValid: func() bool { return true }}
+}
+
+// One directory through its life: writes are fenced, verified and pruned.
+func TestWritesAreFencedVerifiedAndPruned(t *testing.T) {
+	d := newDir(t)
+	first, err := d.Write(request(7, 1, "whole 1"))
 	if err != nil || first.File != "agreed-20261201T010000Z.backup" {
 		t.Fatalf("%+v %v", first, err)
 	}
-	// What is there for a period stays: whoever wrote it may have died before it said so.
-	again, err := ask(8, 1, "whole 1, of another")
+	// The backup of a period stays: its writer may have stopped before it recorded it.
+	again, err := d.Write(request(8, 1, "whole 1, of another"))
 	if err != nil || again != first {
 		t.Errorf("%+v %v", again, err)
 	}
-	// One that stood still between its look and its write is refused, and changes nothing.
+	// A writer that was stalled between its check and its write is rejected, and changes nothing.
 	var stale *leasedtask.StaleTokenError
-	if _, err := ask(7, 2, "whole 2"); !errors.As(err, &stale) || stale.NewestToken != 8 {
-		t.Errorf("an old number writes: %v", err)
+	if _, err := d.Write(request(7, 2, "whole 2")); !errors.As(err, &stale) || stale.NewestToken != 8 {
+		t.Errorf("an old fencing token writes: %v", err)
 	}
-	if _, err := d.Write(WriteRequest{Group: "g", Task: "backup", FencingToken: 9, Period: at(2),
-		Content:    []byte("whole"),
-		LeaseValid: func() bool { return false }}); !errors.Is(err, ErrLeaseExpired) {
+	expired := request(9, 2, "whole")
+	expired.LeaseValid = func() bool { return false }
+	if _, err := d.Write(expired); !errors.Is(err, ErrLeaseExpired) {
 		t.Errorf("it writes after its lease: %v", err)
 	}
-	if _, err := ask(9, 3, "half"); err == nil || !strings.Contains(err.Error(), "can't be read back") {
-		t.Errorf("what is not whole is kept: %v", err)
+	if _, err := d.Write(request(9, 3, "half")); err == nil ||
+		!strings.Contains(err.Error(), "can't be read back") {
+		t.Errorf("an incomplete backup is kept: %v", err)
 	}
-	// A damaged one is written anew; another group's, and a directory that can't be, are refused.
+	// A damaged backup is written again; another group's directory, and one that can't be, are errors.
 	if err := os.WriteFile(filepath.Join(d.Path, first.File), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if again, err = ask(9, 1, "whole 1"); err != nil || again != first {
+	if again, err = d.Write(request(9, 1, "whole 1")); err != nil || again != first {
 		t.Errorf("%+v %v", again, err)
 	}
-	other := WriteRequest{
-		Group:        "h",
-		Task:         "backup",
-		FencingToken: 99,
-		Period:       at(4),
-		LeaseValid:   func() bool { return true },
-	}
-	if _, err := d.Write(other); err == nil || !strings.Contains(err.Error(),
-		"is of the group g, not h") {
+	other := request(99, 4, "")
+	other.Group = "h"
+	if _, err := d.Write(other); err == nil || !strings.Contains(err.Error(), "is of the group g, not h") {
 		t.Errorf("another group writes: %v", err)
 	}
-	// The oldest go; what is not ours stays.
-	mine := filepath.Join(d.Path, "agreed-of-old.backup")
-	if err := os.WriteFile(mine, []byte("x"), 0o600); err != nil {
+	// The oldest are removed; a file that is not a backup stays.
+	foreign := filepath.Join(d.Path, "agreed-of-old.backup")
+	if err := os.WriteFile(foreign, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for hour := 3; hour < 9; hour++ {
-		if _, err := ask(10, hour, "whole"); err != nil {
+		if _, err := d.Write(request(10, hour, "whole")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -79,10 +81,10 @@
 	if err != nil || len(list) != 3 || list[0] != "agreed-20261201T060000Z.backup" {
 		t.Errorf("%v %v", list, err)
 	}
-	if _, err := os.Stat(mine); err != nil {
-		t.Error("a file that is not ours is gone")
+	if _, err := os.Stat(foreign); err != nil {
+		t.Error("a file that is not a backup is removed")
 	}
 	if _, err := (Dir{Path: "/dev/null/x", Verify: d.Verify}).Write(other); err == nil {
-		t.Error("kept where nothing can be")
+		t.Error("written where nothing can be")
 	}
 }
