--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,6 +1,5 @@
-// Package tomlfile reads the files that people write for the program: TOML in which an
-// unknown key is an error. Every error names the file, and the line and key where there
-// is one.
+// Package tomlfile reads the TOML files that people write for the program, in which an unknown key
+// is an error. Every error names the file, and the line and key where there is one.
 package tomlfile
 
 import (
@@ -15,34 +14,35 @@
 // Error is what is wrong with a file.
 type Error struct {
 	Path    string
-	Line    int // from 1; 0: the whole file
-	Key     string
+	Line    int    // from 1; 0: the whole file
+	Key     string // with its tables' names before it; empty: no certain one
 	Message string
 }
 
+// Error formats the error as path:line: key: message.
 func (e *Error) Error() string {
-	at := e.Path
+	where := e.Path
 	if e.Line > 0 {
-		at = fmt.Sprintf("%s:%d", e.Path, e.Line)
+		where = fmt.Sprintf("%s:%d", e.Path, e.Line)
 	}
 	if e.Key != "" {
-		return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Message)
+		return fmt.Sprintf("%s: %s: %s", where, e.Key, e.Message)
 	}
-	return fmt.Sprintf("%s: %s", at, e.Message)
+	return fmt.Sprintf("%s: %s", where, e.Message)
 }
 
-// Read reads a file into v.
+// Read decodes a file into v. It fails with an *Error if the content is wrong.
 func Read(path string, v any) error {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	return Decode(path, b, v)
+	return Decode(path, content, v)
 }
 
-// Decode reads a file's content into v.
-func Decode(path string, b []byte, v any) error {
-	meta, err := toml.Decode(string(b), v)
+// Decode decodes a file's content into v. It fails with an *Error if the content is wrong.
+func Decode(path string, content []byte, v any) error {
+	meta, err := toml.Decode(string(content), v)
 	if err != nil {
 		var parse toml.ParseError
 		if errors.As(err, &parse) {
@@ -51,22 +51,21 @@
 		return &Error{Path: path, Message: strings.TrimPrefix(err.Error(), "toml: ")}
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		key := unknown[0].String()
-		return &Error{Path: path, Line: LineOfKey(b, key), Key: key, Message: "this key is not known here"}
+		return ErrorAt(path, content, unknown[0].String(), "this key is not known here")
 	}
 	return nil
 }
 
-// ErrorAt makes an error about a key of a file that has been read.
-func ErrorAt(path string, b []byte, key, format string, args ...any) error {
-	return &Error{Path: path, Line: LineOfKey(b, key), Key: key, Message: fmt.Sprintf(format, args...)}
+// ErrorAt returns an error about a key of a file's content.
+func ErrorAt(path string, content []byte, key, format string, args ...any) error {
+	return &Error{Path: path, Line: LineOfKey(content, key), Key: key, Message: fmt.Sprintf(format, args...)}
 }
 
-// LineOfKey finds the line on which a key, with its tables' names before it, stands first. It
-// is 0 where the key is not written in one of the usual ways.
-func LineOfKey(b []byte, key string) int {
+// LineOfKey returns the first line, from 1, that sets a key, given with its tables' names before it.
+// It is 0 where the key is not written in one of the usual ways.
+func LineOfKey(content []byte, key string) int {
 	table := ""
-	for i, line := range strings.Split(string(b), "\n") {
+	for i, line := range strings.Split(string(content), "\n") {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
 			name, _, _ := strings.Cut(strings.Trim(line, "["), "]")
@@ -91,9 +90,10 @@
 	return 0
 }
 
-// LineOfTable finds the line of the nth table, from 0, of an array of tables.
-func LineOfTable(b []byte, array string, n int) int {
-	for i, line := range strings.Split(string(b), "\n") {
+// LineOfTable returns the line, from 1, of the nth table, from 0, of an array of tables; 0: there is
+// none.
+func LineOfTable(content []byte, array string, n int) int {
+	for i, line := range strings.Split(string(content), "\n") {
 		if strings.TrimSpace(line) == "[["+array+"]]" {
 			if n--; n < 0 {
 				return i + 1
