--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -140,8 +140,8 @@
 // slotsOf is how many requests w runs at once, as far as load reports of its kind have shown.
 func (b *Balancer) slotsOf(w *worker) float64 { return max(1, math.Round(b.kindSlots[w.Kind])) }
 
-// relativeRunTime is w's running time, relative to the usual one: by its kind's record, its own relative to that,
-// and its warm-up.
+// relativeRunTime is w's running time, relative to the usual one: by its kind's record, its own relative to
+// that, and its warm-up.
 func (b *Balancer) relativeRunTime(now time.Duration, w *worker) float64 {
 	return b.kindRunTimeFactors[w.Kind] * w.runTimeFactor / b.warmUpFactor(now, w)
 }
--- a/internal/frozen/trace_actions_test.go
+++ b/internal/frozen/trace_actions_test.go
@@ -36,7 +36,8 @@
 	if tr.now+took > q.deadline {
 		result, took = balancer.TimedOut, max(q.deadline-tr.now, time.Microsecond)
 	}
-	if tr.set.ReportsStart && result != balancer.WorkerFull && result != balancer.ConnectFailed && !w.unresponsive {
+	if tr.set.ReportsStart && result != balancer.WorkerFull && result != balancer.ConnectFailed &&
+		!w.unresponsive {
 		tr.after(took/4, func() { tr.progress(id, n, a, true, 0) })
 		tr.after(took/2, func() { tr.progress(id, n, a, false, 0.5) })
 	}
