--- /dev/null
+++ b/internal/cluster/consensus/recovered_state_test.go
@@ -0,0 +1,74 @@
+package consensus
+
+import (
+	"strings"
+	"testing"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"moorstack/internal/schema"
+	"moorstack/internal/storage/store"
+)
+
+func encoded(t *testing.T, m proto.Message) []byte {
+	t.Helper()
+	b, err := proto.Marshal(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func TestRecordsThatMakeNoSenseAreErrors(t *testing.T) {
+	entry := func(index uint64) store.Record {
+		return store.Record{Kind: recEntry, Data: encoded(t, &pb.Entry{Index: &index, Term: proto.Uint64(1)})}
+	}
+	for name, c := range map[string]struct {
+		records []store.Record
+		want    string // in the last record's error; empty: it has none
+	}{
+		"entries in order":  {[]store.Record{entry(1), entry(2)}, ""},
+		"an entry twice":    {[]store.Record{entry(1), entry(1)}, ""},
+		"a missing entry":   {[]store.Record{entry(2)}, "entry 2 is not within 1 and 1"},
+		"an unknown kind":   {[]store.Record{{Kind: 99}}, "unknown kind 99"},
+		"a broken identity": {[]store.Record{{Kind: recIdentity, Data: []byte{0xff}}}, "proto"},
+		"a broken entry":    {[]store.Record{{Kind: recEntry, Data: []byte{0xff}}}, "proto"},
+		"a broken snapshot": {[]store.Record{{Kind: recSnapshot, Data: []byte{0xff}}}, "proto"},
+	} {
+		s := NewRecoveredState()
+		var err error
+		for _, r := range c.records {
+			err = s.ReplayRecord(r)
+		}
+		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v, want %q", name, err, c.want)
+		}
+	}
+}
+
+func TestInstanceIsNotMadeFromWhatIsNotIts(t *testing.T) {
+	cfg := Config{Logger: discardLogger(), Seed: 1}
+	recovered := func(id *schema.Identity, hard *pb.HardState) *RecoveredState {
+		s := NewRecoveredState()
+		s.identity, s.hard = id, hard
+		return s
+	}
+	member := &schema.Identity{Id: 7, Name: "n1", Cluster: "g"}
+	for name, c := range map[string]struct {
+		state  *RecoveredState
+		number uint64
+		want   string
+	}{
+		"no number": {NewRecoveredState(), 0, "0 is no number for an instance"},
+		"of another": {recovered(&schema.Identity{Id: 7, Name: "n2"}, nil), 8,
+			`the directory is of instance "n2"`},
+		"commit without log": {recovered(member, &pb.HardState{Commit: proto.Uint64(5)}), 8,
+			"entry 5 was agreed on"},
+	} {
+		_, err := New(cfg, c.state, c.number, "n1")
+		if err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v, want %q", name, err, c.want)
+		}
+	}
+}
