--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -1,16 +1,17 @@
-// Package drain is the one state machine by which a node sends its clients away, for
-// whatever reason: operators have it stand by, the platform has it end, or another
-// process takes its place. It is told events and the time, and says what to do; it has no
-// clock and no socket.
+// Package drain is the state machine by which a node drains its clients, for whatever reason: operators put
+// it on standby, the platform shuts it down, or another process takes its place. It is given events and the
+// time, and has no clock and no socket of its own.
 //
-//	serving --Standby, End--> steering --Due--> closing --Active--> serving
-//	   |                         |                 |
-//	   |                         +----Active-------+   (not once it is to end)
-//	   +------Hand--> closing --TakeBack--> serving, or whatever was before
+//	        BeginStandby, BeginShutdown            Advance
+//	Serving ---------------------------> Unready ---------> ClosingConnections
+//	   ^                                    |                       |
+//	   +-- EndStandby, before a shutdown ---+-----------------------+
 //
-// Steering: health says no; jobs are taken as ever, until those who ask after its health
-// have noticed. Closing: answers carry Connection: close, and idle connections of clients
-// are closed. There is no way back from End.
+//	any state --HandOver--> ClosingConnections --AbortHandOver--> the state before
+//
+// Unready: health checks fail; requests are accepted as ever, until those who check have noticed.
+// ClosingConnections: responses carry Connection: close, and idle connections of clients are closed. A
+// shutdown can't be undone.
 package drain
 
 import (
@@ -18,112 +19,117 @@
 	"time"
 )
 
-// State is where a node stands.
+// State is what a node does with its clients.
 type State uint8
 
 // The states.
 const (
-	Serving State = iota
-	Unready
-	ClosingConnections
+	Serving            State = iota
+	Unready                  // health checks fail
+	ClosingConnections       // connections are closed, too
 )
 
+// String returns the state's name, which operators see in the answer to a status call.
 func (s State) String() string { return [...]string{"serving", "steering clients away", "closing"}[s] }
 
-// HealthCheckGrace is how long after its no a node takes jobs as ever: the front asks ten times a
-// second and stops new connections 0.2 s after a no; at a planned restart they come for
-// 0.4 s.
+// HealthCheckGrace is how long a node accepts requests as ever after its first failed health check: the
+// platform's load balancer checks ten times a second and stops new connections 0.2 s after a failure; at a
+// planned restart they come for 0.4 s.
 const HealthCheckGrace = 500 * time.Millisecond
 
-// ErrTakenOver is the answer to who would have a process serve whose place another has taken.
-var ErrTakenOver = errors.New("another process has taken this one's place")
-
-// ErrShuttingDown is the answer to who would end a drain that has no way back.
-var ErrShuttingDown = errors.New("the process is to end, and does not serve again")
+var (
+	// ErrTakenOver is the error of EndStandby in a process whose place another one has taken.
+	ErrTakenOver = errors.New("another process has taken this one's place")
+	// ErrShuttingDown is the error of EndStandby once a shutdown has begun.
+	ErrShuttingDown = errors.New("the process is to end, and does not serve again")
+)
 
-// Machine is the machine. The zero value serves.
+// Machine is the state machine. The zero value serves. Its times are of one clock, whichever. It is not safe
+// for concurrent use.
 type Machine struct {
 	state        State
 	shuttingDown bool
 	takenOver    bool
-	stateBefore  State         // that Hand found
-	closingAt    time.Duration // of the end of Steering
+	stateBefore  State         // the state that HandOver found
+	closingAt    time.Duration // when Unready ends
 }
 
-// State is where the node stands.
-func (d *Machine) State() State { return d.state }
+// State returns the current state.
+func (m *Machine) State() State { return m.state }
 
-// TakenOver says that another process has taken this one's place.
-func (d *Machine) TakenOver() bool { return d.takenOver }
+// TakenOver reports whether another process has taken this one's place.
+func (m *Machine) TakenOver() bool { return m.takenOver }
 
-// ShuttingDown says that there is no way back.
-func (d *Machine) ShuttingDown() bool { return d.shuttingDown }
+// ShuttingDown reports whether a shutdown has begun.
+func (m *Machine) ShuttingDown() bool { return m.shuttingDown }
 
-// BeginStandby begins a drain that Active can end. It reports whether this changed anything.
-func (d *Machine) BeginStandby(now time.Duration) bool {
-	if d.takenOver {
-		d.stateBefore = ClosingConnections // should this process serve again, it stands by
+// BeginStandby begins a drain that EndStandby can end. It reports whether that changed the state.
+func (m *Machine) BeginStandby(now time.Duration) bool {
+	if m.takenOver {
+		m.stateBefore = ClosingConnections // should this process serve again, it is on standby
 		return false
 	}
-	if d.state != Serving {
-		return false // twice is once, and an end goes before a stand-by
+	if m.state != Serving {
+		return false // a drain under way goes on, and so does a shutdown
 	}
-	d.state, d.closingAt = Unready, now+HealthCheckGrace
+	m.state, m.closingAt = Unready, now+HealthCheckGrace
 	return true
 }
 
-// BeginShutdown begins a drain without a way back; one that has begun goes on from where it is.
-// It reports whether this is the first word of the end.
-func (d *Machine) BeginShutdown(now time.Duration) bool {
-	first := !d.shuttingDown
-	d.shuttingDown = true
-	if d.BeginStandby(now); d.state == ClosingConnections {
-		d.closingAt = now
+// BeginShutdown begins a drain that can't be ended; one under way goes on from its state. It reports whether
+// this is the first call.
+func (m *Machine) BeginShutdown(now time.Duration) bool {
+	first := !m.shuttingDown
+	m.shuttingDown = true
+	if m.BeginStandby(now); m.state == ClosingConnections {
+		m.closingAt = now
 	}
 	return first
 }
 
-// HandOver has another process take this one's place: its clients are to be away at once, for
-// those that come are the other's.
-func (d *Machine) HandOver() {
-	if !d.takenOver {
-		d.stateBefore, d.takenOver = d.state, true
-		d.state = ClosingConnections
+// HandOver notes that another process takes this one's place: its clients are drained at once, for new
+// connections are the other's.
+func (m *Machine) HandOver() {
+	if !m.takenOver {
+		m.stateBefore, m.takenOver = m.state, true
+		m.state = ClosingConnections
 	}
 }
 
-// AbortHandOver ends that: the other process is gone.
-func (d *Machine) AbortHandOver() {
-	if d.takenOver {
-		d.takenOver = false
-		if !d.shuttingDown {
-			d.state = d.stateBefore
+// AbortHandOver notes that the other process has ended. This one returns to the state before HandOver, unless
+// it shuts down.
+func (m *Machine) AbortHandOver() {
+	if m.takenOver {
+		m.takenOver = false
+		if !m.shuttingDown {
+			m.state = m.stateBefore
 		}
 	}
 }
 
-// EndStandby ends a drain, unless the process is to end. It reports whether this changed anything.
-func (d *Machine) EndStandby() (bool, error) {
-	if d.shuttingDown {
+// EndStandby ends a drain, and reports whether that changed the state. It fails with ErrShuttingDown or
+// ErrTakenOver.
+func (m *Machine) EndStandby() (changed bool, err error) {
+	if m.shuttingDown {
 		return false, ErrShuttingDown
 	}
-	if d.takenOver {
+	if m.takenOver {
 		return false, ErrTakenOver
 	}
-	changed := d.state != Serving
-	d.state = Serving
+	changed = m.state != Serving
+	m.state = Serving
 	return changed, nil
 }
 
-// Advance takes the time and reports whether Closing has begun by it: once a drain. A time
-// that was set for a drain that has been called off, or is of a later one, changes nothing.
-func (d *Machine) Advance(now time.Duration) bool {
-	if d.state != Unready || now < d.closingAt {
+// Advance takes the time and reports whether ClosingConnections begins by it, which it does once a drain. A
+// call that was scheduled for an earlier drain changes nothing.
+func (m *Machine) Advance(now time.Duration) bool {
+	if m.state != Unready || now < m.closingAt {
 		return false
 	}
-	d.state = ClosingConnections
+	m.state = ClosingConnections
 	return true
 }
 
-// ClosingAt is when Due is to be called.
-func (d *Machine) ClosingAt() time.Duration { return d.closingAt }
+// ClosingAt returns when Advance is to be called.
+func (m *Machine) ClosingAt() time.Duration { return m.closingAt }
--- a/internal/proxy/drain/drain_test.go
+++ b/internal/proxy/drain/drain_test.go
@@ -1,58 +1,59 @@
 package drain
 
 import (
+	"errors"
 	"testing"
 	"time"
 )
 
-func TestStandbyAndBack(t *testing.T) {
-	var d Machine
-	if !d.BeginStandby(0) || d.State() != Unready || d.BeginStandby(time.Second) {
-		t.Fatal("the first stand-by counts, the second does not")
+func TestStandbyBeginsAndEnds(t *testing.T) {
+	var m Machine
+	if !m.BeginStandby(0) || m.State() != Unready || m.BeginStandby(time.Second) {
+		t.Fatal("the first call changes the state, the second does not")
 	}
-	if d.Advance(HealthCheckGrace-1) || !d.Advance(HealthCheckGrace) || d.State() != ClosingConnections ||
-		d.Advance(HealthCheckGrace) {
-		t.Fatal("closing begins once, after the notice")
+	if m.Advance(HealthCheckGrace-1) || !m.Advance(HealthCheckGrace) || m.State() != ClosingConnections ||
+		m.Advance(HealthCheckGrace) {
+		t.Fatal("closing connections begins once, after the grace")
 	}
-	if changed, err := d.EndStandby(); !changed || err != nil || d.State() != Serving {
-		t.Fatal("active did not end it")
+	if changed, err := m.EndStandby(); !changed || err != nil || m.State() != Serving {
+		t.Fatal("EndStandby did not end it")
 	}
-	if changed, err := d.EndStandby(); changed || err != nil {
-		t.Fatal("active at a node that serves is a yes and changes nothing")
+	if changed, err := m.EndStandby(); changed || err != nil {
+		t.Fatal("EndStandby of a node that serves succeeds and changes nothing")
 	}
 }
 
-// A drain that is called off and begun anew has its whole notice.
-func TestDueOfAnEarlierDrain(t *testing.T) {
-	var d Machine
-	d.BeginStandby(0)
-	_, _ = d.EndStandby()
-	d.BeginStandby(HealthCheckGrace / 2)
-	if d.Advance(HealthCheckGrace) || d.State() != Unready {
-		t.Fatal("the first drain's time has closed the second")
+// A drain that is ended and begun again has its whole grace.
+func TestAdvanceOfEarlierDrainChangesNothing(t *testing.T) {
+	var m Machine
+	m.BeginStandby(0)
+	_, _ = m.EndStandby()
+	m.BeginStandby(HealthCheckGrace / 2)
+	if m.Advance(HealthCheckGrace) || m.State() != Unready {
+		t.Fatal("the first drain's time has advanced the second")
 	}
-	if !d.Advance(d.ClosingAt()) {
-		t.Fatal("the second drain's time has not")
+	if !m.Advance(m.ClosingAt()) {
+		t.Fatal("the second drain's time has not advanced it")
 	}
 }
 
-func TestEndHasNoWayBack(t *testing.T) {
+func TestShutdownCannotBeUndone(t *testing.T) {
 	for _, before := range []func(*Machine){
 		func(*Machine) {},
-		func(d *Machine) { d.BeginStandby(0) },
-		func(d *Machine) { d.BeginStandby(0); d.Advance(HealthCheckGrace) },
+		func(m *Machine) { m.BeginStandby(0) },
+		func(m *Machine) { m.BeginStandby(0); m.Advance(HealthCheckGrace) },
 	} {
-		var d Machine
-		before(&d)
-		was := d.State()
-		if !d.BeginShutdown(HealthCheckGrace) || d.BeginShutdown(HealthCheckGrace) {
-			t.Fatal("the end is told once")
+		var m Machine
+		before(&m)
+		stateBefore := m.State()
+		if !m.BeginShutdown(HealthCheckGrace) || m.BeginShutdown(HealthCheckGrace) {
+			t.Fatal("only the first call begins the shutdown")
 		}
-		if was != Serving && d.State() != was {
-			t.Fatal("an end during a drain began it anew")
+		if stateBefore != Serving && m.State() != stateBefore {
+			t.Fatal("a shutdown during a drain began it again")
 		}
-		if _, err := d.EndStandby(); err != ErrShuttingDown || d.State() == Serving {
-			t.Fatal("an end was called off")
+		if _, err := m.EndStandby(); !errors.Is(err, ErrShuttingDown) || m.State() == Serving {
+			t.Fatal("a shutdown was undone")
 		}
 	}
 }
--- a/internal/proxy/hotrestart/link_test.go
+++ b/internal/proxy/hotrestart/link_test.go
@@ -10,8 +10,8 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// pair is a loop, and a connection of which it is to have the first end.
-func pair(t *testing.T) (*eventloop.Loop, [2]int) {
+// newLoopAndSocketPair returns a loop, and the two ends of a connection.
+func newLoopAndSocketPair(t *testing.T) (*eventloop.Loop, [2]int) {
 	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
@@ -23,18 +23,18 @@
 	return loop, fds
 }
 
-// Messages come whole however they are cut; what can't be read ends the link, once.
-func TestLinkTakesPieces(t *testing.T) {
+// Messages are read in whatever pieces they come; a malformed one closes the link, once.
+func TestLinkReadsMessagesInAnyPieces(t *testing.T) {
 	text := string((&Message{Type: TypeChildServes}).Append(nil)) +
 		string((&Message{Type: TypeCallBack, CallBackNumber: 7, Body: []byte("a\nb")}).Append(nil)) +
 		string((&Message{Type: TypeRequestsBegun, RequestIDs: []string{"x"}}).Append(nil))
 	for _, size := range []int{1, 2, 3, 7, 50, len(text)} {
-		loop, fds := pair(t)
+		loop, fds := newLoopAndSocketPair(t)
 		var got []string
-		ended := 0
-		said := func(_ *Link, m *Message) { got = append(got, string(m.Type)+string(m.Body)) }
-		if _, err := ConnectLink(loop, fds[0], said, func(*Link, error) {
-			ended++
+		closed := 0
+		onMessage := func(_ *Link, m *Message) { got = append(got, string(m.Type)+string(m.Body)) }
+		if _, err := ConnectLink(loop, fds[0], onMessage, func(*Link, error) {
+			closed++
 			loop.Stop()
 		}); err != nil {
 			t.Fatal(err)
@@ -44,7 +44,7 @@
 			for rest := text + "{no message\n" + text; rest != ""; {
 				n, err := unix.Write(fds[1], []byte(rest[:min(size, len(rest))]))
 				if err != nil {
-					return // the other end has hung up, as it should
+					return // the other end has closed, as it should
 				}
 				rest = rest[n:]
 			}
@@ -53,18 +53,18 @@
 			t.Fatal(err)
 		}
 		unix.Close(fds[1])
-		if strings.Join(got, ",") != "take,calla\nb,begun" || ended != 1 {
-			t.Errorf("in pieces of %d: %q, and %d ends", size, got, ended)
+		if strings.Join(got, ",") != "take,calla\nb,begun" || closed != 1 {
+			t.Errorf("in pieces of %d: %q, and %d calls of onClose", size, got, closed)
 		}
 	}
 }
 
-// A message without end is not kept.
-func TestLinkIsBounded(t *testing.T) {
-	loop, fds := pair(t)
-	ended := false
+// A message without end closes the link.
+func TestLinkClosesOnEndlessMessage(t *testing.T) {
+	loop, fds := newLoopAndSocketPair(t)
+	closed := false
 	if _, err := ConnectLink(loop, fds[0], nil, func(*Link, error) {
-		ended = true
+		closed = true
 		loop.Stop()
 	}); err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	unix.Close(fds[1])
-	if !ended {
+	if !closed {
 		t.Error("a message without end is read on")
 	}
 }
--- a/internal/proxy/hotrestart/machine.go
+++ b/internal/proxy/hotrestart/machine.go
@@ -1,91 +1,84 @@
-// Package handover has one process of a node take the place of another while the node
-// serves: what passes between the two, in which order, and what each does if the other
-// dies, is slow or is of another version.
-//
-// The machine is free of I/O and of any clock; Link and Join are the thin driver on one
-// Unix socket in the folder that both processes are given. docs/upgrade.md has the time
-// line.
 package hotrestart
 
 import "time"
 
-// Phase is where a process stands.
+// Phase is what a process is to the other one of its node.
 type Phase uint8
 
-// The phases.
+// The phases. Their names are sent in rejections.
 const (
-	Alone               Phase = iota
-	Offering                  // the old one: a successor has the state and does not serve yet
-	ParentDraining            // the old one: the successor serves, this one works off what it has
-	TakingOver                // the new one: it has the state, and the old one has not let go yet
-	ServingBesideParent       // the new one: it serves, the old one works off what it has
+	Alone               Phase = iota // there is no other process
+	Offering                         // a parent whose child has the state and does not serve yet
+	ParentDraining                   // a parent whose child serves; it finishes what it has accepted
+	TakingOver                       // a child that has the state, while its parent still accepts
+	ServingBesideParent              // a child that serves, while its parent finishes what it has accepted
 )
 
+// String returns the phase's name.
 func (p Phase) String() string {
 	return [...]string{"alone", "offering", "handed over", "taking over", "beside the old process"}[p]
 }
 
-// Event is what a process is told.
+// Event is what a process observes.
 type Event uint8
 
 // The events.
 const (
 	TakeoverRequested Event = iota // a process wants to take this one's place
-	ChildServes                    // the successor serves from here on
-	ParentReleased                 // the old process has let go
-	ParentDrained                  // the old process has no client left
-	PeerLost                       // the other process is gone, or can't be understood
+	ChildServes                    // the child serves from here on
+	ParentReleased                 // the parent has stopped accepting
+	ParentDrained                  // the parent owes no client anything
+	PeerLost                       // the other process has ended, or can't be understood
 	TimedOut                       // what was waited for has not come in time
 )
 
-// Effect is what the process is to do.
+// Effect is what the process has to do.
 type Effect uint8
 
 // The effects.
 const (
-	SendState       Effect = iota // give the state and the listening socket, and share the limits
-	RejectRequest                 // say no to who asked
-	StopAccepting                 // accept no more, send the clients away, and say so
+	SendState       Effect = iota // send the state and the listening socket, and share the limits
+	RejectRequest                 // reject the process that wants to take this one's place
+	StopAccepting                 // stop accepting, drain the clients, and notify the child
 	ResumeAccepting               // accept again
 	RestoreLimits                 // the limits are this process's alone
-	ListenForChild                // listen for who will take this one's place
-	CloseLink                     // end the connection with the other process
+	ListenForChild                // listen for the process that will take this one's place
+	CloseLink                     // close the link with the other process
 )
 
 // How long a process waits for the other.
 const (
-	StateTimeout     = 2 * time.Second // the new one: for the state
-	JoinRetryTimeout = 5 * time.Second // a third one: for the first two to settle
-	// the old one: for the successor to serve, as long as the platform
-	ChildServesTimeout = 6 * time.Second
-	// the old one, from SIGTERM: until it gives its open jobs away
-	MigrateAfter      = 2500 * time.Millisecond
-	ReleaseTimeout    = time.Second             // the new one: for the old one to let go
-	ParentGracePeriod = 3500 * time.Millisecond // the new one, from its start: for the old one's jobs
+	StateTimeout       = 2 * time.Second         // a child: for the state
+	JoinRetryTimeout   = 5 * time.Second         // a third process: for the first two to finish
+	ChildServesTimeout = 6 * time.Second         // a parent: for the child to serve, as the platform does
+	MigrateAfter       = 2500 * time.Millisecond // a parent, from SIGTERM: until it migrates open requests
+	ReleaseTimeout     = time.Second             // a child: for its parent to stop accepting
+	ParentGracePeriod  = 3500 * time.Millisecond // a child, from its start: for its parent's requests
 )
 
-// Machine is the state machine of one process.
+// Machine is the state machine of one process. It is not safe for concurrent use.
 type Machine struct {
 	phase         Phase
 	parentDrained bool
-	readyAt       time.Duration // when the new one says yes in any case
+	readyAt       time.Duration // of a child: when it is ready even if its parent has not drained
 }
 
-// NewWithoutParent is the machine of a process that found no other.
+// NewWithoutParent returns the machine of a process that found no other one.
 func NewWithoutParent() *Machine { return &Machine{} }
 
-// NewChild is the machine of a process, begun at the time given, that has another one's state.
+// NewChild returns the machine of a process that has started at the given time and inherited the state of its
+// parent.
 //
-// It says yes late on purpose: the platform ends the old process soon after, and until
-// then that one can finish jobs whose clients have all its time.
-func NewChild(began time.Duration) *Machine {
-	return &Machine{phase: TakingOver, readyAt: began + ParentGracePeriod}
+// It is ready late on purpose: the platform ends the parent soon after, and until then the parent can finish
+// requests with all the time that their clients have.
+func NewChild(started time.Duration) *Machine {
+	return &Machine{phase: TakingOver, readyAt: started + ParentGracePeriod}
 }
 
-// Phase is where the process stands.
+// Phase returns the phase of the process.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Ready says whether the process is ready to be the node's only one.
+// Ready reports whether the process is ready to be the node's only one.
 func (m *Machine) Ready(now time.Duration) bool {
 	switch m.phase {
 	case Alone, Offering:
@@ -96,36 +89,46 @@
 	return false
 }
 
-// Step takes an event. One that has no meaning in the phase changes nothing.
+type transitionKey struct {
+	phase Phase
+	event Event
+}
+
+type transition struct {
+	next    Phase
+	effects []Effect
+}
+
+var transitions = map[transitionKey]transition{
+	{Alone, TakeoverRequested}: {Offering, []Effect{SendState}},
+
+	{Offering, ChildServes}: {ParentDraining, []Effect{StopAccepting}},
+	{Offering, PeerLost}:    {Alone, []Effect{CloseLink, RestoreLimits}},
+	{Offering, TimedOut}:    {Alone, []Effect{CloseLink, RestoreLimits}},
+
+	// Hazard: the child dies before the platform ends the parent, which then is the only process that can
+	// serve.
+	{ParentDraining, PeerLost}: {Alone, []Effect{CloseLink, RestoreLimits, ResumeAccepting, ListenForChild}},
+
+	{TakingOver, ParentReleased}: {ServingBesideParent, []Effect{ListenForChild}},
+	{TakingOver, TimedOut}:       {ServingBesideParent, []Effect{ListenForChild}},
+	{TakingOver, PeerLost}:       {Alone, []Effect{CloseLink, RestoreLimits, ListenForChild}},
+
+	{ServingBesideParent, PeerLost}: {Alone, []Effect{CloseLink, RestoreLimits}},
+}
+
+// Step takes an event and returns the effects, in their order; the caller must not change them. An event that
+// has no meaning in the phase has no effects.
 func (m *Machine) Step(e Event) []Effect {
+	if t, ok := transitions[transitionKey{m.phase, e}]; ok {
+		m.phase = t.next
+		return t.effects
+	}
 	switch {
-	case e == TakeoverRequested && m.phase == Alone:
-		m.phase = Offering
-		return []Effect{SendState}
-	case e == TakeoverRequested: // hazard: a third process, while two have not settled who serves
+	case e == TakeoverRequested: // hazard: a third process, while two have not settled which one serves
 		return []Effect{RejectRequest}
-	case e == ChildServes && m.phase == Offering:
-		m.phase = ParentDraining
-		return []Effect{StopAccepting}
-	case (e == PeerLost || e == TimedOut) && m.phase == Offering:
-		m.phase = Alone
-		return []Effect{CloseLink, RestoreLimits}
-	case e == PeerLost && m.phase == ParentDraining:
-		// Hazard: the successor dies before the platform ends this one, which is then the
-		// only one that can serve.
-		m.phase = Alone
-		return []Effect{CloseLink, RestoreLimits, ResumeAccepting, ListenForChild}
-	case (e == ParentReleased || e == TimedOut) && m.phase == TakingOver:
-		m.phase = ServingBesideParent
-		return []Effect{ListenForChild}
 	case e == ParentDrained && m.phase == ServingBesideParent:
 		m.parentDrained = true
-	case e == PeerLost && m.phase == TakingOver:
-		m.phase = Alone
-		return []Effect{CloseLink, RestoreLimits, ListenForChild}
-	case e == PeerLost && m.phase == ServingBesideParent:
-		m.phase = Alone
-		return []Effect{CloseLink, RestoreLimits}
 	}
 	return nil
 }
--- a/internal/proxy/hotrestart/machine_test.go
+++ b/internal/proxy/hotrestart/machine_test.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-func TestTimeLine(t *testing.T) {
-	old, successor := NewWithoutParent(), NewChild(time.Minute)
+// A child takes over from its parent, which drains, and is a parent itself once that has ended.
+func TestTakeoverTimeline(t *testing.T) {
+	parent, child := NewWithoutParent(), NewChild(time.Minute)
 	step := func(m *Machine, e Event, phase Phase, want ...Effect) {
 		t.Helper()
 		if got := m.Step(e); !slices.Equal(got, want) || m.Phase() != phase {
 			t.Fatalf("event %d: effects %v and %v, want %v and %v", e, got, m.Phase(), want, phase)
 		}
 	}
-	step(old, TakeoverRequested, Offering, SendState)
-	step(old, TakeoverRequested, Offering, RejectRequest)
-	if !old.Ready(0) || successor.Ready(time.Hour) {
-		t.Fatal("until the new one serves, the old one is the node")
+	step(parent, TakeoverRequested, Offering, SendState)
+	step(parent, TakeoverRequested, Offering, RejectRequest)
+	if !parent.Ready(0) || child.Ready(time.Hour) {
+		t.Fatal("until the child serves, the parent alone is ready")
 	}
-	step(old, ChildServes, ParentDraining, StopAccepting)
-	step(old, ChildServes, ParentDraining)
-	step(successor, ParentReleased, ServingBesideParent, ListenForChild)
-	step(successor, TakeoverRequested, ServingBesideParent, RejectRequest)
-	if old.Ready(0) || successor.Ready(time.Minute) || !successor.Ready(time.Minute+ParentGracePeriod) {
-		t.Fatal("the new one says yes when the old one's time is up")
+	step(parent, ChildServes, ParentDraining, StopAccepting)
+	step(parent, ChildServes, ParentDraining)
+	step(child, ParentReleased, ServingBesideParent, ListenForChild)
+	step(child, TakeoverRequested, ServingBesideParent, RejectRequest)
+	if parent.Ready(0) || child.Ready(time.Minute) || !child.Ready(time.Minute+ParentGracePeriod) {
+		t.Fatal("the child is ready when its parent's grace period is over")
 	}
-	step(successor, ParentDrained, ServingBesideParent)
-	if !successor.Ready(time.Minute) {
-		t.Fatal("the old one has nothing left, and the new one still says no")
+	step(child, ParentDrained, ServingBesideParent)
+	if !child.Ready(time.Minute) {
+		t.Fatal("the parent has drained, and the child is not ready")
 	}
-	step(successor, PeerLost, Alone, CloseLink, RestoreLimits)
-	step(successor, TakeoverRequested, Offering, SendState)
+	step(child, PeerLost, Alone, CloseLink, RestoreLimits)
+	step(child, TakeoverRequested, Offering, SendState)
 }
 
 // Each death, at each step, leaves one process that serves with all the limits.
-func TestDeaths(t *testing.T) {
+func TestDeathAtEachStepLeavesOneServingProcess(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		m      *Machine
@@ -43,19 +44,24 @@
 		last   Event
 		want   []Effect
 	}{
-		{"the successor, before it serves", NewWithoutParent(), []Event{TakeoverRequested}, PeerLost,
+		{"the child, before it serves", NewWithoutParent(),
+			[]Event{TakeoverRequested}, PeerLost,
 			[]Effect{CloseLink, RestoreLimits}},
-		{"the successor is slow", NewWithoutParent(), []Event{TakeoverRequested}, TimedOut,
+		{"the child is slow", NewWithoutParent(),
+			[]Event{TakeoverRequested}, TimedOut,
 			[]Effect{CloseLink, RestoreLimits}},
-		{"the successor, while it serves", NewWithoutParent(), []Event{TakeoverRequested, ChildServes},
-			PeerLost,
+		{"the child, while it serves", NewWithoutParent(),
+			[]Event{TakeoverRequested, ChildServes}, PeerLost,
 			[]Effect{CloseLink, RestoreLimits, ResumeAccepting, ListenForChild}},
-		{"the old one, before it lets go", NewChild(0), nil, PeerLost, []Effect{CloseLink, RestoreLimits,
-			ListenForChild}},
-		{"the old one, after", NewChild(0), []Event{ParentReleased}, PeerLost, []Effect{CloseLink,
-			RestoreLimits}},
-		{"the old one is slow, and dies", NewChild(0), []Event{TimedOut}, PeerLost, []Effect{CloseLink,
-			RestoreLimits}},
+		{"the parent, before it stops accepting", NewChild(0),
+			nil, PeerLost,
+			[]Effect{CloseLink, RestoreLimits, ListenForChild}},
+		{"the parent, after it stopped accepting", NewChild(0),
+			[]Event{ParentReleased}, PeerLost,
+			[]Effect{CloseLink, RestoreLimits}},
+		{"the parent is slow, and dies", NewChild(0),
+			[]Event{TimedOut}, PeerLost,
+			[]Effect{CloseLink, RestoreLimits}},
 	} {
 		for _, e := range c.before {
 			c.m.Step(e)
@@ -66,7 +72,7 @@
 	}
 }
 
-func TestParse(t *testing.T) {
+func TestParseMessage(t *testing.T) {
 	m := Message{Type: TypeState, Version: Version, State: &State{KnownEndpoints: []string{"a\nb"}}}
 	line := m.Append(nil)
 	if got, err := ParseMessage(line[:len(line)-1]); err != nil || got.State.KnownEndpoints[0] != "a\nb" ||
@@ -75,7 +81,7 @@
 	}
 	for _, bad := range []string{"", "{", `{"t":"hello","v":2}`, `{"t":"state","v":1}`, `{"t":"ban"}`} {
 		if _, err := ParseMessage([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
--- a/internal/proxy/hotrestart/message.go
+++ b/internal/proxy/hotrestart/message.go
@@ -5,155 +5,86 @@
 	"errors"
 	"fmt"
 	"time"
-
-	"moorstack/balancer"
 )
 
-// Version is of the messages. Processes of different ones don't speak to each other:
-// the new one then serves beside the old one at a socket of its own.
-const Version = 1
+const (
+	// Version is of the messages. Processes of different versions have no link: the child then serves beside
+	// its parent, at a socket of its own.
+	Version = 1
 
-// MaxMessageBytes is the longest message that is read.
-const MaxMessageBytes = 8 << 20
+	// MaxMessageBytes is the longest message that is read.
+	MaxMessageBytes = 8 << 20
+)
 
-// MessageType says which of a message's parts is set.
+// MessageType is the type of a message, by which its other fields are set.
 type MessageType string
 
-// The messages. A hello is answered with a state, or with a refusal.
+// The messages. A hello is answered with a state or a rejection.
 const (
-	TypeHello           MessageType = "hello"
-	TypeState           MessageType = "state"
-	TypeRejected        MessageType = "refuse"
+	TypeHello           MessageType = "hello"  // a child's: Version, Node, ListenAddress
+	TypeState           MessageType = "state"  // a parent's: Version, State, and its listening socket
+	TypeRejected        MessageType = "refuse" // a parent's: Version, Reason
 	TypeChildServes     MessageType = "take"
-	TypeParentReleased  MessageType = "taken"
+	TypeParentReleased  MessageType = "taken" // RequestIDs that are open at the parent
 	TypeParentDrained   MessageType = "empty"
-	TypeCallBack        MessageType = "call"  // a next hop's call-back, for a branch of the other's
-	TypeCallBackHandled MessageType = "heard" // what became of it
-	TypeRequestsBegun   MessageType = "begun" // ids of transactions that the other must not begin
-	TypeInFlight        MessageType = "held"  // what the old process has unfinished, by next hop
-	TypeMaintenance     MessageType = "ban"   // an operator's word
-	TypeMigratedRequest MessageType = "job"   // an open job, with its client's connection
+	TypeCallBack        MessageType = "call"  // CallBackNumber, Body: a worker's call-back that is forwarded
+	TypeCallBackHandled MessageType = "heard" // CallBackNumber
+	TypeRequestsBegun   MessageType = "begun" // RequestIDs that the other process must not begin
+	TypeInFlight        MessageType = "held"  // InFlight at the parent
+	TypeMaintenance     MessageType = "ban"   // Maintenance, an operator's command
+	TypeMigratedRequest MessageType = "job"   // Request, and its client's connection
 )
 
-// Message is a line of JSON.
+// Message is one line of JSON on a link.
 type Message struct {
 	Type           MessageType      `json:"t"`
 	Version        int              `json:"v,omitempty"`
-	Node           string           `json:"name,omitempty"`   // of a hello: the node's
-	ListenAddress  string           `json:"listen,omitempty"` // likewise: the clients' address
+	Node           string           `json:"name,omitempty"`   // the node's name
+	ListenAddress  string           `json:"listen,omitempty"` // at which the node serves clients
 	Reason         string           `json:"why,omitempty"`
 	State          *State           `json:"state,omitempty"`
-	RequestIDs     []string         `json:"ids,omitempty"` // of taken and begun
-	CallBackNumber uint64           `json:"n,omitempty"`   // of a call, and of what became of it
+	RequestIDs     []string         `json:"ids,omitempty"`
+	CallBackNumber uint64           `json:"n,omitempty"` // which call-back, as its sender counts them
 	Body           []byte           `json:"body,omitempty"`
 	Maintenance    *Maintenance     `json:"ban,omitempty"`
 	Request        *MigratedRequest `json:"job,omitempty"`
 
-	InFlight map[string]float64 `json:"held,omitempty"`
-}
-
-// State is what one process of a node must know of what the other did.
-type State struct {
-	Generation          int64                 `json:"generation"`
-	Instances           json.RawMessage       `json:"instances"` // in discovery's form
-	DiscoveryAddress    string                `json:"discovery"` // its address, as reloads have left it
-	ConfiguredDiscovery string                `json:"written"`   // as the file gave it last
-	KnownEndpoints      []string              `json:"known"`     // next hops that were ever listed
-	Maintenance         []Maintenance         `json:"bans"`
-	Balancer            balancer.LearnedState `json:"module"`
-	// SentAt is the sender's clock as it sent this; 0: an older process did not say. Times here are by it.
-	SentAt       time.Duration          `json:"now,omitempty"`
-	WorkerStarts map[string]WorkerStart `json:"starts,omitempty"` // of workers, by their names
-}
-
-// WorkerStart is when a worker started, in its own words and by the sender's clock.
-type WorkerStart struct {
-	Reported time.Duration `json:"said"`
-	At       time.Duration `json:"at"`
-}
-
-// minClockStep is the least difference of two processes' clocks that is taken for a step of the wall clock
-// between their starts, and not for the time that a message took.
-const minClockStep = 250 * time.Millisecond
-
-// RebaseTimes turns the times of the state into times of the receiver's clock, which shows now.
-//
-// Hazard: a process's clock goes on by itself from what the wall clock showed at its start. Where that was
-// stepped meanwhile, the two processes' clocks differ for good.
-func (s *State) RebaseTimes(now time.Duration) {
-	by := now - s.SentAt
-	if s.SentAt == 0 || by.Abs() < minClockStep {
-		return
-	}
-	for i := range s.Maintenance {
-		b := &s.Maintenance[i]
-		b.StartedAt += by
-		if b.EndedAt > 0 {
-			b.EndedAt += by
-		}
-	}
-	for name, start := range s.WorkerStarts {
-		s.WorkerStarts[name] = WorkerStart{start.Reported, start.At + by}
-	}
-	shiftLearnedTimes(&s.Balancer, by)
-}
-
-// shiftLearnedTimes moves all times of a module's memory by so much. Those that are not set were never, or
-// long ago.
-func shiftLearnedTimes(m *balancer.LearnedState, by time.Duration) {
-	move := func(t *time.Duration) {
-		if *t > 0 {
-			*t += by
-		}
-	}
-	move(&m.RecentWaitAt)
-	move(&m.AveragedAt)
-	for i := range m.Quotas {
-		move(&m.Quotas[i].UpdatedAt)
-	}
-	for id, w := range m.Workers {
-		move(&w.LastWaitAt)
-		move(&w.FailureScoreAt)
-		move(&w.StartedAt)
-		for i := range w.SlowStartSent {
-			move(&w.SlowStartSent[i].At)
-		}
-		m.Workers[id] = w
-	}
+	InFlight map[string]float64 `json:"held,omitempty"` // attempts by endpoint
 }
 
-// Maintenance is an operators' word on a next hop.
+// Maintenance is an operator's command about an endpoint. Times are by the sender's clock.
 type Maintenance struct {
 	Endpoint  string        `json:"name"`
-	Active    bool          `json:"out"`
-	StartedAt time.Duration `json:"since"`           // when it was taken out
-	EndedAt   time.Duration `json:"ended,omitempty"` // when it was put back
+	Active    bool          `json:"out"`             // it is under maintenance now
+	StartedAt time.Duration `json:"since"`           // of the maintenance
+	EndedAt   time.Duration `json:"ended,omitempty"` // 0: it has not ended
 }
 
-// MigratedRequest is an open job, all of whose attempts were accepted by a next hop.
+// MigratedRequest is an open request all of whose attempts were accepted by a worker.
 type MigratedRequest struct {
 	ID        string        `json:"id"`
-	Class     int           `json:"class"`
-	Deadline  time.Duration `json:"until"` // when its client gives up, by the sender's clock
-	Timeout   time.Duration `json:"left"`  // how long that is from when this is sent
-	Endpoints []string      `json:"hops"`  // that have it
+	Class     int           `json:"class"` // the class's number
+	Deadline  time.Duration `json:"until"` // by the sender's clock
+	Timeout   time.Duration `json:"left"`  // until the deadline, from when this is sent; 0: not stated
+	Endpoints []string      `json:"hops"`  // that have accepted it
 }
 
-// errVersionMismatch says that the other process speaks another version.
+// errVersionMismatch is the error where the other process is of another Version.
 var errVersionMismatch = errors.New("another version")
 
-// ParseMessage reads a message.
+// ParseMessage parses a line, without its end. It fails if that is no message, lacks what its type needs, or
+// is of another Version.
 func ParseMessage(line []byte) (*Message, error) {
 	var m Message
 	if err := json.Unmarshal(line, &m); err != nil {
-		return nil, fmt.Errorf("a message that can't be read: %w", err)
+		return nil, fmt.Errorf("decoding a message: %w", err)
 	}
 	if (m.Type == TypeHello || m.Type == TypeState) && m.Version != Version {
-		return nil, fmt.Errorf("%w: %d, and this process speaks %d", errVersionMismatch, m.Version, Version)
+		return nil, fmt.Errorf("%w: %d, and this process has %d", errVersionMismatch, m.Version, Version)
 	}
 	if m.Type == TypeState && m.State == nil || m.Type == TypeMaintenance && m.Maintenance == nil ||
 		m.Type == TypeMigratedRequest && m.Request == nil {
-		return nil, fmt.Errorf("a message of type %q without what it is for", m.Type)
+		return nil, fmt.Errorf("a message of type %q lacks its content", m.Type)
 	}
 	return &m, nil
 }
--- a/internal/proxy/hotrestart/rebase_test.go
+++ b/internal/proxy/hotrestart/state_test.go
@@ -9,7 +9,7 @@
 	"moorstack/balancer"
 )
 
-// stateAt is a state with a time in every place that has one, all a minute before the sender's clock.
+// stateAt returns a state in which every time is set, to a minute before the sender's clock.
 func stateAt(now time.Duration) *State {
 	at := now - time.Minute
 	return &State{
@@ -31,8 +31,9 @@
 }
 
 // The wall clock is stepped between the starts of two processes of a node, by seconds or an hour, either way:
-// what one passes to the other happened as long ago by that one's clock. A message's way is no step.
-func TestRebase(t *testing.T) {
+// what one sends to the other happened as long ago by the other's clock. The time that a message takes is no
+// step.
+func TestRebaseTimesAfterClockStep(t *testing.T) {
 	const now = 1000 * time.Hour
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		got, want := stateAt(now), stateAt(now+step)
@@ -53,12 +54,12 @@
 	older.SentAt = 0
 	older.RebaseTimes(now + time.Hour)
 	if older.Maintenance[0].StartedAt != now-time.Minute {
-		t.Error("the times of a process that tells no clock were moved")
+		t.Error("the times of a process that states no clock were shifted")
 	}
 }
 
-// Every time that the module's memory holds is moved: a new one must be, too.
-func TestEveryTimeOfTheMemoryIsMoved(t *testing.T) {
+// Every time that the balancer has learned is shifted: one that is added must be, too.
+func TestRebaseShiftsEveryLearnedTime(t *testing.T) {
 	var walk func(v reflect.Value, path string)
 	walk = func(v reflect.Value, path string) {
 		switch {
@@ -82,5 +83,5 @@
 	}
 	s := stateAt(100 * time.Hour)
 	s.RebaseTimes(101 * time.Hour)
-	walk(reflect.ValueOf(s.Balancer), "Memory")
+	walk(reflect.ValueOf(s.Balancer), "LearnedState")
 }
