--- a/internal/cluster/schedule/trigger.go
+++ b/internal/cluster/schedule/trigger.go
@@ -16,7 +16,7 @@
 	maxTriggerNameBytes     = 100
 	defaultStartingDeadline = 15 * time.Minute
 	maxStartingDeadline     = 7 * 24 * time.Hour
-	maxExpectedCost         = 24 * time.Hour
+	maxExpectedWork         = 24 * time.Hour
 	maxMaxJitter            = 12 * time.Hour
 )
 
@@ -32,8 +32,8 @@
 	Account string
 	Path    string // the request target of the jobs
 	Body    string
-	// ExpectedCost is how long a job is expected to take; 0: not stated.
-	ExpectedCost time.Duration
+	// ExpectedWork is how long a job is expected to take; 0: not stated.
+	ExpectedWork time.Duration
 	// StartingDeadline is how late an occurrence may still be fired. A later one counts as missed.
 	StartingDeadline time.Duration
 	// Coalesce fires only the last of several occurrences that could not be fired in time.
@@ -125,7 +125,7 @@
 }
 
 var durationOptions = map[string]durationOption{
-	"cost": {func(t *Trigger) *time.Duration { return &t.ExpectedCost }, time.Microsecond, maxExpectedCost},
+	"cost": {func(t *Trigger) *time.Duration { return &t.ExpectedWork }, time.Microsecond, maxExpectedWork},
 	"late": {func(t *Trigger) *time.Duration { return &t.StartingDeadline }, time.Second,
 		maxStartingDeadline},
 	"spread": {func(t *Trigger) *time.Duration { return &t.MaxJitter }, 0, maxMaxJitter},
--- a/internal/frontend/faktory/front.go
+++ b/internal/frontend/faktory/front.go
@@ -230,7 +230,7 @@
 	}
 	if f.routes != nil {
 		d = f.routes.Decide(&routing.Job{Frontend: "faktory", Class: t.Class, Tenant: tenant, Queue: j.Queue,
-			JobType: j.Type, CostHint: t.ExpectedWork, ID: t.ID})
+			JobType: j.Type, ExpectedWork: t.ExpectedWork, ID: t.ID})
 		t.Class, t.Route, t.MaxAttempts, t.AttemptTimeout = d.Class, d.Route, d.MaxAttempts, d.AttemptTimeout
 		if d.RejectReason != "" {
 			return t, d, nil
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -97,15 +97,15 @@
 	if f.routes != nil {
 		path, _, _ := strings.Cut(m.Target, "?")
 		job := routing.Job{
-			Frontend: "http",
-			Class:    r.Class,
-			Tenant:   r.Tenant,
-			Host:     m.Get("Host"),
-			Path:     path,
-			Header:   m.Get,
-			RouteKey: m.Get("X-Route-Key"),
-			CostHint: r.ExpectedWork,
-			ID:       r.ID,
+			Frontend:     "http",
+			Class:        r.Class,
+			Tenant:       r.Tenant,
+			Host:         m.Get("Host"),
+			Path:         path,
+			Header:       m.Get,
+			RouteKey:     m.Get("X-Route-Key"),
+			ExpectedWork: r.ExpectedWork,
+			ID:           r.ID,
 		}
 		if m.Get("X-Tenant-Id") == "" {
 			job.Tenant = -1
--- a/internal/node/explainroute.go
+++ b/internal/node/explainroute.go
@@ -59,16 +59,16 @@
 
 func (x *routeExplainer) jobOf(front string, in *schema.ExplainRouteRequest) (*routing.Job, error) {
 	job := &routing.Job{
-		Frontend: front,
-		Class:    slices.Index(x.names.Classes, in.Class),
-		Host:     in.Host,
-		Path:     in.Path,
-		Tenant:   slices.Index(x.names.Tenants, in.Tenant),
-		RouteKey: in.Key,
-		Queue:    in.Queue,
-		JobType:  in.Jobtype,
-		Header:   func(name string) string { return in.Header[name] },
-		CostHint: time.Duration(in.CostUs) * time.Microsecond,
+		Frontend:     front,
+		Class:        slices.Index(x.names.Classes, in.Class),
+		Host:         in.Host,
+		Path:         in.Path,
+		Tenant:       slices.Index(x.names.Tenants, in.Tenant),
+		RouteKey:     in.Key,
+		Queue:        in.Queue,
+		JobType:      in.Jobtype,
+		Header:       func(name string) string { return in.Header[name] },
+		ExpectedWork: time.Duration(in.CostUs) * time.Microsecond,
 	}
 	if in.Class != "" && job.Class < 0 {
 		return nil, fmt.Errorf("there is no class %q", in.Class)
@@ -87,7 +87,7 @@
 	if r, ok := d.Route.(*routing.Route); ok && r != nil {
 		pools = r.PoolNames()
 	}
-	request := broker.Request{Class: d.Class, Tenant: max(job.Tenant, 0), ExpectedWork: job.CostHint,
+	request := broker.Request{Class: d.Class, Tenant: max(job.Tenant, 0), ExpectedWork: job.ExpectedWork,
 		Route:       d.Route,
 		MaxAttempts: d.MaxAttempts, Timeout: x.local.Classes[d.Class].Timeout}
 	for n, pool := range pools {
--- a/internal/node/schedule.go
+++ b/internal/node/schedule.go
@@ -271,7 +271,7 @@
 func (s *scheduleDriver) jobOf(o *occurrence, t *schedule.Trigger) platform.ScheduledRequest {
 	return platform.ScheduledRequest{ID: o.IdempotencyKey(), Class: slices.Index(s.names.Classes, t.Class),
 		Tenant: max(slices.Index(s.names.Tenants, t.Tenant), 0), Account: t.Account, Path: t.Path,
-		Body: t.Body, ExpectedWork: t.ExpectedCost, Timeout: s.deadline[t.Class],
+		Body: t.Body, ExpectedWork: t.ExpectedWork, Timeout: s.deadline[t.Class],
 		IsRetry: o.Redelivered || o.attempts > 1}
 }
 
--- a/internal/proxy/routing/compile_rule.go
+++ b/internal/proxy/routing/compile_rule.go
@@ -18,8 +18,8 @@
 func (c *compiler) compileRule(n int) {
 	spec, at := &c.file.Rules[n], c.ruleElement(n)
 	r := &Rule{Number: n + 1, Name: spec.Name, Position: c.file.position(ruleArray, n, ""), spec: spec,
-		class: noClass, minCost: time.Duration(spec.Match.MinCost),
-		costBelow: time.Duration(spec.Match.CostBelow)}
+		class: noClass, minWork: time.Duration(spec.Match.MinWork),
+		workBelow: time.Duration(spec.Match.WorkBelow)}
 	c.table.rules = append(c.table.rules, r)
 	c.checkHeaderText(at, "name", spec.Name)
 	c.checkHeaderText(at, "refuse", spec.RejectReason)
@@ -73,8 +73,8 @@
 		}
 		r.headers = append(r.headers, headerMatch{name, m.Headers[name]})
 	}
-	if r.costBelow > 0 && r.costBelow <= r.minCost {
-		c.addProblem(at, key, "no cost is from %v and below %v", r.minCost, r.costBelow)
+	if r.workBelow > 0 && r.workBelow <= r.minWork {
+		c.addProblem(at, key, "no cost is from %v and below %v", r.minWork, r.workBelow)
 	}
 }
 
--- a/internal/proxy/routing/enumerate.go
+++ b/internal/proxy/routing/enumerate.go
@@ -54,7 +54,7 @@
 type jobSpace struct {
 	names                                        KnownNames
 	frontends, hosts, paths, queues, types, keys valueSet
-	costs                                        []time.Duration
+	work                                         []time.Duration
 	headers                                      map[string]valueSet
 	headerNames                                  []string
 }
@@ -71,7 +71,7 @@
 func newJobSpace(names KnownNames) *jobSpace {
 	return &jobSpace{names: names, frontends: valueSet{FrontendHTTP, FrontendFaktory}, hosts: valueSet{""},
 		paths: valueSet{""}, queues: valueSet{""}, types: valueSet{""}, keys: valueSet{""},
-		costs: []time.Duration{0}, headers: map[string]valueSet{}}
+		work: []time.Duration{0}, headers: map[string]valueSet{}}
 }
 
 // addRule adds the values that a rule distinguishes.
@@ -101,9 +101,9 @@
 	if m.RouteKeyPrefix != "" {
 		s.keys.add(m.RouteKeyPrefix)
 	}
-	for _, cost := range []time.Duration{time.Duration(m.MinCost), time.Duration(m.CostBelow)} {
-		if cost > 0 && !slices.Contains(s.costs, cost) {
-			s.costs = append(s.costs, cost)
+	for _, work := range []time.Duration{time.Duration(m.MinWork), time.Duration(m.WorkBelow)} {
+		if work > 0 && !slices.Contains(s.work, work) {
+			s.work = append(s.work, work)
 		}
 	}
 	if len(r.Split) > 0 {
@@ -116,7 +116,7 @@
 // sizes returns how many values each property takes, in the order that job expects.
 func (s *jobSpace) sizes() []int {
 	sizes := []int{len(s.frontends), len(s.names.Classes) + 1, len(s.names.Tenants) + 1, len(s.hosts),
-		len(s.paths), len(s.queues), len(s.types), len(s.keys), len(s.costs)}
+		len(s.paths), len(s.queues), len(s.types), len(s.keys), len(s.work)}
 	for _, h := range s.headerNames {
 		sizes = append(sizes, len(s.headers[h]))
 	}
@@ -131,7 +131,7 @@
 	}
 	return &Job{Frontend: s.frontends[at[0]], Class: at[1] - 1, Tenant: at[2] - 1, Host: s.hosts[at[3]],
 		Path: s.paths[at[4]], Queue: s.queues[at[5]], JobType: s.types[at[6]], RouteKey: s.keys[at[7]],
-		CostHint: s.costs[at[8]], ID: "job", headers: headers,
+		ExpectedWork: s.work[at[8]], ID: "job", headers: headers,
 		Header: func(name string) string { return headers[name] }}
 }
 
@@ -156,8 +156,8 @@
 	add("queue", j.Queue)
 	add("type", j.JobType)
 	add("key", j.RouteKey)
-	if j.CostHint > 0 {
-		add("cost", j.CostHint.String())
+	if j.ExpectedWork > 0 {
+		add("cost", j.ExpectedWork.String())
 	}
 	for _, name := range slices.Sorted(maps.Keys(j.headers)) {
 		add("header "+name+":", j.headers[name])
--- a/internal/proxy/routing/file.go
+++ b/internal/proxy/routing/file.go
@@ -86,8 +86,8 @@
 	PathPrefixes   []string          `toml:"path_prefix"` // of the path without the query
 	Headers        map[string]string `toml:"header"`      // all of them; "*": any value
 	RouteKeyPrefix string            `toml:"key_prefix"`
-	MinCost        duration          `toml:"cost_from"` // of the cost hint
-	CostBelow      duration          `toml:"cost_below"`
+	MinWork        duration          `toml:"cost_from"` // of the expected work
+	WorkBelow      duration          `toml:"cost_below"`
 }
 
 // SplitSpec is a part of a split.
--- a/internal/proxy/routing/shadow.go
+++ b/internal/proxy/routing/shadow.go
@@ -39,8 +39,8 @@
 		listCovers(a.Frontends, b.Frontends, equal) && listCovers(a.Queues, b.Queues, equal) &&
 		listCovers(a.JobTypes, b.JobTypes, equal) && listCovers(a.Hosts, b.Hosts, isHostWithin) &&
 		listCovers(a.PathPrefixes, b.PathPrefixes, isPathWithin) &&
-		strings.HasPrefix(b.RouteKeyPrefix, a.RouteKeyPrefix) && a.MinCost <= b.MinCost &&
-		(a.CostBelow == 0 || b.CostBelow > 0 && b.CostBelow <= a.CostBelow)
+		strings.HasPrefix(b.RouteKeyPrefix, a.RouteKeyPrefix) && a.MinWork <= b.MinWork &&
+		(a.WorkBelow == 0 || b.WorkBelow > 0 && b.WorkBelow <= a.WorkBelow)
 }
 
 // listCovers reports whether each element of inner is within one of outer; an empty list matches anything.
--- a/internal/proxy/routing/table.go
+++ b/internal/proxy/routing/table.go
@@ -14,17 +14,17 @@
 
 // Job is what rules can know of a job.
 type Job struct {
-	Frontend string // FrontendHTTP or FrontendFaktory
-	Class    int    // below 0: it names none
-	Tenant   int    // below 0: it names none
-	Host     string
-	Path     string
-	Header   func(name string) string // nil: it has none
-	RouteKey string
-	CostHint time.Duration
-	Queue    string
-	JobType  string
-	ID       string
+	Frontend     string // FrontendHTTP or FrontendFaktory
+	Class        int    // below 0: it names none
+	Tenant       int    // below 0: it names none
+	Host         string
+	Path         string
+	Header       func(name string) string // nil: it has none
+	RouteKey     string
+	ExpectedWork time.Duration
+	Queue        string
+	JobType      string
+	ID           string
 
 	headers map[string]string // what Header returns, for DescribeJob
 }
@@ -52,8 +52,8 @@
 	split       []*Route // by the index in spec.Split
 	totalWeight int      // of the split
 	headers     []headerMatch
-	minCost     time.Duration
-	costBelow   time.Duration // 0: no limit
+	minWork     time.Duration
+	workBelow   time.Duration // 0: no limit
 }
 
 // headerMatch is a header that a job must have, with a value or anyValue.
@@ -156,7 +156,7 @@
 			return false
 		}
 	}
-	if j.CostHint < r.minCost || r.costBelow > 0 && j.CostHint >= r.costBelow {
+	if j.ExpectedWork < r.minWork || r.workBelow > 0 && j.ExpectedWork >= r.workBelow {
 		return false
 	}
 	return strings.HasPrefix(j.RouteKey, r.spec.Match.RouteKeyPrefix)
--- a/internal/proxy/routing/table_test.go
+++ b/internal/proxy/routing/table_test.go
@@ -57,8 +57,8 @@
 	return in(m.Classes, name(names.Classes, j.Class)) && in(m.Tenants, name(names.Tenants, j.Tenant)) &&
 		in(m.Frontends, j.Frontend) && in(m.Queues, j.Queue) && in(m.JobTypes, j.JobType) && hostMatches &&
 		pathMatches && strings.HasPrefix(j.RouteKey, m.RouteKeyPrefix) &&
-		j.CostHint >= time.Duration(m.MinCost) &&
-		(m.CostBelow == 0 || j.CostHint < time.Duration(m.CostBelow))
+		j.ExpectedWork >= time.Duration(m.MinWork) &&
+		(m.WorkBelow == 0 || j.ExpectedWork < time.Duration(m.WorkBelow))
 }
 
 func drawRule(t *rapid.T, n int) RuleSpec {
@@ -77,8 +77,8 @@
 	if rapid.IntRange(0, 3).Draw(t, "with header") == 0 {
 		m.Headers = map[string]string{"X-A": rapid.SampledFrom([]string{"*", "1"}).Draw(t, "header match")}
 	}
-	if rapid.IntRange(0, 3).Draw(t, "with cost") == 0 {
-		m.MinCost, m.CostBelow = duration(time.Second), duration(2*time.Second)
+	if rapid.IntRange(0, 3).Draw(t, "with expected work") == 0 {
+		m.MinWork, m.WorkBelow = duration(time.Second), duration(2*time.Second)
 	}
 	return RuleSpec{Name: fmt.Sprint("r", n), Match: m}
 }
@@ -87,15 +87,15 @@
 	one := func(what string, of ...string) string { return rapid.SampledFrom(of).Draw(t, what) }
 	header := one("header", "", "1", "2")
 	return &Job{
-		Frontend: one("frontend", FrontendHTTP, FrontendFaktory),
-		Class:    rapid.IntRange(-1, 2).Draw(t, "class"),
-		Tenant:   rapid.IntRange(-1, 1).Draw(t, "tenant"),
-		Host:     one("host", "", "a.org", "b.org:80", "x.a.org", "z.x.a.org", "aa.org"),
-		Path:     one("path", "", "/", "/a", "/a/b/c", "/d"),
-		RouteKey: one("route key", "", "k1", "l"),
-		Queue:    one("queue", "", "q"),
-		CostHint: time.Duration(rapid.IntRange(0, 3).Draw(t, "cost hint")) * time.Second,
-		Header:   func(string) string { return header },
+		Frontend:     one("frontend", FrontendHTTP, FrontendFaktory),
+		Class:        rapid.IntRange(-1, 2).Draw(t, "class"),
+		Tenant:       rapid.IntRange(-1, 1).Draw(t, "tenant"),
+		Host:         one("host", "", "a.org", "b.org:80", "x.a.org", "z.x.a.org", "aa.org"),
+		Path:         one("path", "", "/", "/a", "/a/b/c", "/d"),
+		RouteKey:     one("route key", "", "k1", "l"),
+		Queue:        one("queue", "", "q"),
+		ExpectedWork: time.Duration(rapid.IntRange(0, 3).Draw(t, "expected work")) * time.Second,
+		Header:       func(string) string { return header },
 	}
 }
 
--- a/internal/verify/expect/file.go
+++ b/internal/verify/expect/file.go
@@ -67,18 +67,18 @@
 
 // Job is a job that might come.
 type Job struct {
-	Name     string            `toml:"name"`
-	Frontend string            `toml:"front"` // as package routing has them; empty: HTTP
-	Class    string            `toml:"class"`
-	Tenant   string            `toml:"tenant"`
-	Host     string            `toml:"host"`
-	Path     string            `toml:"path"`
-	Headers  map[string]string `toml:"header"`
-	RouteKey string            `toml:"key"`
-	CostHint duration          `toml:"cost"`
-	Queue    string            `toml:"queue"`
-	JobType  string            `toml:"jobtype"`
-	Timeout  duration          `toml:"timeout"` // 0: the class's
+	Name         string            `toml:"name"`
+	Frontend     string            `toml:"front"` // as package routing has them; empty: HTTP
+	Class        string            `toml:"class"`
+	Tenant       string            `toml:"tenant"`
+	Host         string            `toml:"host"`
+	Path         string            `toml:"path"`
+	Headers      map[string]string `toml:"header"`
+	RouteKey     string            `toml:"key"`
+	ExpectedWork duration          `toml:"cost"`
+	Queue        string            `toml:"queue"`
+	JobType      string            `toml:"jobtype"`
+	Timeout      duration          `toml:"timeout"` // 0: the class's
 }
 
 // Expectation is what is expected of a job.
--- a/internal/verify/expect/mutation.go
+++ b/internal/verify/expect/mutation.go
@@ -96,7 +96,7 @@
 	add(len(match.PathPrefixes) > 0, "for any path", func(m *routing.MatchSpec) { m.PathPrefixes = nil })
 	add(len(match.Headers) > 0, "for any header", func(m *routing.MatchSpec) { m.Headers = nil })
 	add(len(match.Queues) > 0, "for any queue", func(m *routing.MatchSpec) { m.Queues = nil })
-	add(match.CostBelow > 0, "for any cost", func(m *routing.MatchSpec) { m.CostBelow = 0 })
+	add(match.WorkBelow > 0, "for any cost", func(m *routing.MatchSpec) { m.WorkBelow = 0 })
 	return list
 }
 
--- a/internal/verify/expect/resolve.go
+++ b/internal/verify/expect/resolve.go
@@ -89,7 +89,7 @@
 		return s.errorAt("job", i, "%s: there is no tenant %q", j.Name, j.Tenant)
 	case j.Frontend != "" && j.Frontend != routing.FrontendHTTP && j.Frontend != routing.FrontendFaktory:
 		return s.errorAt("job", i, "%s: front: %q is not http or faktory", j.Name, j.Frontend)
-	case j.CostHint < 0 || j.Timeout < 0:
+	case j.ExpectedWork < 0 || j.Timeout < 0:
 		return s.errorAt("job", i, "%s: cost or timeout is below 0", j.Name)
 	}
 	s.jobs[j.Name] = j
--- a/internal/verify/expect/run.go
+++ b/internal/verify/expect/run.go
@@ -114,17 +114,17 @@
 		frontend = routing.FrontendHTTP
 	}
 	return &routing.Job{
-		Frontend: frontend,
-		Class:    slices.Index(s.knownNames.Classes, j.Class),
-		Tenant:   slices.Index(s.knownNames.Tenants, j.Tenant),
-		Host:     j.Host,
-		Path:     j.Path,
-		Header:   func(name string) string { return j.Headers[name] },
-		RouteKey: j.RouteKey,
-		CostHint: time.Duration(j.CostHint),
-		Queue:    j.Queue,
-		JobType:  j.JobType,
-		ID:       requestID,
+		Frontend:     frontend,
+		Class:        slices.Index(s.knownNames.Classes, j.Class),
+		Tenant:       slices.Index(s.knownNames.Tenants, j.Tenant),
+		Host:         j.Host,
+		Path:         j.Path,
+		Header:       func(name string) string { return j.Headers[name] },
+		RouteKey:     j.RouteKey,
+		ExpectedWork: time.Duration(j.ExpectedWork),
+		Queue:        j.Queue,
+		JobType:      j.JobType,
+		ID:           requestID,
 	}
 }
 
--- a/internal/verify/expect/simulation.go
+++ b/internal/verify/expect/simulation.go
@@ -20,7 +20,7 @@
 	healthCheckLatency = time.Millisecond       // of a worker that is reachable
 	connectTimeout     = 250 * time.Millisecond // of an attempt at a worker that is not
 	errorLatency       = 5 * time.Millisecond   // until a worker responds with an error, or that it is full
-	defaultServiceTime = time.Second            // of a job without cost hint
+	defaultServiceTime = time.Second            // of a job whose expected work is unknown
 	// defaultJobDelay is how long after the endpoint list a job comes, if the expectation gives no delay: the
 	// first health checks have ended.
 	defaultJobDelay = 200 * time.Millisecond
@@ -118,7 +118,7 @@
 		Class:          d.Class,
 		Tenant:         max(slices.Index(s.knownNames.Tenants, j.Tenant), 0),
 		Timeout:        timeout,
-		ExpectedWork:   time.Duration(j.CostHint),
+		ExpectedWork:   time.Duration(j.ExpectedWork),
 		Payload:        j,
 		Route:          d.Route,
 		MaxAttempts:    d.MaxAttempts,
@@ -162,8 +162,8 @@
 }
 
 func serviceTime(a broker.Attempt) time.Duration {
-	if j, ok := a.Payload.(*Job); ok && j.CostHint > 0 {
-		return time.Duration(j.CostHint)
+	if j, ok := a.Payload.(*Job); ok && j.ExpectedWork > 0 {
+		return time.Duration(j.ExpectedWork)
 	}
 	return defaultServiceTime
 }
