--- a/internal/cluster/schedule/doc.go
+++ b/internal/cluster/schedule/doc.go
@@ -1,6 +1,6 @@
 // Package schedule fires triggers exactly once over a group of instances. It has no I/O, no clock and no
 // goroutine: it consists of the replicated State, of the Scheduler that each instance runs for the triggers
-// it owns, and of the Leader's part.
+// it owns, and of the Leader, which the group's leader runs.
 //
 // A trigger belongs to a shard, and placement assigns each shard to one of the instances that have an open
 // session and whose clock and zone rules agree with the others'. The owner proposes an intent to the
--- a/internal/cluster/schedule/leader.go
+++ b/internal/cluster/schedule/leader.go
@@ -33,8 +33,7 @@
 	receivedAt time.Duration // on the leader's monotonic clock
 }
 
-// Leader is the leader's part, for one term: it keeps the cluster time and decides who may own no shard. It
-// is used by one goroutine.
+// Leader keeps the cluster time and decides who may own no shard, for one term. It is used by one goroutine.
 type Leader struct {
 	term             uint64
 	readings         map[uint64]receivedReading // by member
--- a/internal/cluster/schedule/participant.go
+++ b/internal/cluster/schedule/participant.go
@@ -22,7 +22,7 @@
 	return c.ClusterTime + int64(now-c.ObservedAt)
 }
 
-// participant is an instance's part: the scheduler of what it owns and, while it leads, the leader.
+// participant runs an instance's Scheduler and, while the instance leads, its Leader.
 type participant struct {
 	local            replicated.LocalInfo
 	scheduler        *Scheduler
--- a/internal/cluster/schedule/scheduler.go
+++ b/internal/cluster/schedule/scheduler.go
@@ -8,8 +8,7 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// Scheduler is an instance's part: it proposes the commands for the shards that the instance owns. It is used
-// by one goroutine.
+// Scheduler proposes the commands for the shards that an instance owns. It is used by one goroutine.
 type Scheduler struct {
 	zones            *calendar.ZoneDB
 	policy           *Policy
--- a/internal/cluster/schedule/statemachine.go
+++ b/internal/cluster/schedule/statemachine.go
@@ -46,7 +46,8 @@
 	return ParsePolicy(c.Values, KnownNames{Classes: c.ClassNames(), Tenants: c.Tenants})
 }
 
-// StateMachine makes a State of the document, the log and the snapshots that the group shares.
+// StateMachine adapts a State to replicated.StateMachine: it decodes what the group's document, log and
+// snapshots have of it.
 type StateMachine struct {
 	*State
 	classes []replicated.Class
