--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -257,12 +257,12 @@
 // inFirstFormat is a state as a program of the first format has it.
 func inFirstFormat(t testing.TB, state *clusterstate.State) *clusterstate.State {
 	t.Helper()
-	image := strings.Replace(string(state.Encode()), fmt.Sprintf(`"format":%d`, clusterstate.LatestFormat),
+	encoded := strings.Replace(string(state.Encode()), fmt.Sprintf(`"format":%d`, clusterstate.LatestFormat),
 		`"format":1`, 1)
-	image = regexp.MustCompile(`,"sessions":\[.*?\],"epoch":\d+`).ReplaceAllString(image, "")
-	old, err := clusterstate.Restore(clusterstate.Rules{}, []byte(image))
+	encoded = regexp.MustCompile(`,"sessions":\[.*?\],"epoch":\d+`).ReplaceAllString(encoded, "")
+	old, err := clusterstate.Restore(clusterstate.Rules{}, []byte(encoded))
 	if err != nil || old.Format() != 1 {
-		t.Fatalf("%v: %s", err, image)
+		t.Fatalf("%v: %s", err, encoded)
 	}
 	return old
 }
--- a/internal/cluster/consensus/instance.go
+++ b/internal/cluster/consensus/instance.go
@@ -43,7 +43,7 @@
 	i := &Instance{
 		replica:      r,
 		requests:     requests,
-		proposals:    &proposals{replica: r, requests: requests, sessions: s},
+		proposals:    &proposals{replica: r, requests: requests, formats: s.formats},
 		reads:        &reads{replica: r, requests: requests},
 		membership:   &membershipChanges{replica: r, requests: requests},
 		transfers:    &leaderTransfers{replica: r, requests: requests},
--- a/internal/cluster/consensus/proposals.go
+++ b/internal/cluster/consensus/proposals.go
@@ -15,7 +15,7 @@
 type proposals struct {
 	replica  *replica
 	requests *requestTable
-	sessions *sessions
+	formats  *formatTracker
 }
 
 // Propose asks for a change of the configuration. What would be rejected anyway gets its Response at once
@@ -48,7 +48,7 @@
 	if p.replica.state.Format() >= rolloutFormat {
 		return nil
 	}
-	old, silent := p.sessions.outdatedMembers()
+	old, silent := p.formats.outdated()
 	switch {
 	case len(old) > 0:
 		// A program that knows no staging would run the change as soon as it is committed.
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -29,7 +29,7 @@
 	Stage           *clusterstate.Revision // the fronts must be made ready for this change; see ReportStaged
 	ClusterView     *ClusterView           // of placement and this instance's session, likewise
 	// Notifications are what participants send to the rest of the node, in order, after the ClusterView.
-	// Their type says whose they are.
+	// Each participant has types of its own.
 	Notifications []any
 }
 
--- a/internal/cluster/consensus/recovered_state.go
+++ b/internal/cluster/consensus/recovered_state.go
@@ -27,7 +27,7 @@
 func (s *RecoveredState) RestoreSnapshot(b []byte) error {
 	var stored schema.Image
 	if err := proto.Unmarshal(b, &stored); err != nil {
-		return fmt.Errorf("the image can't be read: %w", err)
+		return fmt.Errorf("the snapshot can't be read: %w", err)
 	}
 	s.identity = stored.Identity
 	if len(stored.HardState) > 0 {
--- a/internal/cluster/consensus/replica.go
+++ b/internal/cluster/consensus/replica.go
@@ -127,7 +127,7 @@
 // propose proposes a command that its proposer makes again if Raft drops it.
 func (r *replica) propose(data []byte) { _ = r.node.Propose(data) }
 
-// available says why this instance can't take a request, if so.
+// available is why this instance can't take a request, or nil.
 func (r *replica) available() error {
 	switch {
 	case r.node == nil:
--- a/internal/cluster/consensus/runner.go
+++ b/internal/cluster/consensus/runner.go
@@ -40,7 +40,8 @@
 	OnStage func(clusterstate.Revision)
 	// OnClusterView gets the placement views and the instance's session, whenever they change.
 	OnClusterView func(ClusterView)
-	// OnNotification gets what participants send to the rest of the node. Its type says whose it is.
+	// OnNotification gets what participants send to the rest of the node. Each has types of its
+	// own.
 	OnNotification func(notification any)
 }
 
--- a/internal/cluster/consensus/sessions.go
+++ b/internal/cluster/consensus/sessions.go
@@ -6,7 +6,6 @@
 
 	"go.etcd.io/raft/v3"
 
-	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/cluster/placement"
 	"moorstack/internal/cluster/rollout"
 	"moorstack/internal/schema"
@@ -22,7 +21,7 @@
 	lease        *rollout.LeaseHolder
 	leader       *rollout.Leader // nil unless it leads, and has applied an entry of its term
 	confirmation leaseConfirmation
-	formats      formatTracker
+	formats      *formatTracker
 
 	reportedTo uint64 // the leader that was reported to last
 	leaderSeen bool   // a leader was known at any time since the start
@@ -34,17 +33,11 @@
 	departingMembers map[uint64]bool
 }
 
-// formatTracker knows the newest format of the log that each member reads, as it reports itself.
-type formatTracker struct {
-	formats    map[uint64]uint32
-	proposedAt uint64 // tick at which the upgrade was proposed last
-}
-
 func newSessions(r *replica, o *ownership) *sessions {
 	s := &sessions{replica: r, ownership: o,
 		lease:            rollout.NewLeaseHolder(r.identity.Id, r.rng.Uint64()|1),
 		confirmation:     leaseConfirmation{waiting: map[uint64]rollout.Report{}},
-		formats:          formatTracker{formats: map[uint64]uint32{}},
+		formats:          &formatTracker{replica: r, formats: map[uint64]uint32{}},
 		departingMembers: map[uint64]bool{},
 	}
 	s.participants = newParticipants(r, s, o)
@@ -75,13 +68,6 @@
 	i.sessions.evaluate()
 }
 
-// ObserveFormat takes which format of the log a member reads, as it reports itself.
-func (i *Instance) ObserveFormat(member uint64, format uint32) {
-	if f := i.sessions.formats.formats; len(f) < maxTrackedMembers {
-		f[member] = format
-	}
-}
-
 // StepSession takes a session message of another instance: a report, a grant or both.
 func (i *Instance) StepSession(from uint64, m *schema.SessionMessage) error {
 	if i.node == nil || i.state == nil {
@@ -119,8 +105,8 @@
 		st := r.node.BasicStatus()
 		s.leaderSeen = s.leaderSeen || st.Lead != raft.None
 		s.updateLeadership(st)
-		if r.state.Format() < clusterstate.LatestFormat {
-			s.proposeFormatUpgrade()
+		if s.leader != nil {
+			s.formats.proposeUpgrade()
 		}
 		if r.state.Format() >= rolloutFormat {
 			s.lease.ObserveState(r.state.Rollout())
@@ -268,34 +254,6 @@
 	s.participants.proposeDecisions()
 }
 
-// proposeFormatUpgrade proposes the newest format of the log, once every member is known to read it.
-func (s *sessions) proposeFormatUpgrade() {
-	r := s.replica
-	old, silent := s.outdatedMembers()
-	if s.leader == nil || len(old)+len(silent) > 0 ||
-		r.ticks-s.formats.proposedAt < uint64(r.cfg.ElectionTicks) {
-		return
-	}
-	s.formats.proposedAt = r.ticks
-	r.propose(encodeEntry(&schema.Change{Format: clusterstate.LatestFormat, Enter: true}))
-}
-
-// outdatedMembers names the members that have reported that they read an older format, and those that have
-// reported nothing to this instance: followers seldom send each other messages.
-func (s *sessions) outdatedMembers() (old, silent []string) {
-	for _, m := range s.replica.state.Members() {
-		format, known := s.formats.formats[m.ID]
-		switch {
-		case m.ID == s.replica.identity.Id || format >= clusterstate.LatestFormat:
-		case known:
-			old = append(old, m.Name)
-		default:
-			silent = append(silent, m.Name)
-		}
-	}
-	return old, silent
-}
-
 // emitPermit puts into the effects whether the fronts may admit jobs, when that has changed.
 func (s *sessions) emitPermit() {
 	r := s.replica
