--- a/internal/cluster/transport/network.go
+++ b/internal/cluster/transport/network.go
@@ -40,6 +40,19 @@
 	clientKeepalive   = 2 * time.Second // without a response to a ping, until a connection is closed
 )
 
+// Runner is the instance that messages are for and from: a consensus.Runner.
+type Runner interface {
+	Status() consensus.Status
+	View(context.Context, func(*clusterstate.State)) error
+	Deliver(from clusterstate.Member, m *pb.Message)
+	DeliverSession(from clusterstate.Member, m *schema.SessionMessage, format uint32)
+	ReportSnapshot(to uint64, ok bool)
+	ReportUnreachable(id uint64)
+	ReportRemoved()
+	Join(ctx context.Context, cluster string) error
+	Operate(ctx context.Context, op *schema.Operation, number uint64) error
+}
+
 // Network is this instance's side of the network between instances. Its methods may be called from any
 // goroutine, but for AttachRunner and the Handle methods, which come before Serve.
 type Network struct {
@@ -49,7 +62,7 @@
 	program string
 	source  string // the address that it connects from; empty: any
 
-	runner   *consensus.Runner
+	runner   Runner
 	handlers handlers
 
 	mu       sync.Mutex
@@ -69,7 +82,10 @@
 	describe   func(*schema.Description)
 }
 
-var _ consensus.Transport = (*Network)(nil)
+var (
+	_ consensus.Transport = (*Network)(nil)
+	_ Runner              = (*consensus.Runner)(nil)
+)
 
 // New makes the network of an instance of that name, which others reach at the address. source is the address
 // that it connects from; empty: any. program is the version that it gives in a Description.
@@ -79,7 +95,7 @@
 }
 
 // AttachRunner sets whose messages the network carries. It must be called before Serve.
-func (n *Network) AttachRunner(r *consensus.Runner) { n.runner = r }
+func (n *Network) AttachRunner(r Runner) { n.runner = r }
 
 // HandleOutlierReports sets what takes the outlier reports of other instances. It must be called before
 // Serve.
@@ -125,7 +141,8 @@
 		return
 	}
 	if m.GetType() == pb.MsgSnap {
-		go l.sendSnapshot(m) // Raft has one at a time under way to each
+		// Raft has one at a time under way to each. It ends by itself, with snapshotTimeout.
+		go l.sendSnapshot(m)
 		return
 	}
 	l.enqueue(outgoing{message: m, to: m.GetTo()})
@@ -172,7 +189,7 @@
 	return err
 }
 
-// Close ends all connections to peers.
+// Close ends all connections to peers, and with them the goroutines that send. It does not wait for those.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
