--- a/internal/cluster/ratelimit/accounting_test.go
+++ b/internal/cluster/ratelimit/accounting_test.go
@@ -7,51 +7,60 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// truth is the bucket that every admission takes a job from.
-type truth struct {
-	level float64
-	at    time.Duration
+// trueBucket is the bucket from which every admission takes a token.
+type trueBucket struct {
+	level      float64
+	refilledAt time.Duration
 }
 
-func (w *world) truth(k Key) *truth {
-	l, _ := w.policy.LimitOf(k)
-	x := w.true[k]
-	if x == nil {
-		x = &truth{level: l.Burst}
-		w.true[k] = x
+func (s *simulation) trueBucketOf(k Key) *trueBucket {
+	limit, _ := s.policy.LimitOf(k)
+	b := s.trueBuckets[k]
+	if b == nil {
+		b = &trueBucket{level: limit.Burst}
+		s.trueBuckets[k] = b
 	}
-	x.level = min(l.Burst, x.level+l.Rate*w.fast*(w.now-x.at).Seconds())
-	x.at = w.now
-	return x
+	elapsed := (s.now - b.refilledAt).Seconds()
+	b.level = min(limit.Burst, b.level+limit.Rate*s.fastestClock*elapsed)
+	b.refilledAt = s.now
+	return b
 }
 
-// covered finds a bucket of which an owner and the fronts have more than there is. It finds what no client
-// happens to use.
-func (n *node) covered(lent map[placement.Session][]Grant) {
-	w, all := n.w, map[Key]float64{}
-	for _, grants := range lent {
+// checkLevels finds a bucket of which an owner and the fronts have more than there is. It finds also what no
+// client happens to use.
+func (n *simNode) checkLevels(granted map[placement.Session][]Grant) {
+	s, onTheirWay := n.sim, map[Key]float64{}
+	for _, grants := range granted {
 		for _, g := range grants {
-			all[g.Key] += float64(g.Tokens)
+			onTheirWay[g.Key] += float64(g.Tokens)
 		}
 	}
-	for k, b := range n.authority.ledgers {
-		sum := all[k]
-		if n.clock() >= n.authority.shardLendableFrom(b.shard) {
-			sum += max(b.level, 0)
+	for k, l := range n.authority.ledgers {
+		sum := onTheirWay[k]
+		if n.clock() >= n.authority.lendableFrom(l.shard) {
+			sum += max(l.level, 0)
 		}
-		for _, x := range w.nodes {
-			if f := x.front.buckets[k]; f != nil && x.up && x.clock() < x.until {
-				if x.clock() < f.expiresAt {
-					sum += float64(f.tokens)
-				}
-				if x.clock() < f.previousExpiresAt {
-					sum += float64(f.previousTokens)
-				}
-			}
+		for _, front := range s.nodes {
+			sum += front.usableTokens(k)
 		}
-		if has := w.truth(k).level; sum > has+1e-6 && w.wrong == "" {
-			w.wrong = fmt.Sprintf("%v: at %v instance %d and the fronts have %.3f of %.3f", k, w.now, n.id,
-				sum, has)
+		if has := s.trueBucketOf(k).level; sum > has+1e-6 && s.violation == "" {
+			s.violation = fmt.Sprintf("%v: at %v instance %d and the fronts have %.3f of %.3f", k, s.now,
+				n.id, sum, has)
 		}
 	}
 }
+
+// usableTokens is how many lent tokens of a bucket a front could use now.
+func (n *simNode) usableTokens(k Key) (sum float64) {
+	b := n.limiter.buckets[k]
+	if b == nil || !n.alive || n.clock() >= n.leaseUntil {
+		return 0
+	}
+	if n.clock() < b.expiresAt {
+		sum += float64(b.tokens)
+	}
+	if n.clock() < b.previousExpiresAt {
+		sum += float64(b.previousTokens)
+	}
+	return sum
+}
--- a/internal/cluster/ratelimit/authority.go
+++ b/internal/cluster/ratelimit/authority.go
@@ -1,7 +1,6 @@
 package ratelimit
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -9,60 +8,32 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// unackedGrant is one that the front has not acknowledged.
-type unackedGrant struct {
-	seq    uint64
-	tokens int
-}
-
-// borrower is a front in a bucket.
-type borrower struct {
-	session       placement.Session
-	requestSeq    uint64
-	outstanding   int // the most that it can have
-	unacked       []unackedGrant
-	answeredAt    time.Duration // when it was answered last
-	wanted        int
-	requestSentAt time.Duration // on its clock
-	waiting       bool          // it waits for an answer
-	grantedAt     time.Duration // when it was last lent something
-}
-
-// ledger is a bucket at its authority.
-type ledger struct {
-	shard      int
-	limit      Limit
-	level      float64
-	refilledAt time.Duration
-	borrowers  map[placement.Session]*borrower
-	// What an owner inherited this one has lent, and when that has surely run out.
-	inherited      int
-	inheritedUntil time.Duration
-}
-
-// ownershipTerm is how a shard stands with this instance.
+// ownershipTerm is what an authority knows of a shard.
 type ownershipTerm struct {
-	owned             bool
-	previousLeaseEnds time.Duration // until when whoever had it before may lend yet, as far as is known
-	// Of one of ours: the view sinceView which it came, who had it before, and whether it is known how that
-	// one left it; then, since when buckets that are not known here have filled up.
+	owned bool // by this session
+	// previousLeaseEnds is until when an earlier owner may lend yet, as far as is known.
+	previousLeaseEnds time.Duration
+	// Of an owned shard: the view by which it came, and who owned it in the view before.
 	sinceView     uint64
 	previousOwner placement.Session
-	settled       bool
-	settledAt     time.Duration
+	// settled is that what earlier owners lent is known. Then buckets without a ledger have been filling
+	// from empty since settledAt.
+	settled   bool
+	settledAt time.Duration
 }
 
-// Authority lends slices of the buckets that are this instance's by placement.
+// Authority lends tokens of the buckets that this instance owns by placement.
 //
-// The invariant, at every moment: what is in the bucket, what is out, and all floors are at most the burst.
-// What is used counts as out until the front has said so; so in every window the admissions of all
-// fronts together are at most rate times its length and the burst, by this instance's clock.
+// The invariant, at every moment: the level of a bucket, the outstanding tokens and all floors together are
+// at most the burst. Used tokens count as outstanding until their front has reported that; so in every window
+// the admissions of all fronts together are at most the rate times the window and the burst, by this
+// instance's clock.
 type Authority struct {
 	policy       Policy
+	configuredAt time.Duration // with this policy
 	session      placement.Session
-	longestLease time.Duration   // the longest that was told
-	configuredAt time.Duration   // of the policy
-	shards       []ownershipTerm // by shard
+	longestLease time.Duration // of any session so far
+	shards       []ownershipTerm
 	revocation   revocation
 
 	table     *placement.Table
@@ -71,7 +42,7 @@
 	grantSeq  uint64
 }
 
-// NewAuthority owns nothing yet.
+// NewAuthority makes an authority that owns nothing yet.
 func NewAuthority() *Authority {
 	return &Authority{
 		ledgers:    map[Key]*ledger{},
@@ -80,266 +51,197 @@
 	}
 }
 
-// Configure takes over a policy. Hazard: what was lent under another one is void at every front that runs
-// this, so nothing is out; what had been spent is spent.
+// Configure takes over a policy.
+//
+// Hazard: grants under another policy are void at every front that runs this one, so nothing is outstanding;
+// but what was spent is spent.
 func (a *Authority) Configure(now time.Duration, p Policy) {
 	if p.Version == a.policy.Version {
 		return
 	}
-	for k, b := range a.ledgers {
-		a.refill(now, b)
-		l, ok := p.LimitOf(k)
+	for k, l := range a.ledgers {
+		a.refill(now, l)
+		limit, ok := p.LimitOf(k)
 		if !ok {
 			delete(a.ledgers, k)
 			continue
 		}
-		_, burst := p.lendable(l)
-		b.level, b.limit = min(b.level, burst), l
-		clear(b.borrowers)
+		_, burst := p.lendable(limit)
+		l.level, l.limit = min(l.level, burst), limit
+		clear(l.borrowers)
 	}
-	// Hazard: a bucket that is not known here had another limit, or none, and may have been used up a moment
-	// ago. It fills from here on.
+	// Hazard: a bucket without a ledger had another limit, or none, and may have been used up a moment ago.
+	// It fills from empty from here on.
 	a.configuredAt, a.policy = now, p
 }
 
-// SetView takes over who is there. Every view must be told, in order; skipped says that some were not. Lease
-// is the longest for which an earlier owner may still act by an older view.
+// SetView takes over a view of the group and this instance's own session in it; none if it has no session.
+// Every view must be passed, in order; skipped is that some were not. Lease is the longest for which an
+// earlier owner may act by an older view.
 //
-// Hazard: an earlier owner may have lent all there is a moment before it lost the shard, and may go on to
-// until its lease has surely run out. A shard that comes to us is lent from only when the last such slice has
-// surely run out, whatever the clocks' paces are. Where it is known that the owner has ended, its lease need
-// not be waited for.
+// Hazard: an earlier owner may have lent the whole bucket a moment before it lost the shard, and may go on
+// until its lease has surely expired. So a new owner lends only when the last such grant has surely expired,
+// whatever the rates of the clocks. An owner that is known to have ended has no lease to wait for.
 func (a *Authority) SetView(now time.Duration, t *placement.Table, own placement.Session, lease time.Duration,
 	skipped bool) {
-	same := own == a.session && !skipped
-	// Hazard: the configuration may name a shorter lease now than when an earlier owner's was granted.
-	if a.transfers = nil; !skipped {
+	sameSession := own == a.session && !skipped
+	a.transfers = nil
+	if !skipped {
 		a.prepareTransfers(now, t)
 	}
-	was := a.table
+	previous := a.table
+	// Hazard: the configuration may name a shorter lease now than when an earlier owner's was granted.
 	a.session, a.table, a.longestLease = own, t, max(a.longestLease, lease)
-	lasts := now + rollout.ExpiryWait(a.longestLease)
-	a.revocation.setView(t, was, lasts, skipped)
-	for s := range a.shards {
-		h := &a.shards[s]
-		m, ok := t.Owner(s)
-		x, had := was.Owner(s)
-		switch {
-		case skipped || !had:
-			h.previousLeaseEnds = lasts
-		case x.Session == m.Session && ok:
-		case slices.Contains(t.View.Expired, x.Session):
-			h.previousLeaseEnds = max(h.previousLeaseEnds, now)
-		default:
-			h.previousLeaseEnds = max(h.previousLeaseEnds, lasts)
-		}
-		mine := ok && own.Epoch != 0 && m.Session == own
-		if mine && !(same && h.owned) {
-			h.settled, h.sinceView, h.previousOwner = false, t.View.Number, placement.Session{}
-			// Hazard: where views were passed over, the owner in the last one seen was not the last one.
-			if had && !skipped {
-				h.previousOwner = x.Session
-			}
-		}
-		h.owned = mine
+	leaseEnds := now + rollout.ExpiryWait(a.longestLease)
+	a.revocation.setView(t, previous, leaseEnds, skipped)
+	for shard := range a.shards {
+		a.updateShard(now, shard, previous, leaseEnds, sameSession, skipped)
 	}
 	for k := range a.ledgers {
-		if !a.shards[placement.ShardOf(k.Account)].owned || !same {
+		if !a.shards[placement.ShardOf(k.Account)].owned || !sameSession {
 			delete(a.ledgers, k)
 		}
 	}
 	a.settleRevoked(now)
 }
 
-// lendableFrom is from when on an account may be lent from: once the last slice of an earlier owner, which
-// it may have lent up to the end of its last lease, has surely run out.
-func (a *Authority) lendableFrom(account string) time.Duration {
-	return a.shardLendableFrom(placement.ShardOf(account))
+// updateShard takes over who owns a shard by the view that was set.
+func (a *Authority) updateShard(now time.Duration, shard int, previous *placement.Table,
+	leaseEnds time.Duration, sameSession, skipped bool) {
+	term := &a.shards[shard]
+	owner, ok := a.table.Owner(shard)
+	before, had := previous.Owner(shard)
+	switch {
+	case skipped || !had:
+		term.previousLeaseEnds = leaseEnds
+	case before.Session == owner.Session && ok:
+		// The owner is the same.
+	case slices.Contains(a.table.View.Expired, before.Session):
+		term.previousLeaseEnds = max(term.previousLeaseEnds, now)
+	default:
+		term.previousLeaseEnds = max(term.previousLeaseEnds, leaseEnds)
+	}
+	owned := ok && a.session.Epoch != 0 && owner.Session == a.session
+	if owned && !(sameSession && term.owned) {
+		term.settled, term.sinceView = false, a.table.View.Number
+		term.previousOwner = placement.Session{}
+		// Hazard: where views were skipped, the owner in the last one seen was not the last owner.
+		if had && !skipped {
+			term.previousOwner = before.Session
+		}
+	}
+	term.owned = owned
 }
 
-func (a *Authority) shardLendableFrom(shard int) time.Duration {
-	h := &a.shards[shard]
-	if h.settled {
-		return max(h.settledAt, a.configuredAt)
+// lendableFrom is from when on tokens of a shard may be lent: once the last grant of an earlier owner, which
+// it may have given at the very end of its lease, has surely expired.
+func (a *Authority) lendableFrom(shard int) time.Duration {
+	term := &a.shards[shard]
+	if term.settled {
+		return max(term.settledAt, a.configuredAt)
 	}
-	return max(h.previousLeaseEnds+rollout.ExpiryWait(a.policy.GrantDuration), a.configuredAt)
+	return max(term.previousLeaseEnds+a.policy.grantExpiryWait(), a.configuredAt)
 }
 
-// ledgerFor finds a bucket, or makes it.
+// ledgerFor returns a bucket's ledger, or makes it; nil: the key has no limit.
 //
-// Hazard: one that is not known here may have been used up by an earlier owner's fronts. It has what has come
-// in since the shard is ours to lend from, as if it had been empty then.
+// Hazard: a bucket without a ledger may have been used up by grants of an earlier owner. It has what has
+// come in since the shard may be lent from, as if it had been empty then.
 func (a *Authority) ledgerFor(now time.Duration, k Key) *ledger {
-	if b := a.ledgers[k]; b != nil {
-		return b
+	if l := a.ledgers[k]; l != nil {
+		return l
 	}
-	l, ok := a.policy.LimitOf(k)
+	limit, ok := a.policy.LimitOf(k)
 	if !ok {
 		return nil
 	}
-	rate, burst := a.policy.lendable(l)
 	shard := placement.ShardOf(k.Account)
-	since := max(now-a.shardLendableFrom(shard), 0)
-	b := &ledger{shard: shard, limit: l, refilledAt: now, borrowers: map[placement.Session]*borrower{},
-		level: min(burst, rate*since.Seconds())}
-	a.ledgers[k] = b
-	return b
+	l := &ledger{shard: shard, limit: limit, borrowers: map[placement.Session]*borrower{}}
+	l.fillFor(now, max(now-a.lendableFrom(shard), 0), &a.policy)
+	a.ledgers[k] = l
+	return l
 }
 
-// refill has the bucket fill up to where all that is out could come back to it.
-func (a *Authority) refill(now time.Duration, b *ledger) {
-	rate, burst := a.policy.lendable(b.limit)
-	if now > b.inheritedUntil {
-		b.inherited = 0
-	}
-	out := b.inherited
-	for seat, l := range b.borrowers {
-		// Hazards: a front that is silent may use what it has until that has surely run out; and it may have
-		// used it, so that what runs out does not come back to the bucket, which fills at its rate.
-		if l.outstanding > 0 && now-l.answeredAt > rollout.ExpiryWait(a.policy.GrantDuration) {
-			l.outstanding, l.unacked = 0, nil
-		}
-		if l.outstanding == 0 && !l.waiting && now-l.answeredAt > rollout.ExpiryWait(a.policy.GrantDuration) {
-			delete(b.borrowers, seat)
-		}
-		out += l.outstanding
-	}
-	// Hazard: until the shard is ours to lend from, what comes in may be lent by the owner before.
-	since := max(b.refilledAt, a.shardLendableFrom(b.shard))
-	b.level = min(b.level+rate*max(now-since, 0).Seconds(), burst-float64(out))
-	b.refilledAt = now
+func (a *Authority) refill(now time.Duration, l *ledger) {
+	l.refill(now, a.lendableFrom(l.shard), &a.policy)
 }
 
-// ReceiveRequest takes a front's word on a bucket of ours.
-func (a *Authority) ReceiveRequest(now time.Duration, from placement.Session, ask TokenRequest) {
-	if !a.shards[placement.ShardOf(ask.Account)].owned {
+// ReceiveRequest takes a front's request. One for a bucket that this instance does not own is dropped.
+func (a *Authority) ReceiveRequest(now time.Duration, from placement.Session, r TokenRequest) {
+	if !a.shards[placement.ShardOf(r.Account)].owned {
 		return
 	}
-	b := a.ledgerFor(now, ask.Key)
-	if b == nil {
-		return
-	}
-	// Hazard: up to now what was out could all be used at once, and so the bucket held no more than the rest.
-	// It also drops lines that are silent: one that is found before would be lost with this word.
-	a.refill(now, b)
-	l := b.borrowers[from]
+	l := a.ledgerFor(now, r.Key)
 	if l == nil {
-		l = &borrower{session: from, answeredAt: now}
-		b.borrowers[from] = l
-	}
-	if ask.Seq <= l.requestSeq {
-		return // an older word, or the same again
+		return
 	}
-	l.requestSeq = ask.Seq
-	l.unacked = slices.DeleteFunc(l.unacked, func(g unackedGrant) bool { return g.seq <= ask.AckedGrant })
-	// Hazard: what is on its way to the front can be used by it, though it knows nothing of it yet.
-	out := ask.Remaining
-	for _, g := range l.unacked {
-		out += g.tokens
+	// Hazard: up to now all outstanding tokens could be used at once, and so the bucket held no more than
+	// the rest. This also drops silent borrowers: one that was found before would be lost with its request.
+	a.refill(now, l)
+	b := l.borrowers[from]
+	if b == nil {
+		b = &borrower{session: from, answeredAt: now}
+		l.borrowers[from] = b
 	}
-	// What the front gave back is in the bucket again; the rest of what is out no more was used.
-	//
-	// Hazard: an old word may come when what it is about has run out here, and with it a later one that
-	// gives it back. What is not known to be out must come out of the bucket, or it would come back to it.
-	less := l.outstanding - out
-	if less >= ask.Returned {
-		b.level += float64(ask.Returned)
-	} else if less < 0 {
-		_, burst := a.policy.lendable(b.limit)
-		b.level = max(b.level+float64(less), min(b.level, -burst))
+	if r.Seq <= b.requestSeq {
+		return // older than the newest, or a duplicate
 	}
-	l.outstanding = out
-	a.refill(now, b)
-	l.wanted, l.requestSentAt, l.waiting = ask.Wanted, ask.SentAt, true
+	_, burst := a.policy.lendable(l.limit)
+	l.settle(b, r, burst)
+	a.refill(now, l)
+	b.wanted, b.requestSentAt, b.waiting = r.Wanted, r.SentAt, true
 }
 
-// Tick answers the fronts that have asked since the last one. It must be called in the turn in which the
-// instance has looked at its right, and only while that lasts.
+// Tick returns the grants for the fronts that have sent requests since the last one. It must be called in
+// the turn of the event loop in which the instance has checked its lease, and only while that is valid.
 func (a *Authority) Tick(now time.Duration) map[placement.Session][]Grant {
-	out := map[placement.Session][]Grant{}
+	grants := map[placement.Session][]Grant{}
 	a.settleRevoked(now)
-	for k, b := range a.ledgers {
-		a.refill(now, b)
-		lines := make([]*borrower, 0, len(b.borrowers))
-		for _, l := range b.borrowers {
-			if l.waiting {
-				lines = append(lines, l)
-			}
-		}
-		if len(lines) == 0 {
-			if _, burst := a.policy.lendable(b.limit); len(b.borrowers) == 0 && b.level >= burst &&
-				b.inherited == 0 &&
-				now-a.lendableFrom(k.Account) > time.Duration(burst/max(b.limit.Rate*(1-b.limit.FloorShare),
-					1e-12)*1e9) {
-				delete(a.ledgers, k) // made anew, it would be full
+	for k, l := range a.ledgers {
+		a.refill(now, l)
+		waiting := l.waiting()
+		lendableFrom := a.lendableFrom(l.shard)
+		if len(waiting) == 0 {
+			if l.idle(&a.policy) && now-lendableFrom > l.timeToFill(&a.policy) {
+				delete(a.ledgers, k) // made again, it would be full
 			}
 			continue
 		}
-		if now >= a.lendableFrom(k.Account) {
-			shareMaxMin(int(b.level), lines)
+		if now >= lendableFrom {
+			shareMaxMin(int(l.level), waiting)
 		} else {
-			for _, l := range lines {
-				l.wanted = 0
+			for _, b := range waiting {
+				b.wanted = 0
 			}
 		}
-		for _, l := range lines {
-			l.waiting = false
-			if l.wanted > 0 {
-				b.level -= float64(l.wanted)
-				l.grantedAt = now
-			} else if l.outstanding == 0 {
-				continue // there is nothing to renew
+		for _, b := range waiting {
+			if g, ok := a.lend(now, k, l, b); ok {
+				grants[b.session] = append(grants[b.session], g)
 			}
-			a.grantSeq++
-			l.outstanding += l.wanted
-			l.unacked = append(l.unacked, unackedGrant{a.grantSeq, l.wanted})
-			l.answeredAt = now
-			out[l.session] = append(
-				out[l.session],
-				Grant{k, l.requestSeq, a.grantSeq, l.wanted, l.requestSentAt, a.table.View.Number},
-			)
 		}
 	}
-	return out
+	return grants
 }
 
-// shareMaxMin cuts what is there to what is wanted, by max-min: who has least gets first, and nobody gets
-// more while another that wants it has less. What is left of parts goes to who has waited longest.
-func shareMaxMin(there int, lines []*borrower) {
-	wanted := 0
-	for _, l := range lines {
-		wanted += l.wanted
-	}
-	if wanted <= there {
-		return
-	}
-	gives := func(level int) (sum int) {
-		for _, l := range lines {
-			sum += min(max(level-l.outstanding, 0), l.wanted)
-		}
-		return sum
-	}
-	low, high := 0, 1 // all can have low, and not high
-	for gives(high) <= there {
-		low, high = high, 2*high
-	}
-	for high-low > 1 {
-		if mid := (low + high) / 2; gives(mid) <= there {
-			low = mid
-		} else {
-			high = mid
-		}
-	}
-	slices.SortFunc(lines, func(x, y *borrower) int {
-		return cmp.Or(cmp.Compare(x.grantedAt, y.grantedAt), cmp.Compare(x.session.Member, y.session.Member))
-	})
-	rest := there - gives(low)
-	for _, l := range lines {
-		most := l.wanted
-		l.wanted = min(max(low-l.outstanding, 0), most)
-		if rest > 0 && l.wanted < most && l.outstanding+l.wanted <= low {
-			l.wanted++
-			rest--
-		}
-	}
+// lend gives a borrower its share, and renews what it has. It returns false if there is neither.
+func (a *Authority) lend(now time.Duration, k Key, l *ledger, b *borrower) (Grant, bool) {
+	b.waiting = false
+	if b.wanted > 0 {
+		l.level -= float64(b.wanted)
+		b.grantedAt = now
+	} else if b.outstanding == 0 {
+		return Grant{}, false
+	}
+	a.grantSeq++
+	b.outstanding += b.wanted
+	b.unacked = append(b.unacked, unackedGrant{a.grantSeq, b.wanted})
+	b.answeredAt = now
+	return Grant{
+		Key:           k,
+		RequestSeq:    b.requestSeq,
+		Seq:           a.grantSeq,
+		Tokens:        b.wanted,
+		RequestSentAt: b.requestSentAt,
+		View:          a.table.View.Number,
+	}, true
 }
--- a/internal/cluster/ratelimit/doc.go
+++ b/internal/cluster/ratelimit/doc.go
@@ -1,17 +1,18 @@
-// Package ratelimit keeps an account's rate over all fronts of a group: one rate, and not one for each front.
+// Package ratelimit keeps one rate for an account over all fronts of a group.
 //
-// It is three parts without I/O, clock or goroutine. Policy is what the agreed configuration says. Authority
-// is the side of the instance that owns an account by placement: it lends slices of the account's bucket,
-// jobs that may be admitted until an end. Front is the side of an instance at which calls come in: it admits
-// from what it has, at once, and asks each tick for what it is likely to need.
+// It has three parts without I/O, clock or goroutine; the caller passes in the time, and calls each part from
+// one goroutine. Policy is the section of the agreed configuration. Authority is the side of the instance
+// that owns an account by placement: it lends tokens of the account's bucket for a limited time, as in
+// Google's Doorman. Limiter is the side of an instance that receives calls: it admits from the tokens that
+// it has, at once, and requests those that it is likely to need each tick.
 //
 // The promise: for each bucket and every window of time, the admissions at all fronts together are at most
-// rate times the window and the burst, by the clocks of those who own it, whatever messages are lost, doubled
-// or late, and whoever stalls, dies, is cut off, or takes another's place. It rests on three rules: what is
-// lent counts as out until its front has said that it was used, or it has surely run out; a slice
-// lasts, at its front, from the moment before it was asked for; and a new owner lends nothing until what
-// earlier ones lent has surely run out.
+// the rate times the window and the burst, by the clocks of the bucket's owners. It holds whatever messages
+// are lost, duplicated or late, and whichever instances stall, die, are cut off or take another's place. It
+// rests on three rules: tokens count as outstanding until their front has reported that they were used, or
+// they have surely expired; a grant lasts, at its front, from the moment before it was requested; and a new
+// owner lends nothing until it knows what earlier owners lent, or all of that has surely expired.
 //
-// Not promised: that all of a rate can be used. A slice that is lost is lost until it ends, and an owner that
-// is lost costs all its accounts the time until another may lend.
+// Not promised: that all of a rate can be used. Tokens in a lost message are lost until they expire, and an
+// owner that dies costs its accounts the time until another may lend.
 package ratelimit
--- a/internal/cluster/ratelimit/revocation.go
+++ b/internal/cluster/ratelimit/revocation.go
@@ -5,71 +5,58 @@
 	"time"
 
 	"moorstack/internal/cluster/placement"
-	"moorstack/internal/cluster/rollout"
 )
 
-// DrainConfirmation is a front's word to an owner: by this view it takes nothing more from those before it,
-// and this is what it has left of theirs. With the words of all that are in its view, an owner knows all
-// that is out, and need not wait until what may be out has surely run out.
-type DrainConfirmation struct {
-	View    uint64
-	Total   int           // books, over all of the words that this is one of
-	Buckets []BucketState // Out is what is left
-}
-
-const (
-	// how often it is said: a word may be lost, or come before the view that it is about
-	confirmationSends      = 5
-	maxConfirmationBuckets = 2000 // books in a word
-)
-
-// drainConfirmations gives what is to be said to owners, for some ticks after a view. It must be called
-// after Tick: from there on nothing is taken from those before.
+// drainConfirmations returns what is to be sent to the owners of the view, for some ticks after it was set.
+// It must be called after the requests of the tick: from then on no grant of earlier owners is taken.
 func (f *Limiter) drainConfirmations(now time.Duration) map[placement.Session][]DrainConfirmation {
 	if f.confirmationsLeft == 0 || f.session.Epoch == 0 || f.table == nil {
 		return nil
 	}
 	f.confirmationsLeft--
-	books := map[placement.Session][]BucketState{}
-	for k, w := range f.buckets {
-		w.expire(now)
-		// Hazard: an owner that lost the account and got it back between two ticks here is the same session,
-		// and knows nothing of what it has lent before.
-		if owner, ok := f.table.Owner(placement.ShardOf(k.Account)); ok && w.previousTokens+w.tokens > 0 {
-			books[owner.Session] = append(
-				books[owner.Session],
-				BucketState{Key: k, Outstanding: w.previousTokens + w.tokens},
-			)
+	buckets := map[placement.Session][]BucketState{}
+	for k, b := range f.buckets {
+		b.expire(now)
+		// Hazard: an owner that lost the account and regained it between two ticks of this front has the same
+		// session, and does not know what it has lent before.
+		owner, ok := f.table.Owner(placement.ShardOf(k.Account))
+		if outstanding := b.previousTokens + b.tokens; ok && outstanding > 0 {
+			buckets[owner.Session] = append(buckets[owner.Session],
+				BucketState{Key: k, Outstanding: outstanding})
 		}
 	}
 	out := map[placement.Session][]DrainConfirmation{}
 	for _, m := range f.table.View.Members {
-		all := books[m.Session]
-		word := DrainConfirmation{View: f.table.View.Number, Total: len(all)}
-		for part := range slices.Chunk(all, maxConfirmationBuckets) {
-			word.Buckets = part
-			out[m.Session] = append(out[m.Session], word)
-		}
-		if len(all) == 0 {
-			out[m.Session] = []DrainConfirmation{word}
-		}
+		out[m.Session] = splitConfirmation(f.table.View.Number, buckets[m.Session])
 	}
 	return out
 }
 
-// confirmation is what a front has said that it has left.
+// splitConfirmation makes the messages of one confirmation: at least one, also where there are no buckets.
+func splitConfirmation(view uint64, buckets []BucketState) (messages []DrainConfirmation) {
+	if len(buckets) == 0 {
+		return []DrainConfirmation{{View: view}}
+	}
+	for chunk := range slices.Chunk(buckets, maxConfirmationBuckets) {
+		messages = append(messages, DrainConfirmation{View: view, Total: len(buckets), Buckets: chunk})
+	}
+	return messages
+}
+
+// confirmation is what a front has confirmed, as far as its messages have arrived.
 type confirmation struct {
 	view      uint64
 	total     int
-	remaining map[Key]int
+	remaining map[Key]int // tokens of earlier owners
 }
 
-// revocation is what an authority has heard of fronts that have left earlier owners.
+// revocation collects the fronts' drain confirmations at an authority.
 type revocation struct {
-	members     []placement.Member
-	complete    map[placement.Session]confirmation // the newest that is complete
-	partial     map[placement.Session]confirmation
-	unsafeUntil time.Duration // until when one that left the set, and may not have ended, may act
+	members  []placement.Member
+	complete map[placement.Session]confirmation // the newest of each front of which all messages arrived
+	partial  map[placement.Session]confirmation
+	// unsafeUntil is until when a member that left the view, and may not have ended, may still act.
+	unsafeUntil time.Duration
 }
 
 func newRevocation() revocation {
@@ -79,105 +66,121 @@
 	}
 }
 
-// setView takes over who is there. Hazard: one that left the set without having surely ended may act until
-// its lease ends, and need not say anything.
-func (r *revocation) setView(t, was *placement.Table, lasts time.Duration, skipped bool) {
-	in := map[placement.Session]bool{}
+// setView takes over a view.
+//
+// Hazard: a member that left the view without having surely ended may act until its lease ends, and need not
+// confirm anything.
+func (r *revocation) setView(t, previous *placement.Table, leaseEnds time.Duration, skipped bool) {
+	sessions := map[placement.Session]bool{}
 	for _, m := range t.View.Members {
-		in[m.Session] = true
+		sessions[m.Session] = true
 	}
-	left := skipped || was == nil
-	if was != nil {
-		for _, m := range was.View.Members {
-			left = left || !in[m.Session] && !slices.Contains(t.View.Expired, m.Session)
+	unsafe := skipped || previous == nil
+	if previous != nil {
+		for _, m := range previous.View.Members {
+			unsafe = unsafe || !sessions[m.Session] && !slices.Contains(t.View.Expired, m.Session)
 		}
 	}
-	if left {
-		r.unsafeUntil = max(r.unsafeUntil, lasts)
+	if unsafe {
+		r.unsafeUntil = max(r.unsafeUntil, leaseEnds)
 	}
 	r.members = t.View.Members
-	// Words may come before the view that they are about, of sessions that are not known yet.
-	for _, m := range []map[placement.Session]confirmation{r.complete, r.partial} {
-		if len(m) > 4*len(in)+16 {
-			for seat := range m {
-				if !in[seat] {
-					delete(m, seat)
-				}
-			}
+	forgetOthers(r.complete, sessions)
+	forgetOthers(r.partial, sessions)
+}
+
+// forgetOthers deletes the confirmations of sessions that are not in the view, once there are many: one may
+// arrive before the view does that its session is in.
+func forgetOthers(confirmations map[placement.Session]confirmation, sessions map[placement.Session]bool) {
+	if len(confirmations) <= 4*len(sessions)+16 {
+		return
+	}
+	for session := range confirmations {
+		if !sessions[session] {
+			delete(confirmations, session)
 		}
 	}
 }
 
-// receive takes a front's word. Hazard: only one that is complete, in however many parts, says what is out.
-func (r *revocation) receive(from placement.Session, l DrainConfirmation) {
-	if l.View <= r.complete[from].view {
+// receive takes a message of a front's confirmation.
+//
+// Hazard: only a confirmation that is complete, in however many messages, names all that is outstanding.
+func (r *revocation) receive(from placement.Session, m DrainConfirmation) {
+	if m.View <= r.complete[from].view {
 		return
 	}
-	x := r.partial[from]
-	if x.remaining == nil || l.View > x.view || l.View == x.view && l.Total != x.total {
-		x = confirmation{view: l.View, total: l.Total, remaining: map[Key]int{}}
-	} else if l.View < x.view {
+	c := r.partial[from]
+	if c.remaining == nil || m.View > c.view || m.View == c.view && m.Total != c.total {
+		c = confirmation{view: m.View, total: m.Total, remaining: map[Key]int{}}
+	} else if m.View < c.view {
 		return
 	}
-	for _, b := range l.Buckets {
-		x.remaining[b.Key] = max(x.remaining[b.Key], b.Outstanding)
+	for _, b := range m.Buckets {
+		c.remaining[b.Key] = max(c.remaining[b.Key], b.Outstanding)
 	}
-	if len(x.remaining) >= x.total {
+	if len(c.remaining) >= c.total {
 		delete(r.partial, from)
-		r.complete[from] = x
+		r.complete[from] = c
 		return
 	}
-	r.partial[from] = x
+	r.partial[from] = c
 }
 
-// oldestConfirmedView is the oldest view by which any front that is there has left those before.
-func (r *revocation) oldestConfirmedView() uint64 {
-	least := ^uint64(0)
+// confirmedView is the newest view that all fronts of the current view have confirmed, or a later one.
+func (r *revocation) confirmedView() uint64 {
+	oldest := ^uint64(0)
 	for _, m := range r.members {
-		least = min(least, r.complete[m.Session].view)
+		oldest = min(oldest, r.complete[m.Session].view)
 	}
-	return least
+	return oldest
 }
 
-// ReceiveDrainConfirmation takes a front's word on what it has left.
-func (a *Authority) ReceiveDrainConfirmation(now time.Duration, from placement.Session, l DrainConfirmation) {
-	a.revocation.receive(from, l)
+// outstanding is what all fronts of the current view together have of earlier owners.
+func (r *revocation) outstanding() map[Key]int {
+	sum := map[Key]int{}
+	for _, m := range r.members {
+		for k, tokens := range r.complete[m.Session].remaining {
+			sum[k] += tokens
+		}
+	}
+	return sum
+}
+
+// ReceiveDrainConfirmation takes a message of a front's confirmation.
+func (a *Authority) ReceiveDrainConfirmation(now time.Duration, from placement.Session, m DrainConfirmation) {
+	a.revocation.receive(from, m)
 	a.settleRevoked(now)
 }
 
-// settleRevoked begins to lend from the shards of which it is known what is out.
+// settleRevoked begins to lend from the shards of which all outstanding tokens are known.
 //
-// Hazard: an owner before this one may lend until its lease ends, and a front that has not said that it left
-// it may take that. So all that are there must have said so, by the view by which the shard came here or a
-// later one; the owner before is among them, or has ended.
+// Hazard: an earlier owner may lend until its lease ends, and a front that has not confirmed the view may
+// take that. So all fronts must have confirmed the view by which the shard came here, or a later one; the
+// earlier owner is among them, or has ended.
 func (a *Authority) settleRevoked(now time.Duration) {
 	if now < a.revocation.unsafeUntil || len(a.revocation.members) == 0 || a.session.Epoch == 0 {
 		return
 	}
-	least := a.revocation.oldestConfirmedView()
-	free := map[int]bool{}
-	for s := range a.shards {
-		if h := &a.shards[s]; h.owned && !h.settled && h.sinceView <= least && now < a.shardLendableFrom(s) {
-			h.settled, h.settledAt = true, now
-			free[s] = true
+	confirmed := a.revocation.confirmedView()
+	settled := map[int]bool{}
+	for shard := range a.shards {
+		term := &a.shards[shard]
+		if term.owned && !term.settled && term.sinceView <= confirmed && now < a.lendableFrom(shard) {
+			term.settled, term.settledAt = true, now
+			settled[shard] = true
 		}
 	}
-	if len(free) == 0 {
+	if len(settled) == 0 {
 		return
 	}
-	out := map[Key]int{}
-	for _, m := range a.revocation.members {
-		for k, n := range a.revocation.complete[m.Session].remaining {
-			out[k] += n
-		}
-	}
-	for k, n := range out {
-		if !free[placement.ShardOf(k.Account)] {
+	for k, tokens := range a.revocation.outstanding() {
+		if !settled[placement.ShardOf(k.Account)] {
 			continue
 		}
-		if b := a.ledgerFor(now, k); b != nil {
-			b.inherited, b.inheritedUntil, b.level = n, now+rollout.ExpiryWait(a.policy.GrantDuration), 0
-			a.refill(now, b)
+		if l := a.ledgerFor(now, k); l != nil {
+			l.inherit(now, tokens, &a.policy)
+			l.level = 0
+			a.refill(now, l)
 		}
 	}
 }
--- a/internal/cluster/ratelimit/transfer.go
+++ b/internal/cluster/ratelimit/transfer.go
@@ -4,122 +4,104 @@
 	"time"
 
 	"moorstack/internal/cluster/placement"
-	"moorstack/internal/cluster/rollout"
 )
 
-// BucketState is a bucket as an owner leaves it.
-type BucketState struct {
-	Key
-	Level       int // whole jobs; less than nothing counts as nothing
-	Outstanding int // the most that fronts can have of it
-}
-
-// Transfer is an owner's word to the one after it: it lends from these shards no more, and this is how they
-// stand. Without it the next one waits until all that may be out has surely run out.
-type Transfer struct {
-	View      uint64                   // by which the shards went to another
-	Shards    map[int]TransferredShard // those that are ceded
-	Buckets   []BucketState            // all buckets of them that are known
-	From      placement.Session        // whose they were
-	to        placement.Session        // whose they are
-	sendsLeft int                      // it is still to be said
-}
-
-// TransferredShard is since when buckets of a shard that are not named have filled up.
-type TransferredShard struct{ FilledFor time.Duration }
-
-const (
-	transferSends      = 3    // a word may be lost, or come before the view that it is about
-	maxTransferBuckets = 2000 // buckets in a word: shards beyond that are not ceded, and waited for
-)
-
-// prepareTransfers notes what is to be said of shards that go to others by a view. It is called before they
-// are let go.
+// prepareTransfers makes the transfers of the shards that go to others by a view. It must be called before
+// the view is taken over.
 //
-// Hazard: a shard of which not all buckets are named would be taken for unused. It is ceded whole or not.
+// Hazard: a shard of which only some buckets are named would be taken for unused but for those. It is
+// transferred with all of its buckets, or not at all.
 func (a *Authority) prepareTransfers(now time.Duration, t *placement.Table) {
-	to := map[placement.Session]*Transfer{}
-	known := map[int][]BucketState{}
-	for k, b := range a.ledgers {
-		a.refill(now, b)
-		out := b.inherited
-		for _, l := range b.borrowers {
-			out += l.outstanding
-		}
-		s := placement.ShardOf(k.Account)
-		known[s] = append(known[s], BucketState{k, max(int(b.level), 0), out})
-	}
-	for s := range a.shards {
-		m, ok := t.Owner(s)
-		if !ok || !a.shards[s].owned || m.Member == a.session.Member || now < a.shardLendableFrom(s) {
+	buckets := a.bucketsByShard(now)
+	byOwner := map[placement.Session]*Transfer{}
+	for shard := range a.shards {
+		owner, ok := t.Owner(shard)
+		if !ok || !a.shards[shard].owned || owner.Member == a.session.Member || now < a.lendableFrom(shard) {
 			continue
 		}
-		c := to[m.Session]
-		if c == nil {
-			c = &Transfer{
+		tr := byOwner[owner.Session]
+		if tr == nil {
+			tr = &Transfer{
 				View:      t.View.Number,
 				Shards:    map[int]TransferredShard{},
 				From:      a.session,
-				to:        m.Session,
+				to:        owner.Session,
 				sendsLeft: transferSends,
 			}
-			to[m.Session] = c
-			a.transfers = append(a.transfers, c)
+			byOwner[owner.Session] = tr
+			a.transfers = append(a.transfers, tr)
 		}
-		if len(c.Buckets)+len(known[s]) > maxTransferBuckets {
+		if len(tr.Buckets)+len(buckets[shard]) > maxTransferBuckets {
 			continue
 		}
-		c.Shards[s] = TransferredShard{FilledFor: now - a.shardLendableFrom(s)}
-		c.Buckets = append(c.Buckets, known[s]...)
+		tr.Shards[shard] = TransferredShard{FilledFor: now - a.lendableFrom(shard)}
+		tr.Buckets = append(tr.Buckets, buckets[shard]...)
 	}
 }
 
-// PendingTransfers gives what is to be said to those who own now what was ours, a few times over.
+func (a *Authority) bucketsByShard(now time.Duration) map[int][]BucketState {
+	buckets := map[int][]BucketState{}
+	for k, l := range a.ledgers {
+		a.refill(now, l)
+		buckets[l.shard] = append(buckets[l.shard],
+			BucketState{Key: k, Level: max(int(l.level), 0), Outstanding: l.outstanding()})
+	}
+	return buckets
+}
+
+// PendingTransfers returns what is to be sent now to the next owners of this instance's former shards, by
+// their session. It must be called once a tick.
 func (a *Authority) PendingTransfers() map[placement.Session]*Transfer {
-	out := map[placement.Session]*Transfer{}
-	for _, c := range a.transfers {
-		if c.sendsLeft > 0 {
-			c.sendsLeft--
-			out[c.to] = c
+	pending := map[placement.Session]*Transfer{}
+	for _, tr := range a.transfers {
+		if tr.sendsLeft > 0 {
+			tr.sendsLeft--
+			pending[tr.to] = tr
 		}
 	}
-	return out
+	return pending
 }
 
-// ReceiveTransfer takes over from the owner before this one.
+// ReceiveTransfer takes over shards from their previous owner. Shards that do not count are deleted from the
+// transfer.
 //
-// Hazards: a word on another view, or of one that was not the owner before it, or that comes when we lend
-// already; and slices that the other has lent, which last their time from now on at the most.
-func (a *Authority) ReceiveTransfer(now time.Duration, c *Transfer) {
-	for s, x := range c.Shards {
-		if s < 0 || s >= len(a.shards) || x.FilledFor < 0 || now >= a.shardLendableFrom(s) {
-			delete(c.Shards, s)
-			continue
-		}
-		h := &a.shards[s]
-		if !h.owned || h.sinceView != c.View || h.previousOwner != c.From {
-			delete(c.Shards, s)
+// Hazards: a transfer by another view, or of a session that was not the owner before, or one that arrives
+// when this instance lends already; and tokens that the previous owner has lent, which last for a grant's
+// duration from now on at the most.
+func (a *Authority) ReceiveTransfer(now time.Duration, tr *Transfer) {
+	for shard, state := range tr.Shards {
+		if !a.accepts(now, tr, shard, state) {
+			delete(tr.Shards, shard)
 			continue
 		}
-		h.settledAt, h.settled = now-x.FilledFor, true
+		term := &a.shards[shard]
+		term.settledAt, term.settled = now-state.FilledFor, true
 	}
-	// Those that fronts have asked for already are, unless they are named, as if they were made now.
-	for _, b := range a.ledgers {
-		if x, ok := c.Shards[b.shard]; ok {
-			rate, burst := a.policy.lendable(b.limit)
-			b.level, b.refilledAt = min(burst, rate*x.FilledFor.Seconds()), now
+	// Buckets that fronts have requested tokens of already are, unless they are named, as if made now.
+	for _, l := range a.ledgers {
+		if state, ok := tr.Shards[l.shard]; ok {
+			l.fillFor(now, state.FilledFor, &a.policy)
 		}
 	}
-	for _, k := range c.Buckets {
-		if _, ok := c.Shards[placement.ShardOf(k.Account)]; !ok {
+	for _, bucket := range tr.Buckets {
+		if _, ok := tr.Shards[placement.ShardOf(bucket.Account)]; !ok {
 			continue
 		}
-		b := a.ledgerFor(now, k.Key)
-		if b == nil {
+		l := a.ledgerFor(now, bucket.Key)
+		if l == nil {
 			continue
 		}
-		b.inherited, b.inheritedUntil = k.Outstanding, now+rollout.ExpiryWait(a.policy.GrantDuration)
-		b.level = min(float64(k.Level), b.level)
-		a.refill(now, b)
+		l.inherit(now, bucket.Outstanding, &a.policy)
+		l.level = min(float64(bucket.Level), l.level)
+		a.refill(now, l)
+	}
+}
+
+// accepts is whether a transfer settles a shard.
+func (a *Authority) accepts(now time.Duration, tr *Transfer, shard int, state TransferredShard) bool {
+	if shard < 0 || shard >= len(a.shards) || state.FilledFor < 0 || now >= a.lendableFrom(shard) {
+		return false
 	}
+	term := &a.shards[shard]
+	return term.owned && term.sinceView == tr.View && term.previousOwner == tr.From
 }
