--- a/cmd/moorstack/frozen_answers_test.go
+++ b/cmd/moorstack/frozen_answers_test.go
@@ -14,7 +14,7 @@
 	"moorstack/internal/schema"
 )
 
-// Operators' scripts speak to the second address: each call's line and all of its answer stay, and so do the
+// Operators' scripts call at the second address: each call's line and all of its answer stay, and so do the
 // names of the figures and what the command makes of them.
 func TestCallsAreFrozen(t *testing.T) {
 	o := newOperated(t, 2, done)
--- a/cmd/moorstack/frozen_exits_test.go
+++ b/cmd/moorstack/frozen_exits_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Scripts tell by the exit code what became of a command: 0 done, 1 tried and failed, 2 wrong words or files.
+// Scripts go by the exit code of a command: 0 done, 1 tried and failed, 2 wrong arguments or files.
 func TestExitCodesAreFrozen(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -56,7 +56,7 @@
 			t.Fatal(err)
 		}
 		if code != c.code {
-			t.Errorf("moorstack %s: exit code %d, want %d; it said %s", c.args, code, c.code, out)
+			t.Errorf("moorstack %s: exit code %d, want %d; output %s", c.args, code, c.code, out)
 		}
 	}
 }
--- a/internal/frozen/encoded/load_test.go
+++ b/internal/frozen/encoded/load_test.go
@@ -26,7 +26,7 @@
 	info  *types.Info
 }
 
-// listed is what the go command says of a package.
+// listed is a package as the go command lists it.
 type listed struct {
 	ImportPath, Dir, Export string
 	GoFiles                 []string
@@ -55,8 +55,8 @@
 	for _, p := range own {
 		c := &checked{info: &types.Info{Types: map[ast.Expr]types.TypeAndValue{},
 			Uses: map[*ast.Ident]types.Object{}, Defs: map[*ast.Ident]types.Object{}}}
-		// Hazard: go test would give a result from its cache though a file has come: it does not see what the
-		// go command reads, and knows of a folder that the test reads itself.
+		// Hazard: go test would give a result from its cache though a file was added: it does not see what
+		// the go command reads, only folders that the test reads itself.
 		for _, dir := range []string{p.Dir, filepath.Dir(p.Dir)} {
 			if _, err := os.ReadDir(dir); err != nil {
 				return nil, err
@@ -78,7 +78,7 @@
 	return all, nil
 })
 
-// list asks the go command for the packages of this module, and where the compiled ones are that they need.
+// list runs the go command to list the packages of this module, and the compiled ones that they import.
 func list() (own []listed, export map[string]string, err error) {
 	cmd := exec.Command("go", "list", "-export", "-deps", "-json=ImportPath,Dir,Export,GoFiles",
 		module+"/...")
--- a/internal/frozen/encoded/sections_test.go
+++ b/internal/frozen/encoded/sections_test.go
@@ -43,8 +43,8 @@
 	"of-no-part": {"any": "thing"},
 }
 
-// A document with all sections and keys is accepted; with a value that is none, and with a key that is
-// unknown, it is refused by the same words, for those are kept in the group's agreed state.
+// A document with all sections and keys is accepted. With an invalid value or an unknown key it is rejected
+// with the same texts, for those are kept in the group's agreed state.
 func TestSectionsOfTheDocumentAreFrozen(t *testing.T) {
 	t.Parallel()
 	rules := node.DocumentRules()
@@ -70,7 +70,7 @@
 		}
 	}
 	if wrong := judge("", "", ""); len(wrong) > 0 {
-		t.Errorf("the document with all keys is refused: %q", wrong)
+		t.Errorf("the document with all keys is rejected: %q", wrong)
 	}
 	for _, section := range slices.Sorted(maps.Keys(keysOfSections)) {
 		for _, key := range append(slices.Sorted(maps.Keys(keysOfSections[section])), "no_such_key") {
--- a/internal/frozen/encoded/shape_test.go
+++ b/internal/frozen/encoded/shape_test.go
@@ -120,5 +120,5 @@
 
 func ours(path string) bool { return path == module || strings.HasPrefix(path, module+"/") }
 
-// identity tells structs apart, whether read from sources or from what the compiler exports.
+// identity names a struct type, whether read from sources or from what the compiler exports.
 func identity(t types.Type) string { return types.TypeString(t, nil) }
--- a/internal/frozen/encoded/sinks_test.go
+++ b/internal/frozen/encoded/sinks_test.go
@@ -62,7 +62,7 @@
 	return roots
 }
 
-// calls looks at the calls within a declaration.
+// calls adds the types that calls within a declaration pass to sinks, and the sinks that they make.
 func (c *checked) calls(d ast.Decl, sinks map[sink]string, roots []root) []root {
 	params := map[types.Object]sink{}
 	if f, ok := d.(*ast.FuncDecl); ok {
--- a/internal/frozen/golden/golden.go
+++ b/internal/frozen/golden/golden.go
@@ -1,5 +1,5 @@
 // Package golden compares what a test finds with a text kept under testdata. The tests of
-// frozen interfaces use it: a difference is a change that callers, files or stored data meet.
+// frozen interfaces use it: a difference is a change that callers, files or stored data would notice.
 package golden
 
 import (
