--- a/internal/cluster/clusterstate/rules.go
+++ b/internal/cluster/clusterstate/rules.go
@@ -23,12 +23,16 @@
 // to a newer format once all its instances can read it.
 const LatestFormat = 7
 
-// Formats that the state itself distinguishes.
+// The formats from which on a group knows what has only a section, or is part of the state itself.
 const (
-	formatRollout = 2 // sessions, and changes that go through package rollout
+	formatRollout    = 2 // sessions, and changes that go through package rollout
+	formatRates      = 4
+	formatPlacement  = 5
+	formatMembership = 7
+
 	// formatKnownSections is the first with sections that an instance rejects while another instance does
 	// not know them.
-	formatKnownSections = 4
+	formatKnownSections = formatRates
 )
 
 // StateMachineTypes returns what a group agrees on in addition to the document's classes and tenants, in the
@@ -40,9 +44,11 @@
 		leasedtask.Type{},
 		schedule.Type{},
 		weights.Type{},
-		replicated.SectionOnly{SectionName: ratelimit.Section, FirstFormat: 4, Validator: ratelimit.Validate},
-		replicated.SectionOnly{SectionName: placement.Section, FirstFormat: 5, Validator: validatePlacement},
-		replicated.SectionOnly{SectionName: membership.Section, FirstFormat: 7,
+		replicated.SectionOnly{SectionName: ratelimit.Section, FirstFormat: formatRates,
+			Validator: ratelimit.Validate},
+		replicated.SectionOnly{SectionName: placement.Section, FirstFormat: formatPlacement,
+			Validator: validatePlacement},
+		replicated.SectionOnly{SectionName: membership.Section, FirstFormat: formatMembership,
 			Validator: membership.Validate},
 	}
 }
