--- a/internal/cluster/consensus/cluster_view.go
+++ b/internal/cluster/consensus/cluster_view.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"moorstack/internal/cluster/lease"
 	"moorstack/internal/cluster/placement"
 	"moorstack/internal/cluster/rollout"
 )
@@ -24,7 +25,7 @@
 	replica      *replica
 	participants *participants
 
-	lease   placement.LeaseClock
+	lease   lease.Clock
 	views   []placement.View // to be emitted
 	latest  placement.View
 	skipped bool // views may have been skipped since the last ClusterView
--- a/internal/cluster/placement/outlier.go
+++ b/internal/cluster/placement/outlier.go
@@ -9,169 +9,189 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// What instances tell each other of workers, and what it takes to be believed.
+// Thresholds of outlier reports, and bounds of what is kept of them.
 const (
-	// leastBad is how many attempts must have failed within recent: one after the other, or half of all. The
-	// module itself soon sends little to a worker that fails, so there is not much to see.
-	leastBad = 2
-	recent   = 10 * time.Second
-	// lasting is how long a word counts without being said again.
-	lasting = 3 * time.Second
-	// witnesses is how many instances must say so.
-	witnesses = 2
-	// mostShunned is the part of the workers that words can take out, in all.
-	mostShunned = 3
-	// proven is how many attempts in a row must have gone well where it is one's turn to try.
-	proven = 2
+	// minFailures is how many attempts must have failed within observationWindow: consecutive ones, or half
+	// of all. The balancer itself soon sends little to a worker that fails, so there is not much to observe.
+	minFailures       = 2
+	observationWindow = 10 * time.Second
+	// reportLifetime is how long a report counts unless it is renewed.
+	reportLifetime = 3 * time.Second
+	// reportQuorum is how many instances must report a worker before it is ejected.
+	reportQuorum = 2
+	// ejectedDivisor bounds ejection: at most one in so many of the listed workers is ejected by reports.
+	ejectedDivisor = 3
+	// recoverySuccesses is how many consecutive attempts must have succeeded at the instance that tests an
+	// ejected worker before it stops reporting that worker.
+	recoverySuccesses = 2
+	// maxOutcomes bounds the attempts that are kept for each worker, maxReports the reports that are accepted
+	// from one instance.
+	maxOutcomes = 64
+	maxReports  = 256
 )
 
-// OutlierReport is what an instance says of a worker: how many of its latest attempts there have failed.
+// OutlierReport is one instance's report of a worker: how many of its latest attempts there have failed.
 type OutlierReport struct {
 	Worker   string
 	Failed   int
 	Attempts int
 }
 
-// OutlierQuorum is an instance's own side, and what it has heard of others. Nothing that it says makes a
-// worker be used that the list does not name, and nothing that one instance says takes one out.
+// OutlierQuorum decides which workers an instance ejects, from its own attempts and from the reports of the
+// others. No report makes an instance use a worker that is not listed, and the reports of a single instance
+// eject nothing. Times are on the clock of this instance.
 type OutlierQuorum struct {
-	seen  map[string]*evidence
-	heard map[uint64]map[string]word // by who said it
-	table *Table
-	own   Session
+	observations map[string]*observation              // own attempts, by worker
+	received     map[uint64]map[string]receivedReport // by member that reported, and worker
+	table        *Table
+	own          Session
 }
 
-// evidence is what an instance's own attempts have shown.
-type evidence struct {
-	ends []end
-	good int // in a row, the last ones
-	bad  int // likewise
+// observation is what this instance's own attempts at a worker have shown.
+type observation struct {
+	outcomes                                  []outcome // oldest first
+	consecutiveSuccesses, consecutiveFailures int
 }
 
-type end struct {
-	at  time.Duration
-	bad bool
+type outcome struct {
+	at     time.Duration
+	failed bool
 }
 
-type word struct {
+type receivedReport struct {
 	OutlierReport
 	at time.Duration
 }
 
-// mostEnds bounds what is kept of a worker, mostWords what is taken from one instance.
-const (
-	mostEnds  = 64
-	mostWords = 256
-)
-
-// NewOutlierQuorum has seen and heard nothing.
+// NewOutlierQuorum returns a quorum without observations or reports.
 func NewOutlierQuorum() *OutlierQuorum {
-	return &OutlierQuorum{seen: map[string]*evidence{}, heard: map[uint64]map[string]word{}}
+	return &OutlierQuorum{observations: map[string]*observation{},
+		received: map[uint64]map[string]receivedReport{}}
 }
 
-// SetView takes over who is there: whose words count, and whose turn it is to try a worker that is shunned.
-func (w *OutlierQuorum) SetView(t *Table, own Session) {
-	w.table, w.own = t, own
-	maps.DeleteFunc(w.heard, func(member uint64, _ map[string]word) bool {
+// SetView takes over the owners of a view: it decides whose reports count, and which instance tests an
+// ejected worker.
+func (q *OutlierQuorum) SetView(t *Table, own Session) {
+	q.table, q.own = t, own
+	maps.DeleteFunc(q.received, func(member uint64, _ map[string]receivedReport) bool {
 		return !slices.ContainsFunc(t.View.Members, func(m Member) bool { return m.Member == member })
 	})
 }
 
-// ObserveAttempt notes how an attempt of this instance at a worker has ended.
-func (w *OutlierQuorum) ObserveAttempt(now time.Duration, worker string, bad bool) {
-	e := w.seen[worker]
-	if e == nil {
-		e = &evidence{}
-		w.seen[worker] = e
+// ObserveAttempt records how an attempt of this instance at a worker ended.
+func (q *OutlierQuorum) ObserveAttempt(now time.Duration, worker string, failed bool) {
+	o := q.observations[worker]
+	if o == nil {
+		o = &observation{}
+		q.observations[worker] = o
 	}
-	if bad {
-		e.good, e.bad = 0, e.bad+1
+	if failed {
+		o.consecutiveSuccesses, o.consecutiveFailures = 0, o.consecutiveFailures+1
 	} else {
-		e.good, e.bad = e.good+1, 0
+		o.consecutiveSuccesses, o.consecutiveFailures = o.consecutiveSuccesses+1, 0
 	}
-	e.ends = append(e.ends, end{now, bad})
-	if len(e.ends) > mostEnds {
-		e.ends = append(e.ends[:0], e.ends[1:]...)
+	o.outcomes = append(o.outcomes, outcome{now, failed})
+	if len(o.outcomes) > maxOutcomes {
+		o.outcomes = append(o.outcomes[:0], o.outcomes[1:]...)
 	}
 }
 
-// Reports gives what is to be told to the others: workers at which most of this instance's latest attempts
-// have failed. Who tries a worker in its turn, and finds it well, says nothing more of it.
-func (w *OutlierQuorum) Reports(now time.Duration) (list []OutlierReport) {
-	for name, e := range w.seen {
-		e.ends = slices.DeleteFunc(e.ends, func(x end) bool { return now-x.at > recent })
-		if len(e.ends) == 0 {
-			delete(w.seen, name)
+// Reports returns what this instance is to report to the others, sorted by worker: the workers at which most
+// of its latest attempts have failed. An instance that tests an ejected worker and finds it healthy no longer
+// reports it.
+func (q *OutlierQuorum) Reports(now time.Duration) (reports []OutlierReport) {
+	for name, o := range q.observations {
+		o.outcomes = slices.DeleteFunc(o.outcomes, func(x outcome) bool {
+			return now-x.at > observationWindow
+		})
+		if len(o.outcomes) == 0 {
+			delete(q.observations, name)
 			continue
 		}
-		bad := 0
-		for _, x := range e.ends {
-			if x.bad {
-				bad++
-			}
-		}
-		switch row := min(e.bad, bad); {
-		case row >= leastBad:
-			list = append(list, OutlierReport{name, row, row})
-		case bad >= leastBad && 2*bad >= len(e.ends) && e.good < proven:
-			list = append(list, OutlierReport{name, bad, len(e.ends)})
+		if failed, attempts, ok := o.outlier(); ok {
+			reports = append(reports, OutlierReport{name, failed, attempts})
 		}
 	}
-	slices.SortFunc(list, func(a, b OutlierReport) int { return cmp.Compare(a.Worker, b.Worker) })
-	return list
+	slices.SortFunc(reports, func(a, b OutlierReport) int { return cmp.Compare(a.Worker, b.Worker) })
+	return reports
 }
 
-// ObserveReports takes another instance's words, in the place of all that it said before. Hazard: one that is
-// wrong, or lies, may say anything: it is one witness for each worker, however often it says so.
-func (w *OutlierQuorum) ObserveReports(now time.Duration, member uint64, words []OutlierReport) {
-	if member == w.own.Member {
-		return
-	}
-	m := map[string]word{}
-	for _, x := range words[:min(len(words), mostWords)] {
-		if x.Failed >= leastBad && 2*x.Failed >= x.Attempts {
-			m[x.Worker] = word{x, now}
+// outlier reports whether the kept outcomes make the worker an outlier, and which failures show it.
+func (o *observation) outlier() (failed, attempts int, ok bool) {
+	for _, x := range o.outcomes {
+		if x.failed {
+			failed++
 		}
 	}
-	w.heard[member] = m
+	consecutive := min(o.consecutiveFailures, failed)
+	switch {
+	case consecutive >= minFailures:
+		return consecutive, consecutive, true
+	case failed >= minFailures && 2*failed >= len(o.outcomes) &&
+		o.consecutiveSuccesses < recoverySuccesses:
+		return failed, len(o.outcomes), true
+	}
+	return 0, 0, false
 }
 
-// Ejected are the workers that this instance gives nothing to because of what several have seen, of those
-// that are listed: the ones with the most witnesses, and not more than a part of all. In whose turn a
-// worker is, it does not shun it: somebody must find out that it is well again.
-func (w *OutlierQuorum) Ejected(now time.Duration, listed []string) map[string]bool {
-	count := map[string]int{}
-	for _, x := range w.Reports(now) {
-		count[x.Worker]++
+// ObserveReports takes another instance's reports, which replace all earlier ones of that instance. Hazard:
+// an instance that is wrong or malicious may report anything: it counts once for each worker, however often
+// it reports it.
+func (q *OutlierQuorum) ObserveReports(now time.Duration, member uint64, reports []OutlierReport) {
+	if member == q.own.Member {
+		return
 	}
-	for _, words := range w.heard {
-		for name, x := range words {
-			if now-x.at <= lasting {
-				count[name]++
-			}
+	accepted := map[string]receivedReport{}
+	for _, r := range reports[:min(len(reports), maxReports)] {
+		if r.Failed >= minFailures && 2*r.Failed >= r.Attempts {
+			accepted[r.Worker] = receivedReport{r, now}
 		}
 	}
-	var list []string
+	q.received[member] = accepted
+}
+
+// Ejected returns the workers, of those that are listed, that this instance gives no jobs to because a quorum
+// of instances reports them: those with the most reports first, and at most a fraction of all. An instance
+// does not eject a worker that it is the one to test: somebody must find out that it has recovered.
+func (q *OutlierQuorum) Ejected(now time.Duration, listed []string) map[string]bool {
+	count := q.reportCounts(now)
+	var outliers []string
 	for _, name := range listed {
-		if count[name] >= witnesses {
-			list = append(list, name)
+		if count[name] >= reportQuorum {
+			outliers = append(outliers, name)
 		}
 	}
-	slices.SortFunc(list, func(a, b string) int {
+	slices.SortFunc(outliers, func(a, b string) int {
 		return cmp.Or(cmp.Compare(count[b], count[a]), cmp.Compare(xxhash.Sum64String(a),
 			xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
-	shunned := map[string]bool{}
-	for _, name := range list[:min(len(list), len(listed)/mostShunned)] {
-		if !w.turn(name) {
-			shunned[name] = true
+	ejected := map[string]bool{}
+	for _, name := range outliers[:min(len(outliers), len(listed)/ejectedDivisor)] {
+		if !q.tests(name) {
+			ejected[name] = true
+		}
+	}
+	return ejected
+}
+
+// reportCounts returns how many instances report each worker, this one included.
+func (q *OutlierQuorum) reportCounts(now time.Duration) map[string]int {
+	count := map[string]int{}
+	for _, r := range q.Reports(now) {
+		count[r.Worker]++
+	}
+	for _, reports := range q.received {
+		for name, r := range reports {
+			if now-r.at <= reportLifetime {
+				count[name]++
+			}
 		}
 	}
-	return shunned
+	return count
 }
 
-// turn says whether it is this instance that tries a worker that others shun.
-func (w *OutlierQuorum) turn(worker string) bool {
-	m, ok := w.table.Owner(ShardOf("worker/" + worker))
-	return ok && m.Session == w.own
+// tests reports whether this instance is the one that goes on using a worker that the others eject.
+func (q *OutlierQuorum) tests(worker string) bool {
+	m, ok := q.table.Owner(ShardOf("worker/" + worker))
+	return ok && m.Session == q.own
 }
--- a/internal/cluster/placement/outlier_test.go
+++ b/internal/cluster/placement/outlier_test.go
@@ -7,159 +7,202 @@
 	"time"
 )
 
-// crew is instances that see workers fail and tell each other.
-type crew struct {
-	view  View
-	all   []*OutlierQuorum
-	names []string
+// maxEjectedFraction is the fraction of the listed workers that reports may eject, as its reciprocal. It is
+// stated here once more so that a change of the bound is noticed.
+const maxEjectedFraction = 3
+
+// outlierGroup is instances that observe workers fail and exchange reports.
+type outlierGroup struct {
+	view    View
+	quorums []*OutlierQuorum // by index in view.Members
+	workers []string
 }
 
-func newCrew(instances, workers int) *crew {
-	c := &crew{view: view(some(instances)...)}
-	for _, m := range c.view.Members {
-		w := NewOutlierQuorum()
-		w.SetView(NewTable(c.view), m.Session)
-		c.all = append(c.all, w)
+func newOutlierGroup(instances, workers int) *outlierGroup {
+	g := &outlierGroup{view: viewOf(memberNumbers(instances)...)}
+	for _, m := range g.view.Members {
+		q := NewOutlierQuorum()
+		q.SetView(NewTable(g.view), m.Session)
+		g.quorums = append(g.quorums, q)
 	}
 	for n := range workers {
-		c.names = append(c.names, fmt.Sprint("w", n))
+		g.workers = append(g.workers, fmt.Sprint("w", n))
 	}
-	return c
+	return g
 }
 
-// tell has all tell all.
-func (c *crew) tell(now time.Duration) {
-	for a, w := range c.all {
-		for b, x := range c.all {
+// exchangeReports has every instance report to every other.
+func (g *outlierGroup) exchangeReports(now time.Duration) {
+	for a, from := range g.quorums {
+		for b, to := range g.quorums {
 			if a != b {
-				x.ObserveReports(now, c.view.Members[a].Member, w.Reports(now))
+				to.ObserveReports(now, g.view.Members[a].Member, from.Reports(now))
 			}
 		}
 	}
 }
 
-func (c *crew) shunning(now time.Duration, worker string) (n int) {
-	for _, w := range c.all {
-		if w.Ejected(now, c.names)[worker] {
+// ejecting returns how many instances eject a worker.
+func (g *outlierGroup) ejecting(now time.Duration, worker string) (n int) {
+	for _, q := range g.quorums {
+		if q.Ejected(now, g.workers)[worker] {
 			n++
 		}
 	}
 	return n
 }
 
-// One instance that is wrong, or lies, takes no worker out, however often and of however many it says so.
-func TestOneWitnessIsNotBelieved(t *testing.T) {
-	c := newCrew(5, 12)
-	var lies []OutlierReport
-	for _, name := range c.names {
-		lies = append(lies, OutlierReport{name, 1 << 30, 1 << 30})
+// fail has instances, by index, observe just enough failures at a worker to report it.
+func (g *outlierGroup) fail(now time.Duration, worker string, instances ...int) {
+	for _, n := range instances {
+		for range minFailures {
+			g.quorums[n].ObserveAttempt(now, worker, true)
+		}
+	}
+}
+
+// One instance that is wrong or malicious ejects no worker, however often and however many it reports.
+func TestReportsOfOneInstanceEjectNothing(t *testing.T) {
+	g := newOutlierGroup(5, 12)
+	var reports []OutlierReport
+	for _, name := range g.workers {
+		reports = append(reports, OutlierReport{name, 1 << 30, 1 << 30})
 	}
 	for now := time.Second; now < 20*time.Second; now += 100 * time.Millisecond {
-		for n, w := range c.all[1:] {
-			w.ObserveReports(now, c.view.Members[0].Member, lies)
-			for _, name := range c.names {
-				w.ObserveAttempt(now, name, false)
+		for n, q := range g.quorums[1:] {
+			q.ObserveReports(now, g.view.Members[0].Member, reports)
+			for _, name := range g.workers {
+				q.ObserveAttempt(now, name, false)
 			}
-			if s := w.Ejected(now, c.names); len(s) > 0 {
-				t.Fatalf("instance %d shuns %v by one's word", n+2, s)
+			if ejected := q.Ejected(now, g.workers); len(ejected) > 0 {
+				t.Fatalf("instance %d ejects %v by the reports of one", n+2, ejected)
 			}
 		}
 	}
 }
 
-// What two have seen all shun but the one whose turn it is; when that one finds the worker well, all use
-// it again. Words that are not said again end. Not more than a third of the workers is taken out.
-func TestSeveralWitnesses(t *testing.T) {
-	c := newCrew(5, 12)
+// A worker that two instances report is ejected by all but the one that tests it; when that one finds it
+// healthy, all use it again.
+func TestQuorumEjectsWorkerUntilItRecovers(t *testing.T) {
+	g := newOutlierGroup(5, 12)
 	now := time.Second
-	fail := func(worker string, by ...int) {
-		for _, n := range by {
-			for range leastBad {
-				c.all[n].ObserveAttempt(now, worker, true)
-			}
-		}
-	}
-	fail("w3", 0, 1)
-	c.tell(now)
-	if n := c.shunning(now, "w3"); n != 4 {
-		t.Fatalf("%d of 5 shun a worker that two have seen fail; all but one should", n)
+	g.fail(now, "w3", 0, 1)
+	g.exchangeReports(now)
+	if n := g.ejecting(now, "w3"); n != 4 {
+		t.Fatalf("%d of 5 eject a worker that two report; all but one should", n)
 	}
-	// The one whose turn it is finds it well; the others' evidence grows old.
+	// The instance that tests it finds it healthy; the others' observations expire.
 	for now < 14*time.Second {
-		for n, w := range c.all {
-			if !w.Ejected(now, c.names)["w3"] {
-				c.all[n].ObserveAttempt(now, "w3", false)
+		for n, q := range g.quorums {
+			if !q.Ejected(now, g.workers)["w3"] {
+				g.quorums[n].ObserveAttempt(now, "w3", false)
 			}
 		}
 		now += 100 * time.Millisecond
-		c.tell(now)
+		g.exchangeReports(now)
 	}
-	if n := c.shunning(now, "w3"); n != 0 {
-		t.Errorf("%d shun a worker that is well for long", n)
+	if n := g.ejecting(now, "w3"); n != 0 {
+		t.Errorf("%d eject a worker that has long been healthy", n)
 	}
-	for _, name := range c.names {
-		fail(name, 0, 1, 2)
+}
+
+// At most a third of the workers is ejected, and reports that are not renewed expire.
+func TestEjectionIsBoundedAndExpires(t *testing.T) {
+	g := newOutlierGroup(5, 12)
+	now := 14 * time.Second
+	for _, name := range g.workers {
+		g.fail(now, name, 0, 1, 2)
 	}
-	c.tell(now)
-	for n, w := range c.all {
-		if s := len(w.Ejected(now, c.names)); s > len(c.names)/mostShunned {
-			t.Errorf("instance %d shuns %d of %d workers", n+1, s, len(c.names))
+	g.exchangeReports(now)
+	for n, q := range g.quorums {
+		ejected := len(q.Ejected(now, g.workers))
+		if ejected > len(g.workers)/maxEjectedFraction {
+			t.Errorf("instance %d ejects %d of %d workers", n+1, ejected, len(g.workers))
+		}
+		if ejected == 0 {
+			t.Errorf("instance %d ejects nothing, and three instances report all workers", n+1)
 		}
 	}
-	now += lasting + recent
-	for _, name := range c.names {
-		if n := c.shunning(now, name); n != 0 {
-			t.Errorf("%d shun %s by old words", n, name)
+	now += reportLifetime + observationWindow
+	for _, name := range g.workers {
+		if n := g.ejecting(now, name); n != 0 {
+			t.Errorf("%d eject %s by expired reports", n, name)
 		}
 	}
 }
 
-// In stories of workers that fail and recover, instances that are lost and words that are, never more
-// than a third of the workers is shunned, no worker is shunned by all, and in the end none is that is
-// well.
-func TestWitnessStories(t *testing.T) {
-	shunned := 0
-	for seed := range uint64(30) {
-		rng := rand.New(rand.NewPCG(seed, 3))
-		c := newCrew(2+rng.IntN(6), 3+rng.IntN(20))
-		sick := map[string]bool{}
-		for now := time.Second; now < 45*time.Second; now += 100 * time.Millisecond {
-			if now < 25*time.Second && rng.IntN(10) == 0 {
-				sick[c.names[rng.IntN(len(c.names))]] = rng.IntN(2) == 0
-			}
-			if now >= 25*time.Second {
-				clear(sick)
-			}
-			for _, w := range c.all {
-				s := w.Ejected(now, c.names)
-				shunned += len(s)
-				if len(s) > len(c.names)/mostShunned {
-					t.Fatalf("seed %d: %d of %d workers are shunned", seed, len(s), len(c.names))
-				}
-				for range 5 {
-					if name := c.names[rng.IntN(len(c.names))]; !s[name] {
-						w.ObserveAttempt(now, name, sick[name])
-					}
-				}
-			}
-			for _, name := range c.names {
-				if c.shunning(now, name) == len(c.all) {
-					t.Fatalf("seed %d: nobody tries %s", seed, name)
-				}
-			}
-			if rng.IntN(3) > 0 {
-				c.tell(now)
+// outlierSimulation is a group with workers that fail and recover, and reports that are lost.
+type outlierSimulation struct {
+	*outlierGroup
+	rng     *rand.Rand
+	failing map[string]bool
+	ejected int // how often a worker was ejected, over all instances and steps
+}
+
+const (
+	simulatedFaultsEnd   = 25 * time.Second
+	simulatedRecoveredAt = 41 * time.Second
+	simulatedEnd         = 45 * time.Second
+)
+
+// step has faults come and go until simulatedFaultsEnd, and every instance use the workers.
+func (s *outlierSimulation) step(t *testing.T, now time.Duration) {
+	t.Helper()
+	if now < simulatedFaultsEnd && s.rng.IntN(10) == 0 {
+		s.failing[s.workers[s.rng.IntN(len(s.workers))]] = s.rng.IntN(2) == 0
+	}
+	if now >= simulatedFaultsEnd {
+		clear(s.failing)
+	}
+	for _, q := range s.quorums {
+		ejected := q.Ejected(now, s.workers)
+		s.ejected += len(ejected)
+		if len(ejected) > len(s.workers)/maxEjectedFraction {
+			t.Fatalf("%d of %d workers are ejected", len(ejected), len(s.workers))
+		}
+		for range 5 {
+			if name := s.workers[s.rng.IntN(len(s.workers))]; !ejected[name] {
+				q.ObserveAttempt(now, name, s.failing[name])
 			}
-			if now > 41*time.Second {
-				for _, name := range c.names {
-					if n := c.shunning(now, name); n > 0 {
-						t.Fatalf("seed %d: %d shun %s, which has been well for long", seed, n, name)
-					}
+		}
+	}
+}
+
+// check fails if all instances eject a worker, or any instance ejects one that has long been healthy.
+func (s *outlierSimulation) check(t *testing.T, now time.Duration) {
+	t.Helper()
+	for _, name := range s.workers {
+		n := s.ejecting(now, name)
+		if n == len(s.quorums) {
+			t.Fatalf("at %v: nobody tests %s", now, name)
+		}
+		if n > 0 && now > simulatedRecoveredAt {
+			t.Fatalf("at %v: %d eject %s, which has long been healthy", now, n, name)
+		}
+	}
+}
+
+// While workers fail and recover, instances restart and reports are lost, at most a third of the workers is
+// ejected, no worker is ejected by all instances, and in the end no healthy worker is.
+func TestOutlierQuorumUnderRandomFaults(t *testing.T) {
+	ejected := 0
+	for seed := range uint64(30) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(seed, 3))
+			s := &outlierSimulation{outlierGroup: newOutlierGroup(2+rng.IntN(6), 3+rng.IntN(20)), rng: rng,
+				failing: map[string]bool{}}
+			for now := time.Second; now < simulatedEnd; now += 100 * time.Millisecond {
+				s.step(t, now)
+				s.check(t, now)
+				if rng.IntN(3) > 0 {
+					s.exchangeReports(now)
 				}
+				s.check(t, now)
 			}
-		}
+			ejected += s.ejected
+		})
 	}
-	if shunned == 0 {
-		t.Error("nothing was ever shunned")
+	if ejected == 0 {
+		t.Error("nothing was ever ejected")
 	}
 }
--- a/internal/cluster/placement/partitioning.go
+++ b/internal/cluster/placement/partitioning.go
@@ -5,28 +5,35 @@
 	"time"
 )
 
-// Partitioning is which part of something that all share an instance has: one of as many as there are
-// instances. The parts of all never come to more than the whole, whoever joins, leaves or stands still.
+// Partitioning tells an instance which partition of a shared budget is its own: one of as many equal
+// partitions as the view has members. At any time the partitions in use by all instances add up to at most
+// the whole budget, whichever instances join, leave or stall.
 //
-// Hazard: instances learn of a view at different times. One that has learned that there are more takes
-// less at once, but one that is new, or has learned that there are fewer, has nothing for as long as
-// others may still have the larger parts of an earlier view, or a turn with the same number.
+// Hazard: instances learn of a view at different times. An instance that learns that there are more members
+// uses its smaller partition at once. One that is new, or learns that there are fewer members, has no
+// partition for as long as others may still use the larger partitions of an earlier view, or a partition
+// with the same index.
 type Partitioning struct {
-	me, n int
-	view  uint64
-	from  time.Duration // not before
+	index, count int
+	viewNumber   uint64
+	validFrom    time.Duration
 }
 
-// SetView takes over a view. Wait is how long others may act by an earlier one, by this instance's clock.
+// SetView takes over a view at the time now, on this instance's clock. The argument wait is the time for
+// which others may still act by an earlier view, on the same clock.
 func (p *Partitioning) SetView(now time.Duration, v View, own Session, wait time.Duration) {
-	if v.Number == p.view {
+	if v.Number == p.viewNumber {
 		return
 	}
-	p.view, p.n, p.from = v.Number, len(v.Members), now+wait
-	p.me = slices.IndexFunc(v.Members, func(m Member) bool { return m.Session == own && own != Session{} })
+	p.viewNumber, p.count, p.validFrom = v.Number, len(v.Members), now+wait
+	p.index = slices.IndexFunc(v.Members, func(m Member) bool {
+		return m.Session == own && own != Session{}
+	})
 }
 
-// Partition is which of how many parts the instance has now, while its right lasts until a time; false: none.
-func (p *Partitioning) Partition(now, until time.Duration) (me, n int, ok bool) {
-	return p.me, p.n, p.n > 0 && p.me >= 0 && now >= p.from && now < until
+// Partition returns the index of the instance's partition and the count of partitions, for an instance whose
+// lease expires at leaseExpiresAt. It returns false while the instance has no partition.
+func (p *Partitioning) Partition(now, leaseExpiresAt time.Duration) (index, count int, ok bool) {
+	ok = p.count > 0 && p.index >= 0 && now >= p.validFrom && now < leaseExpiresAt
+	return p.index, p.count, ok
 }
--- a/internal/cluster/placement/subset.go
+++ b/internal/cluster/placement/subset.go
@@ -8,109 +8,125 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Worker is one that instances may use.
+// Worker is a worker of the endpoint list, as subsetting sees it.
 type Worker struct {
 	Name string
 	Zone string
 }
 
-// Subset is which workers an instance uses: k of them, in each zone a part as large as the zone's of all.
-// Each worker is used by as many instances as any other of its zone, give or take one, and instances or
-// workers that come and go move little. Where there are no more than k, all of them. It is a function of
-// the set of instances and of the list; instances whose lists differ for a while are uneven for that
-// while.
+// Subset returns the names of the size workers that an instance uses, in each zone a fraction as large as the
+// zone's fraction of all workers. Each worker is used by as many instances as any other worker of its zone,
+// give or take one, and a change of the instances or workers moves little. It returns all workers if size is
+// 0 or not less than their number, or if own is not among the members.
 //
-// All pairs of an instance and a worker are ranked by a hash, and taken from the best on for as long as
-// the instance wants more and the worker has room. (Rendezvous hashing alone is uneven; the rounds of the
-// "deterministic subsetting" of the SRE book are even, and nearly all move when an instance in the middle
-// leaves.)
-func Subset(members []Member, own Session, workers []Worker, k int) map[string]bool {
-	use := map[string]bool{}
-	me := slices.IndexFunc(members, func(m Member) bool { return m.Session == own })
-	if k <= 0 || k >= len(workers) || me < 0 {
+// Subset is a pure function of the members and the workers; while instances' endpoint lists differ, subsets
+// are uneven.
+//
+// All pairs of an instance and a worker are ranked by a hash and taken best first, while the instance wants
+// more workers and the worker has capacity for more instances. Rendezvous hashing alone is uneven; the rounds
+// of "deterministic subsetting" (SRE book) are even, but nearly all pairs move when an instance in the middle
+// leaves.
+func Subset(members []Member, own Session, workers []Worker, size int) map[string]bool {
+	subset := map[string]bool{}
+	ownIndex := slices.IndexFunc(members, func(m Member) bool { return m.Session == own })
+	if size <= 0 || size >= len(workers) || ownIndex < 0 {
 		for _, w := range workers {
-			use[w.Name] = true
+			subset[w.Name] = true
 		}
-		return use
+		return subset
 	}
 	zones := map[string][]Worker{}
 	for _, w := range workers {
 		zones[w.Zone] = append(zones[w.Zone], w)
 	}
-	parts := share(zones, len(workers), k)
+	sizes := splitByZone(zones, len(workers), size)
 	for zone, list := range zones {
 		slices.SortFunc(list, func(a, b Worker) int { return cmp.Compare(a.Name, b.Name) })
-		for _, n := range match(members, list, parts[zone])[me] {
-			use[list[n].Name] = true
+		for _, n := range assignWorkers(members, list, sizes[zone])[ownIndex] {
+			subset[list[n].Name] = true
 		}
 	}
-	return use
+	return subset
 }
 
-// share splits k over zones by their sizes; what is left over goes to those that it was taken from most.
-func share(zones map[string][]Worker, all, k int) map[string]int {
+// splitByZone splits the subset's size over zones in proportion to their workers, by largest remainder.
+func splitByZone(zones map[string][]Worker, workerCount, size int) map[string]int {
 	type zone struct {
-		name string
-		rest int
+		name      string
+		remainder int
 	}
-	parts, left := map[string]int{}, k
+	sizes, unassigned := map[string]int{}, size
 	var order []zone
 	for name, list := range zones {
-		parts[name] = k * len(list) / all
-		left -= parts[name]
-		order = append(order, zone{name, k * len(list) % all})
+		sizes[name] = size * len(list) / workerCount
+		unassigned -= sizes[name]
+		order = append(order, zone{name, size * len(list) % workerCount})
 	}
 	slices.SortFunc(order, func(a, b zone) int {
-		return cmp.Or(cmp.Compare(b.rest, a.rest), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(a.name, b.name))
 	})
-	for n := range left {
-		parts[order[n].name]++
+	for n := range unassigned {
+		sizes[order[n].name]++
 	}
-	return parts
+	return sizes
 }
 
-// pair is an instance and a worker, and how well they fit.
-type pair struct {
+// rankedPair is a pair of an instance and a worker with its hash; both are indices.
+type rankedPair struct {
 	score          uint64
 	member, worker int
 }
 
-// match gives each instance k of the workers.
-func match(members []Member, workers []Worker, k int) [][]int {
-	has := make([][]bool, len(members))
-	want, room := make([]int, len(members)), rooms(len(members)*k, workers)
-	pairs := make([]pair, 0, len(members)*len(workers))
+// rankPairs returns all pairs of an instance and a worker, best first.
+func rankPairs(members []Member, workers []Worker) []rankedPair {
+	pairs := make([]rankedPair, 0, len(members)*len(workers))
 	for m := range members {
-		has[m], want[m] = make([]bool, len(workers)), k
 		var b [8]byte
 		binary.BigEndian.PutUint64(b[:], members[m].Member)
 		for w := range workers {
 			h := xxhash.New()
 			_, _ = h.Write(b[:])
 			_, _ = h.WriteString(workers[w].Name)
-			pairs = append(pairs, pair{h.Sum64(), m, w})
+			pairs = append(pairs, rankedPair{h.Sum64(), m, w})
 		}
 	}
-	slices.SortFunc(pairs, func(a, b pair) int {
+	slices.SortFunc(pairs, func(a, b rankedPair) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(members[a.member].Member,
 			members[b.member].Member), cmp.Compare(a.worker, b.worker))
 	})
-	for _, p := range pairs {
-		if want[p.member] > 0 && room[p.worker] > 0 {
-			has[p.member][p.worker] = true
-			want[p.member]--
-			room[p.worker]--
+	return pairs
+}
+
+// assignment is which instance uses which worker, while it is being computed.
+type assignment struct {
+	uses     [][]bool // by index of the member and of the worker
+	capacity []int    // how many more instances may use each worker
+}
+
+// assignWorkers returns the indices of the count workers that each member uses.
+func assignWorkers(members []Member, workers []Worker, count int) [][]int {
+	a := assignment{uses: make([][]bool, len(members)),
+		capacity: workerCapacities(len(members)*count, workers)}
+	wanted := make([]int, len(members))
+	for m := range members {
+		a.uses[m], wanted[m] = make([]bool, len(workers)), count
+	}
+	for _, p := range rankPairs(members, workers) {
+		if wanted[p.member] > 0 && a.capacity[p.worker] > 0 {
+			a.uses[p.member][p.worker] = true
+			wanted[p.member]--
+			a.capacity[p.worker]--
 		}
 	}
 	for m := range members {
-		for want[m] > 0 && trade(m, has, room) {
-			want[m]--
+		for wanted[m] > 0 && a.addBySwap(m) {
+			wanted[m]--
 		}
 	}
 	lists := make([][]int, len(members))
 	for m := range members {
-		for w, is := range has[m] {
-			if is {
+		for w, used := range a.uses[m] {
+			if used {
 				lists[m] = append(lists[m], w)
 			}
 		}
@@ -118,44 +134,44 @@
 	return lists
 }
 
-// rooms is how many instances may use each worker: their sum is what is wanted. Which have one more goes
-// by their names.
-func rooms(wanted int, workers []Worker) []int {
-	room := make([]int, len(workers))
+// workerCapacities returns how many instances may use each worker, adding up to total. Which workers take
+// one more than the others depends on the hash of their names.
+func workerCapacities(total int, workers []Worker) []int {
+	capacity := make([]int, len(workers))
 	order := make([]int, len(workers))
 	for w := range workers {
-		room[w], order[w] = wanted/len(workers), w
+		capacity[w], order[w] = total/len(workers), w
 	}
 	slices.SortFunc(order, func(a, b int) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(workers[a].Name), xxhash.Sum64String(workers[b].Name)),
 			cmp.Compare(a, b))
 	})
-	for _, w := range order[:wanted%len(workers)] {
-		room[w]++
+	for _, w := range order[:total%len(workers)] {
+		capacity[w]++
 	}
-	return room
+	return capacity
 }
 
-// trade gives an instance one more worker where all that have room are its own already: another one gives
-// up a worker to it, and takes one of those.
-func trade(m int, has [][]bool, room []int) bool {
-	for spare := range room {
-		if room[spare] == 0 {
+// addBySwap gives a member one more worker. Where the member already uses all workers that have capacity,
+// another member hands one of its workers over and takes one of those instead.
+func (a *assignment) addBySwap(member int) bool {
+	for spare := range a.capacity {
+		if a.capacity[spare] == 0 {
 			continue
 		}
-		if !has[m][spare] {
-			has[m][spare] = true
-			room[spare]--
+		if !a.uses[member][spare] {
+			a.uses[member][spare] = true
+			a.capacity[spare]--
 			return true
 		}
-		for other := range has {
-			if has[other][spare] {
+		for other := range a.uses {
+			if a.uses[other][spare] {
 				continue
 			}
-			for w, is := range has[other] {
-				if is && !has[m][w] {
-					has[other][w], has[other][spare], has[m][w] = false, true, true
-					room[spare]--
+			for w, used := range a.uses[other] {
+				if used && !a.uses[member][w] {
+					a.uses[other][w], a.uses[other][spare], a.uses[member][w] = false, true, true
+					a.capacity[spare]--
 					return true
 				}
 			}
