--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -34,11 +34,11 @@
 		requestedAt, duration time.Duration
 		index                 uint64
 	}{
-		"without an index":                      {epoch: 4, requestedAt: 200, duration: time.Second, index: 0},
-		"for another session, without an index": {epoch: 5, requestedAt: 200, duration: time.Second},
-		"without a duration":                    {epoch: 4, requestedAt: 200, duration: 0, index: 60},
-		"requested earlier":                     {epoch: 4, requestedAt: 50, duration: 2 * time.Second, index: 60},
-		"index not yet applied":                 {epoch: 4, requestedAt: 200, duration: time.Second, index: 61},
+		"without an index":      {epoch: 4, requestedAt: 200, duration: time.Second, index: 0},
+		"of another session":    {epoch: 5, requestedAt: 200, duration: time.Second},
+		"without a duration":    {epoch: 4, requestedAt: 200, duration: 0, index: 60},
+		"requested earlier":     {epoch: 4, requestedAt: 50, duration: 2 * time.Second, index: 60},
+		"index not yet applied": {epoch: 4, requestedAt: 200, duration: time.Second, index: 61},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var c Clock
--- a/internal/cluster/leasedtask/assigner.go
+++ b/internal/cluster/leasedtask/assigner.go
@@ -1,261 +1,201 @@
 package leasedtask
 
 import (
-	"cmp"
-	"fmt"
-	"hash/fnv"
 	"slices"
+	"strings"
 	"time"
 )
 
-// Member is an instance as the leader sees it.
-type Member struct {
-	Session   Session // its session; Epoch 0: none that is open
-	Name      string
-	Healthy   bool // it has been heard of lately
-	Departing bool // it hands on what it holds: it drains, or is about to end
-	Labels    []string
-	// Suspected: it is believed to be ill.
-	Suspected bool
+// spreadInterval is the number of leases between two transfers that only spread tasks evenly. A preferred
+// member that flaps attracts nothing: preference counts only where nobody holds the task.
+const spreadInterval = 10
+
+// maxProposals bounds the proposals that are remembered; beyond it all are proposed again.
+const maxProposals = 1024
+
+// Assigner decides, on the leader and for one term, which instance is to hold which task.
+type Assigner struct {
+	term          uint64
+	leaseDuration time.Duration
+	proposedAt    map[proposal]time.Duration
+	lastSpread    time.Duration // when it last transferred a task to spread tasks evenly
+	// expiring is the fencing token of each task whose expiry was proposed. Hazard: once it has been proposed
+	// it may be committed at any time.
+	expiring map[string]uint64
 }
 
-// Spec is what the configuration says of a duty.
-type Spec struct {
-	Name             string
-	RequiredLabel    string   // who may hold it must have this; empty: anybody
-	PreferredHolders []string // names, the best first
+// proposal identifies a command that may have to be proposed again. Tasks has the declared names, joined.
+type proposal struct {
+	kind         Kind
+	task, tasks  string
+	fencingToken uint64
+	session      Session
 }
 
-// Assigner judges who is to hold what, for one term.
-type Assigner struct {
-	term  uint64
-	lease time.Duration
-	asked map[string]time.Duration
-	moved time.Duration // when it last had a duty change hands for the sake of spread
-	// Hazard: once it has been asked to have a duty vacated, that may be agreed on at any time.
-	vacating map[string]uint64 // the number, by duty
+// ClusterView is what the decisions are based on.
+type ClusterView struct {
+	Now     time.Duration // the leader's monotonic clock
+	Lease   time.Duration // duration of a lease
+	Specs   []Spec
+	Members []Member
+	// LeaseExpired reports whether a member's lease has surely expired.
+	LeaseExpired func(member uint64) bool
 }
 
-// NewAssigner begins a term.
+// NewAssigner begins a term at the time now.
 func NewAssigner(now time.Duration, term uint64) *Assigner {
-	return &Assigner{term: term, moved: now, asked: map[string]time.Duration{}, vacating: map[string]uint64{}}
+	return &Assigner{term: term, lastSpread: now, proposedAt: map[proposal]time.Duration{},
+		expiring: map[string]uint64{}}
 }
 
-// CanGrant says whether a lease that is granted now may be used for duties. It may not while the
-// member's holding of one is about to be counted as over.
-func (l *Assigner) CanGrant(member uint64, s *State) bool {
-	for name, number := range l.vacating {
-		if d := s.Tasks[name]; d != nil && d.IsHeld() && d.FencingToken == number &&
-			d.Holder.Member == member {
+// CanGrant reports whether a lease that is granted to a member now may count for tasks. It may not while the
+// expiry of a task that the member holds has been proposed.
+func (a *Assigner) CanGrant(member uint64, s *State) bool {
+	for name, token := range a.expiring {
+		t := s.Tasks[name]
+		if t != nil && t.IsHeld() && t.FencingToken == token && t.Holder.Member == member {
 			return false
 		}
 	}
 	return true
 }
 
-// once says whether it is time to ask for something, for the first time or again.
-func (l *Assigner) once(now time.Duration, what ...any) bool {
-	key := fmt.Sprint(what...)
-	if at, ok := l.asked[key]; ok && now-at < l.lease/2 {
+// shouldPropose reports whether to propose a command now, for the first time or again after half a lease.
+func (a *Assigner) shouldPropose(now time.Duration, p proposal) bool {
+	if at, ok := a.proposedAt[p]; ok && now-at < a.leaseDuration/2 {
 		return false
 	}
-	if len(l.asked) > 1024 {
-		clear(l.asked)
+	if len(a.proposedAt) > maxProposals {
+		clear(a.proposedAt)
 	}
-	l.asked[key] = now
+	a.proposedAt[p] = now
 	return true
 }
 
-// ClusterView is what the leader's judgement goes by.
-type ClusterView struct {
-	Now     time.Duration
-	Lease   time.Duration
-	Specs   []Spec
-	Members []Member
-	// LeaseExpired says whether a member's lease has surely run out.
-	LeaseExpired func(member uint64) bool
-}
-
-// Evaluate judges what must be decided now. The commands are to be proposed in this term, and are
-// void in the log of another leader.
-func (l *Assigner) Evaluate(s *State, v ClusterView) (out []Command) {
-	l.lease = v.Lease
+// Evaluate returns the commands that must be proposed now. They are to be proposed in this term, and are void
+// in the log of another leader.
+func (a *Assigner) Evaluate(s *State, v ClusterView) []Command {
+	a.leaseDuration = v.Lease
+	e := evaluation{Assigner: a, state: s, view: v, specs: map[string]Spec{}, settled: true}
 	names := make([]string, 0, len(v.Specs))
-	specs := map[string]Spec{}
 	for _, spec := range v.Specs {
-		names, specs[spec.Name] = append(names, spec.Name), spec
+		names, e.specs[spec.Name] = append(names, spec.Name), spec
 	}
-	if l.differ(s, names) && l.once(v.Now, DeclareTasks, names) {
-		out = append(out, Command{Kind: DeclareTasks, Term: l.term, Tasks: names})
+	if !declared(s, names) &&
+		a.shouldPropose(v.Now, proposal{kind: DeclareTasks, tasks: strings.Join(names, " ")}) {
+		e.propose(Command{Kind: DeclareTasks, Tasks: names})
 	}
-	held := load(s)
-	quiet := true // every duty is held, and stays where it is
-	for _, d := range s.List() {
-		c := Command{Term: l.term, Task: d.Name, FencingToken: d.FencingToken}
-		switch {
-		case d.IsHeld() && l.over(v, d):
-			quiet = false
-			if c.Kind, c.Reason = Expire, "its lease ran out"; l.once(v.Now, c.Kind, d.Name, d.FencingToken) {
-				l.vacating[d.Name] = d.FencingToken
-				out = append(out, c)
-			}
-		case d.ReleaseReason != "":
-			quiet = false
-		case d.IsHeld():
-			// An operator's wish comes as a command of its own. Here: who is about to go.
-			if m, ok := find(v.Members, d.Holder.Member); ok && m.Departing &&
-				l.another(d, specs[d.Name], v) {
-				c.Kind, c.Reason = Transfer, m.Name+" is about to go"
-				if l.once(v.Now, c.Kind, d.Name, d.FencingToken) {
-					out = append(out, c)
-				}
-			}
-		case d.PausedBy == "":
-			quiet = false
-			if m, ok := l.choose(d, specs[d.Name], v, held); ok && slices.Contains(names, d.Name) {
-				c.Kind, c.Session, c.Name = Assign, m.Session, m.Name
-				if l.once(v.Now, c.Kind, d.Name, d.FencingToken, m.Session) {
-					out = append(out, c)
-				}
-				held[m.Session.Member]++ // soon
-			}
-		}
+	e.held = heldCounts(s)
+	for _, t := range s.List() {
+		e.evaluateTask(t)
 	}
-	if c, ok := l.spread(s, specs, v); quiet && ok {
-		out = append(out, c)
+	// A transfer that is due while tasks change hands is skipped, and the next one is due an interval later.
+	if c, ok := e.spreadTransfer(); ok && e.settled {
+		e.propose(c)
 	}
-	return out
+	return e.commands
 }
 
-// over says whether the holder's lease has surely run out, or had when it was asked about first.
-func (l *Assigner) over(v ClusterView, d *Task) bool {
-	return l.vacating[d.Name] == d.FencingToken || v.LeaseExpired(d.Holder.Member)
+// declared reports whether the state has exactly the named tasks.
+func declared(s *State, names []string) bool {
+	return len(s.Tasks) == len(names) &&
+		!slices.ContainsFunc(names, func(n string) bool { return s.Tasks[n] == nil })
 }
 
-func (l *Assigner) differ(s *State, names []string) bool {
-	if len(s.Tasks) != len(names) {
-		return true
-	}
-	return slices.ContainsFunc(names, func(n string) bool { return s.Tasks[n] == nil })
+// evaluation is one call of Evaluate.
+type evaluation struct {
+	*Assigner
+	state    *State
+	view     ClusterView
+	specs    map[string]Spec // by task
+	held     map[uint64]int  // number of tasks by member, with those that are being assigned
+	settled  bool            // every task is held, and none is about to change hands
+	commands []Command
 }
 
-func find(list []Member, id uint64) (Member, bool) {
-	k := slices.IndexFunc(list, func(m Member) bool { return m.Session.Member == id })
-	if k < 0 {
-		return Member{}, false
-	}
-	return list[k], true
+func (e *evaluation) propose(c Command) {
+	c.Term = e.term
+	e.commands = append(e.commands, c)
 }
 
-// CheckEligible says why a member may not hold a duty; nil: it may.
-func CheckEligible(m Member, spec Spec) error {
+// evaluateTask proposes what a task needs next.
+func (e *evaluation) evaluateTask(t *Task) {
 	switch {
-	case m.Session.Epoch == 0:
-		return fmt.Errorf("%s has no session that is open", m.Name)
-	case !m.Healthy:
-		return fmt.Errorf("%s has not been heard of lately", m.Name)
-	case m.Departing:
-		return fmt.Errorf("%s is about to go", m.Name)
-	case spec.RequiredLabel != "" && !slices.Contains(m.Labels, spec.RequiredLabel):
-		return fmt.Errorf("%s has not the label %q", m.Name, spec.RequiredLabel)
+	case t.IsHeld() && e.holderExpired(t):
+		e.settled = false
+		e.expire(t)
+	case t.ReleaseReason != "":
+		e.settled = false
+	case t.IsHeld():
+		e.transferFromDeparting(t)
+	case t.PausedBy == "":
+		e.settled = false
+		e.assign(t)
 	}
-	return nil
 }
 
-// another says whether somebody else could have it.
-func (l *Assigner) another(d *Task, spec Spec, v ClusterView) bool {
-	return slices.ContainsFunc(v.Members, func(m Member) bool {
-		return m.Session.Member != d.Holder.Member && CheckEligible(m, spec) == nil
-	})
+// holderExpired reports whether the holder's lease has surely expired, or had when its expiry was proposed.
+func (e *evaluation) holderExpired(t *Task) bool {
+	return e.expiring[t.Name] == t.FencingToken || e.view.LeaseExpired(t.Holder.Member)
 }
 
-// load is how many duties each member holds.
-func load(s *State) map[uint64]int {
-	n := map[uint64]int{}
-	for _, d := range s.Tasks {
-		if d.IsHeld() {
-			n[d.Holder.Member]++
-		}
+func (e *evaluation) expire(t *Task) {
+	if e.shouldPropose(e.view.Now, proposal{kind: Expire, task: t.Name, fencingToken: t.FencingToken}) {
+		e.expiring[t.Name] = t.FencingToken
+		e.propose(Command{Kind: Expire, Task: t.Name, FencingToken: t.FencingToken,
+			Reason: "its lease ran out"})
 	}
-	return n
 }
 
-// choose picks who is to hold a duty that nobody holds: whom an operator has named; one that has
-// not failed at it lately; whom the configuration prefers; who holds the fewest. Which of those
-// alike is a matter of the duty's name, so that different duties go to different ones.
-func (l *Assigner) choose(d *Task, spec Spec, v ClusterView, held map[uint64]int) (Member, bool) {
-	var best Member
-	found := false
-	for _, m := range v.Members {
-		if CheckEligible(m, spec) != nil {
-			continue
-		}
-		if !found || l.compare(m, best, d, spec, held) < 0 {
-			best, found = m, true
-		}
+// transferFromDeparting has a holder that is departing release the task, if another member can hold it. An
+// operator's transfer comes as a command of its own.
+func (e *evaluation) transferFromDeparting(t *Task) {
+	k := slices.IndexFunc(e.view.Members, func(m Member) bool {
+		return m.Session.Member == t.Holder.Member
+	})
+	if k < 0 || !e.view.Members[k].Departing || !hasOtherCandidate(t, e.specs[t.Name], e.view.Members) {
+		return
+	}
+	if e.shouldPropose(e.view.Now, proposal{kind: Transfer, task: t.Name, fencingToken: t.FencingToken}) {
+		e.propose(Command{Kind: Transfer, Task: t.Name, FencingToken: t.FencingToken,
+			Reason: e.view.Members[k].Name + " is about to go"})
 	}
-	return best, found
 }
 
-func (l *Assigner) compare(a, b Member, d *Task, spec Spec, held map[uint64]int) int {
-	first := func(yes bool) int {
-		if yes {
-			return 0
-		}
-		return 1
+func (e *evaluation) assign(t *Task) {
+	spec, configured := e.specs[t.Name]
+	m, ok := chooseHolder(t, spec, e.view.Members, e.held)
+	if !ok || !configured {
+		return
 	}
-	rank := func(m Member) int {
-		if k := slices.Index(spec.PreferredHolders, m.Name); k >= 0 {
-			return k
-		}
-		return len(spec.PreferredHolders)
+	if e.shouldPropose(e.view.Now, proposal{kind: Assign, task: t.Name, fencingToken: t.FencingToken,
+		session: m.Session}) {
+		e.propose(Command{Kind: Assign, Task: t.Name, FencingToken: t.FencingToken, Session: m.Session,
+			Name: m.Name})
 	}
-	return cmp.Or(
-		cmp.Compare(first(a.Session.Member == d.TransferTo), first(b.Session.Member == d.TransferTo)),
-		cmp.Compare(first(!a.Suspected), first(!b.Suspected)),
-		// Who has failed at it longest ago comes first of those that have.
-		cmp.Compare(d.CoolingDown[a.Session.Member], d.CoolingDown[b.Session.Member]),
-		cmp.Compare(rank(a), rank(b)),
-		cmp.Compare(held[a.Session.Member], held[b.Session.Member]),
-		cmp.Compare(toss(d.Name, a.Name), toss(d.Name, b.Name)),
-	)
-}
-
-func toss(duty, member string) uint64 {
-	h := fnv.New64a()
-	fmt.Fprint(h, duty, "/", member)
-	return h.Sum64()
+	e.held[m.Session.Member]++ // soon
 }
 
-// spreadEvery is how many leases pass between two moves for the sake of spread. A preferred member
-// that comes and goes pulls nothing back: preference counts only where nobody holds the duty.
-const spreadEvery = 10
-
-// spread moves one duty from who holds two or more over another that could have it.
-func (l *Assigner) spread(s *State, specs map[string]Spec, v ClusterView) (Command, bool) {
-	if v.Now-l.moved < spreadEvery*v.Lease {
+// spreadTransfer returns the transfer of one task from a member that holds at least two more than another
+// that could hold it.
+func (e *evaluation) spreadTransfer() (Command, bool) {
+	if e.view.Now-e.lastSpread < spreadInterval*e.view.Lease {
 		return Command{}, false
 	}
-	held := load(s)
-	for _, d := range s.List() {
-		spec := specs[d.Name]
-		if !d.IsHeld() || len(spec.PreferredHolders) > 0 {
+	held := heldCounts(e.state)
+	for _, t := range e.state.List() {
+		spec := e.specs[t.Name]
+		if !t.IsHeld() || len(spec.PreferredHolders) > 0 {
 			continue
 		}
-		for _, m := range v.Members {
-			if CheckEligible(m, spec) != nil || m.Suspected || d.CoolingDown[m.Session.Member] > 0 ||
-				held[d.Holder.Member]-held[m.Session.Member] < 2 {
+		for _, m := range e.view.Members {
+			if CheckEligible(m, spec) != nil || m.Suspected || t.CoolingDown[m.Session.Member] > 0 ||
+				held[t.Holder.Member]-held[m.Session.Member] < 2 {
 				continue
 			}
-			l.moved = v.Now
-			return Command{
-				Kind:         Transfer,
-				Term:         l.term,
-				Task:         d.Name,
-				FencingToken: d.FencingToken,
-				TransferTo:   m.Session.Member,
-				Reason:       "so that nobody holds all",
-			}, true
+			e.lastSpread = e.view.Now
+			return Command{Kind: Transfer, Task: t.Name, FencingToken: t.FencingToken,
+				TransferTo: m.Session.Member, Reason: "so that nobody holds all"}, true
 		}
 	}
 	return Command{}, false
--- a/internal/cluster/leasedtask/policy.go
+++ b/internal/cluster/leasedtask/policy.go
@@ -9,105 +9,137 @@
 	"time"
 )
 
-// Section is the section of the agreed document that says which duties there are.
+// Section is the name of the section of the agreed document that says which tasks exist.
 const Section = "duties"
 
-// The names of the duties.
+// The names of the tasks. They stand in the log and in operators' commands.
 const (
-	BackupTask       = "backup" // writes backups of the agreed state
-	EndpointListTask = "list"   // asks discovery, and gives the list to the others
-	// takes the instances out one after another; its note is a plan (package conduct)
-	RollingRestartTask = "roll"
-	DrillTaskFormat    = "drill-%d" // does nothing, many times a second: for practice, and for audits
+	BackupTask         = "backup" // writes backups of the agreed state
+	EndpointListTask   = "list"   // watches discovery, and relays the endpoint list to the other instances
+	RollingRestartTask = "roll"   // restarts the instances one after another; its note is the plan
+	// DrillTaskFormat is the name of a task that does nothing, many times a second: for practice and audits.
+	DrillTaskFormat = "drill-%d"
 )
 
 // BackupLabel is the label of an instance that has a directory for backups.
 const BackupLabel = "backups"
 
-// ZoneLabelPrefix begins the label that says in which zone an instance is.
+// ZoneLabelPrefix begins the label that names an instance's zone.
 const ZoneLabelPrefix = "zone="
 
-// Policy is what the section says.
+// rollingRestartFormat is the first format of the group's log that has the task RollingRestartTask.
+const rollingRestartFormat = 7
+
+// Bounds of the section's values. The interval's upper bound is a leap year.
+const (
+	maxDrills          = 100
+	minBackupInterval  = time.Second
+	maxBackupInterval  = 366 * 24 * time.Hour
+	defaultBackupsKept = 24
+	maxBackupsKept     = 10_000
+	keysOfSection      = "list, roll, backup_every, backup_keep, backup_prefer and drill are"
+	keysBeforeRestarts = "list, backup_every, backup_keep, backup_prefer and drill are"
+)
+
+// Policy is the decoded section.
 type Policy struct {
-	EndpointList    bool // one asks discovery for all
-	RollingRestart  bool // there is a conductor of rolling restarts
+	EndpointList    bool // the task EndpointListTask exists
+	RollingRestart  bool // the task RollingRestartTask exists
 	Drills          int
-	BackupInterval  time.Duration // between two backups; 0: none are made
-	BackupsKept     int           // how many stay
-	BackupPreferred []string      // who is to keep the backups, the best first
+	BackupInterval  time.Duration // 0: no backups are written
+	BackupsKept     int
+	BackupPreferred []string // names of the instances that are to write backups, best first
+}
+
+// ParsePolicy decodes the section's values as a group of that log format does. It returns one problem for
+// each key that is unknown or has an invalid value.
+//
+// Hazard: the problems are part of the replicated state, so their texts must not change.
+func ParsePolicy(values map[string]string, format int) (Policy, []string) {
+	p := policyParser{format: format, policy: Policy{BackupsKept: defaultBackupsKept}}
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		p.parse(key, values[key])
+	}
+	return p.policy, p.problems
+}
+
+type policyParser struct {
+	format   int
+	policy   Policy
+	problems []string
+}
+
+func (p *policyParser) parse(key, text string) {
+	var err error
+	switch key {
+	case "drill":
+		p.policy.Drills = p.number(key, text, 0, maxDrills)
+	case "list":
+		p.policy.EndpointList = p.onOrOff(key, text)
+	case "roll":
+		if p.format < rollingRestartFormat {
+			p.unknown(key)
+			return
+		}
+		p.policy.RollingRestart = p.onOrOff(key, text)
+	case "backup_every":
+		p.policy.BackupInterval, err = time.ParseDuration(text)
+		if err != nil || p.policy.BackupInterval < minBackupInterval ||
+			p.policy.BackupInterval > maxBackupInterval {
+			p.invalid(key, text, "a time from 1s to 8784h, as in \"1h\"")
+		}
+	case "backup_keep":
+		p.policy.BackupsKept = p.number(key, text, 1, maxBackupsKept)
+	case "backup_prefer":
+		p.policy.BackupPreferred = strings.Fields(text)
+	default:
+		p.unknown(key)
+	}
 }
 
-// rollsFrom is the format of the group's log from which on there is a conductor.
-const rollsFrom = 7
+func (p *policyParser) invalid(key, text, want string) {
+	p.problems = append(p.problems, fmt.Sprintf("%s: %q is not %s", key, text, want))
+}
 
-// ParsePolicy reads the section, as a group of that format does, and gives what is wrong with it.
-func ParsePolicy(values map[string]string, format int) (p Policy, wrong []string) {
-	p.BackupsKept = 24
-	keys := "list, roll, backup_every, backup_keep, backup_prefer and drill are"
-	if format < rollsFrom {
-		keys = "list, backup_every, backup_keep, backup_prefer and drill are"
+func (p *policyParser) unknown(key string) {
+	keys := keysOfSection
+	if p.format < rollingRestartFormat {
+		keys = keysBeforeRestarts
 	}
-	unknown := func(key string) {
-		wrong = append(wrong, fmt.Sprintf("%q is no key of this section; %s", key, keys))
+	p.problems = append(p.problems, fmt.Sprintf("%q is no key of this section; %s", key, keys))
+}
+
+func (p *policyParser) onOrOff(key, text string) bool {
+	if text != "on" && text != "off" {
+		p.invalid(key, text, "on or off")
 	}
-	for _, key := range slices.Sorted(maps.Keys(values)) {
-		text := values[key]
-		var err error
-		bad := func(what string) { wrong = append(wrong, fmt.Sprintf("%s: %q is not %s", key, text, what)) }
-		switch key {
-		case "drill":
-			if p.Drills, err = strconv.Atoi(text); err != nil || p.Drills < 0 || p.Drills > 100 {
-				bad("a number from 0 to 100")
-			}
-		case "list":
-			if p.EndpointList = text == "on"; !p.EndpointList && text != "off" {
-				bad("on or off")
-			}
-		case "roll":
-			if format < rollsFrom {
-				unknown(key)
-				continue
-			}
-			if p.RollingRestart = text == "on"; !p.RollingRestart && text != "off" {
-				bad("on or off")
-			}
-		case "backup_every":
-			p.BackupInterval, err = time.ParseDuration(text)
-			if err != nil || p.BackupInterval < time.Second || p.BackupInterval > 366*24*time.Hour {
-				bad("a time from 1s to 8784h, as in \"1h\"")
-			}
-		case "backup_keep":
-			if p.BackupsKept, err = strconv.Atoi(text); err != nil || p.BackupsKept < 1 ||
-				p.BackupsKept > 10_000 {
-				bad("a number from 1 to 10000")
-			}
-		case "backup_prefer":
-			p.BackupPreferred = strings.Fields(text)
-		default:
-			unknown(key)
-		}
+	return text == "on"
+}
+
+func (p *policyParser) number(key, text string, lowest, highest int) int {
+	n, err := strconv.Atoi(text)
+	if err != nil || n < lowest || n > highest {
+		p.invalid(key, text, fmt.Sprintf("a number from %d to %d", lowest, highest))
 	}
-	return p, wrong
+	return n
 }
 
-// Specs lists the duties that there are.
+// Specs lists the tasks that exist, sorted by name.
 func (p Policy) Specs() []Spec {
-	var list []Spec
+	var specs []Spec
 	if p.EndpointList {
-		list = append(list, Spec{Name: EndpointListTask})
+		specs = append(specs, Spec{Name: EndpointListTask})
 	}
 	if p.RollingRestart {
-		list = append(list, Spec{Name: RollingRestartTask})
+		specs = append(specs, Spec{Name: RollingRestartTask})
 	}
 	if p.BackupInterval > 0 {
-		list = append(
-			list,
-			Spec{Name: BackupTask, RequiredLabel: BackupLabel, PreferredHolders: p.BackupPreferred},
-		)
+		specs = append(specs, Spec{Name: BackupTask, RequiredLabel: BackupLabel,
+			PreferredHolders: p.BackupPreferred})
 	}
 	for n := range p.Drills {
-		list = append(list, Spec{Name: fmt.Sprintf(DrillTaskFormat, n+1)})
+		specs = append(specs, Spec{Name: fmt.Sprintf(DrillTaskFormat, n+1)})
 	}
-	slices.SortFunc(list, func(a, b Spec) int { return strings.Compare(a.Name, b.Name) })
-	return list
+	slices.SortFunc(specs, func(a, b Spec) int { return strings.Compare(a.Name, b.Name) })
+	return specs
 }
--- a/internal/cluster/placement/policy.go
+++ b/internal/cluster/placement/policy.go
@@ -28,6 +28,8 @@
 
 // ParsePolicy decodes the section's values. It returns one problem for each key that is unknown or has an
 // invalid value.
+//
+// Hazard: the problems are part of the replicated state, so their texts must not change.
 func ParsePolicy(values map[string]string) (p Policy, problems []string) {
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		text := values[key]
