--- /dev/null
+++ b/internal/cluster/rollout/command.go
@@ -0,0 +1,161 @@
+package rollout
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Kind is what a command does. Its numbers stand in the log.
+type Kind uint8
+
+// The kinds of command.
+const (
+	None            Kind = iota
+	OpenSession          // Member may admit jobs, under a new epoch
+	ExpireSessions       // the leases of Sessions have surely expired
+	CloseAdmission       // all of Sessions have staged the change: stop admitting
+	Commit               // all of Sessions have stopped admitting: the change is in force
+	ReopenAdmission      // continue under the old configuration, and try again
+	Withdraw             // the change is dropped
+	SetAside             // an operator states that Member does not serve
+)
+
+func (k Kind) String() string {
+	return [...]string{"none", "open session", "expire sessions", "close admission", "commit",
+		"reopen admission", "withdraw", "set aside"}[min(int(k), int(SetAside))]
+}
+
+// LeaderDecision reports whether a command is a decision of the leader of a term. Such a command is void in
+// the log of another leader.
+func (k Kind) LeaderDecision() bool { return k != Withdraw && k != SetAside }
+
+// Command is an entry of the replicated log.
+type Command struct {
+	Kind        Kind        `json:"kind"`
+	ID          string      `json:"id,omitempty"`   // of the operator's request that waits for the outcome
+	Term        uint64      `json:"term,omitempty"` // of the leader that decided; 0: an operator's command
+	Change      string      `json:"change,omitempty"`
+	Attempt     int         `json:"attempt,omitempty"`
+	Member      uint64      `json:"member,omitempty"`
+	Name        string      `json:"name,omitempty"`
+	Incarnation uint64      `json:"nonce,omitempty"`
+	Sessions    []SessionID `json:"seats,omitempty"` // on which the decision rests
+	Reason      string      `json:"reason,omitempty"`
+	AtMS        int64       `json:"at_ms,omitempty"` // wall clock in Unix milliseconds, for people only
+}
+
+// Texts that are part of the replicated state.
+const (
+	reasonLeaseExpired = "its lease ran out"
+	reasonSetAside     = "set aside by an operator"
+)
+
+// Apply applies a command, or returns why it has no effect. The caller acts on what becomes of the pending
+// change: on Commit it is in force, on Withdraw it is dropped.
+//
+// Hazard: every instance must compute the same state, also in a group with an older program. The outcome of
+// an operator's command is part of the state with its error text, so texts that are returned or stored here
+// must not change.
+func (s *State) Apply(c Command) error {
+	switch c.Kind {
+	case OpenSession:
+		return s.applyOpenSession(c)
+	case ExpireSessions:
+		return s.applyExpireSessions(c)
+	case SetAside:
+		return s.applySetAside(c)
+	case CloseAdmission, Commit, ReopenAdmission, Withdraw:
+		if err := s.checkPending(c); err != nil {
+			return err
+		}
+		return s.applyToPending(c)
+	default:
+		return fmt.Errorf("a command of the kind %d is not known", c.Kind)
+	}
+}
+
+func (s *State) applyOpenSession(c Command) error {
+	s.LastEpoch++
+	s.Sessions[c.Member] = Session{Member: c.Member, Name: c.Name, Epoch: s.LastEpoch,
+		Incarnation: c.Incarnation, Open: true}
+	return nil
+}
+
+func (s *State) applyExpireSessions(c Command) error {
+	for _, id := range c.Sessions {
+		if x := s.Sessions[id.Member]; x.Open && x.Epoch == id.Epoch {
+			x.Open, x.ClosedReason = false, reasonLeaseExpired
+			s.Sessions[id.Member] = x
+		}
+	}
+	return nil
+}
+
+func (s *State) applySetAside(c Command) error {
+	x, ok := s.Sessions[c.Member]
+	if !ok || !x.Open {
+		return errors.New("it has no session that is open")
+	}
+	x.Open, x.Unleased, x.ClosedReason = false, false, reasonSetAside
+	s.Sessions[c.Member] = x
+	return nil
+}
+
+// checkPending returns an error unless the command is about the pending change and its current attempt.
+func (s *State) checkPending(c Command) error {
+	p := s.Pending
+	switch {
+	case p == nil:
+		return errors.New("no change is pending")
+	case c.Change != p.Change:
+		return fmt.Errorf("the change %q is not pending; %q is", c.Change, p.Change)
+	case c.Kind.LeaderDecision() && c.Attempt != p.Attempt:
+		return fmt.Errorf("attempt %d is over", c.Attempt)
+	}
+	return nil
+}
+
+// applyToPending applies a command that is about the pending change.
+func (s *State) applyToPending(c Command) error {
+	switch c.Kind {
+	case CloseAdmission:
+		return s.applyCloseAdmission(c)
+	case Commit:
+		return s.applyCommit(c)
+	case ReopenAdmission:
+		return s.applyReopenAdmission()
+	default: // Withdraw
+		s.Pending = nil
+		return nil
+	}
+}
+
+func (s *State) applyCloseAdmission(c Command) error {
+	if s.Pending.Phase != Staging {
+		return fmt.Errorf("the change is %v", s.Pending.Phase)
+	}
+	if !s.coversOpenSessions(c.Sessions) {
+		return errors.New("an instance that may admit has not staged it")
+	}
+	s.Pending.Phase = ClosingAdmission
+	return nil
+}
+
+func (s *State) applyCommit(c Command) error {
+	if s.Pending.Phase != ClosingAdmission {
+		return fmt.Errorf("the change is %v", s.Pending.Phase)
+	}
+	if !s.coversOpenSessions(c.Sessions) {
+		return errors.New("an instance that may admit has not ceased to")
+	}
+	s.Pending = nil
+	return nil
+}
+
+func (s *State) applyReopenAdmission() error {
+	if s.Pending.Phase != ClosingAdmission {
+		return fmt.Errorf("the change is %v", s.Pending.Phase)
+	}
+	s.Pending.Phase, s.Pending.Attempt = Staging, s.Pending.Attempt+1
+	return nil
+}
--- a/internal/cluster/rollout/leader.go
+++ b/internal/cluster/rollout/leader.go
@@ -1,275 +1,212 @@
 package rollout
 
 import (
-	"fmt"
+	"maps"
 	"slices"
-	"strings"
 	"time"
 )
 
-// Leader is the leader's side, for one term: made when it has applied an entry of that term,
-// and so all that any leader before it has decided.
-type Leader struct {
-	term  uint64
-	began time.Duration
-	last  time.Duration
-	seats map[uint64]*seat
-
-	pending PendingChange // as last seen
-	since   time.Duration // when it was first seen so
-	whole   time.Duration // when its change was first seen
-	asked   map[string]time.Duration
-}
-
-// seat is what is known of an instance in this term.
-type seat struct {
-	report  Report
-	heard   time.Duration
-	known   bool
-	fresh   bool          // the report has opened no session
-	expires time.Duration // when its lease has surely run out; 0: it has been granted none
-	lapsing uint64        // the epoch that this leader has asked to be counted as over
-	epoch   uint64        // of the session, as seen last
-	seen    time.Duration // when it was first
-}
+// maxProposals bounds the proposals that a leader remembers; beyond it all are proposed again.
+const maxProposals = 4096
 
-// NewLeader begins a term.
+// Leader is the leader's side for one term. It is made when the leader has applied an entry of its term, and
+// so everything that any leader before it has decided.
+type Leader struct {
+	term uint64
+	// startedAt is when the term began, or when the leader noticed that it had stalled.
+	startedAt     time.Duration
+	lastEvaluated time.Duration
+	members       map[uint64]*memberState
+	proposedAt    map[proposal]time.Duration
+
+	pending      PendingChange // as last seen
+	pendingSince time.Duration // when it was first seen with this phase and attempt
+	changeSeenAt time.Duration // when its change was first seen
+}
+
+// memberState is what the leader knows of an instance in this term.
+type memberState struct {
+	report     Report // the latest; valid if reported
+	reportedAt time.Duration
+	reported   bool
+	unanswered bool // the report has opened no session yet
+	// leaseExpiresAt is when the granted lease has surely expired, on the leader's clock; 0: none is granted.
+	leaseExpiresAt time.Duration
+	expiringEpoch  uint64        // of the session whose expiry this leader has proposed
+	epoch          uint64        // of the session that was seen last
+	epochSeenAt    time.Duration // when it was seen first
+}
+
+// proposal identifies a command that may have to be proposed again.
+type proposal struct {
+	kind         Kind
+	member       uint64
+	incarnation  uint64
+	epoch        uint64 // of the session, or the state's newest
+	change       string
+	attempt      int
+	openSessions int
+}
+
+// NewLeader begins a term at the time now.
 func NewLeader(now time.Duration, term uint64) *Leader {
-	return &Leader{term: term, began: now, last: now, seats: map[uint64]*seat{},
-		asked: map[string]time.Duration{}}
+	return &Leader{term: term, startedAt: now, lastEvaluated: now, members: map[uint64]*memberState{},
+		proposedAt: map[proposal]time.Duration{}}
 }
 
-// Term is the term that it judges in.
+// Term returns the term in which it decides.
 func (l *Leader) Term() uint64 { return l.term }
 
-func (l *Leader) seat(member uint64) *seat {
-	x := l.seats[member]
-	if x == nil {
-		x = &seat{}
-		l.seats[member] = x
+func (l *Leader) member(id uint64) *memberState {
+	m := l.members[id]
+	if m == nil {
+		m = &memberState{}
+		l.members[id] = m
 	}
-	return x
+	return m
 }
 
 // ObserveReport takes an instance's report.
 func (l *Leader) ObserveReport(now time.Duration, r Report) {
-	x := l.seat(r.Member)
-	// Hazard: one that was sent earlier may come later.
-	if x.known && x.report.Incarnation == r.Incarnation && r.RequestedAt < x.report.RequestedAt {
+	m := l.member(r.Member)
+	// Hazard: a report that was sent earlier may arrive later.
+	if m.reported && m.report.Incarnation == r.Incarnation && r.RequestedAt < m.report.RequestedAt {
 		return
 	}
-	x.report, x.heard, x.known, x.fresh = r, now, true, true
+	m.report, m.reportedAt, m.reported, m.unanswered = r, now, true, true
 }
 
-// Grant answers a report. The caller has made sure, after the report came, that this instance
-// leads still, and has applied all that was decided until then. Hazard: without that, a leader
-// that has been deposed would grant what the next one counts as over.
+// Grant returns the response to a report. The caller must have made sure, after the report arrived, that this
+// instance still leads and has applied everything that was decided until then. Hazard: otherwise a leader
+// that has been deposed would grant a lease that the next leader takes for expired.
 func (l *Leader) Grant(now time.Duration, r Report, s *State, p Policy) Grant {
 	g := Grant{Epoch: r.Epoch, RequestedAt: r.RequestedAt}
 	session := s.Sessions[r.Member]
-	x := l.seat(r.Member)
-	if !session.Open || session.Epoch != r.Epoch || x.lapsing == r.Epoch {
+	m := l.member(r.Member)
+	if !session.Open || session.Epoch != r.Epoch || m.expiringEpoch == r.Epoch {
 		return g
 	}
 	g.Duration = p.Lease
-	x.expires = max(x.expires, now+ExpiryWait(p.Lease))
+	m.leaseExpiresAt = max(m.leaseExpiresAt, now+ExpiryWait(p.Lease))
 	return g
 }
 
-// expires is when the lease of a session has surely run out. One that this leader has granted
-// nothing may have been granted something by the leader before it, at most until this term began;
-// and one that was just opened is yet to ask.
-func (l *Leader) expires(x Session, p Policy) time.Duration {
-	seat := l.seat(x.Member)
-	return max(seat.expires, l.began+ExpiryWait(p.Lease), seat.seen+ExpiryWait(p.Lease))
+// leaseExpiry is when a member's lease has surely expired. To a member that this leader has granted no lease
+// the leader before it may have granted one, at the latest when this term began; and the holder of a session
+// that was just opened has yet to request one.
+func (l *Leader) leaseExpiry(m *memberState, p Policy) time.Duration {
+	wait := ExpiryWait(p.Lease)
+	return max(m.leaseExpiresAt, l.startedAt+wait, m.epochSeenAt+wait)
 }
 
-// LeaseExpired says whether a member's lease has surely run out, whichever session it was for.
+// LeaseExpired reports whether a member's lease has surely expired, whichever session it was for.
 func (l *Leader) LeaseExpired(now time.Duration, member uint64, p Policy) bool {
-	x := l.seat(member)
-	return now >= max(x.expires, l.began+ExpiryWait(p.Lease), x.seen+ExpiryWait(p.Lease))
+	return now >= l.leaseExpiry(l.member(member), p)
 }
 
-// Healthy says whether a member has been heard of within a time.
+// Healthy reports whether a member has reported within a duration before now.
 func (l *Leader) Healthy(now time.Duration, member uint64, within time.Duration) bool {
-	x := l.seat(member)
-	return x.known && now-x.heard <= within
+	m := l.member(member)
+	return m.reported && now-m.reportedAt <= within
 }
 
-// over says whether a session has surely ended.
-func (l *Leader) over(now time.Duration, x Session, p Policy) bool {
-	if p.WhenIsolated == KeepServing || x.Unleased && !l.seat(x.Member).known {
+// sessionExpired reports whether a session has surely ended.
+func (l *Leader) sessionExpired(now time.Duration, x Session, p Policy) bool {
+	if p.WhenIsolated == KeepServing || x.Unleased && !l.member(x.Member).reported {
 		return false
 	}
-	return now >= l.expires(x, p)
+	return l.LeaseExpired(now, x.Member, p)
 }
 
-// once says whether it is time to ask for something, for the first time or again.
-func (l *Leader) once(now time.Duration, p Policy, kind Kind, what string) bool {
-	key := kind.String() + what
-	if at, ok := l.asked[key]; ok && now-at < p.Lease/2 {
+// shouldPropose reports whether to propose a command now, for the first time or again after half a lease.
+func (l *Leader) shouldPropose(now time.Duration, p Policy, key proposal) bool {
+	if at, ok := l.proposedAt[key]; ok && now-at < p.Lease/2 {
 		return false
 	}
-	l.asked[key] = now
+	l.proposedAt[key] = now
 	return true
 }
 
-// Evaluate judges what must be decided now. The commands are to be proposed in this term, and are
-// void in the log of another leader.
+// Evaluate returns the commands that must be proposed now, for members given by number and name. They are to
+// be proposed in this term, and are void in the log of another leader.
 func (l *Leader) Evaluate(now time.Duration, s *State, p Policy, names map[uint64]string) []Command {
-	// Hazard: after a stall the reports wait in a queue behind this look, and all would seem to be
-	// gone. It is as if the term began now.
-	if now-l.last > p.Lease/2 {
-		l.began = now
+	// Hazard: after a stall the reports wait in a queue behind this evaluation, and every member would seem
+	// to have failed. The leader continues as if the term began now.
+	if now-l.lastEvaluated > p.Lease/2 {
+		l.startedAt = now
 	}
-	l.last = now
-	if len(l.asked) > 4096 {
-		clear(l.asked)
-	}
-	var out []Command
-	for _, id := range sortedKeys(names) {
-		x := l.seat(id)
-		session := s.Sessions[id]
-		opened := session.Open && session.Incarnation == x.report.Incarnation // it is yet to learn so
-		// Hazard: the last word of one that has died since would open its session for ever.
-		if x.fresh && x.report.Epoch == 0 && !opened {
-			x.fresh = false
-			// Hazard: words that a cut has held back come all at once, and each would open one more.
-			if l.once(now, p, OpenSession, fmt.Sprint(id, x.report.Incarnation, session.Epoch)) {
-				out = append(out, Command{Kind: OpenSession, Term: l.term, Member: id, Name: names[id],
-					Incarnation: x.report.Incarnation})
-			}
-		}
-	}
-	var lapsed []SessionID
-	for _, x := range s.List() {
-		if seat := l.seat(x.Member); seat.epoch != x.Epoch {
-			seat.epoch, seat.seen = x.Epoch, now
-		}
-		if x.Open && l.over(now, x, p) {
-			if l.once(now, p, ExpireSessions, fmt.Sprint(x.Member, x.Epoch)) {
-				lapsed = append(lapsed, SessionID{x.Member, x.Epoch})
-				// Hazard: once asked for, it may be agreed on at any time: nothing is granted for
-				// this epoch any more.
-				l.seat(x.Member).lapsing = x.Epoch
-			}
-		}
-	}
-	if len(lapsed) > 0 {
-		out = append(out, Command{Kind: ExpireSessions, Term: l.term, Sessions: lapsed})
+	l.lastEvaluated = now
+	if len(l.proposedAt) > maxProposals {
+		clear(l.proposedAt)
 	}
+	commands := append(l.openSessions(now, s, p, names), l.expireSessions(now, s, p)...)
 	if s.Pending == nil {
 		l.pending = PendingChange{}
-		return out
+		return commands
 	}
-	if c, ok := l.judge(now, s, p); ok && l.once(now, p, c.Kind, fmt.Sprint(c.Change, c.Attempt,
-		len(s.OpenSessions()), s.LastEpoch)) {
-		out = append(out, c)
+	if c, ok := l.advancePending(now, s, p); ok && l.shouldPropose(now, p, proposal{kind: c.Kind,
+		change: c.Change, attempt: c.Attempt, openSessions: len(c.Sessions), epoch: s.LastEpoch}) {
+		commands = append(commands, c)
 	}
-	return out
+	return commands
 }
 
-// judge says what the pending change must do now.
-func (l *Leader) judge(now time.Duration, s *State, p Policy) (Command, bool) {
-	c := Command{
-		Term:     l.term,
-		Change:   s.Pending.Change,
-		Attempt:  s.Pending.Attempt,
-		Sessions: s.OpenSessions(),
-	}
-	if l.pending.Change != s.Pending.Change {
-		l.whole = now
-	}
-	if l.pending != *s.Pending {
-		l.pending, l.since = *s.Pending, now
-	}
-	var missing []string
-	for _, x := range s.List() {
-		if !x.Open {
+// openSessions returns the commands that open the sessions that instances have requested.
+func (l *Leader) openSessions(now time.Duration, s *State, p Policy, names map[uint64]string) []Command {
+	var commands []Command
+	for _, id := range slices.Sorted(maps.Keys(names)) {
+		m, session := l.member(id), s.Sessions[id]
+		opened := session.Open && session.Incarnation == m.report.Incarnation // it has yet to learn that
+		if !m.unanswered || m.report.Epoch != 0 || opened {
 			continue
 		}
-		seat := l.seat(x.Member)
-		r := seat.report
-		current := seat.known && r.Epoch == x.Epoch
-		if current && r.StagedChange == c.Change && len(r.Problems) > 0 {
-			c.Kind, c.Reason = Withdraw, x.Name+" refuses it: "+strings.Join(r.Problems, "; ")
-			return c, true
-		}
-		// After a first attempt, one that has said nothing since is asked again: it may be the one
-		// that stood in the way.
-		fresh := s.Pending.Attempt == 1 || seat.heard >= l.since
-		ok := current && fresh && r.StagedChange == c.Change
-		if s.Pending.Phase == ClosingAdmission {
-			ok = current && r.AdmissionClosedFor == c.Change && r.Attempt == c.Attempt
-		}
-		if !ok {
-			missing = append(missing, fmt.Sprintf("%s (%s)", x.Name, l.silence(now, seat)))
-		}
-	}
-	switch {
-	case len(missing) == 0 && s.Pending.Phase == Staging:
-		c.Kind = CloseAdmission
-	case len(missing) == 0:
-		c.Kind = Commit
-	case s.Pending.Phase == ClosingAdmission && now-l.since > p.MaxAdmissionPause:
-		c.Kind = ReopenAdmission
-	case s.Pending.Phase == Staging && now-l.whole > p.StagingTimeout:
-		c.Kind = Withdraw
-		c.Reason = fmt.Sprintf("no word within %v of %s", p.StagingTimeout, strings.Join(missing, ", "))
-	default:
-		return c, false
-	}
-	return c, true
-}
-
-// LatestReports is what each instance has said last: the revision that its fronts run, and the change
-// that it is ready for.
-func (l *Leader) LatestReports() (running map[uint64]uint64, ready map[uint64]string) {
-	running, ready = map[uint64]uint64{}, map[uint64]string{}
-	for id, x := range l.seats {
-		if x.known {
-			running[id] = x.report.RunningRevision
-			if len(x.report.Problems) == 0 {
-				ready[id] = x.report.StagedChange
-			}
+		// Hazard: the last report of an instance that has died since would open its session again and again.
+		m.unanswered = false
+		// Hazard: reports that a partition held back arrive all at once, and each would open a session.
+		if l.shouldPropose(now, p, proposal{kind: OpenSession, member: id,
+			incarnation: m.report.Incarnation, epoch: session.Epoch}) {
+			commands = append(commands, Command{Kind: OpenSession, Term: l.term, Member: id,
+				Name: names[id], Incarnation: m.report.Incarnation})
 		}
 	}
-	return running, ready
+	return commands
 }
 
-func (l *Leader) silence(now time.Duration, x *seat) string {
-	if !x.known {
-		return "not heard of"
-	}
-	return fmt.Sprintf("last heard of %v ago", (now - x.heard).Round(10*time.Millisecond))
-}
-
-// AwaitedMembers names the instances that the pending change waits for, with until when the lease of
-// each may last.
-func (l *Leader) AwaitedMembers(now time.Duration, s *State, p Policy) map[string]time.Duration {
-	if s.Pending == nil {
-		return nil
-	}
-	out := map[string]time.Duration{}
+// expireSessions returns the command that closes the sessions whose leases have surely expired, if there are
+// any.
+func (l *Leader) expireSessions(now time.Duration, s *State, p Policy) []Command {
+	var expired []SessionID
 	for _, x := range s.List() {
-		r := l.seat(x.Member).report
-		done := r.Epoch == x.Epoch && r.StagedChange == s.Pending.Change
-		if s.Pending.Phase == ClosingAdmission {
-			done = r.Epoch == x.Epoch && r.AdmissionClosedFor == s.Pending.Change &&
-				r.Attempt == s.Pending.Attempt
+		m := l.member(x.Member)
+		if m.epoch != x.Epoch {
+			m.epoch, m.epochSeenAt = x.Epoch, now
 		}
-		if x.Open && !done {
-			out[x.Name] = max(l.expires(x, p)-now, 0)
+		if !x.Open || !l.sessionExpired(now, x, p) ||
+			!l.shouldPropose(now, p, proposal{kind: ExpireSessions, member: x.Member, epoch: x.Epoch}) {
+			continue
 		}
+		expired = append(expired, SessionID{x.Member, x.Epoch})
+		// Hazard: once it has been proposed, the expiry may be committed at any time: nothing is granted for
+		// this epoch any more.
+		m.expiringEpoch = x.Epoch
 	}
-	return out
+	if len(expired) == 0 {
+		return nil
+	}
+	return []Command{{Kind: ExpireSessions, Term: l.term, Sessions: expired}}
 }
 
-func sortedKeys(m map[uint64]string) []uint64 {
-	list := make([]uint64, 0, len(m))
-	for k := range m {
-		list = append(list, k)
+// LatestReports returns what each instance has reported last, by member number: the revision that its fronts
+// run, and the change that it has staged.
+func (l *Leader) LatestReports() (running map[uint64]uint64, staged map[uint64]string) {
+	running, staged = map[uint64]uint64{}, map[uint64]string{}
+	for id, m := range l.members {
+		if m.reported {
+			running[id] = m.report.RunningRevision
+			if len(m.report.Problems) == 0 {
+				staged[id] = m.report.StagedChange
+			}
+		}
 	}
-	slices.Sort(list)
-	return list
+	return running, staged
 }
--- a/internal/cluster/rollout/lease_holder.go
+++ b/internal/cluster/rollout/lease_holder.go
@@ -1,179 +1,138 @@
 package rollout
 
-import (
-	"time"
-)
+import "time"
 
-// Report is what an instance tells the leader. It asks for its lease with it, too.
+// Report is what an instance reports to the leader, and its request for a lease.
 type Report struct {
-	Member             uint64
-	Incarnation        uint64
-	Epoch              uint64        // the session that it has; 0: it wants one
-	RequestedAt        time.Duration // its clock, before it asked; comes back with the grant
-	StagedChange       string        // the change that it has staged
-	Problems           []string      // why it can't
-	AdmissionClosedFor string        // the change for which it has ceased to admit
-	Attempt            int           // with Closed
-	RunningRevision    uint64        // the revision that its fronts run
+	Member      uint64
+	Incarnation uint64
+	Epoch       uint64 // of the session that it has; 0: it requests one
+	// RequestedAt is the instance's clock before it sent the report; it comes back with the grant.
+	RequestedAt        time.Duration
+	StagedChange       string   // the change that the instance has staged, or can't stage
+	Problems           []string // why it can't
+	AdmissionClosedFor string   // the change for which it has stopped admitting
+	Attempt            int      // of AdmissionClosedFor
+	RunningRevision    uint64   // the revision of the configuration that its fronts run
 }
 
-// Grant is the leader's answer.
+// Grant is the leader's response to a report.
 type Grant struct {
 	Epoch       uint64
 	RequestedAt time.Duration
-	Duration    time.Duration // from Asked on; 0: none
+	Duration    time.Duration // of the lease, from RequestedAt on; 0: none is granted
 }
 
-// Permit is whether an instance may admit jobs.
-type Permit struct {
-	Revision     uint64 // under which policy
-	Open         bool
-	ExpiresAt    time.Duration // on the instance's clock
-	NoExpiry     bool          // Until does not count: this instance serves on when cut off
-	ClosedReason string        // it is not open
-	// What it is closed for: the fronts' yes is awaited.
-	Change  string
-	Attempt int
-}
+// reportsPerLease is how often an instance reports, and so renews its lease, while a lease lasts.
+const reportsPerLease = 4
 
-// LeaseHolder is an instance's side.
+// LeaseHolder is one instance's side: its session, its lease and what it has to report.
 type LeaseHolder struct {
-	member, nonce uint64
-	epoch         uint64
-	asked, span   time.Duration // of the last grant
-	old           bool          // this life served before there were sessions
-
-	staged  string
-	refused []string
-	closed  string
-	attempt int
-	running uint64
-
-	at    time.Duration // when
-	ever  bool          // something was sent
-	dirty bool
+	member, incarnation  uint64
+	epoch                uint64        // of the session; 0: none
+	leaseFrom, leaseLong time.Duration // when the lease was requested, and its duration
+	unleased             bool          // this incarnation served before there were sessions
+
+	stagedChange       string
+	problems           []string
+	admissionClosedFor string
+	attempt            int
+	runningRevision    uint64
+
+	reportedAt time.Duration
+	reported   bool // at least once
+	reportDue  bool // there is something new to report
 }
 
-// NewLeaseHolder is for one life of an instance; no other one has its nonce.
-func NewLeaseHolder(member, nonce uint64) *LeaseHolder {
-	return &LeaseHolder{member: member, nonce: nonce}
+// NewLeaseHolder returns the side of one incarnation of an instance. No other incarnation of the instance may
+// have the same number.
+func NewLeaseHolder(member, incarnation uint64) *LeaseHolder {
+	return &LeaseHolder{member: member, incarnation: incarnation}
 }
 
-// SetStaged says that the instance is ready to switch to a change, or why it can't.
-func (h *LeaseHolder) SetStaged(change string, refused []string) {
-	h.staged, h.refused, h.dirty = change, refused, true
+// SetStaged records that the instance is ready to switch to a change, or why it can't.
+func (h *LeaseHolder) SetStaged(change string, problems []string) {
+	h.stagedChange, h.problems, h.reportDue = change, problems, true
 }
 
-// SetAdmissionClosed says that the fronts have ceased to admit for a change.
+// SetAdmissionClosed records that the fronts have stopped admitting for an attempt at a change.
 func (h *LeaseHolder) SetAdmissionClosed(change string, attempt int) {
-	h.closed, h.attempt, h.dirty = change, attempt, true
+	h.admissionClosedFor, h.attempt, h.reportDue = change, attempt, true
 }
 
-// SetRunningRevision says which revision the fronts run.
-func (h *LeaseHolder) SetRunningRevision(revision uint64) { h.running = revision }
+// SetRunningRevision records which revision the fronts run.
+func (h *LeaseHolder) SetRunningRevision(revision uint64) { h.runningRevision = revision }
 
-// Incarnation is this life's.
-func (h *LeaseHolder) Incarnation() uint64 { return h.nonce }
+// Incarnation returns the number of this incarnation.
+func (h *LeaseHolder) Incarnation() uint64 { return h.incarnation }
 
-// StagedChange is the change that is staged.
+// StagedChange returns the change that the instance is ready for; empty if there is none.
 func (h *LeaseHolder) StagedChange() string {
-	if len(h.refused) > 0 {
+	if len(h.problems) > 0 {
 		return ""
 	}
-	return h.staged
+	return h.stagedChange
 }
 
-// Epoch is the session that this life has; 0: none.
+// Epoch returns the epoch of this incarnation's session; 0 if it has none.
 func (h *LeaseHolder) Epoch() uint64 { return h.epoch }
 
-// end is when the lease ends. Hazard: the policy may have come to name a shorter one since.
-func (h *LeaseHolder) end(p Policy) time.Duration { return h.asked + min(h.span, p.Lease) }
+// leaseExpiresAt is when the lease expires. Hazard: the policy may have come to name a shorter lease since it
+// was granted.
+func (h *LeaseHolder) leaseExpiresAt(p Policy) time.Duration {
+	return h.leaseFrom + min(h.leaseLong, p.Lease)
+}
 
-// LeaseRemaining is what is left of the lease.
+// LeaseRemaining returns how long the lease lasts from now on.
 func (h *LeaseHolder) LeaseRemaining(now time.Duration, p Policy) time.Duration {
-	return max(h.end(p)-now, 0)
+	return max(h.leaseExpiresAt(p)-now, 0)
 }
 
-// SetUnleased says that this life serves in a group that knows no sessions yet.
-func (h *LeaseHolder) SetUnleased() { h.old = true }
+// SetUnleased records that this incarnation serves in a group that has no sessions yet.
+func (h *LeaseHolder) SetUnleased() { h.unleased = true }
 
-// session is this life's session, if the agreed state has it open.
+// session returns this incarnation's session, if it is open in the replicated state.
 func (h *LeaseHolder) session(s *State) (Session, bool) {
 	x, ok := s.Sessions[h.member]
-	return x, ok && x.Open && (x.Incarnation == h.nonce || x.Unleased)
+	return x, ok && x.Open && (x.Incarnation == h.incarnation || x.Unleased)
 }
 
-// ObserveState takes over what the agreed state says.
+// ObserveState takes over the replicated state after entries have been applied.
 func (h *LeaseHolder) ObserveState(s *State) {
 	x, ok := h.session(s)
 	switch {
 	case !ok:
-		h.epoch, h.asked, h.span = 0, 0, 0
+		h.epoch, h.leaseFrom, h.leaseLong = 0, 0, 0
 	case x.Epoch != h.epoch:
-		h.epoch, h.asked, h.span, h.dirty = x.Epoch, 0, 0, true
+		h.epoch, h.leaseFrom, h.leaseLong, h.reportDue = x.Epoch, 0, 0, true
 	}
-	// A word about a change that is over is not repeated.
-	if s.Pending == nil || s.Pending.Change != h.staged {
-		h.staged, h.refused = "", nil
+	// What concerns a change that is no longer pending is not reported again.
+	if s.Pending == nil || s.Pending.Change != h.stagedChange {
+		h.stagedChange, h.problems = "", nil
 	}
-	if s.Pending == nil || s.Pending.Change != h.closed || s.Pending.Attempt != h.attempt {
-		h.closed, h.attempt = "", 0
+	if s.Pending == nil || s.Pending.Change != h.admissionClosedFor || s.Pending.Attempt != h.attempt {
+		h.admissionClosedFor, h.attempt = "", 0
 	}
 }
 
-// NextReport gives what must be told to the leader now, if anything must.
+// NextReport returns the report that must be sent to the leader now; false if none is due.
 func (h *LeaseHolder) NextReport(now time.Duration, p Policy) (Report, bool) {
-	if h.ever && !h.dirty && now-h.at < p.Lease/4 {
+	if h.reported && !h.reportDue && now-h.reportedAt < p.Lease/reportsPerLease {
 		return Report{}, false
 	}
-	h.ever, h.dirty, h.at = true, false, now
-	return Report{
-		Member:             h.member,
-		Incarnation:        h.nonce,
-		Epoch:              h.epoch,
-		RequestedAt:        now,
-		StagedChange:       h.staged,
-		Problems:           h.refused,
-		AdmissionClosedFor: h.closed,
-		Attempt:            h.attempt,
-		RunningRevision:    h.running,
-	}, true
+	h.reported, h.reportDue, h.reportedAt = true, false, now
+	return Report{Member: h.member, Incarnation: h.incarnation, Epoch: h.epoch, RequestedAt: now,
+		StagedChange: h.stagedChange, Problems: h.problems, AdmissionClosedFor: h.admissionClosedFor,
+		Attempt: h.attempt, RunningRevision: h.runningRevision}, true
 }
 
-// ReportNow has the next Report come at once: there is another leader to tell.
-func (h *LeaseHolder) ReportNow() { h.dirty = true }
+// ReportNow makes the next report due at once, because there is a new leader.
+func (h *LeaseHolder) ReportNow() { h.reportDue = true }
 
-// ObserveGrant takes the leader's answer. Hazard: the lease counts from the moment before it was
-// asked for. From the answer on, the leader may have counted it as over long ago.
+// ObserveGrant takes the leader's response. Hazard: the lease counts from before it was requested. If it
+// counted from the response on, the leader might have taken it for expired long before.
 func (h *LeaseHolder) ObserveGrant(g Grant) {
-	if g.Duration > 0 && g.Epoch == h.epoch && g.RequestedAt >= h.asked {
-		h.asked, h.span = g.RequestedAt, g.Duration
+	if g.Duration > 0 && g.Epoch == h.epoch && g.RequestedAt >= h.leaseFrom {
+		h.leaseFrom, h.leaseLong = g.RequestedAt, g.Duration
 	}
 }
-
-// Permit says whether this instance may admit jobs, as far as the state goes that it has.
-func (h *LeaseHolder) Permit(s *State, revision uint64, p Policy) Permit {
-	out := Permit{Revision: revision}
-	_, ok := h.session(s)
-	switch {
-	case !ok && s.Sessions[h.member].ClosedReason != "":
-		out.ClosedReason = "this instance has no session: " + s.Sessions[h.member].ClosedReason
-	case !ok:
-		out.ClosedReason = "this instance has not heard from its group since it started"
-	case s.Pending != nil && s.Pending.Phase == ClosingAdmission:
-		out.ClosedReason, out.Change, out.Attempt = "a change of policy is taking hold", s.Pending.Change,
-			s.Pending.Attempt
-	default:
-		out.Open, out.ExpiresAt = true, h.end(p)
-		out.NoExpiry = p.WhenIsolated == KeepServing || s.Sessions[h.member].Unleased && h.old && h.span == 0
-		out.ClosedReason = "its lease has run out: the leader is not reached"
-	}
-	return out
-}
-
-// Admits says whether a job may be admitted at this moment, by fronts that run a revision.
-// Hazard: the clock must be read in the turn that admits, for the process may have stood
-// still since.
-func (p Permit) Admits(now time.Duration, running uint64) bool {
-	return p.Open && p.Revision == running && (p.NoExpiry || now < p.ExpiresAt)
-}
--- a/internal/cluster/rollout/model_test.go
+++ b/internal/cluster/rollout/model_test.go
@@ -3,438 +3,277 @@
 import (
 	"fmt"
 	"maps"
-	"math/rand/v2"
 	"slices"
-	"strings"
-	"testing"
 	"time"
 )
 
-// The explorer plays every order of events of a small group: entries applied early or late,
-// reports and grants under way for any time, time going on between any two of them, and a crash,
-// a lost grant, a stalled leader and a change of leader at any point. In each state it asks whether
-// somebody might admit a job under a policy after somebody might have under a later one.
+// The model has every order of events of a small group: entries applied early or late, reports and grants
+// delayed by any time, time passing between any two events, and a crash, a lost message, a stalled leader and
+// a change of leader at any point. A state is wrong if an instance might admit a job under a configuration
+// after another might have admitted one under a later one.
 //
-// Time goes on in steps of half a lease, by the leader's clock, and in all instances' clocks as slowly
-// as may be: 0.6 to the leader's 1.4. A lease then lasts less than five steps, and the leader
-// waits 4.9: there is no step to spare.
+// Time passes in steps of half a lease on the leader's clock, and as slowly as is allowed on the instances'
+// clocks: at 0.6 to the leader's 1.4. A lease then lasts less than five steps, and the leader waits 4.9:
+// there is no step to spare.
 
 const (
-	step = 7 * time.Second // the leader's clock's
-	slow = 3 * time.Second // all others'
-	// slower is past what is promised for
-	slower = 2500 * time.Millisecond
+	leaderStep   = 7 * time.Second // a step of time on the leader's clock
+	instanceStep = 3 * time.Second // the same step on the instances' clocks
+	// tooSlowStep is a step on clocks that are slower than the package allows for.
+	tooSlowStep = 2500 * time.Millisecond
+	// longestIsolation is long enough for a lease to have surely expired, and for two attempts at a change.
+	longestIsolation = 7 * leaderStep
 )
 
-var exploredPolicy = Policy{
-	WhenIsolated:      StopAtLeaseExpiry,
-	Lease:             2 * step,
-	StagingTimeout:    time.Hour,
-	MaxAdmissionPause: 3 * step,
-}
+var modelPolicy = Policy{WhenIsolated: StopAtLeaseExpiry, Lease: 2 * leaderStep, StagingTimeout: time.Hour,
+	MaxAdmissionPause: 3 * leaderStep}
 
-// longestHold is long enough for a lease to have surely run out, and for a change to be tried twice.
-const longestHold = 7 * step
+// guard is a rule that the model can leave out, to show that the model finds it missing.
+type guard string
 
-// there is what an instance's clock shows.
-func (e *explored) there() time.Duration {
-	if e.slower {
-		return e.now / step * slower
-	}
-	return e.now / step * slow
-}
+const (
+	twoPhases               guard = "a change is committed in two phases"
+	confirmedClosing        guard = "a commit needs every instance's confirmation"
+	leaseFromRequest        guard = "a lease counts from its request"
+	monotonicClock          guard = "the clock can't be set back"
+	clockReadWhenAdmitting  guard = "the clock is read in the turn that admits"
+	closedUntilSession      guard = "an instance that starts admits nothing before it has a session"
+	clockRateWithinTheBound guard = "clocks keep to the bounds of their rates"
+)
 
-// may says whether a node may admit now, by its own lights: with those that are broken, too.
-func (e *explored) may(i int, b bounds) bool {
-	n, now := &e.nodes[i], e.there()
-	switch {
-	case b.broken == "wall clock" && e.held == i+1:
-		now -= exploredPolicy.Lease // somebody has set it back
-	case b.broken == "no look after a stall" && e.held == i+1:
-		now = e.since / step * slow // as when it stood still
-	case b.broken == "front open before the policy is known" && n.early:
-		return true
-	}
-	return n.permit.Admits(now, n.decided)
+// limits bound the model.
+type limits struct {
+	instances, changes int
+	endsAt             time.Duration // 0: never
+	crashes, losses    int
+	newLeaders         int
+	leaderStalls       int
+	isolations         int  // of one instance from the rest, each for up to longestIsolation
+	promptOtherwise    bool // all other messages are delivered, in any order, before time passes
+	guardLeftOut       guard
 }
 
-type entryOf struct {
-	change int // a proposal of this number; 0: a command
-	c      Command
+// logEntry is the proposal of a change, by number, or a command.
+type logEntry struct {
+	change  int // 0: a command
+	command Command
 }
 
-type node struct {
-	h       LeaseHolder
-	applied int
-	state   *State
-	decided uint64 // revision in force, as applied
-	permit  Permit
-	report  *Report // under way to the leader
-	grant   *Grant  // under way back
-	early   bool    // it has started, and has no session yet
+type modelInstance struct {
+	holder      LeaseHolder
+	applied     int
+	state       *State
+	revision    uint64 // in force, as far as it has applied the log
+	permit      Permit
+	report      *Report // in transit to the leader
+	grant       *Grant  // in transit from the leader
+	justStarted bool    // it has no session yet
 }
 
-type explored struct {
-	now      time.Duration
-	log      []entryOf
-	nodes    []node
-	leader   *Leader
-	known    *State // as the leader's own instance has it
-	force    uint64
-	at       int // of the log, that the leader has applied
-	proposed int
-	newest   uint64 // revision that somebody might have admitted under
-	crashes  int
-	losses   int
-	deposed  int
-	stalls   int
-	held     int // the node that nothing gets through to, from 1 on; 0: none
-	holds    int
-	since    time.Duration // it is held
-	slower   bool
-	nonce    uint64
-}
+type model struct {
+	limits limits
 
-func (s *State) clone() *State {
-	c := &State{Sessions: maps.Clone(s.Sessions), LastEpoch: s.LastEpoch}
-	if s.Pending != nil {
-		p := *s.Pending
-		c.Pending = &p
-	}
-	return c
-}
+	now       time.Duration
+	log       []logEntry
+	instances []modelInstance
 
-func (l *Leader) clone() *Leader {
-	c := *l
-	c.seats, c.asked = map[uint64]*seat{}, map[string]time.Duration{}
-	for k, at := range l.asked {
-		if l.last-at < exploredPolicy.Lease/2 { // else it is as if it had not been
-			c.asked[k] = at
-		}
-	}
-	for id, x := range l.seats {
-		y := *x
-		c.seats[id] = &y
-	}
-	return &c
-}
+	leader         *Leader
+	leaderState    *State // as the leader's own instance has it
+	leaderRevision uint64
+	leaderApplied  int
 
-func (e *explored) clone() *explored {
-	c := *e
-	c.nodes = slices.Clone(e.nodes)
-	// What all have applied is of no more use.
-	least := e.at
-	for _, n := range e.nodes {
-		least = min(least, n.applied)
-	}
-	c.log, c.at = slices.Clone(e.log[least:]), e.at-least
-	for i := range c.nodes {
-		c.nodes[i].applied -= least
-	}
-	for i := range c.nodes {
-		c.nodes[i].state = c.nodes[i].state.clone()
-	}
-	c.leader, c.known = e.leader.clone(), e.known.clone()
-	return &c
-}
+	newestAdmitted uint64 // revision under which an instance might have admitted a job
+	isolated       int    // the instance that is isolated, from 1 on; 0: none
+	isolatedSince  time.Duration
 
-// applyTo applies an entry to a copy of the agreed state.
-func applyTo(s *State, force *uint64, x entryOf) {
-	if x.change > 0 {
-		if s.Pending == nil {
-			s.Pending = &PendingChange{Change: fmt.Sprint(x.change), Revision: *force + 1, Phase: Staging,
-				Attempt: 1}
-		}
-		return
-	}
-	p := s.Pending
-	if s.Apply(x.c) == nil && x.c.Kind == Commit {
-		*force = p.Revision
-	}
+	changes, crashes, losses, newLeaders, leaderStalls, isolations int
+	lastIncarnation                                                uint64
 }
 
-func newExplored(b bounds) *explored {
-	e := &explored{known: NewState(), leader: NewLeader(0, 1), force: 1, nonce: 1,
-		slower: b.broken == "a slower clock"}
-	for i := range b.nodes {
-		e.nodes = append(
-			e.nodes,
-			node{state: NewState(), decided: 1, h: *NewLeaseHolder(uint64(i+1), e.nonce)},
-		)
-		e.nonce++
+// newModel returns the state in which all instances of a group admit jobs.
+func newModel(l limits) *model {
+	m := &model{limits: limits{instances: l.instances}, leaderState: NewState(), leader: NewLeader(0, 1),
+		leaderRevision: 1}
+	if l.guardLeftOut == clockRateWithinTheBound {
+		m.limits.guardLeftOut = l.guardLeftOut
+	}
+	for i := range l.instances {
+		m.lastIncarnation++
+		m.instances = append(m.instances, modelInstance{state: NewState(), revision: 1,
+			holder: *NewLeaseHolder(uint64(i+1), m.lastIncarnation)})
 	}
-	// The stories begin with a group in which all admit.
-	b = bounds{nodes: b.nodes}
 	for {
-		events := e.next(b)
-		if events[0].what == "time" {
-			return e
+		events := m.events()
+		if events[0].name == timePasses {
+			m.limits = l
+			return m
 		}
-		e.take(events[0], b)
+		m.take(events[0])
 	}
 }
 
-// bounds of what is explored.
-type bounds struct {
-	nodes, changes  int
-	until           time.Duration
-	crashes, losses int
-	depositions     int
-	stalls          int // of the leader
-	// holds: so often something may stand between one node and the rest, for any time. All others
-	// get all that is under way, in any order, before time goes on. 0: everything may take any time.
-	holds  int
-	whole  bool   // the second rule
-	broken string // a guard that is left out, to see that it is missed
-}
+// instanceClock is what the instances' clocks show.
+func (m *model) instanceClock() time.Duration { return m.onInstanceClock(m.now) }
 
-func (b bounds) names() map[uint64]string {
-	m := map[uint64]string{}
-	for i := range b.nodes {
-		m[uint64(i+1)] = fmt.Sprint("n", i+1)
+func (m *model) onInstanceClock(at time.Duration) time.Duration {
+	if m.limits.guardLeftOut == clockRateWithinTheBound {
+		return at / leaderStep * tooSlowStep
 	}
-	return m
+	return at / leaderStep * instanceStep
 }
 
-// refresh has a node's fronts go by what its state says, and counts what they might admit.
-func (e *explored) refresh(i int) {
-	n := &e.nodes[i]
-	n.h.ObserveState(n.state)
-	n.early = n.early && n.h.epoch == 0
-	n.permit = n.h.Permit(n.state, n.decided, exploredPolicy)
-	if n.permit.Change != "" {
-		n.h.SetAdmissionClosed(n.permit.Change, n.permit.Attempt)
-	}
-	if p := n.state.Pending; p != nil && n.h.staged != p.Change {
-		n.h.SetStaged(p.Change, nil)
+// admits reports whether an instance might admit a job now, with the guard that is left out.
+func (m *model) admits(i int) bool {
+	x, now, isolated := &m.instances[i], m.instanceClock(), m.isolated == i+1
+	switch {
+	case m.limits.guardLeftOut == monotonicClock && isolated:
+		now -= modelPolicy.Lease // somebody has set the clock back
+	case m.limits.guardLeftOut == clockReadWhenAdmitting && isolated:
+		now = m.isolatedSince / leaderStep * instanceStep // as when it stalled
+	case m.limits.guardLeftOut == closedUntilSession && x.justStarted:
+		return true
 	}
+	return x.permit.Admits(now, x.revision)
 }
 
-// check says what is wrong in this state.
-func (e *explored) check(b bounds) string {
-	for i := range e.nodes {
-		n := &e.nodes[i]
-		if !e.may(i, b) {
-			continue
-		}
-		if n.decided < e.newest {
-			return fmt.Sprintf("n%d may admit under %d, and somebody might have under %d", i+1, n.decided,
-				e.newest)
+// Violation describes what is wrong in this state; empty if nothing is.
+func (m *model) Violation() string {
+	for i := range m.instances {
+		if revision := m.instances[i].revision; m.admits(i) && revision < m.newestAdmitted {
+			return fmt.Sprintf("n%d may admit under %d, and an instance might have under %d", i+1, revision,
+				m.newestAdmitted)
 		}
 	}
-	for i := range e.nodes {
-		if e.may(i, b) {
-			e.newest = max(e.newest, e.nodes[i].decided)
+	for i := range m.instances {
+		if m.admits(i) {
+			m.newestAdmitted = max(m.newestAdmitted, m.instances[i].revision)
 		}
 	}
 	return ""
 }
 
-// event is something that may happen next.
-type event struct {
-	what string
-	do   func(c *explored)
-}
-
-// next gives all that may happen next.
-func (e *explored) next(b bounds) (out []event) {
-	add := func(what string, f func(c *explored)) { out = append(out, event{what, f}) }
-	prompt := true // nothing is under way but to the one that is held
-	for i := range e.nodes {
-		n := &e.nodes[i]
-		held := e.held == i+1
-		if !held && (n.applied < len(e.log) || n.report != nil || n.grant != nil) {
-			prompt = false
-		}
-		if !held && n.applied < len(e.log) {
-			add(fmt.Sprint("apply ", i+1), func(c *explored) {
-				n := &c.nodes[i]
-				applyTo(n.state, &n.decided, c.log[n.applied])
-				n.applied++
-				c.refresh(i)
-			})
-		}
-		if n.report != nil {
-			// The leader has applied all of the log: its answer is sure after a majority's word.
-			add(fmt.Sprint("hear ", i+1), func(c *explored) {
-				n := &c.nodes[i]
-				r := *n.report
-				n.report = nil
-				c.catchUp()
-				c.leader.ObserveReport(c.now, r)
-				if g := c.leader.Grant(c.now, r, c.known, exploredPolicy); g.Duration > 0 {
-					n.grant = &g
-				}
-			})
-			if e.losses < b.losses {
-				add(fmt.Sprint("lose the report ", i+1), func(c *explored) {
-					c.nodes[i].report = nil
-					c.losses++
-				})
-			}
-		}
-		if !held && n.grant != nil {
-			add(fmt.Sprint("granted ", i+1), func(c *explored) {
-				n := &c.nodes[i]
-				if b.broken == "lease from the answer" {
-					n.grant.RequestedAt = c.there()
-				}
-				n.h.ObserveGrant(*n.grant)
-				n.grant = nil
-				c.refresh(i)
-			})
-			if e.losses < b.losses {
-				add(fmt.Sprint("lose ", i+1), func(c *explored) { c.nodes[i].grant = nil; c.losses++ })
-			}
-		}
-		if e.crashes < b.crashes {
-			add(fmt.Sprint("crash ", i+1), func(c *explored) {
-				n := &c.nodes[i]
-				n.h = *NewLeaseHolder(uint64(i+1), c.nonce)
-				c.nonce++
-				n.grant = nil // its last report may come yet
-				n.early = true
-				c.crashes++
-				c.refresh(i)
-			})
-		}
-	}
-	if e.proposed < b.changes && e.known.Pending == nil {
-		add("propose", func(c *explored) {
-			c.proposed++
-			c.log = append(c.log,
-				entryOf{change: c.proposed})
-			c.catchUp()
-		})
-	}
-	if e.deposed < b.depositions {
-		add("another leads", func(c *explored) {
-			c.catchUp()
-			c.deposed++
-			c.leader = NewLeader(c.now, c.leader.term+1)
-			for i := range c.nodes {
-				c.nodes[i].report = nil
-				c.nodes[i].h.ReportNow()
-			}
-		})
-	}
-	if e.held > 0 {
-		add("let go", func(c *explored) { c.held = 0 })
-	} else if e.holds < b.holds {
-		for i := range e.nodes {
-			add(fmt.Sprint("hold ", i+1), func(c *explored) {
-				c.held, c.holds, c.since = i+1, c.holds+1, c.now
-			})
+// applyTo applies an entry to a state, and updates the revision in force.
+func (e logEntry) applyTo(s *State, revision *uint64) {
+	if e.change > 0 {
+		if s.Pending == nil {
+			s.Pending = &PendingChange{Change: fmt.Sprint(e.change), Revision: *revision + 1, Phase: Staging,
+				Attempt: 1}
 		}
+		return
 	}
-	if b.whole && (!prompt || e.held > 0 && e.now-e.since >= longestHold) {
-		return out
-	}
-	if b.until > 0 && e.now >= b.until {
-		return out
+	pending := s.Pending
+	if s.Apply(e.command) == nil && e.command.Kind == Commit {
+		*revision = pending.Revision
 	}
-	add("time", func(c *explored) { c.now += step })
-	if e.stalls < b.stalls {
-		add("time, and the leader stands still", func(c *explored) {
-			c.now += step
-			c.report()
-			c.now += step
-			c.stalls++
-		})
+}
+
+// observeState has an instance's fronts act on the state as it has applied it.
+func (m *model) observeState(i int) {
+	x := &m.instances[i]
+	x.holder.ObserveState(x.state)
+	x.justStarted = x.justStarted && x.holder.epoch == 0
+	x.permit = x.holder.Permit(x.state, x.revision, modelPolicy)
+	if x.permit.Change != "" {
+		x.holder.SetAdmissionClosed(x.permit.Change, x.permit.Attempt)
+	}
+	if p := x.state.Pending; p != nil && x.holder.stagedChange != p.Change {
+		x.holder.SetStaged(p.Change, nil)
 	}
-	return out
 }
 
-// take has an event happen, and what follows from it at once.
-func (e *explored) take(x event, b bounds) *explored {
-	x.do(e)
-	e.follow(b)
-	return e
+// take has an event happen, and what follows from it at once: instances send what they have to report, and
+// the leader evaluates. How long a message takes is up to later events.
+func (m *model) take(e event) {
+	e.apply(m)
+	m.sendReports()
+	m.applyAtLeader()
+	m.leaveOutGuards()
+	for _, c := range m.leader.Evaluate(m.now, m.leaderState, modelPolicy, m.names()) {
+		m.log = append(m.log, logEntry{command: c})
+	}
+	m.applyAtLeader()
 }
 
-// follow does what follows from an event at once: who has something to tell sends it, and the
-// leader looks. How long either takes is up to what is under way.
-func (e *explored) follow(b bounds) {
-	e.report()
-	e.catchUp()
-	if b.broken == "in force at commit" && e.known.Pending != nil {
-		p := e.known.Pending
-		e.log = append(e.log, entryOf{c: Command{Kind: CloseAdmission, Change: p.Change, Attempt: p.Attempt,
-			Sessions: e.known.OpenSessions()}}, entryOf{c: Command{Kind: Commit, Change: p.Change,
-			Attempt:  p.Attempt,
-			Sessions: e.known.OpenSessions()}})
+// leaveOutGuards has the leader commit without the confirmations that it needs.
+func (m *model) leaveOutGuards() {
+	p := m.leaderState.Pending
+	if p == nil {
+		return
 	}
-	if p := e.known.Pending; b.broken == "evidence of nobody" && p != nil && p.Phase == ClosingAdmission {
-		e.log = append(e.log, entryOf{c: Command{Kind: Commit, Change: p.Change, Attempt: p.Attempt,
-			Sessions: e.known.OpenSessions()}})
+	c := Command{Change: p.Change, Attempt: p.Attempt, Sessions: m.leaderState.OpenSessions()}
+	closeAdmission, commit := c, c
+	closeAdmission.Kind, commit.Kind = CloseAdmission, Commit
+	if m.limits.guardLeftOut == twoPhases {
+		m.log = append(m.log, logEntry{command: closeAdmission}, logEntry{command: commit})
 	}
-	for _, c := range e.leader.Evaluate(e.now, e.known, exploredPolicy, b.names()) {
-		e.log = append(e.log, entryOf{c: c})
+	if m.limits.guardLeftOut == confirmedClosing && p.Phase == ClosingAdmission {
+		m.log = append(m.log, logEntry{command: commit})
 	}
-	e.catchUp()
 }
 
-func (e *explored) report() {
-	for i := range e.nodes {
-		n := &e.nodes[i]
-		if n.report == nil && n.grant == nil {
-			if r, due := n.h.NextReport(e.there(), exploredPolicy); due {
-				n.report = &r
+func (m *model) sendReports() {
+	for i := range m.instances {
+		x := &m.instances[i]
+		if x.report == nil && x.grant == nil {
+			if r, due := x.holder.NextReport(m.instanceClock(), modelPolicy); due {
+				x.report = &r
 			}
 		}
 	}
 }
 
-// catchUp has the leader's own instance apply all of the log.
-func (e *explored) catchUp() {
-	for ; e.at < len(e.log); e.at++ {
-		applyTo(e.known, &e.force, e.log[e.at])
+// applyAtLeader has the leader's own instance apply the whole log.
+func (m *model) applyAtLeader() {
+	for ; m.leaderApplied < len(m.log); m.leaderApplied++ {
+		m.log[m.leaderApplied].applyTo(m.leaderState, &m.leaderRevision)
 	}
 }
 
-// walk plays one order of events, drawn from a seed, to its end.
-func walk(b bounds, seed uint64) (events int, wrong string, way []string) {
-	rng := rand.New(rand.NewPCG(seed, 1))
-	e := newExplored(b)
-	// One node mostly stands still: what it has in its buffers waits.
-	still := fmt.Sprint(" ", 1+rng.IntN(b.nodes+1))
-	for events = 0; events < 500; events++ {
-		next := e.next(b)
-		if len(next) == 0 {
-			return events, "", nil
-		}
-		k := rng.IntN(len(next))
-		for try := 0; strings.HasSuffix(next[k].what, still) && next[k].what[:4] != "hear" && try < 6; try++ {
-			k = rng.IntN(len(next))
-		}
-		e.take(next[k], b)
-		way = append(way, next[k].what)
-		if wrong = e.check(b); wrong != "" {
-			return events, wrong, way
-		}
+func (m *model) names() map[uint64]string {
+	names := map[uint64]string{}
+	for i := range m.instances {
+		names[uint64(i+1)] = fmt.Sprint("n", i+1)
 	}
-	return events, "", nil
+	return names
 }
 
-// walks plays many, and gives the first that is wrong.
-func walks(b bounds, count int) (events, done int, wrong string, way []string) {
-	for seed := range uint64(count) {
-		n, wrong, way := walk(b, seed)
-		events += n
-		if wrong != "" {
-			return events, int(seed) + 1, wrong, way
-		}
+func (s *State) clone() *State {
+	c := &State{Sessions: maps.Clone(s.Sessions), LastEpoch: s.LastEpoch}
+	if s.Pending != nil {
+		p := *s.Pending
+		c.Pending = &p
 	}
-	return events, count, "", nil
+	return c
 }
 
-var whole = bounds{nodes: 3, changes: 2, until: 30 * step, crashes: 1, losses: 2,
-	depositions: 2, stalls: 1}
-
-func TestOrdersOfEvents(t *testing.T) {
-	events, done, wrong, way := walks(whole, 1500)
-	if wrong != "" {
-		t.Errorf("walk %d: %s:\n%s", done, wrong, strings.Join(way, "\n"))
+func (l *Leader) clone() *Leader {
+	c := *l
+	c.members, c.proposedAt = map[uint64]*memberState{}, map[proposal]time.Duration{}
+	for key, at := range l.proposedAt {
+		if l.lastEvaluated-at < modelPolicy.Lease/2 { // older ones have no effect
+			c.proposedAt[key] = at
+		}
+	}
+	for id, x := range l.members {
+		y := *x
+		c.members[id] = &y
 	}
-	t.Logf("%d walks of %d events in all", done, events)
+	return &c
+}
+
+func (m *model) clone() *model {
+	c := *m
+	c.instances = slices.Clone(m.instances)
+	// Entries that all have applied are not needed any more.
+	applied := m.leaderApplied
+	for _, x := range m.instances {
+		applied = min(applied, x.applied)
+	}
+	c.log, c.leaderApplied = slices.Clone(m.log[applied:]), m.leaderApplied-applied
+	for i := range c.instances {
+		c.instances[i].applied -= applied
+		c.instances[i].state = c.instances[i].state.clone()
+	}
+	c.leader, c.leaderState = m.leader.clone(), m.leaderState.clone()
+	return &c
 }
--- a/internal/cluster/rollout/policy.go
+++ b/internal/cluster/rollout/policy.go
@@ -7,39 +7,63 @@
 	"time"
 )
 
-// Section is the section of the agreed document that holds a Policy.
+// Section is the name of the section of the agreed document that holds a Policy.
 const Section = "rollout"
 
-// What instances do that are cut off.
+// IsolationMode is what instances do that are cut off from the leader.
+type IsolationMode string
+
+// The isolation modes, as the key cut_off names them.
 const (
-	// StopAtLeaseExpiry: who can't renew its lease ceases to admit, and a change goes on without it.
-	StopAtLeaseExpiry = "lease"
-	// KeepServing: who is cut off serves on, and a change that it can't be asked about is withdrawn.
-	KeepServing = "serve"
+	// StopAtLeaseExpiry: an instance that can't renew its lease stops admitting jobs, and changes are
+	// committed without it.
+	StopAtLeaseExpiry IsolationMode = "lease"
+	// KeepServing: an instance that is cut off continues to serve, and a change that it has not staged is
+	// withdrawn.
+	KeepServing IsolationMode = "serve"
 )
 
-// Policy is how changes take hold, agreed on like everything else.
+// Policy is how changes take effect: a section of the agreed document.
 type Policy struct {
-	WhenIsolated      string
-	Lease             time.Duration // 0: ten ticks
-	StagingTimeout    time.Duration
+	WhenIsolated IsolationMode
+	Lease        time.Duration // 0: defaultLeaseTicks ticks
+	// StagingTimeout is how long instances may take to stage a change before it is withdrawn.
+	StagingTimeout time.Duration
+	// MaxAdmissionPause is how long admission stays closed for a change before it is reopened without a
+	// commit.
 	MaxAdmissionPause time.Duration
 }
 
-const longest = time.Hour
+// Defaults and bounds of the section's values.
+const (
+	defaultStagingTimeout    = 20 * time.Second
+	defaultMaxAdmissionPause = 500 * time.Millisecond
+	minLease                 = 50 * time.Millisecond
+	minStagingTimeout        = 100 * time.Millisecond
+	minMaxAdmissionPause     = 10 * time.Millisecond
+	maxDuration              = time.Hour
+)
 
-// ParsePolicy reads the section, and gives what is wrong with it.
-func ParsePolicy(values map[string]string) (p Policy, wrong []string) {
-	p = Policy{
-		WhenIsolated:      StopAtLeaseExpiry,
-		StagingTimeout:    20 * time.Second,
-		MaxAdmissionPause: 500 * time.Millisecond,
-	}
-	bad := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
-	span := func(key, text string, into *time.Duration, least time.Duration) {
+// Durations in ticks of the consensus protocol, which depend on the instances' settings.
+const (
+	// MinLeaseTicks is the shortest lease, in ticks: leases are renewed with the ticks.
+	MinLeaseTicks          = 5
+	defaultLeaseTicks      = 10
+	minAdmissionPauseTicks = 3
+)
+
+// ParsePolicy decodes the section's values. It returns one problem for each key that is unknown or has an
+// invalid value, or one for values that contradict each other.
+//
+// Hazard: the problems are part of the replicated state, so their texts must not change.
+func ParsePolicy(values map[string]string) (p Policy, problems []string) {
+	p = Policy{WhenIsolated: StopAtLeaseExpiry, StagingTimeout: defaultStagingTimeout,
+		MaxAdmissionPause: defaultMaxAdmissionPause}
+	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
+	parse := func(key, text string, into *time.Duration, shortest time.Duration) {
 		v, err := time.ParseDuration(text)
-		if err != nil || v < least || v > longest {
-			bad("%s: %q is not a time from %v to %v, as in \"1s\"", key, text, least, longest)
+		if err != nil || v < shortest || v > maxDuration {
+			report("%s: %q is not a time from %v to %v, as in \"1s\"", key, text, shortest, maxDuration)
 			return
 		}
 		*into = v
@@ -48,44 +72,57 @@
 		text := values[key]
 		switch key {
 		case "cut_off":
-			if p.WhenIsolated = text; text != StopAtLeaseExpiry && text != KeepServing {
-				bad("cut_off: %q is not %s or %s", text, StopAtLeaseExpiry, KeepServing)
+			p.WhenIsolated = IsolationMode(text)
+			if p.WhenIsolated != StopAtLeaseExpiry && p.WhenIsolated != KeepServing {
+				report("cut_off: %q is not %s or %s", text, StopAtLeaseExpiry, KeepServing)
 			}
 		case "lease":
-			span(key, text, &p.Lease, 50*time.Millisecond)
+			parse(key, text, &p.Lease, minLease)
 		case "stage_within":
-			span(key, text, &p.StagingTimeout, 100*time.Millisecond)
+			parse(key, text, &p.StagingTimeout, minStagingTimeout)
 		case "hold_within":
-			span(key, text, &p.MaxAdmissionPause, 10*time.Millisecond)
+			parse(key, text, &p.MaxAdmissionPause, minMaxAdmissionPause)
 		default:
-			bad("%q is no key of this section; cut_off, lease, stage_within and hold_within are", key)
+			report("%q is no key of this section; cut_off, lease, stage_within and hold_within are", key)
 		}
 	}
-	if len(wrong) == 0 && p.Lease > 0 && p.WhenIsolated == StopAtLeaseExpiry &&
+	if len(problems) == 0 && p.Lease > 0 && p.WhenIsolated == StopAtLeaseExpiry &&
 		p.StagingTimeout < ExpiryWait(p.Lease) {
-		bad("stage_within: %v is less than the %v after which a lease of %v has surely run out",
+		report("stage_within: %v is less than the %v after which a lease of %v has surely run out",
 			p.StagingTimeout, ExpiryWait(p.Lease).Round(time.Millisecond), p.Lease)
 	}
-	return p, wrong
+	return p, problems
 }
 
-// WithDefaults fills in what depends on the agreement's unit of time.
+// WithDefaults returns the policy with the values filled in that depend on the duration of a tick.
 func (p Policy) WithDefaults(tick time.Duration) Policy {
 	if p.Lease == 0 {
-		p.Lease = 10 * tick
+		p.Lease = defaultLeaseTicks * tick
 		p.StagingTimeout = max(p.StagingTimeout, 2*ExpiryWait(p.Lease))
 	}
-	p.MaxAdmissionPause = max(p.MaxAdmissionPause, 3*tick)
+	p.MaxAdmissionPause = max(p.MaxAdmissionPause, minAdmissionPauseTicks*tick)
 	return p
 }
 
-// MinLeaseTicks is how many ticks a lease must last at the least: renewals go with them.
-const MinLeaseTicks = 5
-
-// CheckTick says why an instance with that tick can't keep the policy.
+// CheckTick returns an error if an instance whose ticks have that duration can't keep the policy.
 func (p Policy) CheckTick(tick time.Duration) error {
 	if p.Lease > 0 && p.Lease < MinLeaseTicks*tick {
 		return fmt.Errorf("a lease of %v is shorter than %d ticks of %v", p.Lease, MinLeaseTicks, tick)
 	}
 	return nil
 }
+
+// Bounds of the rates of instances' clocks: each may advance by 0.6 to 1.4 seconds in a second. Beyond them,
+// a lease may be taken for expired that is not.
+const (
+	slowestClockRate = 0.6
+	fastestClockRate = 1.4
+	// roundingMargin covers the rounding of durations, with one more millisecond for very short leases.
+	roundingMargin = 1.05
+)
+
+// ExpiryWait returns how long after it was granted a lease has surely expired, at any rates of the leader's
+// and the holder's clocks within the bounds.
+func ExpiryWait(lease time.Duration) time.Duration {
+	return time.Duration(float64(lease)*fastestClockRate/slowestClockRate*roundingMargin) + time.Millisecond
+}
--- a/internal/cluster/rollout/rollout_test.go
+++ b/internal/cluster/rollout/rollout_test.go
@@ -6,128 +6,154 @@
 	"time"
 )
 
-var pol = Policy{WhenIsolated: StopAtLeaseExpiry, Lease: time.Second, StagingTimeout: 20 * time.Second,
+var testPolicy = Policy{WhenIsolated: StopAtLeaseExpiry, Lease: time.Second, StagingTimeout: 20 * time.Second,
 	MaxAdmissionPause: 300 * time.Millisecond}
 
-// pair is a leader and the instances 1 and 2, with sessions that are open.
-func pair(t *testing.T) (*State, *Leader, *LeaseHolder, *LeaseHolder) {
+// evaluateEvery is how often the tests have a leader evaluate.
+const evaluateEvery = 100 * time.Millisecond
+
+// testGroup is a leader and the instances a and b, with the members 1 and 2 and open sessions.
+type testGroup struct {
+	*testing.T
+	state  *State
+	leader *Leader
+	a, b   *LeaseHolder
+}
+
+func newTestGroup(t *testing.T) *testGroup {
 	t.Helper()
-	s, l := NewState(), NewLeader(0, 1)
-	a, b := NewLeaseHolder(1, 11), NewLeaseHolder(2, 22)
-	for i, h := range []*LeaseHolder{a, b} {
-		if err := s.Apply(Command{Kind: OpenSession, Member: uint64(i + 1), Name: string(rune('a' + i)),
-			Incarnation: h.Incarnation()}); err != nil {
-			t.Fatal(err)
-		}
+	g := &testGroup{t, NewState(), NewLeader(0, 1), NewLeaseHolder(1, 11), NewLeaseHolder(2, 22)}
+	g.apply(Command{Kind: OpenSession, Member: 1, Name: "a", Incarnation: 11})
+	g.apply(Command{Kind: OpenSession, Member: 2, Name: "b", Incarnation: 22})
+	g.a.ObserveState(g.state)
+	g.b.ObserveState(g.state)
+	return g
+}
+
+func (g *testGroup) apply(c Command) {
+	g.Helper()
+	if err := g.state.Apply(c); err != nil {
+		g.Fatalf("%+v: %v", c, err)
 	}
-	a.ObserveState(s)
-	b.ObserveState(s)
-	return s, l, a, b
 }
 
-// renew has an instance ask at one time and the leader answer at another; the grant is given.
-func renew(s *State, l *Leader, h *LeaseHolder, asked, heard time.Duration) Grant {
+// setPending makes a first attempt at the change "x" pending.
+func (g *testGroup) setPending() {
+	g.state.Pending = &PendingChange{Change: "x", Revision: 2, Phase: Staging, Attempt: 1}
+}
+
+// report has an instance report at one time, and the report arrive at another.
+func (g *testGroup) report(h *LeaseHolder, sentAt, arrivesAt time.Duration) Report {
+	g.Helper()
 	h.ReportNow()
-	r, _ := h.NextReport(asked, pol)
-	l.ObserveReport(heard, r)
-	return l.Grant(heard, r, s, pol)
+	r, due := h.NextReport(sentAt, testPolicy)
+	if !due {
+		g.Fatal("no report is due")
+	}
+	g.leader.ObserveReport(arrivesAt, r)
+	return r
 }
 
-var both = map[uint64]string{1: "a", 2: "b"}
+// requestLease returns the response to a report.
+func (g *testGroup) requestLease(h *LeaseHolder, sentAt, arrivesAt time.Duration) Grant {
+	g.Helper()
+	return g.leader.Grant(arrivesAt, g.report(h, sentAt, arrivesAt), g.state, testPolicy)
+}
+
+func (g *testGroup) evaluate(now time.Duration, p Policy) []Command {
+	return g.leader.Evaluate(now, g.state, p, map[uint64]string{1: "a", 2: "b"})
+}
 
-// lapsed has the leader look often until a time, and says when it counted b as over.
-func lapsed(s *State, l *Leader, a *LeaseHolder, from, until time.Duration) time.Duration {
-	for now := from; now < until; now += 100 * time.Millisecond {
-		renew(s, l, a, now, now)
-		for _, c := range l.Evaluate(now, s, pol, both) {
+// timeOfExpiry has a renew its lease, and returns when the leader proposes the expiry of b's session.
+func (g *testGroup) timeOfExpiry(from, until time.Duration) time.Duration {
+	g.Helper()
+	for now := from; now < until; now += evaluateEvery {
+		g.requestLease(g.a, now, now)
+		for _, c := range g.evaluate(now, testPolicy) {
 			if c.Kind == ExpireSessions {
 				return now
 			}
 		}
 	}
+	g.Fatal("the session does not expire")
 	return 0
 }
 
-func TestLeaseCountsFromBeforeItWasAsked(t *testing.T) {
-	s, l, a, b := pair(t)
-	g := renew(s, l, b, 0, 500*time.Millisecond)
-	at := lapsed(s, l, a, 500*time.Millisecond, 10*time.Second)
-	if least := 500*time.Millisecond + ExpiryWait(pol.Lease); at < least {
-		t.Fatalf("counted as over at %v, before %v", at, least)
+func TestLeaseCountsFromBeforeItWasRequested(t *testing.T) {
+	g := newTestGroup(t)
+	grant := g.requestLease(g.b, 0, 500*time.Millisecond)
+	at := g.timeOfExpiry(500*time.Millisecond, 10*time.Second)
+	if earliest := 500*time.Millisecond + ExpiryWait(testPolicy.Lease); at < earliest {
+		t.Fatalf("expired at %v, before %v", at, earliest)
 	}
-	// The answer comes only now. It is a lease of the past.
-	b.ObserveGrant(g)
-	if b.Permit(s, 1, pol).Admits(at, 1) {
-		t.Error("a lease that the leader has counted as over admits jobs")
+	// The response arrives only now. It is a lease of the past.
+	g.b.ObserveGrant(grant)
+	if g.b.Permit(g.state, 1, testPolicy).Admits(at, 1) {
+		t.Error("a lease that the leader has taken for expired admits jobs")
 	}
 }
 
-// Clocks at 0.6 and 1.4 of the right pace: the holder's lease ends before the leader's count.
-func TestWaitOutlastsTheLeaseAtAnyPace(t *testing.T) {
+// At clock rates of 0.6 and 1.4 the holder's lease expires before the leader's wait ends.
+func TestExpiryWaitOutlastsTheLeaseAtAnyClockRate(t *testing.T) {
 	for _, lease := range []time.Duration{50 * time.Millisecond, time.Second, time.Hour} {
-		holder := float64(lease) / slowest
-		leader := float64(ExpiryWait(lease)) / fastest
+		holder := float64(lease) / slowestClockRate
+		leader := float64(ExpiryWait(lease)) / fastestClockRate
 		if leader <= holder {
-			t.Errorf("%v: the holder's takes up to %v, the leader waits as little as %v", lease,
+			t.Errorf("%v: the holder's lasts up to %v, the leader waits as little as %v", lease,
 				time.Duration(holder), time.Duration(leader))
 		}
 	}
 }
 
-func TestNewLeaderWaitsForWhatTheLastOneGranted(t *testing.T) {
-	s, l, a, b := pair(t)
-	b.ObserveGrant(renew(s, l, b, time.Second, time.Second))
-	next := NewLeader(1100*time.Millisecond, 2)
-	at := lapsed(s, next, a, 1100*time.Millisecond, 10*time.Second)
-	if b.Permit(s, 1, pol).Admits(at, 1) || at < 1100*time.Millisecond+ExpiryWait(pol.Lease) {
-		t.Errorf("the new leader counted it as over at %v", at)
+func TestNewLeaderWaitsForLeasesOfTheLastOne(t *testing.T) {
+	g := newTestGroup(t)
+	g.b.ObserveGrant(g.requestLease(g.b, time.Second, time.Second))
+	const termStart = 1100 * time.Millisecond
+	g.leader = NewLeader(termStart, 2)
+	at := g.timeOfExpiry(termStart, 10*time.Second)
+	if g.b.Permit(g.state, 1, testPolicy).Admits(at, 1) || at < termStart+ExpiryWait(testPolicy.Lease) {
+		t.Errorf("the new leader took the lease for expired at %v", at)
 	}
 }
 
-func TestNothingIsGrantedAfterItIsCountedAsOver(t *testing.T) {
-	s, l, a, b := pair(t)
-	at := lapsed(s, l, a, 0, 10*time.Second)
-	// The word is in the log and not applied yet.
-	if g := renew(s, l, b, at, at); g.Duration > 0 {
-		t.Error("a lease is granted that the log may count as over at any time")
+func TestNothingIsGrantedOnceExpiryIsProposed(t *testing.T) {
+	g := newTestGroup(t)
+	at := g.timeOfExpiry(0, 10*time.Second)
+	// The expiry is in the log and not applied yet.
+	if grant := g.requestLease(g.b, at, at); grant.Duration > 0 {
+		t.Error("a lease is granted whose expiry may be committed at any time")
 	}
 }
 
-// Who has died is counted as over once, and its last word opens nothing.
-func TestTheDeadAreNotOpenedAgain(t *testing.T) {
-	s, l, a, b := pair(t)
-	renew(s, l, b, 0, 0)
-	late := NewLeaseHolder(2, 23) // started again, it asks for a session and dies
-	r, _ := late.NextReport(0, pol)
-	l.ObserveReport(0, r)
+// The session of an instance that has died expires once, and its last report opens no other.
+func TestDeadInstanceGetsNoSessionAgain(t *testing.T) {
+	g := newTestGroup(t)
+	g.requestLease(g.b, 0, 0)
+	g.report(NewLeaseHolder(2, 23), 0, 0) // b restarts, requests a session and dies
 	opened := 0
-	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
-		renew(s, l, a, now, now)
-		for _, c := range l.Evaluate(now, s, pol, both) {
-			if err := s.Apply(c); err != nil {
-				t.Fatal(err)
-			}
+	for now := time.Duration(0); now < 20*time.Second; now += evaluateEvery {
+		g.requestLease(g.a, now, now)
+		for _, c := range g.evaluate(now, testPolicy) {
+			g.apply(c)
 			if c.Kind == OpenSession {
 				opened++
 			}
 		}
 	}
-	if opened != 1 || s.Sessions[2].Open {
-		t.Errorf("opened %d times, and at the end %+v", opened, s.Sessions[2])
+	if opened != 1 || g.state.Sessions[2].Open {
+		t.Errorf("opened %d times, and at the end %+v", opened, g.state.Sessions[2])
 	}
 }
 
-// Words that were held back by a cut come all at once, before the first is acted on in the log: they open one
-// session, and where the log has lost that they do so again.
-func TestWordsAtOnceOpenOneSession(t *testing.T) {
-	s, l, _, _ := pair(t)
-	again := NewLeaseHolder(2, 23)
-	opens := func(now time.Duration) (n int) {
+// Reports that a partition held back arrive all at once, before the first has been acted on in the log: they
+// open one session, and another only if the log has lost the first command.
+func TestReportsAtOnceOpenOneSession(t *testing.T) {
+	g := newTestGroup(t)
+	restarted := NewLeaseHolder(2, 23)
+	opened := func(now time.Duration) (n int) {
 		for range 15 {
-			again.ReportNow()
-			r, _ := again.NextReport(now, pol)
-			l.ObserveReport(now, r)
-			for _, c := range l.Evaluate(now, s, pol, both) {
+			g.report(restarted, now, now)
+			for _, c := range g.evaluate(now, testPolicy) {
 				if c.Kind == OpenSession {
 					n++
 				}
@@ -135,89 +161,95 @@
 		}
 		return n
 	}
-	if n := opens(0); n != 1 {
-		t.Errorf("15 words at once open %d sessions", n)
+	if n := opened(0); n != 1 {
+		t.Errorf("15 reports at once open %d sessions", n)
 	}
-	if n := opens(pol.Lease); n != 1 {
-		t.Errorf("a lease later, with none agreed on, %d are opened", n)
+	if n := opened(testPolicy.Lease); n != 1 {
+		t.Errorf("a lease later, with none committed, %d are opened", n)
 	}
 }
 
-func TestStalledLeaderDoesNotHoldAllForGone(t *testing.T) {
-	s, l, a, b := pair(t)
-	renew(s, l, a, 0, 0)
-	renew(s, l, b, 0, 0)
-	l.Evaluate(0, s, pol, both)
-	for _, c := range l.Evaluate(30*time.Second, s, pol, both) {
-		t.Errorf("woken, its first look is %v of %v", c.Kind, c.Sessions)
+func TestStalledLeaderExpiresNobody(t *testing.T) {
+	g := newTestGroup(t)
+	g.requestLease(g.a, 0, 0)
+	g.requestLease(g.b, 0, 0)
+	g.evaluate(0, testPolicy)
+	for _, c := range g.evaluate(30*time.Second, testPolicy) {
+		t.Errorf("its first command after a stall is %v of %v", c.Kind, c.Sessions)
 	}
 }
 
-func TestAStallBeforeTheAdmissionIsSeen(t *testing.T) {
-	s, l, _, b := pair(t)
-	b.ObserveGrant(renew(s, l, b, 0, 0))
-	p := b.Permit(s, 1, pol)
-	if !p.Admits(999*time.Millisecond, 1) || p.Admits(time.Second, 1) || p.Admits(time.Minute, 1) {
-		t.Errorf("the permit %+v does not end with its lease", p)
-	}
-	if p.Admits(0, 2) {
-		t.Error("it admits under a policy that is not in force")
+func TestPermitEndsWithItsLease(t *testing.T) {
+	g := newTestGroup(t)
+	g.b.ObserveGrant(g.requestLease(g.b, 0, 0))
+	p := g.b.Permit(g.state, 1, testPolicy)
+	for _, x := range []struct {
+		now      time.Duration
+		revision uint64
+		want     bool
+	}{
+		{999 * time.Millisecond, 1, true},
+		{time.Second, 1, false},
+		{time.Minute, 1, false},
+		{0, 2, false}, // a revision that is not in force
+	} {
+		if got := p.Admits(x.now, x.revision); got != x.want {
+			t.Errorf("%+v admits at %v under revision %d: %v, want %v", p, x.now, x.revision, got, x.want)
+		}
 	}
 }
 
-func TestAnotherLifeHasNoLease(t *testing.T) {
-	s, l, _, b := pair(t)
-	b.ObserveGrant(renew(s, l, b, 0, 0))
-	again := NewLeaseHolder(2, 23)
-	again.ObserveState(s)
-	if p := again.Permit(s, 1, pol); p.Open || !strings.Contains(p.ClosedReason, "since it started") {
-		t.Errorf("started again, it has %+v", p)
+func TestNewIncarnationHasNoLease(t *testing.T) {
+	g := newTestGroup(t)
+	g.b.ObserveGrant(g.requestLease(g.b, 0, 0))
+	restarted := NewLeaseHolder(2, 23)
+	restarted.ObserveState(g.state)
+	if p := restarted.Permit(g.state, 1, testPolicy); p.Open ||
+		!strings.Contains(p.ClosedReason, "since it started") {
+		t.Errorf("restarted, it has %+v", p)
 	}
 }
 
-func TestJudgementsNeedEvidenceOfAll(t *testing.T) {
-	s, _, _, _ := pair(t)
-	s.Pending = &PendingChange{Change: "x", Revision: 2, Phase: Staging, Attempt: 1}
-	seats := s.OpenSessions()
-	if err := s.Apply(Command{Kind: CloseAdmission, Change: "x", Attempt: 1,
-		Sessions: seats[:1]}); err == nil {
-		t.Error("held without the word of all")
-	}
-	if err := s.Apply(Command{Kind: CloseAdmission, Change: "x", Attempt: 1, Sessions: seats}); err != nil {
-		t.Fatal(err)
-	}
-	// One comes in between the leader's look and its word.
-	if err := s.Apply(Command{Kind: OpenSession, Member: 3, Name: "c", Incarnation: 33}); err != nil {
-		t.Fatal(err)
+func TestDecisionsRestOnAllOpenSessions(t *testing.T) {
+	g := newTestGroup(t)
+	g.setPending()
+	sessions := g.state.OpenSessions()
+	if err := g.state.Apply(Command{Kind: CloseAdmission, Change: "x", Attempt: 1,
+		Sessions: sessions[:1]}); err == nil {
+		t.Error("admission is closed, and not all have staged the change")
 	}
-	for _, c := range []Command{{Kind: Commit, Change: "x", Attempt: 1, Sessions: seats},
-		{Kind: Commit, Change: "y", Attempt: 1, Sessions: s.OpenSessions()}, {Kind: Commit, Change: "x",
-			Attempt:  2,
-			Sessions: s.OpenSessions()}} {
-		if err := s.Apply(c); err == nil {
-			t.Errorf("decided by %+v", c)
+	g.apply(Command{Kind: CloseAdmission, Change: "x", Attempt: 1, Sessions: sessions})
+	// A session opens between the leader's decision and its entry.
+	g.apply(Command{Kind: OpenSession, Member: 3, Name: "c", Incarnation: 33})
+	for _, c := range []Command{
+		{Kind: Commit, Change: "x", Attempt: 1, Sessions: sessions},
+		{Kind: Commit, Change: "y", Attempt: 1, Sessions: g.state.OpenSessions()},
+		{Kind: Commit, Change: "x", Attempt: 2, Sessions: g.state.OpenSessions()},
+	} {
+		if err := g.state.Apply(c); err == nil {
+			t.Errorf("committed by %+v", c)
 		}
 	}
-	if err := s.Apply(Command{Kind: ReopenAdmission, Change: "x", Attempt: 1}); err != nil ||
-		s.Pending.Attempt != 2 {
-		t.Errorf("%v: %+v", err, s.Pending)
+	g.apply(Command{Kind: ReopenAdmission, Change: "x", Attempt: 1})
+	if g.state.Pending.Attempt != 2 {
+		t.Errorf("after a reopening: %+v", g.state.Pending)
 	}
 }
 
-// Where nothing runs out, a change that can't ask somebody is withdrawn, with its name.
-func TestServeWithdrawsByName(t *testing.T) {
-	s, l, a, _ := pair(t)
-	serve := pol
-	serve.WhenIsolated = KeepServing
-	s.Pending = &PendingChange{Change: "x", Revision: 2, Phase: Staging, Attempt: 1}
-	a.SetStaged("x", nil)
-	for now := time.Duration(0); now < time.Minute; now += 100 * time.Millisecond {
-		renew(s, l, a, now, now)
-		for _, c := range l.Evaluate(now, s, serve, both) {
-			if c.Kind == ExpireSessions {
-				t.Fatal("a session of one that serves on is counted as over")
-			}
-			if c.Kind == Withdraw {
+// Where no lease expires, a change that an instance has not staged is withdrawn, with the instance's name.
+func TestKeepServingWithdrawsByName(t *testing.T) {
+	g := newTestGroup(t)
+	policy := testPolicy
+	policy.WhenIsolated = KeepServing
+	g.setPending()
+	g.a.SetStaged("x", nil)
+	for now := time.Duration(0); now < time.Minute; now += evaluateEvery {
+		g.requestLease(g.a, now, now)
+		for _, c := range g.evaluate(now, policy) {
+			switch c.Kind {
+			case ExpireSessions:
+				t.Fatal("the session of an instance that keeps serving expires")
+			case Withdraw:
 				if !strings.Contains(c.Reason, "b (not heard of)") || strings.Contains(c.Reason, "a (") {
 					t.Errorf("withdrawn because of %q", c.Reason)
 				}
@@ -225,23 +257,26 @@
 			}
 		}
 	}
-	t.Error("not withdrawn in a minute")
+	t.Error("not withdrawn within a minute")
 }
 
-func TestPoliciesThatMakeNoSense(t *testing.T) {
-	for says, values := range map[string]map[string]string{
+func TestParsePolicyReportsProblems(t *testing.T) {
+	for want, values := range map[string]map[string]string{
 		"cut_off: \"x\" is not lease or serve": {"cut_off": "x"},
 		"lease: \"1\" is not a time":           {"lease": "1"},
 		"\"leese\" is no key":                  {"leese": "1s"},
 		"stage_within: 20s is less than":       {"lease": "20s"},
 		"hold_within: \"-1s\"":                 {"hold_within": "-1s"},
 	} {
-		if _, wrong := ParsePolicy(values); len(wrong) != 1 || !strings.Contains(wrong[0], says) {
-			t.Errorf("%v: %v", values, wrong)
+		if _, problems := ParsePolicy(values); len(problems) != 1 || !strings.Contains(problems[0], want) {
+			t.Errorf("%v: %v, want %q", values, problems, want)
 		}
 	}
-	if p, _ := ParsePolicy(map[string]string{"lease": "200ms"}); p.CheckTick(50*time.Millisecond) == nil ||
-		p.CheckTick(40*time.Millisecond) != nil {
-		t.Error("a lease of 200ms needs a tick of 40ms at the most")
+}
+
+func TestCheckTickNeedsEnoughTicksInALease(t *testing.T) {
+	p, _ := ParsePolicy(map[string]string{"lease": "200ms"})
+	if p.CheckTick(50*time.Millisecond) == nil || p.CheckTick(40*time.Millisecond) != nil {
+		t.Error("a lease of 200ms needs a tick of at most 40ms")
 	}
 }
--- a/internal/operate/controlapi/rollout.go
+++ b/internal/operate/controlapi/rollout.go
@@ -50,7 +50,7 @@
 	if x.Permit.Open && !x.Permit.NoExpiry {
 		x.LeaseRemaining = max(x.Permit.ExpiresAt-consensus.BootTime(), 0)
 	}
-	out.Format, out.CutOffRule, out.Admits = uint32(x.Format), x.Policy.WhenIsolated, x.Permit.Open
+	out.Format, out.CutOffRule, out.Admits = uint32(x.Format), string(x.Policy.WhenIsolated), x.Permit.Open
 	out.LeaseS, out.Epoch, out.Staged, out.Pending = x.LeaseRemaining.Seconds(), x.SessionEpoch, x.Staged,
 		pending(
 			st,
--- a/internal/verify/simulation/simulator.go
+++ b/internal/verify/simulation/simulator.go
@@ -201,7 +201,7 @@
 	}
 	d.Sections = map[string]map[string]string{leasedtask.Section: {"drill": "3"}}
 	if s.options.Seed%4 == 3 {
-		d.Sections[rollout.Section] = map[string]string{"cut_off": rollout.KeepServing}
+		d.Sections[rollout.Section] = map[string]string{"cut_off": string(rollout.KeepServing)}
 	}
 	return d
 }
