--- a/internal/cluster/rollingrestart/controller.go
+++ b/internal/cluster/rollingrestart/controller.go
@@ -6,51 +6,54 @@
 	"time"
 )
 
-// InstanceStatus is an instance as the conductor sees it. What it sees may be wrong or late: it decides when
-// the next one is taken out, and never who is.
+// InstanceStatus is an instance as the controller observes it. It may be wrong or late: it decides when the
+// next instance is restarted, and never which instance is restarting.
 type InstanceStatus struct {
 	Member      uint64
 	Name        string
 	Zone        string
 	Voter       bool
 	Incarnation uint64 // of the process that has the open session; 0: none has
-	Healthy     bool   // it answers, runs what is in force, and admits jobs
-	Reason      string // it is not well
-	RestartLast bool   // it leads, or conducts: it is left for later, for that has to be handed on
+	Healthy     bool   // it responds, runs the configuration in force, and admits jobs
+	Reason      string // why it is not healthy
+	RestartLast bool   // it leads or runs the controller, which must be transferred: others come first
 }
 
-// Controller judges, in one holding of the duty, what is to be noted next.
+// Controller decides, for one lease of the task, what is to be noted next.
 type Controller struct {
-	out     map[uint64]time.Duration // since when it has been seen out
-	blocked time.Duration            // since when nobody may be taken out
-	waits   bool                     // it has been
-	rolling bool                     // the plan was, after the last look
+	restartingSince map[uint64]time.Duration // by member, since when it was observed
+	blocked         bool                     // no instance may be restarted
+	blockedSince    time.Duration
+	wasRolling      bool // the plan was, after the last call of Reconcile
 }
 
-// NewController begins to conduct. Hazard: how long an instance has been out is not known to it. It begins
-// to count anew, so that a conductor that comes does not halt what goes well.
-func NewController() *Controller { return &Controller{out: map[uint64]time.Duration{}} }
+// NewController returns a controller. Hazard: it does not know how long an instance has been restarting. It
+// counts from when it first observes that, so that a new controller does not halt a restart that goes well.
+func NewController() *Controller {
+	return &Controller{restartingSince: map[uint64]time.Duration{}}
+}
 
-// Reconcile gives the plan as it is to be noted, and whether that is another one. All that it changes counts
-// only once it is agreed on.
-func (c *Controller) Reconcile(now time.Duration, p Plan, seen []InstanceStatus) (Plan, bool) {
-	p, changed := c.look(now, p, seen)
-	p.HaltReason = p.HaltReason[:min(len(p.HaltReason), maxWhy)]
-	c.rolling = p.Status == Rolling
+// Reconcile returns the plan as it is to be noted, and whether it differs from p. A change has effect only
+// once the note is committed. The time now is on a monotonic clock.
+func (c *Controller) Reconcile(now time.Duration, p Plan, instances []InstanceStatus) (Plan, bool) {
+	p, changed := c.reconcile(now, p, instances)
+	p.HaltReason = p.HaltReason[:min(len(p.HaltReason), maxReasonBytes)]
+	c.wasRolling = p.Status == Rolling
 	return p, changed
 }
 
-func (c *Controller) look(now time.Duration, p Plan, seen []InstanceStatus) (Plan, bool) {
+func (c *Controller) reconcile(now time.Duration, p Plan, instances []InstanceStatus) (Plan, bool) {
 	if !p.Active() {
 		return p, false
 	}
-	// Hazard: who was out too long before an operator had it go on would be so at once again.
-	if !c.rolling {
-		clear(c.out)
-		c.waits = false
+	// Hazard: an instance that had exceeded the timeout before an operator resumed the plan would exceed it
+	// again at once.
+	if !c.wasRolling {
+		clear(c.restartingSince)
+		c.blocked = false
 	}
 	p.Steps = slices.Clone(p.Steps)
-	changed := c.await(now, &p, seen)
+	changed := c.observeSteps(now, &p, instances)
 	if p.Status != Stopped && p.count(Waiting)+p.count(Restarting) == 0 {
 		p.Status, p.HaltReason = Done, ""
 		return p, true
@@ -58,148 +61,147 @@
 	if p.Status != Rolling {
 		return p, changed
 	}
-	// One step for each note: it is made before anybody acts by it.
+	// One step for each note: it must be committed before anybody acts on it.
 	if changed || p.count(Waiting) == 0 || p.count(Restarting) >= p.MaxUnavailable {
-		c.waits = false
+		c.blocked = false
 		return p, changed
 	}
-	k, why := next(p, seen)
-	if k < 0 {
-		if !c.waits {
-			c.waits, c.blocked = true, now
-		}
-		if now-c.blocked <= p.Timeout {
-			return p, false
-		}
-		p.Status, p.HaltReason = Halted, why
+	return c.restartNext(now, p, instances)
+}
+
+// restartNext begins the next step, or halts the plan once no step has been allowed for the timeout.
+func (c *Controller) restartNext(now time.Duration, p Plan, instances []InstanceStatus) (Plan, bool) {
+	k, reason := nextStep(p, instances)
+	if k >= 0 {
+		c.blocked = false
+		instance, _ := find(instances, p.Steps[k].Member)
+		p.Steps[k].Phase, p.Steps[k].Incarnation = Restarting, instance.Incarnation
 		return p, true
 	}
-	c.waits = false
-	one, _ := find(seen, p.Steps[k].Member)
-	p.Steps[k].Phase, p.Steps[k].Incarnation = Restarting, one.Incarnation
+	if !c.blocked {
+		c.blocked, c.blockedSince = true, now
+	}
+	if now-c.blockedSince <= p.Timeout {
+		return p, false
+	}
+	p.Status, p.HaltReason = Halted, reason
 	return p, true
 }
 
-// await notes who has come back, and halts where one does not.
-func (c *Controller) await(now time.Duration, p *Plan, seen []InstanceStatus) (changed bool) {
+// observeSteps records which instances are back or removed, and halts the plan where one exceeds the timeout.
+func (c *Controller) observeSteps(now time.Duration, p *Plan, instances []InstanceStatus) (changed bool) {
 	for i := range p.Steps {
 		s := &p.Steps[i]
-		one, member := find(seen, s.Member)
-		if !member && s.Phase != Removed {
+		instance, member := find(instances, s.Member)
+		switch {
+		case !member && s.Phase != Removed:
 			s.Phase, s.RestartAgain, changed = Removed, false, true
-			continue
-		}
-		if s.Phase != Restarting {
-			delete(c.out, s.Member)
-			continue
-		}
-		if one.Incarnation != 0 && one.Incarnation != s.Incarnation && one.Healthy {
+		case s.Phase != Restarting:
+			delete(c.restartingSince, s.Member)
+		case instance.Incarnation != 0 && instance.Incarnation != s.Incarnation && instance.Healthy:
 			if s.Phase, s.Incarnation = Restarted, 0; s.RestartAgain {
 				s.Phase, s.RestartAgain = Waiting, false
 			}
 			changed = true
-			continue
-		}
-		since, known := c.out[s.Member]
-		if !known {
-			c.out[s.Member] = now
-			continue
-		}
-		if p.Status == Rolling && now-since > p.Timeout {
+		case c.timedOut(now, s.Member, p.Timeout) && p.Status == Rolling:
 			p.Status, changed = Halted, true
-			p.HaltReason = fmt.Sprintf(
-				"%s is not back within %v: %s",
-				s.Name,
-				p.Timeout,
-				state(one, s.Incarnation),
-			)
+			p.HaltReason = fmt.Sprintf("%s is not back within %v: %s", s.Name, p.Timeout,
+				pendingReason(instance, s.Incarnation))
 		}
 	}
 	return changed
 }
 
-func state(one InstanceStatus, life uint64) string {
-	switch {
-	case one.Incarnation == 0:
+// timedOut reports whether a member was first observed to be restarting longer ago than the timeout.
+func (c *Controller) timedOut(now time.Duration, member uint64, timeout time.Duration) bool {
+	since, known := c.restartingSince[member]
+	if !known {
+		c.restartingSince[member] = now
+		return false
+	}
+	return now-since > timeout
+}
+
+// pendingReason is why an instance is not back whose given incarnation is to exit.
+func pendingReason(instance InstanceStatus, incarnation uint64) string {
+	switch instance.Incarnation {
+	case 0:
 		return "it has no session"
-	case one.Incarnation == life:
+	case incarnation:
 		return "its process has not gone yet"
 	}
-	return one.Reason
+	return instance.Reason
 }
 
-func find(seen []InstanceStatus, member uint64) (InstanceStatus, bool) {
-	k := slices.IndexFunc(seen, func(s InstanceStatus) bool { return s.Member == member })
+func find(instances []InstanceStatus, member uint64) (InstanceStatus, bool) {
+	k := slices.IndexFunc(instances, func(s InstanceStatus) bool { return s.Member == member })
 	if k < 0 {
 		return InstanceStatus{}, false
 	}
-	return seen[k], true
+	return instances[k], true
 }
 
-// next is the step that may be taken now; -1: none, and why.
-func next(p Plan, seen []InstanceStatus) (best int, why string) {
+// nextStep returns the index of the step that may begin now; -1 and the reason if none may.
+func nextStep(p Plan, instances []InstanceStatus) (best int, reason string) {
 	best = -1
 	for k, s := range p.Steps {
 		if s.Phase != Waiting {
 			continue
 		}
-		one, _ := find(seen, s.Member)
-		if bar := barred(p, one, seen); bar != "" {
-			if why == "" {
-				why = bar
+		instance, _ := find(instances, s.Member)
+		if blocked := blockedReason(p, instance, instances); blocked != "" {
+			if reason == "" {
+				reason = blocked
 			}
 			continue
 		}
 		if best < 0 {
 			best = k
-		} else if other, _ := find(seen, p.Steps[best].Member); other.RestartLast && !one.RestartLast {
+		} else if other, _ := find(instances, p.Steps[best].Member); other.RestartLast &&
+			!instance.RestartLast {
 			best = k
 		}
 	}
-	return best, why
+	return best, reason
 }
 
-// barred says why an instance may not be taken out now; empty: it may.
-func barred(p Plan, one InstanceStatus, seen []InstanceStatus) string {
-	out := func(member uint64) bool {
-		return slices.ContainsFunc(
-			p.Steps,
-			func(s Step) bool { return s.Member == member && s.Phase == Restarting },
-		)
-	}
-	away, voters, up, zone, well := p.count(Restarting), 0, 0, 0, 0
-	for _, x := range seen {
+// blockedReason returns why an instance may not be restarted now; empty if it may.
+func blockedReason(p Plan, instance InstanceStatus, instances []InstanceStatus) string {
+	unavailable, voters, healthyVoters, othersInZone, healthyInZone := p.count(Restarting), 0, 0, 0, 0
+	for _, x := range instances {
 		if x.Voter {
 			voters++
 		}
-		if !x.Healthy && !out(x.Member) && x.Member != one.Member {
-			// Who is down for another reason counts as out; one that is not well itself may go.
-			if away++; away >= p.MaxUnavailable {
-				return fmt.Sprintf("%s is not well: %s", x.Name, x.Reason)
-			}
+		if x.Member == instance.Member {
+			continue // an instance that is not healthy itself may be restarted
 		}
-		if x.Member == one.Member {
-			continue
+		if x.Zone == instance.Zone {
+			othersInZone++
 		}
-		if x.Zone == one.Zone {
-			zone++
-		}
-		if x.Healthy && !out(x.Member) {
+		switch restarting := p.isRestarting(x.Member); {
+		case restarting:
+		case !x.Healthy:
+			// An instance that is down for another reason counts as unavailable.
+			if unavailable++; unavailable >= p.MaxUnavailable {
+				return fmt.Sprintf("%s is not well: %s", x.Name, x.Reason)
+			}
+		default:
 			if x.Voter {
-				up++
+				healthyVoters++
 			}
-			if x.Zone == one.Zone {
-				well++
+			if x.Zone == instance.Zone {
+				healthyInZone++
 			}
 		}
 	}
 	switch {
-	case one.Incarnation == 0:
-		return fmt.Sprintf("%s is not well: %s", one.Name, one.Reason)
-	case one.Voter && up < majority(voters):
-		return fmt.Sprintf("without %s only %d of %d voters would be well", one.Name, up, voters)
-	case well == 0 && !(p.AllowLastInZone && zone == 0):
-		return fmt.Sprintf("%s is the last of zone %s that is well", one.Name, one.Zone)
+	case instance.Incarnation == 0:
+		return fmt.Sprintf("%s is not well: %s", instance.Name, instance.Reason)
+	case instance.Voter && healthyVoters < majority(voters):
+		return fmt.Sprintf("without %s only %d of %d voters would be well", instance.Name, healthyVoters,
+			voters)
+	case healthyInZone == 0 && !(p.AllowLastInZone && othersInZone == 0):
+		return fmt.Sprintf("%s is the last of zone %s that is well", instance.Name, instance.Zone)
 	}
 	return ""
 }
