--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -8,7 +8,7 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-func TestRejectionSaysWhyAndWhenToRetry(t *testing.T) {
+func TestRejectionHasReasonAndRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		permit  rollout.Permit
--- a/internal/node/auditlog.go
+++ b/internal/node/auditlog.go
@@ -22,7 +22,7 @@
 	return &auditLog{file: f}, nil
 }
 
-// enabled says whether lines are written. Callers on the path of a request check it first, so that no
+// enabled reports whether lines are written. Callers on the path of a request check it first, so that no
 // arguments are allocated for nothing.
 func (a *auditLog) enabled() bool { return a != nil }
 
--- a/internal/node/backups.go
+++ b/internal/node/backups.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil // the lease ends, or there is no leader: the next check tries again
 	}
-	kept, err := b.dir.Write(backups.WriteRequest{
+	written, err := b.dir.Write(backups.WriteRequest{
 		Group: cluster, Task: r.task, FencingToken: r.token, Period: period, Content: content,
 		Retain: policy.BackupsKept, LeaseValid: func() bool { return r.Valid(consensus.BootTime()) },
 	})
@@ -71,12 +71,12 @@
 	case err != nil:
 		return err
 	}
-	note, err := json.Marshal(kept)
+	note, err := json.Marshal(written)
 	if err != nil {
-		return fmt.Errorf("encode the note of backup %s: %w", kept.File, err)
+		return fmt.Errorf("encode the note of backup %s: %w", written.File, err)
 	}
 	if r.updateNote(ctx, lease, note) {
-		b.log.WithField("path", kept.File).Info("backup written")
+		b.log.WithField("path", written.File).Info("backup written")
 	}
 	return nil
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -22,7 +22,7 @@
 socket = "control.sock"
 `
 
-// writeConfig writes a configuration, and gives its path.
+// writeConfig writes a configuration, and returns its path.
 func writeConfig(t *testing.T, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "serve.toml")
--- a/internal/node/configurator.go
+++ b/internal/node/configurator.go
@@ -102,7 +102,7 @@
 	c.env.runner.ReportStaged(r.ChangeID, nil)
 }
 
-// check says why a document can't be run here, or gives what the node is to run.
+// check reports why a document can't be run here, or returns what the node is to run.
 func (c *configurator) check(d *clusterstate.Document) (RuntimeConfig, error) {
 	config, err := c.runtimeConfig(d)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return config, c.env.node.ValidateConfig(config)
 }
 
-// checkLeases says why this instance's clock of ticks can't keep the leases of a document.
+// checkLeases reports why this instance's clock of ticks can't keep the leases of a document.
 func (c *configurator) checkLeases(d *clusterstate.Document) error {
 	p, _ := rollout.ParsePolicy(d.Sections[rollout.Section])
 	if err := p.CheckTick(time.Duration(c.cfg.Peers.Tick)); err != nil {
@@ -173,7 +173,7 @@
 	return configure(config)
 }
 
-// takeStaged gives what was staged for a change; whatever was staged is dropped.
+// takeStaged returns what was staged for a change; whatever was staged is dropped.
 func (c *configurator) takeStaged(change string) (RuntimeConfig, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/drivers.go
+++ b/internal/node/drivers.go
@@ -11,7 +11,7 @@
 // driver carries out one section of the agreed document: it connects a package of rules, which has no
 // goroutine, clock or socket, to the node's loop and the group.
 type driver interface {
-	// Supports says why this instance can't carry out a valid document, or nil. Any goroutine may call it.
+	// Supports reports why this instance can't carry out a valid document, or nil. Any goroutine may call it.
 	Supports(d *clusterstate.Document) error
 	// Prepare reads the driver's section of a document that takes effect, with the settings that the fronts
 	// get from it, and changes nothing yet.
--- a/internal/node/drivers_test.go
+++ b/internal/node/drivers_test.go
@@ -15,7 +15,7 @@
 	"moorstack/internal/cluster/consensus"
 )
 
-// testEnvironment has a log that nobody reads and an audit log, whose path it gives.
+// testEnvironment has a log that nobody reads and an audit log, whose path it returns.
 func testEnvironment(t *testing.T) (*environment, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "audit")
@@ -29,7 +29,7 @@
 	return &environment{name: "one", log: log, audit: audit}, path
 }
 
-// auditEvents gives the audit log's lines without their times.
+// auditEvents returns the audit log's lines without their times.
 func auditEvents(t *testing.T, path string) (events []string) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
--- a/internal/node/explainroute.go
+++ b/internal/node/explainroute.go
@@ -14,7 +14,7 @@
 // defaultFront is the front that a question without one is about.
 const defaultFront = "http"
 
-// routeExplainer says where a job would go, by the running brokers. It belongs to the node's loop.
+// routeExplainer explains where a job would go, by the running brokers. It belongs to the node's loop.
 type routeExplainer struct {
 	node  *Node
 	names routing.KnownNames
@@ -79,8 +79,8 @@
 	return job, nil
 }
 
-// explainTiers gives the pools in the order in which they are tried, and which workers of each could have the
-// job now.
+// explainTiers returns the pools in the order in which they are tried, and which workers of each could have
+// the job now.
 func (x *routeExplainer) explainTiers(c *frontBroker, job *routing.Job,
 	d routing.Decision) (tiers []*schema.Tier) {
 	pools := []string{"any worker"}
--- a/internal/node/leasedtasks.go
+++ b/internal/node/leasedtasks.go
@@ -63,7 +63,7 @@
 	ended bool             // it acts no more
 }
 
-// Valid says whether this instance may act under the lease at this moment of the boot clock.
+// Valid reports whether this instance may act under the lease at this moment of the boot clock.
 func (r *taskRun) Valid(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 	r.lease = lease
 }
 
-// end has the run act no more, and gives why the lease is to be released, if the group has asked for it.
+// end has the run act no more, and returns why the lease is to be released, if the group has asked for it.
 //
 // Hazard: from here on nothing is done under this fencing token, whatever lease there still is.
 func (r *taskRun) end() (releaseReason string) {
--- a/internal/node/listrelay.go
+++ b/internal/node/listrelay.go
@@ -126,7 +126,7 @@
 	return sub.forward(ctx, first, send)
 }
 
-// subscribe gives a subscription and the complete list that it begins with.
+// subscribe returns a subscription and the complete list that it begins with.
 func (s *listServer) subscribe(ctx context.Context) (*subscription, listrelay.EndpointListUpdate, error) {
 	sub := &subscription{server: s, updates: make(chan listrelay.EndpointListUpdate, subscriberBuffer)}
 	var first listrelay.EndpointListUpdate
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -108,7 +108,7 @@
 	return n, nil
 }
 
-// limitProcess sets how many goroutines run at once, and the collector's limit, which it gives in bytes.
+// limitProcess sets how many goroutines run at once, and the collector's limit, which it returns in bytes.
 func limitProcess(o Options) (memoryLimit int64) {
 	// One goroutine does all the work of the fronts.
 	runtime.GOMAXPROCS(max(o.MaxProcs, 1))
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -24,8 +24,8 @@
 	return <-done
 }
 
-// ValidateConfig says why Configure would fail, and changes nothing. It may be called from any goroutine but
-// the loop's.
+// ValidateConfig reports why Configure would fail, and changes nothing. It may be called from any goroutine
+// but the loop's.
 func (n *Node) ValidateConfig(c RuntimeConfig) error {
 	done := make(chan error, 1)
 	n.loop.Post(func() { done <- n.validateConfig(c) })
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -24,7 +24,7 @@
 	return clusterstate.Rules{Sections: map[string]clusterstate.SectionValidator{RoutesSection: checkRoutes}}
 }
 
-// checkRoutes is RoutesSection's rule: it gives what is wrong with the section.
+// checkRoutes is RoutesSection's rule: it returns what is wrong with the section.
 func checkRoutes(d *clusterstate.Document, values map[string]string) []string {
 	var wrong []string
 	for key := range values {
--- a/internal/node/selfrestart.go
+++ b/internal/node/selfrestart.go
@@ -26,14 +26,14 @@
 // signalBuffer is how many signals may wait: more than ever come at once.
 const signalBuffer = 4
 
-// selfRestart ends this instance's process when the agreed plan of a rolling restart says so.
+// selfRestart ends this instance's process when the agreed plan of a rolling restart orders it.
 type selfRestart struct {
-	audit    *auditLog
-	log      logrus.FieldLogger
-	inPlace  bool // the program is to be started again in this process's place
-	signals  chan os.Signal
-	takenOut atomic.Bool // by the plan
-	ordered  atomic.Bool // to end, from outside
+	audit      *auditLog
+	log        logrus.FieldLogger
+	inPlace    bool // the program is to be started again in this process's place
+	signals    chan os.Signal
+	restarting atomic.Bool // by the plan
+	ordered    atomic.Bool // to end, from outside
 }
 
 func newSelfRestart(env *environment, setting string) *selfRestart {
@@ -46,7 +46,7 @@
 // Hazard: the plan may be read late, or again after a start. A step is for one incarnation of the instance.
 func (s *selfRestart) planChanged(n leasedtask.PlanChanged) {
 	plan, err := rollingrestart.DecodePlan(n.Note)
-	if err != nil || !plan.MustRestart(n.Member, n.Incarnation) || s.takenOut.Swap(true) {
+	if err != nil || !plan.MustRestart(n.Member, n.Incarnation) || s.restarting.Swap(true) {
 		return
 	}
 	s.log.WithField("author", plan.Author).Info("process ends for a rolling restart")
@@ -54,7 +54,7 @@
 	s.signals <- syscall.SIGTERM
 }
 
-// merge gives the signals from outside and those of the plan. The goroutine that it starts ends with the
+// merge returns the signals from outside and those of the plan. The goroutine that it starts ends with the
 // process, or when the channel is closed.
 func (s *selfRestart) merge(outside <-chan os.Signal) <-chan os.Signal {
 	go func() {
@@ -70,7 +70,7 @@
 	return s.signals
 }
 
-// restarts says whether the program is to be started again in the place of this process.
+// restarts reports whether the program is to be started again in the place of this process.
 func (s *selfRestart) restarts() bool {
-	return s.takenOut.Load() && !s.ordered.Load() && s.inPlace
+	return s.restarting.Load() && !s.ordered.Load() && s.inPlace
 }
--- a/internal/node/selfrestart_test.go
+++ b/internal/node/selfrestart_test.go
@@ -23,7 +23,7 @@
 		incarnation uint64
 		setting     string
 		order       os.Signal // from outside
-		takenOut    bool
+		restarting  bool
 		restarts    bool
 	}{
 		{"its step, in place", incarnation, restartByStarting, nil, true, true},
@@ -48,7 +48,7 @@
 				s.planChanged(leasedtask.PlanChanged{Note: note, Member: member, Incarnation: c.incarnation})
 			}
 			want := 0
-			if c.takenOut {
+			if c.restarting {
 				want = 1
 			}
 			if len(signals) != want || s.restarts() != c.restarts {
--- a/internal/node/testclocks.go
+++ b/internal/node/testclocks.go
@@ -42,7 +42,7 @@
 	return time.Unix(0, c.Wall+int64(passed))
 }
 
-// checkTestsAllowed says how to allow what is for tests only, where it is not.
+// checkTestsAllowed explains how to allow what is for tests only, where it is not.
 func checkTestsAllowed(what string) error {
 	if os.Getenv(TestClocksEnv) == "yes" {
 		return nil
--- a/internal/operate/adminproto/command.go
+++ b/internal/operate/adminproto/command.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Handler carries out the commands. All of it is called on the node's loop, and what a command asks for is in
+// Handler carries out the commands. All of it is called on the node's loop, and what a command requests is in
 // force when its method returns. The error of a method becomes the text of the NAK.
 type Handler interface {
-	// Ready is nil while this process is ready to serve, or says why it is not.
+	// Ready is nil while this process is ready to serve, or reports why it is not.
 	Ready() error
 	// AppendMetrics appends the metrics to dst, as one line of JSON without its end.
 	AppendMetrics(dst []byte) []byte
