--- a/internal/node/explainroute.go
+++ b/internal/node/explainroute.go
@@ -11,9 +11,6 @@
 	"moorstack/internal/schema"
 )
 
-// defaultFront is the front that a question without one is about.
-const defaultFront = "http"
-
 // routeExplainer explains where a job would go, by the running brokers. It belongs to the node's loop.
 type routeExplainer struct {
 	node  *Node
@@ -48,7 +45,7 @@
 
 func (x *routeExplainer) frontBroker(front string) (*frontBroker, error) {
 	if front == "" {
-		front = defaultFront
+		front = routing.FrontendHTTP
 	}
 	at := slices.IndexFunc(x.node.brokers, func(c frontBroker) bool { return c.front == front })
 	if at < 0 {
--- /dev/null
+++ b/internal/node/explainroute_test.go
@@ -0,0 +1,49 @@
+package node
+
+import (
+	"strings"
+	"testing"
+
+	"moorstack/internal/proxy/routing"
+	"moorstack/internal/schema"
+)
+
+func TestExplainRouteReadsTheJob(t *testing.T) {
+	brokers := []frontBroker{{front: routing.FrontendHTTP}, {front: routing.FrontendFaktory}}
+	x := &routeExplainer{node: &Node{brokers: brokers},
+		names: routing.KnownNames{Classes: []string{"quote", "once"}, Tenants: []string{"t"}}}
+	for _, c := range []struct {
+		name  string
+		in    *schema.ExplainRouteRequest
+		front string
+		class int
+		err   string
+	}{
+		{"default front", &schema.ExplainRouteRequest{Class: "once", Tenant: "t"},
+			routing.FrontendHTTP, 1, ""},
+		{"another front", &schema.ExplainRouteRequest{Front: "faktory", Class: "quote"},
+			routing.FrontendFaktory, 0, ""},
+		{"no class", &schema.ExplainRouteRequest{}, routing.FrontendHTTP, -1, ""},
+		{"unknown front", &schema.ExplainRouteRequest{Front: "x"}, "", 0, `this instance has no front "x"`},
+		{"unknown class", &schema.ExplainRouteRequest{Class: "x"}, "", 0, `there is no class "x"`},
+		{"unknown tenant", &schema.ExplainRouteRequest{Tenant: "x"}, "", 0, `there is no tenant "x"`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, err := x.frontBroker(c.in.Front)
+			var job *routing.Job
+			if err == nil {
+				job, err = x.jobOf(b.front, c.in)
+			}
+			switch {
+			case c.err != "":
+				if err == nil || !strings.Contains(err.Error(), c.err) {
+					t.Errorf("got %v, want %q", err, c.err)
+				}
+			case err != nil:
+				t.Error(err)
+			case job.Frontend != c.front || job.Class != c.class:
+				t.Errorf("front %q, class %d", job.Frontend, job.Class)
+			}
+		})
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -136,8 +136,8 @@
 		return err
 	}
 	c.SetAdmissionController(o.Admission)
-	n.brokers = append(n.brokers, frontBroker{Broker: c, front: "http", setRoutes: n.front.SetRoutes,
-		fit: func(s balancer.Settings) balancer.Settings { return s }})
+	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontendHTTP,
+		setRoutes: n.front.SetRoutes, fit: func(s balancer.Settings) balancer.Settings { return s }})
 	if p.offered == nil {
 		err = n.front.Open(c)
 	} else {
@@ -168,7 +168,7 @@
 // the one protocol can't be worked on in the other.
 func (n *Node) openFaktory(o Options, set balancer.Settings) (*faktory.Front, error) {
 	set = faktory.Settings(set)
-	log := n.log.WithField("front", "faktory")
+	log := n.log.WithField("front", routing.FrontendFaktory)
 	front, err := faktory.New(n.loop, o.Faktory, set, log)
 	if err != nil {
 		return nil, err
@@ -181,8 +181,8 @@
 	if err := front.Open(c); err != nil {
 		return nil, err
 	}
-	n.brokers = append(n.brokers, frontBroker{Broker: c, front: "faktory", fit: faktory.Settings,
-		configureFront: front.Configure, setRoutes: front.SetRoutes})
+	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontendFaktory,
+		fit: faktory.Settings, configureFront: front.Configure, setRoutes: front.SetRoutes})
 	log.WithField("address", o.Faktory.Listen).Info("serving")
 	return front, nil
 }
