--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -147,7 +147,7 @@
 	}
 	err = m.replica.node.ProposeConfChange(&pb.ConfChangeV2{Changes: change.raft, Context: context})
 	if err != nil {
-		return fmt.Errorf("%w (%v)", ErrNoLeader, err)
+		return fmt.Errorf("%w (%w)", ErrNoLeader, err)
 	}
 	return nil
 }
--- a/internal/verify/simulation/members.go
+++ b/internal/verify/simulation/members.go
@@ -9,7 +9,7 @@
 	"moorstack/internal/schema"
 )
 
-// Units of time that operators take for their part.
+// How long operators take for each of their steps, in units of virtual time.
 const (
 	closeSessionsUnits  = 500
 	replaceCheckUnits   = 100
