--- a/internal/cluster/discovery/discovery.go
+++ b/internal/cluster/discovery/discovery.go
@@ -1,12 +1,11 @@
-// Package roster decides how the list of workers is kept fresh: how often discovery is asked, when a
-// watch is taken for dead, and whether a list that has come is taken. It is values in, values out: no
-// clock, no socket.
+// Package discovery decides how the list of workers is kept fresh: how often discovery is polled, when a
+// silent watch is restarted, and whether a list that arrives is accepted. It has no clock and no socket; its
+// values belong to the caller's goroutine.
 //
-// How old a list may get follows from the settings alone. Where lists are asked for, a call costs
-// discovery work, and a node is held to what it was told: it watches, and begins anew when the watch
-// has been silent. Where they are pushed, an agent on the node's own machine has the list, answers at
-// once and at no cost, and what it has counts as told: so it is asked, beside the watch, several times
-// within the grace that a drain has.
+// How old a list may get follows from the settings alone. Where an agent on the node's own machine has the
+// list, it answers at once and at no cost, and the node is held to what the agent has: so it is polled,
+// beside the watch, several times within the grace period of a drain. Elsewhere each poll costs discovery
+// work, and the node is held to what it was sent: it watches, and restarts a silent watch.
 package discovery
 
 import (
@@ -14,87 +13,90 @@
 	"time"
 )
 
+// watchHeartbeat is how often a watch sends something at least, by discovery's protocol.
+const watchHeartbeat = 2 * time.Second
+
+// A silent watch is restarted between these times, without a local agent. What it has missed counts as known
+// 6 s after the silence began, by discovery's protocol, and a poll takes its time too; a single heartbeat
+// that is late is no silence.
 const (
-	// watchHeartbeat is how often a watch says at least that nothing has changed.
-	watchHeartbeat = 2 * time.Second
-	// minWatchTimeout and latest are when an asked watch that is silent is begun anew. What it missed counts
-	// as told 6 s after the silence began, and asking takes its time too; a beat that comes late is none.
 	minWatchTimeout = 3 * time.Second
 	maxWatchTimeout = 4500 * time.Millisecond
-	// pollsPerGrace is how many times within the grace of a drain the agent is asked: a call may be lost, and
-	// the next one too, and the third still tells of the drain in time.
-	pollsPerGrace = 4
-	// minPollInterval and most bound the time between two calls of the agent.
+)
+
+// pollsPerGrace is how often a local agent is polled within the grace period of a drain: two polls in a row
+// may be lost, and the third still brings the drain in time.
+const pollsPerGrace = 4
+
+// The bounds of the time between two polls of a local agent.
+const (
 	minPollInterval = 50 * time.Millisecond
 	maxPollInterval = time.Second
 )
 
-// RefreshPolicy say how lists come, as the settings have it.
+// RefreshPolicy is how lists arrive, by the settings.
 type RefreshPolicy struct {
-	// an agent beside the node has the list, and what it has counts as told
-	LocalAgent           bool
-	DrainGrace           time.Duration // how long new work may go to a worker that is told as draining
-	NodeIndex, FleetSize int           // this node's number among so many
+	// LocalAgent is that an agent on the node's machine has the list, and what it has counts as known.
+	LocalAgent bool
+	// DrainGrace is how long new jobs may go to a worker that is known to be draining.
+	DrainGrace time.Duration
+	NodeIndex  int // of this node, from 0
+	FleetSize  int // nodes
 }
 
-// WatchTimeout is how long a watch may say nothing before it is begun anew.
+// WatchTimeout is how long a watch may be silent before it is restarted.
 //
-// Hazard: all watches fall silent in one moment, and all nodes call in one moment. Each has its own
-// time, by its number.
-func (r RefreshPolicy) WatchTimeout() time.Duration {
-	if r.LocalAgent {
-		return watchHeartbeat + r.PollInterval() // to begin anew costs nobody anything
+// Hazard: if all watches became silent at one moment, all nodes would call at one moment. Each node has its
+// own timeout, by its index.
+func (p RefreshPolicy) WatchTimeout() time.Duration {
+	if p.LocalAgent {
+		return watchHeartbeat + p.PollInterval() // a restart costs nothing
 	}
-	return minWatchTimeout + (maxWatchTimeout-minWatchTimeout)*time.Duration(
-		r.NodeIndex,
-	)/time.Duration(
-		max(r.FleetSize, 1),
-	)
+	spread := maxWatchTimeout - minWatchTimeout
+	return minWatchTimeout + spread*time.Duration(p.NodeIndex)/time.Duration(max(p.FleetSize, 1))
 }
 
-// PollInterval is the time between two calls for the whole list, beside the watch; 0: there are none.
-func (r RefreshPolicy) PollInterval() time.Duration {
-	if !r.LocalAgent {
+// PollInterval is the time between two polls of the complete list, beside the watch; 0: there are none.
+func (p RefreshPolicy) PollInterval() time.Duration {
+	if !p.LocalAgent {
 		return 0
 	}
-	return min(max(r.DrainGrace/pollsPerGrace, minPollInterval), maxPollInterval)
+	return min(max(p.DrainGrace/pollsPerGrace, minPollInterval), maxPollInterval)
 }
 
-// PollTimeout is how long a call may take. An agent that is slow is still heard: the next calls do not wait
-// for the ones before.
-func (r RefreshPolicy) PollTimeout() time.Duration {
-	if r.LocalAgent {
-		return pollsPerGrace * r.PollInterval()
+// PollTimeout is how long a poll may take. Polls do not wait for each other, so that the answer of a slow
+// agent is still received.
+func (p RefreshPolicy) PollTimeout() time.Duration {
+	if p.LocalAgent {
+		return pollsPerGrace * p.PollInterval()
 	}
 	return maxWatchTimeout
 }
 
-// StaleListError says that a list is of an older generation than the one that was told before it.
+// StaleListError is that a list is of an older generation than one that was accepted before.
 type StaleListError struct{ Generation, Newest int64 }
 
 // Error implements error.
-func (o *StaleListError) Error() string {
-	return fmt.Sprintf("discovery's list is of generation %d, and %d was told before", o.Generation, o.Newest)
+func (e *StaleListError) Error() string {
+	return fmt.Sprintf("stale endpoint list: generation %d, the newest is %d", e.Generation, e.Newest)
 }
 
-// GenerationTracker is what has been told so far.
+// GenerationTracker decides which lists are accepted, by their generations.
 type GenerationTracker struct {
-	Generation    int64
-	rejectedOlder bool          // an older list was, and none as new as ours has come since
-	rejectedAt    time.Duration // when that was
+	Generation int64 // of the list that was accepted last
+	// rejectedOlder is that an older list was rejected, at rejectedAt, and none as new has arrived since.
+	rejectedOlder bool
+	rejectedAt    time.Duration
 }
 
-// Accept says whether a list of that generation, in a call that began then, is taken.
+// Accept takes a list's generation, and when its call began. It returns a *StaleListError if the list must be
+// dropped.
 //
-// Hazard: several calls are out, and one that was slow tells of a worker that drains that it serves. So
-// an older list changes nothing. But discovery may have been set back itself, to a backup say: a call
-// that began after an older list was refused, and tells one too, is believed.
+// Hazard: several calls are open, and a slow one may answer that a worker serves which is draining by now. So
+// an older list is rejected. But discovery itself may have been restored, from a backup for instance: a call
+// that began after an older list was rejected, and returns an older one too, is accepted.
 func (t *GenerationTracker) Accept(now, began time.Duration, generation int64) error {
-	if generation >= t.Generation {
-		t.Generation, t.rejectedOlder = generation, false
-		return nil
-	}
-	if t.rejectedOlder && began > t.rejectedAt {
+	if generation >= t.Generation || t.rejectedOlder && began > t.rejectedAt {
 		t.Generation, t.rejectedOlder = generation, false
 		return nil
 	}
@@ -104,5 +106,5 @@
 	return &StaleListError{Generation: generation, Newest: t.Generation}
 }
 
-// Reset says that discovery is at another place from now on, whose generations are its own.
+// Reset is that discovery is at another address from now on, which counts its own generations.
 func (t *GenerationTracker) Reset(now time.Duration) { t.rejectedOlder, t.rejectedAt = true, now-1 }
--- a/internal/cluster/discovery/discovery_test.go
+++ b/internal/cluster/discovery/discovery_test.go
@@ -8,53 +8,64 @@
 	"pgregory.net/rapid"
 )
 
-// How stale a list may get follows from the settings: where it is pushed, a drain is told in time though
-// two calls in a row are lost, for every grace that the bounds leave room for.
-func TestEvery(t *testing.T) {
+// With a local agent a drain is known in time though two polls in a row are lost, for every grace period
+// that the bounds leave room for. Without one there are no polls.
+func TestPollIntervalFitsTheDrainGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := rapid.Int64Range(int64(pollsPerGrace*minPollInterval), int64(time.Hour)).Draw(t, "grace")
-		r := RefreshPolicy{LocalAgent: true, DrainGrace: time.Duration(grace)}
-		if 3*r.PollInterval() >= r.DrainGrace {
-			t.Errorf("asked every %v, and the grace is %v", r.PollInterval(), r.DrainGrace)
+		p := RefreshPolicy{LocalAgent: true, DrainGrace: time.Duration(grace)}
+		if 3*p.PollInterval() >= p.DrainGrace {
+			t.Errorf("polled every %v, and the grace period is %v", p.PollInterval(), p.DrainGrace)
 		}
-		if r.LocalAgent = false; r.PollInterval() != 0 {
-			t.Errorf("asked every %v where each call costs", r.PollInterval())
+		if p.LocalAgent = false; p.PollInterval() != 0 {
+			t.Errorf("polled every %v where each call costs", p.PollInterval())
 		}
 	})
 }
 
-// Calls overtake each other: whatever the order, what is known never goes back, unless two calls one
-// after the other say that discovery itself has.
-func TestTaken(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		told := GenerationTracker{Generation: 1}
-		truth, now := int64(1), time.Duration(0)
-		type answer struct {
-			began time.Duration
-			gen   int64
+// Nodes restart a silent watch at different times, within the bounds.
+func TestWatchTimeoutDiffersByNode(t *testing.T) {
+	seen := map[time.Duration]bool{}
+	for node := range 10 {
+		timeout := RefreshPolicy{NodeIndex: node, FleetSize: 10}.WatchTimeout()
+		if timeout < minWatchTimeout || timeout > maxWatchTimeout || seen[timeout] {
+			t.Errorf("node %d: %v", node, timeout)
 		}
-		var out []answer
+		seen[timeout] = true
+	}
+}
+
+// Answers overtake each other. In whatever order they arrive, the generation never goes back, but if two
+// calls one after the other show that discovery's has.
+func TestGenerationNeverGoesBack(t *testing.T) {
+	type answer struct {
+		began      time.Duration
+		generation int64
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		tracker := GenerationTracker{Generation: 1}
+		current, now := int64(1), time.Duration(0)
+		var open []answer
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				truth++
+				current++
 			case 1:
-				out = append(out, answer{now, truth})
+				open = append(open, answer{now, current})
 			case 2:
-				if len(out) == 0 {
+				if len(open) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-				before := told.Generation
-				a := out[i]
-				out = append(out[:i], out[i+1:]...)
-				err := told.Accept(now, a.began, a.gen)
-				var older *StaleListError
-				if err == nil && a.gen < before {
-					t.Fatalf("generation %d was taken after %d", a.gen, before)
+				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
+				before, a := tracker.Generation, open[i]
+				open = append(open[:i], open[i+1:]...)
+				err := tracker.Accept(now, a.began, a.generation)
+				var stale *StaleListError
+				if err == nil && a.generation < before {
+					t.Fatalf("generation %d was accepted after %d", a.generation, before)
 				}
-				if err != nil && !errors.As(err, &older) {
+				if err != nil && !errors.As(err, &stale) {
 					t.Fatal(err)
 				}
 			}
@@ -62,20 +73,20 @@
 	})
 }
 
-// Discovery that was set back is believed at the second call, and one at another place at once.
-func TestSetBack(t *testing.T) {
-	told := GenerationTracker{Generation: 40}
-	if told.Accept(10, 9, 7) == nil {
-		t.Error("an older list was taken at once")
+// Discovery that was restored is accepted at the second call, and one at another address at once.
+func TestRestoredDiscoveryIsAccepted(t *testing.T) {
+	tracker := GenerationTracker{Generation: 40}
+	if tracker.Accept(10, 9, 7) == nil {
+		t.Error("an older list was accepted at once")
 	}
-	if told.Accept(11, 9, 7) == nil {
-		t.Error("a call that was out already was believed")
+	if tracker.Accept(11, 9, 7) == nil {
+		t.Error("a call that was open already was accepted")
 	}
-	if err := told.Accept(13, 12, 7); err != nil {
+	if err := tracker.Accept(13, 12, 7); err != nil {
 		t.Error(err)
 	}
-	told.Reset(20)
-	if err := told.Accept(21, 20, 3); err != nil {
+	tracker.Reset(20)
+	if err := tracker.Accept(21, 20, 3); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/cluster/listrelay/listrelay.go
+++ b/internal/cluster/listrelay/listrelay.go
@@ -1,6 +1,9 @@
-// Package lists has one instance of a group ask discovery, and give the list to the others. It is the
-// rules of that, without I/O, clock or goroutine: Keeper at the instance that asks, Follower at each
-// other. What crosses is discovery's own words: a whole list, or a change of one.
+// Package listrelay has one instance of a group watch discovery, and relay the endpoint list to the others.
+// Which instance that is goes by a leased task, whose fencing token comes with each update. What crosses is
+// discovery's own encoding: a complete list, or a change of one.
+//
+// It holds the rules only, without I/O, clock or goroutine: Publisher at the instance that watches,
+// Subscriber at each other. Both must be called by one goroutine at a time.
 package listrelay
 
 import (
@@ -8,102 +11,104 @@
 	"time"
 )
 
-// HeartbeatInterval is how often a keeper says that it is there, and SilenceTimeout after how long without a
-// word a follower asks discovery by itself; up to as much again passes first, by chance, so that not all
-// do so at once.
-const (
-	HeartbeatInterval = 500 * time.Millisecond
-	SilenceTimeout    = 2 * time.Second
-)
+// HeartbeatInterval is how often a publisher sends an update while nothing has changed.
+const HeartbeatInterval = 500 * time.Millisecond
+
+// SilenceTimeout is how long after the last update a subscriber polls discovery itself. A random time of up
+// to as much again is added, so that not all subscribers do so at once.
+const SilenceTimeout = 2 * time.Second
 
-// EndpointListUpdate is what a keeper tells.
+// EndpointListUpdate is what a publisher sends to subscribers.
 type EndpointListUpdate struct {
-	FencingToken       uint64 // the fencing number that it keeps the list under
+	FencingToken       uint64 // of the lease under which the publisher relays the list
 	Generation         int64  // of the list, as discovery counts
-	PreviousGeneration int64  // with a change: the generation that it changes
-	Complete           bool   // Text is the whole list
-	Payload            []byte // empty: a beat, nothing has changed
+	PreviousGeneration int64  // of the list that a change applies to
+	Complete           bool   // Payload is the complete list, and no change
+	Payload            []byte // in discovery's encoding; empty: a heartbeat, nothing has changed
 }
 
-// Publisher is what the instance that asks discovery knows.
+// Publisher makes the updates at the instance that watches discovery. The zero value has published nothing.
 type Publisher struct {
 	generation int64
 	published  bool
 }
 
-// Publish takes discovery's words, and gives what followers are to be told.
-func (k *Publisher) Publish(generation int64, whole bool, text []byte) EndpointListUpdate {
-	n := EndpointListUpdate{
+// Publish returns the update for what discovery has sent: a complete list or a change, of a generation. The
+// caller fills in the fencing token.
+func (p *Publisher) Publish(generation int64, complete bool, payload []byte) EndpointListUpdate {
+	update := EndpointListUpdate{
 		Generation:         generation,
-		PreviousGeneration: k.generation,
-		Complete:           whole || !k.published,
-		Payload:            text,
+		PreviousGeneration: p.generation,
+		Complete:           complete || !p.published,
+		Payload:            payload,
 	}
-	k.generation, k.published = generation, true
-	return n
+	p.generation, p.published = generation, true
+	return update
 }
 
-// Generation is the newest that it has heard of.
-func (k *Publisher) Generation() int64 { return k.generation }
-
-// Subscriber is what an instance that is told knows.
+// Subscriber decides at every other instance which updates are applied.
 type Subscriber struct {
-	fencingToken uint64
+	fencingToken uint64 // the newest known
 	generation   int64
-	synced       bool // it has a whole list from a keeper
+	synced       bool // a complete list was received, and nothing was missed since
 	lastUpdate   time.Duration
 	jitter       time.Duration
 }
 
-// NewSubscriber begins at a time; spread is a part from 0 to 1, drawn.
-func NewSubscriber(now time.Duration, spread float64) *Subscriber {
-	return &Subscriber{lastUpdate: now, jitter: time.Duration(spread * float64(SilenceTimeout))}
+// NewSubscriber makes a subscriber without a list. Random is a number from 0 to 1 that decides how much
+// later than SilenceTimeout it polls.
+func NewSubscriber(now time.Duration, random float64) *Subscriber {
+	return &Subscriber{lastUpdate: now, jitter: time.Duration(random * float64(SilenceTimeout))}
 }
 
-// ObserveFencingToken takes the number that the duty has as far as this instance knows.
-func (f *Subscriber) ObserveFencingToken(number uint64) { f.fencingToken = max(f.fencingToken, number) }
+// ObserveFencingToken takes over the task's fencing token by the agreed state as this instance knows it.
+func (s *Subscriber) ObserveFencingToken(token uint64) { s.fencingToken = max(s.fencingToken, token) }
 
-// GapError is that a change is of a list that this instance does not have.
+// GapError is that an update follows on a list that this subscriber does not have.
 type GapError struct{ Current, Previous int64 }
 
+// Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("the change is of list %d, and this instance has %d", e.Previous, e.Current)
+	return fmt.Sprintf("gap in the endpoint list's updates: the update follows generation %d, have %d",
+		e.Previous, e.Current)
 }
 
-// StaleError is that the teller keeps the list no more.
+// StaleError is that the publisher's lease has ended: another one has been granted since.
 type StaleError struct{ FencingToken, Newest uint64 }
 
+// Error implements error.
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("list keeper: number %d is old, %d is the newest: the sender keeps the list no more",
+	return fmt.Sprintf("stale publisher of the endpoint list: fencing token %d, the newest is %d",
 		e.FencingToken, e.Newest)
 }
 
-// Receive says whether the news' text is to be taken over. After an error the stream is of no use: a
-// new one begins with the whole list.
-func (f *Subscriber) Receive(now time.Duration, n EndpointListUpdate) (take bool, err error) {
-	// Hazard: one that stood still wakes with news in its buffers, and a stream that stands.
-	if n.FencingToken < f.fencingToken {
-		return false, &StaleError{n.FencingToken, f.fencingToken}
+// Receive returns whether an update's payload must be applied. After an error, a *GapError or a *StaleError,
+// the stream must be closed: a new one begins with a complete list.
+func (s *Subscriber) Receive(now time.Duration, u EndpointListUpdate) (apply bool, err error) {
+	// Hazard: a publisher that was stalled resumes with updates in its buffers, on a stream that is open.
+	if u.FencingToken < s.fencingToken {
+		return false, &StaleError{u.FencingToken, s.fencingToken}
 	}
-	f.fencingToken = n.FencingToken
+	s.fencingToken = u.FencingToken
+	heartbeat := len(u.Payload) == 0
 	switch {
-	case n.Complete:
-		take = true
-	case !f.synced || n.PreviousGeneration != f.generation && len(n.Payload) > 0:
-		return false, &GapError{f.generation, n.PreviousGeneration}
-	case len(n.Payload) == 0 && n.Generation != f.generation:
-		return false, &GapError{f.generation, n.Generation}
+	case u.Complete:
+		apply = true
+	case !s.synced || u.PreviousGeneration != s.generation && !heartbeat:
+		return false, &GapError{s.generation, u.PreviousGeneration}
+	case heartbeat && u.Generation != s.generation:
+		return false, &GapError{s.generation, u.Generation}
 	default:
-		take = len(n.Payload) > 0
+		apply = !heartbeat
 	}
-	f.synced, f.generation, f.lastUpdate = true, n.Generation, now
-	return take, nil
+	s.synced, s.generation, s.lastUpdate = true, u.Generation, now
+	return apply, nil
 }
 
-// ShouldPoll says whether this instance is to ask discovery by itself now.
-func (f *Subscriber) ShouldPoll(now time.Duration) bool {
-	return !f.synced || now-f.lastUpdate > SilenceTimeout+f.jitter
+// ShouldPoll is whether this instance should poll discovery itself now.
+func (s *Subscriber) ShouldPoll(now time.Duration) bool {
+	return !s.synced || now-s.lastUpdate > SilenceTimeout+s.jitter
 }
 
-// Invalidate is that the keeper's word is too old: another whole list must come before it counts again.
-func (f *Subscriber) Invalidate() { f.synced = false }
+// Invalidate drops the list: another complete one must be received before updates count.
+func (s *Subscriber) Invalidate() { s.synced = false }
--- a/internal/cluster/listrelay/listrelay_test.go
+++ b/internal/cluster/listrelay/listrelay_test.go
@@ -6,80 +6,111 @@
 	"time"
 )
 
-func TestFollower(t *testing.T) {
-	f := NewSubscriber(0, 0.5)
-	if !f.ShouldPoll(0) {
-		t.Error("without a list it does not ask by itself")
+var payload = []byte("x")
+
+// newSynced returns a subscriber with list 5 under the fencing token 3, received after a second.
+func newSynced(t *testing.T) *Subscriber {
+	t.Helper()
+	s := NewSubscriber(0, 0.5)
+	complete := EndpointListUpdate{FencingToken: 3, Generation: 5, Complete: true, Payload: payload}
+	if !receive(t, s, time.Second, complete) {
+		t.Fatal("a complete list is not applied")
 	}
-	told := func(now time.Duration, n EndpointListUpdate) bool {
-		t.Helper()
-		take, err := f.Receive(now, n)
-		if err != nil {
-			t.Fatalf("%+v: %v", n, err)
-		}
-		return take
+	return s
+}
+
+// receive has an update received that must not fail.
+func receive(t *testing.T, s *Subscriber, now time.Duration, u EndpointListUpdate) (apply bool) {
+	t.Helper()
+	apply, err := s.Receive(now, u)
+	if err != nil {
+		t.Fatalf("%+v: %v", u, err)
 	}
+	return apply
+}
+
+// wantGap has an update received that must fail with a GapError.
+func wantGap(t *testing.T, s *Subscriber, now time.Duration, u EndpointListUpdate) {
+	t.Helper()
 	var gap *GapError
-	if _, err := f.Receive(0, EndpointListUpdate{FencingToken: 3, Generation: 5}); !errors.As(err, &gap) {
-		t.Errorf("a beat counts before there is a list: %v", err)
-	}
-	if !told(
-		time.Second,
-		EndpointListUpdate{FencingToken: 3, Generation: 5, Complete: true, Payload: []byte("x")},
-	) ||
-		f.ShouldPoll(time.Second) {
-		t.Error("a whole list is not taken")
+	if _, err := s.Receive(now, u); !errors.As(err, &gap) {
+		t.Errorf("%+v: %v", u, err)
 	}
-	if !told(
-		2*time.Second,
-		EndpointListUpdate{FencingToken: 3, Generation: 6, PreviousGeneration: 5, Payload: []byte("x")},
-	) {
-		t.Error("a change is not taken")
+}
+
+// A subscriber polls until it has a complete list, and nothing else counts before.
+func TestSubscriberNeedsACompleteList(t *testing.T) {
+	s := NewSubscriber(0, 0.5)
+	if !s.ShouldPoll(0) {
+		t.Error("it does not poll without a list")
 	}
-	if told(3*time.Second, EndpointListUpdate{FencingToken: 3, Generation: 6}) {
-		t.Error("a beat is taken for a list")
+	wantGap(t, s, 0, EndpointListUpdate{FencingToken: 3, Generation: 5}) // a heartbeat
+	if newSynced(t).ShouldPoll(time.Second) {
+		t.Error("it polls with a complete list")
 	}
-	// A change that was missed, told by a beat or by the next change.
-	for _, n := range []EndpointListUpdate{{FencingToken: 3, Generation: 8}, {FencingToken: 3,
-		Generation: 8, PreviousGeneration: 7,
-		Payload: []byte("x")}} {
-		if _, err := f.Receive(4*time.Second, n); !errors.As(err, &gap) {
-			t.Errorf("%+v: %v", n, err)
-		}
+}
+
+// A change of the list is applied, and a heartbeat is not.
+func TestSubscriberAppliesConsecutiveChanges(t *testing.T) {
+	s := newSynced(t)
+	change := EndpointListUpdate{FencingToken: 3, Generation: 6, PreviousGeneration: 5, Payload: payload}
+	if !receive(t, s, 2*time.Second, change) {
+		t.Error("a change is not applied")
 	}
-	// A keeper that stood still and wakes: another has told since, or the agreed state knows one.
-	var stale *StaleError
-	f.ObserveFencingToken(4)
-	if _, err := f.Receive(4*time.Second, EndpointListUpdate{FencingToken: 3, Generation: 9,
-		Complete: true}); !errors.As(
-		err,
-		&stale,
-	) {
-		t.Errorf("an old keeper's list: %v", err)
+	if receive(t, s, 3*time.Second, EndpointListUpdate{FencingToken: 3, Generation: 6}) {
+		t.Error("a heartbeat is taken for a list")
 	}
-	if f.ShouldPoll(3*time.Second+SilenceTimeout+SilenceTimeout/2) ||
-		!f.ShouldPoll(3*time.Second+SilenceTimeout+SilenceTimeout/2+1) {
-		t.Error("it does not ask by itself at the end of its bound")
+	// A change was missed: a heartbeat shows it, and so does the next change.
+	wantGap(t, s, 4*time.Second, EndpointListUpdate{FencingToken: 3, Generation: 8})
+	wantGap(t, s, 4*time.Second,
+		EndpointListUpdate{FencingToken: 3, Generation: 8, PreviousGeneration: 7, Payload: payload})
+}
+
+// A publisher that was stalled is rejected once another one is known, by an update or by the agreed state.
+func TestSubscriberRejectsAStalePublisher(t *testing.T) {
+	for name, observe := range map[string]func(s *Subscriber){
+		"by the agreed state": func(s *Subscriber) { s.ObserveFencingToken(4) },
+		"by an update": func(s *Subscriber) {
+			update := EndpointListUpdate{FencingToken: 4, Generation: 6, Complete: true}
+			receive(t, s, 2*time.Second, update)
+		},
+	} {
+		s := newSynced(t)
+		observe(s)
+		var stale *StaleError
+		update := EndpointListUpdate{FencingToken: 3, Generation: 9, Complete: true}
+		if _, err := s.Receive(4*time.Second, update); !errors.As(err, &stale) {
+			t.Errorf("%s: %v", name, err)
+		}
 	}
-	f.Invalidate()
-	if _, err := f.Receive(9*time.Second, EndpointListUpdate{FencingToken: 4, Generation: 6}); !errors.As(
-		err,
-		&gap,
-	) {
-		t.Errorf("a beat counts after the list was given up: %v", err)
+}
+
+// A subscriber polls once the publisher has been silent for its bound, and not before.
+func TestSubscriberPollsAfterSilence(t *testing.T) {
+	s := newSynced(t)
+	bound := time.Second + SilenceTimeout + SilenceTimeout/2
+	if s.ShouldPoll(bound) || !s.ShouldPoll(bound+1) {
+		t.Error("it does not poll at the end of its bound")
 	}
 }
 
-func TestKeeper(t *testing.T) {
-	var k Publisher
-	if n := k.Publish(4, false, nil); !n.Complete {
-		t.Error("the first word is told as a change of nothing")
+// After a list was dropped, a heartbeat does not count.
+func TestInvalidatedListNeedsACompleteOne(t *testing.T) {
+	s := newSynced(t)
+	s.Invalidate()
+	wantGap(t, s, 9*time.Second, EndpointListUpdate{FencingToken: 4, Generation: 5})
+}
+
+// The first update is complete, whatever discovery has sent; then changes follow on each other.
+func TestPublisherBeginsWithACompleteList(t *testing.T) {
+	var p Publisher
+	if u := p.Publish(4, false, nil); !u.Complete {
+		t.Error("the first update is a change of no list")
 	}
-	if n := k.Publish(5, false, nil); n.Complete || n.PreviousGeneration != 4 || n.Generation != 5 ||
-		k.Generation() != 5 {
-		t.Errorf("%+v", n)
+	if u := p.Publish(5, false, nil); u.Complete || u.PreviousGeneration != 4 || u.Generation != 5 {
+		t.Errorf("%+v", u)
 	}
-	if n := k.Publish(9, true, nil); !n.Complete {
-		t.Errorf("%+v", n)
+	if u := p.Publish(9, true, nil); !u.Complete {
+		t.Errorf("%+v", u)
 	}
 }
