--- a/internal/operate/controlapi/backup.go
+++ b/internal/operate/controlapi/backup.go
@@ -12,43 +12,52 @@
 	"moorstack/internal/cluster/clusterstate"
 )
 
-// Backup is the agreed configuration with its history, in a file.
+// Backup is the agreed configuration with its history, as a file holds it.
 //
-// The file: "MOORBACK", the format (4 bytes, little-endian), CRC32C of what follows
-// (4 bytes), JSON. It holds no keys and no members: a group made from it has its own.
+// The file: "MOORBACK", the format (4 bytes, little-endian), CRC32C of what follows (4 bytes), JSON. It holds
+// no keys and no members: a group that is made from it has its own.
 type Backup struct {
 	Cluster   string                  `json:"cluster"`
-	Revisions []clusterstate.Revision `json:"revisions"` // oldest first
+	Revisions []clusterstate.Revision `json:"revisions"` // the oldest first
 }
 
-const backupMagic, backupFormat = "MOORBACK", 1
+// The layout of a backup file.
+const (
+	backupMagic      = "MOORBACK"
+	backupFormat     = 1
+	backupFormatAt   = len(backupMagic)
+	backupChecksumAt = backupFormatAt + 4
+	backupBodyAt     = backupChecksumAt + 4
+)
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// EncodeBackup gives the file's content.
+// EncodeBackup returns the content of a backup file.
 func EncodeBackup(cluster string, revisions []clusterstate.Revision) []byte {
 	body, err := json.Marshal(Backup{cluster, revisions})
 	if err != nil {
-		panic(err) // documents in the state can be written
+		panic(err) // a document that was agreed on can be encoded
 	}
 	b := binary.LittleEndian.AppendUint32([]byte(backupMagic), backupFormat)
 	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
 	return append(b, body...)
 }
 
-// DecodeBackup reads the file's content.
+// DecodeBackup reads the content of a backup file. It returns an error if that is no backup, damaged, of
+// another format, or holds no configuration.
 func DecodeBackup(b []byte) (*Backup, error) {
-	if len(b) < 16 || string(b[:8]) != backupMagic {
+	if len(b) < backupBodyAt || string(b[:backupFormatAt]) != backupMagic {
 		return nil, errors.New("this is no backup")
 	}
-	if f := binary.LittleEndian.Uint32(b[8:]); f != backupFormat {
-		return nil, fmt.Errorf("the backup has format %d; this program reads %d", f, backupFormat)
+	if format := binary.LittleEndian.Uint32(b[backupFormatAt:]); format != backupFormat {
+		return nil, fmt.Errorf("the backup has format %d; this program reads %d", format, backupFormat)
 	}
-	if crc32.Checksum(b[16:], castagnoli) != binary.LittleEndian.Uint32(b[12:]) {
+	body := b[backupBodyAt:]
+	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(b[backupChecksumAt:]) {
 		return nil, errors.New("the backup is damaged: its checksum is wrong")
 	}
 	var out Backup
-	if err := json.Unmarshal(b[16:], &out); err != nil {
+	if err := json.Unmarshal(body, &out); err != nil {
 		return nil, fmt.Errorf("the backup can't be read: %w", err)
 	}
 	if len(out.Revisions) == 0 || out.Revisions[len(out.Revisions)-1].Document == nil {
@@ -57,11 +66,14 @@
 	return &out, nil
 }
 
-// newID is a new group's number: messages of another group are refused by it.
+// idBytes is the length of a random identifier.
+const idBytes = 8
+
+// newID is a random identifier: of a change or command, or of a new group, which rejects messages of others.
 func newID() (string, error) {
-	var b [8]byte
+	var b [idBytes]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		return "", err
+		return "", fmt.Errorf("drawing an identifier: %w", err)
 	}
 	return hex.EncodeToString(b[:]), nil
 }
--- a/internal/operate/controlapi/ownership.go
+++ b/internal/operate/controlapi/ownership.go
@@ -9,30 +9,31 @@
 	"moorstack/internal/schema"
 )
 
-// owners remembers what each owned in a view: it takes thousands of hashes to work out, and views are few.
-type owners struct {
-	mu     sync.Mutex
-	view   placement.View
-	shares map[uint64]float64
+// ownershipCache keeps what each member owns in one view: that takes thousands of hashes to compute, and
+// views change seldom.
+type ownershipCache struct {
+	mu        sync.Mutex
+	view      placement.View
+	fractions map[uint64]float64 // by member
 }
 
-func (o *owners) of(v placement.View) map[uint64]float64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.shares == nil || o.view.Number != v.Number || !slices.Equal(o.view.Members, v.Members) {
-		o.view, o.shares = v, placement.NewTable(v).OwnedFractions()
+func (c *ownershipCache) of(v placement.View) map[uint64]float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.fractions == nil || c.view.Number != v.Number || !slices.Equal(c.view.Members, v.Members) {
+		c.view, c.fractions = v, placement.NewTable(v).OwnedFractions()
 	}
-	return o.shares
+	return c.fractions
 }
 
-// describeOwners says which part of what is owned by placement is whose.
-func (s *Server) describeOwners(out *schema.StatusReply, st consensus.Status) {
-	shares := s.owners.of(st.PlacementView)
+// describeOwnership fills in which fraction of the shards each member owns.
+func (s *Server) describeOwnership(out *schema.StatusReply, st consensus.Status) {
+	fractions := s.ownership.of(st.PlacementView)
 	weights := map[uint64]float64{}
 	for _, m := range st.PlacementView.Members {
 		weights[m.Member] = m.Weight
 	}
 	for _, m := range out.Members {
-		m.Owns, m.Weight = shares[m.Id], weights[m.Id]
+		m.Owns, m.Weight = fractions[m.Id], weights[m.Id]
 	}
 }
--- a/internal/operate/controlapi/rollout.go
+++ b/internal/operate/controlapi/rollout.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
+	"strings"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -18,81 +18,75 @@
 	"moorstack/internal/schema"
 )
 
-// Pending implements schema.ControlServer.
+// Pending implements schema.ControlServer: it returns the change that is neither in force nor withdrawn.
 func (s *Server) Pending(context.Context, *schema.PendingRequest) (*schema.PendingReply, error) {
-	return pending(s.host.Runner().Status()), nil
+	return describePending(s.host.Runner().Status()), nil
 }
 
-func pending(st consensus.Status) *schema.PendingReply {
-	x := st.Rollout
+func describePending(st consensus.Status) *schema.PendingReply {
 	out := &schema.PendingReply{Known: st.Role == consensus.RoleLeader}
-	if x.Pending == nil {
+	pending := st.Rollout.Pending
+	if pending == nil {
 		return out
 	}
-	out.Id, out.Revision, out.Author, out.Note = x.Pending.ChangeID, x.Pending.Number, x.Pending.Author,
-		x.Pending.Note
-	out.AtMs, out.Phase, out.Attempt = x.Pending.ProposedAtMS, x.PendingPhase.Phase.String(), uint32(
-		x.PendingPhase.Attempt,
-	)
-	for _, name := range slices.Sorted(maps.Keys(x.AwaitedMembers)) {
-		out.Awaited = append(
-			out.Awaited,
-			&schema.Awaited{Name: name, LeaseS: x.AwaitedMembers[name].Seconds()},
-		)
+	out.Id, out.Revision, out.Author = pending.ChangeID, pending.Number, pending.Author
+	out.Note, out.AtMs = pending.Note, pending.ProposedAtMS
+	out.Phase = st.Rollout.PendingPhase.Phase.String()
+	out.Attempt = uint32(st.Rollout.PendingPhase.Attempt)
+	for _, name := range slices.Sorted(maps.Keys(st.Rollout.AwaitedMembers)) {
+		lease := st.Rollout.AwaitedMembers[name]
+		out.Awaited = append(out.Awaited, &schema.Awaited{Name: name, LeaseS: lease.Seconds()})
 	}
 	return out
 }
 
-// describeSessions fills in what a status says of sessions.
-func describeSessions(out *schema.StatusReply, st consensus.Status) {
-	x := st.Rollout
-	// Hazard: the status may be old, of an agreement that has stopped; the lease goes on ending.
-	if x.Permit.Open && !x.Permit.NoExpiry {
-		x.LeaseRemaining = max(x.Permit.ExpiresAt-consensus.BootTime(), 0)
-	}
-	out.Format, out.CutOffRule, out.Admits = uint32(x.Format), string(x.Policy.WhenIsolated), x.Permit.Open
-	out.LeaseS, out.Epoch, out.Staged, out.Pending = x.LeaseRemaining.Seconds(), x.SessionEpoch, x.Staged,
-		pending(
-			st,
-		)
+// describeRollout fills in whether this instance admits jobs, and the members' sessions.
+func describeRollout(out *schema.StatusReply, st consensus.Status) {
+	r := st.Rollout
+	// Hazard: the status may be old, of a consensus that has halted; the lease goes on expiring.
+	if r.Permit.Open && !r.Permit.NoExpiry {
+		r.LeaseRemaining = max(r.Permit.ExpiresAt-consensus.BootTime(), 0)
+	}
+	out.Format, out.CutOffRule = uint32(r.Format), string(r.Policy.WhenIsolated)
+	out.LeaseS, out.Epoch, out.Staged = r.LeaseRemaining.Seconds(), r.SessionEpoch, r.Staged
+	out.Pending = describePending(st)
+	out.Admits, out.AdmitsNot = r.Permit.Open, ""
 	switch {
-	case !x.Permit.Open:
-		out.AdmitsNot = x.Permit.ClosedReason
-	case !x.Permit.NoExpiry && x.LeaseRemaining == 0:
+	case !r.Permit.Open:
+		out.AdmitsNot = r.Permit.ClosedReason
+	case !r.Permit.NoExpiry && r.LeaseRemaining == 0:
 		out.Admits, out.AdmitsNot = false, "its lease has run out"
-	case out.Running != x.Permit.Revision:
+	case out.Running != r.Permit.Revision:
 		out.Admits = false
-		out.AdmitsNot = fmt.Sprintf("revision %d is in force, and %d runs here", x.Permit.Revision,
+		out.AdmitsNot = fmt.Sprintf("revision %d is in force, and %d runs here", r.Permit.Revision,
 			out.Running)
 	}
-	describeSchedule(out, st)
 	sessions := map[uint64]rollout.Session{}
-	for _, one := range x.Sessions {
-		sessions[one.Member] = one
+	for _, session := range r.Sessions {
+		sessions[session.Member] = session
 	}
 	for _, m := range out.Members {
-		one, ok := sessions[m.Id]
-		m.Epoch, m.Running, m.Staged = one.Epoch, x.RunningRevisions[m.Id], x.StagedChanges[m.Id]
-		if ok && one.Open {
+		session, ok := sessions[m.Id]
+		m.Epoch, m.Running, m.Staged = session.Epoch, r.RunningRevisions[m.Id], r.StagedChanges[m.Id]
+		if ok && session.Open {
 			m.Session = "open"
 		} else if ok {
-			m.Session = one.ClosedReason
+			m.Session = session.ClosedReason
 		}
 	}
 }
 
-// Withdraw implements schema.ControlServer.
+// Withdraw implements schema.ControlServer: it withdraws a change, the pending one if none is named.
 func (s *Server) Withdraw(ctx context.Context, in *schema.WithdrawRequest) (*schema.Operated, error) {
-	name, _ := callerOf(ctx)
-	st := s.host.Runner().Status()
 	id := in.Change
-	if id == "" && st.Rollout.Pending != nil {
-		id = st.Rollout.Pending.ChangeID
+	if pending := s.host.Runner().Status().Rollout.Pending; id == "" && pending != nil {
+		id = pending.ChangeID
 	}
 	if id == "" {
 		return nil, status.Error(codes.FailedPrecondition, "no change is pending")
 	}
-	reason := fmt.Sprintf("withdrawn by %s", name)
+	caller, _ := callerOf(ctx)
+	reason := fmt.Sprintf("withdrawn by %s", caller)
 	if in.Reason != "" {
 		reason += ": " + in.Reason
 	}
@@ -103,25 +97,24 @@
 	return &schema.Operated{Text: fmt.Sprintf("change %s is withdrawn: it is in force nowhere", id)}, nil
 }
 
-// SetAside implements schema.ControlServer.
+// SetAside implements schema.ControlServer: it closes the session of an instance, for which changes then do
+// not wait.
 func (s *Server) SetAside(ctx context.Context, in *schema.SetAsideRequest) (*schema.Operated, error) {
-	st := s.host.Runner().Status()
-	for _, x := range st.Rollout.Sessions {
-		if x.Name != in.Name {
-			continue
-		}
-		if err := s.proposeCommand(ctx, rollout.Command{Kind: rollout.SetAside,
-			Member: x.Member}); err != nil {
-			return nil, err
-		}
-		return &schema.Operated{Text: fmt.Sprintf(
-			"%s is set aside: changes do not wait for it, and it must hear from the group before it serves",
-			in.Name)}, nil
+	sessions := s.host.Runner().Status().Rollout.Sessions
+	i := slices.IndexFunc(sessions, func(session rollout.Session) bool { return session.Name == in.Name })
+	if i < 0 {
+		return nil, status.Errorf(codes.FailedPrecondition, "no instance %q has a session", in.Name)
 	}
-	return nil, status.Errorf(codes.FailedPrecondition, "no instance %q has a session", in.Name)
+	command := rollout.Command{Kind: rollout.SetAside, Member: sessions[i].Member}
+	if err := s.proposeCommand(ctx, command); err != nil {
+		return nil, err
+	}
+	return &schema.Operated{Text: fmt.Sprintf(
+		"%s is set aside: changes do not wait for it, and it must hear from the group before it serves",
+		in.Name)}, nil
 }
 
-// proposeCommand puts an operator's word into the log.
+// proposeCommand has the group agree on an operator's command, and returns when that is applied.
 func (s *Server) proposeCommand(ctx context.Context, c rollout.Command) error {
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
@@ -130,26 +123,24 @@
 		return statusError(err)
 	}
 	c.AtMS = time.Now().UnixMilli()
-	o, err := s.host.Runner().ProposeRolloutCommand(ctx, c)
+	outcome, err := s.host.Runner().ProposeRolloutCommand(ctx, c)
 	if err != nil {
 		return statusError(err)
 	}
-	if o.Code != clusterstate.Accepted {
-		return statusError(&consensus.RejectedError{Reason: errors.Join(problems(o)...).Error()})
+	if outcome.Code != clusterstate.Accepted {
+		return statusError(rejection(outcome))
 	}
-	name, _ := callerOf(ctx)
-	s.log.WithFields(logrus.Fields{"caller": name, "command": c.Kind.String(), "change": c.Change}).
-		Info("an operator's word is agreed on")
+	caller, _ := callerOf(ctx)
+	s.log.WithFields(logrus.Fields{"caller": caller, "command": c.Kind.String(), "change": c.Change}).
+		Info("operator command committed")
 	return nil
 }
 
-func problems(o clusterstate.Outcome) []error {
-	list := []error{errors.New(o.Code.String())}
-	if len(o.Problems) > 0 {
-		list = list[:0]
-	}
-	for _, p := range o.Problems {
-		list = append(list, errors.New(p))
+// rejection is the error of an outcome: its problems, or its code if there are none.
+func rejection(outcome clusterstate.Outcome) error {
+	problems := outcome.Problems
+	if len(problems) == 0 {
+		problems = []string{outcome.Code.String()}
 	}
-	return list
+	return &consensus.RejectedError{Reason: strings.Join(problems, "\n")}
 }
--- a/internal/operate/controlapi/schedule.go
+++ b/internal/operate/controlapi/schedule.go
@@ -9,24 +9,33 @@
 	"moorstack/internal/schema"
 )
 
-// describeSchedule says how the triggers stand, where there are any.
+// maxFailures is how many failures of triggers a status lists.
+const maxFailures = 10
+
+// describeSchedule fills in the state of the triggers, if there are any.
 func describeSchedule(out *schema.StatusReply, st consensus.Status) {
-	x, ok := st.Participants[schedule.Section].(*schedule.Status)
+	triggers, ok := st.Participants[schedule.Section].(*schedule.Status)
 	if !ok {
 		return
 	}
-	s := &schema.ScheduleStatus{Triggers: uint32(x.Triggers), Owned: uint32(x.Owned), Open: uint32(x.Open),
-		Zones: x.ZoneRulesVersion, FleetMs: x.ClusterTime / int64(time.Millisecond), Counts: x.ResultTotals,
-		Off: map[string]string{}}
+	s := &schema.ScheduleStatus{
+		Triggers: uint32(triggers.Triggers),
+		Owned:    uint32(triggers.Owned),
+		Open:     uint32(triggers.Open),
+		Zones:    triggers.ZoneRulesVersion,
+		FleetMs:  triggers.ClusterTime / int64(time.Millisecond),
+		Counts:   triggers.ResultTotals,
+		Off:      map[string]string{},
+	}
 	for _, m := range out.Members {
-		if why := x.ExcludedMembers[m.Id]; why != "" {
-			s.Off[m.Name] = why
+		if reason := triggers.ExcludedMembers[m.Id]; reason != "" {
+			s.Off[m.Name] = reason
 		}
 	}
-	for n := len(x.Failures) - 1; n >= 0 && len(s.Troubles) < 10; n-- {
-		t := x.Failures[n]
-		s.Troubles = append(s.Troubles, fmt.Sprintf("%s %v (%s)", t.Key, t.Result,
-			time.Unix(t.At, 0).UTC().Format(time.RFC3339)))
+	for n := len(triggers.Failures) - 1; n >= 0 && len(s.Troubles) < maxFailures; n-- {
+		f := triggers.Failures[n]
+		at := time.Unix(f.At, 0).UTC().Format(time.RFC3339)
+		s.Troubles = append(s.Troubles, fmt.Sprintf("%s %v (%s)", f.Key, f.Result, at))
 	}
 	out.Schedule = s
 }
--- a/internal/operate/controlapi/tasks.go
+++ b/internal/operate/controlapi/tasks.go
@@ -12,56 +12,60 @@
 	"moorstack/internal/schema"
 )
 
-// Duties implements schema.ControlServer. It answers also where there is no leader.
+// Duties implements schema.ControlServer: it lists the leased tasks. It answers also without a leader.
 func (s *Server) Duties(ctx context.Context, _ *schema.DutiesRequest) (*schema.DutiesReply, error) {
-	st := s.host.Runner().Status()
-	out := &schema.DutiesReply{CutOff: st.NoLeader}
-	err := s.host.Runner().View(ctx, func(a *clusterstate.State) {
-		out.Number = a.LeasedTasks().LastFencingToken
-		name := func(member uint64) string {
-			if m, ok := a.Member(member); ok {
-				return m.Name
-			}
-			return fmt.Sprintf("%x, which is gone", member)
-		}
-		for _, d := range a.LeasedTasks().List() {
-			out.Duties = append(out.Duties, describeTask(d, name))
+	runner := s.host.Runner()
+	out := &schema.DutiesReply{CutOff: runner.Status().NoLeader}
+	err := runner.View(ctx, func(state *clusterstate.State) {
+		out.Number = state.LeasedTasks().LastFencingToken
+		for _, task := range state.LeasedTasks().List() {
+			out.Duties = append(out.Duties, describeTask(task, state))
 		}
 	})
 	if err != nil {
 		return nil, statusError(err)
 	}
-	for _, h := range s.host.HeldTasks() {
-		for _, d := range out.Duties {
-			if d.Name == h.Task && d.Number == h.FencingToken {
-				d.LeaseS = max(h.ExpiresAt-consensus.BootTime(), 0).Seconds()
+	for _, lease := range s.host.HeldTasks() {
+		for _, task := range out.Duties {
+			if task.Name == lease.Task && task.Number == lease.FencingToken {
+				task.LeaseS = max(lease.ExpiresAt-consensus.BootTime(), 0).Seconds()
 			}
 		}
 	}
 	return out, nil
 }
 
-func describeTask(d *leasedtask.Task, name func(uint64) string) *schema.Duty {
+func describeTask(task *leasedtask.Task, state *clusterstate.State) *schema.Duty {
 	out := &schema.Duty{
-		Name:    d.Name,
-		Holder:  d.HolderName,
-		Number:  d.FencingToken,
-		Note:    d.Note,
-		Leaving: d.ReleaseReason,
-		Paused:  d.PausedBy,
+		Name:    task.Name,
+		Holder:  task.HolderName,
+		Number:  task.FencingToken,
+		Note:    task.Note,
+		Leaving: task.ReleaseReason,
+		Paused:  task.PausedBy,
 	}
-	if d.TransferTo != 0 {
-		out.To = name(d.TransferTo)
+	if task.TransferTo != 0 {
+		out.To = memberName(state, task.TransferTo)
 	}
-	for _, member := range slices.Sorted(maps.Keys(d.CoolingDown)) {
-		out.Resting = append(out.Resting, name(member))
+	for _, member := range slices.Sorted(maps.Keys(task.CoolingDown)) {
+		out.Resting = append(out.Resting, memberName(state, member))
 	}
-	for _, h := range d.History {
-		out.History = append(
-			out.History,
-			&schema.Holding{Number: h.FencingToken, Name: h.HolderName, AtMs: h.AcquiredAtMS,
-				EndMs: h.EndedAtMS, End: h.EndReason},
-		)
+	for _, h := range task.History {
+		out.History = append(out.History, &schema.Holding{
+			Number: h.FencingToken,
+			Name:   h.HolderName,
+			AtMs:   h.AcquiredAtMS,
+			EndMs:  h.EndedAtMS,
+			End:    h.EndReason,
+		})
 	}
 	return out
 }
+
+// memberName is a member's name, or its number if it was removed from the group.
+func memberName(state *clusterstate.State, member uint64) string {
+	if m, ok := state.Member(member); ok {
+		return m.Name
+	}
+	return fmt.Sprintf("%x, which is gone", member)
+}
