--- a/cmd/moorstack/faktory_test.go
+++ b/cmd/moorstack/faktory_test.go
@@ -46,7 +46,7 @@
 	}
 	check(t, json.Unmarshal([]byte(strings.TrimPrefix(p.reply(), "+HI ")), &hi))
 	hello, _ := json.Marshal(map[string]any{"v": 2, "wid": wid, "labels": labels,
-		"pwdhash": faktory.Hash(secret, hi.S, hi.I)})
+		"pwdhash": faktory.HashPassword(secret, hi.S, hi.I)})
 	p.must("HELLO "+string(hello), "+OK")
 	return p
 }
--- a/cmd/moorstack/standin_test.go
+++ b/cmd/moorstack/standin_test.go
@@ -71,7 +71,7 @@
 		_ = json.Unmarshal([]byte(args), &a)
 		switch {
 		case !greeted && (verb != "HELLO" || a.V != 2 ||
-			s.password != "" && a.Pwdhash != faktory.Hash(s.password, salt, rounds)):
+			s.password != "" && a.Pwdhash != faktory.HashPassword(s.password, salt, rounds)):
 			fmt.Fprint(c, "-ERR bad HELLO\r\n")
 			return
 		case !greeted:
--- a/internal/frontend/faktory/session.go
+++ b/internal/frontend/faktory/session.go
@@ -2,47 +2,39 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"moorstack/balancer"
 	"moorstack/internal/netio/eventloop"
 	"moorstack/internal/proxy/broker"
-	"moorstack/internal/proxy/slotmap"
 )
 
-// session is a worker: a process with one wid and all its connections. It is a next
-// hop from its first FETCH on.
-type session struct {
-	front    *Front
-	wid      string
-	cell     int
-	labels   []string
-	conns    map[*conn]struct{}
-	parked   []*conn                 // whose FETCH waits, the oldest first
-	assigned []*reservation          // by the core, not fetched yet
-	reserved map[string]*reservation // fetched, by jid
-	listed   bool
-	quiet    bool
-	lost     bool
-	timer    *eventloop.Timer // its silence
-}
-
-// reservation is a branch at a worker.
-type reservation struct {
-	s     *session
-	job   *job
-	id    slotmap.ID
-	timer *eventloop.Timer // the end of the reservation
-}
+// fetchTimeout is how long a FETCH waits for a job, as the protocol has it.
+const fetchTimeout = 2 * time.Second
 
-var (
-	_ broker.Endpoint       = (*session)(nil)
-	_ broker.RunningAttempt = (*reservation)(nil)
-)
-
-// join finds the session of a worker's connection, or begins it. Workers with the
-// same pod number drop each other's repeats; any other is a pod of its own, so that
-// a keyed job that may have run there is not repeated elsewhere.
+// session is a worker: a process with one wid and all its connections. It is an endpoint from its first FETCH
+// on.
+type session struct {
+	front          *Front
+	wid            string
+	cell           int
+	labels         []string
+	conns          map[*conn]struct{}
+	waitingFetches []*conn                 // the oldest first
+	unfetched      []*reservation          // assigned by the broker, not fetched yet
+	reserved       map[string]*reservation // fetched, by jid
+	listed         bool
+	draining       bool
+	ended          bool
+	silenceTimer   *eventloop.Timer
+}
+
+var _ broker.Endpoint = (*session)(nil)
+
+// join finds the session of a worker's connection, or begins it. Workers with the same pod number drop each
+// other's repeats; any other is a pod of its own, so that a job with an idempotency key that may have run
+// there is not repeated elsewhere.
 func (f *Front) join(c *conn, wid string, labels []string) *session {
 	s := f.sessions[wid]
 	if s == nil {
@@ -58,24 +50,25 @@
 		f.sessions[wid] = s
 	}
 	s.conns[c] = struct{}{}
-	s.heard()
+	s.resetSilenceTimer()
 	return s
 }
 
-// heard puts off the time at which the worker is taken for lost.
-func (s *session) heard() {
-	s.timer.Stop()
+// resetSilenceTimer puts off the time at which the session expires.
+func (s *session) resetSilenceTimer() {
+	s.silenceTimer.Stop()
 	// Hazard: a machine that vanishes leaves its connections open and silent.
-	s.timer = s.front.loop.After(s.front.cfg.Silence, func() {
-		s.front.log.WithField("wid", s.wid).Warn("a worker is silent")
-		s.lose()
+	s.silenceTimer = s.front.loop.After(s.front.cfg.SessionTimeout, func() {
+		s.front.log.WithField("worker", s.wid).Warn("worker session expired")
+		s.end()
 	})
 }
 
-func (s *session) tell(state balancer.WorkerState) {
+// updateEndpoint updates the worker's entry in the broker's endpoint list.
+func (s *session) updateEndpoint(state balancer.WorkerState) {
 	e := broker.ListEntry{
 		Name:     s.wid,
-		Zone:     s.front.set.Zone,
+		Zone:     s.front.settings.Zone,
 		Cell:     s.cell,
 		State:    state,
 		Size:     1,
@@ -85,191 +78,171 @@
 	if state == balancer.Removed {
 		e.Endpoint = nil
 	}
-	s.front.core.UpdateEndpoints(balancer.ListDelta, []broker.ListEntry{e})
+	s.front.broker.UpdateEndpoints(balancer.ListDelta, []broker.ListEntry{e})
 }
 
-// drain is the worker's notice that it wants nothing new.
+// drain follows the worker's notice that it wants nothing new.
 func (s *session) drain() {
-	if s.quiet {
+	if s.draining {
 		return
 	}
-	s.quiet = true
+	s.draining = true
 	if s.listed {
-		s.tell(balancer.Draining)
+		s.updateEndpoint(balancer.Draining)
 	}
-	s.handBack(balancer.WorkerFull)
+	s.returnUnfetched(balancer.WorkerFull)
 }
 
-// handBack ends what was assigned and never fetched: it never ran.
-func (s *session) handBack(res balancer.Result) {
-	for _, r := range s.assigned {
-		s.front.core.EndAttempt(r.id, res, nil, balancer.NoLoadReport)
+// returnUnfetched ends the attempts that were assigned and never fetched: they never ran.
+func (s *session) returnUnfetched(result balancer.Result) {
+	for _, r := range s.unfetched {
+		s.front.broker.EndAttempt(r.attempt, result, nil, balancer.NoLoadReport)
 	}
-	s.assigned = nil
+	s.unfetched = nil
 }
 
-// lose is the end of a worker. What it had fetched may have run.
-func (s *session) lose() {
-	if s.lost {
+// end is the end of a worker. What it had fetched may have run.
+func (s *session) end() {
+	if s.ended {
 		return
 	}
-	s.lost = true
-	s.timer.Stop()
+	s.ended = true
+	s.silenceTimer.Stop()
 	delete(s.front.sessions, s.wid)
 	if s.listed {
-		s.tell(balancer.Removed)
+		s.updateEndpoint(balancer.Removed)
 	}
-	s.handBack(balancer.ConnectFailed)
+	s.returnUnfetched(balancer.ConnectFailed)
 	for _, r := range s.reserved {
 		r.Abandon()
-		s.front.core.EndAttempt(r.id, balancer.ConnectionReset, nil, balancer.NoLoadReport)
+		s.front.broker.EndAttempt(r.attempt, balancer.ConnectionReset, nil, balancer.NoLoadReport)
 	}
 	for c := range s.conns {
-		c.timer.Stop()
+		c.fetchTimer.Stop()
 		c.session, c.fetching = nil, false
 		c.conn.Close()
 	}
 }
 
-// leave takes a connection out. The worker is lost with its last one.
-func (s *session) leave(c *conn) {
+// removeConn takes a connection out. The session ends with its last one.
+func (s *session) removeConn(c *conn) {
 	delete(s.conns, c)
-	s.unpark(c)
+	s.cancelWait(c)
 	if len(s.conns) == 0 {
-		s.lose()
+		s.end()
 	}
 }
 
 // StartAttempt assigns a job to the worker; the next fitting FETCH takes it.
-func (s *session) StartAttempt(b broker.Attempt) broker.RunningAttempt {
-	r := &reservation{s: s, job: b.Payload.(*job), id: b.ID}
-	if !s.lost && !s.quiet && s.wants(r.job.Queue) {
-		for _, c := range s.parked {
-			if c.wants[r.job.Queue] {
-				s.unpark(c)
-				s.hand(c, r)
+func (s *session) StartAttempt(a broker.Attempt) broker.RunningAttempt {
+	r := &reservation{session: s, job: a.Payload.(*job), attempt: a.ID}
+	if !s.ended && !s.draining && s.fetchesFrom(r.job.Queue) {
+		for _, c := range s.waitingFetches {
+			if c.fetchQueues[r.job.Queue] {
+				s.cancelWait(c)
+				s.deliver(c, r)
 				return r
 			}
 		}
-		if len(s.assigned) < s.front.cfg.Queue {
-			s.assigned = append(s.assigned, r)
+		if len(s.unfetched) < s.front.cfg.MaxUnfetchedPerWorker {
+			s.unfetched = append(s.unfetched, r)
 			return r
 		}
 	}
-	s.front.core.EndAttempt(b.ID, balancer.WorkerFull, nil, s.load())
+	s.front.broker.EndAttempt(a.ID, balancer.WorkerFull, nil, s.load())
 	return r
 }
 
-// wants says whether any connection of the worker fetches from the queue.
-func (s *session) wants(queue string) bool {
+// fetchesFrom says whether any connection of the worker fetches from the queue.
+func (s *session) fetchesFrom(queue string) bool {
 	for c := range s.conns {
-		if c.wants[queue] {
+		if c.fetchQueues[queue] {
 			return true
 		}
 	}
 	return false
 }
 
-// fetch gives the connection the next job, or lets it wait for one.
-func (s *session) fetch(c *conn, queues []string) {
-	c.wants = map[string]bool{}
+// fetchOrWait gives the connection the next job, or lets it wait for one.
+func (s *session) fetchOrWait(c *conn, queues []string) {
+	c.fetchQueues = map[string]bool{}
 	for _, q := range queues {
-		c.wants[q] = true
+		c.fetchQueues[q] = true
 	}
-	for i := 0; i < len(s.assigned); i++ {
-		r := s.assigned[i]
-		if !r.job.over && !c.wants[r.job.Queue] {
-			continue
-		}
-		s.assigned = append(s.assigned[:i:i], s.assigned[i+1:]...)
-		if !r.job.over {
-			s.hand(c, r)
-			return
-		}
-		s.front.core.EndAttempt(r.id, balancer.Cancelled, nil, s.load()) // another copy has ended it
-		i--
+	if r := s.takeUnfetched(c); r != nil {
+		s.deliver(c, r)
+		return
 	}
-	s.parked = append(s.parked, c)
+	s.waitingFetches = append(s.waitingFetches, c)
 	c.fetching = true
-	c.timer = s.front.loop.After(patience, func() {
-		s.unpark(c)
+	c.fetchTimer = s.front.loop.After(fetchTimeout, func() {
+		s.cancelWait(c)
 		c.reply("$-1\r\n")
-		c.next()
+		c.resumeInput()
 	})
-	if !s.listed && !s.quiet {
+	if !s.listed && !s.draining {
 		s.listed = true
-		s.tell(balancer.Ready)
+		s.updateEndpoint(balancer.Ready)
 	}
 }
 
-func (s *session) unpark(c *conn) {
-	c.timer.Stop()
-	c.fetching = false
-	for i, other := range s.parked {
-		if other == c {
-			s.parked = append(s.parked[:i:i], s.parked[i+1:]...)
-			return
+// takeUnfetched takes the oldest job of the connection's queues, and ends on its way the attempts of jobs
+// that have finished meanwhile; nil: there is none.
+func (s *session) takeUnfetched(c *conn) *reservation {
+	for i := 0; i < len(s.unfetched); i++ {
+		r := s.unfetched[i]
+		if !r.job.finished && !c.fetchQueues[r.job.Queue] {
+			continue
 		}
+		s.unfetched = append(s.unfetched[:i:i], s.unfetched[i+1:]...)
+		if !r.job.finished {
+			return r
+		}
+		// A hedged request has finished it.
+		s.front.broker.EndAttempt(r.attempt, balancer.Cancelled, nil, s.load())
+		i--
 	}
+	return nil
 }
 
-// hand gives the worker the job. From here on it may run.
-func (s *session) hand(c *conn, r *reservation) {
-	term := s.front.cfg.Reserve
-	if w := r.job.ReserveFor; w != nil {
-		term = max(time.Duration(*w*float64(time.Second)), s.front.cfg.ReserveLeast)
+// cancelWait ends the wait of a connection's FETCH.
+func (s *session) cancelWait(c *conn) {
+	c.fetchTimer.Stop()
+	c.fetching = false
+	if i := slices.Index(s.waitingFetches, c); i >= 0 {
+		s.waitingFetches = append(s.waitingFetches[:i:i], s.waitingFetches[i+1:]...)
 	}
-	s.reserved[r.job.JID] = r
-	r.timer = s.front.loop.After(term, func() {
-		r.Abandon()
-		s.front.core.EndAttempt(r.id, balancer.TimedOut, nil, s.load())
-	})
-	r.job.state, r.job.updated = working, time.Now()
-	c.bulk(r.job.text)
-	c.next()
 }
 
-// Abandon takes the branch out of the worker's hands. The protocol has no call-off:
-// a worker that has the job goes on, and its late ACK finds nothing to end.
-func (r *reservation) Abandon() {
-	r.timer.Stop()
-	if r.s.reserved[r.job.JID] == r {
-		delete(r.s.reserved, r.job.JID)
-	}
-	if j := r.job; !j.over {
-		j.state, j.updated = enqueued, time.Now()
-	}
-	for i, other := range r.s.assigned {
-		if other == r {
-			r.s.assigned = append(r.s.assigned[:i:i], r.s.assigned[i+1:]...)
-			break
-		}
-	}
+// deliver gives the worker the job. From here on it may run.
+func (s *session) deliver(c *conn, r *reservation) {
+	s.reserved[r.job.JID] = r
+	r.startTimer()
+	r.job.state, r.job.updatedAt = working, time.Now()
+	c.replyBulk(r.job.payload)
+	c.resumeInput()
 }
 
-// end takes an ACK or a FAIL. Only the worker that holds the reservation can end it,
-// and once: a late one leaves the first end as it is.
-func (s *session) end(jid string, res balancer.Result) bool {
+// endReservation ends a job's reservation after ACK or FAIL. Only the worker that holds the reservation can
+// end it, and once: a late one leaves the first end as it is.
+func (s *session) endReservation(jid string, result balancer.Result) bool {
 	r := s.reserved[jid]
 	if r == nil {
 		return false
 	}
-	r.Abandon()
-	s.front.core.EndAttempt(r.id, res, nil, s.load())
+	r.finish(result)
 	return true
 }
 
 // load is the worker's load: fetches that wait, and jobs that wait for one.
 func (s *session) load() balancer.LoadReport {
 	r := balancer.NoLoadReport
-	r.Received, r.FreeSlots, r.QueueLength = true, float64(len(s.parked)), float64(len(s.assigned))
+	r.Received = true
+	r.FreeSlots, r.QueueLength = float64(len(s.waitingFetches)), float64(len(s.unfetched))
 	return r
 }
 
-// CheckHealth reads the load.
+// CheckHealth reads the load, at once.
 func (s *session) CheckHealth(done func(balancer.Result, balancer.LoadReport)) {
 	done(balancer.OK, s.load())
 }
-
-// CloseIdle has nothing to close: the connections are the worker's.
-func (s *session) CloseIdle() {}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -159,15 +159,15 @@
 // than the node has.
 func limitFaktory(o Options) {
 	limits := &o.Platform.Limits
-	o.Faktory.Connections = min(o.Faktory.Connections, limits.Sockets/4)
-	o.Faktory.Bytes = min(o.Faktory.Bytes, int(limits.MemoryMB<<20/4))
-	limits.ReservedDescriptors = o.Faktory.Connections
+	o.Faktory.MaxConnections = min(o.Faktory.MaxConnections, limits.Sockets/4)
+	o.Faktory.MaxJobBytes = min(o.Faktory.MaxJobBytes, int(limits.MemoryMB<<20/4))
+	limits.ReservedDescriptors = o.Faktory.MaxConnections
 }
 
 // openFaktory opens the second front. It has an endpoint list of its own, and so a broker of its own: jobs of
 // the one protocol can't be worked on in the other.
 func (n *Node) openFaktory(o Options, set balancer.Settings) (*faktory.Front, error) {
-	set = faktory.Settings(set)
+	set = faktory.AdaptSettings(set)
 	log := n.log.WithField("front", routing.FrontendFaktory)
 	front, err := faktory.New(n.loop, o.Faktory, set, log)
 	if err != nil {
@@ -181,8 +181,8 @@
 	if err := front.Open(c); err != nil {
 		return nil, err
 	}
-	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontendFaktory,
-		fit: faktory.Settings, configureFront: front.Configure, setRoutes: front.SetRoutes})
+	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontendFaktory, fit: faktory.AdaptSettings,
+		configureFront: front.ApplySettings, setRoutes: front.SetRoutingTable})
 	log.WithField("address", o.Faktory.Listen).Info("serving")
 	return front, nil
 }
