--- a/cmd/moorstack-lab/demo.go
+++ b/cmd/moorstack-lab/demo.go
@@ -112,7 +112,8 @@
 	r, err := load.Run(cmd.Context(), load.Options{Address: address, Rate: rate, Duration: length, Seed: 1,
 		Tenants: []string{"muscat", "batinah"}, Classes: []load.Class{
 			{Name: "trip-quote", Weight: 2, MeanWork: 0.25, Timeout: 5 * time.Second},
-			{Name: "dialysis-book", Weight: 1, MeanWork: 0.8, Timeout: 15 * time.Second, HasIdempotencyKey: true}},
+			{Name: "dialysis-book", Weight: 1, MeanWork: 0.8, Timeout: 15 * time.Second,
+				HasIdempotencyKey: true}},
 		OnProgress: func(r load.Result) {
 			now := [3]int{}
 			for _, f := range r.Classes {
@@ -212,7 +213,8 @@
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o.Address = args[0]
-			o.Classes = []load.Class{{Name: class, Weight: 1, MeanWork: size, Timeout: timeout, HasIdempotencyKey: keyed}}
+			o.Classes = []load.Class{{Name: class, Weight: 1, MeanWork: size, Timeout: timeout,
+				HasIdempotencyKey: keyed}}
 			if _, err := unix.IoctlGetTermios(int(os.Stderr.Fd()), unix.TCGETS); err == nil {
 				o.OnProgress = func(r load.Result) {
 					fmt.Fprintf(os.Stderr, "\r%.0f s, %d sent ", r.Seconds, r.Scheduled-r.NotSent)
@@ -233,7 +235,8 @@
 	f.Float64Var(&o.Rate, "rate", 100, "jobs a second")
 	f.DurationVar(&o.Duration, "for", 10*time.Second, "how long")
 	f.Uint64Var(&o.Seed, "seed", 1, "of the times and sizes")
-	f.IntVar(&o.MaxInFlight, "most", 4096, "jobs out at once; one that is due beyond it is counted as not sent")
+	f.IntVar(&o.MaxInFlight, "most", 4096,
+		"jobs out at once; one that is due beyond it is counted as not sent")
 	f.StringSliceVar(&o.Tenants, "tenant", nil, "teams, alike often; none, if not given")
 	f.StringVar(&class, "class", "trip-quote", "the jobs' class")
 	f.BoolVar(&keyed, "keyed", false, "the class's jobs carry a key")
@@ -241,7 +244,8 @@
 	f.DurationVar(&timeout, "timeout", 5*time.Second, "how long a client waits")
 	f.BoolVar(&find, "find-max", false, "look for the highest rate that the node bears")
 	f.DurationVar(&bound.P99, "p99", 50*time.Millisecond, "with --find-max: the bound on latency")
-	f.Float64Var(&bound.MaxErrorShare, "unkept", 0.001, "with --find-max: the share of jobs that may not be served")
+	f.Float64Var(&bound.MaxErrorShare, "unkept", 0.001,
+		"with --find-max: the share of jobs that may not be served")
 	f.StringVar(&output, "output", "table", "form of the answer: table or json")
 	return cmd
 }
@@ -301,6 +305,7 @@
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "%d jobs in %.1f s; %d were due and not sent\n", r.Scheduled, r.Seconds, r.NotSent)
+	_, err := fmt.Fprintf(w, "%d jobs in %.1f s; %d were due and not sent\n", r.Scheduled, r.Seconds,
+		r.NotSent)
 	return err
 }
--- a/cmd/moorstack/emulate.go
+++ b/cmd/moorstack/emulate.go
@@ -161,8 +161,10 @@
 	}
 	for _, list := range [][]emulate.Tally{r.Classes, r.Teams} {
 		for _, c := range list {
-			t.add(c.Name, c.Arrived, c.Served, percent(float64(c.InTime), float64(c.Arrived)), c.Rejected, c.Failed,
-				fmt.Sprintf("%.0f ms", c.P50), fmt.Sprintf("%.0f ms", c.P99), percent(c.EarnedWeight, c.OfferedWeight))
+			t.add(c.Name, c.Arrived, c.Served, percent(float64(c.InTime), float64(c.Arrived)), c.Rejected,
+				c.Failed,
+				fmt.Sprintf("%.0f ms", c.P50), fmt.Sprintf("%.0f ms", c.P99), percent(c.EarnedWeight,
+					c.OfferedWeight))
 		}
 	}
 	t.add("")
--- a/cmd/moorstack/shares_test.go
+++ b/cmd/moorstack/shares_test.go
@@ -25,7 +25,8 @@
 		g.fronts[name] = freeAddress(g.t)
 		o := of(name)
 		o.Node, o.Workers, o.Zone, o.Kind, o.Seed = g.fronts[name], cmp.Or(o.Workers, 9), "z", "k", 1
-		o.Spec = emulate.WorkerSpec{Cores: 8, Slots: 64, QueueCapacity: 256, Speed: 1, SlowStartWindow: time.Millisecond,
+		o.Spec = emulate.WorkerSpec{Cores: 8, Slots: 64, QueueCapacity: 256, Speed: 1,
+			SlowStartWindow:   time.Millisecond,
 			SlowStartMinShare: 1, ReportInterval: 200 * time.Millisecond}
 		s, err := loopback.Start(o)
 		check(g.t, err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -181,7 +181,8 @@
 	if err := front.Open(c); err != nil {
 		return nil, err
 	}
-	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontendFaktory, fit: faktory.AdaptSettings,
+	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontendFaktory,
+		fit:            faktory.AdaptSettings,
 		configureFront: front.ApplySettings, setRoutes: front.SetRoutingTable})
 	log.WithField("address", o.Faktory.Listen).Info("serving")
 	return front, nil
--- a/internal/verify/emulate/client.go
+++ b/internal/verify/emulate/client.go
@@ -79,11 +79,13 @@
 		at -= g.spec.Mix[pick]
 		pick++
 	}
-	index := slices.IndexFunc(w.scenario.Classes, func(c ClassSpec) bool { return c.Name == g.spec.Classes[pick] })
+	index := slices.IndexFunc(w.scenario.Classes,
+		func(c ClassSpec) bool { return c.Name == g.spec.Classes[pick] })
 	c := &w.scenario.Classes[index]
 	w.jobCount++
-	r := &job{world: w, group: g, class: c, classIndex: index, size: c.Size.draw(g.sizeRandom), arrivedAt: w.Clock.now,
-		deadline: w.Clock.now + time.Duration(c.Timeout)}
+	r := &job{world: w, group: g, class: c, classIndex: index, size: c.Size.draw(g.sizeRandom),
+		arrivedAt: w.Clock.now,
+		deadline:  w.Clock.now + time.Duration(c.Timeout)}
 	if g.heavyShare > 0 && g.sizeRandom.Float64() < g.heavyShare {
 		r.size *= g.heavyFactor
 	}
@@ -102,7 +104,8 @@
 	}
 	var near, all []*Node
 	for _, n := range w.nodes {
-		if n.down && w.Clock.now-n.downSince > deadNodeDetection || !n.down && n.upSince > 0 && w.Clock.now-n.upSince < readmissionDelay {
+		if n.down && w.Clock.now-n.downSince > deadNodeDetection || !n.down && n.upSince > 0 &&
+			w.Clock.now-n.upSince < readmissionDelay {
 			continue
 		}
 		all = append(all, n)
--- a/internal/verify/emulate/fault.go
+++ b/internal/verify/emulate/fault.go
@@ -102,7 +102,8 @@
 			}
 		})
 	case "slow":
-		return w.onWorkers(w.selectWorkers(t, rng), func(k *Worker) { k.SetSlowdown(t.Magnitude) }, func(k *Worker) { k.SetSlowdown(1) })
+		return w.onWorkers(w.selectWorkers(t, rng), func(k *Worker) { k.SetSlowdown(t.Magnitude) },
+			func(k *Worker) { k.SetSlowdown(1) })
 	case "errors":
 		return w.onWorkers(
 			w.selectWorkers(t, rng),
@@ -110,7 +111,8 @@
 			func(k *Worker) { k.failureShare = 0 },
 		)
 	case "cut":
-		return w.onWorkers(w.selectWorkers(t, rng), func(k *Worker) { k.partitioned = true }, func(k *Worker) { k.partitioned = false })
+		return w.onWorkers(w.selectWorkers(t, rng), func(k *Worker) { k.partitioned = true },
+			func(k *Worker) { k.partitioned = false })
 	case "drain":
 		return w.onWorkers(w.selectWorkers(t, rng), func(k *Worker) {
 			k.draining = true
@@ -139,10 +141,14 @@
 	case "deaf":
 		w.discovery.silenceWatches(t.Fraction, rng)
 	case "heavy":
-		return w.onClientGroups(t, func(g *clientGroup) { g.heavyShare, g.heavyFactor = t.Fraction, t.Magnitude },
+		return w.onClientGroups(t, func(g *clientGroup) {
+			g.heavyShare, g.heavyFactor = t.Fraction,
+				t.Magnitude
+		},
 			func(g *clientGroup) { g.heavyShare = 0 })
 	case "flood":
-		return w.onClientGroups(t, func(g *clientGroup) { g.rateFactor = t.Magnitude }, func(g *clientGroup) { g.rateFactor = 0 })
+		return w.onClientGroups(t, func(g *clientGroup) { g.rateFactor = t.Magnitude },
+			func(g *clientGroup) { g.rateFactor = 0 })
 	case "retry-storm":
 		for i := range w.scenario.Clients {
 			spec := w.scenario.Clients[i]
@@ -151,7 +157,8 @@
 		was := make([]ClientGroup, len(w.groups))
 		return w.onClientGroups(t, func(g *clientGroup) {
 			was[slices.Index(w.groups, g)] = *g.spec
-			g.spec.Retries, g.spec.IgnoreRetryAfter, g.spec.Backoff = int(t.Magnitude), true, Duration(10*time.Millisecond)
+			g.spec.Retries, g.spec.IgnoreRetryAfter, g.spec.Backoff = int(t.Magnitude), true,
+				Duration(10*time.Millisecond)
 		}, func(g *clientGroup) { *g.spec = was[slices.Index(w.groups, g)] })
 	}
 	return nil
--- a/internal/verify/emulate/jsq.go
+++ b/internal/verify/emulate/jsq.go
@@ -20,9 +20,10 @@
 
 // JSQResult is what was seen.
 type JSQResult struct {
-	MeanWait     float64   `json:"wait"`  // mean, in mean service times
-	WaitingShare float64   `json:"waits"` // the share of jobs that wait at all
-	Tails        []float64 `json:"tails"` // k: the part of the servers with k jobs or more, as arrivals see them
+	MeanWait     float64 `json:"wait"`  // mean, in mean service times
+	WaitingShare float64 `json:"waits"` // the share of jobs that wait at all
+	// k: the part of the servers with k jobs or more, as arrivals see them
+	Tails []float64 `json:"tails"`
 }
 
 const maxTail = 12
--- a/internal/verify/emulate/operate.go
+++ b/internal/verify/emulate/operate.go
@@ -64,9 +64,10 @@
 
 // The time line of a node's replacement, from the start of the new process.
 const (
-	readyDelay       = 3500 * time.Millisecond
-	killDelay        = readyDelay + 3700*time.Millisecond // SIGKILL, where the old one still runs
-	inFlightInterval = 20 * time.Millisecond              // how often the old one tells what it has unfinished
+	readyDelay = 3500 * time.Millisecond
+	killDelay  = readyDelay + 3700*time.Millisecond // SIGKILL, where the old one still runs
+	// how often the old one tells what it has unfinished
+	inFlightInterval = 20 * time.Millisecond
 )
 
 // replaceNode starts a process beside a node's, which takes its place: with its list, its
@@ -77,7 +78,8 @@
 		return // by another one, which has not settled yet
 	}
 	old.replaced = true
-	n := &Node{world: w, number: old.number, zone: old.zone, incarnation: old.incarnation, upSince: old.upSince}
+	n := &Node{world: w, number: old.number, zone: old.zone, incarnation: old.incarnation,
+		upSince: old.upSince}
 	w.nodes[old.number] = n
 	known := slices.SortedFunc(maps.Values(old.knownList), func(a, b broker.ListEntry) int {
 		if a.Name < b.Name {
@@ -99,7 +101,8 @@
 		}
 		held := old.broker.InFlight()
 		n.broker.SetOtherInFlight(held)
-		if w.Clock.now >= until || old.broker.PendingCount() == 0 && w.Clock.now >= until-killDelay+readyDelay {
+		if w.Clock.now >= until || old.broker.PendingCount() == 0 &&
+			w.Clock.now >= until-killDelay+readyDelay {
 			old.kill()
 			n.broker.SetOtherInFlight(nil)
 			return
--- a/internal/verify/emulate/scenario.go
+++ b/internal/verify/emulate/scenario.go
@@ -28,10 +28,11 @@
 	Nodes    int      `toml:"nodes"`
 	Zones    []string `toml:"zones"`
 
-	SameZoneLatency  Duration `toml:"near"`       // one way within a zone; 0.2 ms, if not given
-	CrossZoneLatency Duration `toml:"far"`        // and between two; 0.6 ms
-	ConnectTimeout   Duration `toml:"connect"`    // until an attempt at one that is silent is given up; 250 ms
-	ListDelay        Duration `toml:"list_delay"` // of news of the list; 1 s
+	SameZoneLatency  Duration `toml:"near"` // one way within a zone; 0.2 ms, if not given
+	CrossZoneLatency Duration `toml:"far"`  // and between two; 0.6 ms
+	// until an attempt at one that is silent is given up; 250 ms
+	ConnectTimeout Duration `toml:"connect"`
+	ListDelay      Duration `toml:"list_delay"` // of news of the list; 1 s
 	// ListDelivery says how the list comes: asked (each node has a watch at a service for all), or pushed (an
 	// agent beside each node has it, and what it has counts as told); asked, if not given.
 	ListDelivery string `toml:"list"`
@@ -240,12 +241,15 @@
 		fill(&g.ReportInterval, 100*time.Millisecond)
 		if g.Count < 1 || g.Cores < 1 || g.Slots < 1 || !(g.Speed > 0) || g.QueueCapacity < -1 ||
 			!slices.Contains(s.Zones, g.Zone) {
-			return s.errorAt("workers", i, "count, cores, slots and speed must be above 0, and the zone known")
+			return s.errorAt("workers", i,
+				"count, cores, slots and speed must be above 0, and the zone known")
 		}
-		g.WorkerSpec = WorkerSpec{Cores: g.Cores, Slots: g.Slots, QueueCapacity: max(g.QueueCapacity, 0), Speed: g.Speed,
+		g.WorkerSpec = WorkerSpec{Cores: g.Cores, Slots: g.Slots, QueueCapacity: max(g.QueueCapacity, 0),
+			Speed: g.Speed,
 			SlowStartWindow: time.Duration(
 				g.SlowStartWindow,
-			), SlowStartMinShare: g.SlowStartMinShare, ReportInterval: time.Duration(g.ReportInterval), ReportNoise: g.ReportNoise}
+			), SlowStartMinShare: g.SlowStartMinShare, ReportInterval: time.Duration(g.ReportInterval),
+			ReportNoise: g.ReportNoise}
 	}
 	for i := range s.Clients {
 		g := &s.Clients[i]
@@ -348,17 +352,20 @@
 		},
 	}
 	for i := range s.Workers {
-		set.Rules.SlowStartWindow = max(set.Rules.SlowStartWindow, time.Duration(s.Workers[i].SlowStartWindow))
+		set.Rules.SlowStartWindow = max(set.Rules.SlowStartWindow,
+			time.Duration(s.Workers[i].SlowStartWindow))
 		set.Rules.SlowStartMinShare = min(set.Rules.SlowStartMinShare, s.Workers[i].SlowStartMinShare)
 	}
 	for _, c := range s.Classes {
 		set.Classes = append(
 			set.Classes,
-			balancer.Class{Name: c.Name, LatencyObjective: time.Duration(c.LatencyObjective), ObjectiveStretch: c.ObjectiveStretch,
+			balancer.Class{Name: c.Name, LatencyObjective: time.Duration(c.LatencyObjective),
+				ObjectiveStretch: c.ObjectiveStretch,
 				Timeout: time.Duration(
 					c.Timeout,
-				), PriorityWeight: c.PriorityWeight, LateShare: c.LateShare, Idempotency: idempotencyByName[c.Idempotency],
-				KeyScope: balancer.ScopeCell, KeyWindow: time.Duration(c.KeyWindow), WorkerKind: -1},
+				), PriorityWeight: c.PriorityWeight, LateShare: c.LateShare,
+				Idempotency: idempotencyByName[c.Idempotency],
+				KeyScope:    balancer.ScopeCell, KeyWindow: time.Duration(c.KeyWindow), WorkerKind: -1},
 		)
 	}
 	for _, g := range s.Clients {
--- a/internal/verify/emulate/storm.go
+++ b/internal/verify/emulate/storm.go
@@ -8,8 +8,9 @@
 )
 
 // randomMagnitudes are what a random trouble's size is drawn from, by kind.
-var randomMagnitudes = map[string][2]float64{"slow": {2, 10}, "errors": {0.3, 1}, "stale": {2, 10}, "heavy": {5, 30},
-	"grey": {3, 20}, "flood": {2, 6}, "retry-storm": {2, 6}}
+var randomMagnitudes = map[string][2]float64{"slow": {2, 10}, "errors": {0.3, 1}, "stale": {2, 10},
+	"heavy": {5, 30},
+	"grey":  {3, 20}, "flood": {2, 6}, "retry-storm": {2, 6}}
 
 // RandomFaults draws up to most troubles that fit the scenario, the same for a seed.
 func RandomFaults(sc *Scenario, seed uint64, most int) []Fault {
--- a/internal/verify/emulate/watch.go
+++ b/internal/verify/emulate/watch.go
@@ -13,8 +13,9 @@
 // the node was told that it drains or is gone; no cold worker pushed over; attempts within
 // the limit. The first thing broken ends up in the result, with the job's story.
 type invariantChecker struct {
-	world            *World
-	drainingSince    map[string]time.Duration     // by node and worker: since when it is told to drain or be gone
+	world *World
+	// by node and worker: since when it is told to drain or be gone
+	drainingSince    map[string]time.Duration
 	knownStarts      map[string]time.Duration     // likewise: the last start that the node was told of
 	maintenanceSince map[nodeWorker]time.Duration // since when operators have a worker out at a node
 	violations       []string
@@ -104,7 +105,8 @@
 func (v *invariantChecker) attemptStarted(n *Node, k *Worker, r *job) {
 	now := v.world.Clock.now
 	v.world.metrics.attempts++
-	if since, ok := v.drainingSince[observation(n, k.Name)]; ok && now-since > v.world.settings.Rules.DrainGrace {
+	if since, ok := v.drainingSince[observation(n, k.Name)]; ok &&
+		now-since > v.world.settings.Rules.DrainGrace {
 		v.violate(
 			r,
 			"node %d sends to %s, told %.3f s ago that it drains or is gone",
--- a/internal/verify/emulate/world.go
+++ b/internal/verify/emulate/world.go
@@ -187,7 +187,8 @@
 	for _, l := range n.broker.ListedEndpoints() {
 		list = append(list, placement.Worker{Name: l.Name, Zone: l.Zone})
 	}
-	n.broker.SetSubset(placement.Subset(members, members[n.number].Session, list, n.world.scenario.SubsetSize))
+	n.broker.SetSubset(placement.Subset(members, members[n.number].Session, list,
+		n.world.scenario.SubsetSize))
 }
 
 // rememberList keeps what the node was told of the list.
--- a/internal/verify/experiment/experiment_test.go
+++ b/internal/verify/experiment/experiment_test.go
@@ -142,7 +142,8 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if _, err := Run(context.Background(), p, Options{Dir: dir, Workers: 4, ProgramVersion: "x<y"}); err != nil {
+	if _, err := Run(context.Background(), p, Options{Dir: dir, Workers: 4,
+		ProgramVersion: "x<y"}); err != nil {
 		t.Fatal(err)
 	}
 	a, err := ReadRuns(dir)
--- a/internal/verify/faultinjection/fleet.go
+++ b/internal/verify/faultinjection/fleet.go
@@ -188,7 +188,8 @@
 	if f.o.Rate > 0 {
 		if p.stage, err = loopback.Start(loopback.Options{Node: p.Front, Workers: 2, Zone: "z", Kind: "k",
 			Seed: f.o.Seed, OnJob: f.taken,
-			Spec: emulate.WorkerSpec{Cores: 8, Slots: 64, QueueCapacity: 256, Speed: 1, SlowStartWindow: time.Millisecond,
+			Spec: emulate.WorkerSpec{Cores: 8, Slots: 64, QueueCapacity: 256, Speed: 1,
+				SlowStartWindow:   time.Millisecond,
 				SlowStartMinShare: 1, ReportInterval: 200 * time.Millisecond}}); err != nil {
 			return err
 		}
--- a/internal/verify/load/load.go
+++ b/internal/verify/load/load.go
@@ -92,8 +92,9 @@
 	if o.MaxInFlight <= 0 {
 		o.MaxInFlight = 4096
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConns: o.MaxInFlight, MaxIdleConnsPerHost: o.MaxInFlight,
-		DisableCompression: true}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConns: o.MaxInFlight,
+		MaxIdleConnsPerHost: o.MaxInFlight,
+		DisableCompression:  true}}
 	defer client.CloseIdleConnections()
 	r := &Result{Classes: map[string]*ClassResult{}}
 	total := 0.0
--- a/internal/verify/load/search.go
+++ b/internal/verify/load/search.go
@@ -78,7 +78,8 @@
 
 // FindMaxRate looks for the highest rate that a node bears, one run of o.For after the other,
 // beginning at o.Rate. Told, where it is not nil, hears of each step.
-func FindMaxRate(ctx context.Context, o Options, b Objective, within float64, told func(Step)) (float64, error) {
+func FindMaxRate(ctx context.Context, o Options, b Objective, within float64, told func(Step)) (float64,
+	error) {
 	if b.P99 <= 0 || b.MaxErrorShare < 0 || b.MaxErrorShare >= 1 || !(within > 0 && within < 1) {
 		return 0, errors.New("the bound wants a p99 above 0 and shares from 0 to under 1")
 	}
@@ -118,6 +119,7 @@
 	if r.Scheduled > 0 {
 		s.ErrorShare = float64(unkept) / float64(r.Scheduled)
 	}
-	s.Sustained = all.TotalCount() > 0 && s.P99 <= float64(b.P99.Microseconds())/1000 && s.ErrorShare <= b.MaxErrorShare
+	s.Sustained = all.TotalCount() > 0 && s.P99 <= float64(b.P99.Microseconds())/1000 &&
+		s.ErrorShare <= b.MaxErrorShare
 	return s
 }
--- a/internal/verify/load/search_test.go
+++ b/internal/verify/load/search_test.go
@@ -51,7 +51,8 @@
 	o := options(strings.TrimPrefix(srv.URL, "http://"))
 	o.Rate, o.Duration = 50, 600*time.Millisecond
 	var steps []Step
-	got, err := FindMaxRate(context.Background(), o, Objective{P99: 5 * time.Second, MaxErrorShare: 0.02}, 0.2,
+	got, err := FindMaxRate(context.Background(), o, Objective{P99: 5 * time.Second, MaxErrorShare: 0.02},
+		0.2,
 		func(s Step) { steps = append(steps, s) })
 	if err != nil || got < 50 || got > 400 {
 		t.Errorf("found %v, %v: %+v", got, err, steps)
