--- a/internal/verify/experiment/report.go
+++ b/internal/verify/experiment/report.go
@@ -230,7 +230,9 @@
 <h2>Figures</h2><p class="note">Means over the seeds, with intervals of 95 % by bootstrap.</p>
 <table><tr><th>factors</th><th>of</th><th>name</th><th>worth earned</th><th>95 %</th>
 <th>in time</th><th>95 %</th><th>p99, ms</th></tr>
-{{range .Table}}<tr><td>{{.Factors}}</td><td>{{.Scope}}</td><td>{{.Name}}</td><td>{{percent .EarnedShare.Mean}}</td>
+{{range .Table}}<tr><td>{{.Factors}}</td><td>{{.Scope}}</td><td>{{.Name}}</td>
+{{- "" -}}
+<td>{{percent .EarnedShare.Mean}}</td>
 <td>{{percent .EarnedShare.Low}} to {{percent .EarnedShare.High}}</td><td>{{percent .InTime.Mean}}</td>
 <td>{{percent .InTime.Low}} to {{percent .InTime.High}}</td><td>{{ms .P99.Mean}}</td></tr>
 {{end}}</table></body></html>
