--- a/internal/cluster/ratelimit/model_test.go
+++ b/internal/cluster/ratelimit/model_test.go
@@ -53,8 +53,8 @@
 
 // modelBudget is how often each event may still happen.
 type modelBudget struct {
-	instances                                                                          int
-	steps, deaths, setAsides, lapses, reopens, lost, late, duplicates, calls, renewals int
+	instances                                                                            int
+	steps, deaths, setAsides, expiries, reopens, lost, late, duplicates, calls, renewals int
 	// Faults befall the instances up to this one.
 	faulty int
 }
@@ -323,8 +323,8 @@
 			c.addView(others)
 		})
 		if m.now >= n.renewedAt+rollout.ExpiryWait(modelLease) {
-			e.add(name+" expires", m.budget.lapses, func(c *model) {
-				c.budget.lapses--
+			e.add(name+" expires", m.budget.expiries, func(c *model) {
+				c.budget.expiries--
 				c.addView(others, n.session)
 			})
 		}
@@ -450,14 +450,14 @@
 // In every order of events no more is admitted than the rate and the burst allow.
 func TestEveryOrderOfAnOwnerChange(t *testing.T) {
 	for name, b := range map[string]modelBudget{
-		"a death of two":  {instances: 2, steps: 3, deaths: 1, calls: 4},
-		"a death":         {instances: 3, steps: 2, deaths: 1, calls: 3},
-		"a lapse of two":  {instances: 2, steps: 11, lapses: 1, calls: 4, renewals: 1},
-		"aside of two":    {instances: 2, steps: 1, setAsides: 1, calls: 5},
-		"aside":           {instances: 3, steps: 1, setAsides: 1, calls: 3, late: 1},
-		"and back of two": {instances: 2, steps: 2, setAsides: 1, reopens: 1, calls: 4},
-		"twice, or lost":  {instances: 2, steps: 1, deaths: 1, calls: 4, duplicates: 1, lost: 1},
-		"one, then two":   {instances: 3, steps: 1, setAsides: 1, deaths: 1, calls: 3, faulty: 1},
+		"a death of two":   {instances: 2, steps: 3, deaths: 1, calls: 4},
+		"a death":          {instances: 3, steps: 2, deaths: 1, calls: 3},
+		"an expiry of two": {instances: 2, steps: 11, expiries: 1, calls: 4, renewals: 1},
+		"aside of two":     {instances: 2, steps: 1, setAsides: 1, calls: 5},
+		"aside":            {instances: 3, steps: 1, setAsides: 1, calls: 3, late: 1},
+		"and back of two":  {instances: 2, steps: 2, setAsides: 1, reopens: 1, calls: 4},
+		"twice, or lost":   {instances: 2, steps: 1, deaths: 1, calls: 4, duplicates: 1, lost: 1},
+		"one, then two":    {instances: 3, steps: 1, setAsides: 1, deaths: 1, calls: 3, faulty: 1},
 	} {
 		r := modelcheck.Check(newModel(t, b), *states)
 		t.Logf("%s: %d states, complete: %v", name, r.States, r.Complete)
