--- a/internal/cluster/ratelimit/utilisation_test.go
+++ b/internal/cluster/ratelimit/utilisation_test.go
@@ -117,7 +117,8 @@
 				afterMoves = fmt.Sprintf("; moved calls have the rate after %.1f ticks p50, %.1f p99",
 					ticks[len(ticks)/2], ticks[len(ticks)*99/100])
 			}
-			t.Logf("%2d fronts, %-18s: lent tokens %.3f, static split %.3f, central %.3f%s", fronts, pattern.name,
+			t.Logf("%2d fronts, %-18s: lent tokens %.3f, static split %.3f, central %.3f%s", fronts,
+				pattern.name,
 				share, split, central, afterMoves)
 			if share > 1.03 || share < 0.7 || pattern.name != evenlyAtAll && share < 2*split {
 				t.Errorf("%d fronts, %s: lent tokens use %.3f of the rate, a static split %.3f", fronts,
