--- a/internal/cluster/consensus/errors.go
+++ b/internal/cluster/consensus/errors.go
@@ -20,6 +20,7 @@
 // NotLeaderError is an operation that only the leader can carry out, at another instance.
 type NotLeaderError struct{ Leader clusterstate.Member }
 
+// Error implements error.
 func (e *NotLeaderError) Error() string {
 	return fmt.Sprintf("only the leader can, which is %s", e.Leader.Name)
 }
@@ -27,6 +28,7 @@
 // RejectedError is an operation that would do harm or can't be carried out in the present state.
 type RejectedError struct{ Reason string }
 
+// Error implements error.
 func (e *RejectedError) Error() string { return e.Reason }
 
 func rejectf(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
--- a/internal/cluster/leasedtask/command.go
+++ b/internal/cluster/leasedtask/command.go
@@ -21,6 +21,7 @@
 	Resume
 )
 
+// String implements fmt.Stringer.
 func (k Kind) String() string {
 	return [...]string{"none", "declare", "assign", "release", "expire", "update note", "transfer", "pause",
 		"resume"}[min(int(k), int(Resume))]
--- a/internal/cluster/leasedtask/fence.go
+++ b/internal/cluster/leasedtask/fence.go
@@ -15,6 +15,7 @@
 	Token, NewestToken uint64
 }
 
+// Error implements error.
 func (e *StaleTokenError) Error() string {
 	return fmt.Sprintf("%s: number %d is old, %d has acted here: the sender holds the duty no more", e.Task,
 		e.Token, e.NewestToken)
--- a/internal/cluster/rollout/command.go
+++ b/internal/cluster/rollout/command.go
@@ -20,6 +20,7 @@
 	SetAside             // an operator states that Member does not serve
 )
 
+// String implements fmt.Stringer.
 func (k Kind) String() string {
 	return [...]string{"none", "open session", "expire sessions", "close admission", "commit",
 		"reopen admission", "withdraw", "set aside"}[min(int(k), int(SetAside))]
--- a/internal/verify/faultinjection/story.go
+++ b/internal/verify/faultinjection/story.go
@@ -86,6 +86,7 @@
 // ofChanges are the steps of a change, in their order.
 var ofChanges = []string{"proposed", "staged", "ceased", "switched"}
 
+// String implements fmt.Stringer.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%8.3fs  ", f.At.Seconds())
 	if f.Step != "" {
