--- a/cmd/moorstack/cluster_test.go
+++ b/cmd/moorstack/cluster_test.go
@@ -100,7 +100,7 @@
 		if g.links != nil {
 			own, err := netip.ParseAddrPort(listen)
 			check(g.t, err)
-			g.addr[name], err = g.links.Front(name, own.Addr(), listen)
+			g.addr[name], err = g.links.AddForwarder(name, own.Addr(), listen)
 			check(g.t, err)
 			between = fmt.Sprintf("advertise = %q\nfrom = %q\n", g.addr[name], own.Addr())
 		}
--- a/cmd/moorstack/prove_cluster.go
+++ b/cmd/moorstack/prove_cluster.go
@@ -50,10 +50,10 @@
 
 The faults:
 
-` + faultinjection.Faults() + `
+` + faultinjection.FaultHelp() + `
 A fault may wait for a step of a change, of anybody or of the one named as in @staged:n2:
 
-` + faultinjection.Steps() + `
+` + faultinjection.StepHelp() + `
 An instance is named n1, n2, ... or "leader", who leads when the fault comes; "it", whose step it
 was; "asked", whom the client has asked for the change. A story that breaks
 something is written to a file, with --shrink with the fewest lines that still do.
@@ -117,7 +117,7 @@
 		return fmt.Errorf("--triggers: %d is not from 0 to 1000", f.triggers)
 	case f.speed < 1 || f.speed > 600:
 		return fmt.Errorf("--speed: %v is not from 1 to 600", f.speed)
-	case f.oldRules != "" && !slices.Contains(faultinjection.Names(f.processes), f.oldRules):
+	case f.oldRules != "" && !slices.Contains(faultinjection.InstanceNames(f.processes), f.oldRules):
 		return fmt.Errorf("--old-rules: there is no instance %q", f.oldRules)
 	case f.rolls < 0 || f.rolls >= f.processes:
 		return fmt.Errorf("--rolls: %d is not from 0 to %d, one less than --processes", f.rolls,
@@ -136,7 +136,7 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	names := faultinjection.Names(f.processes)
+	names := faultinjection.InstanceNames(f.processes)
 	var story []faultinjection.Fault
 	switch {
 	case f.story != "":
@@ -144,13 +144,13 @@
 		if err != nil {
 			return err
 		}
-		if story, err = faultinjection.ReadStory(f.story, raw, names); err != nil {
+		if story, err = faultinjection.ParseSchedule(f.story, raw, names); err != nil {
 			return err
 		}
 	case f.kills:
-		story = faultinjection.Kills(f.seed, f.length)
+		story = faultinjection.LeaderKillSchedule(f.seed, f.length)
 	case !f.quiet:
-		story = faultinjection.Draw(f.seed, names, f.length)
+		story = faultinjection.DrawSchedule(f.seed, names, f.length)
 	}
 	dir := f.keep
 	if dir == "" {
@@ -186,7 +186,7 @@
 		return exitError{exitFailed, err}
 	}
 	path := filepath.Join("found", fmt.Sprintf("story-%d-%d.txt", f.processes, f.seed))
-	if err := os.WriteFile(path, faultinjection.WriteStory(story), 0o600); err != nil {
+	if err := os.WriteFile(path, faultinjection.FormatSchedule(story), 0o600); err != nil {
 		return exitError{exitFailed, err}
 	}
 	return exitError{exitFailed, fmt.Errorf("%d violations; the story is in %s: play it again with --story",
@@ -211,28 +211,28 @@
 	if err != nil {
 		return nil, err
 	}
-	o := faultinjection.Play{
-		Story:   story,
-		For:     f.length,
-		Changes: f.changes,
-		Options: faultinjection.Options{Program: self,
-			Dir:       at,
-			Instances: f.processes, Voters: f.voters, Tick: f.tick,
-			Platform: faultinjection.SamplePlatform(), Rate: f.rate,
-			Seed: f.seed, Drills: f.drills, Rolls: f.rolls, Wishes: f.story == "", Accounts: f.accounts,
-			Names:    f.names,
-			Triggers: f.triggers, Speed: f.speed,
-			OldRules: f.oldRules, Older: f.older},
+	o := faultinjection.RunOptions{
+		Schedule:   story,
+		Duration:   f.length,
+		MaxChanges: f.changes,
+		ClusterOptions: faultinjection.ClusterOptions{
+			Program: self, Dir: at, OlderProgram: f.older,
+			Instances: f.processes, Voters: f.voters, Tick: f.tick, Seed: f.seed,
+			PlatformFile: faultinjection.SamplePlatform(), JobsPerSecond: f.rate,
+			DrillTasks: f.drills, MaxRestarting: f.rolls, OperatorCommands: f.story == "",
+			Accounts: f.accounts, UnlistedAccounts: f.names, Triggers: f.triggers,
+			ClockSpeed: f.speed, OldZoneRulesInstance: f.oldRules,
+		},
 	}
 	if f.clock != "" {
-		if o.Clock, err = time.Parse(time.RFC3339, f.clock); err != nil {
+		if o.ClockStart, err = time.Parse(time.RFC3339, f.clock); err != nil {
 			return nil, fmt.Errorf("--clock: %w", err)
 		}
 	}
 	if f.trace {
 		o.Trace = cmd.ErrOrStderr()
 	} else if terminal(os.Stderr) {
-		o.Progress = func(at time.Duration, r *faultinjection.Result) {
+		o.OnProgress = func(at time.Duration, r *faultinjection.Result) {
 			fmt.Fprintf(os.Stderr, "\r%3.0f of %.0f s: %d faults, %d changes in force, %d withdrawn ",
 				at.Seconds(),
 				f.length.Seconds(), r.Faults, r.InForce, r.Withdrawn)
@@ -250,44 +250,45 @@
 		q := func(q float64) string { return quantile(v, q).Round(10 * time.Microsecond).String() }
 		t.add(what, q(0.5), q(0.99), q(1), len(v))
 	}
-	line("from propose to in force", r.Took)
-	line("pause in admission for a change", r.Pauses)
-	line("nobody acts while a duty changes hands", r.Gaps)
-	line("a trigger is fired after its time", r.Fired.Late)
+	line("from propose to in force", r.ProposeLatencies)
+	line("pause in admission for a change", r.AdmissionPauses)
+	line("nobody acts while a duty changes hands", r.TaskGaps)
+	line("a trigger is fired after its time", r.Triggers.Lateness)
 	t.add("")
 	t.add(fmt.Sprintf("%d instances, %.1f s, %d faults; %d changes in force, %d withdrawn, %d calls repeated",
-		r.Instances, r.Seconds, r.Faults, r.InForce, r.Withdrawn, r.Repeats))
+		r.Instances, r.Seconds, r.Faults, r.InForce, r.Withdrawn, r.Retries))
 	t.add(fmt.Sprintf(
 		"%d jobs sent: %d served, %d refused by sessions, %d by rates, %d else, %d failed, %d unanswered",
-		r.Jobs.Sent, r.Jobs.Served, r.Jobs.Policy, r.Jobs.Rates, r.Jobs.Refused, r.Jobs.Failed, r.Jobs.Lost))
-	t.add(fmt.Sprintf("%.0f messages a second between all instances at rest", r.Messages))
+		r.Jobs.Sent, r.Jobs.Served, r.Jobs.RejectedByLease, r.Jobs.RejectedByRate,
+		r.Jobs.RejectedOtherwise, r.Jobs.Failed, r.Jobs.Unanswered))
+	t.add(fmt.Sprintf("%.0f messages a second between all instances at rest", r.MessagesPerSecond))
 	t.add(fmt.Sprintf("%v from the end of the faults until all admitted jobs",
-		r.Back.Round(time.Millisecond)))
-	if r.Believed > 0 {
+		r.RecoveryTime.Round(time.Millisecond)))
+	if r.MembershipRecoveryTime > 0 {
 		t.add(fmt.Sprintf("%v until each believed of each that it is there",
-			r.Believed.Round(time.Millisecond)))
+			r.MembershipRecoveryTime.Round(time.Millisecond)))
 	}
 	t.add(fmt.Sprintf(
 		"%d admissions, %d of accounts (%.0f%% of their rates) and %d acts in duties audited, %d violations",
-		r.Admitted, r.Rated, 100*r.RateUse, r.Acts, len(r.Violations)))
-	if r.Rated > 0 {
+		r.Admitted, r.RatedAdmissions, 100*r.RateUtilization, r.TaskActs, len(r.Violations)))
+	if r.RatedAdmissions > 0 {
 		t.add(fmt.Sprintf("%d accounts, %v at the most between two admissions of one with a line; "+
-			"%d parts of cold workers' budgets audited", r.Accounts, r.RateGap.Round(10*time.Millisecond),
-			r.Parts))
+			"%d parts of cold workers' budgets audited",
+			r.Accounts, r.MaxAdmissionGap.Round(10*time.Millisecond), r.BudgetShares))
 	}
-	if r.Out > 0 {
-		t.add(fmt.Sprintf("%d rolling restarts came to their end, %d instances were taken out", r.Rolls,
-			r.Out))
+	if r.RestartedInstances > 0 {
+		t.add(fmt.Sprintf("%d rolling restarts came to their end, %d instances were taken out",
+			r.RollingRestarts, r.RestartedInstances))
 	}
-	if f := r.Fired; f.Intended > 0 {
+	if f := r.Triggers; f.Intended > 0 {
 		t.add(fmt.Sprintf("%d occurrences intended, %d fired, %d taken over, %d may have run, %d refused, "+
 			"%d failed",
-			f.Intended, f.Begun, f.Adopted, f.MayHave, f.Refused, f.Failed))
+			f.Intended, f.JobsSubmitted, f.Adopted, f.MayHaveRun, f.Rejected, f.Failed))
 	}
 	for _, v := range r.Violations {
 		t.add("  " + v)
 	}
-	for _, v := range r.Last {
+	for _, v := range r.LastEntries {
 		t.add("    " + v)
 	}
 	return t
--- a/internal/verify/faultinjection/rates.go
+++ b/internal/verify/faultinjection/audit_rates.go
@@ -9,10 +9,10 @@
 	"moorstack/internal/cluster/ratelimit"
 )
 
-// rateWords is the section on rates that the rig agrees on: as many accounts as wanted, of small and of
+// rateSection is the section on rates that the rig agrees on: as many accounts as wanted, of small and of
 // larger rates, with and without floors. Every second set has lower ones, so that rates are lowered while
 // slices are out, and raised again.
-func rateWords(accounts, instances, set int) map[string]string {
+func rateSection(accounts, instances, set int) map[string]string {
 	// Triggers without an account go by the default, and all of them may be at one instance: a floor of all
 	// of it would leave that one too little.
 	words := map[string]string{"account": "X-Account", "tick": "50ms", "term": "500ms",
@@ -31,14 +31,14 @@
 	return words
 }
 
-// rated is what an audit of rates has found.
-type rated struct {
-	broken   []string
-	admitted int
-	// use is the part of what the accounts' rates allow that was admitted, from each one's first
+// rateAudit is what an audit of rates has found.
+type rateAudit struct {
+	violations []string
+	admitted   int
+	// utilization is the part of what the accounts' rates allow that was admitted, from each one's first
 	// admission to its last.
-	use float64
-	gap time.Duration // the longest between two admissions of an account that has a line of its own
+	utilization float64
+	maxGap      time.Duration // the longest between two admissions of an account that has a line of its own
 	// accounts is how many were admitted something.
 	accounts int
 }
@@ -48,7 +48,7 @@
 //
 // Instances say by which words on rates they admit. A rate that is changed is another bucket: no instance
 // admits under one configuration after another has under a later one, which auditPolicies looks at.
-func auditRates(all []entry, policies map[uint64]ratelimit.Policy) (r rated) {
+func auditRates(all []auditEntry, policies map[uint64]ratelimit.Policy) (r rateAudit) {
 	type bucket struct {
 		version uint64
 		ratelimit.Key
@@ -62,11 +62,11 @@
 	}
 	runs, latest := map[string]uint64{}, map[string]time.Duration{}
 	levels := map[bucket]*level{}
-	take := func(e entry, b bucket) {
+	take := func(e auditEntry, b bucket) {
 		p, known := policies[b.version]
 		if !known {
-			r.broken = append(r.broken,
-				fmt.Sprintf("%s admits by words on rates that nobody has agreed on", e.who))
+			r.violations = append(r.violations,
+				fmt.Sprintf("%s admits by words on rates that nobody has agreed on", e.instance))
 			return
 		}
 		limit, limited := p.LimitOf(b.Key)
@@ -82,31 +82,34 @@
 		l.jobs = min(limit.Burst, l.jobs+limit.Rate*(e.at-l.at).Seconds()) - 1
 		if l.at = e.at; l.jobs < -1e-6 && !l.wrong {
 			l.wrong = true
-			r.broken = append(r.broken, fmt.Sprintf("account %s: at %v %s admitted job %d, beyond %v a "+
-				"second and %v at once over all instances", b.Key, e.at, e.who, l.n, limit.Rate, limit.Burst))
+			r.violations = append(
+				r.violations,
+				fmt.Sprintf("account %s: at %v %s admitted job %d, beyond %v a "+
+					"second and %v at once over all instances", b.Key, e.at, e.instance, l.n, limit.Rate, limit.Burst),
+			)
 		}
 	}
 	for _, e := range all {
-		switch e.what {
+		switch e.event {
 		case "start":
-			runs[e.who] = 0
+			runs[e.instance] = 0
 		case "rates":
-			runs[e.who], _ = strconv.ParseUint(e.rest, 10, 64)
+			runs[e.instance], _ = strconv.ParseUint(e.args, 10, 64)
 		case "rate":
-			account, rest, err := unquote(e.rest)
+			account, rest, err := unquote(e.args)
 			class, _, err2 := unquote(strings.TrimPrefix(rest, " "))
 			if err != nil || err2 != nil {
-				r.broken = append(r.broken,
-					fmt.Sprintf("%s: %q is no admission of an account", e.who, e.rest))
+				r.violations = append(r.violations,
+					fmt.Sprintf("%s: %q is no admission of an account", e.instance, e.args))
 				continue
 			}
 			r.admitted++
-			if at, ok := latest[account]; ok && policies[runs[e.who]].AccountLimits[account].Rate > 0 {
-				r.gap = max(r.gap, e.at-at)
+			if at, ok := latest[account]; ok && policies[runs[e.instance]].AccountLimits[account].Rate > 0 {
+				r.maxGap = max(r.maxGap, e.at-at)
 			}
 			latest[account] = e.at
-			take(e, bucket{runs[e.who], ratelimit.Key{Account: account}})
-			take(e, bucket{runs[e.who], ratelimit.Key{Account: account, Class: class}})
+			take(e, bucket{runs[e.instance], ratelimit.Key{Account: account}})
+			take(e, bucket{runs[e.instance], ratelimit.Key{Account: account, Class: class}})
 		}
 	}
 	allowed, used := 0.0, 0
@@ -118,7 +121,7 @@
 	}
 	r.accounts = len(latest)
 	if allowed > 0 {
-		r.use = float64(used) / allowed
+		r.utilization = float64(used) / allowed
 	}
 	return r
 }
--- a/internal/verify/faultinjection/triggers.go
+++ b/internal/verify/faultinjection/audit_triggers.go
@@ -16,16 +16,16 @@
 
 var classNames = []string{"trip-quote", "trip-book", "trip-once"}
 
-// triggerWords is the section on triggers that the rig agrees on: of each class, of several paces, some
+// triggerSection is the section on triggers that the rig agrees on: of each class, of several paces, some
 // spread, some that count against an account. None may be passed over, however late it is.
-func triggerWords(o Options) map[string]string {
+func triggerSection(o ClusterOptions) map[string]string {
 	words := map[string]string{"zone": "Europe/Berlin"}
-	if o.Speed > 1 {
+	if o.ClockSpeed > 1 {
 		words["bound"] = "1h" // a reading is some tenths of a second old
 	}
 	for n := range o.Triggers {
 		expr := []string{"* * * * * *", "*/2 * * * * *", "*/3 * * * * *"}[n/3%3]
-		if o.Speed > 1 {
+		if o.ClockSpeed > 1 {
 			expr = []string{"* * * * *", "*/2 * * * *", "30 2 * * *"}[n/3%3]
 		}
 		text := fmt.Sprintf("%s class=%s late=100h cost=2000us fold=both gap=%s", expr, classNames[n%3],
@@ -41,48 +41,48 @@
 	return words
 }
 
-// Fired is what became of triggers' occurrences.
-type Fired struct {
-	Intended int `json:"intended"`
-	Begun    int `json:"begun"` // jobs handed in
-	Adopted  int `json:"taken_over"`
-	MayHave  int `json:"may_have_run"`
-	Refused  int `json:"refused"`
-	Failed   int `json:"failed"`
-	// Late is from the time of an occurrence to when its job was handed in first.
-	Late []time.Duration `json:"late_ns"`
+// TriggerCounts is what became of triggers' occurrences.
+type TriggerCounts struct {
+	Intended      int `json:"intended"`
+	JobsSubmitted int `json:"begun"` // jobs handed in
+	Adopted       int `json:"taken_over"`
+	MayHaveRun    int `json:"may_have_run"`
+	Rejected      int `json:"refused"`
+	Failed        int `json:"failed"`
+	// Lateness is from the time of an occurrence to when its job was handed in first.
+	Lateness []time.Duration `json:"late_ns"`
 }
 
-type fired struct {
-	Fired
-	broken []string
+type triggerAudit struct {
+	TriggerCounts
+	violations []string
 }
 
 // occurrence is what the journals say of one.
 type occurrence struct {
-	number  string
-	at      int64
-	fires   []fire
-	settled string
+	number      string
+	at          int64
+	submissions []submission
+	outcome     string
 }
 
-type fire struct {
-	entry
-	epoch  string
-	repeat bool
-	answer string
+type submission struct {
+	auditEntry
+	sessionEpoch string
+	adopted      bool
+	answer       string
 }
 
-// settled waits until all that was intended before the faults' end has an outcome.
-func (p *play) settled(ctx context.Context, healed time.Duration) {
-	before := p.clock.wall(healed)
-	err := Until(ctx, "waiting for outcomes", func(context.Context) error {
-		all, err := p.journals()
+// awaitOutcomes waits until all that was intended before the faults' end has an outcome.
+func (p *run) awaitOutcomes(ctx context.Context, healed time.Duration) {
+	before := p.trueClock.wall(healed)
+	err := RetryUntil(ctx, "waiting for outcomes", func(context.Context) error {
+		all, err := p.readJournals()
 		if err != nil {
 			return err
 		}
 		for key, o := range p.occurrences(all, func(string, ...any) {}) {
-			if o.settled == "" && o.at*int64(time.Second) < before {
+			if o.outcome == "" && o.at*int64(time.Second) < before {
 				return fmt.Errorf("%s has none", key)
 			}
 		}
@@ -94,7 +94,7 @@
 }
 
 // occurrences reads what the instances have written of triggers.
-func (p *play) occurrences(all []entry, broken func(string, ...any)) map[string]*occurrence {
+func (p *run) occurrences(all []auditEntry, broken func(string, ...any)) map[string]*occurrence {
 	seen := map[string]*occurrence{}
 	of := func(key string) *occurrence {
 		o := seen[key]
@@ -105,22 +105,22 @@
 		return o
 	}
 	for _, e := range all {
-		if e.what != "agreed" && e.what != "fire" && e.what != "answer" {
+		if e.event != "agreed" && e.event != "fire" && e.event != "answer" {
 			continue
 		}
-		what, rest := e.what, e.rest
+		what, rest := e.event, e.args
 		if what == "agreed" {
 			what, rest, _ = strings.Cut(rest, " ")
 		}
 		key, rest, err := unquote(rest)
 		words := strings.Fields(rest)
 		if err != nil || len(words) < 2 {
-			broken("%s: %q is no line on a trigger", e.who, e.rest)
+			broken("%s: %q is no line on a trigger", e.instance, e.args)
 			continue
 		}
 		switch what {
 		case "pass":
-			broken("%s: %s occurrences of %s were passed over", e.who, words[1], key)
+			broken("%s: %s occurrences of %s were passed over", e.instance, words[1], key)
 		case "intend":
 			o := of(key)
 			if o.number != "" && o.number != words[0] {
@@ -130,21 +130,24 @@
 			o.at, _ = strconv.ParseInt(words[1], 10, 64)
 		case "settle":
 			o := of(key)
-			if o.settled != "" && o.settled != words[3] {
-				broken("%s has ended as %s and as %s", key, o.settled, words[3])
+			if o.outcome != "" && o.outcome != words[3] {
+				broken("%s has ended as %s and as %s", key, o.outcome, words[3])
 			}
-			o.settled = words[3]
+			o.outcome = words[3]
 		case "fire":
 			o := of(key)
-			o.fires = append(o.fires, fire{entry: e, epoch: words[1], repeat: words[3] == "true"})
+			o.submissions = append(
+				o.submissions,
+				submission{auditEntry: e, sessionEpoch: words[1], adopted: words[3] == "true"},
+			)
 			if at, _ := strconv.ParseInt(words[2], 10, 64); o.at == 0 {
 				o.at = at
 			}
 		case "answer":
 			o := of(key)
-			for k := len(o.fires) - 1; k >= 0; k-- {
-				if o.fires[k].who == e.who && o.fires[k].answer == "" {
-					o.fires[k].answer = words[1]
+			for k := len(o.submissions) - 1; k >= 0; k-- {
+				if o.submissions[k].instance == e.instance && o.submissions[k].answer == "" {
+					o.submissions[k].answer = words[1]
 					break
 				}
 			}
@@ -155,15 +158,18 @@
 
 // auditTriggers looks for an occurrence that was intended twice, left out, fired without being intended,
 // early, or once more where it may have run and may not be repeated.
-func (p *play) auditTriggers(all []entry) (r fired) {
+func (p *run) auditTriggers(all []auditEntry) (r triggerAudit) {
 	broken := func(format string, args ...any) {
-		if len(r.broken) < 10 {
-			r.broken = append(r.broken, fmt.Sprintf(format, args...))
+		if len(r.violations) < 10 {
+			r.violations = append(r.violations, fmt.Sprintf(format, args...))
 		}
 	}
 	seen := p.occurrences(all, broken)
 	classes := map[string]string{}
-	policy, wrong := schedule.ParsePolicy(triggerWords(p.Options), schedule.KnownNames{Classes: classNames})
+	policy, wrong := schedule.ParsePolicy(
+		triggerSection(p.ClusterOptions),
+		schedule.KnownNames{Classes: classNames},
+	)
 	if len(wrong) > 0 {
 		broken("the rig's own words on triggers: %v", wrong)
 	}
@@ -178,23 +184,26 @@
 			continue
 		}
 		r.Intended++
-		p.auditFires(key, classes[name], o, broken)
-		r.Begun += len(o.fires)
-		for _, f := range o.fires {
-			if f.repeat {
+		p.auditSubmissions(key, classes[name], o, broken)
+		r.JobsSubmitted += len(o.submissions)
+		for _, f := range o.submissions {
+			if f.adopted {
 				r.Adopted++
 			}
 		}
-		if len(o.fires) > 0 && p.Speed <= 1 {
-			r.Late = append(r.Late, time.Duration(p.clock.wall(o.fires[0].at)-o.at*int64(time.Second)))
+		if len(o.submissions) > 0 && p.ClockSpeed <= 1 {
+			r.Lateness = append(
+				r.Lateness,
+				time.Duration(p.trueClock.wall(o.submissions[0].at)-o.at*int64(time.Second)),
+			)
 		}
-		switch o.settled {
+		switch o.outcome {
 		case strconv.Itoa(int(schedule.Failed)):
 			r.Failed++
 		case strconv.Itoa(int(schedule.Rejected)):
-			r.Refused++
+			r.Rejected++
 		case strconv.Itoa(int(schedule.Unknown)):
-			r.MayHave++
+			r.MayHaveRun++
 		}
 	}
 	p.auditComplete(policy, seen, broken)
@@ -204,39 +213,39 @@
 	return r
 }
 
-// auditFires looks at one occurrence's jobs.
-func (p *play) auditFires(key, class string, o *occurrence, broken func(string, ...any)) {
+// auditSubmissions looks at one occurrence's jobs.
+func (p *run) auditSubmissions(key, class string, o *occurrence, broken func(string, ...any)) {
 	ran := 0 // times that it may have
-	for k, f := range o.fires {
-		if early := o.at*int64(time.Second) - p.clock.wall(f.at); early > int64(1500*time.Millisecond) &&
-			p.Speed <= 1 {
-			broken("%s was fired %v early by %s", key, time.Duration(early), f.who)
+	for k, f := range o.submissions {
+		if early := o.at*int64(time.Second) - p.trueClock.wall(f.at); early > int64(1500*time.Millisecond) &&
+			p.ClockSpeed <= 1 {
+			broken("%s was fired %v early by %s", key, time.Duration(early), f.instance)
 		}
 		if f.answer != "busy" {
 			ran++
 		}
 		// Again only where the one before was refused, or by who has taken it over.
-		if k > 0 && !f.repeat && o.fires[k-1].answer != "busy" {
+		if k > 0 && !f.adopted && o.submissions[k-1].answer != "busy" {
 			broken("%s was fired by %s, and again by %s, which had not taken it over", key,
-				o.fires[k-1].who, f.who)
+				o.submissions[k-1].instance, f.instance)
 		}
 	}
-	p.Fleet.mu.Lock()
-	took := p.took[key]
-	p.Fleet.mu.Unlock()
+	p.Cluster.mu.Lock()
+	took := p.executions[key]
+	p.Cluster.mu.Unlock()
 	if class != "trip-quote" && ran > 1 {
 		broken("%s, which may not be repeated, was fired %d times where it may have run", key, ran)
 	}
 	if class == "trip-once" && took > 1 {
 		broken("%s, which may not be repeated, was taken by workers %d times", key, took)
 	}
-	if o.settled == strconv.Itoa(int(schedule.Succeeded)) && took == 0 {
+	if o.outcome == strconv.Itoa(int(schedule.Succeeded)) && took == 0 {
 		broken("%s has ended as done, and no worker has taken it", key)
 	}
 }
 
 // auditComplete looks whether an occurrence was left out: what follows each is what the calendar says.
-func (p *play) auditComplete(policy schedule.Policy, seen map[string]*occurrence, broken func(string,
+func (p *run) auditComplete(policy schedule.Policy, seen map[string]*occurrence, broken func(string,
 	...any)) {
 	plans, err := policy.Recurrences(calendar.NewZoneDB())
 	if err != nil {
@@ -269,7 +278,7 @@
 					o.At,
 					o.LocalTime,
 				)
-			case k+1 == len(list) && ok && o.At < newest-int64(30*max(p.Speed, 1)):
+			case k+1 == len(list) && ok && o.At < newest-int64(30*max(p.ClockSpeed, 1)):
 				broken("%s: %d has not come by %d (%v)", t.Name, o.At, newest, o.LocalTime)
 			}
 		}
--- a/internal/verify/faultinjection/clock.go
+++ b/internal/verify/faultinjection/clock.go
@@ -16,12 +16,12 @@
 	Rate float64 `json:"rate"`
 }
 
-func newClock(o Options) clockFile {
-	begin := o.Clock
+func newClock(o ClusterOptions) clockFile {
+	begin := o.ClockStart
 	if begin.IsZero() {
 		begin = time.Now()
 	}
-	return clockFile{begin.UnixNano(), int64(consensus.BootTime()), o.Speed}
+	return clockFile{begin.UnixNano(), int64(consensus.BootTime()), o.ClockSpeed}
 }
 
 // wall is what a right clock shows, Unix nanoseconds, at a time of the clock that all share.
@@ -30,24 +30,24 @@
 }
 
 // SetClock sets an instance's wall clock so far ahead of the true one.
-func (f *Fleet) SetClock(p *Process, ahead time.Duration) error {
-	c := f.clock
+func (f *Cluster) SetClock(p *Process, ahead time.Duration) error {
+	c := f.trueClock
 	c.Wall += int64(ahead)
 	b, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
 	// Hazard: who reads it in the midst of a write must find the one or the other.
-	path := filepath.Join(f.o.Dir, p.Name+".clock")
+	path := filepath.Join(f.options.Dir, p.Name+".clock")
 	if err := os.WriteFile(path+".new", b, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// taken notes that a worker has taken a job.
-func (f *Fleet) taken(_, key string) {
+// countExecution notes that a worker has taken a job.
+func (f *Cluster) countExecution(_, key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.took[key]++
+	f.executions[key]++
 }
--- a/internal/verify/faultinjection/reach.go
+++ b/internal/verify/faultinjection/group.go
@@ -13,8 +13,8 @@
 	"moorstack/internal/schema"
 )
 
-// Until tries something until it succeeds, for a minute.
-func Until(ctx context.Context, what string, try func(context.Context) error) error {
+// RetryUntil tries something until it succeeds, for a minute.
+func RetryUntil(ctx context.Context, what string, try func(context.Context) error) error {
 	err := errors.New("not tried")
 	for end := time.Now().Add(time.Minute); time.Now().Before(end) && ctx.Err() == nil; {
 		call, stop := context.WithTimeout(ctx, 5*time.Second)
@@ -27,22 +27,22 @@
 	return fmt.Errorf("%s: %w", what, err)
 }
 
-// Form makes a group of all instances.
-func (f *Fleet) Form(ctx context.Context) error {
-	first := f.List[0]
-	if err := Until(ctx, "making a group", func(ctx context.Context) error {
+// FormGroup makes a group of all instances.
+func (f *Cluster) FormGroup(ctx context.Context) error {
+	first := f.Processes[0]
+	if err := RetryUntil(ctx, "making a group", func(ctx context.Context) error {
 		_, err := first.Client.Init(ctx, &schema.InitRequest{}, grpc.WaitForReady(true))
 		return err
 	}); err != nil {
 		return err
 	}
-	for n, p := range f.List[1:] {
-		ops := []*schema.Operation{{Kind: schema.Operation_ADD, Name: p.Name, Address: p.Peers}}
-		if n+1 < f.o.Voters {
+	for n, p := range f.Processes[1:] {
+		ops := []*schema.Operation{{Kind: schema.Operation_ADD, Name: p.Name, Address: p.PeerAddress}}
+		if n+1 < f.options.Voters {
 			ops = append(ops, &schema.Operation{Kind: schema.Operation_PROMOTE, Name: p.Name})
 		}
 		for _, op := range ops {
-			if err := Until(ctx, op.Kind.String()+" "+p.Name, func(ctx context.Context) error {
+			if err := RetryUntil(ctx, op.Kind.String()+" "+p.Name, func(ctx context.Context) error {
 				_, err := first.Client.Operate(ctx, op)
 				return err
 			}); err != nil {
@@ -50,13 +50,13 @@
 			}
 		}
 	}
-	return f.Well(ctx)
+	return f.WaitAdmitting(ctx)
 }
 
-// Well waits until every instance admits jobs.
-func (f *Fleet) Well(ctx context.Context) error {
-	for _, p := range f.List {
-		if err := Until(ctx, "waiting for "+p.Name, func(ctx context.Context) error {
+// WaitAdmitting waits until every instance admits jobs.
+func (f *Cluster) WaitAdmitting(ctx context.Context) error {
+	for _, p := range f.Processes {
+		if err := RetryUntil(ctx, "waiting for "+p.Name, func(ctx context.Context) error {
 			s := p.Status(ctx)
 			if s == nil || !s.Admits {
 				return fmt.Errorf("it admits nothing: %s", s.GetAdmitsNot())
@@ -71,7 +71,7 @@
 
 // Status asks an instance, or gives nil.
 func (p *Process) Status(ctx context.Context) *schema.StatusReply {
-	if !p.Up() {
+	if !p.Running() {
 		return nil
 	}
 	ctx, stop := context.WithTimeout(ctx, time.Second)
@@ -84,12 +84,12 @@
 }
 
 // Leader is the process that leads in the highest term, or nil.
-func (f *Fleet) Leader(ctx context.Context) (*Process, uint64) {
+func (f *Cluster) Leader(ctx context.Context) (*Process, uint64) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var best *Process
 	term := uint64(0)
-	for _, p := range f.List[:f.o.Voters] {
+	for _, p := range f.Processes[:f.options.Voters] {
 		wg.Go(func() {
 			if s := p.Status(ctx); s != nil && s.Role == "leader" {
 				mu.Lock()
@@ -104,9 +104,9 @@
 	return best, term
 }
 
-// Named gives an instance by its name.
-func (f *Fleet) Named(name string) *Process {
-	for _, p := range f.List {
+// ProcessByName gives an instance by its name.
+func (f *Cluster) ProcessByName(name string) *Process {
+	for _, p := range f.Processes {
 		if p.Name == name {
 			return p
 		}
@@ -149,14 +149,14 @@
 	return b
 }
 
-// beliefProbe is how often an instance probes another.
-const beliefProbe = "200ms"
+// probeInterval is how often an instance probes another.
+const probeInterval = "200ms"
 
-// believed waits until each instance believes of each other that it is there: all are, and well. Until looks
+// awaitMembership waits until each instance believes of each other that it is there: all are, and well. Until looks
 // for a minute, far longer than a refutation takes to go round.
-func (p *play) believed(ctx context.Context, healed time.Time) {
-	err := Until(ctx, "what is believed", func(ctx context.Context) error {
-		for _, x := range p.List {
+func (p *run) awaitMembership(ctx context.Context, healed time.Time) {
+	err := RetryUntil(ctx, "what is believed", func(ctx context.Context) error {
+		for _, x := range p.Processes {
 			s := x.Status(ctx)
 			if s == nil {
 				return fmt.Errorf("%s does not answer", x.Name)
@@ -173,5 +173,5 @@
 	if err != nil {
 		p.violate("all is well, and still: %v", err)
 	}
-	p.res.Believed = time.Since(healed)
+	p.result.MembershipRecoveryTime = time.Since(healed)
 }
--- a/internal/verify/faultinjection/link.go
+++ b/internal/verify/faultinjection/links.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// way is how bytes fare from one instance to another, over all connections between the two,
+// pathState is how bytes fare from one instance to another, over all connections between the two,
 // whoever opened them.
-type way struct {
+type pathState struct {
 	cut       bool          // nothing gets through, and nobody is told
 	refuse    bool          // new connections are closed at once
 	delay     time.Duration // of each piece, and up to as much again
@@ -21,46 +21,50 @@
 // Links carries everything between instances. In front of each stands a forwarder, which
 // knows by the source address who calls.
 type Links struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	ways    map[[2]string]way // from, to
-	names   map[netip.Addr]string
-	conns   map[*wire]bool
-	servers []net.Listener
-	closed  bool
+	mu          sync.Mutex
+	changed     *sync.Cond
+	paths       map[[2]string]pathState // from, to
+	names       map[netip.Addr]string
+	connections map[*connection]bool
+	listeners   []net.Listener
+	closed      bool
 }
 
-// wire is a connection that is carried: its two ends, and who has opened it.
-type wire struct {
-	from, to string
-	a, b     net.Conn
-	dead     bool // half-open: what comes is taken and goes nowhere, for good
+// connection is a connection that is carried: its two ends, and who has opened it.
+type connection struct {
+	dialer, acceptor  string
+	inbound, outbound net.Conn
+	halfOpen          bool // half-open: what comes is taken and goes nowhere, for good
 }
 
 // NewLinks makes links without faults.
 func NewLinks() *Links {
-	l := &Links{ways: map[[2]string]way{}, names: map[netip.Addr]string{}, conns: map[*wire]bool{}}
+	l := &Links{
+		paths:       map[[2]string]pathState{},
+		names:       map[netip.Addr]string{},
+		connections: map[*connection]bool{},
+	}
 	l.changed = sync.NewCond(&l.mu)
 	return l
 }
 
-// Front opens the forwarder in front of an instance, which calls from an address of its own,
+// AddForwarder opens the forwarder in front of an instance, which calls from an address of its own,
 // and gives where others reach it.
-func (l *Links) Front(name string, from netip.Addr, listens string) (string, error) {
+func (l *Links) AddForwarder(name string, from netip.Addr, listens string) (string, error) {
 	s, err := net.Listen("tcp", net.JoinHostPort(from.String(), "0"))
 	if err != nil {
 		return "", fmt.Errorf("the forwarder of %s: %w", name, err)
 	}
 	l.mu.Lock()
 	l.names[from] = name
-	l.servers = append(l.servers, s)
+	l.listeners = append(l.listeners, s)
 	l.mu.Unlock()
 	go l.accept(s, name, listens)
 	return s.Addr().String(), nil
 }
 
 // Cut has nothing get through from one instance to another, until Heal.
-func (l *Links) Cut(from, to string) { l.set(from, to, func(w *way) { w.cut = true }) }
+func (l *Links) Cut(from, to string) { l.updatePath(from, to, func(w *pathState) { w.cut = true }) }
 
 func (l *Links) accept(s net.Listener, to, listens string) {
 	for {
@@ -71,7 +75,7 @@
 		at, _ := netip.ParseAddrPort(c.RemoteAddr().String())
 		l.mu.Lock()
 		from := l.names[at.Addr().Unmap()]
-		refused := l.closed || l.ways[[2]string{from, to}].refuse
+		refused := l.closed || l.paths[[2]string{from, to}].refuse
 		l.mu.Unlock()
 		if refused {
 			reset(c)
@@ -83,7 +87,8 @@
 
 func (l *Links) connect(c net.Conn, from, to, listens string) {
 	// A cut way answers no call either.
-	if !l.pass(&wire{from: from, to: to}, from, to) || !l.pass(&wire{from: from, to: to}, to, from) {
+	if !l.awaitPath(&connection{dialer: from, acceptor: to}, from, to) ||
+		!l.awaitPath(&connection{dialer: from, acceptor: to}, to, from) {
 		c.Close()
 		return
 	}
@@ -92,33 +97,33 @@
 		reset(c)
 		return
 	}
-	w := &wire{from: from, to: to, a: c, b: d}
+	w := &connection{dialer: from, acceptor: to, inbound: c, outbound: d}
 	l.mu.Lock()
-	l.conns[w] = true
+	l.connections[w] = true
 	l.mu.Unlock()
-	go l.carry(w, c, d, from, to)
-	go l.carry(w, d, c, to, from)
+	go l.relay(w, c, d, from, to)
+	go l.relay(w, d, c, to, from)
 }
 
-// pass waits until a way is not cut, and says whether it still matters.
-func (l *Links) pass(w *wire, from, to string) bool {
+// awaitPath waits until a way is not cut, and says whether it still matters.
+func (l *Links) awaitPath(w *connection, from, to string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for !l.closed && (w.dead || l.ways[[2]string{from, to}].cut) {
+	for !l.closed && (w.halfOpen || l.paths[[2]string{from, to}].cut) {
 		l.changed.Wait()
 	}
 	return !l.closed
 }
 
-// carry takes bytes from one end to the other. What a cut holds back comes when it ends, as
+// relay takes bytes from one end to the other. What a cut holds back comes when it ends, as
 // with what TCP sends again.
-func (l *Links) carry(w *wire, in, out net.Conn, from, to string) {
+func (l *Links) relay(w *connection, in, out net.Conn, from, to string) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
 			l.mu.Lock()
-			way := l.ways[[2]string{from, to}]
+			way := l.paths[[2]string{from, to}]
 			l.mu.Unlock()
 			if way.delay > 0 {
 				time.Sleep(way.delay + rand.N(way.delay))
@@ -126,7 +131,7 @@
 			if way.bandwidth > 0 {
 				time.Sleep(time.Duration(n) * time.Second / time.Duration(way.bandwidth))
 			}
-			if !l.pass(w, from, to) {
+			if !l.awaitPath(w, from, to) {
 				break
 			}
 			if _, bad := out.Write(buf[:n]); bad != nil {
@@ -137,11 +142,11 @@
 			break
 		}
 	}
-	l.pass(w, from, to) // an end is a message, too
-	w.a.Close()
-	w.b.Close()
+	l.awaitPath(w, from, to) // an end is a message, too
+	w.inbound.Close()
+	w.outbound.Close()
 	l.mu.Lock()
-	delete(l.conns, w)
+	delete(l.connections, w)
 	l.mu.Unlock()
 }
 
@@ -154,27 +159,31 @@
 }
 
 // Set changes how bytes fare from one instance to another.
-func (l *Links) set(from, to string, change func(*way)) {
+func (l *Links) updatePath(from, to string, change func(*pathState)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.ways[[2]string{from, to}]
+	w := l.paths[[2]string{from, to}]
 	change(&w)
-	l.ways[[2]string{from, to}] = w
+	l.paths[[2]string{from, to}] = w
 	l.changed.Broadcast()
 }
 
 // Reset ends all connections between two instances.
-func (l *Links) Reset(a, b string) { l.each(a, b, func(w *wire) { reset(w.a); reset(w.b) }) }
+func (l *Links) Reset(a, b string) {
+	l.eachConnection(a, b, func(w *connection) { reset(w.inbound); reset(w.outbound) })
+}
 
 // HalfOpen has the connections that stand between two instances lead nowhere from now on.
 // New ones do.
-func (l *Links) HalfOpen(a, b string) { l.each(a, b, func(w *wire) { w.dead = true }) }
+func (l *Links) HalfOpen(a, b string) {
+	l.eachConnection(a, b, func(w *connection) { w.halfOpen = true })
+}
 
-func (l *Links) each(a, b string, f func(*wire)) {
+func (l *Links) eachConnection(a, b string, f func(*connection)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for w := range l.conns {
-		if w.from == a && w.to == b || w.from == b && w.to == a {
+	for w := range l.connections {
+		if w.dialer == a && w.acceptor == b || w.dialer == b && w.acceptor == a {
 			f(w)
 		}
 	}
@@ -184,12 +193,12 @@
 func (l *Links) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	clear(l.ways)
-	for w := range l.conns {
-		if w.dead {
-			reset(w.a)
-			reset(w.b)
-			w.dead = false
+	clear(l.paths)
+	for w := range l.connections {
+		if w.halfOpen {
+			reset(w.inbound)
+			reset(w.outbound)
+			w.halfOpen = false
 		}
 	}
 	l.changed.Broadcast()
@@ -200,12 +209,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	for _, s := range l.servers {
+	for _, s := range l.listeners {
 		s.Close()
 	}
-	for w := range l.conns {
-		w.a.Close()
-		w.b.Close()
+	for w := range l.connections {
+		w.inbound.Close()
+		w.outbound.Close()
 	}
 	l.changed.Broadcast()
 }
--- a/internal/verify/faultinjection/rolls.go
+++ b/internal/verify/faultinjection/rolling_restarts.go
@@ -15,13 +15,13 @@
 	"moorstack/internal/schema"
 )
 
-// backWithin is how long an instance that is taken out may take, in the rig, until the conductor halts.
-const backWithin = 15 * time.Second
+// restartTimeout is how long an instance that is taken out may take, in the rig, until the conductor halts.
+const restartTimeout = 15 * time.Second
 
-// plan asks any instance how the rolling restart stands, and who conducts.
-func (p *play) plan(ctx context.Context) (plan rollingrestart.Plan, conductor string, ok bool) {
-	for _, x := range p.List {
-		if !x.Up() {
+// restartPlan asks any instance how the rolling restart stands, and who conducts.
+func (p *run) restartPlan(ctx context.Context) (plan rollingrestart.Plan, conductor string, ok bool) {
+	for _, x := range p.Processes {
+		if !x.Running() {
 			continue
 		}
 		call, stop := context.WithTimeout(ctx, time.Second)
@@ -39,9 +39,9 @@
 	return plan, "", false
 }
 
-// rolls has the instances be taken out one after another, again and again, with wishes in between that
+// restartRepeatedly has the instances be taken out one after another, again and again, with wishes in between that
 // operators have: what is refused changes nothing.
-func (p *play) rolls(ctx context.Context, began time.Time) {
+func (p *run) restartRepeatedly(ctx context.Context, began time.Time) {
 	rng := rand.New(rand.NewPCG(p.Seed, 13))
 	under := false
 	for ctx.Err() == nil {
@@ -49,35 +49,35 @@
 		case <-ctx.Done():
 		case <-time.After(200 * time.Millisecond):
 		}
-		plan, _, ok := p.plan(ctx)
+		plan, _, ok := p.restartPlan(ctx)
 		if !ok {
 			continue
 		}
 		if under && plan.Status == rollingrestart.Done {
 			p.trace(began, "rolling restart: %s", plan.Progress())
 			p.mu.Lock()
-			p.res.Rolls++
+			p.result.RollingRestarts++
 			p.mu.Unlock()
 		}
 		under = plan.Active()
 		op := schema.Operation{
 			Name:     leasedtask.RollingRestartTask,
-			Out:      uint32(p.Rolls),
-			WithinNs: int64(backWithin),
+			Out:      uint32(p.MaxRestarting),
+			WithinNs: int64(restartTimeout),
 		}
 		switch {
 		case !plan.Active():
 			op.Kind = schema.Operation_ROLL
 		case plan.Status != rollingrestart.Rolling:
 			op.Kind = schema.Operation_ROLL_RESUME
-		case p.Wishes && rng.IntN(40) == 0:
+		case p.OperatorCommands && rng.IntN(40) == 0:
 			if op.Kind = schema.Operation_ROLL_STOP; rng.IntN(2) == 0 {
 				op.Kind = schema.Operation_ROLL_UNDO
 			}
 		default:
 			continue
 		}
-		x := p.List[rng.IntN(len(p.List))]
+		x := p.Processes[rng.IntN(len(p.Processes))]
 		call, stop := context.WithTimeout(ctx, time.Second)
 		_, err := x.Client.Operate(call, &op)
 		if stop(); err == nil {
@@ -87,10 +87,10 @@
 	}
 }
 
-// rolled ends rolling restarts: all that were taken out are back.
-func (p *play) rolled(ctx context.Context) {
-	err := Until(ctx, "ending the rolling restart", func(ctx context.Context) error {
-		plan, _, ok := p.plan(ctx)
+// awaitRestartEnd ends rolling restarts: all that were taken out are back.
+func (p *run) awaitRestartEnd(ctx context.Context) {
+	err := RetryUntil(ctx, "ending the rolling restart", func(ctx context.Context) error {
+		plan, _, ok := p.restartPlan(ctx)
 		if !ok {
 			return fmt.Errorf("nobody tells of it")
 		}
@@ -101,7 +101,7 @@
 			}
 		}
 		if plan.Status == rollingrestart.Rolling || plan.Status == rollingrestart.Halted {
-			for _, x := range p.List {
+			for _, x := range p.Processes {
 				_, _ = x.Client.Operate(ctx, &schema.Operation{Kind: schema.Operation_ROLL_STOP,
 					Name: leasedtask.RollingRestartTask})
 			}
@@ -116,80 +116,80 @@
 	}
 }
 
-// auditRolls looks for a moment at which more were out by a rolling restart than its plan allows: from when
+// auditRollingRestarts looks for a moment at which more were out by a rolling restart than its plan allows: from when
 // a process reads that it is to go until a process of that instance admits jobs.
-func auditRolls(all []entry) (broken []string, taken int) {
+func auditRollingRestarts(all []auditEntry) (broken []string, taken int) {
 	out := map[string]bool{}
 	started := map[string]bool{}
 	for _, e := range all {
-		switch e.what {
+		switch e.event {
 		case "out":
-			most, err := strconv.Atoi(e.rest)
-			out[e.who], started[e.who] = true, false
+			most, err := strconv.Atoi(e.args)
+			out[e.instance], started[e.instance] = true, false
 			taken++
 			if err != nil || len(out) > most {
 				broken = append(broken, fmt.Sprintf("%s is taken out at %v, and %d are out, of %s at the "+
-					"most", e.who, e.at, len(out), e.rest))
+					"most", e.instance, e.at, len(out), e.args))
 			}
 		case "start":
-			started[e.who] = true
+			started[e.instance] = true
 		case "open":
-			if started[e.who] {
-				delete(out, e.who)
+			if started[e.instance] {
+				delete(out, e.instance)
 			}
 		}
 	}
 	return broken, taken
 }
 
-// hit is that an instance was killed or made to stand still.
-type hit struct {
-	who string
-	at  time.Duration
+// interruption is that an instance was killed or made to stand still.
+type interruption struct {
+	instance string
+	at       time.Duration
 }
 
-func (f *Fleet) hits(p *Process) {
+func (f *Cluster) recordInterruption(p *Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hit = append(f.hit, hit{p.Name, consensus.BootTime()})
+	f.interruptions = append(f.interruptions, interruption{p.Name, consensus.BootTime()})
 }
 
-func (f *Fleet) lose(id string) {
+func (f *Cluster) recordUnanswered(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lost = append(f.lost, id)
+	f.unansweredJobs = append(f.unansweredJobs, id)
 }
 
-// auditEnds looks for jobs that an instance took and that got no answer though its process ended by wish: by
+// auditShutdowns looks for jobs that an instance took and that got no answer though its process ended by wish: by
 // a rolling restart, or asked to.
-func (f *Fleet) auditEnds(all []entry) (broken []string) {
+func (f *Cluster) auditShutdowns(all []auditEntry) (broken []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	lost := map[string]bool{}
-	for _, id := range f.lost {
+	for _, id := range f.unansweredJobs {
 		lost[id] = true
 	}
 	taken := map[string]map[string]time.Duration{} // by instance and job: when
 	for _, e := range all {
-		switch words := strings.Fields(e.rest); e.what {
+		switch words := strings.Fields(e.args); e.event {
 		case "admit":
 			if id := words[len(words)-1]; lost[id] {
-				if taken[e.who] == nil {
-					taken[e.who] = map[string]time.Duration{}
+				if taken[e.instance] == nil {
+					taken[e.instance] = map[string]time.Duration{}
 				}
-				taken[e.who][id] = e.at
+				taken[e.instance][id] = e.at
 			}
 		case "start":
-			for id, at := range taken[e.who] {
-				struck := slices.ContainsFunc(f.hit, func(h hit) bool {
-					return h.who == e.who && h.at > at-clientsTime && h.at <= e.at
+			for id, at := range taken[e.instance] {
+				struck := slices.ContainsFunc(f.interruptions, func(h interruption) bool {
+					return h.instance == e.instance && h.at > at-clientTimeout && h.at <= e.at
 				})
-				if !struck && e.at-at < clientsTime {
+				if !struck && e.at-at < clientTimeout {
 					broken = append(broken, fmt.Sprintf("job %s was admitted by %s at %v and has no answer: "+
-						"the process ended by wish, and another began at %v", id, e.who, at, e.at))
+						"the process ended by wish, and another began at %v", id, e.instance, at, e.at))
 				}
 			}
-			delete(taken, e.who)
+			delete(taken, e.instance)
 		}
 	}
 	return broken
--- a/internal/verify/faultinjection/run.go
+++ b/internal/verify/faultinjection/run.go
@@ -25,15 +25,15 @@
 	"moorstack/internal/schema"
 )
 
-// Play is what a story is played with.
-type Play struct {
-	Options
-	Story   []Fault
-	For     time.Duration // that changes and jobs go on for
-	Changes int           // at the most; 0: as many as there is time for
-	Trace   io.Writer     // each fault and change, a line; nil: none
-	// Progress is told how far it has come.
-	Progress func(at time.Duration, r *Result)
+// RunOptions is what a story is played with.
+type RunOptions struct {
+	ClusterOptions
+	Schedule   []Fault
+	Duration   time.Duration // that changes and jobs go on for
+	MaxChanges int           // at the most; 0: as many as there is time for
+	Trace      io.Writer     // each fault and change, a line; nil: none
+	// OnProgress is told how far it has come.
+	OnProgress func(at time.Duration, r *Result)
 }
 
 // Result is what was measured and found.
@@ -43,72 +43,72 @@
 	Faults    int     `json:"faults"`
 	InForce   int     `json:"in_force"`
 	Withdrawn int     `json:"withdrawn"`
-	Repeats   int     `json:"repeats"` // calls made again under the same id
+	Retries   int     `json:"repeats"` // calls made again under the same id
 	// from propose to in force, of those whose first call was answered
-	Took   []time.Duration `json:"took_ns"`
-	Pauses []time.Duration `json:"pauses_ns"` // in which an instance admitted nothing for a change
+	ProposeLatencies []time.Duration `json:"took_ns"`
+	AdmissionPauses  []time.Duration `json:"pauses_ns"` // in which an instance admitted nothing for a change
 	// from the last fault's end until all admitted jobs again
-	Back time.Duration `json:"back_ns"`
+	RecoveryTime time.Duration `json:"back_ns"`
 	// from the last fault's end until each instance believes of each other that it is there
-	Believed time.Duration `json:"believed_ns"`
-	Messages float64       `json:"messages_a_s"` // between all instances, while nothing happened
-	Admitted int           `json:"admitted"`
-	Acts     int           `json:"acts"`  // in duties
-	Rated    int           `json:"rated"` // admissions of accounts whose rate is kept
-	// RateUse is the part of what the accounts' rates allow that was admitted.
-	RateUse float64 `json:"rate_use"`
-	// RateGap is the longest time between two admissions of an account that has a line of its own.
-	RateGap  time.Duration `json:"rate_gap_ns"`
-	Accounts int           `json:"accounts"` // that were admitted something
-	Parts    int           `json:"parts"`    // of cold workers' budgets, each held for a while
-	Fired    Fired         `json:"fired"`
-	Rolls    int           `json:"rolls"` // rolling restarts that came to their end
-	Out      int           `json:"out"`   // instances that they took out
+	MembershipRecoveryTime time.Duration `json:"believed_ns"`
+	MessagesPerSecond      float64       `json:"messages_a_s"` // between all instances, while nothing happened
+	Admitted               int           `json:"admitted"`
+	TaskActs               int           `json:"acts"`  // in duties
+	RatedAdmissions        int           `json:"rated"` // admissions of accounts whose rate is kept
+	// RateUtilization is the part of what the accounts' rates allow that was admitted.
+	RateUtilization float64 `json:"rate_use"`
+	// MaxAdmissionGap is the longest time between two admissions of an account that has a line of its own.
+	MaxAdmissionGap    time.Duration `json:"rate_gap_ns"`
+	Accounts           int           `json:"accounts"` // that were admitted something
+	BudgetShares       int           `json:"parts"`    // of cold workers' budgets, each held for a while
+	Triggers           TriggerCounts `json:"fired"`
+	RollingRestarts    int           `json:"rolls"` // rolling restarts that came to their end
+	RestartedInstances int           `json:"out"`   // instances that they took out
 	// in which nobody acted in a duty that went from one to another
-	Gaps       []time.Duration `json:"gaps_ns"`
-	Jobs       Jobs            `json:"jobs"`
-	Violations []string        `json:"violations,omitempty"`
-	Last       []string        `json:"last,omitempty"` // what the instances did last before what broke
+	TaskGaps    []time.Duration `json:"gaps_ns"`
+	Jobs        JobCounts       `json:"jobs"`
+	Violations  []string        `json:"violations,omitempty"`
+	LastEntries []string        `json:"last,omitempty"` // what the instances did last before what broke
 }
 
-type play struct {
-	Play
-	*Fleet
-	mu    sync.Mutex
-	res   Result
-	acked map[string]uint64
-	ended map[string]bool // changes that were withdrawn
-	rng   *rand.Rand
-	rates map[uint64]ratelimit.Policy // that were proposed, by their versions
-	asked string                      // whom the client has asked last
+type run struct {
+	RunOptions
+	*Cluster
+	mu            sync.Mutex
+	result        Result
+	acknowledged  map[string]uint64
+	withdrawn     map[string]bool // changes that were withdrawn
+	rng           *rand.Rand
+	proposedRates map[uint64]ratelimit.Policy // that were proposed, by their versions
+	lastProposer  string                      // whom the client has asked last
 }
 
 // Run plays a story round real processes and audits it.
-func Run(ctx context.Context, o Play) (*Result, error) {
-	f, err := New(o.Options)
+func Run(ctx context.Context, o RunOptions) (*Result, error) {
+	f, err := StartCluster(o.ClusterOptions)
 	if err != nil {
 		return nil, err
 	}
-	defer f.End()
-	p := &play{Play: o, Fleet: f, acked: map[string]uint64{}, ended: map[string]bool{},
-		rng: rand.New(rand.NewPCG(o.Seed, 11)), rates: map[uint64]ratelimit.Policy{}}
-	p.res.Instances = o.Instances
-	if err := f.Form(ctx); err != nil {
+	defer f.Close()
+	p := &run{RunOptions: o, Cluster: f, acknowledged: map[string]uint64{}, withdrawn: map[string]bool{},
+		rng: rand.New(rand.NewPCG(o.Seed, 11)), proposedRates: map[uint64]ratelimit.Policy{}}
+	p.result.Instances = o.Instances
+	if err := f.FormGroup(ctx); err != nil {
 		return nil, err
 	}
-	if err := p.rest(ctx); err != nil {
+	if err := p.measureIdleMessages(ctx); err != nil {
 		return nil, err
 	}
-	if err := p.play(ctx); err != nil {
+	if err := p.execute(ctx); err != nil {
 		return nil, err
 	}
-	return &p.res, p.audit(ctx)
+	return &p.result, p.audit(ctx)
 }
 
-// rest counts the messages between instances while nothing happens.
-func (p *play) rest(ctx context.Context) error {
+// measureIdleMessages counts the messages between instances while nothing happens.
+func (p *run) measureIdleMessages(ctx context.Context) error {
 	count := func() (n uint64, err error) {
-		for _, x := range p.List {
+		for _, x := range p.Processes {
 			s := x.Status(ctx)
 			if s == nil {
 				return 0, fmt.Errorf("%s does not answer though nothing happens", x.Name)
@@ -128,11 +128,11 @@
 	case <-time.After(time.Second):
 	}
 	after, err := count()
-	p.res.Messages = float64(after-before) / time.Since(began).Seconds()
+	p.result.MessagesPerSecond = float64(after-before) / time.Since(began).Seconds()
 	return err
 }
 
-func (p *play) trace(began time.Time, format string, args ...any) {
+func (p *run) trace(began time.Time, format string, args ...any) {
 	if p.Trace != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -140,70 +140,70 @@
 	}
 }
 
-func (p *play) play(ctx context.Context) error {
+func (p *run) execute(ctx context.Context) error {
 	began := time.Now()
 	jobs, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
-	if p.Rate > 0 {
-		for _, x := range p.List {
-			load.Go(func() { p.jobs(jobs, x, &p.res.Jobs, &p.mu) })
+	if p.JobsPerSecond > 0 {
+		for _, x := range p.Processes {
+			load.Go(func() { p.sendJobs(jobs, x, &p.result.Jobs, &p.mu) })
 		}
 	}
 	var story sync.WaitGroup
 	telling, ended := context.WithCancel(ctx)
 	defer ended()
-	story.Go(func() { p.tell(telling, began) })
-	if p.Rolls > 0 {
-		story.Go(func() { p.rolls(telling, began) })
+	story.Go(func() { p.injectFaults(telling, began) })
+	if p.MaxRestarting > 0 {
+		story.Go(func() { p.restartRepeatedly(telling, began) })
 	}
-	err := p.changes(ctx, began)
+	err := p.makeChanges(ctx, began)
 	ended()
 	story.Wait()
 	healed, healedAt := time.Now(), consensus.BootTime()
 	p.Links.Heal()
-	for _, x := range p.List {
-		p.Stall(x, false)
-		err = errors.Join(err, p.Start(x), p.SetClock(x, 0))
+	for _, x := range p.Processes {
+		p.SetStalled(x, false)
+		err = errors.Join(err, p.StartProcess(x), p.SetClock(x, 0))
 	}
 	if err == nil {
-		if err := p.Well(ctx); err != nil {
+		if err := p.WaitAdmitting(ctx); err != nil {
 			p.violate("all is well, and still: %v", err)
 		}
 	}
-	p.res.Back = time.Since(healed)
-	if err == nil && p.Rolls > 0 {
-		p.rolled(ctx)
+	p.result.RecoveryTime = time.Since(healed)
+	if err == nil && p.MaxRestarting > 0 {
+		p.awaitRestartEnd(ctx)
 	}
-	if err == nil && p.res.InForce > 0 && p.Renewed() {
-		p.believed(ctx, healed)
+	if err == nil && p.result.InForce > 0 && p.AllUpgraded() {
+		p.awaitMembership(ctx, healed)
 	}
 	if err == nil && p.Triggers > 0 {
-		p.settled(ctx, healedAt)
+		p.awaitOutcomes(ctx, healedAt)
 	}
 	stop()
 	load.Wait()
-	p.res.Seconds = time.Since(began).Seconds()
+	p.result.Seconds = time.Since(began).Seconds()
 	return err
 }
 
-func (p *play) violate(format string, args ...any) {
+func (p *run) violate(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.res.Violations) < 20 {
-		p.res.Violations = append(p.res.Violations, fmt.Sprintf(format, args...))
+	if len(p.result.Violations) < 20 {
+		p.result.Violations = append(p.result.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// changes makes changes one after another, each through an instance at random, until the time
+// makeChanges makes changes one after another, each through an instance at random, until the time
 // is up, and repeats what has no answer under the same id.
-func (p *play) changes(ctx context.Context, began time.Time) error {
-	for n := 0; time.Since(began) < p.For && (p.Changes == 0 || n < p.Changes); n++ {
-		if err := p.change(ctx, began, n); err != nil {
+func (p *run) makeChanges(ctx context.Context, began time.Time) error {
+	for n := 0; time.Since(began) < p.Duration && (p.MaxChanges == 0 || n < p.MaxChanges); n++ {
+		if err := p.makeChange(ctx, began, n); err != nil {
 			return err
 		}
-		if p.Progress != nil {
+		if p.OnProgress != nil {
 			p.mu.Lock()
-			p.Progress(time.Since(began), &p.res)
+			p.OnProgress(time.Since(began), &p.result)
 			p.mu.Unlock()
 		}
 		select {
@@ -215,29 +215,29 @@
 	return nil
 }
 
-func (p *play) change(ctx context.Context, began time.Time, n int) error {
+func (p *run) makeChange(ctx context.Context, began time.Time, n int) error {
 	id := fmt.Sprintf("change-%d", n)
 	var base uint64
 	var doc *clusterstate.Document
 	at := time.Now()
 	// A change may wait as long as the story lasts: then all is well, and it must be decided.
 	for try := 0; ; try++ {
-		if time.Since(at) > p.For+2*time.Minute {
+		if time.Since(at) > p.Duration+2*time.Minute {
 			return fmt.Errorf("%s: not decided after %v", id, time.Since(at).Round(time.Second))
 		}
 		if try > 0 {
-			p.res.Repeats++
+			p.result.Retries++
 			time.Sleep(20 * time.Millisecond)
-			if time.Since(began) > p.For {
-				p.heal()
+			if time.Since(began) > p.Duration {
+				p.endFaults()
 			}
 		}
-		x := p.List[p.rng.IntN(len(p.List))]
-		if !x.Up() {
+		x := p.Processes[p.rng.IntN(len(p.Processes))]
+		if !x.Running() {
 			continue
 		}
 		p.mu.Lock()
-		p.asked = x.Name
+		p.lastProposer = x.Name
 		p.mu.Unlock()
 		call, stop := context.WithTimeout(ctx, 4*time.Second)
 		if doc == nil {
@@ -254,34 +254,34 @@
 			if doc.Sections == nil {
 				doc.Sections = map[string]map[string]string{}
 			}
-			if p.Drills > 0 {
-				doc.Sections[leasedtask.Section] = map[string]string{"drill": strconv.Itoa(p.Drills)}
+			if p.DrillTasks > 0 {
+				doc.Sections[leasedtask.Section] = map[string]string{"drill": strconv.Itoa(p.DrillTasks)}
 			}
-			if p.Rolls > 0 {
+			if p.MaxRestarting > 0 {
 				words := map[string]string{"roll": "on"}
 				maps.Copy(words, doc.Sections[leasedtask.Section])
 				doc.Sections[leasedtask.Section] = words
 			}
 			if p.Accounts > 0 {
-				words := rateWords(p.Accounts, p.Instances, n/30)
+				words := rateSection(p.Accounts, p.Instances, n/30)
 				doc.Sections[ratelimit.Section] = words
 				policy, wrong := ratelimit.ParsePolicy(words, classNames)
 				if len(wrong) > 0 {
 					stop()
 					return fmt.Errorf("the rig's own words on rates: %v", wrong)
 				}
-				p.rates[policy.Version] = policy
+				p.proposedRates[policy.Version] = policy
 			}
-			if p.Renewed() {
+			if p.AllUpgraded() {
 				doc.Sections[placement.Section] = map[string]string{"cold_parts": "group"}
-				doc.Sections[membership.Section] = map[string]string{"probe": beliefProbe}
+				doc.Sections[membership.Section] = map[string]string{"probe": probeInterval}
 				// Every twenty changes some of what is owned goes elsewhere, with everybody well.
 				if delete(doc.Sections, weights.Section); n/20%2 == 1 {
 					doc.Sections[weights.Section] = map[string]string{"weight.n1": "2.5", "weight.n2": "0.5"}
 				}
 			}
-			if p.Triggers > 0 && p.Renewed() {
-				doc.Sections[schedule.Section] = triggerWords(p.Options)
+			if p.Triggers > 0 && p.AllUpgraded() {
+				doc.Sections[schedule.Section] = triggerSection(p.ClusterOptions)
 			}
 			at = time.Now()
 			try = 0
@@ -294,24 +294,24 @@
 		switch r.Code {
 		case schema.ProposeReply_ACCEPTED:
 			if try == 0 {
-				p.res.Took = append(p.res.Took, time.Since(at))
+				p.result.ProposeLatencies = append(p.result.ProposeLatencies, time.Since(at))
 			}
 			p.trace(began, "%s is in force as revision %d, after %v", id, r.Revision, time.Since(at))
-			p.acked[id] = r.Revision
-			p.res.InForce++
+			p.acknowledged[id] = r.Revision
+			p.result.InForce++
 			return nil
 		case schema.ProposeReply_WITHDRAWN:
 			p.trace(began, "%s is withdrawn: %v", id, r.Problems)
-			p.ended[id] = true
-			p.res.Withdrawn++
+			p.withdrawn[id] = true
+			p.result.Withdrawn++
 			return nil
 		case schema.ProposeReply_INVALID:
-			if p.Older == "" || !strings.Contains(strings.Join(r.Problems, " "), "renew it first") {
+			if p.OlderProgram == "" || !strings.Contains(strings.Join(r.Problems, " "), "renew it first") {
 				return fmt.Errorf("%s: %v: %v", id, r.Code, r.Problems)
 			}
 			// All have been renewed, and the group does not know so yet: without its triggers, for now.
 			p.trace(began, "%s is refused: %v", id, r.Problems)
-			p.ended[id] = true
+			p.withdrawn[id] = true
 			return nil
 		case schema.ProposeReply_NO_LEADER, schema.ProposeReply_UNKNOWN:
 		default:
@@ -321,25 +321,25 @@
 	}
 }
 
-// heal ends what a story has left.
-func (p *play) heal() {
+// endFaults ends what a story has left.
+func (p *run) endFaults() {
 	p.Links.Heal()
-	for _, x := range p.List {
-		p.Stall(x, false)
-		_ = p.Start(x)
+	for _, x := range p.Processes {
+		p.SetStalled(x, false)
+		_ = p.StartProcess(x)
 	}
 }
 
 // audit looks at every change at every instance, and at what all of them did.
-func (p *play) audit(ctx context.Context) error {
+func (p *run) audit(ctx context.Context) error {
 	last := uint64(1)
-	for _, rev := range p.acked {
+	for _, rev := range p.acknowledged {
 		last = max(last, rev)
 	}
 	var first []byte
-	for _, x := range p.List {
+	for _, x := range p.Processes {
 		var h *schema.HistoryReply
-		if err := Until(ctx, "the history at "+x.Name, func(ctx context.Context) error {
+		if err := RetryUntil(ctx, "the history at "+x.Name, func(ctx context.Context) error {
 			if _, err := x.Client.GetConfig(ctx, &schema.GetConfigRequest{}); err != nil { // a barrier
 				return err
 			}
@@ -359,12 +359,12 @@
 			seen[r.Id] = r.Revision
 			fmt.Fprintln(&text, r.Revision, r.Id, r.AtMs, r.ForceMs)
 		}
-		for id, rev := range p.acked {
+		for id, rev := range p.acknowledged {
 			if rev >= h.Oldest && seen[id] != rev {
 				p.violate("%s: change %s was in force as revision %d and is %d", x.Name, id, rev, seen[id])
 			}
 		}
-		for id := range p.ended {
+		for id := range p.withdrawn {
 			if seen[id] != 0 {
 				p.violate("%s: change %s was withdrawn and is revision %d", x.Name, id, seen[id])
 			}
@@ -376,55 +376,58 @@
 			first = text.Bytes()
 		}
 		if !bytes.Equal(first, text.Bytes()) {
-			p.violate("%s has another history than %s", x.Name, p.List[0].Name)
+			p.violate("%s has another history than %s", x.Name, p.Processes[0].Name)
 		}
 	}
-	all, err := p.journals()
+	all, err := p.readJournals()
 	if err != nil {
 		return err
 	}
 	broken, admitted := auditPolicies(all)
-	p.res.Admitted, p.res.Pauses = admitted, pauses(all)
-	acted, acts, gaps := auditDuties(all)
-	p.res.Acts, p.res.Gaps = acts, gaps
-	rated := auditRates(all, p.rates)
-	p.res.Rated, p.res.RateUse = rated.admitted, rated.use
-	p.res.RateGap, p.res.Accounts = rated.gap, rated.accounts
-	shared, parts := auditParts(all)
-	p.res.Parts = parts
-	rolls, out := auditRolls(all)
-	p.res.Out = out
-	if p.Rolls > 0 && out == 0 {
+	p.result.Admitted, p.result.AdmissionPauses = admitted, admissionPauses(all)
+	acted, acts, gaps := auditTasks(all)
+	p.result.TaskActs, p.result.TaskGaps = acts, gaps
+	rated := auditRates(all, p.proposedRates)
+	p.result.RatedAdmissions, p.result.RateUtilization = rated.admitted, rated.utilization
+	p.result.MaxAdmissionGap, p.result.Accounts = rated.maxGap, rated.accounts
+	shared, parts := auditBudgetShares(all)
+	p.result.BudgetShares = parts
+	rolls, out := auditRollingRestarts(all)
+	p.result.RestartedInstances = out
+	if p.MaxRestarting > 0 && out == 0 {
 		p.violate("no instance was taken out by a rolling restart: there was nothing to audit")
 	}
-	var fired fired
+	var fired triggerAudit
 	if p.Triggers > 0 {
 		fired = p.auditTriggers(all)
-		p.res.Fired = fired.Fired
+		p.result.Triggers = fired.TriggerCounts
 	}
-	ends := p.auditEnds(all)
-	for _, b := range slices.Concat(broken, acted, rated.broken, shared, fired.broken, rolls, ends) {
+	ends := p.auditShutdowns(all)
+	for _, b := range slices.Concat(broken, acted, rated.violations, shared, fired.violations, rolls, ends) {
 		p.violate("%s", b)
 	}
-	if p.Accounts > 0 && p.Rate > 0 && rated.admitted == 0 {
+	if p.Accounts > 0 && p.JobsPerSecond > 0 && rated.admitted == 0 {
 		p.violate("no account's job was admitted: there was nothing to audit")
 	}
-	if p.Drills > 0 && acts == 0 {
+	if p.DrillTasks > 0 && acts == 0 {
 		p.violate("nobody acted in a duty: there was nothing to audit")
 	}
-	j := p.res.Jobs
-	if j.Unsaid > 0 {
-		p.violate("%d refusals did not say when to come back", j.Unsaid)
+	j := p.result.Jobs
+	if j.WithoutRetryAfter > 0 {
+		p.violate("%d refusals did not say when to come back", j.WithoutRetryAfter)
 	}
-	if j.Unstated > 0 {
-		p.violate("%d answers are of no kind that the protocol has", j.Unstated)
+	if j.UnknownStatus > 0 {
+		p.violate("%d answers are of no kind that the protocol has", j.UnknownStatus)
 	}
-	if p.Rate > 0 && p.res.Admitted == 0 {
+	if p.JobsPerSecond > 0 && p.result.Admitted == 0 {
 		p.violate("no job was admitted: there was nothing to audit")
 	}
-	if len(p.res.Violations) > 0 {
+	if len(p.result.Violations) > 0 {
 		for _, e := range all[max(0, len(all)-30):] {
-			p.res.Last = append(p.res.Last, fmt.Sprintf("%v %s %s %s", e.at, e.who, e.what, e.rest))
+			p.result.LastEntries = append(
+				p.result.LastEntries,
+				fmt.Sprintf("%v %s %s %s", e.at, e.instance, e.event, e.args),
+			)
 		}
 	}
 	return nil
--- a/internal/verify/faultinjection/story.go
+++ b/internal/verify/faultinjection/schedule.go
@@ -14,18 +14,18 @@
 
 // Fault is a line of a story: when, what, whom.
 type Fault struct {
-	At   time.Duration
-	Step string // from At on it waits for this step of a change; empty: it comes at once
-	Of   string // whose step; empty: anybody's
-	Kind string
-	Who  []string
-	For  time.Duration // of a stall, or of a delay's length
-	Rate int           // bytes a second
-	Line int           // in the file; 0: drawn
+	At             time.Duration
+	Step           string // from At on it waits for this step of a change; empty: it comes at once
+	StepInstance   string // whose step; empty: anybody's
+	Kind           string
+	Targets        []string
+	Duration       time.Duration // of a stall, or of a delay's length
+	BytesPerSecond int           // bytes a second
+	Line           int           // in the file; 0: drawn
 }
 
-// shapes are the faults that there are: how many instances each names, and what it has beside.
-var shapes = map[string]struct {
+// faultKinds are the faults that there are: how many instances each names, and what it has beside.
+var faultKinds = map[string]struct {
 	who  int
 	span bool
 	rate bool
@@ -63,11 +63,11 @@
 
 // Who may be named beside the instances.
 const (
-	Leader = "leader" // whoever leads when the fault comes
-	It     = "it"     // whose step it was that the fault waited for
-	Asked  = "asked"  // whom the client has asked for a change, last
-	// Conductor is whoever takes the instances out (see --rolls).
-	Conductor = "conductor"
+	TargetLeader       = "leader" // whoever leads when the fault comes
+	TargetStepInstance = "it"     // whose step it was that the fault waited for
+	TargetProposer     = "asked"  // whom the client has asked for a change, last
+	// TargetRestartController is whoever takes the instances out (see --rolls).
+	TargetRestartController = "conductor"
 )
 
 // steps are those of a change's life, or of a duty's work, that a fault may wait for, with what the journals
@@ -83,34 +83,34 @@
 	"switched": {"run", "it has learned that the change is in force, and runs it"},
 }
 
-// ofChanges are the steps of a change, in their order.
-var ofChanges = []string{"proposed", "staged", "ceased", "switched"}
+// changeSteps are the steps of a change, in their order.
+var changeSteps = []string{"proposed", "staged", "ceased", "switched"}
 
 // String implements fmt.Stringer.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%8.3fs  ", f.At.Seconds())
 	if f.Step != "" {
 		s += "@" + f.Step
-		if f.Of != "" {
-			s += ":" + f.Of
+		if f.StepInstance != "" {
+			s += ":" + f.StepInstance
 		}
 		s += " "
 	}
 	s += fmt.Sprintf("%-9s", f.Kind)
-	if len(f.Who) > 0 {
-		s += " " + strings.Join(f.Who, " ")
+	if len(f.Targets) > 0 {
+		s += " " + strings.Join(f.Targets, " ")
 	}
-	if f.For > 0 {
-		s += " " + f.For.String()
+	if f.Duration > 0 {
+		s += " " + f.Duration.String()
 	}
-	if f.Rate > 0 {
-		s += fmt.Sprintf(" %d", f.Rate)
+	if f.BytesPerSecond > 0 {
+		s += fmt.Sprintf(" %d", f.BytesPerSecond)
 	}
 	return s
 }
 
-// WriteStory gives the text that ReadStory reads.
-func WriteStory(faults []Fault) []byte {
+// FormatSchedule gives the text that ReadStory reads.
+func FormatSchedule(faults []Fault) []byte {
 	var b bytes.Buffer
 	fmt.Fprintln(&b, "# when, what, whom. \"moorstack prove cluster --help\" lists the faults.")
 	for _, f := range faults {
@@ -119,9 +119,9 @@
 	return b.Bytes()
 }
 
-// ReadStory reads a story for instances of these names. What makes no sense is an error that
+// ParseSchedule reads a story for instances of these names. What makes no sense is an error that
 // names its line.
-func ReadStory(path string, raw []byte, names []string) ([]Fault, error) {
+func ParseSchedule(path string, raw []byte, names []string) ([]Fault, error) {
 	var list []Fault
 	sc := bufio.NewScanner(bytes.NewReader(raw))
 	for n := 1; sc.Scan(); n++ {
@@ -152,24 +152,33 @@
 	}
 	words = words[1:]
 	if step, ok := strings.CutPrefix(words[0], "@"); ok {
-		f.Step, f.Of, _ = strings.Cut(step, ":")
+		f.Step, f.StepInstance, _ = strings.Cut(step, ":")
 		if _, ok := steps[f.Step]; !ok {
 			return f, fmt.Errorf("@%s: no change or duty has such a step; %s are", f.Step, strings.Join(
 				slices.Sorted(maps.Keys(steps)), ", "))
 		}
-		if f.Of != "" && !slices.Contains(names, f.Of) {
-			return f, fmt.Errorf("@%s: there is no instance %q; %s to %s are", f.Step, f.Of, names[0],
-				names[len(names)-1])
+		if f.StepInstance != "" && !slices.Contains(names, f.StepInstance) {
+			return f, fmt.Errorf(
+				"@%s: there is no instance %q; %s to %s are",
+				f.Step,
+				f.StepInstance,
+				names[0],
+				names[len(names)-1],
+			)
 		}
 		if words = words[1:]; len(words) == 0 {
 			return f, fmt.Errorf("a fault must follow the step")
 		}
 	}
 	f.Kind = words[0]
-	shape, ok := shapes[f.Kind]
+	shape, ok := faultKinds[f.Kind]
 	if !ok {
-		return f, fmt.Errorf("%q is no fault; %s are", f.Kind, strings.Join(slices.Sorted(maps.Keys(shapes)),
-			", "))
+		return f, fmt.Errorf(
+			"%q is no fault; %s are",
+			f.Kind,
+			strings.Join(slices.Sorted(maps.Keys(faultKinds)),
+				", "),
+		)
 	}
 	rest := words[1:]
 	want := shape.who
@@ -179,37 +188,53 @@
 	if len(rest) != want {
 		return f, fmt.Errorf("%s: %d words follow, %d are wanted: %s", f.Kind, len(rest), want, shape.says)
 	}
-	f.Who = rest[:shape.who]
-	for i, w := range f.Who {
-		if w == It && f.Step == "" {
-			return f, fmt.Errorf("%s: %q is who has taken a step, and the line waits for none", f.Kind, It)
+	f.Targets = rest[:shape.who]
+	for i, w := range f.Targets {
+		if w == TargetStepInstance && f.Step == "" {
+			return f, fmt.Errorf(
+				"%s: %q is who has taken a step, and the line waits for none",
+				f.Kind,
+				TargetStepInstance,
+			)
 		}
-		if w != Leader && w != It && w != Asked && w != Conductor && !slices.Contains(names, w) {
-			return f, fmt.Errorf("%s: there is no instance %q; %s to %s are, and %s, %s, %s and %s", f.Kind,
-				w, names[0], names[len(names)-1], Leader, It, Asked, Conductor)
+		if w != TargetLeader && w != TargetStepInstance && w != TargetProposer &&
+			w != TargetRestartController &&
+			!slices.Contains(names, w) {
+			return f, fmt.Errorf(
+				"%s: there is no instance %q; %s to %s are, and %s, %s, %s and %s",
+				f.Kind,
+				w,
+				names[0],
+				names[len(names)-1],
+				TargetLeader,
+				TargetStepInstance,
+				TargetProposer,
+				TargetRestartController,
+			)
 		}
-		if slices.Contains(f.Who[:i], w) {
+		if slices.Contains(f.Targets[:i], w) {
 			return f, fmt.Errorf("%s: %s is named twice", f.Kind, w)
 		}
 	}
 	if shape.span {
-		if f.For, err = time.ParseDuration(rest[shape.who]); err != nil || f.For <= 0 || f.For > time.Hour {
+		if f.Duration, err = time.ParseDuration(rest[shape.who]); err != nil || f.Duration <= 0 ||
+			f.Duration > time.Hour {
 			return f, fmt.Errorf("%s: %q is not a time above 0 and up to 1h", f.Kind, rest[shape.who])
 		}
 	}
 	if shape.rate {
-		if f.Rate, err = strconv.Atoi(rest[shape.who]); err != nil || f.Rate < 1 {
+		if f.BytesPerSecond, err = strconv.Atoi(rest[shape.who]); err != nil || f.BytesPerSecond < 1 {
 			return f, fmt.Errorf("%s: %q is not a number of bytes a second", f.Kind, rest[shape.who])
 		}
 	}
 	return f, nil
 }
 
-// Faults describes the faults that a story may have, a line each.
-func Faults() string {
+// FaultHelp describes the faults that a story may have, a line each.
+func FaultHelp() string {
 	var b strings.Builder
-	for _, k := range slices.Sorted(maps.Keys(shapes)) {
-		s := shapes[k]
+	for _, k := range slices.Sorted(maps.Keys(faultKinds)) {
+		s := faultKinds[k]
 		args := []string{"", " A", " A B"}[s.who]
 		if s.span {
 			args += " TIME"
@@ -222,41 +247,46 @@
 	return b.String()
 }
 
-// Steps describes the steps that a fault may wait for, a line each.
-func Steps() string {
+// StepHelp describes the steps that a fault may wait for, a line each.
+func StepHelp() string {
 	var b strings.Builder
-	for _, k := range slices.Concat(ofChanges, []string{"holds", "acts", "gives", "out"}) {
+	for _, k := range slices.Concat(changeSteps, []string{"holds", "acts", "gives", "out"}) {
 		fmt.Fprintf(&b, "  @%-21s %s\n", k, steps[k].says)
 	}
 	return b.String()
 }
 
-// Kills is the story of prove config: whoever leads dies, again and again.
-func Kills(seed uint64, length time.Duration) []Fault {
+// LeaderKillSchedule is the story of prove config: whoever leads dies, again and again.
+func LeaderKillSchedule(seed uint64, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	var list []Fault
 	for at := time.Second; at < length; at += time.Duration(1200+rng.IntN(800)) * time.Millisecond {
-		list = append(list, Fault{At: at, Kind: "restart", Who: []string{Leader},
-			For: time.Duration(100+rng.IntN(900)) * time.Millisecond})
+		list = append(list, Fault{At: at, Kind: "restart", Targets: []string{TargetLeader},
+			Duration: time.Duration(100+rng.IntN(900)) * time.Millisecond})
 	}
 	return list
 }
 
-// Draw makes a story of a seed: faults over a time, each ended some time after.
-func Draw(seed uint64, names []string, length time.Duration) []Fault {
+// DrawSchedule makes a story of a seed: faults over a time, each ended some time after.
+func DrawSchedule(seed uint64, names []string, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	drawn := slices.Sorted(slices.Values(ofChanges))
+	drawn := slices.Sorted(slices.Values(changeSteps))
 	var list []Fault
 	add := func(at time.Duration, kind string, span time.Duration, who ...string) {
-		f := Fault{At: at.Round(time.Millisecond), Kind: kind, Who: who, For: span.Round(time.Millisecond)}
+		f := Fault{
+			At:       at.Round(time.Millisecond),
+			Kind:     kind,
+			Targets:  who,
+			Duration: span.Round(time.Millisecond),
+		}
 		if kind == "slow" {
-			f.Rate = 200 << rng.IntN(8)
+			f.BytesPerSecond = 200 << rng.IntN(8)
 		}
 		list = append(list, f)
 	}
 	one := func() string {
 		if rng.IntN(4) == 0 {
-			return Leader
+			return TargetLeader
 		}
 		return names[rng.IntN(len(names))]
 	}
@@ -270,15 +300,15 @@
 		if k := rng.IntN(5); k < 2 {
 			// At a step of a change.
 			f := Fault{At: at.Round(time.Millisecond), Step: drawn[rng.IntN(len(drawn))], Kind: "stall",
-				Who: []string{[]string{Leader, It, Asked}[rng.IntN(3)]},
-				For: time.Duration(5*(1<<rng.IntN(9))) * time.Millisecond}
+				Targets:  []string{[]string{TargetLeader, TargetStepInstance, TargetProposer}[rng.IntN(3)]},
+				Duration: time.Duration(5*(1<<rng.IntN(9))) * time.Millisecond}
 			f.Kind = []string{"stall", "restart", "restart", "torn", "full", "isolate", "deaf", "mute",
 				"hand-on"}[rng.IntN(9)]
-			if shapes[f.Kind].span {
+			if faultKinds[f.Kind].span {
 				list = append(list, f)
 				continue
 			}
-			f.For = 0
+			f.Duration = 0
 			if list = append(list, f); f.Kind == "hand-on" {
 				continue
 			}
