--- a/internal/verify/faultinjection/audit_budgets.go
+++ b/internal/verify/faultinjection/audit_budgets.go
@@ -16,9 +16,9 @@
 	from, to     time.Duration
 }
 
-// auditBudgetShares looks for a moment at which instances held more than the whole of a cold worker's budget, or
-// two of them the same part. By their own words, each part ends with its instance's lease: also that of one
-// that stood still, and wrote nothing.
+// auditBudgetShares looks for a moment at which instances held more than the whole of a cold worker's
+// budget, or two of them the same part. By their own words, each part ends with its instance's lease: also
+// that of one that stood still, and wrote nothing.
 func auditBudgetShares(all []auditEntry) (broken []string, parts int) {
 	var spans []budgetShare
 	open := map[string]int{} // by instance: its newest span, and one more
--- a/internal/verify/faultinjection/audit_rates.go
+++ b/internal/verify/faultinjection/audit_rates.go
@@ -85,7 +85,8 @@
 			r.violations = append(
 				r.violations,
 				fmt.Sprintf("account %s: at %v %s admitted job %d, beyond %v a "+
-					"second and %v at once over all instances", b.Key, e.at, e.instance, l.n, limit.Rate, limit.Burst),
+					"second and %v at once over all instances", b.Key, e.at, e.instance, l.n, limit.Rate,
+					limit.Burst),
 			)
 		}
 	}
--- a/internal/verify/faultinjection/cluster.go
+++ b/internal/verify/faultinjection/cluster.go
@@ -44,8 +44,8 @@
 	Accounts         int // whose rates are kept over all instances; 0: none
 	UnlistedAccounts int // accounts without a line of their own, to which half of the calls belong
 	Triggers         int // that fire over all of them; 0: none
-	// MaxRestarting is how many instances rolling restarts may have out at once; 0: there are none. With Wishes they
-	// are stopped and undone now and then.
+	// MaxRestarting is how many instances rolling restarts may have out at once; 0: there are none. With
+	// Wishes they are stopped and undone now and then.
 	MaxRestarting    int
 	OperatorCommands bool
 	// ClockStart is what all instances' clocks show at the beginning, and Speed how fast they run; the
@@ -53,7 +53,8 @@
 	ClockStart           time.Time
 	ClockSpeed           float64
 	OldZoneRulesInstance string
-	// OlderProgram is another program, of an earlier version, that all instances run at first; a story renews them.
+	// OlderProgram is another program, of an earlier version, that all instances run at first; a story
+	// renews them.
 	OlderProgram string
 }
 
@@ -135,7 +136,8 @@
 	if err := ca.Write(k, "ca", false); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(f.options.Dir, "platform.json"), f.options.PlatformFile, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(f.options.Dir, "platform.json"), f.options.PlatformFile,
+		0o600); err != nil {
 		return err
 	}
 	// Each instance has an address of its own: by it a forwarder knows who calls.
@@ -228,7 +230,8 @@
 	if err := f.SetClock(p, 0); err != nil {
 		return err
 	}
-	if p.journal, err = newJournal(filepath.Join(f.options.Dir, name+".audit"), name, f.notifyWatchers); err != nil {
+	if p.journal, err = newJournal(filepath.Join(f.options.Dir, name+".audit"), name,
+		f.notifyWatchers); err != nil {
 		return err
 	}
 	p.log, err = os.Create(filepath.Join(f.options.Dir, name+".log"))
@@ -257,7 +260,8 @@
 	p.cmd, p.stalled = cmd, false
 	if p.Client == nil {
 		var err error
-		if p.Client, p.closeClient, err = controlapi.Dial(controlapi.Target{Socket: p.socketPath}); err != nil {
+		if p.Client, p.closeClient,
+			err = controlapi.Dial(controlapi.Target{Socket: p.socketPath}); err != nil {
 			return err
 		}
 	}
--- a/internal/verify/faultinjection/group.go
+++ b/internal/verify/faultinjection/group.go
@@ -152,8 +152,8 @@
 // probeInterval is how often an instance probes another.
 const probeInterval = "200ms"
 
-// awaitMembership waits until each instance believes of each other that it is there: all are, and well. Until looks
-// for a minute, far longer than a refutation takes to go round.
+// awaitMembership waits until each instance believes of each other that it is there: all are, and well.
+// Until looks for a minute, far longer than a refutation takes to go round.
 func (p *run) awaitMembership(ctx context.Context, healed time.Time) {
 	err := RetryUntil(ctx, "what is believed", func(ctx context.Context) error {
 		for _, x := range p.Processes {
--- a/internal/verify/faultinjection/rolling_restarts.go
+++ b/internal/verify/faultinjection/rolling_restarts.go
@@ -39,8 +39,8 @@
 	return plan, "", false
 }
 
-// restartRepeatedly has the instances be taken out one after another, again and again, with wishes in between that
-// operators have: what is refused changes nothing.
+// restartRepeatedly has the instances be taken out one after another, again and again, with wishes in
+// between that operators have: what is refused changes nothing.
 func (p *run) restartRepeatedly(ctx context.Context, began time.Time) {
 	rng := rand.New(rand.NewPCG(p.Seed, 13))
 	under := false
@@ -116,8 +116,8 @@
 	}
 }
 
-// auditRollingRestarts looks for a moment at which more were out by a rolling restart than its plan allows: from when
-// a process reads that it is to go until a process of that instance admits jobs.
+// auditRollingRestarts looks for a moment at which more were out by a rolling restart than its plan allows:
+// from when a process reads that it is to go until a process of that instance admits jobs.
 func auditRollingRestarts(all []auditEntry) (broken []string, taken int) {
 	out := map[string]bool{}
 	started := map[string]bool{}
@@ -160,8 +160,8 @@
 	f.unansweredJobs = append(f.unansweredJobs, id)
 }
 
-// auditShutdowns looks for jobs that an instance took and that got no answer though its process ended by wish: by
-// a rolling restart, or asked to.
+// auditShutdowns looks for jobs that an instance took and that got no answer though its process ended by
+// wish: by a rolling restart, or asked to.
 func (f *Cluster) auditShutdowns(all []auditEntry) (broken []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/verify/faultinjection/run.go
+++ b/internal/verify/faultinjection/run.go
@@ -51,10 +51,11 @@
 	RecoveryTime time.Duration `json:"back_ns"`
 	// from the last fault's end until each instance believes of each other that it is there
 	MembershipRecoveryTime time.Duration `json:"believed_ns"`
-	MessagesPerSecond      float64       `json:"messages_a_s"` // between all instances, while nothing happened
-	Admitted               int           `json:"admitted"`
-	TaskActs               int           `json:"acts"`  // in duties
-	RatedAdmissions        int           `json:"rated"` // admissions of accounts whose rate is kept
+	// between all instances, while nothing happened
+	MessagesPerSecond float64 `json:"messages_a_s"`
+	Admitted          int     `json:"admitted"`
+	TaskActs          int     `json:"acts"`  // in duties
+	RatedAdmissions   int     `json:"rated"` // admissions of accounts whose rate is kept
 	// RateUtilization is the part of what the accounts' rates allow that was admitted.
 	RateUtilization float64 `json:"rate_use"`
 	// MaxAdmissionGap is the longest time between two admissions of an account that has a line of its own.
--- a/internal/verify/faultinjection/schedule_test.go
+++ b/internal/verify/faultinjection/schedule_test.go
@@ -150,7 +150,8 @@
 	if r := auditRates(good, policies); len(r.violations) > 0 || r.admitted != 5 {
 		t.Errorf("%v, %d admissions", r.violations, r.admitted)
 	}
-	for says, bad := range map[string]auditEntry{"x admitted job 4, beyond 10 a second": rate(150, "x", `"a" "c"`),
+	for says, bad := range map[string]auditEntry{"x admitted job 4, beyond 10 a second": rate(150, "x",
+		`"a" "c"`),
 		"is no admission of an account": rate(150, "x", `a c`),
 		"nobody has agreed on":          {0, "y", "rates", "9"}} {
 		list := append(slices.Clone(good), bad, rate(500, "y", `"a" "c"`))
