--- a/cmd/moorstack/call.go
+++ b/cmd/moorstack/call.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 )
 
-// answerBy is how long an answer is waited for; a node owes it within a second.
-const answerBy = 3 * time.Second
+// callTimeout is how long an answer is waited for; a node owes it within a second.
+const callTimeout = 3 * time.Second
 
 func newCall() *cobra.Command {
 	var output string
@@ -35,12 +35,12 @@
 			if output != "table" && output != "json" {
 				return fmt.Errorf("--output: %q is not table or json", output)
 			}
-			answer, err := ask(args[0], strings.Join(args[1:], " "))
+			answer, err := request(args[0], strings.Join(args[1:], " "))
 			if err != nil {
 				return exitError{exitFailed, err}
 			}
 			if figures, ok := strings.CutSuffix(answer, "\n--\n"); ok {
-				return printFigures(cmd.OutOrStdout(), figures, output)
+				return printMetrics(cmd.OutOrStdout(), figures, output)
 			}
 			if strings.HasPrefix(answer, "ACK") {
 				_, err = io.WriteString(cmd.OutOrStdout(), answer)
@@ -53,17 +53,17 @@
 	return cmd
 }
 
-// ask makes a call and gives all of the answer.
-func ask(address, line string) (string, error) {
+// request makes a call and gives all of the answer.
+func request(address, line string) (string, error) {
 	if strings.ContainsAny(line, "\r\n") {
 		return "", errors.New("a call is one line")
 	}
-	c, err := net.DialTimeout("tcp", address, answerBy)
+	c, err := net.DialTimeout("tcp", address, callTimeout)
 	if err != nil {
 		return "", fmt.Errorf("%w; is it the node's admin_addr, and does the node run?", err)
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(answerBy)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return "", err
 	}
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
@@ -79,8 +79,8 @@
 	return string(answer), nil
 }
 
-// printFigures prints the figures as they came, or as a table.
-func printFigures(w io.Writer, figures, output string) error {
+// printMetrics prints the figures as they came, or as a table.
+func printMetrics(w io.Writer, figures, output string) error {
 	if output == "json" {
 		_, err := fmt.Fprintln(w, figures)
 		return err
--- /dev/null
+++ b/cmd/moorstack/config_withdraw.go
@@ -0,0 +1,32 @@
+package main
+
+import (
+	"context"
+
+	"github.com/spf13/cobra"
+
+	"moorstack/internal/schema"
+)
+
+func newConfigWithdraw(g *globalFlags, r *controlFlags) *cobra.Command {
+	var reason string
+	cmd := &cobra.Command{
+		Use:   "withdraw [CHANGE]",
+		Short: "Have the pending change be in force nowhere",
+		Long: `withdraw ends the change that takes hold now, or the one named if it is that. Who proposed
+it is told. A change that is in force can't be withdrawn: see rollback.`,
+		Args: cobra.MaximumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			in := &schema.WithdrawRequest{Reason: reason}
+			if len(args) > 0 {
+				in.Change = args[0]
+			}
+			return g.callAndConfirm(cmd, r,
+				func(ctx context.Context, c schema.ControlClient) (*schema.Operated, error) {
+					return c.Withdraw(ctx, in)
+				})
+		},
+	}
+	cmd.Flags().StringVar(&reason, "reason", "", "why, for who proposed it")
+	return cmd
+}
--- a/cmd/moorstack/duty.go
+++ b/cmd/moorstack/duty.go
@@ -4,15 +4,14 @@
 	"context"
 	"fmt"
 	"strings"
-	"time"
 
 	"github.com/spf13/cobra"
 
 	"moorstack/internal/schema"
 )
 
-func newDuty(g *global) *cobra.Command {
-	var r remote
+func newDuty(g *globalFlags) *cobra.Command {
+	var r controlFlags
 	cmd := &cobra.Command{
 		Use:   "duty",
 		Short: "Work that one instance of a group does at a time",
@@ -27,18 +26,18 @@
 	}
 	r.addFlags(cmd)
 	cmd.AddCommand(newDutyList(g, &r), newDutyShow(g, &r), newDutyHistory(g, &r),
-		newDutyOperation(g, &r, schema.Operation_HAND_ON, "hand-on DUTY [TO]",
+		newTaskOperation(g, &r, schema.Operation_HAND_ON, "hand-on DUTY [TO]",
 			"Have another instance hold a duty",
 			`hand-on has the holder end its step and give the duty back. It goes to TO, if that is there and
 can hold it, or to whom the group chooses, which may be the same one again.`),
-		newDutyOperation(g, &r, schema.Operation_PAUSE, "pause DUTY", "Have nobody hold a duty",
+		newTaskOperation(g, &r, schema.Operation_PAUSE, "pause DUTY", "Have nobody hold a duty",
 			"pause has the holder give the duty back; nobody is given it before \"duty resume\"."),
-		newDutyOperation(g, &r, schema.Operation_RESUME, "resume DUTY", "Have a paused duty be held again",
+		newTaskOperation(g, &r, schema.Operation_RESUME, "resume DUTY", "Have a paused duty be held again",
 			""))
 	return cmd
 }
 
-func newDutyOperation(g *global, r *remote, kind schema.Operation_Kind, use, short,
+func newTaskOperation(g *globalFlags, r *controlFlags, kind schema.Operation_Kind, use, short,
 	long string) *cobra.Command {
 	most := 1
 	if kind == schema.Operation_HAND_ON {
@@ -50,17 +49,14 @@
 			if len(args) > 1 {
 				op.By = args[1]
 			}
-			return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
-				done, err := c.Operate(ctx, op)
-				return g.done(cmd, done, err)
-			})
+			return g.operate(cmd, r, op)
 		}}
 	addOutput(cmd, g)
 	return cmd
 }
 
-// duties asks for the duties, or for one.
-func duties(ctx context.Context, c schema.ControlClient, name string) (*schema.DutiesReply, *schema.Duty,
+// leasedTasks gets the leased tasks, and the one of a name if that is not empty.
+func leasedTasks(ctx context.Context, c schema.ControlClient, name string) (*schema.DutiesReply, *schema.Duty,
 	error) {
 	all, err := c.Duties(ctx, &schema.DutiesRequest{})
 	if err != nil || name == "" {
@@ -80,8 +76,8 @@
 	return nil, nil, exitError{exitFailed, fmt.Errorf("there is no duty %q; %s", name, known)}
 }
 
-// standing is how a duty stands, in words.
-func standing(d *schema.Duty) string {
+// taskState is the state of a leased task, as the commands print it.
+func taskState(d *schema.Duty) string {
 	switch {
 	case d.Holder != "" && d.Leaving != "":
 		return "is given back: " + d.Leaving
@@ -93,95 +89,89 @@
 	return "nobody holds it"
 }
 
-func newDutyList(g *global, r *remote) *cobra.Command {
+func newDutyList(g *globalFlags, r *controlFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "list",
 		Short: "Say who holds which duty",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
-				all, _, err := duties(ctx, c, "")
-				if err != nil {
-					return err
-				}
-				t := table{head: []string{"DUTY", "HOLDER", "NUMBER", "STANDING"}}
-				for _, d := range all.Duties {
-					t.add(d.Name, dash(d.Holder), d.Number, standing(d))
-				}
-				if len(all.Duties) == 0 {
-					t = table{}
-					t.add("the configuration has no duties")
-				}
-				if all.CutOff {
-					t.add("CUT OFF: this may be old")
-				}
-				return g.print(cmd.OutOrStdout(), all, t)
-			})
+			return g.callAndPrint(cmd, r,
+				func(ctx context.Context, c schema.ControlClient) (any, table, error) {
+					all, _, err := leasedTasks(ctx, c, "")
+					if err != nil {
+						return nil, table{}, err
+					}
+					t := table{head: []string{"DUTY", "HOLDER", "NUMBER", "STANDING"}}
+					for _, d := range all.Duties {
+						t.add(d.Name, dash(d.Holder), d.Number, taskState(d))
+					}
+					if len(all.Duties) == 0 {
+						t = table{}
+						t.add("the configuration has no duties")
+					}
+					if all.CutOff {
+						t.add("CUT OFF: this may be old")
+					}
+					return all, t, nil
+				})
 		},
 	}
 	addOutput(cmd, g)
 	return cmd
 }
 
-func newDutyShow(g *global, r *remote) *cobra.Command {
+func newDutyShow(g *globalFlags, r *controlFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "show DUTY",
 		Short: "Say how a duty stands, and where its work does",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
-				all, d, err := duties(ctx, c, args[0])
-				if err != nil {
-					return err
-				}
-				t := table{}
-				t.add("duty", d.Name)
-				t.add("holder", dash(d.Holder))
-				t.add("number", d.Number)
-				t.add("standing", standing(d))
-				for _, line := range [][2]string{{"goes to", d.To}, {"note", string(d.Note)},
-					{"resting", strings.Join(d.Resting, ", ")}} {
-					if line[1] != "" {
-						t.add(line[0], line[1])
+			return g.callAndPrint(cmd, r,
+				func(ctx context.Context, c schema.ControlClient) (any, table, error) {
+					all, d, err := leasedTasks(ctx, c, args[0])
+					if err != nil {
+						return nil, table{}, err
 					}
-				}
-				if d.LeaseS > 0 {
-					t.add("lease", fmt.Sprintf("lasts %.2f s", d.LeaseS))
-				}
-				if all.CutOff {
-					t.add("CUT OFF", "this may be old")
-				}
-				return g.print(cmd.OutOrStdout(), d, t)
-			})
+					t := table{}
+					t.add("duty", d.Name)
+					t.add("holder", dash(d.Holder))
+					t.add("number", d.Number)
+					t.add("standing", taskState(d))
+					t.addUnlessEmpty("goes to", d.To)
+					t.addUnlessEmpty("note", string(d.Note))
+					t.addUnlessEmpty("resting", strings.Join(d.Resting, ", "))
+					if d.LeaseS > 0 {
+						t.add("lease", fmt.Sprintf("lasts %.2f s", d.LeaseS))
+					}
+					if all.CutOff {
+						t.add("CUT OFF", "this may be old")
+					}
+					return d, t, nil
+				})
 		},
 	}
 	addOutput(cmd, g)
 	return cmd
 }
 
-func newDutyHistory(g *global, r *remote) *cobra.Command {
+func newDutyHistory(g *globalFlags, r *controlFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "history DUTY",
 		Short: "Say who has held a duty, and how that ended",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
-				_, d, err := duties(ctx, c, args[0])
-				if err != nil {
-					return err
-				}
-				t := table{head: []string{"NUMBER", "HOLDER", "FROM", "TO", "ENDED"}}
-				at := func(ms int64) string {
-					if ms <= 0 {
-						return "-"
+			return g.callAndPrint(cmd, r,
+				func(ctx context.Context, c schema.ControlClient) (any, table, error) {
+					_, d, err := leasedTasks(ctx, c, args[0])
+					if err != nil {
+						return nil, table{}, err
+					}
+					t := table{head: []string{"NUMBER", "HOLDER", "FROM", "TO", "ENDED"}}
+					for _, h := range d.History {
+						t.add(h.Number, h.Name, timeOrDash(h.AtMs), timeOrDash(h.EndMs), dash(h.End))
 					}
-					return time.UnixMilli(ms).UTC().Format(time.RFC3339)
-				}
-				for _, h := range d.History {
-					t.add(h.Number, h.Name, at(h.AtMs), at(h.EndMs), dash(h.End))
-				}
-				return g.print(cmd.OutOrStdout(), d.History, t)
-			})
+					return d.History, t, nil
+				})
 		},
 	}
 	addOutput(cmd, g)
--- a/cmd/moorstack/emulate.go
+++ b/cmd/moorstack/emulate.go
@@ -1,10 +1,7 @@
 package main
 
 import (
-	"errors"
 	"fmt"
-	"os"
-	"slices"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -12,7 +9,7 @@
 	"moorstack/internal/verify/emulate"
 )
 
-func newEmulate(g *global) *cobra.Command {
+func newEmulate(g *globalFlags) *cobra.Command {
 	cmd := &cobra.Command{Use: "emulate", Short: "Play a model world round real nodes, in virtual time"}
 	var seed uint64
 	var seconds bool
@@ -30,18 +27,14 @@
   moorstack emulate run experiments/small.toml --seed 7 --seconds`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			raw, err := os.ReadFile(args[0])
-			if err != nil {
-				return err
-			}
-			sc, err := emulate.ParseScenario(args[0], raw)
+			scenario, err := readScenario(args[0])
 			if err != nil {
 				return err
 			}
 			if cmd.Flags().Changed("seed") {
-				sc.Seed = seed
+				scenario.Seed = seed
 			}
-			w, err := emulate.NewWorld(sc)
+			w, err := emulate.NewWorld(scenario)
 			if err != nil {
 				return err
 			}
@@ -63,91 +56,8 @@
 	run.Flags().BoolVar(&seconds, "seconds", false, "also a row for each second")
 	addOutput(run, g)
 	cmd.AddCommand(run, newStorm(g),
-		newLab("demo", "A real node, ten modelled workers, clients and a crash, in half a minute"),
-		newLab("paper", "Waits against the number of servers, for 1, 2, d(N) and all draws"))
-	return cmd
-}
-
-func newStorm(g *global) *cobra.Command {
-	var seeds, most int
-	var first uint64
-	cmd := &cobra.Command{
-		Use:   "storm FILE",
-		Short: "Play a scenario under random troubles, many seeds, and shrink what breaks a rule",
-		Long: `storm plays the scenario in FILE again and again, each time under troubles drawn from the
-seed: the same for a seed. Where a rule is broken it takes troubles away and shortens the
-others as long as it still is, and prints what is left, to be put into a scenario.`,
-		Example: "  moorstack emulate storm experiments/small.toml --seeds 1000",
-		Args:    cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			raw, err := os.ReadFile(args[0])
-			if err != nil {
-				return err
-			}
-			sc, err := emulate.ParseScenario(args[0], raw)
-			if err != nil {
-				return err
-			}
-			if seeds < 1 || most < 1 {
-				return errors.New("--seeds and --most must be above 0")
-			}
-			var broken []emulate.FaultStorm
-			var worth []float64
-			jobs := 0
-			began := time.Now()
-			err = emulate.RunFaultStorms(sc, first, seeds, most, func(s emulate.FaultStorm) {
-				jobs += s.Jobs
-				worth = append(worth, s.EarnedShare)
-				if len(s.Violations) > 0 {
-					broken = append(broken, s)
-				}
-				if terminal(os.Stderr) {
-					fmt.Fprintf(os.Stderr, "\r%d of %d storms, %d broken ", len(worth), seeds, len(broken))
-				}
-			})
-			if terminal(os.Stderr) {
-				fmt.Fprint(os.Stderr, "\r\033[K")
-			}
-			if err != nil {
-				return err
-			}
-			slices.Sort(worth)
-			t := table{}
-			t.add(fmt.Sprintf("%d storms, %d jobs, %d break a rule; %.1f s", seeds, jobs, len(broken),
-				time.Since(began).Seconds()))
-			t.add(fmt.Sprintf("worth earned: %.1f%% in the worst, %.1f%% in the middle, %.1f%% in the best",
-				100*worth[0], 100*worth[len(worth)/2], 100*worth[len(worth)-1]))
-			for _, s := range broken {
-				t.add("")
-				t.add(fmt.Sprintf("seed %d: %s", s.Seed, s.Violations[0]))
-				for _, x := range s.MinimalFaults {
-					t.add(
-						fmt.Sprintf(
-							"  kind = %q, at = %q, for = %q, part = %.3f, size = %.2f, zone = %q, team = %q",
-							x.Kind,
-							time.Duration(x.Start),
-							time.Duration(x.Length),
-							x.Fraction,
-							x.Magnitude,
-							x.Zone,
-							x.Team,
-						),
-					)
-				}
-			}
-			if err := g.print(cmd.OutOrStdout(), broken, t); err != nil {
-				return err
-			}
-			if len(broken) > 0 {
-				return exitError{exitFailed, fmt.Errorf("%d storms break a rule", len(broken))}
-			}
-			return nil
-		},
-	}
-	cmd.Flags().IntVar(&seeds, "seeds", 100, "how many storms")
-	cmd.Flags().Uint64Var(&first, "first", 0, "the first seed")
-	cmd.Flags().IntVar(&most, "most", 6, "troubles in a storm, at the most")
-	addOutput(cmd, g)
+		labCommand("demo", "A real node, ten modelled workers, clients and a crash, in half a minute"),
+		labCommand("paper", "Waits against the number of servers, for 1, 2, d(N) and all draws"))
 	return cmd
 }
 
@@ -162,9 +72,8 @@
 	for _, list := range [][]emulate.Tally{r.Classes, r.Teams} {
 		for _, c := range list {
 			t.add(c.Name, c.Arrived, c.Served, percent(float64(c.InTime), float64(c.Arrived)), c.Rejected,
-				c.Failed,
-				fmt.Sprintf("%.0f ms", c.P50), fmt.Sprintf("%.0f ms", c.P99), percent(c.EarnedWeight,
-					c.OfferedWeight))
+				c.Failed, fmt.Sprintf("%.0f ms", c.P50), fmt.Sprintf("%.0f ms", c.P99),
+				percent(c.EarnedWeight, c.OfferedWeight))
 		}
 	}
 	t.add("")
--- a/cmd/moorstack/expect.go
+++ b/cmd/moorstack/expect.go
@@ -1,31 +1,26 @@
 package main
 
 import (
-	"context"
 	"encoding/xml"
 	"errors"
 	"fmt"
-	"maps"
 	"os"
 	"regexp"
-	"slices"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 
-	"moorstack/internal/frontend/platform"
 	"moorstack/internal/proxy/routing"
-	"moorstack/internal/schema"
 	"moorstack/internal/verify/expect"
 )
 
 type expectFlags struct {
-	run, explain, roster, against, platform string
-	mutate                                  bool
+	run, explain, endpointList, against, platform string
+	mutate                                        bool
 }
 
-func newExpect(g *global) *cobra.Command {
+func newExpect(g *globalFlags) *cobra.Command {
 	var f expectFlags
 	cmd := &cobra.Command{
 		Use:   "expect FILE...",
@@ -49,17 +44,9 @@
 			if len(args) == 0 {
 				return errors.New("name a file of expectations")
 			}
-			var suites []*expect.Suite
-			for _, path := range args {
-				raw, err := os.ReadFile(path)
-				if err != nil {
-					return err
-				}
-				s, err := expect.Load(path, raw, os.ReadFile)
-				if err != nil {
-					return err
-				}
-				suites = append(suites, s)
+			suites, err := readSuites(args)
+			if err != nil {
+				return err
 			}
 			switch {
 			case f.explain != "":
@@ -70,33 +57,42 @@
 			return runExpectations(cmd, g, &f, suites)
 		},
 	}
+	f.add(cmd)
+	cmd.Flags().StringVar(&g.output, "output", "table", "form of the answer: table, json or junit")
+	return cmd
+}
+
+func (f *expectFlags) add(cmd *cobra.Command) {
 	fl := cmd.Flags()
-	fl.StringVar(
-		&f.run,
-		"run",
-		"",
-		"only the expectations whose names match this `pattern` (a regular expression)",
-	)
+	fl.StringVar(&f.run, "run", "",
+		"only the expectations whose names match this `pattern` (a regular expression)")
 	fl.StringVar(&f.explain, "explain", "", "say how the candidates of this `job` get fewer")
-	fl.StringVar(&f.roster, "roster", "", "with --explain: in this `roster`; all workers, if not given")
-	fl.BoolVar(
-		&f.mutate,
-		"mutate",
-		false,
-		"break each rule in turn, in memory, and list what no expectation notices",
-	)
-	fl.StringVar(
-		&f.against,
-		"against",
-		"",
-		"list the jobs that go another way by FILE than by this `old` file of rules",
-	)
+	fl.StringVar(&f.endpointList, "roster", "", "with --explain: in this `roster`; all workers, if not given")
+	fl.BoolVar(&f.mutate, "mutate", false,
+		"break each rule in turn, in memory, and list what no expectation notices")
+	fl.StringVar(&f.against, "against", "",
+		"list the jobs that go another way by FILE than by this `old` file of rules")
 	fl.StringVar(&f.platform, "platform", "", "with --against: the deployment's `file`")
-	cmd.Flags().StringVar(&g.output, "output", "table", "form of the answer: table, json or junit")
-	return cmd
 }
 
-func runExpectations(cmd *cobra.Command, g *global, f *expectFlags, suites []*expect.Suite) error {
+// readSuites reads files of expectations, each with the rules that it names.
+func readSuites(paths []string) ([]*expect.Suite, error) {
+	var suites []*expect.Suite
+	for _, path := range paths {
+		raw, err := os.ReadFile(path)
+		if err != nil {
+			return nil, err
+		}
+		s, err := expect.Load(path, raw, os.ReadFile)
+		if err != nil {
+			return nil, err
+		}
+		suites = append(suites, s)
+	}
+	return suites, nil
+}
+
+func runExpectations(cmd *cobra.Command, g *globalFlags, f *expectFlags, suites []*expect.Suite) error {
 	var filter func(string) bool
 	if f.run != "" {
 		pattern, err := regexp.Compile(f.run)
@@ -202,7 +198,7 @@
 
 func explainJob(cmd *cobra.Command, f *expectFlags, suites []*expect.Suite) error {
 	for _, s := range suites {
-		lines, err := s.Explain(f.explain, f.roster)
+		lines, err := s.Explain(f.explain, f.endpointList)
 		if err != nil {
 			return err
 		}
@@ -213,7 +209,7 @@
 	return nil
 }
 
-func mutateRules(cmd *cobra.Command, g *global, suites []*expect.Suite) error {
+func mutateRules(cmd *cobra.Command, g *globalFlags, suites []*expect.Suite) error {
 	var all []expect.Mutant
 	survivors := 0
 	t := table{head: []string{"RULE", "BROKEN", "NOTICED BY"}}
@@ -238,11 +234,11 @@
 	return nil
 }
 
-func compareRules(cmd *cobra.Command, g *global, f *expectFlags, args []string) error {
+func compareRules(cmd *cobra.Command, g *globalFlags, f *expectFlags, args []string) error {
 	if len(args) != 1 || f.platform == "" {
 		return errors.New("--against OLD takes one file of rules, and --platform FILE")
 	}
-	names, err := namesOf(f.platform)
+	names, err := readKnownNames(f.platform)
 	if err != nil {
 		return err
 	}
@@ -267,117 +263,3 @@
 	t.add(fmt.Sprintf("%d jobs made, %d ways changed", jobs, len(changes)))
 	return g.print(cmd.OutOrStdout(), changes, t)
 }
-
-// namesOf reads what a deployment calls its classes, tenants, zones and kinds.
-func namesOf(path string) (routing.KnownNames, error) {
-	cfg, err := platform.ReadConfigFile(path)
-	if err != nil {
-		return routing.KnownNames{}, err
-	}
-	names := routing.KnownNames{Zones: cfg.Settings.Zones, Kinds: cfg.Settings.Kinds}
-	for _, c := range cfg.Settings.Classes {
-		names.Classes = append(names.Classes, c.Name)
-	}
-	for _, t := range cfg.Settings.Tenants {
-		names.Tenants = append(names.Tenants, t.Name)
-	}
-	return names, nil
-}
-
-func newRoute(g *global) *cobra.Command {
-	cmd := &cobra.Command{Use: "route", Short: "Check rules by which jobs are routed"}
-	var platformFile string
-	check := &cobra.Command{
-		Use:     "check FILE",
-		Short:   "Say what is wrong with a file of rules, and which rules can never match",
-		Example: "  moorstack route check deploy/routes.toml --platform deploy/expectations/site.json",
-		Args:    cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			var names routing.KnownNames
-			var err error
-			if platformFile != "" {
-				if names, err = namesOf(platformFile); err != nil {
-					return err
-				}
-			}
-			raw, err := os.ReadFile(args[0])
-			if err != nil {
-				return err
-			}
-			file, err := routing.Parse(args[0], raw)
-			if err != nil {
-				return err
-			}
-			compiled, warnings, err := routing.Compile(file, names)
-			if err != nil {
-				return exitError{exitInvalid, err}
-			}
-			for _, w := range warnings {
-				fmt.Fprintln(cmd.ErrOrStderr(), "warning:", w.Error())
-			}
-			fmt.Fprintf(
-				cmd.OutOrStdout(),
-				"%s: %d rules, %d warnings\n",
-				args[0],
-				len(compiled.Rules()),
-				len(warnings),
-			)
-			return nil
-		},
-	}
-	check.Flags().
-		StringVar(&platformFile, "platform", "", "the deployment's `file`: its names are checked, too")
-	cmd.AddCommand(check, newRouteExplain(g))
-	return cmd
-}
-
-func newRouteExplain(g *global) *cobra.Command {
-	var r remote
-	in := &schema.ExplainRouteRequest{}
-	var cost time.Duration
-	cmd := &cobra.Command{
-		Use:   "explain",
-		Short: "Ask a running instance where a job would go now, and why",
-		Long: `explain asks an instance that runs under serve: which rule decides, and how each worker
-stands. It sends no job and changes nothing; readers may call it.`,
-		Example: `  moorstack route explain --config n1.toml --class dialysis-book --host seeb.example.org`,
-		Args:    cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			in.CostUs = cost.Microseconds()
-			return r.call(cmd.Context(), func(ctx context.Context, c schema.ControlClient) error {
-				out, err := c.ExplainRoute(ctx, in)
-				if err != nil {
-					return err
-				}
-				t := table{}
-				t.add("rule", dash(out.Rule))
-				if out.Refused != "" {
-					t.add("refused", out.Refused)
-				} else {
-					t.add("class", dash(out.Class))
-				}
-				for n, tier := range out.Tiers {
-					t.add(fmt.Sprintf("choice %d", n+1), tier.Pool+": "+dash(strings.Join(tier.Left, ", ")))
-					for _, name := range slices.Sorted(maps.Keys(tier.Out)) {
-						t.add("", "out: "+name+", "+tier.Out[name])
-					}
-				}
-				return g.print(cmd.OutOrStdout(), out, t)
-			})
-		},
-	}
-	r.addFlags(cmd)
-	f := cmd.Flags()
-	f.StringVar(&in.Front, "front", "http", "http or faktory")
-	f.StringVar(&in.Class, "class", "", "the job's class")
-	f.StringVar(&in.Tenant, "tenant", "", "its team")
-	f.StringVar(&in.Host, "host", "", "the host that it was sent to")
-	f.StringVar(&in.Path, "path", "", "its path")
-	f.StringToStringVar(&in.Header, "header", nil, "headers, as name=value")
-	f.StringVar(&in.Key, "route-key", "", "its route key")
-	f.DurationVar(&cost, "cost", 0, "its cost hint")
-	f.StringVar(&in.Queue, "queue", "", "its Faktory queue")
-	f.StringVar(&in.Jobtype, "jobtype", "", "its Faktory type")
-	addOutput(cmd, g)
-	return cmd
-}
--- a/cmd/moorstack/keys.go
+++ b/cmd/moorstack/keys.go
@@ -12,7 +12,7 @@
 
 const day = 24 * time.Hour
 
-func newKeys(g *global) *cobra.Command {
+func newKeys(g *globalFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "keys",
 		Short: "Make the certificates that instances and operators know each other by",
@@ -104,7 +104,7 @@
 	return cmd
 }
 
-func newKeysShow(g *global) *cobra.Command {
+func newKeysShow(g *globalFlags) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "show FILE.crt...",
 		Short:   "Say whose certificates these are and until when they are good",
--- a/cmd/moorstack/main.go
+++ b/cmd/moorstack/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	root := newRoot()
-	root.SetArgs(oldFlags(os.Args[1:]))
+	root.SetArgs(acceptFaktoryShorthand(os.Args[1:]))
 	err := root.ExecuteContext(context.Background())
 	if err == nil {
 		return
@@ -31,9 +31,9 @@
 	os.Exit(exitUsage)
 }
 
-// oldFlags keeps `moorstack -faktory FILE` working, which is how the node was started
+// acceptFaktoryShorthand keeps `moorstack -faktory FILE` working, which is how the node was started
 // before it had sub-commands.
-func oldFlags(args []string) []string {
+func acceptFaktoryShorthand(args []string) []string {
 	args = append([]string(nil), args...)
 	for i, a := range args {
 		if a == "-faktory" || strings.HasPrefix(a, "-faktory=") {
--- a/cmd/moorstack/prove_cluster.go
+++ b/cmd/moorstack/prove_cluster.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -13,25 +12,8 @@
 	"moorstack/internal/verify/faultinjection"
 )
 
-type clusterFlags struct {
-	processes, voters int
-	length, tick      time.Duration
-	seed              uint64
-	story, keep       string
-	rate              float64
-	changes, drills   int
-	rolls             int
-	accounts, names   int
-	triggers          int
-	clock, oldRules   string
-	older             string
-	speed             float64
-	shrink, quiet     bool
-	trace, kills      bool
-}
-
-func newProveCluster(g *global) *cobra.Command {
-	var f clusterFlags
+func newProveCluster(g *globalFlags) *cobra.Command {
+	var f faultRunFlags
 	cmd := &cobra.Command{
 		Use:   "cluster",
 		Short: "Try to break a group of real processes by faults between them and of them",
@@ -63,112 +45,33 @@
   moorstack prove cluster --processes 3 --story found/story.txt --trace
   moorstack prove cluster --processes 40 --voters 5 --quiet --for 20s    # no faults: the figures`,
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return proveCluster(cmd, g, &f) },
+		RunE: func(cmd *cobra.Command, _ []string) error { return runFaultInjection(cmd, g, &f) },
 	}
-	fl := cmd.Flags()
-	fl.IntVar(&f.processes, "processes", 3, "how many instances, 3 to 40")
-	fl.IntVar(&f.voters, "voters", 0, "how many of them have a vote; 0: up to five")
-	fl.DurationVar(&f.length, "for", 30*time.Second, "how long changes and faults go on")
-	fl.DurationVar(&f.tick, "tick", 50*time.Millisecond, "the agreement's unit of time")
-	fl.Uint64Var(&f.seed, "seed", 1, "draws the story, and who is asked")
-	fl.StringVar(&f.story, "story", "", "play the story in this `file` instead")
-	fl.Float64Var(&f.rate, "rate", 20, "jobs a second at each instance; 0: none")
-	fl.IntVar(&f.changes, "changes", 0, "at most so many changes; 0: as many as there is time for")
-	fl.IntVar(&f.names, "names", 0,
-		"how many more accounts call that have no line of their own; 0 to 1000000")
-	fl.IntVar(&f.accounts, "accounts", 4, "how many accounts' rates are kept over all instances; 0 to 1000")
-	fl.IntVar(&f.rolls, "rolls", 0,
-		"take instances out one after another, again and again, at the most so many at once; 0: none")
-	fl.IntVar(&f.drills, "duties", 3, "how many duties the instances hold, to practise; 0 to 100")
-	fl.IntVar(&f.triggers, "triggers", 6, "how many triggers fire over all instances; 0 to 1000")
-	fl.StringVar(&f.clock, "clock", "", "what the instances' clocks show at the beginning, as in "+
-		"2026-10-25T00:30:00Z; empty: the machine's time")
-	fl.Float64Var(&f.speed, "speed", 1, "how fast the instances' clocks run, 1 to 600")
-	fl.StringVar(&f.older, "older", "", "the `program` of an earlier version, which all instances run "+
-		"before the story renews them")
-	fl.StringVar(&f.oldRules, "old-rules", "", "an `instance` that has other zone rules than the rest")
-	fl.BoolVar(&f.quiet, "quiet", false, "no faults")
-	fl.BoolVar(&f.shrink, "shrink", false,
-		"play a story that breaks something again, with fewer faults each time")
-	fl.BoolVar(&f.trace, "trace", false, "print each fault and change")
-	fl.StringVar(&f.keep, "keep", "", "keep files, logs and journals in this `directory`")
+	f.add(cmd)
 	addOutput(cmd, g)
 	return cmd
 }
 
-func (f *clusterFlags) check() error {
-	switch {
-	case f.processes < 3 || f.processes > 40:
-		return fmt.Errorf("--processes: %d is not from 3 to 40", f.processes)
-	case f.voters < 0 || f.voters > min(f.processes, 9):
-		return fmt.Errorf("--voters: %d is not from 1 to %d", f.voters, min(f.processes, 9))
-	case f.length < time.Second || f.length > time.Hour:
-		return fmt.Errorf("--for: %v is not from 1s to 1h", f.length)
-	case f.tick < 10*time.Millisecond || f.tick > 5*time.Second:
-		return fmt.Errorf("--tick: %v is not from 10ms to 5s", f.tick)
-	case f.changes < 0 || f.changes > 100_000:
-		return fmt.Errorf("--changes: %d is not from 1 to 100000", f.changes)
-	case f.accounts < 0 || f.accounts > 1000:
-		return fmt.Errorf("--accounts: %d is not from 0 to 1000", f.accounts)
-	case f.names < 0 || f.names > 1_000_000 || f.names > 0 && f.accounts == 0:
-		return fmt.Errorf("--names: %d is not from 0 to 1000000, or there are no accounts beside them",
-			f.names)
-	case f.triggers < 0 || f.triggers > 1000:
-		return fmt.Errorf("--triggers: %d is not from 0 to 1000", f.triggers)
-	case f.speed < 1 || f.speed > 600:
-		return fmt.Errorf("--speed: %v is not from 1 to 600", f.speed)
-	case f.oldRules != "" && !slices.Contains(faultinjection.InstanceNames(f.processes), f.oldRules):
-		return fmt.Errorf("--old-rules: there is no instance %q", f.oldRules)
-	case f.rolls < 0 || f.rolls >= f.processes:
-		return fmt.Errorf("--rolls: %d is not from 0 to %d, one less than --processes", f.rolls,
-			f.processes-1)
-	case f.drills < 0 || f.drills > 100:
-		return fmt.Errorf("--duties: %d is not from 0 to 100", f.drills)
-	case f.rate < 0 || f.rate > 1000:
-		return fmt.Errorf("--rate: %v is not from 0 to 1000", f.rate)
-	case f.quiet && f.story != "":
-		return fmt.Errorf("--quiet and --story don't go together")
-	}
-	return nil
-}
-
-func proveCluster(cmd *cobra.Command, g *global, f *clusterFlags) error {
+func runFaultInjection(cmd *cobra.Command, g *globalFlags, f *faultRunFlags) error {
 	if err := f.check(); err != nil {
 		return err
 	}
-	names := faultinjection.InstanceNames(f.processes)
-	var story []faultinjection.Fault
-	switch {
-	case f.story != "":
-		raw, err := os.ReadFile(f.story)
-		if err != nil {
-			return err
-		}
-		if story, err = faultinjection.ParseSchedule(f.story, raw, names); err != nil {
-			return err
-		}
-	case f.kills:
-		story = faultinjection.LeaderKillSchedule(f.seed, f.length)
-	case !f.quiet:
-		story = faultinjection.DrawSchedule(f.seed, names, f.length)
+	faults, err := f.faults()
+	if err != nil {
+		return err
 	}
-	dir := f.keep
-	if dir == "" {
-		var err error
-		if dir, err = os.MkdirTemp("", "rig"); err != nil {
-			return exitError{exitFailed, err}
-		}
-		defer os.RemoveAll(dir)
-	} else if err := os.MkdirAll(dir, 0o700); err != nil {
+	dir, removeDir, err := f.directory()
+	if err != nil {
 		return exitError{exitFailed, err}
 	}
-	r, err := f.play(cmd, dir, story)
+	defer removeDir()
+	r, err := f.run(cmd, dir, faults)
 	if err != nil {
 		return exitError{exitFailed, err}
 	}
 	if len(r.Violations) > 0 && f.shrink {
-		story = faultinjection.Shrink(story, func(s []faultinjection.Fault) bool {
-			again, err := f.play(cmd, dir, s)
+		faults = faultinjection.Shrink(faults, func(fewer []faultinjection.Fault) bool {
+			again, err := f.run(cmd, dir, fewer)
 			if err == nil && len(again.Violations) > 0 {
 				r = again
 				return true
@@ -176,129 +79,123 @@
 			return false
 		})
 	}
-	if err := g.print(cmd.OutOrStdout(), r, clusterTable(r)); err != nil {
+	if err := g.print(cmd.OutOrStdout(), r, faultRunTable(r)); err != nil {
 		return err
 	}
 	if len(r.Violations) == 0 {
 		return nil
 	}
-	if err := os.MkdirAll("found", 0o700); err != nil {
-		return exitError{exitFailed, err}
-	}
-	path := filepath.Join("found", fmt.Sprintf("story-%d-%d.txt", f.processes, f.seed))
-	if err := os.WriteFile(path, faultinjection.FormatSchedule(story), 0o600); err != nil {
+	path, err := f.writeFound(faults)
+	if err != nil {
 		return exitError{exitFailed, err}
 	}
 	return exitError{exitFailed, fmt.Errorf("%d violations; the story is in %s: play it again with --story",
 		len(r.Violations), path)}
 }
 
-// play plays a story in a directory of its own.
-func (f *clusterFlags) play(
-	cmd *cobra.Command,
-	dir string,
-	story []faultinjection.Fault,
-) (*faultinjection.Result, error) {
-	self, err := os.Executable()
+// faults is the schedule of faults: read from a file, of kills alone, drawn from the seed, or none.
+func (f *faultRunFlags) faults() ([]faultinjection.Fault, error) {
+	names := faultinjection.InstanceNames(f.processes)
+	switch {
+	case f.faultFile != "":
+		raw, err := os.ReadFile(f.faultFile)
+		if err != nil {
+			return nil, err
+		}
+		return faultinjection.ParseSchedule(f.faultFile, raw, names)
+	case f.kills:
+		return faultinjection.LeaderKillSchedule(f.seed, f.length), nil
+	case !f.quiet:
+		return faultinjection.DrawSchedule(f.seed, names, f.length), nil
+	}
+	return nil, nil
+}
+
+// directory is where the instances keep their files; remove removes it unless it is to be kept.
+func (f *faultRunFlags) directory() (dir string, remove func(), err error) {
+	if f.keep != "" {
+		return f.keep, func() {}, os.MkdirAll(f.keep, 0o700)
+	}
+	dir, err = os.MkdirTemp("", "faults")
+	return dir, func() { _ = os.RemoveAll(dir) }, err
+}
+
+// writeFound writes faults that broke something to a file, and gives its path.
+func (f *faultRunFlags) writeFound(faults []faultinjection.Fault) (string, error) {
+	if err := os.MkdirAll("found", 0o700); err != nil {
+		return "", err
+	}
+	path := filepath.Join("found", fmt.Sprintf("story-%d-%d.txt", f.processes, f.seed))
+	return path, os.WriteFile(path, faultinjection.FormatSchedule(faults), 0o600)
+}
+
+// run injects faults into real instances, in a directory of their own.
+func (f *faultRunFlags) run(cmd *cobra.Command, dir string,
+	faults []faultinjection.Fault) (*faultinjection.Result, error) {
+	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	// A socket's path has little room, and a story must not find another's files.
-	at, err := os.MkdirTemp(dir, "p")
+	// A socket's path has little room, and a run must not find another's files.
+	own, err := os.MkdirTemp(dir, "p")
 	if err == nil {
-		at, err = filepath.Abs(at)
+		own, err = filepath.Abs(own)
 	}
 	if err != nil {
 		return nil, err
 	}
-	o := faultinjection.RunOptions{
-		Schedule:   story,
-		Duration:   f.length,
-		MaxChanges: f.changes,
-		ClusterOptions: faultinjection.ClusterOptions{
-			Program: self, Dir: at, OlderProgram: f.older,
-			Instances: f.processes, Voters: f.voters, Tick: f.tick, Seed: f.seed,
-			PlatformFile: faultinjection.SamplePlatform(), JobsPerSecond: f.rate,
-			DrillTasks: f.drills, MaxRestarting: f.rolls, OperatorCommands: f.story == "",
-			Accounts: f.accounts, UnlistedAccounts: f.names, Triggers: f.triggers,
-			ClockSpeed: f.speed, OldZoneRulesInstance: f.oldRules,
-		},
-	}
-	if f.clock != "" {
-		if o.ClockStart, err = time.Parse(time.RFC3339, f.clock); err != nil {
-			return nil, fmt.Errorf("--clock: %w", err)
-		}
+	o, err := f.options(program, own, faults)
+	if err != nil {
+		return nil, err
 	}
 	if f.trace {
 		o.Trace = cmd.ErrOrStderr()
-	} else if terminal(os.Stderr) {
+	} else if isTerminal(os.Stderr) {
 		o.OnProgress = func(at time.Duration, r *faultinjection.Result) {
-			fmt.Fprintf(os.Stderr, "\r%3.0f of %.0f s: %d faults, %d changes in force, %d withdrawn ",
-				at.Seconds(),
+			showProgress("%3.0f of %.0f s: %d faults, %d changes in force, %d withdrawn ", at.Seconds(),
 				f.length.Seconds(), r.Faults, r.InForce, r.Withdrawn)
 		}
-		defer fmt.Fprint(os.Stderr, "\r\033[K")
+		defer endProgress()
 	}
-	ctx, stop := context.WithTimeout(cmd.Context(), 2*f.length+5*time.Minute)
+	ctx, stop := context.WithTimeout(cmd.Context(), 2*f.length+auditTimeout)
 	defer stop()
 	return faultinjection.Run(ctx, o)
 }
 
-func clusterTable(r *faultinjection.Result) table {
-	t := table{head: []string{"", "P50", "P99", "MAX", "OF"}}
-	line := func(what string, v []time.Duration) {
-		q := func(q float64) string { return quantile(v, q).Round(10 * time.Microsecond).String() }
-		t.add(what, q(0.5), q(0.99), q(1), len(v))
-	}
-	line("from propose to in force", r.ProposeLatencies)
-	line("pause in admission for a change", r.AdmissionPauses)
-	line("nobody acts while a duty changes hands", r.TaskGaps)
-	line("a trigger is fired after its time", r.Triggers.Lateness)
-	t.add("")
-	t.add(fmt.Sprintf("%d instances, %.1f s, %d faults; %d changes in force, %d withdrawn, %d calls repeated",
-		r.Instances, r.Seconds, r.Faults, r.InForce, r.Withdrawn, r.Retries))
-	t.add(fmt.Sprintf(
-		"%d jobs sent: %d served, %d refused by sessions, %d by rates, %d else, %d failed, %d unanswered",
-		r.Jobs.Sent, r.Jobs.Served, r.Jobs.RejectedByLease, r.Jobs.RejectedByRate,
-		r.Jobs.RejectedOtherwise, r.Jobs.Failed, r.Jobs.Unanswered))
-	t.add(fmt.Sprintf("%.0f messages a second between all instances at rest", r.MessagesPerSecond))
-	t.add(fmt.Sprintf("%v from the end of the faults until all admitted jobs",
-		r.RecoveryTime.Round(time.Millisecond)))
-	if r.MembershipRecoveryTime > 0 {
-		t.add(fmt.Sprintf("%v until each believed of each that it is there",
-			r.MembershipRecoveryTime.Round(time.Millisecond)))
-	}
-	t.add(fmt.Sprintf(
-		"%d admissions, %d of accounts (%.0f%% of their rates) and %d acts in duties audited, %d violations",
-		r.Admitted, r.RatedAdmissions, 100*r.RateUtilization, r.TaskActs, len(r.Violations)))
-	if r.RatedAdmissions > 0 {
-		t.add(fmt.Sprintf("%d accounts, %v at the most between two admissions of one with a line; "+
-			"%d parts of cold workers' budgets audited",
-			r.Accounts, r.MaxAdmissionGap.Round(10*time.Millisecond), r.BudgetShares))
-	}
-	if r.RestartedInstances > 0 {
-		t.add(fmt.Sprintf("%d rolling restarts came to their end, %d instances were taken out",
-			r.RollingRestarts, r.RestartedInstances))
-	}
-	if f := r.Triggers; f.Intended > 0 {
-		t.add(fmt.Sprintf("%d occurrences intended, %d fired, %d taken over, %d may have run, %d refused, "+
-			"%d failed",
-			f.Intended, f.JobsSubmitted, f.Adopted, f.MayHaveRun, f.Rejected, f.Failed))
-	}
-	for _, v := range r.Violations {
-		t.add("  " + v)
-	}
-	for _, v := range r.LastEntries {
-		t.add("    " + v)
-	}
-	return t
-}
+// auditTimeout is how long a run may take beside twice the time of its faults.
+const auditTimeout = 5 * time.Minute
 
-// quantile is the smallest of the values that is not less than the given part of them.
-func quantile(values []time.Duration, q float64) time.Duration {
-	if len(values) == 0 {
-		return 0
+// options are those of a run in a directory.
+func (f *faultRunFlags) options(program, dir string,
+	faults []faultinjection.Fault) (o faultinjection.RunOptions, err error) {
+	o = faultinjection.RunOptions{
+		Schedule:   faults,
+		Duration:   f.length,
+		MaxChanges: f.changes,
+		ClusterOptions: faultinjection.ClusterOptions{
+			Program:              program,
+			OlderProgram:         f.older,
+			Dir:                  dir,
+			Instances:            f.processes,
+			Voters:               f.voters,
+			Tick:                 f.tick,
+			Seed:                 f.seed,
+			PlatformFile:         faultinjection.SamplePlatform(),
+			JobsPerSecond:        f.rate,
+			DrillTasks:           f.drillTasks,
+			MaxRestarting:        f.rollingRestarts,
+			OperatorCommands:     f.faultFile == "",
+			Accounts:             f.accounts,
+			UnlistedAccounts:     f.names,
+			Triggers:             f.triggers,
+			ClockSpeed:           f.speed,
+			OldZoneRulesInstance: f.oldRules,
+		},
+	}
+	if f.clock != "" {
+		if o.ClockStart, err = time.Parse(time.RFC3339, f.clock); err != nil {
+			return o, fmt.Errorf("--clock: %w", err)
+		}
 	}
-	s := slices.Sorted(slices.Values(values))
-	return s[min(int(q*float64(len(s))), len(s)-1)]
+	return o, nil
 }
--- a/cmd/moorstack/root.go
+++ b/cmd/moorstack/root.go
@@ -14,15 +14,15 @@
 	"moorstack/internal/node"
 )
 
-// global are the flags of every command.
-type global struct {
+// globalFlags are the flags of every command.
+type globalFlags struct {
 	logLevel  string
 	logFormat string
 	output    string
 }
 
 func newRoot() *cobra.Command {
-	var g global
+	var g globalFlags
 	var faktoryFile string
 	root := &cobra.Command{
 		Use:   "moorstack",
@@ -67,8 +67,8 @@
 		newStore(&g),
 		newExpect(&g),
 		newEmulate(&g),
-		newLab("experiment", "Run plans of emulated worlds, and say which differences are real"),
-		newLab("load", "Send jobs to a node on loopback at a steady rate, and measure"),
+		labCommand("experiment", "Run plans of emulated worlds, and say which differences are real"),
+		labCommand("load", "Send jobs to a node on loopback at a steady rate, and measure"),
 		newRoute(&g),
 		newProve(&g),
 	)
@@ -100,7 +100,7 @@
 }
 
 // logger is the log that the flags ask for, on standard error.
-func (g *global) logger() (*logrus.Logger, error) {
+func (g *globalFlags) logger() (*logrus.Logger, error) {
 	log := logrus.New()
 	level, err := logrus.ParseLevel(g.logLevel)
 	if err != nil {
@@ -118,8 +118,8 @@
 	return log, nil
 }
 
-// listen has the signals that a node acts on wait for it.
-func listen() chan os.Signal {
+// notifySignals has the signals that a node acts on wait for it.
+func notifySignals() chan os.Signal {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
@@ -127,7 +127,7 @@
 
 // servePlatform is the platform's node.
 func servePlatform(log *logrus.Logger, faktoryFile string) error {
-	signals := listen()
+	signals := notifySignals()
 	cfg, err := platform.ReadConfig()
 	if err != nil {
 		return err
--- a/cmd/moorstack/serve.go
+++ b/cmd/moorstack/serve.go
@@ -12,8 +12,8 @@
 	"moorstack/internal/node"
 )
 
-// anew starts the program that is there now in the place of this process, as it was started.
-func anew() error {
+// startAgain starts the program that is there now in the place of this process, as it was started.
+func startAgain() error {
 	// Hazard: the file of a program that was replaced while it ran is not what /proc says of the process.
 	path, err := exec.LookPath(os.Args[0])
 	if err == nil {
@@ -22,7 +22,7 @@
 	return exitError{exitFailed, fmt.Errorf("starting anew: %w", err)}
 }
 
-func newServe(g *global) *cobra.Command {
+func newServe(g *globalFlags) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
 		Use:   "serve",
@@ -41,7 +41,7 @@
   moorstack serve --config n1.toml --log-format json`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			signals := listen()
+			signals := notifySignals()
 			log, err := g.logger()
 			if err != nil {
 				return err
@@ -56,7 +56,7 @@
 			}
 			switch err := i.Run(signals); {
 			case errors.Is(err, node.ErrRestart):
-				return anew()
+				return startAgain()
 			case err != nil:
 				return exitError{exitFailed, err}
 			}
--- a/cmd/moorstack/store.go
+++ b/cmd/moorstack/store.go
@@ -8,7 +8,7 @@
 	"moorstack/internal/storage/store"
 )
 
-func newStore(g *global) *cobra.Command {
+func newStore(g *globalFlags) *cobra.Command {
 	cmd := &cobra.Command{Use: "store", Short: "Look after a directory that an instance keeps its state in"}
 	check := &cobra.Command{
 		Use:   "check DIR",
