--- a/internal/verify/emulate/clock.go
+++ b/internal/verify/emulate/clock.go
@@ -1,8 +1,3 @@
-// Package emulate is a model world in virtual time: workers, a list service, clients and
-// troubles round real nodes, which are the real core, balancer and rules through their
-// interfaces. The same scenario and seed give the same run, event by event.
-//
-// docs/emulator.md says what is modelled, what is not, and how it can mislead.
 package emulate
 
 import (
--- a/internal/verify/emulate/list_test.go
+++ b/internal/verify/emulate/discovery_test.go
@@ -15,8 +15,7 @@
 				sent := 0
 				for seed := range uint64(8) {
 					sc := small(seed)
-					sc.ListDelivery, sc.DrainGrace, sc.Duration = list, Duration(grace),
-						Duration(25*time.Second)
+					sc.ListDelivery, sc.DrainGrace, sc.Duration = list, Duration(grace), Duration(25*time.Second)
 					at := func(kind string, at, long time.Duration, part float64) {
 						sc.Faults = append(sc.Faults,
 							Fault{Kind: kind, Start: Duration(at), Length: Duration(long), Fraction: part})
--- a/internal/verify/emulate/emulate_test.go
+++ b/internal/verify/emulate/emulate_test.go
@@ -32,7 +32,7 @@
 			return
 		}
 		size, came, warm := sizes.ExpFloat64(), clock.now, made > jobs/10
-		k.StartJob("", "", size, true, func(balancer.Result) {
+		k.StartJob(JobRequest{Size: size, KnewStart: true}, func(balancer.Result) {
 			if warm {
 				sum += (clock.now - came).Seconds() - size
 				n++
@@ -138,8 +138,7 @@
 		for seed := range uint64(6) {
 			sc := small(seed)
 			sc.Faults = []Fault{
-				{Kind: kind, Start: Duration(8 * time.Second), Length: Duration(10 * time.Second),
-					Fraction:  0.3,
+				{Kind: kind, Start: Duration(8 * time.Second), Length: Duration(10 * time.Second), Fraction: 0.3,
 					Magnitude: size[kind], Zone: map[bool]string{true: "a"}[kind == "zone-lost"],
 					Class: sc.Classes[0].Name},
 			}
@@ -190,12 +189,8 @@
 	n, k := w.nodes[0], w.workers[0]
 	v := w.invariants
 	for what, breach := range map[string]func(r *job){
-		"drains": func(r *job) {
-			v.drainingSince[observation(n,
-				k.Name)] = -2 * time.Second
-			v.attemptStarted(n, k, r)
-		},
-		"attempt 6": func(r *job) { r.attempts = make([]attemptAt, 5); v.attemptStarted(n, w.workers[1], r) },
+		"drains":    func(r *job) { v.drainingSince[observationOf(n, k.Name)] = -2 * time.Second; v.attemptStarted(n, k, r) },
+		"attempt 6": func(r *job) { r.attempts = 5; v.attemptStarted(n, w.workers[1], r) },
 		"run twice": func(r *job) { r.class = &w.scenario.Classes[2]; v.jobRan(r); v.jobRan(r) },
 		"second": func(r *job) {
 			c := &submission{job: r, node: n}
@@ -204,12 +199,8 @@
 			v.responded(c, served)
 			v.responded(c, served)
 		},
-		"gave up": func(r *job) { r.runs = 1; v.responded(&submission{job: r, node: n}, served) },
-		"no worker": func(r *job) {
-			r.deadline = time.Hour
-			v.responded(&submission{job: r, node: n},
-				served)
-		},
+		"gave up":    func(r *job) { r.runs = 1; v.responded(&submission{job: r, node: n}, served) },
+		"no worker":  func(r *job) { r.deadline = time.Hour; v.responded(&submission{job: r, node: n}, served) },
 		"jobs came,": func(*job) { w.openJobs += 7; v.checkEnd(); w.openJobs -= 7 },
 	} {
 		v.violations = nil
@@ -233,7 +224,7 @@
 		k.Crash()
 		k.Restart()
 		for range 30 {
-			k.StartJob("", "", 1, aware, func(balancer.Result) {})
+			k.StartJob(JobRequest{Size: 1, KnewStart: aware}, func(balancer.Result) {})
 		}
 		w.invariants.checkEnd()
 		if said := len(w.invariants.violations) > 0; !k.collapsed || said != aware {
@@ -299,8 +290,7 @@
 	run := func(d int) float64 { return JSQ{N: 300, D: d, Load: 0.9, Seed: 1, Jobs: 100_000}.Run().MeanWait }
 	all, design, two := run(300), run(SampleSize(300)), run(2)
 	if design > 2*all || two < 50*design {
-		t.Errorf("waits: %.4f with full sight, %.4f at %d draws, %.4f at 2", all, design, SampleSize(300),
-			two)
+		t.Errorf("waits: %.4f with full sight, %.4f at %d draws, %.4f at 2", all, design, SampleSize(300), two)
 	}
 }
 
@@ -370,14 +360,10 @@
 	for seed := range uint64(12) {
 		sc := small(seed)
 		sc.Faults = []Fault{
-			{Kind: "maintain", Start: Duration(4 * time.Second), Length: Duration(12 * time.Second),
-				Fraction: 0.3},
-			{Kind: "replace", Start: Duration(6 * time.Second), Length: Duration(12 * time.Second),
-				Fraction: 1},
-			{Kind: "stale", Start: Duration(5 * time.Second), Length: Duration(8 * time.Second),
-				Magnitude: 4},
-			{Kind: "replace", Start: Duration(15 * time.Second), Length: Duration(5 * time.Second),
-				Fraction: 1},
+			{Kind: "maintain", Start: Duration(4 * time.Second), Length: Duration(12 * time.Second), Fraction: 0.3},
+			{Kind: "replace", Start: Duration(6 * time.Second), Length: Duration(12 * time.Second), Fraction: 1},
+			{Kind: "stale", Start: Duration(5 * time.Second), Length: Duration(8 * time.Second), Magnitude: 4},
+			{Kind: "replace", Start: Duration(15 * time.Second), Length: Duration(5 * time.Second), Fraction: 1},
 		}
 		r, err := RunScenario(sc)
 		if err != nil || len(r.Violations) > 0 || r.EarnedShare < 0.3 {
@@ -395,7 +381,7 @@
 	}
 	old, k := w.nodes[0], w.workers[0]
 	old.startMaintenance(k.Name)
-	w.replaceNode(old)
+	w.hotRestart(old)
 	next := w.nodes[0]
 	r := &job{class: &w.scenario.Classes[0]}
 	w.Clock.now += 900 * time.Millisecond
--- a/internal/verify/emulate/jsq.go
+++ b/internal/verify/emulate/jsq.go
@@ -20,10 +20,9 @@
 
 // JSQResult is what was seen.
 type JSQResult struct {
-	MeanWait     float64 `json:"wait"`  // mean, in mean service times
-	WaitingShare float64 `json:"waits"` // the share of jobs that wait at all
-	// k: the part of the servers with k jobs or more, as arrivals see them
-	Tails []float64 `json:"tails"`
+	MeanWait     float64   `json:"wait"`  // mean, in mean service times
+	WaitingShare float64   `json:"waits"` // the share of jobs that wait at all
+	Tails        []float64 `json:"tails"` // k: the part of the servers with k jobs or more, as arrivals see them
 }
 
 const maxTail = 12
--- a/internal/verify/emulate/loopback/stage.go
+++ b/internal/verify/emulate/loopback/stage.go
@@ -89,8 +89,7 @@
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	streams := emulate.RandomStreams{Seed: o.Seed}
 	for i := range o.Workers {
-		w := &worker{fleet: s, name: fmt.Sprintf("w%05d", i), cancel: map[string]func(){},
-			lifecycle: "SERVING"}
+		w := &worker{fleet: s, name: fmt.Sprintf("w%05d", i), cancel: map[string]func(){}, lifecycle: "SERVING"}
 		w.model = emulate.NewWorker(&s.clock, streams.Source("worker", i), w.name, o.Spec)
 		if err := w.listen("127.0.0.1:0"); err != nil {
 			s.Close()
@@ -104,8 +103,7 @@
 		return nil, err
 	}
 	s.discoveryAddress = l.Addr().String()
-	s.discoveryServer = &http.Server{Handler: http.HandlerFunc(s.serveDiscovery),
-		ReadHeaderTimeout: 5 * time.Second}
+	s.discoveryServer = &http.Server{Handler: http.HandlerFunc(s.serveDiscovery), ReadHeaderTimeout: 5 * time.Second}
 	go s.discoveryServer.Serve(l)
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
@@ -219,8 +217,8 @@
 			go w.callBack(id, res)
 		}
 		now = balancer.NotSent // not ended yet
-		giveUp := w.model.StartJob(r.Header.Get("Idempotency-Key"), r.Header.Get("X-Priority-Class"), size,
-			true, done)
+		giveUp := w.model.StartJob(emulate.JobRequest{Key: r.Header.Get("Idempotency-Key"),
+			Class: r.Header.Get("X-Priority-Class"), Size: size, KnewStart: true}, done)
 		if atOnce = false; now == balancer.NotSent {
 			w.cancel[id] = giveUp
 		}
@@ -321,8 +319,7 @@
 }
 
 func (w *worker) instance() instance {
-	return instance{w.name, w.address, w.fleet.options.Zone, w.fleet.options.Kind, 1, w.lifecycle, 1,
-		w.startedAtMS}
+	return instance{w.name, w.address, w.fleet.options.Zone, w.fleet.options.Kind, 1, w.lifecycle, 1, w.startedAtMS}
 }
 
 // notifyWatchers tells all watchers of a worker.
