--- a/internal/verify/emulate/clock.go
+++ b/internal/verify/emulate/clock.go
@@ -8,68 +8,69 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// Clock is virtual time: a queue of what is due, in order of time and then of asking. The
-// zero Clock begins at 0 and is ready for use.
+// Clock is virtual time: a queue of events, in order of time and then of their scheduling. The zero Clock
+// begins at 0 and is ready for use, by one goroutine.
 type Clock struct {
-	now   time.Duration
-	queue []*event // a heap with four children a node: fewer levels, and they share lines
-	seq   uint64
-	free  []*event
-	count uint64
+	now      time.Duration
+	queue    []*event // a heap with four children a node: fewer levels, and they share cache lines
+	sequence uint64   // of the last event scheduled
+	free     []*event
+	count    uint64 // of the events that have run
 }
 
+// event is a pending call, or a free one to be used again.
 type event struct {
 	at         time.Duration
-	seq        uint64
+	sequence   uint64
 	run        func()
-	index      int // in the queue; below 0: it has run or was stopped
-	generation uint32
+	index      int    // in the queue; below 0: it has run or was stopped
+	generation uint32 // grows each time that it is used again
 }
 
-// eventTimer stops an event, and nothing else that has taken its place since.
+// eventTimer stops an event, and nothing that has used it again since. The zero eventTimer stops nothing.
 type eventTimer struct {
 	clock      *Clock
 	event      *event
 	generation uint32
 }
 
-// Stop implements core.Timer.
-func (h eventTimer) Stop() {
-	if h.event != nil && h.event.generation == h.generation && h.event.index >= 0 {
-		h.clock.remove(h.event)
+// Stop implements broker.Timer.
+func (t eventTimer) Stop() {
+	if t.event != nil && t.event.generation == t.generation && t.event.index >= 0 {
+		t.clock.remove(t.event)
 	}
 }
 
-// Now implements core.Clock.
+// Now implements broker.Clock.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// EventCount is how many have run.
+// EventCount is how many events have run.
 func (c *Clock) EventCount() uint64 { return c.count }
 
-// At implements core.Clock: f runs at the time, or next if that is past.
+// At implements broker.Clock: f runs at the time, or next if that is past.
 func (c *Clock) At(at time.Duration, f func()) broker.Timer { return c.schedule(at, f) }
 
 // After runs f after d.
 func (c *Clock) After(d time.Duration, f func()) broker.Timer { return c.schedule(c.now+d, f) }
 
 func (c *Clock) schedule(at time.Duration, f func()) eventTimer {
-	var d *event
+	var e *event
 	if n := len(c.free); n > 0 {
-		d, c.free = c.free[n-1], c.free[:n-1]
+		e, c.free = c.free[n-1], c.free[:n-1]
 	} else {
-		d = &event{}
+		e = &event{}
 	}
-	c.seq++
-	d.at, d.seq, d.run, d.index = max(at, c.now), c.seq, f, len(c.queue)
-	d.generation++
-	c.queue = append(c.queue, d)
-	c.up(d.index)
-	return eventTimer{c, d, d.generation}
+	c.sequence++
+	e.at, e.sequence, e.run, e.index = max(at, c.now), c.sequence, f, len(c.queue)
+	e.generation++
+	c.queue = append(c.queue, e)
+	c.up(e.index)
+	return eventTimer{c, e, e.generation}
 }
 
 func (c *Clock) less(i, j int) bool {
 	a, b := c.queue[i], c.queue[j]
-	return a.at < b.at || a.at == b.at && a.seq < b.seq
+	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
 
 func (c *Clock) swap(i, j int) {
@@ -100,8 +101,9 @@
 	}
 }
 
-func (c *Clock) remove(d *event) {
-	i, last := d.index, len(c.queue)-1
+// remove takes an event out, to be used again.
+func (c *Clock) remove(e *event) {
+	i, last := e.index, len(c.queue)-1
 	c.swap(i, last)
 	c.queue[last] = nil
 	c.queue = c.queue[:last]
@@ -109,19 +111,19 @@
 		c.down(i)
 		c.up(i)
 	}
-	d.index, d.run = -1, nil
-	c.free = append(c.free, d)
+	e.index, e.run = -1, nil
+	c.free = append(c.free, e)
 }
 
-// Run runs what is due up to a time, and leaves the clock there.
+// Run runs the events that are due up to a time, and leaves the clock there.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
-		d := c.queue[0]
-		c.now = d.at
-		f := d.run
-		c.remove(d)
+		e := c.queue[0]
+		c.now = e.at
+		run := e.run
+		c.remove(e)
 		c.count++
-		f()
+		run()
 	}
 	c.now = max(c.now, until)
 }
--- a/internal/verify/emulate/discovery.go
+++ b/internal/verify/emulate/discovery.go
@@ -17,8 +17,8 @@
 // silentWatchLimit is after how long a node counts as having received what its silent watch did not bring.
 const silentWatchLimit = 6 * time.Second
 
-// discoveryService sends the nodes the endpoint list: late, only workers that run or drain, and nothing while it
-// is down.
+// discoveryService sends the nodes the endpoint list: late, only workers that run or drain, and nothing
+// while it is down.
 type discoveryService struct {
 	world      *World
 	byName     map[string]*Worker
--- a/internal/verify/emulate/fault_storm.go
+++ b/internal/verify/emulate/fault_storm.go
@@ -41,8 +41,12 @@
 
 func randomFault(sc *Scenario, kind string, random *rand.Rand) Fault {
 	length := float64(sc.Duration)
-	f := Fault{Kind: kind, Fraction: 0.05 + 0.45*random.Float64(), Start: Duration(length * 0.7 * random.Float64()),
-		Length: Duration(time.Second + time.Duration(length*0.3*random.Float64()))}
+	f := Fault{
+		Kind:     kind,
+		Fraction: 0.05 + 0.45*random.Float64(),
+		Start:    Duration(length * 0.7 * random.Float64()),
+		Length:   Duration(time.Second + time.Duration(length*0.3*random.Float64())),
+	}
 	if magnitude, ok := randomMagnitudes[kind]; ok {
 		f.Magnitude = magnitude.draw(random)
 	}
@@ -74,7 +78,8 @@
 	c := *s
 	c.Seed, c.Faults = seed, slices.Clone(faults)
 	// A world writes into these: see validate.
-	c.Workers, c.Clients, c.Classes = slices.Clone(s.Workers), slices.Clone(s.Clients), slices.Clone(s.Classes)
+	c.Workers, c.Clients = slices.Clone(s.Workers), slices.Clone(s.Clients)
+	c.Classes = slices.Clone(s.Classes)
 	return &c
 }
 
@@ -105,8 +110,8 @@
 	return s, nil
 }
 
-// RunFaultStorms runs a scenario under the random faults of seeds from first on, on all cores, and calls report
-// on the caller's goroutine with each in the order of the seeds. An error ends it at that seed.
+// RunFaultStorms runs a scenario under the random faults of seeds from first on, on all cores, and calls
+// report on the caller's goroutine with each in the order of the seeds. An error ends it at that seed.
 func RunFaultStorms(base *Scenario, first uint64, count, most int, report func(FaultStorm)) error {
 	type outcome struct {
 		storm FaultStorm
--- a/internal/verify/emulate/invariants.go
+++ b/internal/verify/emulate/invariants.go
@@ -16,9 +16,10 @@
 )
 
 // invariantChecker holds every run to the rules: one final response for each submission, before its client's
-// deadline; attempts within the limit, and more than one only as the class allows; nothing new to a worker later
-// than the grace after the node received that it drains or is removed, or is under maintenance; no worker in
-// slow start overloaded by nodes that knew of its start. The first violations are in the result, with the job.
+// deadline; attempts within the limit, and more than one only as the class allows; nothing new to a worker
+// later than the grace after the node received that it drains or is removed, or is under maintenance; no
+// worker in slow start overloaded by nodes that knew of its start. The first violations are in the result,
+// with the job.
 type invariantChecker struct {
 	world            *World
 	drainingSince    map[observation]time.Duration // when a node received that a worker drains or is removed
--- a/internal/verify/emulate/link.go
+++ b/internal/verify/emulate/link.go
@@ -43,8 +43,8 @@
 		if j.class.HasIdempotencyKey() {
 			key = j.key
 		}
-		a.cancel = l.worker.StartJob(JobRequest{Key: key, Class: j.class.Name, Size: j.size, KnewStart: knewStart},
-			a.sendResult)
+		request := JobRequest{Key: key, Class: j.class.Name, Size: j.size, KnewStart: knewStart}
+		a.cancel = l.worker.StartJob(request, a.sendResult)
 	})
 	return a
 }
--- a/internal/verify/emulate/operations.go
+++ b/internal/verify/emulate/operations.go
@@ -16,8 +16,8 @@
 // maintenanceSpread is over how long the operators' calls to the nodes are spread.
 const maintenanceSpread = 200 * time.Millisecond
 
-// maintainWorkers has operators take workers out of service at every node, restart them meanwhile, and put them
-// back. They call the nodes one by one.
+// maintainWorkers has operators take workers out of service at every node, restart them meanwhile, and put
+// them back. They call the nodes one by one.
 func (w *World) maintainWorkers(f *Fault, random *rand.Rand) (end func()) {
 	hit := w.selectWorkers(f, random)
 	for i := range w.nodes {
--- a/internal/verify/emulate/pod.go
+++ b/internal/verify/emulate/pod.go
@@ -20,8 +20,8 @@
 	duplicates []func(balancer.Result) // that have its result when it has finished
 }
 
-// dropDuplicate says whether the key's job has been started within the window. If so, done is called with that
-// job's result.
+// dropDuplicate says whether the key's job has been started within the window. If so, done is called with
+// that job's result.
 func (p *pod) dropDuplicate(key string, now time.Duration, done func(balancer.Result)) bool {
 	if p == nil || key == "" {
 		return false
--- a/internal/verify/emulate/scenario.go
+++ b/internal/verify/emulate/scenario.go
@@ -32,8 +32,8 @@
 
 	// ListDelay is how late changes of the endpoint list come; 1 s, if not given.
 	ListDelay Duration `toml:"list_delay"`
-	// ListDelivery is how the endpoint list comes: asked (each node has a watch at a service for all) or pushed
-	// (an agent beside each node has it, and what it has counts as received); asked, if not given.
+	// ListDelivery is how the endpoint list comes: asked (each node has a watch at a service for all) or
+	// pushed (an agent beside each node has it, and what it has counts as received); asked, if not given.
 	ListDelivery string `toml:"list"`
 	// DrainGrace is how long new work may go to a worker that is listed as draining; 1 s, if not given.
 	DrainGrace Duration `toml:"drain_grace"`
--- a/internal/verify/emulate/slow_start.go
+++ b/internal/verify/emulate/slow_start.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The rule on workers in slow start: one that is sent over overloadFactor times what it can do at that moment,
-// within overloadWindow, collapses.
+// The rule on workers in slow start: one that is sent over overloadFactor times what it can do at that
+// moment, within overloadWindow, collapses.
 const (
 	overloadFactor = 3
 	overloadWindow = time.Second
@@ -36,8 +36,8 @@
 	return math.Min(1, w.Spec.SlowStartMinShare+(1-w.Spec.SlowStartMinShare)*age)
 }
 
-// slowStartAllowance is how many jobs of mean work a worker can be sent in a window for which the rule allows so
-// many: the rest is left for chance.
+// slowStartAllowance is how many jobs of mean work a worker can be sent in a window for which the rule
+// allows so many: the rest is left for chance.
 func slowStartAllowance(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -45,9 +45,9 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// checkSlowStart counts what a worker in slow start is sent, and has it collapse where that is too much, in jobs
-// of mean work or in that much work. That violates the rule if two thirds of it came from nodes that had
-// received the worker's start.
+// checkSlowStart counts what a worker in slow start is sent, and has it collapse where that is too much, in
+// jobs of mean work or in that much work. That violates the rule if two thirds of it came from nodes that
+// had received the worker's start.
 func (w *Worker) checkSlowStart(size float64, knewStart bool) {
 	if w.warmUpFactor() >= 1 {
 		w.slowStartArrivals = w.slowStartArrivals[:0]
--- a/internal/verify/faultinjection/cluster.go
+++ b/internal/verify/faultinjection/cluster.go
@@ -65,7 +65,7 @@
 	configPath, socketPath string
 	log                    *os.File
 	journal                *journal
-	emulator               *loopback.Fleet
+	emulator               *loopback.Platform
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
