--- a/internal/verify/emulate/loopback/discovery.go
+++ b/internal/verify/emulate/loopback/discovery.go
@@ -44,8 +44,8 @@
 // instance needs the platform's lock.
 func (w *worker) instance() instance {
 	o := &w.platform.options
-	return instance{ID: w.name, Address: w.address, Zone: o.Zone, Kind: o.Kind, Cell: 1, Lifecycle: w.lifecycle,
-		Weight: 1, StartedAtMS: w.startedAtMS}
+	return instance{ID: w.name, Address: w.address, Zone: o.Zone, Kind: o.Kind, Cell: 1,
+		Lifecycle: w.lifecycle, Weight: 1, StartedAtMS: w.startedAtMS}
 }
 
 // notifyWatches sends all watches a worker's entry.
--- a/internal/verify/emulate/loopback/platform.go
+++ b/internal/verify/emulate/loopback/platform.go
@@ -95,7 +95,8 @@
 func (p *Platform) listen() error {
 	streams := emulate.RandomStreams{Seed: p.options.Seed}
 	for i := range p.options.Workers {
-		w := &worker{platform: p, name: fmt.Sprintf("w%05d", i), cancel: map[string]func(){}, lifecycle: serving}
+		name := fmt.Sprintf("w%05d", i)
+		w := &worker{platform: p, name: name, cancel: map[string]func(){}, lifecycle: serving}
 		w.model = emulate.NewWorker(&p.clock, streams.Source("worker", i), w.name, p.options.Spec)
 		if err := w.listen(anyLoopbackPort); err != nil {
 			return err
