--- a/internal/frozen/encoded/sinks_test.go
+++ b/internal/frozen/encoded/sinks_test.go
@@ -72,6 +72,9 @@
 		}
 	}
 	ast.Inspect(d, func(n ast.Node) bool {
+		if literal, ok := n.(*ast.FuncLit); ok && c.returnsPrinted(literal) {
+			roots = c.printed(literal, roots)
+		}
 		call, ok := n.(*ast.CallExpr)
 		if !ok {
 			return true
@@ -98,6 +101,34 @@
 	return roots
 }
 
+// returnsPrinted reports whether a function literal returns what a command prints: a value, which is encoded as
+// JSON by the command's caller, and the table in its place.
+func (c *checked) returnsPrinted(literal *ast.FuncLit) bool {
+	signature, ok := c.info.Types[literal].Type.(*types.Signature)
+	if !ok || signature.Results().Len() != 3 {
+		return false
+	}
+	value, second := signature.Results().At(0).Type(), signature.Results().At(1).Type()
+	named, ok := second.(*types.Named)
+	return ok && types.IsInterface(value) && named.Obj().Name() == "table"
+}
+
+// printed adds the types of the values that a function literal returns to be printed.
+func (c *checked) printed(literal *ast.FuncLit, roots []root) []root {
+	ast.Inspect(literal.Body, func(n ast.Node) bool {
+		switch n := n.(type) {
+		case *ast.FuncLit:
+			return false
+		case *ast.ReturnStmt:
+			if typ := c.info.Types[n.Results[0]].Type; !types.IsInterface(typ) {
+				roots = append(roots, root{"json", typ})
+			}
+		}
+		return true
+	})
+	return roots
+}
+
 // callee is the function that a call names, or nil.
 func (c *checked) callee(call *ast.CallExpr) *types.Func {
 	fun := ast.Unparen(call.Fun)
