--- a/internal/verify/faultinjection/audit.go
+++ b/internal/verify/faultinjection/audit.go
@@ -1,197 +1,80 @@
 package faultinjection
 
 import (
-	"bufio"
-	"cmp"
+	"context"
 	"fmt"
-	"os"
 	"slices"
-	"strconv"
-	"strings"
-	"sync"
-	"syscall"
-	"time"
 )
 
-// auditEntry is a line of an instance's journal: what it did, by the clock that all share.
-type auditEntry struct {
-	at       time.Duration
-	instance string
-	event    string
-	args     string
-}
-
-// journal is what one instance writes, read from a pipe as it is written. Hazard: in a file it
-// would stand on the disk that a story may fill.
-type journal struct {
-	instance string
-	pipe     *os.File
-	copy     *os.File // a copy of it, for people
-	observe  func(auditEntry)
-
-	mu       sync.Mutex
-	entries  []auditEntry
-	err      error
-	barriers chan struct{}
-}
+// maxLastEntries is how many journal entries a result with violations ends with.
+const maxLastEntries = 30
 
-// barrierLine is a line that the rig itself writes: all that was written before it has been read.
-const barrierLine = "mark"
-
-func newJournal(path, who string, note func(auditEntry)) (*journal, error) {
-	j := &journal{instance: who, observe: note, barriers: make(chan struct{}, 1)}
-	err := syscall.Mkfifo(path, 0o600)
-	if err == nil {
-		// Opened for both: there is no end of it while processes come and go.
-		j.pipe, err = os.OpenFile(path, os.O_RDWR, 0)
-	}
-	if err == nil {
-		if j.copy, err = os.Create(path + ".copy"); err != nil {
-			j.pipe.Close()
-		}
-	}
+// audit audits every change at every instance, and the journals of all of them.
+func (r *run) audit(ctx context.Context) error {
+	r.auditHistories(ctx)
+	all, err := r.readJournals()
 	if err != nil {
-		return nil, fmt.Errorf("the journal of %s: %w", who, err)
+		return err
 	}
-	go j.read()
-	return j, nil
-}
-
-func (j *journal) read() {
-	sc := bufio.NewScanner(j.pipe)
-	for sc.Scan() {
-		if sc.Text() == barrierLine {
-			j.barriers <- struct{}{}
-			continue
-		}
-		fmt.Fprintln(j.copy, sc.Text())
-		at, rest, _ := strings.Cut(sc.Text(), " ")
-		ns, err := strconv.ParseInt(at, 10, 64)
-		what, rest, _ := strings.Cut(rest, " ")
-		e := auditEntry{time.Duration(ns), j.instance, what, rest}
-		j.mu.Lock()
-		if j.entries = append(j.entries, e); err != nil && j.err == nil {
-			j.err = fmt.Errorf("%s: %q is no line of a journal", j.instance, sc.Text())
+	r.auditJournals(all)
+	r.auditJobs()
+	r.auditCoverage()
+	if len(r.result.Violations) > 0 {
+		for _, e := range all[max(0, len(all)-maxLastEntries):] {
+			r.result.LastEntries = append(r.result.LastEntries,
+				fmt.Sprintf("%v %s %s %s", e.at, e.instance, e.event, e.args))
 		}
-		j.mu.Unlock()
-		j.observe(e)
 	}
+	return nil
 }
 
-// readAll is what the instance has written until now.
-func (j *journal) readAll() ([]auditEntry, error) {
-	if _, err := fmt.Fprintln(j.pipe, barrierLine); err != nil {
-		return nil, err
+// auditJournals runs the audits of the journals and fills in the figures that they give.
+func (r *run) auditJournals(all []auditEntry) {
+	policies, admitted := auditPolicies(all)
+	r.result.Admitted, r.result.AdmissionPauses = admitted, admissionPauses(all)
+	tasks := auditTasks(all)
+	r.result.TaskActs, r.result.TaskGaps = tasks.acts, tasks.gaps
+	rates := auditRates(all, r.proposedRates)
+	r.result.RatedAdmissions, r.result.RateUtilization = rates.admitted, rates.utilization
+	r.result.MaxAdmissionGap, r.result.Accounts = rates.maxGap, rates.accounts
+	budgets, shares := auditBudgetShares(all)
+	r.result.BudgetShares = shares
+	restarts, restarted := auditRollingRestarts(all)
+	r.result.RestartedInstances = restarted
+	var triggers triggerAudit
+	if r.Triggers > 0 {
+		triggers = r.auditTriggers(all)
+		r.result.Triggers = triggers.TriggerCounts
 	}
-	select {
-	case <-j.barriers:
-	case <-time.After(time.Minute):
-		return nil, fmt.Errorf("the journal of %s is not read", j.instance)
+	shutdowns := r.auditShutdowns(all)
+	for _, violation := range slices.Concat(policies, tasks.violations, rates.violations, budgets,
+		triggers.violations, restarts, shutdowns) {
+		r.violate("%s", violation)
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return slices.Clone(j.entries), j.err
 }
 
-func (j *journal) close() {
-	j.pipe.Close()
-	j.copy.Close()
-}
-
-// readJournals reads what all instances have written, in the order of the shared clock.
-func (f *Cluster) readJournals() ([]auditEntry, error) {
-	var all []auditEntry
-	for _, p := range f.Processes {
-		list, err := p.journal.readAll()
-		if err != nil {
-			return nil, err
-		}
-		all = append(all, list...)
+// auditJobs looks for responses that the protocol does not have.
+func (r *run) auditJobs() {
+	if n := r.result.Jobs.WithoutRetryAfter; n > 0 {
+		r.violate("%d refusals did not say when to come back", n)
 	}
-	slices.SortStableFunc(all, func(a, b auditEntry) int { return cmp.Compare(a.at, b.at) })
-	return all, nil
-}
-
-// auditPolicies looks for an admission under a policy after another under a later one. It also
-// gives, for each revision after the first, the pause between the last admission anywhere under
-// the one before and the first under it.
-func auditPolicies(all []auditEntry) (broken []string, admitted int) {
-	newest, by := uint64(0), auditEntry{}
-	for _, e := range all {
-		if e.event != "admit" {
-			continue
-		}
-		revision, err := strconv.ParseUint(strings.Fields(e.args)[0], 10, 64)
-		if err != nil {
-			broken = append(broken, fmt.Sprintf("%s: %q is no admission", e.instance, e.args))
-			continue
-		}
-		admitted++
-		if revision < newest {
-			broken = append(broken, fmt.Sprintf("%s admitted under revision %d %v after %s had under %d",
-				e.instance, revision, e.at-by.at, by.instance, newest))
-		}
-		if revision > newest {
-			newest, by = revision, e
-		}
+	if n := r.result.Jobs.UnknownStatus; n > 0 {
+		r.violate("%d answers are of no kind that the protocol has", n)
 	}
-	return broken, admitted
 }
 
-// auditTasks looks for an act in a duty under a number after another under a later one, and for two
-// that act under one number. It also gives how often duties have changed hands, and for how long
-// nobody acted when they did.
-func auditTasks(all []auditEntry) (broken []string, acts int, gaps []time.Duration) {
-	type last struct {
-		number uint64
-		auditEntry
+// auditCoverage looks whether each audit had something to audit.
+func (r *run) auditCoverage() {
+	if r.MaxRestarting > 0 && r.result.RestartedInstances == 0 {
+		r.violate("no instance was taken out by a rolling restart: there was nothing to audit")
 	}
-	newest := map[string]last{}
-	for _, e := range all {
-		if e.event != "act" {
-			continue
-		}
-		words := strings.Fields(e.args)
-		if len(words) != 2 {
-			broken = append(broken, fmt.Sprintf("%s: %q is no act", e.instance, e.args))
-			continue
-		}
-		number, err := strconv.ParseUint(words[1], 10, 64)
-		was := newest[words[0]]
-		if err != nil || number < was.number || number == was.number && e.instance != was.instance {
-			broken = append(broken,
-				fmt.Sprintf("%s acted in %s under the number %s %v after %s had under %d", e.instance,
-					words[0], words[1], e.at-was.at, was.instance, was.number))
-			continue
-		}
-		acts++
-		if number > was.number && was.number > 0 {
-			gaps = append(gaps, e.at-was.at)
-		}
-		newest[words[0]] = last{number, e}
+	if r.Accounts > 0 && r.JobsPerSecond > 0 && r.result.RatedAdmissions == 0 {
+		r.violate("no account's job was admitted: there was nothing to audit")
 	}
-	return broken, acts, gaps
-}
-
-// admissionPauses is for how long each instance admitted nothing because a change was taking hold.
-func admissionPauses(all []auditEntry) []time.Duration {
-	var list []time.Duration
-	since := map[string]time.Duration{}
-	for _, e := range all {
-		switch {
-		case e.event == "permit" && strings.HasPrefix(e.args, "open=false") && strings.Contains(e.args,
-			"taking hold"):
-			if _, ok := since[e.instance]; !ok {
-				since[e.instance] = e.at
-			}
-		case e.event == "open":
-			if at, ok := since[e.instance]; ok {
-				list = append(list, e.at-at)
-			}
-			delete(since, e.instance)
-		case e.event == "start" || e.event == "permit" && strings.HasPrefix(e.args, "open=false"):
-			delete(since, e.instance)
-		}
+	if r.DrillTasks > 0 && r.result.TaskActs == 0 {
+		r.violate("nobody acted in a duty: there was nothing to audit")
+	}
+	if r.JobsPerSecond > 0 && r.result.Admitted == 0 {
+		r.violate("no job was admitted: there was nothing to audit")
 	}
-	return list
 }
--- a/internal/verify/faultinjection/audit_budgets.go
+++ b/internal/verify/faultinjection/audit_budgets.go
@@ -9,70 +9,85 @@
 	"time"
 )
 
-// budgetShare is a time in which an instance held itself for entitled to a part of cold workers' budgets.
+// budgetShare is a time in which an instance held itself entitled to a share of the slow-start
+// budgets of workers that warm up: share index of total equal ones.
 type budgetShare struct {
 	instance     string
 	index, total int
 	from, to     time.Duration
 }
 
-// auditBudgetShares looks for a moment at which instances held more than the whole of a cold worker's
-// budget, or two of them the same part. By their own words, each part ends with its instance's lease: also
-// that of one that stood still, and wrote nothing.
-func auditBudgetShares(all []auditEntry) (broken []string, parts int) {
-	var spans []budgetShare
-	open := map[string]int{} // by instance: its newest span, and one more
+// shareTolerance is what rounding may add to a sum of shares.
+const shareTolerance = 1e-9
+
+// auditBudgetShares looks for a moment at which instances held more than the whole of a slow-start
+// budget, or two of them the same share, and counts the shares. As each instance has written, its
+// share ends with its lease: also that of one that was stalled, and wrote nothing.
+func auditBudgetShares(all []auditEntry) (violations []string, shares int) {
+	held, violations := readBudgetShares(all)
+	var current []budgetShare
+	for _, s := range held {
+		if s.to <= s.from {
+			continue
+		}
+		shares++
+		current = slices.DeleteFunc(current, func(other budgetShare) bool { return other.to <= s.from })
+		sum := 1 / float64(s.total)
+		for _, other := range current {
+			sum += 1 / float64(other.total)
+			if other.index == s.index && other.total == s.total {
+				violations = append(violations, fmt.Sprintf(
+					"%s takes part %d of %d of cold workers' budgets at %v, which %s has until %v",
+					s.instance, s.index, s.total, s.from, other.instance, other.to))
+			}
+		}
+		if sum > 1+shareTolerance {
+			violations = append(violations, fmt.Sprintf(
+				"with %s's part %d of %d at %v, %.3f of cold workers' budgets are taken: %v",
+				s.instance, s.index, s.total, s.from, sum, current))
+		}
+		current = append(current, s)
+	}
+	return violations, shares
+}
+
+// readBudgetShares reads the shares that instances held, in the order of their beginning. A share
+// ends at the latest with the next entry on shares of its instance, or when that starts again.
+func readBudgetShares(all []auditEntry) (shares []budgetShare, violations []string) {
+	current := map[string]int{} // by instance: the place of its newest share in the list, and one more
 	for _, e := range all {
 		if e.event != "part" && e.event != "start" {
 			continue
 		}
-		if n := open[e.instance]; n > 0 {
-			spans[n-1].to = min(spans[n-1].to, e.at)
-			delete(open, e.instance)
+		if n := current[e.instance]; n > 0 {
+			shares[n-1].to = min(shares[n-1].to, e.at)
+			delete(current, e.instance)
 		}
-		words := strings.Fields(e.args)
-		if e.event == "start" || len(words) == 1 && words[0] == "none" {
+		if e.event == "start" || strings.TrimSpace(e.args) == "none" {
 			continue
 		}
-		x := budgetShare{instance: e.instance, from: e.at}
-		ok := len(words) == 3
-		if ok {
-			var until int64
-			var bad [3]error
-			x.index, bad[0] = strconv.Atoi(words[0])
-			x.total, bad[1] = strconv.Atoi(words[1])
-			until, bad[2] = strconv.ParseInt(words[2], 10, 64)
-			x.to = time.Duration(until)
-			ok = bad == [3]error{} && x.total > 0 && x.index >= 0 && x.index < x.total
-		}
+		s, ok := parseBudgetShare(e)
 		if !ok {
-			broken = append(broken, fmt.Sprintf("%s: %q is no part", e.instance, e.args))
+			violations = append(violations, fmt.Sprintf("%s: %q is no part", e.instance, e.args))
 			continue
 		}
-		spans = append(spans, x)
-		open[e.instance] = len(spans)
+		shares = append(shares, s)
+		current[e.instance] = len(shares)
 	}
-	slices.SortStableFunc(spans, func(a, b budgetShare) int { return cmp.Compare(a.from, b.from) })
-	var now []budgetShare
-	for _, x := range spans {
-		if x.to <= x.from {
-			continue
-		}
-		parts++
-		now = slices.DeleteFunc(now, func(y budgetShare) bool { return y.to <= x.from })
-		sum := 1 / float64(x.total)
-		for _, y := range now {
-			sum += 1 / float64(y.total)
-			if y.index == x.index && y.total == x.total {
-				broken = append(broken, fmt.Sprintf("%s takes part %d of %d of cold workers' budgets at %v, "+
-					"which %s has until %v", x.instance, x.index, x.total, x.from, y.instance, y.to))
-			}
-		}
-		if sum > 1+1e-9 {
-			broken = append(broken, fmt.Sprintf("with %s's part %d of %d at %v, %.3f of cold workers' "+
-				"budgets are taken: %v", x.instance, x.index, x.total, x.from, sum, now))
-		}
-		now = append(now, x)
+	slices.SortStableFunc(shares, func(a, b budgetShare) int { return cmp.Compare(a.from, b.from) })
+	return shares, violations
+}
+
+func parseBudgetShare(e auditEntry) (s budgetShare, ok bool) {
+	args := strings.Fields(e.args)
+	if len(args) != 3 {
+		return s, false
+	}
+	index, indexErr := strconv.Atoi(args[0])
+	total, totalErr := strconv.Atoi(args[1])
+	until, untilErr := strconv.ParseInt(args[2], 10, 64)
+	if indexErr != nil || totalErr != nil || untilErr != nil || index < 0 || index >= total {
+		return s, false
 	}
-	return broken, parts
+	return budgetShare{e.instance, index, total, e.at, time.Duration(until)}, true
 }
--- /dev/null
+++ b/internal/verify/faultinjection/audit_history.go
@@ -0,0 +1,74 @@
+package faultinjection
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+
+	"moorstack/internal/schema"
+)
+
+// auditHistories looks at every change at every instance: one that was acknowledged as in force is
+// so everywhere under its revision, one that was withdrawn nowhere, and all histories are alike.
+func (r *run) auditHistories(ctx context.Context) {
+	newest := uint64(1)
+	for _, revision := range r.acknowledged {
+		newest = max(newest, revision)
+	}
+	var first []byte
+	for _, p := range r.Processes {
+		history, err := readHistory(ctx, p)
+		if err != nil {
+			r.violate("%v", err)
+			continue
+		}
+		text := r.auditHistory(p, history, newest)
+		if first == nil {
+			first = text
+		}
+		if !bytes.Equal(first, text) {
+			r.violate("%s has another history than %s", p.Name, r.Processes[0].Name)
+		}
+	}
+}
+
+func readHistory(ctx context.Context, p *Process) (history *schema.HistoryReply, err error) {
+	err = RetryUntil(ctx, "the history at "+p.Name, func(ctx context.Context) error {
+		// Reading the configuration first is a barrier: the history is at least as new.
+		if _, err := p.Client.GetConfig(ctx, &schema.GetConfigRequest{}); err != nil {
+			return err
+		}
+		var err error
+		history, err = p.Client.History(ctx, &schema.HistoryRequest{})
+		return err
+	})
+	return history, err
+}
+
+// auditHistory looks at one instance's history, and gives it as a text to compare.
+func (r *run) auditHistory(p *Process, history *schema.HistoryReply, newest uint64) []byte {
+	revisions := map[string]uint64{} // by change
+	var text bytes.Buffer
+	for _, revision := range history.Revisions {
+		if before, ok := revisions[revision.Id]; ok {
+			r.violate("%s: change %s is revision %d and %d", p.Name, revision.Id, before, revision.Revision)
+		}
+		revisions[revision.Id] = revision.Revision
+		fmt.Fprintln(&text, revision.Revision, revision.Id, revision.AtMs, revision.ForceMs)
+	}
+	for id, revision := range r.acknowledged {
+		if revision >= history.Oldest && revisions[id] != revision {
+			r.violate("%s: change %s was in force as revision %d and is %d", p.Name, id, revision,
+				revisions[id])
+		}
+	}
+	for id := range r.withdrawn {
+		if revisions[id] != 0 {
+			r.violate("%s: change %s was withdrawn and is revision %d", p.Name, id, revisions[id])
+		}
+	}
+	if last := history.Revisions[0].Revision; last != newest {
+		r.violate("%s: revision %d is the newest, %d was in force last", p.Name, last, newest)
+	}
+	return text.Bytes()
+}
--- /dev/null
+++ b/internal/verify/faultinjection/audit_restarts.go
@@ -0,0 +1,79 @@
+package faultinjection
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// auditRollingRestarts looks for a moment at which more instances were out by a rolling restart than
+// its plan allows, and counts those that were taken out. An instance is out from when its process
+// reads that it is to end until a later process of it admits jobs.
+func auditRollingRestarts(all []auditEntry) (violations []string, restarted int) {
+	out := map[string]bool{}
+	started := map[string]bool{}
+	for _, e := range all {
+		switch e.event {
+		case "out":
+			most, err := strconv.Atoi(e.args)
+			out[e.instance], started[e.instance] = true, false
+			restarted++
+			if err != nil || len(out) > most {
+				violations = append(violations, fmt.Sprintf(
+					"%s is taken out at %v, and %d are out, of %s at the most",
+					e.instance, e.at, len(out), e.args))
+			}
+		case "start":
+			started[e.instance] = true
+		case "open":
+			if started[e.instance] {
+				delete(out, e.instance)
+			}
+		}
+	}
+	return violations, restarted
+}
+
+// auditShutdowns looks for jobs that an instance admitted and that got no response though its
+// process ended by a graceful shutdown: by a rolling restart, or by SIGTERM.
+func (c *Cluster) auditShutdowns(all []auditEntry) (violations []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	unanswered := map[string]bool{}
+	for _, id := range c.unansweredJobs {
+		unanswered[id] = true
+	}
+	admitted := map[string]map[string]time.Duration{} // by instance and job: when
+	for _, e := range all {
+		switch e.event {
+		case "admit":
+			args := strings.Fields(e.args)
+			if id := args[len(args)-1]; unanswered[id] {
+				if admitted[e.instance] == nil {
+					admitted[e.instance] = map[string]time.Duration{}
+				}
+				admitted[e.instance][id] = e.at
+			}
+		case "start":
+			for id, at := range admitted[e.instance] {
+				if !c.interrupted(e.instance, at-clientTimeout, e.at) && e.at-at < clientTimeout {
+					violations = append(violations, fmt.Sprintf("job %s was admitted by %s at %v and has no "+
+						"answer: the process ended by wish, and another began at %v",
+						id, e.instance, at, e.at))
+				}
+			}
+			delete(admitted, e.instance)
+		}
+	}
+	return violations
+}
+
+// interrupted reports whether an instance was killed or stalled after a time and until another. The
+// caller holds the lock.
+func (c *Cluster) interrupted(instance string, after, until time.Duration) bool {
+	return slices.ContainsFunc(c.interruptions, func(i interruption) bool {
+		return i.instance == instance && i.at > after && i.at <= until
+	})
+}
--- a/internal/verify/faultinjection/audit_triggers.go
+++ b/internal/verify/faultinjection/audit_triggers.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"context"
 	"fmt"
-	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -14,74 +13,78 @@
 	"moorstack/internal/cluster/schedule"
 )
 
+const (
+	// maxTriggerViolations is how many violations an audit of triggers names.
+	maxTriggerViolations = 10
+	// maxEarly is how long before its time, by the true clock, an occurrence may be fired: an
+	// instance goes by its own clock.
+	maxEarly = 1500 * time.Millisecond
+	// settleSeconds is how many seconds of the machine's time an occurrence may be missing for after
+	// its time, as the newest one of any trigger shows it.
+	settleSeconds = 30
+	// answerBusy is the answer of a submission that was rejected and had no effect.
+	answerBusy = "busy"
+)
+
 var classNames = []string{"trip-quote", "trip-book", "trip-once"}
 
-// triggerSection is the section on triggers that the rig agrees on: of each class, of several paces, some
-// spread, some that count against an account. None may be passed over, however late it is.
+// triggerSection is the schedule's section of a change: triggers of each class, of several
+// periods, some spread, some that count against an account. None may be skipped, however late.
 func triggerSection(o ClusterOptions) map[string]string {
-	words := map[string]string{"zone": "Europe/Berlin"}
+	section := map[string]string{"zone": "Europe/Berlin"}
+	expressions := []string{"* * * * * *", "*/2 * * * * *", "*/3 * * * * *"}
 	if o.ClockSpeed > 1 {
-		words["bound"] = "1h" // a reading is some tenths of a second old
+		section["bound"] = "1h" // a reading is some tenths of a second old
+		expressions = []string{"* * * * *", "*/2 * * * *", "30 2 * * *"}
 	}
 	for n := range o.Triggers {
-		expr := []string{"* * * * * *", "*/2 * * * * *", "*/3 * * * * *"}[n/3%3]
-		if o.ClockSpeed > 1 {
-			expr = []string{"* * * * *", "*/2 * * * *", "30 2 * * *"}[n/3%3]
-		}
-		text := fmt.Sprintf("%s class=%s late=100h cost=2000us fold=both gap=%s", expr, classNames[n%3],
-			[]string{"after", "shift"}[n%2])
+		text := fmt.Sprintf("%s class=%s late=100h cost=2000us fold=both gap=%s", expressions[n/3%3],
+			classNames[n%3], []string{"after", "shift"}[n%2])
 		if n%5 == 4 {
 			text += " spread=2s"
 		}
 		if n%7 == 6 && o.Accounts > 0 {
 			text += " account=acct-2"
 		}
-		words[fmt.Sprintf("trigger.t%d", n)] = text
+		section[fmt.Sprintf("trigger.t%d", n)] = text
 	}
-	return words
+	return section
 }
 
-// TriggerCounts is what became of triggers' occurrences.
+// TriggerCounts counts what became of triggers' occurrences.
 type TriggerCounts struct {
 	Intended      int `json:"intended"`
-	JobsSubmitted int `json:"begun"` // jobs handed in
-	Adopted       int `json:"taken_over"`
-	MayHaveRun    int `json:"may_have_run"`
+	JobsSubmitted int `json:"begun"`
+	Adopted       int `json:"taken_over"`   // jobs of an occurrence that was another session's before
+	MayHaveRun    int `json:"may_have_run"` // with an unknown outcome
 	Rejected      int `json:"refused"`
 	Failed        int `json:"failed"`
-	// Lateness is from the time of an occurrence to when its job was handed in first.
+	// Lateness is from the time of an occurrence to when its job was submitted first.
 	Lateness []time.Duration `json:"late_ns"`
 }
 
+// triggerAudit is what an audit of triggers has found.
 type triggerAudit struct {
 	TriggerCounts
 	violations []string
 }
 
-// occurrence is what the journals say of one.
-type occurrence struct {
-	number      string
-	at          int64
-	submissions []submission
-	outcome     string
-}
-
-type submission struct {
-	auditEntry
-	sessionEpoch string
-	adopted      bool
-	answer       string
+func (a *triggerAudit) violate(format string, args ...any) {
+	if len(a.violations) < maxTriggerViolations {
+		a.violations = append(a.violations, fmt.Sprintf(format, args...))
+	}
 }
 
 // awaitOutcomes waits until all that was intended before the faults' end has an outcome.
-func (p *run) awaitOutcomes(ctx context.Context, healed time.Duration) {
-	before := p.trueClock.wall(healed)
+func (r *run) awaitOutcomes(ctx context.Context, healed time.Duration) {
+	before := r.trueClock.wall(healed)
 	err := RetryUntil(ctx, "waiting for outcomes", func(context.Context) error {
-		all, err := p.readJournals()
+		all, err := r.readJournals()
 		if err != nil {
 			return err
 		}
-		for key, o := range p.occurrences(all, func(string, ...any) {}) {
+		var ignored triggerAudit
+		for key, o := range readOccurrences(all, &ignored) {
 			if o.outcome == "" && o.at*int64(time.Second) < before {
 				return fmt.Errorf("%s has none", key)
 			}
@@ -89,197 +92,124 @@
 		return nil
 	})
 	if err != nil {
-		p.violate("all is well, and still: %v", err)
-	}
-}
-
-// occurrences reads what the instances have written of triggers.
-func (p *run) occurrences(all []auditEntry, broken func(string, ...any)) map[string]*occurrence {
-	seen := map[string]*occurrence{}
-	of := func(key string) *occurrence {
-		o := seen[key]
-		if o == nil {
-			o = &occurrence{}
-			seen[key] = o
-		}
-		return o
+		r.violate("all is well, and still: %v", err)
 	}
-	for _, e := range all {
-		if e.event != "agreed" && e.event != "fire" && e.event != "answer" {
-			continue
-		}
-		what, rest := e.event, e.args
-		if what == "agreed" {
-			what, rest, _ = strings.Cut(rest, " ")
-		}
-		key, rest, err := unquote(rest)
-		words := strings.Fields(rest)
-		if err != nil || len(words) < 2 {
-			broken("%s: %q is no line on a trigger", e.instance, e.args)
-			continue
-		}
-		switch what {
-		case "pass":
-			broken("%s: %s occurrences of %s were passed over", e.instance, words[1], key)
-		case "intend":
-			o := of(key)
-			if o.number != "" && o.number != words[0] {
-				broken("%s was intended as %s and as %s", key, o.number, words[0])
-			}
-			o.number = words[0]
-			o.at, _ = strconv.ParseInt(words[1], 10, 64)
-		case "settle":
-			o := of(key)
-			if o.outcome != "" && o.outcome != words[3] {
-				broken("%s has ended as %s and as %s", key, o.outcome, words[3])
-			}
-			o.outcome = words[3]
-		case "fire":
-			o := of(key)
-			o.submissions = append(
-				o.submissions,
-				submission{auditEntry: e, sessionEpoch: words[1], adopted: words[3] == "true"},
-			)
-			if at, _ := strconv.ParseInt(words[2], 10, 64); o.at == 0 {
-				o.at = at
-			}
-		case "answer":
-			o := of(key)
-			for k := len(o.submissions) - 1; k >= 0; k-- {
-				if o.submissions[k].instance == e.instance && o.submissions[k].answer == "" {
-					o.submissions[k].answer = words[1]
-					break
-				}
-			}
-		}
-	}
-	return seen
 }
 
-// auditTriggers looks for an occurrence that was intended twice, left out, fired without being intended,
-// early, or once more where it may have run and may not be repeated.
-func (p *run) auditTriggers(all []auditEntry) (r triggerAudit) {
-	broken := func(format string, args ...any) {
-		if len(r.violations) < 10 {
-			r.violations = append(r.violations, fmt.Sprintf(format, args...))
-		}
+// auditTriggers looks for an occurrence that was intended twice, left out, fired without being
+// intended, early, or once more where it may have run and may not be repeated.
+func (r *run) auditTriggers(all []auditEntry) (found triggerAudit) {
+	occurrences := readOccurrences(all, &found)
+	section := triggerSection(r.ClusterOptions)
+	policy, problems := schedule.ParsePolicy(section, schedule.KnownNames{Classes: classNames})
+	if len(problems) > 0 {
+		found.violate("the rig's own words on triggers: %v", problems)
 	}
-	seen := p.occurrences(all, broken)
 	classes := map[string]string{}
-	policy, wrong := schedule.ParsePolicy(
-		triggerSection(p.ClusterOptions),
-		schedule.KnownNames{Classes: classNames},
-	)
-	if len(wrong) > 0 {
-		broken("the rig's own words on triggers: %v", wrong)
-	}
 	for _, t := range policy.Triggers {
 		classes[t.Name] = t.Class
 	}
-	for _, key := range slices.Sorted(maps.Keys(seen)) {
-		o := seen[key]
-		name, _, _ := strings.Cut(key, "@")
-		if o.number == "" {
-			broken("%s was fired, and nobody has intended it", key)
-			continue
-		}
-		r.Intended++
-		p.auditSubmissions(key, classes[name], o, broken)
-		r.JobsSubmitted += len(o.submissions)
-		for _, f := range o.submissions {
-			if f.adopted {
-				r.Adopted++
-			}
-		}
-		if len(o.submissions) > 0 && p.ClockSpeed <= 1 {
-			r.Lateness = append(
-				r.Lateness,
-				time.Duration(p.trueClock.wall(o.submissions[0].at)-o.at*int64(time.Second)),
-			)
-		}
-		switch o.outcome {
-		case strconv.Itoa(int(schedule.Failed)):
-			r.Failed++
-		case strconv.Itoa(int(schedule.Rejected)):
-			r.Rejected++
-		case strconv.Itoa(int(schedule.Unknown)):
-			r.MayHaveRun++
+	for _, key := range sortedKeys(occurrences) {
+		r.auditOccurrence(key, classes[triggerOf(key)], occurrences[key], &found)
+	}
+	r.auditComplete(policy, occurrences, &found)
+	if found.Intended == 0 {
+		found.violate("no occurrence was intended: there was nothing to audit")
+	}
+	return found
+}
+
+// triggerOf is the name of the trigger that an occurrence's key begins with.
+func triggerOf(key string) string {
+	name, _, _ := strings.Cut(key, "@")
+	return name
+}
+
+// auditOccurrence looks at one occurrence and counts what became of it.
+func (r *run) auditOccurrence(key, class string, o *occurrence, found *triggerAudit) {
+	if o.number == "" {
+		found.violate("%s was fired, and nobody has intended it", key)
+		return
+	}
+	found.Intended++
+	r.auditSubmissions(key, class, o, found)
+	found.JobsSubmitted += len(o.submissions)
+	for _, s := range o.submissions {
+		if s.adopted {
+			found.Adopted++
 		}
 	}
-	p.auditComplete(policy, seen, broken)
-	if r.Intended == 0 {
-		broken("no occurrence was intended: there was nothing to audit")
+	if len(o.submissions) > 0 && r.ClockSpeed <= 1 {
+		late := r.trueClock.wall(o.submissions[0].at) - o.at*int64(time.Second)
+		found.Lateness = append(found.Lateness, time.Duration(late))
+	}
+	switch o.outcome {
+	case strconv.Itoa(int(schedule.Failed)):
+		found.Failed++
+	case strconv.Itoa(int(schedule.Rejected)):
+		found.Rejected++
+	case strconv.Itoa(int(schedule.Unknown)):
+		found.MayHaveRun++
 	}
-	return r
 }
 
 // auditSubmissions looks at one occurrence's jobs.
-func (p *run) auditSubmissions(key, class string, o *occurrence, broken func(string, ...any)) {
-	ran := 0 // times that it may have
-	for k, f := range o.submissions {
-		if early := o.at*int64(time.Second) - p.trueClock.wall(f.at); early > int64(1500*time.Millisecond) &&
-			p.ClockSpeed <= 1 {
-			broken("%s was fired %v early by %s", key, time.Duration(early), f.instance)
+func (r *run) auditSubmissions(key, class string, o *occurrence, found *triggerAudit) {
+	mayHaveRun := 0
+	for n, s := range o.submissions {
+		early := time.Duration(o.at*int64(time.Second) - r.trueClock.wall(s.at))
+		if early > maxEarly && r.ClockSpeed <= 1 {
+			found.violate("%s was fired %v early by %s", key, early, s.instance)
 		}
-		if f.answer != "busy" {
-			ran++
+		if s.answer != answerBusy {
+			mayHaveRun++
 		}
-		// Again only where the one before was refused, or by who has taken it over.
-		if k > 0 && !f.adopted && o.submissions[k-1].answer != "busy" {
-			broken("%s was fired by %s, and again by %s, which had not taken it over", key,
-				o.submissions[k-1].instance, f.instance)
+		// Again only where the one before was rejected, or by who has adopted it.
+		if n > 0 && !s.adopted && o.submissions[n-1].answer != answerBusy {
+			found.violate("%s was fired by %s, and again by %s, which had not taken it over", key,
+				o.submissions[n-1].instance, s.instance)
 		}
 	}
-	p.Cluster.mu.Lock()
-	took := p.executions[key]
-	p.Cluster.mu.Unlock()
-	if class != "trip-quote" && ran > 1 {
-		broken("%s, which may not be repeated, was fired %d times where it may have run", key, ran)
+	executions := r.executionsOf(key)
+	if class != "trip-quote" && mayHaveRun > 1 {
+		found.violate("%s, which may not be repeated, was fired %d times where it may have run", key,
+			mayHaveRun)
 	}
-	if class == "trip-once" && took > 1 {
-		broken("%s, which may not be repeated, was taken by workers %d times", key, took)
+	if class == "trip-once" && executions > 1 {
+		found.violate("%s, which may not be repeated, was taken by workers %d times", key, executions)
 	}
-	if o.outcome == strconv.Itoa(int(schedule.Succeeded)) && took == 0 {
-		broken("%s has ended as done, and no worker has taken it", key)
+	if o.outcome == strconv.Itoa(int(schedule.Succeeded)) && executions == 0 {
+		found.violate("%s has ended as done, and no worker has taken it", key)
 	}
 }
 
-// auditComplete looks whether an occurrence was left out: what follows each is what the calendar says.
-func (p *run) auditComplete(policy schedule.Policy, seen map[string]*occurrence, broken func(string,
-	...any)) {
-	plans, err := policy.Recurrences(calendar.NewZoneDB())
+// auditComplete looks whether an occurrence was left out: what follows each one is what the
+// calendar says.
+func (r *run) auditComplete(policy schedule.Policy, occurrences map[string]*occurrence, found *triggerAudit) {
+	recurrences, err := policy.Recurrences(calendar.NewZoneDB())
 	if err != nil {
-		broken("the rig's own words on triggers: %v", err)
+		found.violate("the rig's own words on triggers: %v", err)
 		return
 	}
-	by := map[string][]int64{}
-	for key, o := range seen {
+	times := map[string][]int64{} // by trigger, Unix seconds
+	newest := int64(0)
+	for key, o := range occurrences {
 		if o.number != "" {
-			name, _, _ := strings.Cut(key, "@")
-			by[name] = append(by[name], o.at)
+			times[triggerOf(key)] = append(times[triggerOf(key)], o.at)
+			newest = max(newest, o.at)
 		}
 	}
-	newest := int64(0)
-	for _, list := range by {
-		slices.SortFunc(list, cmp.Compare)
-		newest = max(newest, list[len(list)-1])
-	}
 	for n, t := range policy.Triggers {
-		list := by[t.Name]
+		list := times[t.Name]
+		slices.SortFunc(list, cmp.Compare)
 		for k, at := range list {
-			o, ok := plans[n].Next(at)
+			next, ok := recurrences[n].Next(at)
 			switch {
-			case k+1 < len(list) && o.At != list[k+1]:
-				broken(
-					"%s: after %d comes %d, %d was left out (%v)",
-					t.Name,
-					at,
-					list[k+1],
-					o.At,
-					o.LocalTime,
-				)
-			case k+1 == len(list) && ok && o.At < newest-int64(30*max(p.ClockSpeed, 1)):
-				broken("%s: %d has not come by %d (%v)", t.Name, o.At, newest, o.LocalTime)
+			case k+1 < len(list) && next.At != list[k+1]:
+				found.violate("%s: after %d comes %d, %d was left out (%v)", t.Name, at, list[k+1], next.At,
+					next.LocalTime)
+			case k+1 == len(list) && ok && next.At < newest-int64(settleSeconds*max(r.ClockSpeed, 1)):
+				found.violate("%s: %d has not come by %d (%v)", t.Name, next.At, newest, next.LocalTime)
 			}
 		}
 	}
--- a/internal/verify/faultinjection/cluster.go
+++ b/internal/verify/faultinjection/cluster.go
@@ -1,7 +1,3 @@
-// Package rig plays stories of failure round real processes: instances of a group on loopback,
-// with a link for each ordered pair that can be cut, delayed or broken either way, processes
-// that are stopped and killed, jobs meanwhile, and an audit of what they all did in the order
-// of the clock that they share.
 package faultinjection
 
 import (
@@ -11,86 +7,62 @@
 	"net"
 	"net/netip"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"slices"
 	"strconv"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
-	"moorstack/internal/node"
-	"moorstack/internal/operate/controlapi"
 	"moorstack/internal/operate/keys"
-	"moorstack/internal/schema"
 	"moorstack/internal/verify/emulate"
 	"moorstack/internal/verify/emulate/loopback"
 )
 
-// ClusterOptions are what a fleet is made of.
+// ClusterOptions say which processes a cluster has and what runs on them.
 type ClusterOptions struct {
-	Program          string // to start
-	Dir              string // an empty directory for all of it
-	Instances        int
-	Voters           int // the first so many; 0: up to five
-	Tick             time.Duration
-	PlatformFile     []byte  // the platform file that all share
-	JobsPerSecond    float64 // jobs a second at each instance; 0: none, and no workers
-	Seed             uint64
-	DrillTasks       int // duties to practise with
-	Accounts         int // whose rates are kept over all instances; 0: none
-	UnlistedAccounts int // accounts without a line of their own, to which half of the calls belong
-	Triggers         int // that fire over all of them; 0: none
-	// MaxRestarting is how many instances rolling restarts may have out at once; 0: there are none. With
-	// Wishes they are stopped and undone now and then.
+	Program          string        // the path of the program of all instances
+	Dir              string        // an empty directory for all files
+	Instances        int           // up to 254
+	Voters           int           // the first so many instances vote; 0: up to five
+	Tick             time.Duration // of the agreement
+	PlatformFile     []byte        // the contents of the platform file that all instances share
+	JobsPerSecond    float64       // at each instance; 0: no jobs, and no workers
+	Seed             uint64        // draws everything that the run chooses
+	DrillTasks       int           // leased tasks without an effect
+	Accounts         int           // whose rates are kept over all instances; 0: none
+	UnlistedAccounts int           // without a line of their own; half of the jobs belong to them
+	Triggers         int           // of the schedule, over all instances; 0: none
+	// MaxRestarting is how many instances a rolling restart may have out at once; 0: there are
+	// none. With OperatorCommands rolling restarts are stopped and undone now and then.
 	MaxRestarting    int
 	OperatorCommands bool
-	// ClockStart is what all instances' clocks show at the beginning, and Speed how fast they run; the
-	// machine's own, if it is zero. OldRules is who has other zone rules than the rest.
-	ClockStart           time.Time
-	ClockSpeed           float64
+	// ClockStart is what all wall clocks show at the start, and ClockSpeed how many of their
+	// seconds pass in one. Zero: the machine's time, and 1.
+	ClockStart time.Time
+	ClockSpeed float64
+	// OldZoneRulesInstance has other time zone rules than the rest; empty: none.
 	OldZoneRulesInstance string
-	// OlderProgram is another program, of an earlier version, that all instances run at first; a story
-	// renews them.
+	// OlderProgram is a program of an earlier version, which all instances run until the schedule
+	// renews them; empty: all run Program.
 	OlderProgram string
 }
 
-// Process is an instance's process.
-type Process struct {
-	Name, PeerAddress      string // Peers: where the others reach it
-	FrontAddress           string
-	configPath, socketPath string
-	log                    *os.File
-	journal                *journal
-	emulator               *loopback.Platform
-
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	stalled bool
-	older   bool // it runs the earlier version
-
-	Client      schema.ControlClient
-	closeClient func() error
-}
-
-// Cluster is the processes and what is between them.
+// Cluster is the instances' processes and the links between them. Its methods may be called by
+// any goroutine.
 type Cluster struct {
 	Links     *Links
-	Processes []*Process
+	Processes []*Process // does not change after StartCluster
 	options   ClusterOptions
+	trueClock clockFile
 
 	mu             sync.Mutex
 	watchers       map[chan auditEntry]bool // of the journals
-	interruptions  []interruption           // that were killed or made to stand still
-	unansweredJobs []string                 // jobs without an answer
-	executions     map[string]int           // jobs that workers have taken, by key
-	trueClock      clockFile                // the true one
+	interruptions  []interruption
+	unansweredJobs []string       // by request id
+	executions     map[string]int // how often workers have taken a job, by its key
 }
 
-// InstanceNames of a fleet's instances.
+// InstanceNames are the names of a cluster's instances: n1, n2 and so on.
 func InstanceNames(n int) []string {
 	list := make([]string, n)
 	for i := range list {
@@ -99,7 +71,8 @@
 	return list
 }
 
-// StartCluster prepares a fleet's files and forwarders, and starts its processes.
+// StartCluster writes the configuration files, opens the forwarders and starts the processes. The
+// caller ends them with Close.
 func StartCluster(o ClusterOptions) (*Cluster, error) {
 	if o.Voters == 0 {
 		o.Voters = min(o.Instances, 5)
@@ -107,246 +80,158 @@
 	if o.ClockSpeed == 0 {
 		o.ClockSpeed = 1
 	}
-	f := &Cluster{
-		options:    o,
+	c := &Cluster{
 		Links:      NewLinks(),
+		options:    o,
+		trueClock:  newClock(o),
 		watchers:   map[chan auditEntry]bool{},
 		executions: map[string]int{},
 	}
-	f.trueClock = newClock(o)
-	err := f.prepare()
-	for _, p := range f.Processes {
+	err := c.prepare()
+	for _, p := range c.Processes {
 		if err == nil {
-			err = f.StartProcess(p)
+			err = c.StartProcess(p)
 		}
 	}
 	if err != nil {
-		f.Close()
+		c.Close()
 		return nil, err
 	}
-	return f, nil
+	return c, nil
 }
 
-func (f *Cluster) prepare() error {
+// prepare writes the keys and the platform file and adds the processes, without starting them.
+func (c *Cluster) prepare() error {
 	ca, err := keys.NewCA("rig", time.Now(), 24*time.Hour)
 	if err != nil {
 		return err
 	}
-	k := filepath.Join(f.options.Dir, "keys")
-	if err := ca.Write(k, "ca", false); err != nil {
+	keyDir := filepath.Join(c.options.Dir, "keys")
+	if err := ca.Write(keyDir, "ca", false); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(f.options.Dir, "platform.json"), f.options.PlatformFile,
-		0o600); err != nil {
+	platform := filepath.Join(c.options.Dir, "platform.json")
+	if err := os.WriteFile(platform, c.options.PlatformFile, 0o600); err != nil {
 		return err
 	}
-	// Each instance has an address of its own: by it a forwarder knows who calls.
+	// Each instance has a source address of its own, by which a forwarder knows it.
 	net16 := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))).IntN(1 << 15)
-	for n, name := range InstanceNames(f.options.Instances) {
+	for n, name := range InstanceNames(c.options.Instances) {
 		pair, err := ca.Issue(name, keys.RoleInstance, time.Now(), 24*time.Hour)
 		if err != nil {
 			return err
 		}
-		if err := pair.Write(k, name, false); err != nil {
+		if err := pair.Write(keyDir, name, false); err != nil {
 			return err
 		}
 		host := netip.AddrFrom4([4]byte{127, byte(64 + net16>>9&63), byte(net16), byte(n + 1)})
-		if err := f.addProcess(name, host); err != nil {
+		if err := c.addProcess(name, host); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// freePorts gives two that are free on an address. Hazard: one of those that the system gives out may be
-// given out again, to the other of the two or to a connection from here, before it is listened at.
-func freePorts(host string) (one, other string, err error) {
-	for range 100 {
-		port := 10_000 + 2*rand.IntN(10_000)
-		var list []string
-		for n := range 2 {
-			l, bad := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port+n)))
-			if err = bad; bad != nil {
-				break
-			}
-			defer l.Close()
-			list = append(list, l.Addr().String())
-		}
-		if len(list) == 2 {
-			return list[0], list[1], nil
-		}
-	}
-	return "", "", fmt.Errorf("no two free ports on %s: %w", host, err)
-}
-
-func (f *Cluster) addProcess(name string, host netip.Addr) error {
+// addProcess opens what an instance needs and writes its configuration file.
+func (c *Cluster) addProcess(name string, host netip.Addr) error {
 	p := &Process{
 		Name:       name,
-		configPath: filepath.Join(f.options.Dir, name+".toml"),
-		socketPath: filepath.Join(f.options.Dir,
-			name+".sock"),
+		configPath: filepath.Join(c.options.Dir, name+".toml"),
+		socketPath: filepath.Join(c.options.Dir, name+".sock"),
+		older:      c.options.OlderProgram != "",
 	}
-	f.Processes = append(f.Processes, p)
+	c.Processes = append(c.Processes, p)
 	listen, front, err := freePorts(host.String())
 	if err != nil {
 		return err
 	}
 	p.FrontAddress = front
-	if p.PeerAddress, err = f.Links.AddForwarder(name, host, listen); err != nil {
+	if p.PeerAddress, err = c.Links.AddForwarder(name, host, listen); err != nil {
 		return err
 	}
-	discovery := ""
-	if f.options.JobsPerSecond > 0 {
-		if p.emulator, err = loopback.Start(loopback.Options{
-			Node: p.FrontAddress, Workers: 2, Zone: "z", Kind: "k",
-			Seed: f.options.Seed, OnJob: f.countExecution,
-			Spec: emulate.WorkerSpec{Cores: 8, Slots: 64, QueueCapacity: 256, Speed: 1,
-				SlowStartWindow:   time.Millisecond,
-				SlowStartMinShare: 1, ReportInterval: 200 * time.Millisecond},
-		}); err != nil {
+	if c.options.JobsPerSecond > 0 {
+		if p.emulator, err = c.startEmulator(p); err != nil {
 			return err
 		}
-		discovery = fmt.Sprintf("discovery = %q\n", p.emulator.DiscoveryAddress())
-	}
-	text := fmt.Sprintf(
-		"name = %q\ndata = %[1]q\naudit = \"%[1]s.audit\"\n[front]\nplatform = \"platform.json\"\n"+
-			"listen = %[2]q\n%[3]s[peers]\nlisten = %[4]q\nadvertise = %[5]q\nfrom = %[6]q\ntick = %[7]q\n"+
-			"[keys]\nca = \"keys/ca.crt\"\ncert = \"keys/%[1]s.crt\"\nkey = \"keys/%[1]s.key\"\n"+
-			"[control]\nsocket = \"%[1]s.sock\"\n",
-		name, p.FrontAddress, discovery, listen, p.PeerAddress, host, f.options.Tick)
-	// An earlier version knows nothing of clocks that are set.
-	if p.older = f.options.OlderProgram != ""; !p.older {
-		text += fmt.Sprintf("[test]\nclock = \"%s.clock\"\n", name)
-	}
-	if name == f.options.OldZoneRulesInstance {
-		text += "zones = \"Etc/GMT-1\"\n"
 	}
-	if f.options.MaxRestarting > 0 {
-		text += "[duties]\nout = \"start\"\n"
-	}
-	if err := os.WriteFile(p.configPath, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, c.configText(p, host, listen), 0o600); err != nil {
 		return err
 	}
-	if err := f.SetClock(p, 0); err != nil {
+	if err := c.SetClock(p, 0); err != nil {
 		return err
 	}
-	if p.journal, err = newJournal(filepath.Join(f.options.Dir, name+".audit"), name,
-		f.notifyWatchers); err != nil {
+	journalPath := filepath.Join(c.options.Dir, name+".audit")
+	if p.journal, err = newJournal(journalPath, name, c.notifyWatchers); err != nil {
 		return err
 	}
-	p.log, err = os.Create(filepath.Join(f.options.Dir, name+".log"))
+	p.log, err = os.Create(filepath.Join(c.options.Dir, name+".log"))
 	return err
 }
 
-// StartProcess starts an instance's process, unless it runs.
-func (f *Cluster) StartProcess(p *Process) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd != nil {
-		return nil
-	}
-	program := f.options.Program
-	if p.older {
-		program = f.options.OlderProgram
-	}
-	cmd := exec.Command(program, "serve", "--config", p.configPath)
-	cmd.Stdout, cmd.Stderr = p.log, p.log
-	cmd.Env = append(os.Environ(), node.TestClocksEnv+"=yes")
-	// Hazard: were this program killed itself, the instances would go on for ever.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := cmd.Start(); err != nil {
-		return err
-	}
-	p.cmd, p.stalled = cmd, false
-	if p.Client == nil {
-		var err error
-		if p.Client, p.closeClient,
-			err = controlapi.Dial(controlapi.Target{Socket: p.socketPath}); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// SwitchVersion has an instance be started as the program is now, or as it was earlier.
-func (f *Cluster) SwitchVersion(p *Process, now bool) error {
-	f.Kill(p)
-	p.mu.Lock()
-	p.older = !now && f.options.OlderProgram != ""
-	p.mu.Unlock()
-	return f.StartProcess(p)
+// startEmulator starts the workers of an instance and the discovery service that lists them.
+func (c *Cluster) startEmulator(p *Process) (*loopback.Platform, error) {
+	return loopback.Start(loopback.Options{
+		Node: p.FrontAddress, Workers: 2, Zone: "z", Kind: "k",
+		Seed: c.options.Seed, OnJob: c.countExecution,
+		Spec: emulate.WorkerSpec{
+			Cores: 8, Slots: 64, QueueCapacity: 256, Speed: 1,
+			SlowStartWindow: time.Millisecond, SlowStartMinShare: 1,
+			ReportInterval: 200 * time.Millisecond,
+		},
+	})
 }
 
-// AllUpgraded says whether all instances run the program as it is now.
-func (f *Cluster) AllUpgraded() bool {
-	for _, p := range f.Processes {
-		p.mu.Lock()
-		older := p.older
-		p.mu.Unlock()
-		if older {
-			return false
-		}
+// configText is the configuration file of an instance that listens for peers at listen and calls
+// them from host.
+func (c *Cluster) configText(p *Process, host netip.Addr, listen string) []byte {
+	discovery := ""
+	if p.emulator != nil {
+		discovery = fmt.Sprintf("discovery = %q\n", p.emulator.DiscoveryAddress())
 	}
-	return true
-}
-
-// Kill ends an instance's process, if it runs.
-func (f *Cluster) Kill(p *Process) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd != nil {
-		f.recordInterruption(p)
-		_ = p.cmd.Process.Kill()
-		_ = p.cmd.Wait()
-		p.cmd = nil
+	text := fmt.Sprintf(
+		"name = %q\ndata = %[1]q\naudit = \"%[1]s.audit\"\n[front]\nplatform = \"platform.json\"\n"+
+			"listen = %[2]q\n%[3]s[peers]\nlisten = %[4]q\nadvertise = %[5]q\nfrom = %[6]q\ntick = %[7]q\n"+
+			"[keys]\nca = \"keys/ca.crt\"\ncert = \"keys/%[1]s.crt\"\nkey = \"keys/%[1]s.key\"\n"+
+			"[control]\nsocket = \"%[1]s.sock\"\n",
+		p.Name, p.FrontAddress, discovery, listen, p.PeerAddress, host, c.options.Tick)
+	if !p.older { // an earlier version does not know the key
+		text += fmt.Sprintf("[test]\nclock = \"%s.clock\"\n", p.Name)
 	}
-}
-
-// Terminate asks an instance's process to end, and waits for that; one that takes too long is killed.
-func (f *Cluster) Terminate(p *Process) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil {
-		return
+	if p.Name == c.options.OldZoneRulesInstance {
+		text += "zones = \"Etc/GMT-1\"\n"
 	}
-	cmd := p.cmd
-	if p.stalled {
-		_ = cmd.Process.Signal(syscall.SIGCONT)
+	if c.options.MaxRestarting > 0 {
+		text += "[duties]\nout = \"start\"\n"
 	}
-	_ = cmd.Process.Signal(syscall.SIGTERM)
-	slow := time.AfterFunc(30*time.Second, func() { _ = cmd.Process.Kill() })
-	_ = cmd.Wait()
-	slow.Stop()
-	p.cmd = nil
+	return []byte(text)
 }
 
-// SetStalled has a process stand still, or go on.
-func (f *Cluster) SetStalled(p *Process, on bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil || p.stalled == on {
-		return
-	}
-	sig := syscall.SIGCONT
-	if on {
-		sig = syscall.SIGSTOP
+// freePorts gives two addresses with free ports on a host. Hazard: a port that the kernel chose
+// itself may be chosen again, for the other of the two or for an outgoing connection, before
+// anybody listens on it; so these are drawn below the kernel's own range.
+func freePorts(host string) (one, other string, err error) {
+	for range 100 {
+		port := 10_000 + 2*rand.IntN(10_000)
+		var list []string
+		for n := range 2 {
+			l, bad := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port+n)))
+			if err = bad; bad != nil {
+				break
+			}
+			defer l.Close()
+			list = append(list, l.Addr().String())
+		}
+		if len(list) == 2 {
+			return list[0], list[1], nil
+		}
 	}
-	f.recordInterruption(p)
-	_ = p.cmd.Process.Signal(sig)
-	p.stalled = on
-}
-
-// Running says whether an instance's process runs and does not stand still.
-func (p *Process) Running() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.cmd != nil && !p.stalled
+	return "", "", fmt.Errorf("no two free ports on %s: %w", host, err)
 }
 
-// Close ends all of it.
-func (f *Cluster) Close() {
-	for _, p := range f.Processes {
-		f.Kill(p)
+// Close kills all processes and closes the emulators, the journals and the links.
+func (c *Cluster) Close() {
+	for _, p := range c.Processes {
+		c.Kill(p)
 		if p.closeClient != nil {
 			_ = p.closeClient()
 		}
@@ -360,79 +245,46 @@
 			p.journal.close()
 		}
 	}
-	f.Links.Close()
+	c.Links.Close()
 }
 
-// notifyWatchers tells who waits for a step of an instance that has written a line.
-func (f *Cluster) notifyWatchers(e auditEntry) {
+// notifyWatchers passes a journal entry to those who wait for a step. A watcher that has fallen
+// behind misses it. Admissions are no steps, and far too many.
+func (c *Cluster) notifyWatchers(e auditEntry) {
 	if e.event == "admit" {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.watchers {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for entries := range c.watchers {
 		select {
-		case c <- e:
+		case entries <- e:
 		default:
 		}
 	}
 }
 
-// awaitStep waits until an instance takes a step of a change, and gives its name.
-func (f *Cluster) awaitStep(ctx context.Context, step, of string) (string, bool) {
-	c := make(chan auditEntry, 64)
-	f.mu.Lock()
-	f.watchers[c] = true
-	f.mu.Unlock()
+// awaitStep waits until an instance takes a step, and gives its name. An empty instance stands for
+// any. It gives false when ctx ends first.
+func (c *Cluster) awaitStep(ctx context.Context, step Step, instance string) (string, bool) {
+	entries := make(chan auditEntry, 64)
+	c.mu.Lock()
+	c.watchers[entries] = true
+	c.mu.Unlock()
 	defer func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		delete(f.watchers, c)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		delete(c.watchers, entries)
 	}()
 	for {
 		select {
 		case <-ctx.Done():
 			return "", false
-		case e := <-c:
-			if e.event == steps[step].what && (of == "" || e.instance == of) &&
-				(step != "ceased" || strings.Contains(e.args, "taking hold")) {
+		case e := <-entries:
+			if e.event == steps[step].event && (instance == "" || e.instance == instance) &&
+				(step != stepCeased || strings.Contains(e.args, "taking hold")) {
 				return e.instance, true
 			}
 		}
 	}
 }
-
-// FillDisk has an instance's disk be full: no file grows any more.
-func (f *Cluster) FillDisk(p *Process) error {
-	f.recordInterruption(p)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil {
-		return nil
-	}
-	none := unix.Rlimit{Cur: 0, Max: unix.RLIM_INFINITY}
-	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &none, nil)
-}
-
-// TearLog leaves a part of a record at the end of a dead instance's log, as a machine does that
-// dies while it writes.
-func (f *Cluster) TearLog(p *Process, rng *rand.Rand) error {
-	logs, err := filepath.Glob(filepath.Join(f.options.Dir, p.Name, "agreement", "*.log"))
-	if err != nil || len(logs) == 0 {
-		return err // it has written nothing yet
-	}
-	log, err := os.OpenFile(slices.Max(logs), os.O_APPEND|os.O_WRONLY, 0)
-	if err != nil {
-		return err
-	}
-	defer log.Close()
-	part := make([]byte, 1+rng.IntN(300))
-	for i := range part {
-		part[i] = byte(rng.Uint32())
-	}
-	if rng.IntN(4) == 0 {
-		clear(part) // the file has grown, and what belongs there has not come
-	}
-	_, err = log.Write(part)
-	return err
-}
--- a/internal/verify/faultinjection/group.go
+++ b/internal/verify/faultinjection/group.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"sync"
@@ -13,32 +12,43 @@
 	"moorstack/internal/schema"
 )
 
-// RetryUntil tries something until it succeeds, for a minute.
-func RetryUntil(ctx context.Context, what string, try func(context.Context) error) error {
+const (
+	// retryTimeout is for how long RetryUntil tries again, retryCallTimeout bounds one attempt.
+	retryTimeout     = time.Minute
+	retryCallTimeout = 5 * time.Second
+	// statusTimeout bounds the call of an instance's status.
+	statusTimeout = time.Second
+	// probeInterval is how often an instance probes another, in the membership section.
+	probeInterval = "200ms"
+)
+
+// RetryUntil calls attempt again and again until it succeeds, for a minute. The error wraps that of
+// the last attempt.
+func RetryUntil(ctx context.Context, what string, attempt func(context.Context) error) error {
 	err := errors.New("not tried")
-	for end := time.Now().Add(time.Minute); time.Now().Before(end) && ctx.Err() == nil; {
-		call, stop := context.WithTimeout(ctx, 5*time.Second)
-		err = try(call)
+	for end := time.Now().Add(retryTimeout); time.Now().Before(end) && ctx.Err() == nil; {
+		call, stop := context.WithTimeout(ctx, retryCallTimeout)
+		err = attempt(call)
 		if stop(); err == nil {
 			return nil
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(retryPause)
 	}
 	return fmt.Errorf("%s: %w", what, err)
 }
 
-// FormGroup makes a group of all instances.
-func (f *Cluster) FormGroup(ctx context.Context) error {
-	first := f.Processes[0]
+// FormGroup makes a group of all instances and waits until all admit jobs.
+func (c *Cluster) FormGroup(ctx context.Context) error {
+	first := c.Processes[0]
 	if err := RetryUntil(ctx, "making a group", func(ctx context.Context) error {
 		_, err := first.Client.Init(ctx, &schema.InitRequest{}, grpc.WaitForReady(true))
 		return err
 	}); err != nil {
 		return err
 	}
-	for n, p := range f.Processes[1:] {
+	for n, p := range c.Processes[1:] {
 		ops := []*schema.Operation{{Kind: schema.Operation_ADD, Name: p.Name, Address: p.PeerAddress}}
-		if n+1 < f.options.Voters {
+		if n+1 < c.options.Voters {
 			ops = append(ops, &schema.Operation{Kind: schema.Operation_PROMOTE, Name: p.Name})
 		}
 		for _, op := range ops {
@@ -50,12 +60,12 @@
 			}
 		}
 	}
-	return f.WaitAdmitting(ctx)
+	return c.WaitAdmitting(ctx)
 }
 
 // WaitAdmitting waits until every instance admits jobs.
-func (f *Cluster) WaitAdmitting(ctx context.Context) error {
-	for _, p := range f.Processes {
+func (c *Cluster) WaitAdmitting(ctx context.Context) error {
+	for _, p := range c.Processes {
 		if err := RetryUntil(ctx, "waiting for "+p.Name, func(ctx context.Context) error {
 			s := p.Status(ctx)
 			if s == nil || !s.Admits {
@@ -69,12 +79,12 @@
 	return nil
 }
 
-// Status asks an instance, or gives nil.
+// Status reads an instance's status; nil: it does not answer.
 func (p *Process) Status(ctx context.Context) *schema.StatusReply {
 	if !p.Running() {
 		return nil
 	}
-	ctx, stop := context.WithTimeout(ctx, time.Second)
+	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
 	s, err := p.Client.Status(ctx, &schema.StatusRequest{})
 	if err != nil {
@@ -83,30 +93,30 @@
 	return s
 }
 
-// Leader is the process that leads in the highest term, or nil.
-func (f *Cluster) Leader(ctx context.Context) (*Process, uint64) {
+// Leader is the instance that leads in the highest term, and the term; nil: none does.
+func (c *Cluster) Leader(ctx context.Context) (*Process, uint64) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var best *Process
+	var leader *Process
 	term := uint64(0)
-	for _, p := range f.Processes[:f.options.Voters] {
+	for _, p := range c.Processes[:c.options.Voters] {
 		wg.Go(func() {
 			if s := p.Status(ctx); s != nil && s.Role == "leader" {
 				mu.Lock()
 				defer mu.Unlock()
 				if s.Term > term {
-					best, term = p, s.Term
+					leader, term = p, s.Term
 				}
 			}
 		})
 	}
 	wg.Wait()
-	return best, term
+	return leader, term
 }
 
-// ProcessByName gives an instance by its name.
-func (f *Cluster) ProcessByName(name string) *Process {
-	for _, p := range f.Processes {
+// ProcessByName is the instance of a name; nil: there is none.
+func (c *Cluster) ProcessByName(name string) *Process {
+	for _, p := range c.Processes {
 		if p.Name == name {
 			return p
 		}
@@ -114,56 +124,18 @@
 	return nil
 }
 
-// SamplePlatform is a small platform file.
-func SamplePlatform() []byte {
-	class := func(name, effect string) map[string]any {
-		c := map[string]any{"name": name, "credit": 5, "effect": effect, "give_up": 5_000_000_000,
-			"slo": 1_000_000_000, "late_share": 0.5}
-		if effect == "dedup" {
-			c["key_scope"], c["window"] = "cell", 25_000_000_000
-		}
-		return c
-	}
-	b, err := json.Marshal(map[string]any{
-		"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1",
-		"limits": map[string]any{"memory_mb": 64, "sockets": 256},
-		"settings": map[string]any{"zones": []string{"z"}, "kinds": []string{"k"}, "fleet_size": 1,
-			"classes": []any{class("trip-quote", "retryable"), class("trip-book", "dedup"),
-				class("trip-once", "fragile")},
-			"tenants": []any{map[string]any{"name": "muscat", "share": 1}},
-			"blend":   map[string]any{"whole": 1}, "membership_mode": "on_request", "worth_by": "work",
-			"granularity": 5_000_000,
-			"contract": map[string]any{"answer_slack": 20_000_000, "ask_every": 10_000_000_000,
-				"cold":       1_000_000,
-				"cold_share": 1, "drain_grace": 1_000_000_000, "fall": 1_000_000_000, "overload_factor": 3},
-			"limits": map[string]any{"try_limit": 5, "cancel": true, "conn_idle": 15_000_000_000,
-				"connect_timeout": 250_000_000, "max_retry_after": 2_000_000_000, "probes": true,
-				"retry_after":   true,
-				"second_copies": true},
-			"extra":  map[string]any{"report_x0": "free slots"},
-			"report": map[string]any{"how": "pull", "names": []string{"pending", "x0"}}},
-	})
-	if err != nil {
-		panic(err) // there is nothing in it that can't be written
-	}
-	return b
-}
-
-// probeInterval is how often an instance probes another.
-const probeInterval = "200ms"
-
-// awaitMembership waits until each instance believes of each other that it is there: all are, and well.
-// Until looks for a minute, far longer than a refutation takes to go round.
-func (p *run) awaitMembership(ctx context.Context, healed time.Time) {
+// awaitMembership waits until each instance sees each other alive and reaches it: all are healthy.
+// The time that RetryUntil gives is far longer than a refutation takes to spread.
+func (r *run) awaitMembership(ctx context.Context, healed time.Time) {
 	err := RetryUntil(ctx, "what is believed", func(ctx context.Context) error {
-		for _, x := range p.Processes {
-			s := x.Status(ctx)
+		for _, p := range r.Processes {
+			s := p.Status(ctx)
 			if s == nil {
-				return fmt.Errorf("%s does not answer", x.Name)
+				return fmt.Errorf("%s does not answer", p.Name)
 			}
 			for _, m := range s.Members {
-				if m.Name != x.Name && (m.Seems != "alive" || m.UnreachedS > 0) {
-					return fmt.Errorf("%s takes %s for %q, and has not reached it for %.1f s", x.Name, m.Name,
+				if m.Name != p.Name && (m.Seems != "alive" || m.UnreachedS > 0) {
+					return fmt.Errorf("%s takes %s for %q, and has not reached it for %.1f s", p.Name, m.Name,
 						m.Seems, m.UnreachedS)
 				}
 			}
@@ -171,7 +143,7 @@
 		return nil
 	})
 	if err != nil {
-		p.violate("all is well, and still: %v", err)
+		r.violate("all is well, and still: %v", err)
 	}
-	p.result.MembershipRecoveryTime = time.Since(healed)
+	r.result.MembershipRecoveryTime = time.Since(healed)
 }
--- a/internal/verify/faultinjection/inject.go
+++ b/internal/verify/faultinjection/inject.go
@@ -10,164 +10,183 @@
 	"moorstack/internal/schema"
 )
 
-// injectFaults brings the story's faults about, each at its time.
-func (p *run) injectFaults(ctx context.Context, began time.Time) {
-	for _, f := range p.Schedule {
+// stepTimeout is how long a fault waits for its step.
+const stepTimeout = 5 * time.Second
+
+// transferTimeout bounds the operator's call of a hand-on fault.
+const transferTimeout = 2 * time.Second
+
+// injectFaults injects the schedule's faults, each at its time, until ctx ends.
+func (r *run) injectFaults(ctx context.Context) {
+	for _, f := range r.Schedule {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(began.Add(f.At))):
+		case <-time.After(time.Until(r.began.Add(f.At))):
 		}
-		if f.At > p.Duration {
+		if f.At > r.Duration {
 			return
 		}
-		it := ""
+		stepInstance := ""
 		if f.Step != "" {
 			within, stop := context.WithTimeout(ctx, stepTimeout)
 			var ok bool
-			it, ok = p.awaitStep(within, f.Step, f.StepInstance)
+			stepInstance, ok = r.awaitStep(within, f.Step, f.StepInstance)
 			if stop(); !ok {
-				p.trace(
-					began,
-					"%s: nobody came to the step %s %s within %v",
-					f.Kind,
-					f.Step,
-					f.StepInstance,
-					stepTimeout,
-				)
+				r.trace("%s: nobody came to the step %s %s within %v", f.Kind, f.Step, f.StepInstance,
+					stepTimeout)
 				continue
 			}
 		}
-		who := p.resolveTargets(ctx, f, it)
-		if len(who) < len(f.Targets) || len(who) == 2 && who[0] == who[1] {
-			p.trace(began, "%s: nobody leads, or the same one", f.Kind)
+		targets := r.resolveTargets(ctx, f, stepInstance)
+		if len(targets) < len(f.Targets) || len(targets) == 2 && targets[0] == targets[1] {
+			r.trace("%s: nobody leads, or the same one", f.Kind)
 			continue
 		}
-		p.trace(began, "fault: %s %v %v", f.Kind, who, f.Duration)
-		p.mu.Lock()
-		p.result.Faults++
-		p.mu.Unlock()
-		p.inject(f, who)
+		r.trace("fault: %s %v %v", f.Kind, targets, f.Duration)
+		r.mu.Lock()
+		r.result.Faults++
+		r.mu.Unlock()
+		injectors[f.Kind](r, f, targets)
 	}
 }
 
-// stepTimeout is for how long a fault waits for a step of a change.
-const stepTimeout = 5 * time.Second
-
-// resolveTargets gives the names of those whom a fault befalls, fewer where one can't be told.
-func (p *run) resolveTargets(ctx context.Context, f Fault, it string) []string {
+// resolveTargets gives the names of a fault's targets, fewer where one is not known.
+func (r *run) resolveTargets(ctx context.Context, f Fault, stepInstance string) []string {
 	var list []string
-	for _, w := range f.Targets {
-		switch w {
+	for _, target := range f.Targets {
+		switch target {
 		case TargetLeader:
-			lead, _ := p.Leader(ctx)
-			if lead == nil {
+			leader, _ := r.Leader(ctx)
+			if leader == nil {
 				return nil
 			}
-			w = lead.Name
+			target = leader.Name
 		case TargetRestartController:
-			_, w, _ = p.restartPlan(ctx)
+			_, target, _ = r.restartPlan(ctx)
 		case TargetStepInstance:
-			w = it
+			target = stepInstance
 		case TargetProposer:
-			p.mu.Lock()
-			w = p.lastProposer
-			p.mu.Unlock()
+			r.mu.Lock()
+			target = r.lastProposer
+			r.mu.Unlock()
 		}
-		if w != "" {
-			list = append(list, w)
+		if target != "" {
+			list = append(list, target)
 		}
 	}
 	return list
 }
 
-func (p *run) inject(f Fault, who []string) {
-	each := func(in, out bool) {
-		for _, x := range p.Processes {
-			if x.Name == who[0] {
-				continue
-			}
-			if in {
-				p.Links.Cut(x.Name, who[0])
-			}
-			if out {
-				p.Links.Cut(who[0], x.Name)
-			}
+// injector injects a fault of one kind. The targets are as many instances as the kind names.
+type injector func(r *run, f Fault, targets []string)
+
+var injectors = map[FaultKind]injector{
+	faultCut:     func(r *run, _ Fault, targets []string) { r.Links.Cut(targets[0], targets[1]) },
+	faultIsolate: func(r *run, _ Fault, targets []string) { r.cutTo(targets[0]); r.cutFrom(targets[0]) },
+	faultDeaf:    func(r *run, _ Fault, targets []string) { r.cutTo(targets[0]) },
+	faultMute:    func(r *run, _ Fault, targets []string) { r.cutFrom(targets[0]) },
+	faultRefuse: func(r *run, _ Fault, targets []string) {
+		r.Links.updatePath(targets[0], targets[1], func(s *pathState) { s.refuse = true })
+	},
+	faultReset:    func(r *run, _ Fault, targets []string) { r.Links.Reset(targets[0], targets[1]) },
+	faultHalfOpen: func(r *run, _ Fault, targets []string) { r.Links.HalfOpen(targets[0], targets[1]) },
+	faultDelay: func(r *run, f Fault, targets []string) {
+		r.Links.updatePath(targets[0], targets[1], func(s *pathState) { s.delay = f.Duration })
+	},
+	faultSlow: func(r *run, f Fault, targets []string) {
+		r.Links.updatePath(targets[0], targets[1], func(s *pathState) { s.bandwidth = f.BytesPerSecond })
+	},
+	faultHeal:    func(r *run, _ Fault, _ []string) { r.Links.Heal() },
+	faultStall:   onProcess((*run).injectStall),
+	faultKill:    onProcess(func(r *run, _ Fault, p *Process) { r.Kill(p) }),
+	faultRestart: onProcess(func(r *run, f Fault, p *Process) { r.Kill(p); r.startAfter(f.Duration, p) }),
+	faultStart:   onProcess(func(r *run, _ Fault, p *Process) { r.checkStarted(p, r.StartProcess(p)) }),
+	faultFull:    onProcess((*run).injectFullDisk),
+	faultTorn:    onProcess((*run).injectTornWrite),
+	faultRenew: onProcess(func(r *run, _ Fault, p *Process) {
+		r.checkStarted(p, r.SwitchVersion(p, true))
+	}),
+	faultRollBack: onProcess(func(r *run, _ Fault, p *Process) {
+		r.checkStarted(p, r.SwitchVersion(p, false))
+	}),
+	faultTerminate: onProcess(func(r *run, f Fault, p *Process) {
+		r.Terminate(p)
+		r.startAfter(f.Duration, p)
+	}),
+	faultAhead:    onProcess(func(r *run, f Fault, p *Process) { r.setClock(p, f.Duration) }),
+	faultBehind:   onProcess(func(r *run, f Fault, p *Process) { r.setClock(p, -f.Duration) }),
+	faultTrue:     onProcess(func(r *run, _ Fault, p *Process) { r.setClock(p, 0) }),
+	faultTransfer: onProcess((*run).injectTransfer),
+}
+
+func onProcess(inject func(r *run, f Fault, p *Process)) injector {
+	return func(r *run, f Fault, targets []string) { inject(r, f, r.ProcessByName(targets[0])) }
+}
+
+// cutTo lets nothing through to an instance.
+func (r *run) cutTo(name string) {
+	for _, p := range r.Processes {
+		if p.Name != name {
+			r.Links.Cut(p.Name, name)
 		}
 	}
-	switch f.Kind {
-	case "cut":
-		p.Links.Cut(who[0], who[1])
-	case "isolate":
-		each(true, true)
-	case "deaf":
-		each(true, false)
-	case "mute":
-		each(false, true)
-	case "refuse":
-		p.Links.updatePath(who[0], who[1], func(w *pathState) { w.refuse = true })
-	case "reset":
-		p.Links.Reset(who[0], who[1])
-	case "half-open":
-		p.Links.HalfOpen(who[0], who[1])
-	case "delay":
-		p.Links.updatePath(who[0], who[1], func(w *pathState) { w.delay = f.Duration })
-	case "slow":
-		p.Links.updatePath(who[0], who[1], func(w *pathState) { w.bandwidth = f.BytesPerSecond })
-	case "renew", "roll-back":
-		if err := p.SwitchVersion(p.ProcessByName(who[0]), f.Kind == "renew"); err != nil {
-			p.violate("%s can't be started: %v", who[0], err)
-		}
-	case "heal":
-		p.Links.Heal()
-	case "ahead", "behind", "true":
-		off := f.Duration
-		if f.Kind == "behind" {
-			off = -off
-		}
-		if err := p.SetClock(p.ProcessByName(who[0]), off); err != nil {
-			p.violate("the clock of %s can't be set: %v", who[0], err)
-		}
-	case "stall":
-		x := p.ProcessByName(who[0])
-		p.SetStalled(x, true)
-		time.AfterFunc(f.Duration, func() { p.SetStalled(x, false) })
-	case "restart":
-		x := p.ProcessByName(who[0])
-		p.Kill(x)
-		time.AfterFunc(f.Duration, func() { _ = p.StartProcess(x) })
-	case "hand-on":
-		// Where it can't be met, say because it holds the duty, nothing changes.
-		x := p.ProcessByName(who[0])
-		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
-		defer stop()
-		_, _ = x.Client.Operate(ctx, &schema.Operation{Kind: schema.Operation_HAND_ON,
-			Name: fmt.Sprintf(leasedtask.DrillTaskFormat, 1), By: x.Name})
-	case "full":
-		x := p.ProcessByName(who[0])
-		if err := p.FillDisk(x); err != nil {
-			p.violate("%s: its disk can't be filled: %v", x.Name, err)
-		}
-		time.AfterFunc(f.Duration, func() {
-			p.Kill(x)
-			_ = p.StartProcess(x)
-		})
-	case "torn":
-		x := p.ProcessByName(who[0])
-		p.Kill(x)
-		if err := p.TearLog(x, rand.New(rand.NewPCG(p.Seed, uint64(f.At)))); err != nil {
-			p.violate("%s: its log can't be torn: %v", x.Name, err)
-		}
-		time.AfterFunc(f.Duration, func() { _ = p.StartProcess(x) })
-	case "leave":
-		x := p.ProcessByName(who[0])
-		p.Terminate(x)
-		time.AfterFunc(f.Duration, func() { _ = p.StartProcess(x) })
-	case "kill":
-		p.Kill(p.ProcessByName(who[0]))
-	case "start":
-		if err := p.StartProcess(p.ProcessByName(who[0])); err != nil {
-			p.violate("%s can't be started: %v", who[0], err)
+}
+
+// cutFrom lets nothing through from an instance.
+func (r *run) cutFrom(name string) {
+	for _, p := range r.Processes {
+		if p.Name != name {
+			r.Links.Cut(name, p.Name)
 		}
 	}
 }
+
+func (r *run) injectStall(f Fault, p *Process) {
+	r.SetStalled(p, true)
+	time.AfterFunc(f.Duration, func() { r.SetStalled(p, false) })
+}
+
+func (r *run) injectFullDisk(f Fault, p *Process) {
+	if err := r.FillDisk(p); err != nil {
+		r.violate("%s: its disk can't be filled: %v", p.Name, err)
+	}
+	time.AfterFunc(f.Duration, func() {
+		r.Kill(p)
+		_ = r.StartProcess(p)
+	})
+}
+
+func (r *run) injectTornWrite(f Fault, p *Process) {
+	r.Kill(p)
+	if err := r.TearLog(p, rand.New(rand.NewPCG(r.Seed, uint64(f.At)))); err != nil {
+		r.violate("%s: its log can't be torn: %v", p.Name, err)
+	}
+	r.startAfter(f.Duration, p)
+}
+
+// injectTransfer has an operator ask for the first leased task to go to an instance. Where that
+// can't be met, for instance because the instance holds the task, nothing changes.
+func (r *run) injectTransfer(_ Fault, p *Process) {
+	ctx, stop := context.WithTimeout(context.Background(), transferTimeout)
+	defer stop()
+	_, _ = p.Client.Operate(ctx, &schema.Operation{Kind: schema.Operation_HAND_ON,
+		Name: fmt.Sprintf(leasedtask.DrillTaskFormat, 1), By: p.Name})
+}
+
+// startAfter starts a process after a time, unless it runs by then.
+func (r *run) startAfter(delay time.Duration, p *Process) {
+	time.AfterFunc(delay, func() { _ = r.StartProcess(p) })
+}
+
+func (r *run) checkStarted(p *Process, err error) {
+	if err != nil {
+		r.violate("%s can't be started: %v", p.Name, err)
+	}
+}
+
+func (r *run) setClock(p *Process, ahead time.Duration) {
+	if err := r.SetClock(p, ahead); err != nil {
+		r.violate("the clock of %s can't be set: %v", p.Name, err)
+	}
+}
--- a/internal/verify/faultinjection/jobs.go
+++ b/internal/verify/faultinjection/jobs.go
@@ -16,69 +16,74 @@
 type JobCounts struct {
 	Sent              int `json:"sent"`
 	Served            int `json:"served"`
-	RejectedByRate    int `json:"refused_by_rates"`    // an account had used its rate
+	RejectedByRate    int `json:"refused_by_rates"`    // the account had used its rate
 	RejectedByLease   int `json:"refused_by_sessions"` // while a change took hold, or without a lease
 	RejectedOtherwise int `json:"refused"`
 	Failed            int `json:"failed"`
-	Unanswered        int `json:"lost"` // no answer: the process died, or stood still for the client's time
+	Unanswered        int `json:"lost"` // the process died, or was stalled for the client's time
 	WithoutRetryAfter int `json:"refused_without_return"`
 	UnknownStatus     int `json:"answers_of_other_kinds"`
 }
 
-// clientTimeout is for how long a client waits.
-const clientTimeout = 6 * time.Second
+const (
+	// clientTimeout is how long a client waits for a response.
+	clientTimeout = 6 * time.Second
+	// maxInFlight is how many jobs a client has in flight at once. It leaves out those beyond.
+	maxInFlight = 400
+	// maxIdleConnections is how many connections a client keeps.
+	maxIdleConnections = 32
+)
 
-// sendJobs sends to an instance at a rate of its own, whatever that does.
-func (f *Cluster) sendJobs(ctx context.Context, p *Process, into *JobCounts, mu *sync.Mutex) {
-	client := &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
+// sendJobs sends jobs to an instance at the cluster's rate until ctx ends, however slow the
+// responses are, and counts them in counts under mu.
+func (c *Cluster) sendJobs(ctx context.Context, p *Process, counts *JobCounts, mu *sync.Mutex) {
+	client := &http.Client{
+		Timeout:   clientTimeout,
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections},
+	}
 	defer client.CloseIdleConnections()
-	tick := time.NewTicker(time.Duration(float64(time.Second) / f.options.JobsPerSecond))
+	tick := time.NewTicker(time.Duration(float64(time.Second) / c.options.JobsPerSecond))
 	defer tick.Stop()
-	var wg sync.WaitGroup
-	out := make(chan struct{}, 400)
+	var senders sync.WaitGroup
+	inFlight := make(chan struct{}, maxInFlight)
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
-			wg.Wait()
+			senders.Wait()
 			return
 		case <-tick.C:
 		}
 		select {
-		case out <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			continue // as many as a client of ours can have out
+			continue
 		}
 		mu.Lock()
-		into.Sent++
+		counts.Sent++
 		mu.Unlock()
-		wg.Go(func() {
-			defer func() { <-out }()
-			f.sendJob(client, p, fmt.Sprintf("%s-%d-%d", p.Name, time.Now().UnixNano(), n), into, mu)
+		senders.Go(func() {
+			defer func() { <-inFlight }()
+			id := fmt.Sprintf("%s-%d-%d", p.Name, time.Now().UnixNano(), n)
+			resp, err := c.sendJob(client, p, id)
+			mu.Lock()
+			defer mu.Unlock()
+			counts.add(resp, err)
 		})
 	}
 }
 
-func (f *Cluster) sendJob(client *http.Client, p *Process, id string, into *JobCounts, mu *sync.Mutex) {
+// sendJob sends a job and reads the response to its end. The body is closed when it returns.
+func (c *Cluster) sendJob(client *http.Client, p *Process, id string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+p.FrontAddress+"/job", strings.NewReader("x"))
 	if err != nil {
-		return
+		return nil, err
 	}
 	for k, v := range map[string]string{"X-Request-ID": id, "X-Priority-Class": "trip-quote",
 		"X-Tenant-Id": "muscat", "X-Timeout": "5000m", "X-Cost": "2000"} {
 		req.Header.Set(k, v)
 	}
-	if f.options.Accounts > 0 {
-		// Each account's calls come in at all instances, and for a second at a time mostly at one.
-		n := rand.IntN(f.options.Accounts)
-		if second := int(time.Now().Unix()); rand.IntN(2) == 0 {
-			n = (second + slices.Index(f.Processes, p)) % f.options.Accounts
-		}
-		name := fmt.Sprintf("acct-%d", n)
-		// And half of the calls are of the many that have no line of their own.
-		if f.options.UnlistedAccounts > 0 && rand.IntN(2) == 0 {
-			name = fmt.Sprintf("name-%d", rand.IntN(f.options.UnlistedAccounts))
-		}
-		req.Header.Set("X-Account", name)
+	if c.options.Accounts > 0 {
+		req.Header.Set("X-Account", c.drawAccount(p))
 	}
 	resp, err := client.Do(req)
 	if err == nil {
@@ -86,29 +91,72 @@
 		resp.Body.Close()
 	}
 	if err != nil {
-		f.recordUnanswered(id)
+		c.recordUnanswered(id)
+	}
+	return resp, err
+}
+
+// drawAccount draws the account of a job for an instance. Each account's jobs come in at all
+// instances, and for a second at a time mostly at one; half of all jobs belong to accounts that have
+// no line of their own, if there are any.
+func (c *Cluster) drawAccount(p *Process) string {
+	n := rand.IntN(c.options.Accounts)
+	if second := int(time.Now().Unix()); rand.IntN(2) == 0 {
+		n = (second + slices.Index(c.Processes, p)) % c.options.Accounts
+	}
+	if c.options.UnlistedAccounts > 0 && rand.IntN(2) == 0 {
+		return fmt.Sprintf("name-%d", rand.IntN(c.options.UnlistedAccounts))
 	}
-	mu.Lock()
-	defer mu.Unlock()
+	return fmt.Sprintf("acct-%d", n)
+}
+
+// add counts what became of a job.
+func (j *JobCounts) add(resp *http.Response, err error) {
 	switch {
 	case err != nil:
-		into.Unanswered++
+		j.Unanswered++
 	case resp.StatusCode == http.StatusOK:
-		into.Served++
+		j.Served++
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		if resp.Header.Get("Retry-After") == "" {
-			into.WithoutRetryAfter++
-		}
-		if strings.Contains(resp.Header.Get("X-Refusal"), "has used its rate") {
-			into.RejectedByRate++
-		} else if resp.Header.Get("X-Refusal") != "" {
-			into.RejectedByLease++
-		} else {
-			into.RejectedOtherwise++
-		}
+		j.addRejection(resp.Header)
 	case resp.StatusCode == http.StatusBadGateway:
-		into.Failed++
+		j.Failed++
 	default:
-		into.UnknownStatus++
+		j.UnknownStatus++
 	}
 }
+
+func (j *JobCounts) addRejection(header http.Header) {
+	if header.Get("Retry-After") == "" {
+		j.WithoutRetryAfter++
+	}
+	switch reason := header.Get("X-Refusal"); {
+	case strings.Contains(reason, "has used its rate"):
+		j.RejectedByRate++
+	case reason != "":
+		j.RejectedByLease++
+	default:
+		j.RejectedOtherwise++
+	}
+}
+
+// recordUnanswered records a job without a response, by its request id.
+func (c *Cluster) recordUnanswered(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unansweredJobs = append(c.unansweredJobs, id)
+}
+
+// countExecution counts that a worker has received a job of a key.
+func (c *Cluster) countExecution(_, key string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.executions[key]++
+}
+
+// executionsOf is how often workers have received the job of a key.
+func (c *Cluster) executionsOf(key string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.executions[key]
+}
--- a/internal/verify/faultinjection/links.go
+++ b/internal/verify/faultinjection/links.go
@@ -9,38 +9,69 @@
 	"time"
 )
 
-// pathState is how bytes fare from one instance to another, over all connections between the two,
-// whoever opened them.
+// path is an ordered pair of instances: the bytes that go from one to the other.
+type path struct{ from, to string }
+
+func (p path) reverse() path { return path{p.to, p.from} }
+
+// pathState is the faults of a path, over all connections between the two, whoever opened them.
 type pathState struct {
-	cut       bool          // nothing gets through, and nobody is told
-	refuse    bool          // new connections are closed at once
+	cut       bool          // nothing gets through, and neither side notices
+	refuse    bool          // new connections are reset
 	delay     time.Duration // of each piece, and up to as much again
-	bandwidth int           // bytes a second; 0: any
+	bandwidth int           // bytes a second; 0: unlimited
 }
 
-// Links carries everything between instances. In front of each stands a forwarder, which
-// knows by the source address who calls.
+// Links carries everything between instances. In front of each stands a forwarder, which knows by
+// the source address of a connection which instance has opened it. Its methods may be called by any
+// goroutine.
 type Links struct {
 	mu          sync.Mutex
 	changed     *sync.Cond
-	paths       map[[2]string]pathState // from, to
+	paths       map[path]pathState
 	names       map[netip.Addr]string
 	connections map[*connection]bool
 	listeners   []net.Listener
 	closed      bool
 }
 
-// connection is a connection that is carried: its two ends, and who has opened it.
+// connection is a forwarded connection: its two ends, and the path from the instance that has opened
+// it to the other.
 type connection struct {
-	dialer, acceptor  string
+	path
 	inbound, outbound net.Conn
-	halfOpen          bool // half-open: what comes is taken and goes nowhere, for good
+	halfOpen          bool // what is read goes nowhere, for good
+}
+
+func (c *connection) reset() {
+	resetConn(c.inbound)
+	resetConn(c.outbound)
+}
+
+func (c *connection) close() {
+	c.inbound.Close()
+	c.outbound.Close()
+}
+
+// resetConn ends a connection by an RST, so that the other side notices at once.
+func resetConn(c net.Conn) {
+	if t, ok := c.(*net.TCPConn); ok {
+		_ = t.SetLinger(0)
+	}
+	c.Close()
 }
 
+const (
+	// dialTimeout bounds a forwarder's own connection to its instance.
+	dialTimeout = time.Second
+	// pieceBytes is how much is forwarded, and delayed, at once.
+	pieceBytes = 32 << 10
+)
+
 // NewLinks makes links without faults.
 func NewLinks() *Links {
 	l := &Links{
-		paths:       map[[2]string]pathState{},
+		paths:       map[path]pathState{},
 		names:       map[netip.Addr]string{},
 		connections: map[*connection]bool{},
 	}
@@ -48,9 +79,9 @@
 	return l
 }
 
-// AddForwarder opens the forwarder in front of an instance, which calls from an address of its own,
-// and gives where others reach it.
-func (l *Links) AddForwarder(name string, from netip.Addr, listens string) (string, error) {
+// AddForwarder opens the forwarder in front of an instance that listens at target and dials from an
+// address of its own. It gives the address where other instances reach it.
+func (l *Links) AddForwarder(name string, from netip.Addr, target string) (string, error) {
 	s, err := net.Listen("tcp", net.JoinHostPort(from.String(), "0"))
 	if err != nil {
 		return "", fmt.Errorf("the forwarder of %s: %w", name, err)
@@ -59,152 +90,145 @@
 	l.names[from] = name
 	l.listeners = append(l.listeners, s)
 	l.mu.Unlock()
-	go l.accept(s, name, listens)
+	go l.accept(s, name, target)
 	return s.Addr().String(), nil
 }
 
-// Cut has nothing get through from one instance to another, until Heal.
+// Cut lets nothing through from one instance to another, until Heal.
 func (l *Links) Cut(from, to string) { l.updatePath(from, to, func(w *pathState) { w.cut = true }) }
 
-func (l *Links) accept(s net.Listener, to, listens string) {
+// accept forwards connections until the listener is closed.
+func (l *Links) accept(s net.Listener, to, target string) {
 	for {
 		c, err := s.Accept()
 		if err != nil {
 			return
 		}
-		at, _ := netip.ParseAddrPort(c.RemoteAddr().String())
+		remote, _ := netip.ParseAddrPort(c.RemoteAddr().String())
 		l.mu.Lock()
-		from := l.names[at.Addr().Unmap()]
-		refused := l.closed || l.paths[[2]string{from, to}].refuse
+		p := path{l.names[remote.Addr().Unmap()], to}
+		refused := l.closed || l.paths[p].refuse
 		l.mu.Unlock()
 		if refused {
-			reset(c)
+			resetConn(c)
 			continue
 		}
-		go l.connect(c, from, to, listens)
+		go l.connect(c, p, target)
 	}
 }
 
-func (l *Links) connect(c net.Conn, from, to, listens string) {
-	// A cut way answers no call either.
-	if !l.awaitPath(&connection{dialer: from, acceptor: to}, from, to) ||
-		!l.awaitPath(&connection{dialer: from, acceptor: to}, to, from) {
-		c.Close()
+// connect forwards one connection, whose two directions end by themselves.
+func (l *Links) connect(inbound net.Conn, p path, target string) {
+	c := &connection{path: p, inbound: inbound}
+	// While either direction is cut, there is no handshake either.
+	if !l.awaitPath(c, p) || !l.awaitPath(c, p.reverse()) {
+		inbound.Close()
 		return
 	}
-	d, err := net.DialTimeout("tcp", listens, time.Second)
+	outbound, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
-		reset(c)
+		resetConn(inbound)
 		return
 	}
-	w := &connection{dialer: from, acceptor: to, inbound: c, outbound: d}
+	c.outbound = outbound
 	l.mu.Lock()
-	l.connections[w] = true
+	l.connections[c] = true
 	l.mu.Unlock()
-	go l.relay(w, c, d, from, to)
-	go l.relay(w, d, c, to, from)
+	go l.relay(c, inbound, outbound, p)
+	go l.relay(c, outbound, inbound, p.reverse())
 }
 
-// awaitPath waits until a way is not cut, and says whether it still matters.
-func (l *Links) awaitPath(w *connection, from, to string) bool {
+// awaitPath waits until a path is not cut, for a connection that is not half-open, and reports
+// whether the links are still open.
+func (l *Links) awaitPath(c *connection, p path) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for !l.closed && (w.halfOpen || l.paths[[2]string{from, to}].cut) {
+	for !l.closed && (c.halfOpen || l.paths[p].cut) {
 		l.changed.Wait()
 	}
 	return !l.closed
 }
 
-// relay takes bytes from one end to the other. What a cut holds back comes when it ends, as
-// with what TCP sends again.
-func (l *Links) relay(w *connection, in, out net.Conn, from, to string) {
-	buf := make([]byte, 32<<10)
+// relay forwards bytes along a path until either end is closed. What a cut holds back comes when
+// the cut ends, as what TCP retransmits.
+func (l *Links) relay(c *connection, in, out net.Conn, p path) {
+	buf := make([]byte, pieceBytes)
 	for {
 		n, err := in.Read(buf)
-		if n > 0 {
-			l.mu.Lock()
-			way := l.paths[[2]string{from, to}]
-			l.mu.Unlock()
-			if way.delay > 0 {
-				time.Sleep(way.delay + rand.N(way.delay))
-			}
-			if way.bandwidth > 0 {
-				time.Sleep(time.Duration(n) * time.Second / time.Duration(way.bandwidth))
-			}
-			if !l.awaitPath(w, from, to) {
-				break
-			}
-			if _, bad := out.Write(buf[:n]); bad != nil {
-				break
-			}
-		}
-		if err != nil {
+		if n > 0 && !l.forward(c, out, p, buf[:n]) || err != nil {
 			break
 		}
 	}
-	l.awaitPath(w, from, to) // an end is a message, too
-	w.inbound.Close()
-	w.outbound.Close()
+	l.awaitPath(c, p) // the end of a connection is cut, too
+	c.close()
 	l.mu.Lock()
-	delete(l.connections, w)
+	delete(l.connections, c)
 	l.mu.Unlock()
 }
 
-// reset ends a connection so that the other side is told at once.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+// forward writes a piece as the path's faults let it, and reports whether it was written.
+func (l *Links) forward(c *connection, out net.Conn, p path, piece []byte) bool {
+	l.mu.Lock()
+	state := l.paths[p]
+	l.mu.Unlock()
+	if state.delay > 0 {
+		time.Sleep(state.delay + rand.N(state.delay))
 	}
-	c.Close()
+	if state.bandwidth > 0 {
+		time.Sleep(time.Duration(len(piece)) * time.Second / time.Duration(state.bandwidth))
+	}
+	if !l.awaitPath(c, p) {
+		return false
+	}
+	_, err := out.Write(piece)
+	return err == nil
 }
 
-// Set changes how bytes fare from one instance to another.
+// updatePath changes the faults of the path from one instance to another.
 func (l *Links) updatePath(from, to string, change func(*pathState)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.paths[[2]string{from, to}]
-	change(&w)
-	l.paths[[2]string{from, to}] = w
+	state := l.paths[path{from, to}]
+	change(&state)
+	l.paths[path{from, to}] = state
 	l.changed.Broadcast()
 }
 
-// Reset ends all connections between two instances.
-func (l *Links) Reset(a, b string) {
-	l.eachConnection(a, b, func(w *connection) { reset(w.inbound); reset(w.outbound) })
-}
+// Reset resets all connections between two instances.
+func (l *Links) Reset(a, b string) { l.eachConnection(a, b, (*connection).reset) }
 
-// HalfOpen has the connections that stand between two instances lead nowhere from now on.
-// New ones do.
+// HalfOpen lets nothing through on the connections that stand between two instances, until Heal
+// resets them. New ones are not affected.
 func (l *Links) HalfOpen(a, b string) {
-	l.eachConnection(a, b, func(w *connection) { w.halfOpen = true })
+	l.eachConnection(a, b, func(c *connection) { c.halfOpen = true })
 }
 
-func (l *Links) eachConnection(a, b string, f func(*connection)) {
+func (l *Links) eachConnection(a, b string, do func(*connection)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for w := range l.connections {
-		if w.dialer == a && w.acceptor == b || w.dialer == b && w.acceptor == a {
-			f(w)
+	between := path{a, b}
+	for c := range l.connections {
+		if c.path == between || c.path == between.reverse() {
+			do(c)
 		}
 	}
 }
 
-// Heal ends all faults.
+// Heal ends all faults. Connections that are half-open are reset.
 func (l *Links) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.paths)
-	for w := range l.connections {
-		if w.halfOpen {
-			reset(w.inbound)
-			reset(w.outbound)
-			w.halfOpen = false
+	for c := range l.connections {
+		if c.halfOpen {
+			c.reset()
+			c.halfOpen = false
 		}
 	}
 	l.changed.Broadcast()
 }
 
-// Close ends everything.
+// Close closes all listeners and connections, and ends their goroutines.
 func (l *Links) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,9 +236,8 @@
 	for _, s := range l.listeners {
 		s.Close()
 	}
-	for w := range l.connections {
-		w.inbound.Close()
-		w.outbound.Close()
+	for c := range l.connections {
+		c.close()
 	}
 	l.changed.Broadcast()
 }
--- a/internal/verify/faultinjection/schedule.go
+++ b/internal/verify/faultinjection/schedule.go
@@ -3,94 +3,150 @@
 import (
 	"bufio"
 	"bytes"
+	"cmp"
 	"fmt"
 	"maps"
-	"math/rand/v2"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// Fault is a line of a story: when, what, whom.
+// Fault is a line of a fault schedule: when, what, to whom.
 type Fault struct {
-	At             time.Duration
-	Step           string // from At on it waits for this step of a change; empty: it comes at once
-	StepInstance   string // whose step; empty: anybody's
-	Kind           string
-	Targets        []string
-	Duration       time.Duration // of a stall, or of a delay's length
-	BytesPerSecond int           // bytes a second
-	Line           int           // in the file; 0: drawn
+	At             time.Duration // since the run's start
+	Step           Step          // from At on it waits for this step; empty: it is injected at once
+	StepInstance   string        // whose step; empty: any instance's
+	Kind           FaultKind
+	Targets        []string      // instances, or Target names, in the order of the kind's arguments
+	Duration       time.Duration // of a stall, a delay, a clock's offset or until a restart
+	BytesPerSecond int
+	Line           int // in the file; 0: the fault was drawn
 }
 
-// faultKinds are the faults that there are: how many instances each names, and what it has beside.
-var faultKinds = map[string]struct {
-	who  int
-	span bool
-	rate bool
-	says string
-}{
-	"cut":       {who: 2, says: "nothing gets through from the first to the second"},
-	"isolate":   {who: 1, says: "nothing gets through to or from it"},
-	"deaf":      {who: 1, says: "nothing gets through to it"},
-	"mute":      {who: 1, says: "nothing gets through from it"},
-	"refuse":    {who: 2, says: "the first's new connections to the second are refused"},
-	"reset":     {who: 2, says: "the connections between the two are reset"},
-	"half-open": {who: 2, says: "the connections between the two lead nowhere; new ones do"},
-	"delay": {who: 2, span: true,
-		says: "what goes from the first to the second takes so long, and up to as much again"},
-	"slow": {who: 2, rate: true,
-		says: "so many bytes a second get through from the first to the second"},
-	"heal":    {says: "all links are well again"},
-	"stall":   {who: 1, span: true, says: "the process stands still (SIGSTOP) for so long"},
-	"kill":    {who: 1, says: "the process dies (SIGKILL)"},
-	"restart": {who: 1, span: true, says: "the process dies (SIGKILL) and is started again after so long"},
-	"start":   {who: 1, says: "it is started again, on its directory"},
-	"full": {who: 1, span: true,
-		says: "its disk is full for so long; then there is room, and it is started again"},
-	"renew":     {who: 1, says: "it dies and is started as the program is now (see --older)"},
-	"roll-back": {who: 1, says: "it dies and is started as the program was earlier (see --older)"},
-	"leave": {who: 1, span: true,
-		says: "it is asked to end (SIGTERM), and started again so long after it has"},
-	"ahead":   {who: 1, span: true, says: "its wall clock is set so far ahead of the true one"},
-	"behind":  {who: 1, span: true, says: "its wall clock is set so far behind the true one"},
-	"true":    {who: 1, says: "its wall clock is set right"},
-	"hand-on": {who: 1, says: "an operator, who asks it, has the first duty go to it"},
-	"torn": {who: 1, span: true,
-		says: "it dies in the midst of a write, of which a part is on its disk; started after so long"},
+// FaultKind is the word of a schedule that names a fault.
+type FaultKind string
+
+// The kinds of faults.
+const (
+	faultCut       FaultKind = "cut"
+	faultIsolate   FaultKind = "isolate"
+	faultDeaf      FaultKind = "deaf"
+	faultMute      FaultKind = "mute"
+	faultRefuse    FaultKind = "refuse"
+	faultReset     FaultKind = "reset"
+	faultHalfOpen  FaultKind = "half-open"
+	faultDelay     FaultKind = "delay"
+	faultSlow      FaultKind = "slow"
+	faultHeal      FaultKind = "heal"
+	faultStall     FaultKind = "stall"
+	faultKill      FaultKind = "kill"
+	faultRestart   FaultKind = "restart"
+	faultStart     FaultKind = "start"
+	faultFull      FaultKind = "full"
+	faultTorn      FaultKind = "torn"
+	faultRenew     FaultKind = "renew"
+	faultRollBack  FaultKind = "roll-back"
+	faultTerminate FaultKind = "leave"
+	faultAhead     FaultKind = "ahead"
+	faultBehind    FaultKind = "behind"
+	faultTrue      FaultKind = "true"
+	faultTransfer  FaultKind = "hand-on"
+)
+
+// faultSyntax is what follows a fault's kind on its line.
+type faultSyntax struct {
+	targets  int // how many instances
+	duration bool
+	rate     bool // bytes a second
+	help     string
+}
+
+func (s faultSyntax) arguments() int {
+	n := s.targets
+	if s.duration || s.rate {
+		n++
+	}
+	return n
 }
 
-// Who may be named beside the instances.
+var faultKinds = map[FaultKind]faultSyntax{
+	faultCut:      {targets: 2, help: "nothing gets through from the first to the second"},
+	faultIsolate:  {targets: 1, help: "nothing gets through to or from it"},
+	faultDeaf:     {targets: 1, help: "nothing gets through to it"},
+	faultMute:     {targets: 1, help: "nothing gets through from it"},
+	faultRefuse:   {targets: 2, help: "the first's new connections to the second are refused"},
+	faultReset:    {targets: 2, help: "the connections between the two are reset"},
+	faultHalfOpen: {targets: 2, help: "the connections between the two lead nowhere; new ones do"},
+	faultDelay: {targets: 2, duration: true,
+		help: "what goes from the first to the second takes so long, and up to as much again"},
+	faultSlow: {targets: 2, rate: true,
+		help: "so many bytes a second get through from the first to the second"},
+	faultHeal:  {help: "all links are well again"},
+	faultStall: {targets: 1, duration: true, help: "the process stands still (SIGSTOP) for so long"},
+	faultKill:  {targets: 1, help: "the process dies (SIGKILL)"},
+	faultRestart: {targets: 1, duration: true,
+		help: "the process dies (SIGKILL) and is started again after so long"},
+	faultStart: {targets: 1, help: "it is started again, on its directory"},
+	faultFull: {targets: 1, duration: true,
+		help: "its disk is full for so long; then there is room, and it is started again"},
+	faultRenew:    {targets: 1, help: "it dies and is started as the program is now (see --older)"},
+	faultRollBack: {targets: 1, help: "it dies and is started as the program was earlier (see --older)"},
+	faultTerminate: {targets: 1, duration: true,
+		help: "it is asked to end (SIGTERM), and started again so long after it has"},
+	faultAhead:  {targets: 1, duration: true, help: "its wall clock is set so far ahead of the true one"},
+	faultBehind: {targets: 1, duration: true, help: "its wall clock is set so far behind the true one"},
+	faultTrue:   {targets: 1, help: "its wall clock is set right"},
+	faultTransfer: {targets: 1,
+		help: "an operator, who asks it, has the first duty go to it"},
+	faultTorn: {targets: 1, duration: true,
+		help: "it dies in the midst of a write, of which a part is on its disk; started after so long"},
+}
+
+// Names that a schedule may use for an instance that is known only when the fault is injected.
+const (
+	TargetLeader            = "leader"    // the leader of the highest term
+	TargetStepInstance      = "it"        // whose step the fault waited for
+	TargetProposer          = "asked"     // through which the client has proposed last
+	TargetRestartController = "conductor" // which holds the lease of the rolling restart's controller
+)
+
+// Step is the word of a schedule that names a step of a change, of a leased task's work or of a
+// rolling restart, for which a fault may wait.
+type Step string
+
+// The steps.
 const (
-	TargetLeader       = "leader" // whoever leads when the fault comes
-	TargetStepInstance = "it"     // whose step it was that the fault waited for
-	TargetProposer     = "asked"  // whom the client has asked for a change, last
-	// TargetRestartController is whoever takes the instances out (see --rolls).
-	TargetRestartController = "conductor"
+	stepTaskHeld     Step = "holds"
+	stepTaskActed    Step = "acts"
+	stepTaskReleased Step = "gives"
+	stepRestarting   Step = "out"
+	stepProposed     Step = "proposed"
+	stepStaged       Step = "staged"
+	stepCeased       Step = "ceased"
+	stepSwitched     Step = "switched"
 )
 
-// steps are those of a change's life, or of a duty's work, that a fault may wait for, with what the journals
-// call them.
-var steps = map[string]struct{ what, says string }{
-	"holds":    {"hold", "it has learned that it holds a duty, and begins its work"},
-	"acts":     {"act", "it has acted in a duty just now"},
-	"gives":    {"leave", "it has ended its work in a duty, and gives it back"},
-	"out":      {"out", "it has read that a rolling restart takes it out (see --rolls)"},
-	"proposed": {"staging", "an instance hears of a change"},
-	"staged":   {"staged", "it is ready to switch to it, and says so"},
-	"ceased":   {"permit", "it admits no jobs any more, and says so"},
-	"switched": {"run", "it has learned that the change is in force, and runs it"},
+// steps gives for each step the audit journal's event that shows it.
+var steps = map[Step]struct{ event, help string }{
+	stepTaskHeld:     {"hold", "it has learned that it holds a duty, and begins its work"},
+	stepTaskActed:    {"act", "it has acted in a duty just now"},
+	stepTaskReleased: {"leave", "it has ended its work in a duty, and gives it back"},
+	stepRestarting:   {"out", "it has read that a rolling restart takes it out (see --rolls)"},
+	stepProposed:     {"staging", "an instance hears of a change"},
+	stepStaged:       {"staged", "it is ready to switch to it, and says so"},
+	stepCeased:       {"permit", "it admits no jobs any more, and says so"},
+	stepSwitched:     {"run", "it has learned that the change is in force, and runs it"},
 }
 
 // changeSteps are the steps of a change, in their order.
-var changeSteps = []string{"proposed", "staged", "ceased", "switched"}
+var changeSteps = []Step{stepProposed, stepStaged, stepCeased, stepSwitched}
 
-// String implements fmt.Stringer.
+// String is the fault's line in a schedule.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%8.3fs  ", f.At.Seconds())
 	if f.Step != "" {
-		s += "@" + f.Step
+		s += "@" + string(f.Step)
 		if f.StepInstance != "" {
 			s += ":" + f.StepInstance
 		}
@@ -109,7 +165,7 @@
 	return s
 }
 
-// FormatSchedule gives the text that ReadStory reads.
+// FormatSchedule gives the text that ParseSchedule reads.
 func FormatSchedule(faults []Fault) []byte {
 	var b bytes.Buffer
 	fmt.Fprintln(&b, "# when, what, whom. \"moorstack prove cluster --help\" lists the faults.")
@@ -119,18 +175,18 @@
 	return b.Bytes()
 }
 
-// ParseSchedule reads a story for instances of these names. What makes no sense is an error that
-// names its line.
+// ParseSchedule reads a schedule for instances of these names. An error begins with the path and
+// the number of the line that is wrong.
 func ParseSchedule(path string, raw []byte, names []string) ([]Fault, error) {
 	var list []Fault
 	sc := bufio.NewScanner(bytes.NewReader(raw))
 	for n := 1; sc.Scan(); n++ {
 		line, _, _ := strings.Cut(sc.Text(), "#")
-		words := strings.Fields(line)
-		if len(words) == 0 {
+		fields := strings.Fields(line)
+		if len(fields) == 0 {
 			continue
 		}
-		f, err := readFault(words, names)
+		f, err := parseFault(fields, names)
 		if err == nil && len(list) > 0 && f.At < list[len(list)-1].At {
 			err = fmt.Errorf("time %v comes after %v in the line before", f.At, list[len(list)-1].At)
 		}
@@ -143,222 +199,120 @@
 	return list, sc.Err()
 }
 
-func readFault(words, names []string) (f Fault, err error) {
-	if f.At, err = time.ParseDuration(words[0]); err != nil || f.At < 0 {
-		return f, fmt.Errorf("%q is not a time from the beginning on, as in 1.5s", words[0])
+func parseFault(fields, names []string) (f Fault, err error) {
+	if f.At, err = time.ParseDuration(fields[0]); err != nil || f.At < 0 {
+		return f, fmt.Errorf("%q is not a time from the beginning on, as in 1.5s", fields[0])
 	}
-	if len(words) < 2 {
+	if fields = fields[1:]; len(fields) == 0 {
 		return f, fmt.Errorf("a fault must follow the time")
 	}
-	words = words[1:]
-	if step, ok := strings.CutPrefix(words[0], "@"); ok {
-		f.Step, f.StepInstance, _ = strings.Cut(step, ":")
-		if _, ok := steps[f.Step]; !ok {
-			return f, fmt.Errorf("@%s: no change or duty has such a step; %s are", f.Step, strings.Join(
-				slices.Sorted(maps.Keys(steps)), ", "))
+	if step, ok := strings.CutPrefix(fields[0], "@"); ok {
+		if err := f.parseStep(step, names); err != nil {
+			return f, err
 		}
-		if f.StepInstance != "" && !slices.Contains(names, f.StepInstance) {
-			return f, fmt.Errorf(
-				"@%s: there is no instance %q; %s to %s are",
-				f.Step,
-				f.StepInstance,
-				names[0],
-				names[len(names)-1],
-			)
-		}
-		if words = words[1:]; len(words) == 0 {
+		if fields = fields[1:]; len(fields) == 0 {
 			return f, fmt.Errorf("a fault must follow the step")
 		}
 	}
-	f.Kind = words[0]
-	shape, ok := faultKinds[f.Kind]
+	f.Kind = FaultKind(fields[0])
+	syntax, ok := faultKinds[f.Kind]
 	if !ok {
-		return f, fmt.Errorf(
-			"%q is no fault; %s are",
-			f.Kind,
-			strings.Join(slices.Sorted(maps.Keys(faultKinds)),
-				", "),
-		)
+		return f, fmt.Errorf("%q is no fault; %s are", f.Kind, joinSorted(faultKinds))
+	}
+	arguments := fields[1:]
+	if want := syntax.arguments(); len(arguments) != want {
+		return f, fmt.Errorf("%s: %d words follow, %d are wanted: %s", f.Kind, len(arguments), want,
+			syntax.help)
+	}
+	if err := f.parseTargets(arguments[:syntax.targets], names); err != nil {
+		return f, err
 	}
-	rest := words[1:]
-	want := shape.who
-	if shape.span || shape.rate {
-		want++
+	return f, f.parseAmount(syntax, arguments[syntax.targets:])
+}
+
+// parseStep reads what follows the @: a step, and whose.
+func (f *Fault) parseStep(text string, names []string) error {
+	step, instance, _ := strings.Cut(text, ":")
+	f.Step, f.StepInstance = Step(step), instance
+	if _, ok := steps[f.Step]; !ok {
+		return fmt.Errorf("@%s: no change or duty has such a step; %s are", f.Step, joinSorted(steps))
 	}
-	if len(rest) != want {
-		return f, fmt.Errorf("%s: %d words follow, %d are wanted: %s", f.Kind, len(rest), want, shape.says)
+	if instance != "" && !slices.Contains(names, instance) {
+		return fmt.Errorf("@%s: there is no instance %q; %s to %s are", f.Step, instance, names[0],
+			names[len(names)-1])
 	}
-	f.Targets = rest[:shape.who]
-	for i, w := range f.Targets {
-		if w == TargetStepInstance && f.Step == "" {
-			return f, fmt.Errorf(
-				"%s: %q is who has taken a step, and the line waits for none",
-				f.Kind,
-				TargetStepInstance,
-			)
+	return nil
+}
+
+func (f *Fault) parseTargets(targets, names []string) error {
+	f.Targets = targets
+	placeholders := []string{TargetLeader, TargetStepInstance, TargetProposer, TargetRestartController}
+	for i, target := range targets {
+		if target == TargetStepInstance && f.Step == "" {
+			return fmt.Errorf("%s: %q is who has taken a step, and the line waits for none", f.Kind, target)
 		}
-		if w != TargetLeader && w != TargetStepInstance && w != TargetProposer &&
-			w != TargetRestartController &&
-			!slices.Contains(names, w) {
-			return f, fmt.Errorf(
-				"%s: there is no instance %q; %s to %s are, and %s, %s, %s and %s",
-				f.Kind,
-				w,
-				names[0],
-				names[len(names)-1],
-				TargetLeader,
-				TargetStepInstance,
-				TargetProposer,
-				TargetRestartController,
-			)
+		if !slices.Contains(placeholders, target) && !slices.Contains(names, target) {
+			return fmt.Errorf("%s: there is no instance %q; %s to %s are, and %s, %s, %s and %s", f.Kind,
+				target, names[0], names[len(names)-1], TargetLeader, TargetStepInstance, TargetProposer,
+				TargetRestartController)
 		}
-		if slices.Contains(f.Targets[:i], w) {
-			return f, fmt.Errorf("%s: %s is named twice", f.Kind, w)
+		if slices.Contains(targets[:i], target) {
+			return fmt.Errorf("%s: %s is named twice", f.Kind, target)
 		}
 	}
-	if shape.span {
-		if f.Duration, err = time.ParseDuration(rest[shape.who]); err != nil || f.Duration <= 0 ||
+	return nil
+}
+
+// parseAmount reads the duration or the rate that a kind takes after its targets.
+func (f *Fault) parseAmount(syntax faultSyntax, arguments []string) (err error) {
+	switch {
+	case syntax.duration:
+		if f.Duration, err = time.ParseDuration(arguments[0]); err != nil || f.Duration <= 0 ||
 			f.Duration > time.Hour {
-			return f, fmt.Errorf("%s: %q is not a time above 0 and up to 1h", f.Kind, rest[shape.who])
+			return fmt.Errorf("%s: %q is not a time above 0 and up to 1h", f.Kind, arguments[0])
 		}
-	}
-	if shape.rate {
-		if f.BytesPerSecond, err = strconv.Atoi(rest[shape.who]); err != nil || f.BytesPerSecond < 1 {
-			return f, fmt.Errorf("%s: %q is not a number of bytes a second", f.Kind, rest[shape.who])
+	case syntax.rate:
+		if f.BytesPerSecond, err = strconv.Atoi(arguments[0]); err != nil || f.BytesPerSecond < 1 {
+			return fmt.Errorf("%s: %q is not a number of bytes a second", f.Kind, arguments[0])
 		}
 	}
-	return f, nil
+	return nil
+}
+
+func joinSorted[K ~string, V any](m map[K]V) string {
+	var list []string
+	for _, k := range sortedKeys(m) {
+		list = append(list, string(k))
+	}
+	return strings.Join(list, ", ")
 }
 
-// FaultHelp describes the faults that a story may have, a line each.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+
+// FaultHelp describes the kinds of faults, a line each, in alphabetical order.
 func FaultHelp() string {
 	var b strings.Builder
-	for _, k := range slices.Sorted(maps.Keys(faultKinds)) {
-		s := faultKinds[k]
-		args := []string{"", " A", " A B"}[s.who]
-		if s.span {
+	for _, kind := range sortedKeys(faultKinds) {
+		syntax := faultKinds[kind]
+		args := []string{"", " A", " A B"}[syntax.targets]
+		if syntax.duration {
 			args += " TIME"
 		}
-		if s.rate {
+		if syntax.rate {
 			args += " BYTES"
 		}
-		fmt.Fprintf(&b, "  %-22s %s\n", k+args, s.says)
+		fmt.Fprintf(&b, "  %-22s %s\n", string(kind)+args, syntax.help)
 	}
 	return b.String()
 }
 
-// StepHelp describes the steps that a fault may wait for, a line each.
+// StepHelp describes the steps that a fault may wait for, a line each: those of a change in their
+// order, then the rest.
 func StepHelp() string {
 	var b strings.Builder
-	for _, k := range slices.Concat(changeSteps, []string{"holds", "acts", "gives", "out"}) {
-		fmt.Fprintf(&b, "  @%-21s %s\n", k, steps[k].says)
+	others := []Step{stepTaskHeld, stepTaskActed, stepTaskReleased, stepRestarting}
+	for _, step := range slices.Concat(changeSteps, others) {
+		fmt.Fprintf(&b, "  @%-21s %s\n", step, steps[step].help)
 	}
 	return b.String()
 }
-
-// LeaderKillSchedule is the story of prove config: whoever leads dies, again and again.
-func LeaderKillSchedule(seed uint64, length time.Duration) []Fault {
-	rng := rand.New(rand.NewPCG(seed, 4))
-	var list []Fault
-	for at := time.Second; at < length; at += time.Duration(1200+rng.IntN(800)) * time.Millisecond {
-		list = append(list, Fault{At: at, Kind: "restart", Targets: []string{TargetLeader},
-			Duration: time.Duration(100+rng.IntN(900)) * time.Millisecond})
-	}
-	return list
-}
-
-// DrawSchedule makes a story of a seed: faults over a time, each ended some time after.
-func DrawSchedule(seed uint64, names []string, length time.Duration) []Fault {
-	rng := rand.New(rand.NewPCG(seed, 7))
-	drawn := slices.Sorted(slices.Values(changeSteps))
-	var list []Fault
-	add := func(at time.Duration, kind string, span time.Duration, who ...string) {
-		f := Fault{
-			At:       at.Round(time.Millisecond),
-			Kind:     kind,
-			Targets:  who,
-			Duration: span.Round(time.Millisecond),
-		}
-		if kind == "slow" {
-			f.BytesPerSecond = 200 << rng.IntN(8)
-		}
-		list = append(list, f)
-	}
-	one := func() string {
-		if rng.IntN(4) == 0 {
-			return TargetLeader
-		}
-		return names[rng.IntN(len(names))]
-	}
-	two := func() (string, string) {
-		a := rng.IntN(len(names))
-		return names[a], names[(a+1+rng.IntN(len(names)-1))%len(names)]
-	}
-	for at := 300 * time.Millisecond; at < length; at += time.Duration(150+rng.IntN(
-		1200)) * time.Millisecond {
-		a, b := two()
-		if k := rng.IntN(5); k < 2 {
-			// At a step of a change.
-			f := Fault{At: at.Round(time.Millisecond), Step: drawn[rng.IntN(len(drawn))], Kind: "stall",
-				Targets:  []string{[]string{TargetLeader, TargetStepInstance, TargetProposer}[rng.IntN(3)]},
-				Duration: time.Duration(5*(1<<rng.IntN(9))) * time.Millisecond}
-			f.Kind = []string{"stall", "restart", "restart", "torn", "full", "isolate", "deaf", "mute",
-				"hand-on"}[rng.IntN(9)]
-			if faultKinds[f.Kind].span {
-				list = append(list, f)
-				continue
-			}
-			f.Duration = 0
-			if list = append(list, f); f.Kind == "hand-on" {
-				continue
-			}
-			add(at+time.Duration(100+rng.IntN(2500))*time.Millisecond, "heal", 0)
-			continue
-		}
-		if rng.IntN(12) == 0 {
-			// One clock of the group is off at a time.
-			span := []time.Duration{800 * time.Millisecond, 5 * time.Minute, time.Hour}[rng.IntN(3)]
-			add(at, []string{"ahead", "behind"}[rng.IntN(2)], span, names[0])
-			add(at+time.Duration(500+rng.IntN(4000))*time.Millisecond, "true", 0, names[0])
-			continue
-		}
-		if rng.IntN(12) == 0 {
-			add(at, "leave", time.Duration(50+rng.IntN(2000))*time.Millisecond, one())
-			continue
-		}
-		switch k := rng.IntN(16); k {
-		case 0, 1, 2, 3:
-			// From 5 ms to some leases.
-			add(at, "stall", time.Duration(5*(1<<rng.IntN(10)))*time.Millisecond, one())
-		case 4, 5:
-			who := names[rng.IntN(len(names))]
-			add(at, "kill", 0, who)
-			add(at+time.Duration(50+rng.IntN(3000))*time.Millisecond, "start", 0, who)
-		case 6:
-			add(at, "isolate", 0, one())
-		case 7:
-			add(at, "deaf", 0, one())
-		case 8:
-			add(at, "mute", 0, one())
-		case 9:
-			add(at, "cut", 0, a, b)
-		case 10:
-			add(at, "reset", 0, a, b)
-		case 11:
-			add(at, "half-open", 0, a, b)
-		case 12:
-			add(at, "delay", time.Duration(1+rng.IntN(200))*time.Millisecond, a, b)
-		case 13:
-			add(at, "slow", 0, a, b)
-		case 14:
-			add(at, "refuse", 0, a, b)
-		default:
-			add(at, "heal", 0)
-		}
-		if rng.IntN(3) == 0 {
-			add(at+time.Duration(100+rng.IntN(2500))*time.Millisecond, "heal", 0)
-		}
-	}
-	slices.SortStableFunc(list, func(a, b Fault) int { return int(a.At - b.At) })
-	return list
-}
