--- a/internal/verify/load/search_test.go
+++ b/internal/verify/load/search_test.go
@@ -1,19 +1,16 @@
 package load
 
 import (
-	"context"
 	"math"
 	"net/http"
-	"net/http/httptest"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
-// Whatever a node bears and wherever the search begins, it ends near it, from below.
-func TestSearch(t *testing.T) {
-	for _, bears := range []float64{0, 1.5, 37, 800, 12_345, 199_000, 1e9} {
+// Whatever rate a node sustains and wherever the search begins, it ends near that rate, from below.
+func TestRateSearchEndsNearTheLimit(t *testing.T) {
+	for _, limit := range []float64{0, 1.5, 37, 800, 12_345, 199_000, 1e9} {
 		for _, from := range []float64{1, 100, 50_000} {
 			s, steps := NewRateSearch(from, 0.05), 0
 			for {
@@ -22,47 +19,47 @@
 					break
 				}
 				steps++
-				s.Record(rate <= bears)
+				s.Record(rate <= limit)
 			}
-			want := math.Min(bears, MaxRate)
+			want := math.Min(limit, MaxRate)
 			if got := s.Sustained(); got > want || got < want/1.06 || steps > maxSteps {
-				t.Errorf("a node that bears %v, from %v: found %v in %d steps", bears, from, got, steps)
+				t.Errorf("a node that sustains %v, from %v: found %v in %d steps", limit, from, got, steps)
 			}
 		}
 	}
 }
 
-// A server that takes 100 jobs a second and refuses the rest: that is what is found.
-func TestFindMax(t *testing.T) {
+// A server that serves 200 jobs a second and rejects the rest: about that rate is found.
+func TestFindMaxRateOfServerWithLimit(t *testing.T) {
 	var mu sync.Mutex
 	var window time.Time
 	n := 0
-	srv := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
+	o := options(startServer(t, func(rw http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		if now := time.Now().Truncate(250 * time.Millisecond); now != window {
 			window, n = now, 0
 		}
 		if n++; n > 50 {
-			rw.WriteHeader(503)
+			rw.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}))
-	defer srv.Close()
-	o := options(strings.TrimPrefix(srv.URL, "http://"))
 	o.Rate, o.Duration = 50, 600*time.Millisecond
 	var steps []Step
-	got, err := FindMaxRate(context.Background(), o, Objective{P99: 5 * time.Second, MaxErrorShare: 0.02},
-		0.2,
-		func(s Step) { steps = append(steps, s) })
+	objective := Objective{P99: 5 * time.Second, MaxErrorShare: 0.02}
+	got, err := FindMaxRate(t.Context(), o, objective, 0.2, func(s Step) { steps = append(steps, s) })
 	if err != nil || got < 50 || got > 400 {
 		t.Errorf("found %v, %v: %+v", got, err, steps)
 	}
-	if first, last := steps[0], steps[len(steps)-1]; !first.Sustained || len(steps) < 3 || last.P99 <= 0 {
+	if len(steps) < 3 || !steps[0].Sustained || steps[len(steps)-1].P99 <= 0 {
 		t.Errorf("the steps: %+v", steps)
 	}
-	for _, bad := range []Objective{{}, {P99: time.Second, MaxErrorShare: 1}, {P99: -1}} {
-		if _, err := FindMaxRate(context.Background(), o, bad, 0.1, nil); err == nil {
-			t.Errorf("%+v was taken", bad)
+}
+
+func TestInvalidObjectiveIsRejected(t *testing.T) {
+	for _, objective := range []Objective{{}, {P99: time.Second, MaxErrorShare: 1}, {P99: -1}} {
+		if _, err := FindMaxRate(t.Context(), options("127.0.0.1:1"), objective, 0.1, nil); err == nil {
+			t.Errorf("%+v was accepted", objective)
 		}
 	}
 }
