--- a/Makefile
+++ b/Makefile
@@ -6,10 +6,9 @@
 test:
 	go test ./...
 
+# The same checks as in CI.
 lint:
-	@test -z "$$(gofmt -l balancer cmd internal)" || { gofmt -l balancer cmd internal; exit 1; }
-	go vet ./...
-	go run honnef.co/go/tools/cmd/staticcheck@v0.8.2 ./...
+	bash .ci/lint
 
 # A node on loopback with both fronts, to try things out.
 run: build
--- a/internal/frozen/encoded/sinks_test.go
+++ b/internal/frozen/encoded/sinks_test.go
@@ -101,8 +101,8 @@
 	return roots
 }
 
-// returnsPrinted reports whether a function literal returns what a command prints: a value, which is encoded as
-// JSON by the command's caller, and the table in its place.
+// returnsPrinted reports whether a function literal returns what a command prints: a value, which is encoded
+// as JSON by the command's caller, and the table in its place.
 func (c *checked) returnsPrinted(literal *ast.FuncLit) bool {
 	signature, ok := c.info.Types[literal].Type.(*types.Signature)
 	if !ok || signature.Results().Len() != 3 {
