--- a/internal/frozen/backup_test.go
+++ b/internal/frozen/backup_test.go
@@ -11,6 +11,7 @@
 
 	"moorstack/internal/cluster/leasedtask"
 	"moorstack/internal/cluster/rollingrestart"
+	"moorstack/internal/frozen/golden"
 	"moorstack/internal/operate/backups"
 	"moorstack/internal/operate/controlapi"
 )
@@ -18,8 +19,8 @@
 // A backup is written as before, byte for byte, and one of before is read.
 func TestBackupOfBeforeIsRead(t *testing.T) {
 	s := newLog(t).state(t)
-	golden(t, "backup.txt", base64Lines(controlapi.EncodeBackup(s.ClusterID(), s.Revisions())))
-	raw := fromBase64(t, readText(t, "backup.txt"))
+	golden.Compare(t, "backup.txt", base64Lines(controlapi.EncodeBackup(s.ClusterID(), s.Revisions())))
+	raw := fromBase64(t, golden.Read(t, "backup.txt"))
 	b, err := controlapi.DecodeBackup(raw)
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "backup.json", indented(t, text))
+	golden.Compare(t, "backup.json", indented(t, text))
 	for at := range raw {
 		bad := bytes.Clone(raw)
 		bad[at] ^= 1 << (at % 8)
--- a/internal/frozen/decisions_test.go
+++ b/internal/frozen/decisions_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"moorstack/balancer"
+	"moorstack/internal/frozen/golden"
 )
 
 // The balancing module gives the same actions for the same events, to the bit, as the program did whose
@@ -45,7 +46,7 @@
 			}
 		}
 	}
-	golden(t, "decisions.txt", out.String())
+	golden.Compare(t, "decisions.txt", out.String())
 }
 
 func classes() []balancer.Class {
--- a/internal/frozen/golden/golden.go
+++ b/internal/frozen/golden/golden.go
@@ -12,6 +12,19 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files with what is found now")
 
+// Updating reports whether the tests rewrite the golden files (-update).
+func Updating() bool { return *update }
+
+// Read is the golden file testdata/name. A file that can't be read ends the test.
+func Read(t *testing.T, name string) string {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
 // Compare fails the test at the first line in which got differs from the golden file
 // testdata/name. With -update it writes the file instead.
 func Compare(t *testing.T, name, got string) {
@@ -26,14 +39,11 @@
 		}
 		return
 	}
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(raw) {
+	frozen := Read(t, name)
+	if got == frozen {
 		return
 	}
-	want, have := strings.Split(string(raw), "\n"), strings.Split(got, "\n")
+	want, have := strings.Split(frozen, "\n"), strings.Split(got, "\n")
 	for i := range max(len(want), len(have)) {
 		w, h := lineAt(want, i), lineAt(have, i)
 		if w != h {
--- a/internal/frozen/hotrestart_test.go
+++ b/internal/frozen/hotrestart_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"moorstack/balancer"
+	"moorstack/internal/frozen/golden"
 	"moorstack/internal/netio/eventloop"
 	"moorstack/internal/proxy/hotrestart"
 )
@@ -18,13 +19,13 @@
 	for _, m := range upgradeMessages() {
 		out = m.Append(out)
 	}
-	golden(t, "handover.txt", string(out))
+	golden.Compare(t, "handover.txt", string(out))
 }
 
 // What a process of before wrote is read whole: written once more it is the same.
 func TestUpgradeMessagesOfBeforeAreRead(t *testing.T) {
 	var got []byte
-	want := readText(t, "handover.txt")
+	want := golden.Read(t, "handover.txt")
 	for line := range strings.Lines(want) {
 		m, err := hotrestart.ParseMessage([]byte(strings.TrimSuffix(line, "\n")))
 		if err != nil {
@@ -55,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "handover-older.json", indented(t, m.Append(nil)))
+	golden.Compare(t, "handover-older.json", indented(t, m.Append(nil)))
 }
 
 // The processes of a node meet at the socket that those of before look for.
--- a/internal/frozen/state_test.go
+++ b/internal/frozen/state_test.go
@@ -20,6 +20,7 @@
 	"moorstack/internal/cluster/clusterstate"
 	"moorstack/internal/cluster/consensus"
 	"moorstack/internal/cluster/rollout"
+	"moorstack/internal/frozen/golden"
 	"moorstack/internal/storage/faultfs"
 	"moorstack/internal/storage/store"
 )
@@ -40,7 +41,7 @@
 
 // A log with each kind of entry is written as it was, byte for byte.
 func TestLogIsWrittenAsBefore(t *testing.T) {
-	golden(t, "log.txt", filesText(newLog(t).write(t)))
+	golden.Compare(t, "log.txt", filesText(newLog(t).write(t)))
 }
 
 // The log of before is read, and each entry changes of the agreed state what it did.
@@ -70,31 +71,31 @@
 		}
 		before = after
 	}
-	golden(t, "entries.txt", out.String())
+	golden.Compare(t, "entries.txt", out.String())
 }
 
 // The store that an earlier program wrote is opened, has the state that it had, and is made a snapshot of
 // as it was.
 func TestStoreOfBeforeIsOpened(t *testing.T) {
-	if *update {
-		golden(t, "log.txt", filesText(newLog(t).write(t)))
+	if golden.Updating() {
+		golden.Compare(t, "log.txt", filesText(newLog(t).write(t)))
 	}
 	fs := filesOf(t, "log.txt")
 	i, log := openStore(t, fs)
-	golden(t, "state.json", indented(t, i.State().Encode()))
+	golden.Compare(t, "state.json", indented(t, i.State().Encode()))
 	i.Compact()
 	drive(t, i, log)
 	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "snapshot.txt", filesText(fs))
+	golden.Compare(t, "snapshot.txt", filesText(fs))
 }
 
 // The snapshot that an earlier program wrote gives the same state, and the same instance.
 func TestSnapshotOfBeforeIsOpened(t *testing.T) {
 	i, log := openStore(t, filesOf(t, "snapshot.txt"))
 	defer log.Close()
-	golden(t, "state.json", indented(t, i.State().Encode()))
+	golden.Compare(t, "state.json", indented(t, i.State().Encode()))
 	st := i.Status()
 	if st.ID != 77 || st.Name != "n1" || st.Cluster != "g" || st.Halted != nil || i.Applied() == 0 {
 		t.Errorf("the instance is %+v, %d entries", st, i.Applied())
@@ -165,7 +166,7 @@
 		}
 		fmt.Fprintf(&out, "%s\n%s\n", text, o)
 	}
-	golden(t, "problems.txt", out.String())
+	golden.Compare(t, "problems.txt", out.String())
 }
 
 var withdrawal = rollout.Command{Kind: rollout.Withdraw, Change: "c8"}
@@ -272,7 +273,7 @@
 func filesOf(t *testing.T, name string) *faultfs.FS {
 	t.Helper()
 	fs := faultfs.New(1)
-	for _, part := range strings.Split(readText(t, name), "file ")[1:] {
+	for _, part := range strings.Split(golden.Read(t, name), "file ")[1:] {
 		file, text, _ := strings.Cut(part, "\n")
 		fs.WriteDurable(file, fromBase64(t, text))
 	}
