--- a/cmd/moorstack-lab/paper.go
+++ b/cmd/moorstack-lab/paper.go
@@ -125,7 +125,7 @@
 
 // drawPaper draws the waits at load 0.9, both axes logarithmic.
 func drawPaper(rows []paperRow, path string) error {
-	lines := map[string][][2]float64{}
+	lines := map[string][]experiment.Point{}
 	var order []string
 	for _, r := range rows {
 		if r.Load != "0.9" || r.Wait <= 0 {
@@ -138,7 +138,7 @@
 		if lines[name] == nil {
 			order = append(order, name)
 		}
-		lines[name] = append(lines[name], [2]float64{float64(r.N), r.Wait})
+		lines[name] = append(lines[name], experiment.Point{X: float64(r.N), Y: r.Wait})
 	}
 	svg, err := experiment.LogLogChart("servers", "mean wait at load 0.9 (service times)", order, lines)
 	if err != nil {
--- a/internal/verify/experiment/experiment_test.go
+++ b/internal/verify/experiment/experiment_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -41,6 +42,7 @@
 levels = [4, 6]
 `
 
+// files writes a plan and its scenario, and gives the plan's path.
 func files(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -52,10 +54,11 @@
 	return filepath.Join(dir, "p.toml")
 }
 
+// tables are the bytes of both tables of a directory.
 func tables(t *testing.T, dir string) []byte {
 	t.Helper()
 	var all []byte
-	for _, name := range []string{"runs.parquet", "seconds.parquet"} {
+	for _, name := range []string{runsFile, secondsFile} {
 		b, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
@@ -65,34 +68,56 @@
 	return all
 }
 
-// The tables are the same to the byte with one run at a time and with four, and after an
-// interruption that cut the journal's last line short.
-func TestTablesAreTheSame(t *testing.T) {
-	p, err := ReadPlan(files(t, plan))
+// readPlan writes a plan and its scenario, and reads it.
+func readPlan(t *testing.T, text string) *Plan {
+	t.Helper()
+	p, err := ReadPlan(files(t, text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, four, cut := t.TempDir(), t.TempDir(), t.TempDir()
-	ctx := context.Background()
+	return p
+}
+
+// runPlan runs a plan to its end.
+func runPlan(t *testing.T, p *Plan, o Options) *Outcome {
+	t.Helper()
+	r, err := Run(t.Context(), p, o)
+	if err != nil || r.Runs != p.RunCount() {
+		t.Fatal(r, err)
+	}
+	return r
+}
+
+func TestTablesAreTheSameWhateverRunsAtOnce(t *testing.T) {
+	p := readPlan(t, plan)
+	one, four := t.TempDir(), t.TempDir()
 	for dir, workers := range map[string]int{one: 1, four: 4} {
-		if r, err := Run(ctx, p, Options{Dir: dir, Workers: workers, ProgramVersion: "x"}); err != nil ||
-			r.Runs != 12 {
-			t.Fatal(r, err)
+		if r := runPlan(t, p, Options{Dir: dir, Workers: workers, ProgramVersion: "x"}); r.Runs != 12 {
+			t.Fatal(r)
 		}
 	}
 	if !bytes.Equal(tables(t, one), tables(t, four)) {
 		t.Error("one and four runs at once give different tables")
 	}
-	interrupted, stop := context.WithCancel(ctx)
-	_, err = Run(interrupted, p, Options{Dir: cut, Workers: 1, ProgramVersion: "x", Progress: func(n, _ int) {
-		if n == 5 {
+}
+
+// The tables are the same to the byte after an interruption that cut the journal's last line short.
+func TestTablesAreTheSameAfterInterruption(t *testing.T) {
+	p := readPlan(t, plan)
+	whole, cut := t.TempDir(), t.TempDir()
+	runPlan(t, p, Options{Dir: whole, Workers: 4, ProgramVersion: "x"})
+	interrupted, stop := context.WithCancel(t.Context())
+	stopAfterFive := func(finished, _ int) {
+		if finished == 5 {
 			stop()
 		}
-	}})
-	if err == nil {
-		t.Fatal("it was not interrupted")
 	}
-	path := filepath.Join(cut, journal)
+	o := Options{Dir: cut, Workers: 1, ProgramVersion: "x", Progress: stopAfterFive}
+	_, err := Run(interrupted, p, o)
+	if !errors.Is(err, context.Canceled) {
+		t.Fatalf("it was not interrupted: %v", err)
+	}
+	path := filepath.Join(cut, journalFile)
 	b, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -100,52 +125,42 @@
 	if err := os.WriteFile(path, b[:len(b)-20], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(ctx, p, Options{Dir: cut, Workers: 2, ProgramVersion: "x"})
-	if err != nil || r.Resumed < 4 || r.Resumed > 11 {
-		t.Fatal(r, err)
+	r := runPlan(t, p, Options{Dir: cut, Workers: 2, ProgramVersion: "x"})
+	if r.Resumed < 4 || r.Resumed > 11 {
+		t.Fatal(r)
 	}
-	if !bytes.Equal(tables(t, one), tables(t, cut)) {
+	if !bytes.Equal(tables(t, whole), tables(t, cut)) {
 		t.Error("an interruption shows in the tables")
 	}
 	// Results of a plan that has changed are not mixed with its own.
-	changed, err := ReadPlan(files(t, strings.Replace(plan, "seeds = 3", "seeds = 4", 1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Run(ctx, changed, Options{Dir: cut, Workers: 1}); err == nil {
+	changed := readPlan(t, strings.Replace(plan, "seeds = 3", "seeds = 4", 1))
+	if _, err := Run(t.Context(), changed, Options{Dir: cut, Workers: 1}); err == nil {
 		t.Error("a changed plan goes on with old results")
 	}
 }
 
-func TestBadPlans(t *testing.T) {
-	for want, change := range map[string][2]string{
-		`there is no "clints"`:               {"clients.*.rate", "clints.*.rate"},
-		`"9" is none of its 1 entries`:       {"workers.0.count", "workers.9.count"},
-		`is no number in the scenario`:       {"clients.*.rate", "clients.*.team"},
-		`p.toml:7: factor.scal`:              {"scale", "scal"},
-		`either levels or scale are wanted`:  {"levels = [4, 6]", ""},
-		`count, cores, slots and speed must`: {"levels = [4, 6]", "levels = [4, -1]"},
-		`p.toml:3: seeds: 0 is not a number`: {"seeds = 3", "seeds = 0"},
-		`there would be over 100000 runs`:    {"seeds = 3", "seeds = 90000"},
-		`p.toml:1: name: a plan has a name`:  {`name = "p"`, `name = ""`},
+func TestInvalidPlanIsNamed(t *testing.T) {
+	for _, c := range []struct{ want, old, with string }{
+		{`there is no "clints"`, "clients.*.rate", "clints.*.rate"},
+		{`"9" is none of its 1 entries`, "workers.0.count", "workers.9.count"},
+		{`is no number in the scenario`, "clients.*.rate", "clients.*.team"},
+		{`p.toml:7: factor.scal`, "scale", "scal"},
+		{`either levels or scale are wanted`, "levels = [4, 6]", ""},
+		{`count, cores, slots and speed must`, "levels = [4, 6]", "levels = [4, -1]"},
+		{`p.toml:3: seeds: 0 is not a number`, "seeds = 3", "seeds = 0"},
+		{`there would be over 100000 runs`, "seeds = 3", "seeds = 90000"},
+		{`p.toml:1: name: a plan has a name`, `name = "p"`, `name = ""`},
 	} {
-		_, err := ReadPlan(files(t, strings.Replace(plan, change[0], change[1], 1)))
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q, got %v", want, err)
+		_, err := ReadPlan(files(t, strings.Replace(plan, c.old, c.with, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("want %q, got %v", c.want, err)
 		}
 	}
 }
 
-func TestCompareAndReport(t *testing.T) {
-	p, err := ReadPlan(files(t, plan))
-	if err != nil {
-		t.Fatal(err)
-	}
+func TestCompareFindsTheSignificantDifferences(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := Run(context.Background(), p, Options{Dir: dir, Workers: 4,
-		ProgramVersion: "x<y"}); err != nil {
-		t.Fatal(err)
-	}
+	runPlan(t, readPlan(t, plan), Options{Dir: dir, Workers: 4, ProgramVersion: "x"})
 	a, err := ReadRuns(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -168,10 +183,18 @@
 		t.Fatal(err)
 	}
 	for _, d := range less {
-		if d.Metric == "earned" && (!d.Significant || d.Change.High > -0.09) {
-			t.Errorf("a tenth less is not seen: %+v", d)
+		if d.Metric == earnedShare.name && (!d.Significant || d.Change.High > -0.09) {
+			t.Errorf("a tenth less is not found: %+v", d)
 		}
 	}
+	if _, err := Compare(a, nil); err == nil {
+		t.Error("tables with nothing in common are compared")
+	}
+}
+
+func TestReportIsOnePageWithoutOtherFiles(t *testing.T) {
+	dir := t.TempDir()
+	runPlan(t, readPlan(t, plan), Options{Dir: dir, Workers: 4, ProgramVersion: "x<y"})
 	page := filepath.Join(dir, "r.html")
 	if err := WriteReport(dir, page); err != nil {
 		t.Fatal(err)
@@ -194,7 +217,7 @@
 	}
 }
 
-func TestBootstrap(t *testing.T) {
+func TestBootstrapInterval(t *testing.T) {
 	e := Bootstrap([]float64{1, 2, 3, 4, 5})
 	if e.Mean != 3 || e.Low < 1 || e.Low > 2.2 || e.High < 3.8 || e.High > 5 {
 		t.Errorf("%+v", e)
--- a/internal/verify/experiment/plan.go
+++ b/internal/verify/experiment/plan.go
@@ -1,5 +1,3 @@
-// Package experiment runs a plan of emulated worlds (a scenario, factors with levels, seeds),
-// keeps what was measured as tables, and says which differences are real.
 package experiment
 
 import (
@@ -22,12 +20,12 @@
 type Plan struct {
 	Name      string   `toml:"name"`
 	Base      string   `toml:"base"`  // the scenario's file, from the plan's folder
-	Seeds     int      `toml:"seeds"` // how many
+	Seeds     int      `toml:"seeds"` // how many; 1, if not given
 	FirstSeed uint64   `toml:"first_seed"`
 	Factors   []Factor `toml:"factor"`
 
-	Path string         `toml:"-"`
-	Hash string         `toml:"-"` // of the plan and the scenario: results of others don't go on with these
+	Path string         `toml:"-"` // of the plan's file
+	Hash string         `toml:"-"` // of the plan and the scenario: their results are not mixed with others'
 	base map[string]any // the scenario
 }
 
@@ -42,8 +40,8 @@
 // maxRuns bounds a plan.
 const maxRuns = 100_000
 
-// ReadPlan reads a plan, and tries every combination of its levels: a plan that can't be
-// run to its end is refused before anything runs.
+// ReadPlan reads a plan, and tries every combination of its levels: a plan that can't be run to its end is
+// rejected before anything runs.
 func ReadPlan(path string) (*Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -59,42 +57,66 @@
 	if p.Seeds < 1 {
 		return nil, tomlfile.ErrorAt(path, raw, "seeds", "%d is not a number of seeds", p.Seeds)
 	}
-	base := filepath.Join(filepath.Dir(path), p.Base)
-	text, err := os.ReadFile(base)
+	scenario, err := p.readBase()
 	if err != nil {
 		return nil, err
 	}
-	if _, err := emulate.ParseScenario(base, text); err != nil {
+	sum := sha256.Sum256(append(append([]byte{}, raw...), scenario...))
+	p.Hash = hex.EncodeToString(sum[:8])
+	if err := p.validateFactors(raw); err != nil {
 		return nil, err
 	}
-	if err := toml.Unmarshal(text, &p.base); err != nil {
-		return nil, fmt.Errorf("%s: %w", base, err)
+	for combination := range p.CombinationCount() {
+		if _, err := p.Scenario(combination, p.FirstSeed); err != nil {
+			labels := strings.Join(p.Labels(combination), ", ")
+			return nil, fmt.Errorf("%s: with %s: %w", path, labels, err)
+		}
 	}
-	sum := sha256.Sum256(append(append([]byte{}, raw...), text...))
-	p.Hash = hex.EncodeToString(sum[:8])
+	return p, nil
+}
+
+// readBase reads the scenario, and checks it by itself.
+func (p *Plan) readBase() (raw []byte, err error) {
+	path := filepath.Join(filepath.Dir(p.Path), p.Base)
+	if raw, err = os.ReadFile(path); err != nil {
+		return nil, err
+	}
+	if _, err := emulate.ParseScenario(path, raw); err != nil {
+		return nil, err
+	}
+	if err := toml.Unmarshal(raw, &p.base); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return raw, nil
+}
+
+func (p *Plan) validateFactors(raw []byte) error {
 	runs := p.Seeds
 	for i, f := range p.Factors {
-		wrong := func(format string, args ...any) error {
-			return &tomlfile.Error{Path: path, Line: tomlfile.LineOfTable(raw, "factor", i), Key: "factor",
+		invalid := func(format string, args ...any) error {
+			return &tomlfile.Error{Path: p.Path, Line: tomlfile.LineOfTable(raw, "factor", i), Key: "factor",
 				Message: fmt.Sprintf(format, args...)}
 		}
 		if f.Name == "" || f.Key == "" || (len(f.Levels) == 0) == (len(f.Scale) == 0) {
-			return nil, wrong("%q: a name, a key, and either levels or scale are wanted", f.Name)
+			return invalid("%q: a name, a key, and either levels or scale are wanted", f.Name)
 		}
 		if runs *= f.levelCount(); runs > maxRuns {
-			return nil, wrong("%s: there would be over %d runs", f.Name, maxRuns)
+			return invalid("%s: there would be over %d runs", f.Name, maxRuns)
 		}
 	}
-	for cell := range p.CombinationCount() {
-		if _, err := p.Scenario(cell, p.FirstSeed); err != nil {
-			return nil, fmt.Errorf("%s: with %s: %w", path, strings.Join(p.Labels(cell), ", "), err)
-		}
-	}
-	return p, nil
+	return nil
 }
 
 func (f *Factor) levelCount() int { return max(len(f.Levels), len(f.Scale)) }
 
+// change is what a level does to the scenario's value.
+func (f *Factor) change(level int) change {
+	if len(f.Scale) > 0 {
+		return change{scale: f.Scale[level]}
+	}
+	return change{value: f.Levels[level]}
+}
+
 func (f *Factor) label(level int) string {
 	if len(f.Scale) > 0 {
 		return "x" + strconv.FormatFloat(f.Scale[level], 'g', 4, 64)
@@ -115,19 +137,19 @@
 func (p *Plan) RunCount() int { return p.CombinationCount() * p.Seeds }
 
 // levels gives the level of each factor in a combination.
-func (p *Plan) levels(cell int) []int {
+func (p *Plan) levels(combination int) []int {
 	levels := make([]int, len(p.Factors))
 	for i := len(p.Factors) - 1; i >= 0; i-- {
 		n := p.Factors[i].levelCount()
-		levels[i], cell = cell%n, cell/n
+		levels[i], combination = combination%n, combination/n
 	}
 	return levels
 }
 
-// Labels says in words what a combination is.
-func (p *Plan) Labels(cell int) []string {
+// Labels describes a combination, a label for each factor.
+func (p *Plan) Labels(combination int) []string {
 	var labels []string
-	for i, level := range p.levels(cell) {
+	for i, level := range p.levels(combination) {
 		labels = append(labels, p.Factors[i].Name+" "+p.Factors[i].label(level))
 	}
 	if len(labels) == 0 {
@@ -136,19 +158,13 @@
 	return labels
 }
 
-// Scenario makes the world of a combination and a seed.
-func (p *Plan) Scenario(cell int, seed uint64) (*emulate.Scenario, error) {
+// Scenario makes the scenario of a combination and a seed. It fails where a factor's key is not in the base,
+// or a level makes the scenario invalid.
+func (p *Plan) Scenario(combination int, seed uint64) (*emulate.Scenario, error) {
 	tree := copyTree(p.base).(map[string]any)
-	for i, level := range p.levels(cell) {
+	for i, level := range p.levels(combination) {
 		f := &p.Factors[i]
-		var value any
-		by := 0.0
-		if len(f.Scale) > 0 {
-			by = f.Scale[level]
-		} else {
-			value = f.Levels[level]
-		}
-		if err := setAt(tree, strings.Split(f.Key, "."), value, by); err != nil {
+		if err := changeAt(tree, strings.Split(f.Key, "."), f.change(level)); err != nil {
 			return nil, fmt.Errorf("factor %s: key %s: %w", f.Name, f.Key, err)
 		}
 	}
@@ -159,63 +175,3 @@
 	}
 	return emulate.ParseScenario(p.Base, text.Bytes())
 }
-
-func copyTree(v any) any {
-	switch v := v.(type) {
-	case map[string]any:
-		out := map[string]any{}
-		for k, x := range v {
-			out[k] = copyTree(x)
-		}
-		return out
-	case []map[string]any:
-		out := make([]map[string]any, len(v))
-		for i, x := range v {
-			out[i] = copyTree(x).(map[string]any)
-		}
-		return out
-	}
-	return v
-}
-
-// setAt puts a value at a path of a tree, or multiplies what is there.
-func setAt(node any, path []string, value any, by float64) error {
-	switch node := node.(type) {
-	case []map[string]any:
-		if path[0] == "*" {
-			for _, x := range node {
-				if err := setAt(x, path[1:], value, by); err != nil {
-					return err
-				}
-			}
-			return nil
-		}
-		i, err := strconv.Atoi(path[0])
-		if err != nil || i < 0 || i >= len(node) {
-			return fmt.Errorf("%q is none of its %d entries", path[0], len(node))
-		}
-		return setAt(node[i], path[1:], value, by)
-	case map[string]any:
-		if len(path) > 1 {
-			next, ok := node[path[0]]
-			if !ok {
-				return fmt.Errorf("there is no %q", path[0])
-			}
-			return setAt(next, path[1:], value, by)
-		}
-		if value != nil {
-			node[path[0]] = value
-			return nil
-		}
-		switch was := node[path[0]].(type) {
-		case int64:
-			node[path[0]] = int64(float64(was)*by + 0.5)
-		case float64:
-			node[path[0]] = was * by
-		default:
-			return fmt.Errorf("%q is no number in the scenario, so there is nothing to multiply", path[0])
-		}
-		return nil
-	}
-	return fmt.Errorf("there is nothing below %q", path[0])
-}
--- a/internal/verify/experiment/run.go
+++ b/internal/verify/experiment/run.go
@@ -1,9 +1,7 @@
 package experiment
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -11,71 +9,16 @@
 	"strings"
 	"sync"
 
-	"github.com/parquet-go/parquet-go"
-
 	"moorstack/internal/verify/emulate"
 )
 
-// SchemaVersion is the version of the tables' columns. Readers refuse a newer one; columns are
-// only ever added within a version.
-const SchemaVersion = 1
-
-// Row is a run in the table of runs: for each class, for each team, and for all ("").
-type Row struct {
-	Schema       int32   `parquet:"schema" json:"schema"`
-	Plan         string  `parquet:"plan,dict" json:"plan"`
-	Hash         string  `parquet:"plan_hash,dict" json:"plan_hash"`
-	Program      string  `parquet:"program,dict" json:"program"`
-	Run          int32   `parquet:"run" json:"run"`
-	Combination  int32   `parquet:"cell" json:"cell"`
-	Factors      string  `parquet:"factors,dict" json:"factors"`
-	Seed         int64   `parquet:"seed" json:"seed"`
-	Scope        string  `parquet:"of,dict" json:"of"` // class, team or all
-	Name         string  `parquet:"name,dict" json:"name"`
-	Arrived      int64   `parquet:"came" json:"came"`
-	Served       int64   `parquet:"served" json:"served"`
-	InTime       int64   `parquet:"in_time" json:"in_time"`
-	Rejected     int64   `parquet:"refused" json:"refused"`
-	Failed       int64   `parquet:"failed" json:"failed"`
-	EarnedShare  float64 `parquet:"earned" json:"earned"` // part of the worth asked for
-	P50          float64 `parquet:"p50_ms" json:"p50_ms"`
-	P99          float64 `parquet:"p99_ms" json:"p99_ms"`
-	Attempts     int64   `parquet:"attempts" json:"attempts"` // of all only, as the rest
-	HealthChecks int64   `parquet:"probes" json:"probes"`
-	Retries      int64   `parquet:"retries" json:"retries"`
-	Events       int64   `parquet:"events" json:"events"`
-	Violations   int64   `parquet:"violations" json:"violations"`
-}
-
-// SecondRow is a second of a run.
-type SecondRow struct {
-	Schema   int32 `parquet:"schema" json:"schema"`
-	Run      int32 `parquet:"run" json:"run"`
-	Second   int32 `parquet:"second" json:"second"`
-	Arrived  int32 `parquet:"came" json:"came"`
-	Served   int32 `parquet:"served" json:"served"`
-	InTime   int32 `parquet:"in_time" json:"in_time"`
-	Rejected int32 `parquet:"refused" json:"refused"`
-	Failed   int32 `parquet:"failed" json:"failed"`
-	Queued   int32 `parquet:"waiting" json:"waiting"`
-	Running  int32 `parquet:"busy" json:"busy"`
-}
-
-// finishedRun is a finished run, as a line of the directory's journal.
-type finishedRun struct {
-	Hash       string      `json:"hash"`
-	Run        int         `json:"run"`
-	Rows       []Row       `json:"rows"`
-	Seconds    []SecondRow `json:"seconds"`
-	Violations []string    `json:"broken,omitempty"`
-}
-
 // Options are how a plan is run.
 type Options struct {
-	Dir            string
-	Workers        int // runs at once
-	ProgramVersion string
-	Progress       func(finished, of int)
+	Dir            string // of the results
+	Workers        int    // runs at once
+	ProgramVersion string // for the tables
+	// Progress, where it is set, is called after each run, on the goroutine that called Run.
+	Progress func(finished, of int)
 }
 
 // Outcome is what running a plan came to.
@@ -85,53 +28,79 @@
 	Violations []string `json:"broken,omitempty"`
 }
 
-const journal = "finished.jsonl"
-
-// Run runs what of a plan is not finished in the directory yet, and writes the tables. The
-// tables are the same, byte for byte, however many runs go on at once and however often it
-// was interrupted.
+// Run runs what of a plan is not finished in the directory yet, and writes the tables. The tables are the
+// same, byte for byte, however many runs go on at once and however often it was interrupted. If the context
+// ends, Run fails once the runs that go on have finished, and what is finished is kept.
 func Run(ctx context.Context, p *Plan, o Options) (*Outcome, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	finished, err := resume(p, o.Dir)
+	j, err := openJournal(p, o.Dir)
 	if err != nil {
 		return nil, err
 	}
-	out := &Outcome{Runs: p.RunCount(), Resumed: len(finished)}
-	log, err := os.OpenFile(filepath.Join(o.Dir, journal), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-	if err != nil {
+	out := &Outcome{Runs: p.RunCount(), Resumed: len(j.finished)}
+	if err := errors.Join(runMissing(ctx, p, o, j), j.close()); err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	jobs, results := make(chan int), make(chan result)
-	var wg sync.WaitGroup
-	for range max(o.Workers, 1) {
-		wg.Go(func() {
-			for run := range jobs {
-				results <- p.run(run, o.ProgramVersion)
-			}
-		})
+	if err := ctx.Err(); err != nil {
+		return nil, fmt.Errorf("interrupted after %d of %d runs; the same command goes on: %w",
+			len(j.finished), p.RunCount(), err)
+	}
+	return out, out.writeTables(o.Dir, j.finished)
+}
+
+// writeTables writes the tables of all runs, and gathers the violations.
+func (o *Outcome) writeTables(dir string, finished map[int]*finishedRun) error {
+	var rows []Row
+	var seconds []SecondRow
+	for run := range o.Runs {
+		r := finished[run]
+		rows = append(rows, r.Rows...)
+		seconds = append(seconds, r.Seconds...)
+		for _, v := range r.Violations {
+			text := fmt.Sprintf("run %d (%s, seed %d): %s", run, r.Rows[0].Factors, r.Rows[0].Seed, v)
+			o.Violations = append(o.Violations, text)
+		}
 	}
-	var left []int // found out before results come in, which are noted beside
+	return errors.Join(writeTable(filepath.Join(dir, runsFile), rows),
+		writeTable(filepath.Join(dir, secondsFile), seconds))
+}
+
+// runMissing runs what is not in the journal, on o.Workers goroutines, until the context ends. All have ended
+// when it returns.
+func runMissing(ctx context.Context, p *Plan, o Options, j *journal) error {
+	var missing []int // found before results are added to the journal by another goroutine
 	for run := range p.RunCount() {
-		if finished[run] == nil {
-			left = append(left, run)
+		if j.finished[run] == nil {
+			missing = append(missing, run)
 		}
 	}
+	type result struct {
+		run *finishedRun
+		err error
+	}
+	runs, results := make(chan int), make(chan result)
+	var workers sync.WaitGroup
+	for range max(o.Workers, 1) {
+		workers.Go(func() {
+			for number := range runs {
+				r, err := p.run(number, o.ProgramVersion)
+				results <- result{r, err}
+			}
+		})
+	}
 	go func() {
 		defer close(results)
-		for _, run := range left {
+		defer workers.Wait()
+		defer close(runs)
+		for _, run := range missing {
 			select {
-			case jobs <- run:
+			case runs <- run:
 			case <-ctx.Done():
-				close(jobs)
-				wg.Wait()
 				return
 			}
 		}
-		close(jobs)
-		wg.Wait()
 	}()
 	var failed error
 	for r := range results {
@@ -139,186 +108,87 @@
 			failed = errors.Join(failed, r.err)
 			continue
 		}
-		line, err := json.Marshal(r.done)
-		if err == nil {
-			_, err = log.Write(append(line, '\n'))
-		}
-		if err != nil {
-			failed = errors.Join(failed, err)
-		}
-		finished[r.done.Run] = r.done
+		failed = errors.Join(failed, j.append(r.run))
 		if o.Progress != nil {
-			o.Progress(len(finished), p.RunCount())
+			o.Progress(len(j.finished), p.RunCount())
 		}
 	}
-	if err := errors.Join(failed, log.Sync()); err != nil {
-		return nil, err
-	}
-	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf(
-			"interrupted after %d of %d runs; the same command goes on: %w",
-			len(finished),
-			p.RunCount(),
-			err,
-		)
-	}
-	var rows []Row
-	var seconds []SecondRow
-	for run := range p.RunCount() {
-		d := finished[run]
-		rows = append(rows, d.Rows...)
-		seconds = append(seconds, d.Seconds...)
-		for _, v := range d.Violations {
-			out.Violations = append(
-				out.Violations,
-				fmt.Sprintf("run %d (%s, seed %d): %s", run, d.Rows[0].Factors, d.Rows[0].Seed, v),
-			)
-		}
-	}
-	return out, errors.Join(writeTable(filepath.Join(o.Dir, "runs.parquet"), rows),
-		writeTable(filepath.Join(o.Dir, "seconds.parquet"), seconds))
-}
-
-type result struct {
-	done *finishedRun
-	err  error
+	return failed
 }
 
-// resume reads what is finished. A line that was cut short by an end in mid-write is left
-// out; one of another plan is an error.
-func resume(p *Plan, dir string) (map[int]*finishedRun, error) {
-	finished := map[int]*finishedRun{}
-	path := filepath.Join(dir, journal)
-	f, err := os.Open(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return finished, nil
-	}
+// run runs one world of the plan.
+func (p *Plan) run(number int, programVersion string) (*finishedRun, error) {
+	combination, seed := number/p.Seeds, p.FirstSeed+uint64(number%p.Seeds)
+	sc, err := p.Scenario(combination, seed)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	whole := int64(0)
-	in := bufio.NewReader(f)
-	for {
-		line, err := in.ReadBytes('\n')
-		if err != nil {
-			break
-		}
-		d := &finishedRun{}
-		if json.Unmarshal(line, d) != nil {
-			break
-		}
-		if d.Hash != p.Hash {
-			return nil, fmt.Errorf(
-				"%s is of another plan, or of one that has changed since; name another directory",
-				path,
-			)
-		}
-		finished[d.Run] = d
-		whole += int64(len(line))
-	}
-	return finished, os.Truncate(path, whole)
-}
-
-// run plays a run.
-func (p *Plan) run(run int, program string) result {
-	cell, seed := run/p.Seeds, p.FirstSeed+uint64(run%p.Seeds)
-	sc, err := p.Scenario(cell, seed)
+	r, err := emulate.RunScenario(sc)
 	if err != nil {
-		return result{err: err}
-	}
-	w, err := emulate.NewWorld(sc)
-	if err != nil {
-		return result{err: err}
+		return nil, err
 	}
-	r := w.Run()
-	d := &finishedRun{Hash: p.Hash, Run: run, Violations: r.Violations}
-	row := Row{
+	common := Row{
 		Schema:      SchemaVersion,
 		Plan:        p.Name,
 		Hash:        p.Hash,
-		Program:     program,
-		Run:         int32(run),
-		Combination: int32(cell),
-		Factors:     strings.Join(p.Labels(cell), ", "),
+		Program:     programVersion,
+		Run:         int32(number),
+		Combination: int32(combination),
+		Factors:     strings.Join(p.Labels(combination), ", "),
 		Seed:        int64(seed),
 	}
-	all := row
-	all.Scope, all.EarnedShare, all.Violations = "all", r.EarnedShare, int64(len(r.Violations))
-	all.Attempts, all.HealthChecks, all.Retries, all.Events = int64(
-		r.Attempts,
-	), int64(
-		r.HealthChecks,
-	), int64(
-		r.Retries,
-	), int64(
-		r.Events,
-	)
-	var list []Row
-	for _, group := range []struct {
-		of    string
-		tally []emulate.Tally
-	}{{"class", r.Classes}, {"team", r.Teams}} {
-		for _, t := range group.tally {
-			one := row
-			one.Scope, one.Name = group.of, t.Name
-			one.Arrived, one.Served, one.InTime = int64(t.Arrived), int64(t.Served), int64(t.InTime)
-			one.Rejected, one.Failed, one.P50, one.P99 = int64(t.Rejected), int64(t.Failed), t.P50, t.P99
-			if t.OfferedWeight > 0 {
-				one.EarnedShare = t.EarnedWeight / t.OfferedWeight
-			}
-			if group.of == "class" {
-				all.Arrived += one.Arrived
-				all.Served += one.Served
-				all.InTime += one.InTime
-				all.Rejected += one.Rejected
-				all.Failed += one.Failed
-			}
-			list = append(list, one)
-		}
+	rows := []Row{common.ofAll(r)}
+	for _, t := range r.Classes {
+		rows = append(rows, common.ofTally(scopeClass, t))
 	}
-	d.Rows = append([]Row{all}, list...)
-	for _, s := range r.Seconds {
-		d.Seconds = append(
-			d.Seconds,
-			SecondRow{SchemaVersion, int32(run), int32(s.At), int32(s.Arrived), int32(s.Served),
-				int32(s.InTime), int32(s.Rejected), int32(s.Failed), int32(s.Queued), int32(s.Running)},
-		)
+	for _, t := range r.Teams {
+		rows = append(rows, common.ofTally(scopeTeam, t))
 	}
-	return result{done: d}
+	return &finishedRun{Hash: p.Hash, Run: number, Rows: rows, Seconds: secondRows(number, r.Seconds),
+		Violations: r.Violations}, nil
 }
 
-// writeTable writes a table whole or not at all.
-func writeTable[T any](path string, rows []T) error {
-	tmp := path + ".tmp"
-	f, err := os.Create(tmp)
-	if err != nil {
-		return err
-	}
-	w := parquet.NewGenericWriter[T](f, parquet.Compression(&parquet.Zstd))
-	_, err = w.Write(rows)
-	err = errors.Join(err, w.Close(), f.Sync(), f.Close())
-	if err != nil {
-		return errors.Join(err, os.Remove(tmp))
+// ofTally is the row of a class or team.
+func (r Row) ofTally(scope string, t emulate.Tally) Row {
+	r.Scope, r.Name = scope, t.Name
+	r.Arrived, r.Served, r.InTime = int64(t.Arrived), int64(t.Served), int64(t.InTime)
+	r.Rejected, r.Failed, r.P50, r.P99 = int64(t.Rejected), int64(t.Failed), t.P50, t.P99
+	if t.OfferedWeight > 0 {
+		r.EarnedShare = t.EarnedWeight / t.OfferedWeight
 	}
-	return os.Rename(tmp, path)
+	return r
 }
 
-// ReadRuns reads the table of runs of a directory.
-func ReadRuns(dir string) ([]Row, error) {
-	rows, err := parquet.ReadFile[Row](filepath.Join(dir, "runs.parquet"))
-	if err != nil {
-		return nil, err
-	}
-	for _, r := range rows {
-		if r.Schema > SchemaVersion {
-			return nil, fmt.Errorf(
-				"%s: its columns are of version %d, this program reads %d",
-				dir,
-				r.Schema,
-				SchemaVersion,
-			)
-		}
+// ofAll is the row of all classes together.
+func (r Row) ofAll(result *emulate.Result) Row {
+	r.Scope, r.EarnedShare, r.Violations = scopeAll, result.EarnedShare, int64(len(result.Violations))
+	r.Attempts, r.HealthChecks = int64(result.Attempts), int64(result.HealthChecks)
+	r.Retries, r.Events = int64(result.Retries), int64(result.Events)
+	for _, t := range result.Classes {
+		r.Arrived += int64(t.Arrived)
+		r.Served += int64(t.Served)
+		r.InTime += int64(t.InTime)
+		r.Rejected += int64(t.Rejected)
+		r.Failed += int64(t.Failed)
+	}
+	return r
+}
+
+func secondRows(run int, seconds []emulate.Second) []SecondRow {
+	var rows []SecondRow
+	for _, s := range seconds {
+		rows = append(rows, SecondRow{
+			Schema:   SchemaVersion,
+			Run:      int32(run),
+			Second:   int32(s.At),
+			Arrived:  int32(s.Arrived),
+			Served:   int32(s.Served),
+			InTime:   int32(s.InTime),
+			Rejected: int32(s.Rejected),
+			Failed:   int32(s.Failed),
+			Queued:   int32(s.Queued),
+			Running:  int32(s.Running),
+		})
 	}
-	return rows, nil
+	return rows
 }
