--- a/internal/frontend/faktory/front.go
+++ b/internal/frontend/faktory/front.go
@@ -87,11 +87,11 @@
 // then closes the listener and calls done.
 func (f *Front) Drain(done func()) {
 	f.draining = true
-	busy := f.broker.PendingCount() > 0
+	pending := f.broker.PendingCount() > 0
 	for _, j := range f.jobs {
-		busy = busy || j.finished && !j.responseRead && time.Since(j.updatedAt) < unreadResponseWait
+		pending = pending || j.finished && !j.responseRead && time.Since(j.updatedAt) < unreadResponseWait
 	}
-	if busy {
+	if pending {
 		f.loop.After(drainPoll, func() { f.Drain(done) })
 		return
 	}
--- /dev/null
+++ b/internal/verify/emulate/loopback/platform_test.go
@@ -0,0 +1,185 @@
+package loopback
+
+import (
+	"bufio"
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"moorstack/internal/verify/emulate"
+)
+
+// event is a call-back of a worker.
+type event struct {
+	ID     string `json:"id"`
+	From   string `json:"from"`
+	State  string `json:"state"`
+	Result string `json:"result"`
+}
+
+// startPlatform starts a platform round a server in place of a node, and gives the call-backs that it
+// receives. Its workers have one slot and a queue of one.
+func startPlatform(t *testing.T, o Options) (*Platform, <-chan event) {
+	t.Helper()
+	events := make(chan event, 16)
+	node := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+		var e event
+		if err := json.NewDecoder(r.Body).Decode(&e); err != nil || r.URL.Path != "/v1/job-events" {
+			t.Errorf("%s %s: %v", r.Method, r.URL.Path, err)
+		}
+		events <- e
+	}))
+	t.Cleanup(node.Close)
+	o.Node, o.Workers = strings.TrimPrefix(node.URL, "http://"), 2
+	o.Spec = emulate.WorkerSpec{Cores: 1, Slots: 1, QueueCapacity: 1, Speed: 1,
+		ReportInterval: time.Millisecond}
+	p, err := Start(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(p.Close)
+	return p, events
+}
+
+// call sends a worker a request and gives the status and the header.
+func call(t *testing.T, w *worker, method, path, id, body string) (int, http.Header) {
+	t.Helper()
+	url := "http://" + w.address + path
+	r, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if id != "" {
+		r.Header.Set("X-Request-ID", id)
+	}
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp.Body.Close()
+	return resp.StatusCode, resp.Header
+}
+
+// next is the next call-back.
+func next(t *testing.T, events <-chan event) event {
+	t.Helper()
+	select {
+	case e := <-events:
+		return e
+	case <-time.After(10 * time.Second):
+		t.Fatal("no call-back came")
+		return event{}
+	}
+}
+
+func TestJobIsAcceptedAndItsEndCalledBack(t *testing.T) {
+	p, events := startPlatform(t, Options{})
+	w := p.workers[0]
+	if status, _ := call(t, w, http.MethodPost, "/", "j1", "size=0.01"); status != http.StatusAccepted {
+		t.Fatalf("status %d", status)
+	}
+	want := event{ID: "j1", From: w.name, State: "done", Result: "done by " + w.name}
+	if e := next(t, events); e != want {
+		t.Errorf("%+v, want %+v", e, want)
+	}
+	if status, _ := call(t, w, http.MethodPost, "/", "", "size=0.01"); status != http.StatusNotFound {
+		t.Errorf("a job without an id: status %d", status)
+	}
+}
+
+func TestFullWorkerRejectsUntilAJobIsCancelled(t *testing.T) {
+	p, _ := startPlatform(t, Options{})
+	w := p.workers[0]
+	for _, id := range []string{"running", "queued"} {
+		if status, _ := call(t, w, http.MethodPost, "/", id, "size=1000"); status != http.StatusAccepted {
+			t.Fatalf("%s: status %d", id, status)
+		}
+	}
+	status, header := call(t, w, http.MethodPost, "/", "third", "size=1000")
+	if status != http.StatusServiceUnavailable || header.Get("X-Not-Processed") != "1" {
+		t.Errorf("status %d, %v", status, header)
+	}
+	call(t, w, http.MethodDelete, "/jobs/running", "", "")
+	if status, _ := call(t, w, http.MethodPost, "/", "fourth", "size=1000"); status != http.StatusAccepted {
+		t.Errorf("after the cancellation: status %d", status)
+	}
+}
+
+func TestCrashLosesJobsAndWatchesReceiveIt(t *testing.T) {
+	p, events := startPlatform(t, Options{})
+	w := p.workers[1]
+	resp, err := http.Get("http://" + p.DiscoveryAddress() + "/catalog/members?stream=1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	lines := bufio.NewScanner(resp.Body)
+	receive := func() listUpdate {
+		t.Helper()
+		for lines.Scan() {
+			if len(lines.Bytes()) == 0 {
+				continue // an idle watch's line
+			}
+			var u listUpdate
+			if err := json.Unmarshal(lines.Bytes(), &u); err != nil {
+				t.Fatal(err)
+			}
+			return u
+		}
+		t.Fatal("the watch has ended: ", lines.Err())
+		return listUpdate{}
+	}
+	if u := receive(); !u.Reset || len(u.Instances) != 2 || u.Instances[1].Lifecycle != serving {
+		t.Errorf("the whole list: %+v", u)
+	}
+	call(t, w, http.MethodPost, "/", "j1", "size=1000")
+	if err := p.CrashWorker(1); err != nil {
+		t.Fatal(err)
+	}
+	if e := next(t, events); e.ID != "j1" || e.State != "lost" {
+		t.Errorf("%+v", e)
+	}
+	if u := receive(); u.Reset || len(u.Instances) != 1 || u.Instances[0].Lifecycle != deleted {
+		t.Errorf("the crash: %+v", u)
+	}
+	if err := p.RestartWorker(1); err != nil {
+		t.Fatal(err)
+	}
+	u := receive()
+	if len(u.Instances) != 1 || u.Instances[0].Lifecycle != serving || u.Instances[0].StartedAtMS == 0 {
+		t.Errorf("the restart: %+v", u)
+	}
+	if p.CrashWorker(2) == nil || p.RestartWorker(-1) == nil {
+		t.Error("a worker that is not there is crashed or restarted")
+	}
+}
+
+func TestHooksObserveAndFailJobs(t *testing.T) {
+	ids := make(chan string, 1)
+	p, _ := startPlatform(t, Options{
+		OnJob:   func(worker, id string) { ids <- worker + " " + id },
+		FailJob: func(worker string) bool { return worker == "w00001" },
+	})
+	status, _ := call(t, p.workers[1], http.MethodPost, "/", "j1", "")
+	if status != http.StatusInternalServerError {
+		t.Errorf("a job that fails: status %d", status)
+	}
+	call(t, p.workers[0], http.MethodPost, "/", "j2", "")
+	if got := <-ids; got != "w00000 j2" {
+		t.Errorf("observed %q", got)
+	}
+}
+
+func TestOnlyLoopbackAddressesAreAccepted(t *testing.T) {
+	for address, ok := range map[string]bool{
+		"127.0.0.1:80": true, "[::1]:80": true, "[::ffff:127.0.0.1]:80": true,
+		"192.0.2.1:80": false, "localhost:80": false, "127.0.0.1": false, "": false,
+	} {
+		if err := CheckAddress(address); (err == nil) != ok {
+			t.Errorf("%q: %v", address, err)
+		}
+	}
+}
--- a/internal/verify/experiment/chart.go
+++ b/internal/verify/experiment/chart.go
@@ -20,8 +20,8 @@
 
 // chart is a chart of the page.
 type chart struct {
-	Title, Note string
-	SVG         template.HTML
+	Title, Caption string
+	SVG            template.HTML
 }
 
 // lineWidth is of all lines.
@@ -36,7 +36,7 @@
 func colorOf(i int) color.RGBA { return palette[i%len(palette)] }
 
 // render draws a plot as SVG. What goes into the page is our own drawing, with texts escaped by the library.
-func render(p *plot.Plot, title, note string) (chart, error) {
+func render(p *plot.Plot, title, caption string) (chart, error) {
 	p.BackgroundColor = color.White
 	c := vgsvg.New(pageWidth, pageHeight)
 	p.Draw(draw.New(c))
@@ -48,7 +48,7 @@
 	if i := bytes.Index(svg, []byte("<svg")); i > 0 {
 		svg = svg[i:] // no XML head within a page
 	}
-	return chart{title, note, template.HTML(svg)}, nil
+	return chart{title, caption, template.HTML(svg)}, nil
 }
 
 // earnedChart has a bar for each class or team and combination, with its confidence interval.
--- a/internal/verify/experiment/report.go
+++ b/internal/verify/experiment/report.go
@@ -81,7 +81,7 @@
 <p>{{.Runs}} runs in virtual time; plan {{.Hash}}, program {{.Program}}.
 {{if .Violations}}<span class="bad">{{.Violations}} rules were broken.</span>{{else -}}
 No rule was broken.{{end}}</p>
-{{range .Charts}}<h2>{{.Title}}</h2><p class="note">{{.Note}}</p>{{.SVG}}{{end}}
+{{range .Charts}}<h2>{{.Title}}</h2><p class="note">{{.Caption}}</p>{{.SVG}}{{end}}
 <h2>Figures</h2><p class="note">Means over the seeds, with intervals of 95 % by bootstrap.</p>
 <table><tr><th>factors</th><th>of</th><th>name</th><th>worth earned</th><th>95 %</th>
 <th>in time</th><th>95 %</th><th>p99, ms</th></tr>
