--- a/internal/frontend/faktory/front.go
+++ b/internal/frontend/faktory/front.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// drainPoll is how often a drain looks whether all jobs have ended.
+	// drainPoll is how often a drain checks whether all jobs have ended.
 	drainPoll = 10 * time.Millisecond
 	// unreadResponseWait is for how long after its end a job whose result nobody has read delays a drain.
 	unreadResponseWait = 3 * time.Second
@@ -32,7 +32,7 @@
 	jobs         map[string]*job
 	sessions     map[string]*session
 	pendingBytes int // of the unfinished jobs
-	lastCell     int // given to a worker without a pod's label; they count down from -1
+	lastCell     int // given to a worker without a pod label; they count down from -1
 	draining     bool
 	routingTable *routing.Table // nil: jobs go where the balancer decides
 	startedAt    time.Duration
--- a/internal/verify/emulate/jsq.go
+++ b/internal/verify/emulate/jsq.go
@@ -22,7 +22,7 @@
 type JSQResult struct {
 	MeanWait     float64 `json:"wait"`  // in mean service times
 	WaitingShare float64 `json:"waits"` // of jobs that wait at all
-	// Tails are, for k from 0, the share of the servers with k jobs or more, as arrivals see them.
+	// Tails are, for k from 0, the share of the servers with k jobs or more, as arriving jobs find them.
 	Tails []float64 `json:"tails"`
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// count measures what a job sees that joins a queue.
+// count measures what a job finds that joins a queue.
 func (r *jsqRun) count(q int) {
 	r.counted++
 	r.waiting += float64(r.inside - (r.N - r.idle))
