--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -47,10 +47,10 @@
 	return wait <= limit*rank*rank
 }
 
-// takeQuota takes a token for a request from its tenant's bucket, or marks the request as over quota. A
+// chargeQuota spends a token for a request of its tenant's bucket, or marks the request as over quota. A
 // dispatcher's part of a quota is an equal one, or the part of theirs that the other tenants use here, if
 // that is more.
-func (b *Balancer) takeQuota(now time.Duration, q *request) {
+func (b *Balancer) chargeQuota(now time.Duration, q *request) {
 	if q.Tenant < 0 || q.Tenant >= len(b.quotas) || b.settings.OverQuotaWeight >= 1 ||
 		b.settings.Tenants[q.Tenant].QuotaPerSecond <= 0 {
 		return // not limited
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -63,7 +63,7 @@
 // place gives a request without an attempt in flight its next one, maybe after waiting for load reports, or
 // its final response.
 func (b *Balancer) place(now time.Duration, q *request) {
-	if !b.waitForNews(now, q) && !b.startAttempt(now, q) {
+	if !b.awaitWorkerState(now, q) && !b.startAttempt(now, q) {
 		b.rejectOrFail(q)
 	}
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -55,7 +55,7 @@
 		b.classTallies[q.Class].offered += b.goalUnits(q)
 		b.arrivals++
 		b.arrivedWork += b.hintedWork(q)
-		b.takeQuota(now, q)
+		b.chargeQuota(now, q)
 		if b.place(now, q); !b.loadsStale {
 			b.checkStalest(now)
 		}
--- a/balancer/health_checks.go
+++ b/balancer/health_checks.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// waitForNews has q wait for the first list, or for load reports of the least loaded workers of its draw, if
-// that is of use. It reports whether q waits.
+// awaitWorkerState has q wait for the first list, or for load reports of the least loaded workers of its
+// draw, if that is of use. It reports whether q waits.
 //
 // Hazard: where many dispatchers share workers, each one's counts are zero and what it knows of a queue is
 // outdated. A report that does not come soon shows a worker that is removed or busy.
-func (b *Balancer) waitForNews(now time.Duration, q *request) bool {
+func (b *Balancer) awaitWorkerState(now time.Duration, q *request) bool {
 	q.checked, q.answered, q.waitingSince = q.checked[:0], 0, now
 	q.startRoute()
 	if q.waiting = b.awaitsFirstList(now, q); q.waiting {
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -123,7 +123,7 @@
 		// Requests a window, of a warm worker, and the part of N that is to be used at least.
 		for allowed, least := range map[float64]float64{3: 1.2, 12: 0.6, 60: 0.45} {
 			for _, uneven := range []bool{false, true} {
-				most, used := playGreedyDispatchers(t, size, allowed, uneven)
+				most, used := simulateGreedyDispatchers(t, size, allowed, uneven)
 				if most > 0.9 || used < least {
 					t.Errorf("%d dispatchers, N up to %v, uneven %v: %.2f of what the rule allows in the "+
 						"fullest window, want at most 0.9; %.2f of N in all, want at least %.2f", size,
@@ -134,9 +134,9 @@
 	}
 }
 
-// playGreedyDispatchers gives the fullest window, as a part of what the rule allows, and the part of N that
+// simulateGreedyDispatchers gives the fullest window, as a part of what the rule allows, and the part of N that
 // was sent over the whole warm-up.
-func playGreedyDispatchers(t *testing.T, size int, allowed float64, uneven bool) (most, used float64) {
+func simulateGreedyDispatchers(t *testing.T, size int, allowed float64, uneven bool) (most, used float64) {
 	set := testSettings()
 	set.DispatcherCount = size
 	window := set.Rules.OverloadWindow
--- a/internal/frontend/faktory/job.go
+++ b/internal/frontend/faktory/job.go
@@ -148,7 +148,7 @@
 	if f.routingTable == nil {
 		return routing.Decision{}
 	}
-	d := f.routingTable.Decide(&routing.Job{Frontend: "faktory", Class: request.Class, Tenant: tenant,
+	d := f.routingTable.Decide(&routing.Job{Front: "faktory", Class: request.Class, Tenant: tenant,
 		Queue: j.Queue, JobType: j.Type, ExpectedWork: request.ExpectedWork, ID: request.ID})
 	request.Class, request.Route = d.Class, d.Route
 	request.MaxAttempts, request.AttemptTimeout = d.MaxAttempts, d.AttemptTimeout
--- a/internal/frontend/platform/client.go
+++ b/internal/frontend/platform/client.go
@@ -84,7 +84,7 @@
 
 // sendContinue has the sender of an incomplete request send its body, if it waits for a 100 response.
 func (c *client) sendContinue() {
-	if c.parser.HeadDone() && c.parser.ExpectsContinue && !c.continueSent {
+	if c.parser.HeadComplete() && c.parser.ExpectsContinue && !c.continueSent {
 		c.continueSent = true
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
--- a/internal/frontend/platform/discovery_call.go
+++ b/internal/frontend/platform/discovery_call.go
@@ -61,7 +61,7 @@
 func (c *discoveryCall) resetTimeout() {
 	d := c.directory
 	timeout := d.policy.PollTimeout()
-	if c.isWatch() && c.parser.HeadDone() {
+	if c.isWatch() && c.parser.HeadComplete() {
 		timeout = d.policy.WatchTimeout()
 	}
 	c.timer.Stop()
@@ -74,7 +74,7 @@
 // another watch is for discovery that is down, and is too long here.
 func (c *discoveryCall) timedOut() {
 	d := c.directory
-	if !c.isWatch() || !c.parser.HeadDone() {
+	if !c.isWatch() || !c.parser.HeadComplete() {
 		c.fail(errDiscoverySilent)
 		return
 	}
@@ -89,17 +89,17 @@
 
 // OnData reads the response as far as it has come.
 func (c *discoveryCall) OnData(*eventloop.Conn) {
-	headWasDone := c.parser.HeadDone()
+	headWasDone := c.parser.HeadComplete()
 	complete, err := c.parser.Feed(c.conn.Input())
-	if err == nil && c.parser.HeadDone() && c.parser.Status != 200 {
+	if err == nil && c.parser.HeadComplete() && c.parser.Status != 200 {
 		err = fmt.Errorf("discovery answers %d", c.parser.Status)
 	}
 	if err != nil {
 		c.fail(err)
 		return
 	}
-	if c.parser.HeadDone() {
-		body, used := c.parser.TakeBody(c.conn.Input())
+	if c.parser.HeadComplete() {
+		body, used := c.parser.NextBodyChunk(c.conn.Input())
 		c.unparsed = append(c.unparsed, body...)
 		c.conn.Discard(used)
 		if !headWasDone {
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -61,7 +61,7 @@
 func (w *worker) send(buildRequest func() []byte, how sending, onResponse responseFunc) *exchange {
 	var x *exchange
 	if !how.newConnection {
-		x = w.takeIdle()
+		x = w.popIdle()
 	}
 	if x != nil {
 		x.reused = true
@@ -86,8 +86,8 @@
 	return x
 }
 
-// takeIdle returns the idle connection that was used last, or nil.
-func (w *worker) takeIdle() *exchange {
+// popIdle returns the idle connection that was used last, or nil.
+func (w *worker) popIdle() *exchange {
 	for len(w.idle) > 0 {
 		last := len(w.idle) - 1
 		x := w.idle[last]
@@ -182,7 +182,7 @@
 	onResponse := x.onResponse
 	x.onResponse = nil
 	if w := x.worker; m.Close || !x.current() || len(x.conn.Input()) > 0 ||
-		len(w.idle) >= maxIdlePerWorker || !w.front.mayKeepIdle() {
+		len(w.idle) >= maxIdlePerWorker || !w.front.canKeepIdleConnection() {
 		x.close()
 	} else {
 		w.idle = append(w.idle, x)
@@ -204,7 +204,7 @@
 		x.onResponse(&m, body, false)
 		return
 	}
-	x.resetBeforeResponse = x.inFlight && !x.parser.HeadDone() && len(x.conn.Input()) == 0
+	x.resetBeforeResponse = x.inFlight && !x.parser.HeadComplete() && len(x.conn.Input()) == 0
 	if x.resetBeforeResponse && x.reused {
 		x.worker.front.reuseFailedAt = x.worker.front.loop.Now()
 	}
@@ -236,8 +236,8 @@
 
 func (f *Front) avoidsReuse() bool { return f.loop.Now() < f.reuseFailedAt+reuseBackoff }
 
-// mayKeepIdle reports whether one more idle connection may be kept.
-func (f *Front) mayKeepIdle() bool {
+// canKeepIdleConnection reports whether one more idle connection may be kept.
+func (f *Front) canKeepIdleConnection() bool {
 	n := 0
 	for _, w := range f.workers {
 		n += len(w.idle)
--- a/internal/frontend/platform/peer_process.go
+++ b/internal/frontend/platform/peer_process.go
@@ -134,16 +134,16 @@
 // there.
 func (f *Front) StopAccepting() {
 	f.listener.SetSuspended(true)
-	f.drain.HandOver()
+	f.drain.BeginTakeover()
 	for _, w := range f.workers {
-		w.CloseIdle()
+		w.closeIdle()
 	}
 	f.closeIdleClients()
 }
 
 // ResumeAccepting undoes StopAccepting: the other process has ended.
 func (f *Front) ResumeAccepting() {
-	f.drain.AbortHandOver()
+	f.drain.AbortTakeover()
 	f.listener.SetSuspended(false)
 }
 
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -97,7 +97,7 @@
 	if f.routes != nil {
 		path, _, _ := strings.Cut(m.Target, "?")
 		job := routing.Job{
-			Frontend:     "http",
+			Front:        "http",
 			Class:        r.Class,
 			Tenant:       r.Tenant,
 			Host:         m.Get("Host"),
--- a/internal/frontend/platform/worker.go
+++ b/internal/frontend/platform/worker.go
@@ -39,8 +39,8 @@
 
 var _ broker.Endpoint = (*worker)(nil)
 
-// CloseIdle implements broker.Endpoint: it closes the idle connections.
-func (w *worker) CloseIdle() {
+// closeIdle closes the idle connections.
+func (w *worker) closeIdle() {
 	for len(w.idle) > 0 {
 		w.idle[len(w.idle)-1].close()
 	}
--- a/internal/frontend/platform/worker_list.go
+++ b/internal/frontend/platform/worker_list.go
@@ -144,7 +144,7 @@
 	}
 	if w.address != address {
 		w.address = address
-		w.CloseIdle()
+		w.closeIdle()
 	}
 	return w
 }
@@ -152,6 +152,6 @@
 func (f *Front) removeWorker(id string) {
 	if w := f.workers[id]; w != nil {
 		delete(f.workers, id)
-		w.CloseIdle()
+		w.closeIdle()
 	}
 }
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -65,7 +65,7 @@
 	// OnSent, if set, is called once when the kernel has taken all that was written.
 	OnSent func()
 
-	// ReceiveFDs has descriptors that come along on a Unix socket be kept for TakeFD.
+	// ReceiveFDs has descriptors that come along on a Unix socket be kept for PopFD.
 	ReceiveFDs  bool
 	receivedFDs []int
 
--- a/internal/netio/eventloop/conn_events.go
+++ b/internal/netio/eventloop/conn_events.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	minReadRoom   = 1024 // a buffer with less room grows before a read
+	minReadSpace  = 1024 // a buffer with less room grows before a read
 	minBufferSize = 2048
 )
 
@@ -122,7 +122,7 @@
 	if !c.growBuffer() {
 		return
 	}
-	n, err := c.receive(c.buf[c.inputEnd:min(cap(c.buf), maxUnreadBytes+minReadRoom)])
+	n, err := c.receive(c.buf[c.inputEnd:min(cap(c.buf), maxUnreadBytes+minReadSpace)])
 	switch {
 	case isRetryable(err):
 	case isResourceExhausted(err):
@@ -150,7 +150,7 @@
 // growBuffer makes room to read, and reports whether there is some. Without, it blocks the input of a
 // connection whose message is processed, and evicts any other.
 func (c *Conn) growBuffer() bool {
-	if cap(c.buf)-c.inputEnd >= minReadRoom {
+	if cap(c.buf)-c.inputEnd >= minReadSpace {
 		return true
 	}
 	size := max(minBufferSize, 2*cap(c.buf))
--- a/internal/netio/eventloop/descriptors.go
+++ b/internal/netio/eventloop/descriptors.go
@@ -47,8 +47,8 @@
 	return n, err
 }
 
-// TakeFD returns the descriptor that was received first and not taken yet; the caller owns it.
-func (c *Conn) TakeFD() (fd int, ok bool) {
+// PopFD returns the descriptor that was received first and not taken yet; the caller owns it.
+func (c *Conn) PopFD() (fd int, ok bool) {
 	if len(c.receivedFDs) == 0 {
 		return -1, false
 	}
--- a/internal/netio/http1/parser.go
+++ b/internal/netio/http1/parser.go
@@ -8,8 +8,8 @@
 
 // The limits of a message. A message beyond them is a ProtocolError.
 const (
-	MaxHeadBytes      = 16 << 10
-	MaxBodyBytes      = 64 << 10 // without the chunked framing; of a streamed body there is no limit
+	maxHeadBytes      = 16 << 10
+	maxBodyBytes      = 64 << 10 // without the chunked framing; of a streamed body there is no limit
 	maxChunkLineBytes = 256      // of a chunk's size, with its extensions
 	maxFieldLines     = 100      // in the head, and in the trailer
 )
@@ -33,7 +33,7 @@
 // The zero value reads requests.
 type Parser struct {
 	ReadsResponses bool // else it reads requests
-	StreamsBody    bool // the body has no limit; TakeBody returns what has come of it
+	StreamsBody    bool // the body has no limit; NextBodyChunk returns what has come of it
 
 	Message
 	state     parseState
@@ -43,8 +43,8 @@
 	remaining int // bytes of the body, or of the chunk, still to come; in a trailer, its lines so far
 }
 
-// HeadDone reports whether the head has been read.
-func (p *Parser) HeadDone() bool { return p.state > parsingHead }
+// HeadComplete reports whether the head has been read.
+func (p *Parser) HeadComplete() bool { return p.state > parsingHead }
 
 // Feed parses on in buf, which must begin where it began at the last call. It reports whether the message is
 // complete. An error is a *ProtocolError.
@@ -75,9 +75,9 @@
 // CompleteAtEOF reports whether the end of the connection completes the message.
 func (p *Parser) CompleteAtEOF() bool { return p.state == parsingToEOF }
 
-// TakeBody returns what has come of a streamed body since the last call. The caller discards the first used
-// bytes of the buffer before the next call of Feed.
-func (p *Parser) TakeBody(buf []byte) (body []byte, used int) {
+// NextBodyChunk returns what has come of a streamed body since the last call. The caller discards the first
+// used bytes of the buffer before the next call of Feed.
+func (p *Parser) NextBodyChunk(buf []byte) (body []byte, used int) {
 	body = buf[p.bodyStart:p.bodyEnd]
 	used = p.position
 	p.bodyStart, p.bodyEnd, p.position = 0, 0, 0
@@ -126,7 +126,7 @@
 
 // checkBodySize fails if n more bytes make the body too large.
 func (p *Parser) checkBodySize(n int) error {
-	if !p.StreamsBody && p.bodyEnd-p.bodyStart+n > MaxBodyBytes {
+	if !p.StreamsBody && p.bodyEnd-p.bodyStart+n > maxBodyBytes {
 		return &ProtocolError{413, "the body is too large"}
 	}
 	return nil
@@ -192,7 +192,7 @@
 		start += 2 // some clients send an empty line after a body
 	}
 	n := bytes.Index(buf[start:], headEnd)
-	if n > MaxHeadBytes || n < 0 && len(buf) > MaxHeadBytes {
+	if n > maxHeadBytes || n < 0 && len(buf) > maxHeadBytes {
 		return &ProtocolError{431, "the head is too large"}
 	}
 	if n < 0 {
@@ -301,7 +301,7 @@
 		p.state = parsingDone
 	case f.chunked:
 		p.state = parsingChunkSize
-	case f.contentLength > MaxBodyBytes && !p.StreamsBody:
+	case f.contentLength > maxBodyBytes && !p.StreamsBody:
 		return &ProtocolError{413, "the body is too large"}
 	case f.contentLength > 0:
 		p.remaining, p.state = f.contentLength, parsingBody
--- a/internal/node/explainroute.go
+++ b/internal/node/explainroute.go
@@ -45,7 +45,7 @@
 
 func (x *routeExplainer) frontBroker(front string) (*frontBroker, error) {
 	if front == "" {
-		front = routing.FrontendHTTP
+		front = routing.FrontHTTP
 	}
 	at := slices.IndexFunc(x.node.brokers, func(c frontBroker) bool { return c.front == front })
 	if at < 0 {
@@ -56,7 +56,7 @@
 
 func (x *routeExplainer) jobOf(front string, in *schema.ExplainRouteRequest) (*routing.Job, error) {
 	job := &routing.Job{
-		Frontend:     front,
+		Front:        front,
 		Class:        slices.Index(x.names.Classes, in.Class),
 		Host:         in.Host,
 		Path:         in.Path,
--- a/internal/node/explainroute_test.go
+++ b/internal/node/explainroute_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestExplainRouteReadsTheJob(t *testing.T) {
-	brokers := []frontBroker{{front: routing.FrontendHTTP}, {front: routing.FrontendFaktory}}
+	brokers := []frontBroker{{front: routing.FrontHTTP}, {front: routing.FrontFaktory}}
 	x := &routeExplainer{node: &Node{brokers: brokers},
 		names: routing.KnownNames{Classes: []string{"quote", "once"}, Tenants: []string{"t"}}}
 	for _, c := range []struct {
@@ -20,10 +20,10 @@
 		err   string
 	}{
 		{"default front", &schema.ExplainRouteRequest{Class: "once", Tenant: "t"},
-			routing.FrontendHTTP, 1, ""},
+			routing.FrontHTTP, 1, ""},
 		{"another front", &schema.ExplainRouteRequest{Front: "faktory", Class: "quote"},
-			routing.FrontendFaktory, 0, ""},
-		{"no class", &schema.ExplainRouteRequest{}, routing.FrontendHTTP, -1, ""},
+			routing.FrontFaktory, 0, ""},
+		{"no class", &schema.ExplainRouteRequest{}, routing.FrontHTTP, -1, ""},
 		{"unknown front", &schema.ExplainRouteRequest{Front: "x"}, "", 0, `this instance has no front "x"`},
 		{"unknown class", &schema.ExplainRouteRequest{Class: "x"}, "", 0, `there is no class "x"`},
 		{"unknown tenant", &schema.ExplainRouteRequest{Tenant: "x"}, "", 0, `there is no tenant "x"`},
@@ -41,8 +41,8 @@
 				}
 			case err != nil:
 				t.Error(err)
-			case job.Frontend != c.front || job.Class != c.class:
-				t.Errorf("front %q, class %d", job.Frontend, job.Class)
+			case job.Front != c.front || job.Class != c.class:
+				t.Errorf("front %q, class %d", job.Front, job.Class)
 			}
 		})
 	}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -208,7 +208,7 @@
 
 // handleJob adopts an open job, with its client's connection.
 func (h *hotRestart) handleJob(l *hotrestart.Link, m *hotrestart.Message) {
-	fd, ok := l.TakeFD()
+	fd, ok := l.PopFD()
 	if !ok {
 		h.log.Error("hot restart: migrated request without its client's connection")
 		return
@@ -289,7 +289,7 @@
 // RequestBegun implements platform.PeerProcess: it reports a request that the other process must not begin.
 func (h *hotRestart) RequestBegun(id string) {
 	// The state is sent before the ids that are open: what begins until then is among them.
-	if p := h.machine.Phase(); p == hotrestart.ParentDraining || p == hotrestart.ServingBesideParent ||
+	if p := h.machine.Phase(); p == hotrestart.ParentDraining || p == hotrestart.ServingAlongsideParent ||
 		p == hotrestart.TakingOver {
 		h.link.Send(hotrestart.Message{Type: hotrestart.TypeRequestsBegun, RequestIDs: []string{id}})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -136,7 +136,7 @@
 		return err
 	}
 	c.SetAdmissionController(o.Admission)
-	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontendHTTP,
+	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontHTTP,
 		setRoutes: n.front.SetRoutes, fit: func(s balancer.Settings) balancer.Settings { return s }})
 	if p.offered == nil {
 		err = n.front.Open(c)
@@ -168,7 +168,7 @@
 // the one protocol can't be worked on in the other.
 func (n *Node) openFaktory(o Options, set balancer.Settings) (*faktory.Front, error) {
 	set = faktory.AdaptSettings(set)
-	log := n.log.WithField("front", routing.FrontendFaktory)
+	log := n.log.WithField("front", routing.FrontFaktory)
 	front, err := faktory.New(n.loop, o.Faktory, set, log)
 	if err != nil {
 		return nil, err
@@ -181,7 +181,7 @@
 	if err := front.Open(c); err != nil {
 		return nil, err
 	}
-	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontendFaktory,
+	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontFaktory,
 		fit:            faktory.AdaptSettings,
 		configureFront: front.ApplySettings, setRoutes: front.SetRoutingTable})
 	log.WithField("address", o.Faktory.Listen).Info("serving")
--- a/internal/proxy/broker/broker_test.go
+++ b/internal/proxy/broker/broker_test.go
@@ -217,7 +217,7 @@
 	f.want(c, Rejected) // both attempts are used up, and the class is idempotent
 }
 
-func TestDuplicateIDIsRefused(t *testing.T) {
+func TestDuplicateIDIsRejected(t *testing.T) {
 	f := newFixture(t)
 	f.submit("r")
 	c := &fakeClient{}
@@ -345,8 +345,8 @@
 	f.StartMaintenance("b")
 	f.EndMaintenance("b")
 	next.ImportState(f.ExportState())
-	if since, ok := next.UnderMaintenance()["a"]; !ok || since != time.Hour || !next.EverListed("b") {
-		t.Errorf("under maintenance: %v", next.UnderMaintenance())
+	if since, ok := next.underMaintenance()["a"]; !ok || since != time.Hour || !next.EverListed("b") {
+		t.Errorf("under maintenance: %v", next.underMaintenance())
 	}
 	if got := next.serve("x", 10); got["a"] != 0 {
 		t.Errorf("the endpoint under maintenance got %d requests", got["a"])
--- a/internal/proxy/broker/maintenance.go
+++ b/internal/proxy/broker/maintenance.go
@@ -69,10 +69,10 @@
 
 // StartMaintenance takes an endpoint out of service by an operator's command, until EndMaintenance: from now
 // on no new attempt goes to it. It is idempotent.
-func (b *Broker) StartMaintenance(name string) { b.StartMaintenanceSince(name, b.clock.Now()) }
+func (b *Broker) StartMaintenance(name string) { b.startMaintenanceSince(name, b.clock.Now()) }
 
-// StartMaintenanceSince is StartMaintenance for one that began earlier, at another process of this node.
-func (b *Broker) StartMaintenanceSince(name string, since time.Duration) {
+// startMaintenanceSince is StartMaintenance for one that began earlier, at another process of this node.
+func (b *Broker) startMaintenanceSince(name string, since time.Duration) {
 	if _, ok := b.maintenance.since[name]; ok {
 		return
 	}
@@ -93,9 +93,9 @@
 	return true
 }
 
-// UnderMaintenance gives the names of the endpoints under maintenance, and since when. It must not be
+// underMaintenance gives the names of the endpoints under maintenance, and since when. It must not be
 // changed.
-func (b *Broker) UnderMaintenance() map[string]time.Duration { return b.maintenance.since }
+func (b *Broker) underMaintenance() map[string]time.Duration { return b.maintenance.since }
 
 // EjectedCount is how many listed endpoints get no new attempts, because they are under maintenance or
 // because the balancer has ejected them as outliers. Endpoints that the list itself has as draining are not
--- a/internal/proxy/broker/maintenance_test.go
+++ b/internal/proxy/broker/maintenance_test.go
@@ -8,7 +8,7 @@
 )
 
 // The overlay gives the balancer what the operators decided, whatever the endpoint list says.
-func TestMaintenanceOverlayHoldsWhateverTheListSays(t *testing.T) {
+func TestMaintenanceOverlayOverridesEndpointList(t *testing.T) {
 	const began, ended = time.Minute, 2 * time.Minute
 	ready := balancer.Worker{State: balancer.Ready, StartedAt: 10 * time.Second}
 	removed, restarted := ready, ready
--- a/internal/proxy/broker/process_state.go
+++ b/internal/proxy/broker/process_state.go
@@ -36,7 +36,7 @@
 		b.refresh(name)
 	}
 	for name, since := range s.UnderMaintenance {
-		b.StartMaintenanceSince(name, since)
+		b.startMaintenanceSince(name, since)
 	}
 	b.run(func() { b.balancer.RestoreLearned(b.clock.Now(), s.Balancer) })
 }
--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -7,7 +7,7 @@
 //	   ^                                    |                       |
 //	   +-- EndStandby, before a shutdown ---+-----------------------+
 //
-//	any state --HandOver--> ClosingConnections --AbortHandOver--> the state before
+//	any state --BeginTakeover--> ClosingConnections --AbortTakeover--> the state before
 //
 // Unready: health checks fail; requests are accepted as ever, until those who check have noticed.
 // ClosingConnections: responses carry Connection: close, and idle connections of clients are closed. A
@@ -50,7 +50,7 @@
 	state        State
 	shuttingDown bool
 	takenOver    bool
-	stateBefore  State         // the state that HandOver found
+	stateBefore  State         // the state before BeginTakeover
 	closingAt    time.Duration // when Unready ends
 }
 
@@ -87,18 +87,18 @@
 	return first
 }
 
-// HandOver notes that another process takes this one's place: its clients are drained at once, for new
-// connections are the other's.
-func (m *Machine) HandOver() {
+// BeginTakeover begins a drain because another process takes this one's place. Clients are drained at once,
+// for new connections are the other's.
+func (m *Machine) BeginTakeover() {
 	if !m.takenOver {
 		m.stateBefore, m.takenOver = m.state, true
 		m.state = ClosingConnections
 	}
 }
 
-// AbortHandOver notes that the other process has ended. This one returns to the state before HandOver, unless
-// it shuts down.
-func (m *Machine) AbortHandOver() {
+// AbortTakeover ends that drain, after the other process has ended. This one returns to the state before
+// BeginTakeover, unless it shuts down.
+func (m *Machine) AbortTakeover() {
 	if m.takenOver {
 		m.takenOver = false
 		if !m.shuttingDown {
--- a/internal/proxy/hotrestart/link.go
+++ b/internal/proxy/hotrestart/link.go
@@ -54,8 +54,8 @@
 	return l.conn.WriteFDs(m.Append(nil), listenerFD)
 }
 
-// TakeFD returns the descriptor that came with the current message; the caller owns it.
-func (l *Link) TakeFD() (fd int, ok bool) { return l.conn.TakeFD() }
+// PopFD returns the descriptor that came with the current message; the caller owns it.
+func (l *Link) PopFD() (fd int, ok bool) { return l.conn.PopFD() }
 
 // Reject sends a rejection and closes the link.
 func (l *Link) Reject(reason string) {
@@ -88,7 +88,7 @@
 		}
 		l.onMessage(l, m)
 	}
-	if len(l.partial) > MaxMessageBytes {
+	if len(l.partial) > maxMessageBytes {
 		l.fail(errMessageTooLong)
 	}
 }
--- a/internal/proxy/hotrestart/link_test.go
+++ b/internal/proxy/hotrestart/link_test.go
@@ -72,7 +72,7 @@
 	loop.After(10*time.Second, loop.Stop)
 	go func() {
 		piece := []byte(strings.Repeat("x", 1<<16))
-		for sent := 0; sent < 2*MaxMessageBytes; sent += len(piece) {
+		for sent := 0; sent < 2*maxMessageBytes; sent += len(piece) {
 			if _, err := unix.Write(fds[1], piece); err != nil {
 				return
 			}
--- a/internal/proxy/hotrestart/machine.go
+++ b/internal/proxy/hotrestart/machine.go
@@ -7,11 +7,11 @@
 
 // The phases. Their names are sent in rejections.
 const (
-	Alone               Phase = iota // there is no other process
-	Offering                         // a parent whose child has the state and does not serve yet
-	ParentDraining                   // a parent whose child serves; it finishes what it has accepted
-	TakingOver                       // a child that has the state, while its parent still accepts
-	ServingBesideParent              // a child that serves, while its parent finishes what it has accepted
+	Alone                  Phase = iota // there is no other process
+	Offering                            // a parent whose child has the state and does not serve yet
+	ParentDraining                      // a parent whose child serves; it finishes what it has accepted
+	TakingOver                          // a child that has the state, while its parent still accepts
+	ServingAlongsideParent              // a child that serves, while its parent finishes what it has accepted
 )
 
 // String returns the phase's name.
@@ -48,12 +48,12 @@
 
 // How long a process waits for the other.
 const (
-	StateTimeout       = 2 * time.Second         // a child: for the state
-	JoinRetryTimeout   = 5 * time.Second         // a third process: for the first two to finish
+	stateTimeout       = 2 * time.Second         // a child: for the state
+	joinRetryTimeout   = 5 * time.Second         // a third process: for the first two to finish
 	ChildServesTimeout = 6 * time.Second         // a parent: for the child to serve, as the platform does
 	MigrateAfter       = 2500 * time.Millisecond // a parent, from SIGTERM: until it migrates open requests
 	ReleaseTimeout     = time.Second             // a child: for its parent to stop accepting
-	ParentGracePeriod  = 3500 * time.Millisecond // a child, from its start: for its parent's requests
+	parentGracePeriod  = 3500 * time.Millisecond // a child, from its start: for its parent's requests
 )
 
 // Machine is the state machine of one process. It is not safe for concurrent use.
@@ -72,7 +72,7 @@
 // It is ready late on purpose: the platform ends the parent soon after, and until then the parent can finish
 // requests with all the time that their clients have.
 func NewChild(started time.Duration) *Machine {
-	return &Machine{phase: TakingOver, readyAt: started + ParentGracePeriod}
+	return &Machine{phase: TakingOver, readyAt: started + parentGracePeriod}
 }
 
 // Phase returns the phase of the process.
@@ -83,7 +83,7 @@
 	switch m.phase {
 	case Alone, Offering:
 		return true
-	case ServingBesideParent:
+	case ServingAlongsideParent:
 		return m.parentDrained || now >= m.readyAt
 	}
 	return false
@@ -110,11 +110,11 @@
 	// serve.
 	{ParentDraining, PeerLost}: {Alone, []Effect{CloseLink, RestoreLimits, ResumeAccepting, ListenForChild}},
 
-	{TakingOver, ParentReleased}: {ServingBesideParent, []Effect{ListenForChild}},
-	{TakingOver, TimedOut}:       {ServingBesideParent, []Effect{ListenForChild}},
+	{TakingOver, ParentReleased}: {ServingAlongsideParent, []Effect{ListenForChild}},
+	{TakingOver, TimedOut}:       {ServingAlongsideParent, []Effect{ListenForChild}},
 	{TakingOver, PeerLost}:       {Alone, []Effect{CloseLink, RestoreLimits, ListenForChild}},
 
-	{ServingBesideParent, PeerLost}: {Alone, []Effect{CloseLink, RestoreLimits}},
+	{ServingAlongsideParent, PeerLost}: {Alone, []Effect{CloseLink, RestoreLimits}},
 }
 
 // Step takes an event and returns the effects, in their order; the caller must not change them. An event that
@@ -127,7 +127,7 @@
 	switch {
 	case e == TakeoverRequested: // hazard: a third process, while two have not settled which one serves
 		return []Effect{RejectRequest}
-	case e == ParentDrained && m.phase == ServingBesideParent:
+	case e == ParentDrained && m.phase == ServingAlongsideParent:
 		m.parentDrained = true
 	}
 	return nil
--- a/internal/proxy/hotrestart/machine_test.go
+++ b/internal/proxy/hotrestart/machine_test.go
@@ -22,12 +22,12 @@
 	}
 	step(parent, ChildServes, ParentDraining, StopAccepting)
 	step(parent, ChildServes, ParentDraining)
-	step(child, ParentReleased, ServingBesideParent, ListenForChild)
-	step(child, TakeoverRequested, ServingBesideParent, RejectRequest)
-	if parent.Ready(0) || child.Ready(time.Minute) || !child.Ready(time.Minute+ParentGracePeriod) {
+	step(child, ParentReleased, ServingAlongsideParent, ListenForChild)
+	step(child, TakeoverRequested, ServingAlongsideParent, RejectRequest)
+	if parent.Ready(0) || child.Ready(time.Minute) || !child.Ready(time.Minute+parentGracePeriod) {
 		t.Fatal("the child is ready when its parent's grace period is over")
 	}
-	step(child, ParentDrained, ServingBesideParent)
+	step(child, ParentDrained, ServingAlongsideParent)
 	if !child.Ready(time.Minute) {
 		t.Fatal("the parent has drained, and the child is not ready")
 	}
--- a/internal/proxy/hotrestart/message.go
+++ b/internal/proxy/hotrestart/message.go
@@ -12,8 +12,8 @@
 	// its parent, at a socket of its own.
 	Version = 1
 
-	// MaxMessageBytes is the longest message that is read.
-	MaxMessageBytes = 8 << 20
+	// maxMessageBytes is the longest message that is read.
+	maxMessageBytes = 8 << 20
 )
 
 // MessageType is the type of a message, by which its other fields are set.
--- a/internal/proxy/hotrestart/socket.go
+++ b/internal/proxy/hotrestart/socket.go
@@ -74,7 +74,7 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("listening at %s for a child: %w", filepath.Join(p.dir, p.name), err)
 	}
-	limits := eventloop.Limits{MaxConnections: maxLinks, MaxBufferBytes: maxLinks * MaxMessageBytes}
+	limits := eventloop.Limits{MaxConnections: maxLinks, MaxBufferBytes: maxLinks * maxMessageBytes}
 	return loop.ListenFD(fd, limits, onAccept)
 }
 
@@ -110,11 +110,11 @@
 
 // Join requests the state and the listening socket of the process that listens at the path. It returns
 // ErrNoParent at once if there is none, and another error if they can't be had in time. It blocks, up to
-// JoinRetryTimeout and StateTimeout together.
+// joinRetryTimeout and stateTimeout together.
 func (p SocketPath) Join(node, listenAddress string) (*Inheritance, error) {
 	hello := Message{Type: TypeHello, Version: Version, Node: node, ListenAddress: listenAddress}
-	for end := time.Now().Add(JoinRetryTimeout); ; time.Sleep(joinRetryInterval) {
-		in, err := p.requestState(hello, time.Now().Add(StateTimeout))
+	for end := time.Now().Add(joinRetryTimeout); ; time.Sleep(joinRetryInterval) {
+		in, err := p.requestState(hello, time.Now().Add(stateTimeout))
 		if !errors.Is(err, errRestartUnderWay) || time.Now().After(end) {
 			return in, err
 		}
@@ -205,7 +205,7 @@
 		if err == nil && n == 0 {
 			return nil, errParentClosed
 		}
-		if text = append(text, buf[:max(n, 0)]...); len(text) > MaxMessageBytes {
+		if text = append(text, buf[:max(n, 0)]...); len(text) > maxMessageBytes {
 			return nil, errStateTooLong
 		}
 	}
--- a/internal/proxy/routing/compile_rule.go
+++ b/internal/proxy/routing/compile_rule.go
@@ -56,7 +56,7 @@
 	const key = "match"
 	c.checkNames(at, "class", m.Classes, c.names.Classes, true)
 	c.checkNames(at, "tenant", m.Tenants, c.names.Tenants, true)
-	c.checkNames(at, "front", m.Frontends, []string{FrontendHTTP, FrontendFaktory}, false)
+	c.checkNames(at, "front", m.Fronts, []string{FrontHTTP, FrontFaktory}, false)
 	for _, h := range m.Hosts {
 		if h == "" || strings.Contains(strings.TrimPrefix(h, "*."), "*") || strings.HasPrefix(h, ".") {
 			c.addProblem(at, key, "host: %q is neither a host nor \"*.\" before a domain", h)
--- a/internal/proxy/routing/enumerate.go
+++ b/internal/proxy/routing/enumerate.go
@@ -69,7 +69,7 @@
 }
 
 func newJobSpace(names KnownNames) *jobSpace {
-	return &jobSpace{names: names, frontends: valueSet{FrontendHTTP, FrontendFaktory}, hosts: valueSet{""},
+	return &jobSpace{names: names, frontends: valueSet{FrontHTTP, FrontFaktory}, hosts: valueSet{""},
 		paths: valueSet{""}, queues: valueSet{""}, types: valueSet{""}, keys: valueSet{""},
 		work: []time.Duration{0}, headers: map[string]valueSet{}}
 }
@@ -129,7 +129,7 @@
 	for i, h := range s.headerNames {
 		headers[h] = s.headers[h][at[9+i]]
 	}
-	return &Job{Frontend: s.frontends[at[0]], Class: at[1] - 1, Tenant: at[2] - 1, Host: s.hosts[at[3]],
+	return &Job{Front: s.frontends[at[0]], Class: at[1] - 1, Tenant: at[2] - 1, Host: s.hosts[at[3]],
 		Path: s.paths[at[4]], Queue: s.queues[at[5]], JobType: s.types[at[6]], RouteKey: s.keys[at[7]],
 		ExpectedWork: s.work[at[8]], ID: "job", headers: headers,
 		Header: func(name string) string { return headers[name] }}
@@ -137,7 +137,7 @@
 
 // DescribeJob describes a job, without what it does not name.
 func DescribeJob(names KnownNames, j *Job) string {
-	parts := []string{j.Frontend}
+	parts := []string{j.Front}
 	add := func(what, value string) {
 		if value != "" {
 			parts = append(parts, what+" "+value)
--- a/internal/proxy/routing/file.go
+++ b/internal/proxy/routing/file.go
@@ -68,8 +68,8 @@
 
 // The frontends that a rule may name.
 const (
-	FrontendHTTP    = "http"
-	FrontendFaktory = "faktory"
+	FrontHTTP    = "http"
+	FrontFaktory = "faktory"
 )
 
 // anyValue as a header's value in a rule stands for any value.
@@ -79,7 +79,7 @@
 type MatchSpec struct {
 	Classes        []string          `toml:"class"` // "" stands for a job that names none
 	Tenants        []string          `toml:"tenant"`
-	Frontends      []string          `toml:"front"`
+	Fronts         []string          `toml:"front"`
 	Queues         []string          `toml:"queue"`
 	JobTypes       []string          `toml:"jobtype"`
 	Hosts          []string          `toml:"host"`        // whole, or "*.example.org" for all subdomains
--- a/internal/proxy/routing/index.go
+++ b/internal/proxy/routing/index.go
@@ -14,7 +14,7 @@
 
 	classes           dimension[int]
 	tenants           dimension[int]
-	frontends         dimension[string]
+	fronts            dimension[string]
 	queues            dimension[string]
 	jobTypes          dimension[string]
 	hosts             dimension[string] // whole hosts, and ".example.org" for its subdomains
@@ -51,7 +51,7 @@
 	withoutStar := func(host string) string { return strings.TrimPrefix(host, "*") }
 	buildDimension(t, &x.classes, func(m *MatchSpec) []string { return m.Classes }, numberIn(names.Classes))
 	buildDimension(t, &x.tenants, func(m *MatchSpec) []string { return m.Tenants }, numberIn(names.Tenants))
-	buildDimension(t, &x.frontends, func(m *MatchSpec) []string { return m.Frontends }, identity)
+	buildDimension(t, &x.fronts, func(m *MatchSpec) []string { return m.Fronts }, identity)
 	buildDimension(t, &x.queues, func(m *MatchSpec) []string { return m.Queues }, identity)
 	buildDimension(t, &x.jobTypes, func(m *MatchSpec) []string { return m.JobTypes }, identity)
 	buildDimension(t, &x.hosts, func(m *MatchSpec) []string { return m.Hosts }, withoutStar)
@@ -100,8 +100,8 @@
 		if x.tenants.used {
 			candidates &= x.tenants.bitsFor(j.Tenant, w)
 		}
-		if x.frontends.used {
-			candidates &= x.frontends.bitsFor(j.Frontend, w)
+		if x.fronts.used {
+			candidates &= x.fronts.bitsFor(j.Front, w)
 		}
 		if x.queues.used {
 			candidates &= x.queues.bitsFor(j.Queue, w)
--- a/internal/proxy/routing/shadow.go
+++ b/internal/proxy/routing/shadow.go
@@ -36,7 +36,7 @@
 		}
 	}
 	return listCovers(a.Classes, b.Classes, equal) && listCovers(a.Tenants, b.Tenants, equal) &&
-		listCovers(a.Frontends, b.Frontends, equal) && listCovers(a.Queues, b.Queues, equal) &&
+		listCovers(a.Fronts, b.Fronts, equal) && listCovers(a.Queues, b.Queues, equal) &&
 		listCovers(a.JobTypes, b.JobTypes, equal) && listCovers(a.Hosts, b.Hosts, isHostWithin) &&
 		listCovers(a.PathPrefixes, b.PathPrefixes, isPathWithin) &&
 		strings.HasPrefix(b.RouteKeyPrefix, a.RouteKeyPrefix) && a.MinWork <= b.MinWork &&
--- a/internal/proxy/routing/table.go
+++ b/internal/proxy/routing/table.go
@@ -14,7 +14,7 @@
 
 // Job is what rules can know of a job.
 type Job struct {
-	Frontend     string // FrontendHTTP or FrontendFaktory
+	Front        string // FrontHTTP or FrontFaktory
 	Class        int    // below 0: it names none
 	Tenant       int    // below 0: it names none
 	Host         string
--- a/internal/proxy/routing/table_test.go
+++ b/internal/proxy/routing/table_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	return in(m.Classes, name(names.Classes, j.Class)) && in(m.Tenants, name(names.Tenants, j.Tenant)) &&
-		in(m.Frontends, j.Frontend) && in(m.Queues, j.Queue) && in(m.JobTypes, j.JobType) && hostMatches &&
+		in(m.Fronts, j.Front) && in(m.Queues, j.Queue) && in(m.JobTypes, j.JobType) && hostMatches &&
 		pathMatches && strings.HasPrefix(j.RouteKey, m.RouteKeyPrefix) &&
 		j.ExpectedWork >= time.Duration(m.MinWork) &&
 		(m.WorkBelow == 0 || j.ExpectedWork < time.Duration(m.WorkBelow))
@@ -68,7 +68,7 @@
 	m := MatchSpec{
 		Classes:        list("classes", append([]string{""}, testNames.Classes...)...),
 		Tenants:        list("tenants", testNames.Tenants...),
-		Frontends:      list("frontends", FrontendHTTP, FrontendFaktory),
+		Fronts:         list("frontends", FrontHTTP, FrontFaktory),
 		Hosts:          list("hosts", "a.org", "b.org", "x.a.org", "*.a.org", "*.org"),
 		PathPrefixes:   list("path prefixes", "/", "/a", "/a/b", "/c"),
 		Queues:         list("queues", "q", "r"),
@@ -87,7 +87,7 @@
 	one := func(what string, of ...string) string { return rapid.SampledFrom(of).Draw(t, what) }
 	header := one("header", "", "1", "2")
 	return &Job{
-		Frontend:     one("frontend", FrontendHTTP, FrontendFaktory),
+		Front:        one("frontend", FrontHTTP, FrontFaktory),
 		Class:        rapid.IntRange(-1, 2).Draw(t, "class"),
 		Tenant:       rapid.IntRange(-1, 1).Draw(t, "tenant"),
 		Host:         one("host", "", "a.org", "b.org:80", "x.a.org", "z.x.a.org", "aa.org"),
@@ -210,11 +210,11 @@
 			b.Fatal(err)
 		}
 		j := &Job{
-			Frontend: FrontendHTTP,
-			Class:    (n - 1) % 3,
-			Tenant:   (n - 1) % 2,
-			Host:     fmt.Sprintf("h%d.example.org", n-1),
-			Path:     fmt.Sprintf("/p%d/x", (n-1)%7),
+			Front:  FrontHTTP,
+			Class:  (n - 1) % 3,
+			Tenant: (n - 1) % 2,
+			Host:   fmt.Sprintf("h%d.example.org", n-1),
+			Path:   fmt.Sprintf("/p%d/x", (n-1)%7),
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/proxy/settings/settings_test.go
+++ b/internal/proxy/settings/settings_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestUnknownWordsAreNamed(t *testing.T) {
+func TestUnknownValuesAreNamed(t *testing.T) {
 	for _, c := range []struct{ class, want string }{
 		{`{"effect":"maybe"}`, `class 0: unknown effect "maybe"`},
 		{`{"effect":"dedup","key_scope":"room"}`, `class 0: unknown key_scope "room"`},
--- a/internal/verify/expect/file.go
+++ b/internal/verify/expect/file.go
@@ -68,7 +68,7 @@
 // Job is a job that might come.
 type Job struct {
 	Name         string            `toml:"name"`
-	Frontend     string            `toml:"front"` // as package routing has them; empty: HTTP
+	Front        string            `toml:"front"` // as package routing has them; empty: HTTP
 	Class        string            `toml:"class"`
 	Tenant       string            `toml:"tenant"`
 	Host         string            `toml:"host"`
--- a/internal/verify/expect/mutation.go
+++ b/internal/verify/expect/mutation.go
@@ -161,13 +161,13 @@
 	}
 	// A job over Faktory has no headers.
 	headerless := func(m *routing.MatchSpec) bool {
-		return slices.Equal(m.Frontends, []string{routing.FrontendFaktory})
+		return slices.Equal(m.Fronts, []string{routing.FrontFaktory})
 	}
 	if headerless(a) && len(b.Headers) > 0 || headerless(b) && len(a.Headers) > 0 {
 		return false
 	}
 	return intersect(a.Classes, b.Classes) && intersect(a.Tenants, b.Tenants) &&
-		intersect(a.Frontends, b.Frontends) && intersect(a.Queues, b.Queues)
+		intersect(a.Fronts, b.Fronts) && intersect(a.Queues, b.Queues)
 }
 
 // complement returns the known names, and the empty one, without some.
--- a/internal/verify/expect/resolve.go
+++ b/internal/verify/expect/resolve.go
@@ -87,8 +87,8 @@
 		return s.errorAt("job", i, "%s: there is no class %q", j.Name, j.Class)
 	case j.Tenant != "" && !s.hasTenant(j.Tenant):
 		return s.errorAt("job", i, "%s: there is no tenant %q", j.Name, j.Tenant)
-	case j.Frontend != "" && j.Frontend != routing.FrontendHTTP && j.Frontend != routing.FrontendFaktory:
-		return s.errorAt("job", i, "%s: front: %q is not http or faktory", j.Name, j.Frontend)
+	case j.Front != "" && j.Front != routing.FrontHTTP && j.Front != routing.FrontFaktory:
+		return s.errorAt("job", i, "%s: front: %q is not http or faktory", j.Name, j.Front)
 	case j.ExpectedWork < 0 || j.Timeout < 0:
 		return s.errorAt("job", i, "%s: cost or timeout is below 0", j.Name)
 	}
--- a/internal/verify/expect/run.go
+++ b/internal/verify/expect/run.go
@@ -109,12 +109,12 @@
 
 // routingJob is the job as the rules see it.
 func (s *Suite) routingJob(j *Job) *routing.Job {
-	frontend := j.Frontend
+	frontend := j.Front
 	if frontend == "" {
-		frontend = routing.FrontendHTTP
+		frontend = routing.FrontHTTP
 	}
 	return &routing.Job{
-		Frontend:     frontend,
+		Front:        frontend,
 		Class:        slices.Index(s.knownNames.Classes, j.Class),
 		Tenant:       slices.Index(s.knownNames.Tenants, j.Tenant),
 		Host:         j.Host,
