--- a/internal/cluster/calendar/zone.go
+++ b/internal/cluster/calendar/zone.go
@@ -14,7 +14,6 @@
 
 // Zone is the rules of a time zone from 1900 to 2110. It is immutable.
 type Zone struct {
-	name    string
 	periods []period // without gaps, in order
 }
 
@@ -35,12 +34,12 @@
 
 // UTC returns the zone UTC.
 func UTC() *Zone {
-	return &Zone{name: "UTC", periods: []period{{beginningOfTime, endOfTime, 0}}}
+	return &Zone{periods: []period{{beginningOfTime, endOfTime, 0}}}
 }
 
 // NewZone reads the rules of a location.
 func NewZone(loc *time.Location) *Zone {
-	z := &Zone{name: loc.String()}
+	z := &Zone{}
 	at := rulesFrom
 	for at < rulesUntil {
 		t := time.Unix(at, 0).In(loc)
@@ -72,9 +71,6 @@
 	return z
 }
 
-// Name returns the zone's name in the tz database.
-func (z *Zone) Name() string { return z.name }
-
 // periodIndex returns the index of the period that an instant is in.
 func (z *Zone) periodIndex(at int64) int {
 	i, ok := slices.BinarySearchFunc(z.periods, at, func(p period, at int64) int {
--- a/internal/frontend/platform/discovery.go
+++ b/internal/frontend/platform/discovery.go
@@ -121,21 +121,6 @@
 	d.ensureWatch()
 }
 
-// FetchList implements broker.EndpointSource: it requests the whole list once. A front that is fed by a peer
-// has it already: the broker requests it in case the watch is silent, and a peer's heartbeat shows that
-// nothing was missed.
-func (d *directory) FetchList() {
-	if !d.fedByPeer {
-		d.startCall(membersPath)
-		return
-	}
-	d.front.loop.After(0, func() { // not from within the broker's call
-		if _, text, err := d.front.FullList(); err == nil {
-			_ = d.front.ApplyList(text)
-		}
-	})
-}
-
 // applyUpdate passes a list, or a delta of it, to the broker.
 func (d *directory) applyUpdate(list *workerList) {
 	d.front.initial.release()
--- a/internal/verify/expect/simulation.go
+++ b/internal/verify/expect/simulation.go
@@ -188,9 +188,6 @@
 	})
 }
 
-// CloseIdle implements broker.Endpoint.
-func (e *stubEndpoint) CloseIdle() {}
-
 // entry is the worker's entry in the endpoint list.
 func (e *stubEndpoint) entry() broker.ListEntry {
 	w, names := e.worker, &e.sim.suite.knownNames
