--- a/internal/cluster/calendar/zone.go
+++ b/internal/cluster/calendar/zone.go
@@ -37,8 +37,8 @@
 	return &Zone{periods: []period{{beginningOfTime, endOfTime, 0}}}
 }
 
-// NewZone reads the rules of a location.
-func NewZone(loc *time.Location) *Zone {
+// newZone reads the rules of a location.
+func newZone(loc *time.Location) *Zone {
 	z := &Zone{}
 	at := rulesFrom
 	for at < rulesUntil {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%q is no zone that the rules here know", name)
 	}
-	zone := NewZone(loc)
+	zone := newZone(loc)
 	db.cache[name] = zone
 	return zone, nil
 }
--- a/internal/cluster/clusterstate/change_test.go
+++ b/internal/cluster/clusterstate/change_test.go
@@ -35,14 +35,14 @@
 // A change that was forgotten is still not applied twice: its base is no longer current.
 func TestOutcomesAndRevisionsAreBounded(t *testing.T) {
 	s := newState(t, Rules{}, sampleDocument(5))
-	for n := range MaxOutcomes + 10 {
+	for n := range maxOutcomes + 10 {
 		o := applyAndCommit(s, proposal(fmt.Sprint(n), uint64(n+1), float64(n+10)))
 		if o.Code != Accepted {
 			t.Fatalf("%d: %+v", n, o)
 		}
 	}
-	if _, known := s.OutcomeOf("0"); known || len(s.outcomes.byID) != MaxOutcomes ||
-		len(s.outcomes.ids) != MaxOutcomes || len(s.revisions.list) != MaxRevisions {
+	if _, known := s.OutcomeOf("0"); known || len(s.outcomes.byID) != maxOutcomes ||
+		len(s.outcomes.ids) != maxOutcomes || len(s.revisions.list) != maxRevisions {
 		t.Errorf("%d ids, %d revisions are remembered", len(s.outcomes.byID), len(s.revisions.list))
 	}
 	if o := applyAndCommit(s, proposal("0", 1, 10)); o.Code != Conflict {
--- a/internal/cluster/clusterstate/outcome.go
+++ b/internal/cluster/clusterstate/outcome.go
@@ -1,8 +1,8 @@
 package clusterstate
 
-// MaxOutcomes is how many outcomes are remembered. A client that repeats a change whose id has been
+// maxOutcomes is how many outcomes are remembered. A client that repeats a change whose id has been
 // forgotten gets a conflict instead: its base revision is no longer the current one.
-const MaxOutcomes = 4096
+const maxOutcomes = 4096
 
 // OutcomeCode is what became of a change or command.
 type OutcomeCode uint8
@@ -45,7 +45,7 @@
 
 // add remembers an outcome and forgets the oldest one if there are too many.
 func (l *outcomeLog) add(id string, o Outcome) {
-	if len(l.ids) >= MaxOutcomes {
+	if len(l.ids) >= maxOutcomes {
 		delete(l.byID, l.ids[0])
 		l.ids = append(l.ids[:0], l.ids[1:]...)
 	}
--- a/internal/cluster/clusterstate/revision.go
+++ b/internal/cluster/clusterstate/revision.go
@@ -7,7 +7,7 @@
 
 // Bounds on the revisions that are kept.
 const (
-	MaxRevisions     = 100
+	maxRevisions     = 100
 	maxRevisionBytes = 4 << 20 // of their documents together
 )
 
@@ -37,7 +37,7 @@
 	r.bytes = len(r.Document.Encode())
 	l.list = append(l.list, r)
 	l.bytes += r.bytes
-	for len(l.list) > 1 && (len(l.list) > MaxRevisions || l.bytes > maxRevisionBytes) {
+	for len(l.list) > 1 && (len(l.list) > maxRevisions || l.bytes > maxRevisionBytes) {
 		l.bytes -= l.list[0].bytes
 		l.list = append(l.list[:0], l.list[1:]...)
 	}
--- a/internal/cluster/clusterstate/sessions.go
+++ b/internal/cluster/clusterstate/sessions.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TakeExpiredSessions returns the sessions that have certainly ended since it was called last.
-func (s *State) TakeExpiredSessions() []placement.Session {
+// PopExpiredSessions returns the sessions that have certainly ended since it was called last.
+func (s *State) PopExpiredSessions() []placement.Session {
 	list := s.expiredSessions
 	s.expiredSessions = nil
 	return list
--- a/internal/cluster/clusterstate/sessions_test.go
+++ b/internal/cluster/clusterstate/sessions_test.go
@@ -26,7 +26,7 @@
 			Sessions: []rollout.SessionID{{Member: 1, Epoch: 3}}}, "[{1 3}]"},
 	} {
 		s.ApplyRollout(step.command)
-		if got := fmt.Sprint(s.TakeExpiredSessions()); got != step.expired {
+		if got := fmt.Sprint(s.PopExpiredSessions()); got != step.expired {
 			t.Errorf("after %d, %v: %s have expired, wanted %s", n, step.command.Kind, got, step.expired)
 		}
 	}
--- a/internal/cluster/clusterstate/snapshot.go
+++ b/internal/cluster/clusterstate/snapshot.go
@@ -94,7 +94,7 @@
 		return fmt.Errorf("an agreed state of format %d; this program reads 1 to %d", s.Format, LatestFormat)
 	case (s.Rollout == nil) != (s.Pending == nil) || s.Pending != nil && s.Pending.Document == nil:
 		return errors.New("reading an agreed state: half a change is pending")
-	case len(s.Revisions) == 0 || len(s.Outcomes) > MaxOutcomes:
+	case len(s.Revisions) == 0 || len(s.Outcomes) > maxOutcomes:
 		return fmt.Errorf("reading an agreed state: %d revisions, %d ids", len(s.Revisions), len(s.Outcomes))
 	}
 	last := uint64(0)
--- a/internal/cluster/consensus/cluster_view.go
+++ b/internal/cluster/consensus/cluster_view.go
@@ -38,7 +38,7 @@
 // So each view is kept, and emitted.
 func (o *ownership) observeView() {
 	v := o.replica.state.PlacementView()
-	expired := o.replica.state.TakeExpiredSessions()
+	expired := o.replica.state.PopExpiredSessions()
 	if v.Number == o.latest.Number {
 		return
 	}
--- a/internal/cluster/consensus/runner_reports.go
+++ b/internal/cluster/consensus/runner_reports.go
@@ -73,4 +73,4 @@
 
 // report runs f on the runner's goroutine, without blocking the caller: a callback of that goroutine may be
 // the caller. It ends with the runner.
-func (r *Runner) report(f func()) { go r.do(context.Background(), f) }
+func (r *Runner) report(f func()) { go r.runAndWait(context.Background(), f) }
--- a/internal/cluster/consensus/runner_requests.go
+++ b/internal/cluster/consensus/runner_requests.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// do runs f on the runner's goroutine and waits.
-func (r *Runner) do(ctx context.Context, f func()) error {
+// runAndWait runs f on the runner's goroutine and waits.
+func (r *Runner) runAndWait(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
 	case r.calls <- func() { f(); close(done) }:
@@ -36,10 +36,10 @@
 	}
 }
 
-// try is do with a function that may fail.
-func (r *Runner) try(ctx context.Context, f func() error) error {
+// runWithError is runAndWait with a function that may fail.
+func (r *Runner) runWithError(ctx context.Context, f func() error) error {
 	var err error
-	if failure := r.do(ctx, func() { err = f() }); failure != nil {
+	if failure := r.runAndWait(ctx, func() { err = f() }); failure != nil {
 		return failure
 	}
 	return err
@@ -48,7 +48,7 @@
 // request makes a request and waits for its outcome.
 func (r *Runner) request(ctx context.Context, start func() RequestID) (clusterstate.Outcome, error) {
 	c := make(chan Response, 1)
-	err := r.do(ctx, func() { r.onResponse[start()] = func(response Response) { c <- response } })
+	err := r.runAndWait(ctx, func() { r.onResponse[start()] = func(response Response) { c <- response } })
 	if err != nil {
 		return clusterstate.Outcome{}, err
 	}
@@ -95,7 +95,7 @@
 
 // View calls f with the cluster state as far as this instance has applied it.
 func (r *Runner) View(ctx context.Context, f func(*clusterstate.State)) error {
-	return r.try(ctx, func() error {
+	return r.runWithError(ctx, func() error {
 		s := r.instance.State()
 		if s == nil {
 			return ErrNoGroup
@@ -119,12 +119,12 @@
 func (r *Runner) Bootstrap(
 	ctx context.Context, cluster, address string, first *clusterstate.Document, after uint64,
 ) error {
-	return r.try(ctx, func() error { return r.instance.Bootstrap(cluster, address, first, after) })
+	return r.runWithError(ctx, func() error { return r.instance.Bootstrap(cluster, address, first, after) })
 }
 
 // Join has this instance belong to a group, durably when it returns.
 func (r *Runner) Join(ctx context.Context, cluster string) error {
-	if err := r.try(ctx, func() error { return r.instance.Join(cluster) }); err != nil {
+	if err := r.runWithError(ctx, func() error { return r.instance.Join(cluster) }); err != nil {
 		return err
 	}
 	return r.persisted(ctx)
@@ -132,7 +132,7 @@
 
 // Compact writes a snapshot now.
 func (r *Runner) Compact(ctx context.Context) error {
-	if err := r.do(ctx, r.instance.Compact); err != nil {
+	if err := r.runAndWait(ctx, r.instance.Compact); err != nil {
 		return err
 	}
 	return r.persisted(ctx)
@@ -140,11 +140,11 @@
 
 // persisted waits until the effects of earlier calls are persisted: the loop persists before it takes the
 // next call.
-func (r *Runner) persisted(ctx context.Context) error { return r.do(ctx, func() {}) }
+func (r *Runner) persisted(ctx context.Context) error { return r.runAndWait(ctx, func() {}) }
 
 // SetDeparting sets whether this instance is about to end, and so has its leased tasks transferred.
 func (r *Runner) SetDeparting(ctx context.Context, departing bool) error {
-	return r.do(ctx, func() { r.instance.SetDeparting(departing) })
+	return r.runAndWait(ctx, func() { r.instance.SetDeparting(departing) })
 }
 
 // Watch gives a channel that is written to when the state has changed, and a function that ends it.
--- a/internal/cluster/leasedtask/command.go
+++ b/internal/cluster/leasedtask/command.go
@@ -88,7 +88,7 @@
 // fencing token is kept for as long as the task is known.
 func (s *State) applyDeclare(c Command) {
 	for _, name := range c.Tasks {
-		if s.Tasks[name] == nil && len(s.Tasks) < MaxTasks {
+		if s.Tasks[name] == nil && len(s.Tasks) < maxTasks {
 			// Hazard: were it to begin at 0, a task that is removed and declared again would reuse fencing
 			// tokens. It begins with the newest of all.
 			s.Tasks[name] = &Task{Name: name, FencingToken: s.LastFencingToken}
@@ -123,7 +123,7 @@
 	t.ReleaseReason, t.TransferTo = "", 0
 	t.History = append(t.History, LeaseRecord{FencingToken: t.FencingToken, HolderName: c.Name,
 		AcquiredAtMS: c.AtMS})
-	if n := len(t.History) - MaxHistory; n > 0 {
+	if n := len(t.History) - maxHistory; n > 0 {
 		t.History = slices.Delete(t.History, 0, n)
 	}
 	return nil
--- a/internal/cluster/leasedtask/model_test.go
+++ b/internal/cluster/leasedtask/model_test.go
@@ -42,7 +42,7 @@
 	tasks, isolations, crashes, transfers, newLeaders int
 	// losses: messages to and from the isolated instance may be lost.
 	losses       bool
-	guardLeftOut guard
+	omittedGuard guard
 }
 
 // logEntry is a command, or the opening of a session that replaces the member's last one.
@@ -189,7 +189,7 @@
 func (m *model) act() {
 	for i := range m.instances {
 		now := m.instanceClock()
-		if m.limits.guardLeftOut == clockReadWhenActing && m.isolated == i+1 {
+		if m.limits.omittedGuard == clockReadWhenActing && m.isolated == i+1 {
 			now = m.isolatedSince / leaderStep * instanceStep
 		}
 		for _, l := range m.leases(i) {
--- a/internal/cluster/leasedtask/modelcheck_test.go
+++ b/internal/cluster/leasedtask/modelcheck_test.go
@@ -79,7 +79,7 @@
 		return
 	}
 	g := &leaseGrant{leaseRequest: r, index: m.logStart + uint64(len(m.log))}
-	if m.limits.guardLeftOut != noGrantWhileExpiring && !m.assigner.CanGrant(uint64(i+1), m.leaderState) {
+	if m.limits.omittedGuard != noGrantWhileExpiring && !m.assigner.CanGrant(uint64(i+1), m.leaderState) {
 		g.index = 0
 	}
 	m.leaseExpiresAt[i] = m.now + modelExpiryWait
@@ -90,10 +90,10 @@
 	x := &m.instances[i]
 	g := *x.grant
 	x.grant = nil
-	if m.limits.guardLeftOut == leaseFromRequest {
+	if m.limits.omittedGuard == leaseFromRequest {
 		g.at = m.instanceClock()
 	}
-	if m.limits.guardLeftOut == stateAsNewAsLeaders && g.index > 0 {
+	if m.limits.omittedGuard == stateAsNewAsLeaders && g.index > 0 {
 		g.index = 1
 	}
 	x.clock.ObserveGrant(g.epoch, g.at, modelLease, g.index, m.logStart+uint64(x.applied))
@@ -199,7 +199,7 @@
 	for _, g := range []guard{clockReadWhenActing, leaseFromRequest, stateAsNewAsLeaders,
 		noGrantWhileExpiring} {
 		t.Run(string(g), func(t *testing.T) {
-			l := limits{tasks: 1, isolations: 1, guardLeftOut: g}
+			l := limits{tasks: 1, isolations: 1, omittedGuard: g}
 			l.losses = g == noGrantWhileExpiring // what counts is a second lease
 			r := modelcheck.Check(newModel(l), 200_000)
 			if r.Violation == "" {
--- a/internal/cluster/leasedtask/state.go
+++ b/internal/cluster/leasedtask/state.go
@@ -10,8 +10,8 @@
 // Bounds of the replicated state. All instances of a group must use the same ones.
 const (
 	MaxNoteBytes = 4096 // size of a note
-	MaxHistory   = 20   // leases that are kept in the history of each task
-	MaxTasks     = 128
+	maxHistory   = 20   // leases that are kept in the history of each task
+	maxTasks     = 128
 )
 
 // State is the replicated state: the tasks and their holders.
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -126,8 +126,8 @@
 // HealthScore is Lifeguard's local health: 0 is healthy, and the probe's times are stretched by 1 + score.
 func (d *Detector) HealthScore() int { return d.health.score }
 
-// TakeEvents returns the members whose state has changed since the last call, as they were after the change.
-func (d *Detector) TakeEvents() []MemberState {
+// PopEvents returns the members whose state has changed since the last call, as they were after the change.
+func (d *Detector) PopEvents() []MemberState {
 	events := d.events
 	d.events = nil
 	return events
--- a/internal/cluster/membership/simulation_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -128,7 +128,7 @@
 }
 
 func (s *simulation) observeEvents(m *simMember) {
-	for _, e := range m.detector.TakeEvents() {
+	for _, e := range m.detector.PopEvents() {
 		subject := s.members[e.ID-1]
 		if e.State == Failed && subject.alive && s.onFalseFailure != nil {
 			s.onFalseFailure(m, subject)
--- a/internal/cluster/ratelimit/limiter.go
+++ b/internal/cluster/ratelimit/limiter.go
@@ -18,8 +18,8 @@
 	requestSeq   uint64
 	floorsActive bool
 	floorsSince  time.Duration // when floors began to fill
-	// confirmationsLeft is for how many ticks drain confirmations are still sent.
-	confirmationsLeft int
+	// confirmationsRemaining is for how many ticks drain confirmations are still sent.
+	confirmationsRemaining int
 }
 
 // NewLimiter makes the limiter of a process that has just started. Nothing is limited until it has a policy.
@@ -36,7 +36,7 @@
 	if p.Version == f.policy.Version {
 		return
 	}
-	f.policy, f.confirmationsLeft = p, confirmationSends
+	f.policy, f.confirmationsRemaining = p, confirmationSends
 	clear(f.buckets)
 	f.floorsSince = now
 	f.updateFloors(now)
@@ -52,7 +52,7 @@
 			b.dropTokens(f.requestSeq)
 		}
 	}
-	f.table, f.session, f.confirmationsLeft = t, own, confirmationSends
+	f.table, f.session, f.confirmationsRemaining = t, own, confirmationSends
 	f.updateFloors(now)
 }
 
--- a/internal/cluster/ratelimit/messages.go
+++ b/internal/cluster/ratelimit/messages.go
@@ -39,12 +39,12 @@
 // more, and this is their state. Without it the next owner waits until all that may be outstanding has surely
 // expired.
 type Transfer struct {
-	View      uint64                   // by which the shards went to another owner
-	Shards    map[int]TransferredShard // by shard
-	Buckets   []BucketState            // all buckets of the shards that the previous owner knows
-	From      placement.Session        // the previous owner
-	to        placement.Session        // the next owner
-	sendsLeft int
+	View           uint64                   // by which the shards went to another owner
+	Shards         map[int]TransferredShard // by shard
+	Buckets        []BucketState            // all buckets of the shards that the previous owner knows
+	From           placement.Session        // the previous owner
+	to             placement.Session        // the next owner
+	remainingSends int
 }
 
 // TransferredShard is the state of the buckets that a Transfer does not name.
--- a/internal/cluster/ratelimit/model_test.go
+++ b/internal/cluster/ratelimit/model_test.go
@@ -110,7 +110,7 @@
 		n := &m.nodes[k]
 		n.limiter.SetView(0, modelTable(m.views[0]), n.session)
 		n.authority.SetView(0, modelTable(m.views[0]), n.session, modelLease, false)
-		n.appliedViews, n.limiter.confirmationsLeft = 1, 0
+		n.appliedViews, n.limiter.confirmationsRemaining = 1, 0
 	}
 	if x, _ := modelTable(m.views[0]).Owner(placement.ShardOf(modelAccount)); x.Member != 1 {
 		t.Fatalf("instance %d owns the account", x.Member)
@@ -190,7 +190,8 @@
 func (n *modelNode) hash(h *maphash.Hash) {
 	f, a := n.limiter, n.authority
 	fmt.Fprint(h, ";", n.session, n.appliedViews, n.leaseUntil, n.renewedAt, n.ticked, f.requestSeq,
-		f.confirmationsLeft, a.grantSeq, a.shards[placement.ShardOf(modelAccount)], a.revocation.unsafeUntil)
+		f.confirmationsRemaining, a.grantSeq, a.shards[placement.ShardOf(modelAccount)],
+		a.revocation.unsafeUntil)
 	for _, b := range f.buckets {
 		fmt.Fprint(h, *b)
 	}
@@ -371,10 +372,10 @@
 	}
 	n.limiter.SetView(m.now, modelTable(v), own)
 	// Messages may be lost; but each is sent only once, or there would be too many states.
-	n.limiter.confirmationsLeft = min(n.limiter.confirmationsLeft, 1)
+	n.limiter.confirmationsRemaining = min(n.limiter.confirmationsRemaining, 1)
 	n.authority.SetView(m.now, modelTable(v), own, modelLease, n.authority.table == nil)
 	for _, tr := range n.authority.transfers {
-		tr.sendsLeft = min(tr.sendsLeft, 1)
+		tr.remainingSends = min(tr.remainingSends, 1)
 		maps.DeleteFunc(tr.Shards, func(shard int, _ TransferredShard) bool {
 			return shard != placement.ShardOf(modelAccount)
 		})
--- a/internal/cluster/ratelimit/revocation.go
+++ b/internal/cluster/ratelimit/revocation.go
@@ -10,10 +10,10 @@
 // drainConfirmations returns what is to be sent to the owners of the view, for some ticks after it was set.
 // It must be called after the requests of the tick: from then on no grant of earlier owners is taken.
 func (f *Limiter) drainConfirmations(now time.Duration) map[placement.Session][]DrainConfirmation {
-	if f.confirmationsLeft == 0 || f.session.Epoch == 0 || f.table == nil {
+	if f.confirmationsRemaining == 0 || f.session.Epoch == 0 || f.table == nil {
 		return nil
 	}
-	f.confirmationsLeft--
+	f.confirmationsRemaining--
 	buckets := map[placement.Session][]BucketState{}
 	for k, b := range f.buckets {
 		b.expire(now)
--- a/internal/cluster/ratelimit/transfer.go
+++ b/internal/cluster/ratelimit/transfer.go
@@ -22,11 +22,11 @@
 		tr := byOwner[owner.Session]
 		if tr == nil {
 			tr = &Transfer{
-				View:      t.View.Number,
-				Shards:    map[int]TransferredShard{},
-				From:      a.session,
-				to:        owner.Session,
-				sendsLeft: transferSends,
+				View:           t.View.Number,
+				Shards:         map[int]TransferredShard{},
+				From:           a.session,
+				to:             owner.Session,
+				remainingSends: transferSends,
 			}
 			byOwner[owner.Session] = tr
 			a.transfers = append(a.transfers, tr)
@@ -54,8 +54,8 @@
 func (a *Authority) PendingTransfers() map[placement.Session]*Transfer {
 	pending := map[placement.Session]*Transfer{}
 	for _, tr := range a.transfers {
-		if tr.sendsLeft > 0 {
-			tr.sendsLeft--
+		if tr.remainingSends > 0 {
+			tr.remainingSends--
 			pending[tr.to] = tr
 		}
 	}
--- a/internal/cluster/ratelimit/utilisation_test.go
+++ b/internal/cluster/ratelimit/utilisation_test.go
@@ -106,7 +106,7 @@
 
 // Lent tokens use a rate wherever the calls are, where a static split leaves most of it unused. A central
 // bucket uses all of it, and would cost each call a round trip.
-func TestRateUtilisationBesideStaticSplitAndCentralBucket(t *testing.T) {
+func TestRateUtilisationComparedWithStaticSplitAndCentralBucket(t *testing.T) {
 	for _, fronts := range []int{5, 15} {
 		for _, pattern := range callPatterns {
 			share, ticks := measureLimiter(t, pattern, fronts)
--- a/internal/cluster/rollingrestart/plan.go
+++ b/internal/cluster/rollingrestart/plan.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// MaxPlanBytes is the size of the longest encoded plan: that of a leased task's note.
-	MaxPlanBytes = 4096
+	// maxPlanBytes is the size of the longest encoded plan: that of a leased task's note.
+	maxPlanBytes = 4096
 	// maxReasonBytes is how much of a reason is kept.
 	maxReasonBytes = 200
 )
@@ -78,12 +78,12 @@
 	return p, nil
 }
 
-// Encode returns the plan as a note, with an error if it is longer than MaxPlanBytes.
+// Encode returns the plan as a note, with an error if it is longer than maxPlanBytes.
 func (p Plan) Encode() ([]byte, error) {
 	b, err := json.Marshal(p)
-	if err == nil && len(b) > MaxPlanBytes {
+	if err == nil && len(b) > maxPlanBytes {
 		err = fmt.Errorf("a plan of %d instances has %d bytes, and a note may have %d: name fewer of them",
-			len(p.Steps), len(b), MaxPlanBytes)
+			len(p.Steps), len(b), maxPlanBytes)
 	}
 	return b, err
 }
--- a/internal/cluster/rollout/model_events_test.go
+++ b/internal/cluster/rollout/model_events_test.go
@@ -74,7 +74,7 @@
 
 func (m *model) deliverGrant(i int) {
 	x := &m.instances[i]
-	if m.limits.guardLeftOut == leaseFromRequest {
+	if m.limits.omittedGuard == leaseFromRequest {
 		x.grant.RequestedAt = m.instanceClock()
 	}
 	x.holder.ObserveGrant(*x.grant)
--- a/internal/cluster/rollout/model_test.go
+++ b/internal/cluster/rollout/model_test.go
@@ -50,7 +50,7 @@
 	leaderStalls       int
 	isolations         int  // of one instance from the rest, each for up to longestIsolation
 	promptOtherwise    bool // all other messages are delivered, in any order, before time passes
-	guardLeftOut       guard
+	omittedGuard       guard
 }
 
 // logEntry is the proposal of a change, by number, or a command.
@@ -94,8 +94,8 @@
 func newModel(l limits) *model {
 	m := &model{limits: limits{instances: l.instances}, leaderState: NewState(), leader: NewLeader(0, 1),
 		leaderRevision: 1}
-	if l.guardLeftOut == clockRateWithinTheBound {
-		m.limits.guardLeftOut = l.guardLeftOut
+	if l.omittedGuard == clockRateWithinTheBound {
+		m.limits.omittedGuard = l.omittedGuard
 	}
 	for i := range l.instances {
 		m.lastIncarnation++
@@ -108,7 +108,7 @@
 			m.limits = l
 			return m
 		}
-		m.take(events[0])
+		m.handleEvent(events[0])
 	}
 }
 
@@ -116,7 +116,7 @@
 func (m *model) instanceClock() time.Duration { return m.onInstanceClock(m.now) }
 
 func (m *model) onInstanceClock(at time.Duration) time.Duration {
-	if m.limits.guardLeftOut == clockRateWithinTheBound {
+	if m.limits.omittedGuard == clockRateWithinTheBound {
 		return at / leaderStep * tooSlowStep
 	}
 	return at / leaderStep * instanceStep
@@ -126,11 +126,11 @@
 func (m *model) admits(i int) bool {
 	x, now, isolated := &m.instances[i], m.instanceClock(), m.isolated == i+1
 	switch {
-	case m.limits.guardLeftOut == monotonicClock && isolated:
+	case m.limits.omittedGuard == monotonicClock && isolated:
 		now -= modelPolicy.Lease // somebody has set the clock back
-	case m.limits.guardLeftOut == clockReadWhenAdmitting && isolated:
+	case m.limits.omittedGuard == clockReadWhenAdmitting && isolated:
 		now = m.isolatedSince / leaderStep * instanceStep // as when it stalled
-	case m.limits.guardLeftOut == closedUntilSession && x.justStarted:
+	case m.limits.omittedGuard == closedUntilSession && x.justStarted:
 		return true
 	}
 	return x.permit.Admits(now, x.revision)
@@ -181,21 +181,21 @@
 	}
 }
 
-// take has an event happen, and what follows from it at once: instances send what they have to report, and
-// the leader evaluates. How long a message takes is up to later events.
-func (m *model) take(e event) {
+// handleEvent has an event happen, and what follows from it at once: instances send what they have to
+// report, and the leader evaluates. How long a message takes is up to later events.
+func (m *model) handleEvent(e event) {
 	e.apply(m)
 	m.sendReports()
 	m.applyAtLeader()
-	m.leaveOutGuards()
+	m.commitUnconfirmed()
 	for _, c := range m.leader.Evaluate(m.now, m.leaderState, modelPolicy, m.names()) {
 		m.log = append(m.log, logEntry{command: c})
 	}
 	m.applyAtLeader()
 }
 
-// leaveOutGuards has the leader commit without the confirmations that it needs.
-func (m *model) leaveOutGuards() {
+// commitUnconfirmed has the leader commit without the confirmations that it needs.
+func (m *model) commitUnconfirmed() {
 	p := m.leaderState.Pending
 	if p == nil {
 		return
@@ -203,10 +203,10 @@
 	c := Command{Change: p.Change, Attempt: p.Attempt, Sessions: m.leaderState.OpenSessions()}
 	closeAdmission, commit := c, c
 	closeAdmission.Kind, commit.Kind = CloseAdmission, Commit
-	if m.limits.guardLeftOut == twoPhases {
+	if m.limits.omittedGuard == twoPhases {
 		m.log = append(m.log, logEntry{command: closeAdmission}, logEntry{command: commit})
 	}
-	if m.limits.guardLeftOut == confirmedClosing && p.Phase == ClosingAdmission {
+	if m.limits.omittedGuard == confirmedClosing && p.Phase == ClosingAdmission {
 		m.log = append(m.log, logEntry{command: commit})
 	}
 }
--- a/internal/cluster/rollout/modelcheck_test.go
+++ b/internal/cluster/rollout/modelcheck_test.go
@@ -15,7 +15,7 @@
 func (m *model) Transitions() (list []modelcheck.Transition[*model]) {
 	for _, e := range m.events() {
 		next := m.clone()
-		next.take(e)
+		next.handleEvent(e)
 		list = append(list, modelcheck.Transition[*model]{Event: e.name, State: next})
 	}
 	return list
@@ -52,7 +52,7 @@
 	for _, g := range []guard{twoPhases, confirmedClosing, leaseFromRequest, monotonicClock,
 		clockReadWhenAdmitting, closedUntilSession, clockRateWithinTheBound} {
 		t.Run(string(g), func(t *testing.T) {
-			l := limits{instances: 2, changes: 1, isolations: 1, promptOtherwise: true, guardLeftOut: g}
+			l := limits{instances: 2, changes: 1, isolations: 1, promptOtherwise: true, omittedGuard: g}
 			if g == closedUntilSession {
 				l.crashes = 1
 			}
@@ -84,7 +84,7 @@
 		for redraw := 0; waits(next[k]) && redraw < redraws; redraw++ {
 			k = rng.IntN(len(next))
 		}
-		m.take(next[k])
+		m.handleEvent(next[k])
 		trace = append(trace, next[k].name)
 		if violation = m.Violation(); violation != "" {
 			return events, violation, trace
--- a/internal/cluster/rollout/policy.go
+++ b/internal/cluster/rollout/policy.go
@@ -46,8 +46,8 @@
 
 // Durations in ticks of the consensus protocol, which depend on the instances' settings.
 const (
-	// MinLeaseTicks is the shortest lease, in ticks: leases are renewed with the ticks.
-	MinLeaseTicks          = 5
+	// minLeaseTicks is the shortest lease, in ticks: leases are renewed with the ticks.
+	minLeaseTicks          = 5
 	defaultLeaseTicks      = 10
 	minAdmissionPauseTicks = 3
 )
@@ -106,8 +106,8 @@
 
 // CheckTick returns an error if an instance whose ticks have that duration can't keep the policy.
 func (p Policy) CheckTick(tick time.Duration) error {
-	if p.Lease > 0 && p.Lease < MinLeaseTicks*tick {
-		return fmt.Errorf("a lease of %v is shorter than %d ticks of %v", p.Lease, MinLeaseTicks, tick)
+	if p.Lease > 0 && p.Lease < minLeaseTicks*tick {
+		return fmt.Errorf("a lease of %v is shorter than %d ticks of %v", p.Lease, minLeaseTicks, tick)
 	}
 	return nil
 }
--- a/internal/cluster/schedule/command_codec_test.go
+++ b/internal/cluster/schedule/command_codec_test.go
@@ -119,7 +119,7 @@
 			Session: session, LeaseDuration: time.Second}) {
 			c.appendCommand(command)
 		}
-		for _, f := range c.states[n].TakeNewFirings(session, false) {
+		for _, f := range c.states[n].PopNewFirings(session, false) {
 			c.firings++
 			scheduler.RecordResult(f.Number, session, Succeeded)
 		}
--- a/internal/cluster/schedule/modelcheck_test.go
+++ b/internal/cluster/schedule/modelcheck_test.go
@@ -234,7 +234,7 @@
 	}
 	n.state.SetOwners(members)
 	if k == 0 {
-		m.audit(n.state.TakeEvents())
+		m.audit(n.state.PopEvents())
 	}
 }
 
--- a/internal/cluster/schedule/participant.go
+++ b/internal/cluster/schedule/participant.go
@@ -135,10 +135,10 @@
 		p.publishedClock = p.clock
 		list = append(list, p.clock)
 	}
-	if events := s.TakeEvents(); len(events) > 0 {
+	if events := s.PopEvents(); len(events) > 0 {
 		list = append(list, events)
 	}
-	if firings := s.TakeNewFirings(session, p.resendAll); session != (Session{}) {
+	if firings := s.PopNewFirings(session, p.resendAll); session != (Session{}) {
 		if p.resendAll = false; len(firings) > 0 {
 			list = append(list, firings)
 		}
--- a/internal/cluster/schedule/scheduler_intents.go
+++ b/internal/cluster/schedule/scheduler_intents.go
@@ -32,7 +32,7 @@
 		sc.rebuildQueue(s, in.Session)
 		return nil
 	}
-	ready, deferred := sc.takeReady(in.ClusterTime)
+	ready, deferred := sc.popDue(in.ClusterTime)
 	upTo := sc.evaluationEnd(ready, in.ClusterTime)
 	due := map[int][]DueOccurrence{} // by shard
 	for _, x := range ready {
@@ -75,9 +75,9 @@
 	return false
 }
 
-// takeReady takes the firings that are due off the queue, except those of shards with an advance in flight:
+// popDue takes the firings that are due off the queue, except those of shards with an advance in flight:
 // they are deferred.
-func (sc *Scheduler) takeReady(clusterTime int64) (ready, deferred []queuedFiring) {
+func (sc *Scheduler) popDue(clusterTime int64) (ready, deferred []queuedFiring) {
 	for len(sc.queue) > 0 && sc.queue[0].fireAt <= clusterTime {
 		// An evaluation ends between two instants, since the watermark is an instant.
 		if n := len(ready); n >= maxOccurrencesPerEvaluation && sc.queue[0].fireAt > ready[n-1].fireAt {
--- a/internal/cluster/schedule/scheduler_test.go
+++ b/internal/cluster/schedule/scheduler_test.go
@@ -49,7 +49,7 @@
 	for _, c := range o.scheduler.Evaluate(o.State, in) {
 		_ = o.Apply(c)
 	}
-	for _, f := range o.TakeNewFirings(o.session, false) {
+	for _, f := range o.PopNewFirings(o.session, false) {
 		keys = append(keys, f.IdempotencyKey())
 	}
 	return keys
--- a/internal/cluster/schedule/simulation_audit_test.go
+++ b/internal/cluster/schedule/simulation_audit_test.go
@@ -12,7 +12,7 @@
 // audit checks what the instances did against what the group agreed on, and returns how many occurrences were
 // intended.
 func (s *simulation) audit() int {
-	events := s.replica.state.TakeEvents()
+	events := s.replica.state.PopEvents()
 	intents, results := s.auditEvents(events)
 	s.auditStarts(intents)
 	for key, e := range intents {
--- a/internal/cluster/schedule/simulation_test.go
+++ b/internal/cluster/schedule/simulation_test.go
@@ -232,7 +232,7 @@
 			s.t.Errorf("seed %d: %s was taken from a session that had not ended", s.seed, f.IdempotencyKey())
 		}
 	}
-	s.replica.state.TakeNewFirings(Session{}, false)
+	s.replica.state.PopNewFirings(Session{}, false)
 }
 
 func (s *simulation) run(length time.Duration) {
@@ -264,7 +264,7 @@
 	for n.applied < len(s.log) {
 		n.apply(s.log[n.applied])
 		if n.epoch != 0 {
-			n.firings = append(n.firings, n.state.TakeNewFirings(n.session(), false)...)
+			n.firings = append(n.firings, n.state.PopNewFirings(n.session(), false)...)
 		}
 	}
 }
--- a/internal/cluster/schedule/state.go
+++ b/internal/cluster/schedule/state.go
@@ -49,8 +49,8 @@
 	policy     *Policy
 	eligible   []placement.Member // members that may own shards
 	ownership  *placement.Table   // nil: to be computed on demand, since few groups have triggers
-	newFirings []uint64           // intended or adopted since TakeNewFirings
-	events     []Event            // since TakeEvents
+	newFirings []uint64           // intended or adopted since PopNewFirings
+	events     []Event            // since PopEvents
 }
 
 // NewState returns the state of a group without triggers.
@@ -158,9 +158,9 @@
 	return totals
 }
 
-// TakeNewFirings returns the firings that were assigned to a session since the last call; with all set, as
+// PopNewFirings returns the firings that were assigned to a session since the last call; with all set, as
 // after a snapshot, every open firing of the session.
-func (s *State) TakeNewFirings(session Session, all bool) (list []Firing) {
+func (s *State) PopNewFirings(session Session, all bool) (list []Firing) {
 	if all {
 		for _, f := range s.OpenFirings() {
 			if f.Session == session && !f.Orphaned {
@@ -178,8 +178,8 @@
 	return list
 }
 
-// TakeEvents returns the events since the last call.
-func (s *State) TakeEvents() []Event {
+// PopEvents returns the events since the last call.
+func (s *State) PopEvents() []Event {
 	list := s.events
 	s.events = nil
 	return list
--- a/internal/cluster/transport/network.go
+++ b/internal/cluster/transport/network.go
@@ -26,8 +26,8 @@
 	"moorstack/internal/schema"
 )
 
-// MaxMessageBytes bounds a message in both directions: a snapshot is the largest.
-const MaxMessageBytes = 64 << 20
+// maxMessageBytes bounds a message in both directions: a snapshot is the largest.
+const maxMessageBytes = 64 << 20
 
 // Timing of connections to peers.
 const (
@@ -216,8 +216,8 @@
 		grpc.WithKeepaliveParams(
 			keepalive.ClientParameters{Time: keepaliveInterval, Timeout: clientKeepalive},
 		),
-		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(MaxMessageBytes),
-			grpc.MaxCallRecvMsgSize(MaxMessageBytes)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(maxMessageBytes),
+			grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 	)
 }
 
--- a/internal/cluster/transport/server.go
+++ b/internal/cluster/transport/server.go
@@ -32,8 +32,8 @@
 func (n *Network) Server() *grpc.Server {
 	s := grpc.NewServer(
 		grpc.Creds(credentials.NewTLS(n.keys.ServerTLSConfig(keys.RoleInstance))),
-		grpc.MaxRecvMsgSize(MaxMessageBytes),
-		grpc.MaxSendMsgSize(MaxMessageBytes),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxSendMsgSize(maxMessageBytes),
 		grpc.KeepaliveEnforcementPolicy(
 			keepalive.EnforcementPolicy{MinTime: minKeepaliveInterval, PermitWithoutStream: true},
 		),
--- a/internal/frontend/platform/discovery_call.go
+++ b/internal/frontend/platform/discovery_call.go
@@ -89,7 +89,7 @@
 
 // OnData reads the response as far as it has come.
 func (c *discoveryCall) OnData(*eventloop.Conn) {
-	headWasDone := c.parser.HeadComplete()
+	headWasComplete := c.parser.HeadComplete()
 	complete, err := c.parser.Feed(c.conn.Input())
 	if err == nil && c.parser.HeadComplete() && c.parser.Status != 200 {
 		err = fmt.Errorf("discovery answers %d", c.parser.Status)
@@ -102,7 +102,7 @@
 		body, used := c.parser.NextBodyChunk(c.conn.Input())
 		c.unparsed = append(c.unparsed, body...)
 		c.conn.Discard(used)
-		if !headWasDone {
+		if !headWasComplete {
 			c.resetTimeout()
 		}
 	}
--- a/internal/frontend/platform/shutdown_test.go
+++ b/internal/frontend/platform/shutdown_test.go
@@ -142,11 +142,11 @@
 		c.Close()
 		e.requireEnd()
 	})
-	t.Run("one that has come in part", testRequestInPart)
+	t.Run("one that has come in part", testPartialRequest)
 	t.Run("a response whose client has not closed yet", testResponseNotYetRead)
 }
 
-func testRequestInPart(t *testing.T) {
+func testPartialRequest(t *testing.T) {
 	t.Parallel()
 	e := newShutdown(t)
 	var c net.Conn
--- a/internal/frontend/platform/syscall_faults_test.go
+++ b/internal/frontend/platform/syscall_faults_test.go
@@ -80,7 +80,7 @@
 		for _, err := range failures {
 			t.Run(fmt.Sprintf("%s %v", call, err), func(t *testing.T) {
 				t.Parallel()
-				requireAnswers(t, faultnet.New(nil), faultnet.FailSometimes(call, err))
+				requireResponses(t, faultnet.New(nil), faultnet.FailSometimes(call, err))
 			})
 		}
 	}
@@ -88,12 +88,13 @@
 		t.Parallel()
 		system := faultnet.New(nil)
 		system.OneByteIO = true
-		requireAnswers(t, system, nil)
+		requireResponses(t, system, nil)
 	})
 }
 
-// requireAnswers has clients send requests to a front on the system, which fails by the script from then on.
-func requireAnswers(t *testing.T, system *faultnet.System, script faultnet.Script) {
+// requireResponses has clients send requests to a front on the system, which fails by the script from then
+// on.
+func requireResponses(t *testing.T, system *faultnet.System, script faultnet.Script) {
 	t.Helper()
 	a := newDiscovery(t)
 	a.state = "DRAINING"
--- a/internal/node/configurator.go
+++ b/internal/node/configurator.go
@@ -158,7 +158,7 @@
 }
 
 func (c *configurator) configure(r clusterstate.Revision, configure func(RuntimeConfig) error) error {
-	config, ok := c.takeStaged(r.ChangeID)
+	config, ok := c.popStaged(r.ChangeID)
 	if !ok {
 		var err error
 		if config, err = c.runtimeConfig(r.Document); err != nil {
@@ -173,8 +173,8 @@
 	return configure(config)
 }
 
-// takeStaged returns what was staged for a change; whatever was staged is dropped.
-func (c *configurator) takeStaged(change string) (RuntimeConfig, bool) {
+// popStaged returns what was staged for a change, and drops whatever was staged.
+func (c *configurator) popStaged(change string) (RuntimeConfig, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	staged := c.staged
--- a/internal/node/configurator_test.go
+++ b/internal/node/configurator_test.go
@@ -16,19 +16,19 @@
 	}
 }
 
-func TestStagedChangeIsTakenOnce(t *testing.T) {
+func TestStagedChangeIsUsedOnce(t *testing.T) {
 	c := &configurator{staged: stagedChange{id: "x"}}
-	if _, ok := c.takeStaged("x"); !ok {
+	if _, ok := c.popStaged("x"); !ok {
 		t.Error("it is not taken")
 	}
-	if _, ok := c.takeStaged("x"); ok {
+	if _, ok := c.popStaged("x"); ok {
 		t.Error("it is taken twice")
 	}
 	c.staged = stagedChange{id: "x"}
-	if _, ok := c.takeStaged("y"); ok || c.staged.id != "" {
+	if _, ok := c.popStaged("y"); ok || c.staged.id != "" {
 		t.Error("another change takes it, or leaves it")
 	}
-	if _, ok := c.takeStaged(""); ok {
+	if _, ok := c.popStaged(""); ok {
 		t.Error("a revision without a change takes what is not staged")
 	}
 }
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -58,7 +58,7 @@
 
 // MemberState implements controlapi.Host.
 func (i *Instance) MemberState(member uint64) (controlapi.MemberState, bool) {
-	return i.membership.seenAs(member)
+	return i.membership.memberState(member)
 }
 
 // ExplainRoute implements controlapi.Host: the running broker explains, on its loop.
--- a/internal/node/listfollower.go
+++ b/internal/node/listfollower.go
@@ -137,12 +137,12 @@
 }
 
 func (f *listFollower) receive(ctx context.Context, from relay, update listrelay.EndpointListUpdate) error {
-	take, err := f.rules.Receive(consensus.BootTime(), update)
-	if err != nil || !take && !f.polls {
+	accepted, err := f.rules.Receive(consensus.BootTime(), update)
+	if err != nil || !accepted && !f.polls {
 		return err
 	}
 	if bad := f.env.onLoop(ctx, func() {
-		if take {
+		if accepted {
 			err = f.env.node.front.ApplyList(update.Payload)
 		}
 		if err == nil {
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -174,7 +174,7 @@
 		for _, x := range m.detector.Members() {
 			states[uint64(x.ID)] = x
 		}
-		m.logEvents(m.detector.TakeEvents())
+		m.logEvents(m.detector.PopEvents())
 	}
 	m.mu.Lock()
 	same := sameStates(m.states, states)
@@ -214,8 +214,8 @@
 	return members
 }
 
-// seenAs is a member's state as this instance's detector sees it; false: it knows no such member.
-func (m *membershipDriver) seenAs(id uint64) (s controlapi.MemberState, known bool) {
+// memberState is a member's state as this instance's detector sees it; false: it knows no such member.
+func (m *membershipDriver) memberState(id uint64) (s controlapi.MemberState, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x, known := m.states[id]
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -28,11 +28,12 @@
 // but the loop's.
 func (n *Node) ValidateConfig(c RuntimeConfig) error {
 	done := make(chan error, 1)
-	n.loop.Post(func() { done <- n.validateConfig(c) })
+	n.loop.Post(func() { done <- n.checkConfig(c) })
 	return <-done
 }
 
-func (n *Node) validateConfig(cfg RuntimeConfig) error {
+// checkConfig is ValidateConfig on the loop, or before that runs.
+func (n *Node) checkConfig(cfg RuntimeConfig) error {
 	for _, c := range n.brokers {
 		if err := c.CanConfigure(c.fit(cfg.Settings)); err != nil {
 			return fmt.Errorf("the settings can't be taken over: %w", err)
@@ -43,7 +44,7 @@
 
 // configure is called on the loop, or before that runs.
 func (n *Node) configure(cfg RuntimeConfig) error {
-	if err := n.validateConfig(cfg); err != nil {
+	if err := n.checkConfig(cfg); err != nil {
 		return err
 	}
 	for i := range n.brokers {
--- a/internal/operate/adminproto/command.go
+++ b/internal/operate/adminproto/command.go
@@ -22,13 +22,13 @@
 	EndStandby() error
 }
 
-// MaxLineBytes is the length of the longest command that is read, without the line's end.
-const MaxLineBytes = 512
+// maxLineBytes is the length of the longest command that is read, without the line's end.
+const maxLineBytes = 512
 
 var (
 	errNotText = errors.New("the call is no plain text")
 	errEmpty   = errors.New("the call is empty")
-	errTooLong = fmt.Errorf("the call is longer than %d bytes", MaxLineBytes)
+	errTooLong = fmt.Errorf("the call is longer than %d bytes", maxLineBytes)
 )
 
 // statsCommand is the one command whose reply is not an ACK.
--- a/internal/operate/adminproto/server.go
+++ b/internal/operate/adminproto/server.go
@@ -7,21 +7,21 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// MaxConnections is how many operators may be connected at once. Their connections are no part of what
+// maxConnections is how many operators may be connected at once. Their connections are no part of what
 // clients may have, nor the other way round.
 //
 // Hazard: operators that connect and send nothing would keep out those who have something to send. The oldest
 // silent connection is closed for a new one.
-const MaxConnections = 8
+const maxConnections = 8
 
 const (
-	maxBuffered    = MaxConnections * 4096 // bytes of all connections
+	maxBuffered    = maxConnections * 4096 // bytes of all connections
 	commandTimeout = 6 * time.Second       // for a command to arrive complete
 )
 
 // Listen opens the second address, and has a handler carry out the commands, on the loop.
 func Listen(loop *eventloop.Loop, address string, h Handler) (*eventloop.Listener, error) {
-	limits := eventloop.Limits{MaxConnections: MaxConnections, MaxBufferBytes: maxBuffered,
+	limits := eventloop.Limits{MaxConnections: maxConnections, MaxBufferBytes: maxBuffered,
 		MessageTimeout: commandTimeout}
 	return loop.Listen(address, limits, func(c *eventloop.Conn) { c.Handler = &session{handler: h} })
 }
@@ -49,7 +49,7 @@
 	line, _, complete := bytes.Cut(conn.Input(), []byte("\n"))
 	var reply []byte
 	switch {
-	case len(line) > MaxLineBytes: // Hazard: a line without an end would be read for ever.
+	case len(line) > maxLineBytes: // Hazard: a line without an end would be read for ever.
 		reply = appendNAK(nil, errTooLong)
 	case !complete:
 		return
--- a/internal/operate/adminproto/server_test.go
+++ b/internal/operate/adminproto/server_test.go
@@ -82,9 +82,9 @@
 		{"with a carriage return", []string{"status\r\n"}, "ACK status\n"},
 		{"in pieces", []string{"sta", "tus", "\n"}, "ACK status\n"},
 		{"two lines", []string{"standby\nactive\n"}, "ACK standby\n"},
-		{"the longest line", []string{strings.Repeat(" ", MaxLineBytes-len("status")), "status\n"},
+		{"the longest line", []string{strings.Repeat(" ", maxLineBytes-len("status")), "status\n"},
 			"ACK status\n"},
-		{"a longer line", []string{strings.Repeat("x", MaxLineBytes+1)},
+		{"a longer line", []string{strings.Repeat("x", maxLineBytes+1)},
 			"NAK the call is longer than 512 bytes\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -97,10 +97,10 @@
 
 func TestSilentConnectionsGiveWayToNewOnes(t *testing.T) {
 	address := serve(t, &recorder{})
-	for range MaxConnections {
+	for range maxConnections {
 		connect(t, address)
 	}
 	if got := exchange(t, connect(t, address), "status\n"); got != "ACK status\n" {
-		t.Errorf("got %q with %d silent connections", got, MaxConnections)
+		t.Errorf("got %q with %d silent connections", got, maxConnections)
 	}
 }
--- a/internal/operate/controlapi/client.go
+++ b/internal/operate/controlapi/client.go
@@ -54,8 +54,8 @@
 		grpc.WithTransportCredentials(transport),
 		grpc.WithConnectParams(connect),
 		grpc.WithDefaultCallOptions(
-			grpc.MaxCallSendMsgSize(MaxMessageBytes),
-			grpc.MaxCallRecvMsgSize(MaxMessageBytes),
+			grpc.MaxCallSendMsgSize(maxMessageBytes),
+			grpc.MaxCallRecvMsgSize(maxMessageBytes),
 		),
 	)
 	if err != nil {
--- a/internal/operate/controlapi/server.go
+++ b/internal/operate/controlapi/server.go
@@ -20,8 +20,8 @@
 	"moorstack/internal/schema"
 )
 
-// MaxMessageBytes bounds a message of the service in both directions. The largest is a backup.
-const MaxMessageBytes = 64 << 20
+// maxMessageBytes bounds a message of the service in both directions. The largest is a backup.
+const maxMessageBytes = 64 << 20
 
 // callTimeout is how long a call may take, but for one that waits for a change.
 const callTimeout = 10 * time.Second
@@ -72,8 +72,8 @@
 // serve serves on a listener by a goroutine of its own, which Stop ends.
 func (s *Server) serve(l net.Listener, options ...grpc.ServerOption) {
 	server := grpc.NewServer(append(options,
-		grpc.MaxRecvMsgSize(MaxMessageBytes),
-		grpc.MaxSendMsgSize(MaxMessageBytes),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxSendMsgSize(maxMessageBytes),
 		grpc.UnaryInterceptor(s.interceptCall),
 		grpc.StreamInterceptor(s.interceptStream),
 	)...)
--- a/internal/operate/keys/certificate.go
+++ b/internal/operate/keys/certificate.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	template, err := holderTemplate(name, role)
+	template, err := leafTemplate(name, role)
 	if err != nil {
 		return nil, err
 	}
@@ -134,8 +134,8 @@
 	return encodePair(der, key)
 }
 
-// holderTemplate returns a holder's certificate without its times.
-func holderTemplate(name string, role Role) (*x509.Certificate, error) {
+// leafTemplate returns a holder's certificate without its times.
+func leafTemplate(name string, role Role) (*x509.Certificate, error) {
 	serial, err := newSerialNumber()
 	if err != nil {
 		return nil, err
--- a/internal/operate/keys/keys_test.go
+++ b/internal/operate/keys/keys_test.go
@@ -28,8 +28,8 @@
 	return ca
 }
 
-// newHolder issues a certificate, valid for an hour, and opens its files.
-func newHolder(t *testing.T, ca *KeyPair, name string, role Role, now time.Time) *Reloader {
+// newLeaf issues a certificate, valid for an hour, and opens its files.
+func newLeaf(t *testing.T, ca *KeyPair, name string, role Role, now time.Time) *Reloader {
 	t.Helper()
 	dir := t.TempDir()
 	p, err := ca.Issue(name, role, now, time.Hour)
@@ -108,8 +108,8 @@
 	longAgo := now.Add(-48 * time.Hour)
 	ca, foreign := newCA(t, "a", now, time.Hour), newCA(t, "b", now, time.Hour)
 	oldCA := newCA(t, "a", longAgo, 1000*time.Hour)
-	n1 := newHolder(t, ca, "n1", RoleInstance, now)
-	n2 := newHolder(t, ca, "n2", RoleInstance, now)
+	n1 := newLeaf(t, ca, "n1", RoleInstance, now)
+	n2 := newLeaf(t, ca, "n2", RoleInstance, now)
 	if err := connect(t, n1, n2, "n1"); err != nil {
 		t.Errorf("two instances of one authority: %v", err)
 	}
@@ -118,15 +118,15 @@
 		name           string
 	}{
 		"another's name":         {n1, n2, "n3"},
-		"a foreign client":       {n1, newHolder(t, foreign, "n2", RoleInstance, now), "n1"},
-		"a foreign server":       {newHolder(t, foreign, "n1", RoleInstance, now), n2, "n1"},
-		"a reader as a peer":     {n1, newHolder(t, ca, "desk", RoleReader, now), "n1"},
-		"an operator as a peer":  {n1, newHolder(t, ca, "op", RoleOperator, now), "n1"},
-		"an operator's listener": {newHolder(t, ca, "op", RoleOperator, now), n2, "op"},
-		"an expired client": {newHolder(t, oldCA, "n1", RoleInstance, now),
-			newHolder(t, oldCA, "n2", RoleInstance, longAgo), "n1"},
-		"an expired server": {newHolder(t, oldCA, "n1", RoleInstance, longAgo),
-			newHolder(t, oldCA, "n2", RoleInstance, now), "n1"},
+		"a foreign client":       {n1, newLeaf(t, foreign, "n2", RoleInstance, now), "n1"},
+		"a foreign server":       {newLeaf(t, foreign, "n1", RoleInstance, now), n2, "n1"},
+		"a reader as a peer":     {n1, newLeaf(t, ca, "desk", RoleReader, now), "n1"},
+		"an operator as a peer":  {n1, newLeaf(t, ca, "op", RoleOperator, now), "n1"},
+		"an operator's listener": {newLeaf(t, ca, "op", RoleOperator, now), n2, "op"},
+		"an expired client": {newLeaf(t, oldCA, "n1", RoleInstance, now),
+			newLeaf(t, oldCA, "n2", RoleInstance, longAgo), "n1"},
+		"an expired server": {newLeaf(t, oldCA, "n1", RoleInstance, longAgo),
+			newLeaf(t, oldCA, "n2", RoleInstance, now), "n1"},
 	} {
 		t.Run(what, func(t *testing.T) {
 			if err := connect(t, c.server, c.client, c.name); err == nil {
--- a/internal/storage/store/append.go
+++ b/internal/storage/store/append.go
@@ -19,7 +19,7 @@
 	first := s.nextSeq
 	s.buffer = s.buffer[:0]
 	for i, r := range records {
-		if r.Kind == kindSyncMarker || len(r.Data) > MaxRecordBytes {
+		if r.Kind == kindSyncMarker || len(r.Data) > maxRecordBytes {
 			return 0, fmt.Errorf("store: a record of kind %d with %d bytes can't be kept",
 				r.Kind, len(r.Data))
 		}
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -55,8 +55,8 @@
 	seqOffset    = 8
 	kindOffset   = 16
 
-	// MaxRecordBytes is the largest payload of a record, in bytes.
-	MaxRecordBytes = 64 << 20
+	// maxRecordBytes is the largest payload of a record, in bytes.
+	maxRecordBytes = 64 << 20
 
 	// kindSyncMarker is the kind of the records that the store writes itself.
 	kindSyncMarker = 0
@@ -88,7 +88,7 @@
 		return r, 0, "the record's head is cut short"
 	}
 	length := binary.LittleEndian.Uint32(b[lengthOffset:])
-	if length > MaxRecordBytes || !zero(b[kindOffset+1:recordHeaderBytes]) {
+	if length > maxRecordBytes || !zero(b[kindOffset+1:recordHeaderBytes]) {
 		return r, 0, "the record's head makes no sense"
 	}
 	size = recordHeaderBytes + int(length)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -58,12 +58,12 @@
 
 // ErrorAt returns an error about a key of a file's content.
 func ErrorAt(path string, content []byte, key, format string, args ...any) error {
-	return &Error{Path: path, Line: LineOfKey(content, key), Key: key, Message: fmt.Sprintf(format, args...)}
+	return &Error{Path: path, Line: lineOfKey(content, key), Key: key, Message: fmt.Sprintf(format, args...)}
 }
 
-// LineOfKey returns the first line, from 1, that sets a key, given with its tables' names before it.
+// lineOfKey returns the first line, from 1, that sets a key, given with its tables' names before it.
 // It is 0 where the key is not written in one of the usual ways.
-func LineOfKey(content []byte, key string) int {
+func lineOfKey(content []byte, key string) int {
 	table := ""
 	for i, line := range strings.Split(string(content), "\n") {
 		line = strings.TrimSpace(line)
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -42,7 +42,7 @@
 	for key, want := range map[string]int{
 		"name": 1, "comment": 0, "limits": 4, "limits.jobs": 5, "jobs": 0, "rule.class": 8, "rule": 7,
 	} {
-		if got := LineOfKey([]byte(content), key); got != want {
+		if got := lineOfKey([]byte(content), key); got != want {
 			t.Errorf("%s is found on line %d, wanted %d", key, got, want)
 		}
 	}
