--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// simulateGreedyDispatchers gives the fullest window, as a part of what the rule allows, and the part of N that
-// was sent over the whole warm-up.
+// simulateGreedyDispatchers gives the fullest window, as a part of what the rule allows, and the part of N
+// that was sent over the whole warm-up.
 func simulateGreedyDispatchers(t *testing.T, size int, allowed float64, uneven bool) (most, used float64) {
 	set := testSettings()
 	set.DispatcherCount = size
--- a/internal/frontend/platform/discovery.go
+++ b/internal/frontend/platform/discovery.go
@@ -168,7 +168,8 @@
 // Hazard: a front that has just started has no list, and would relay an empty one.
 func (f *Front) WatchesDiscovery() bool {
 	d := f.directory
-	return d.watch != nil && !d.watch.closed && d.watch.parser.HeadComplete() && d.generations.Generation > 0 &&
+	return d.watch != nil && !d.watch.closed && d.watch.parser.HeadComplete() &&
+		d.generations.Generation > 0 &&
 		!f.initial.pending
 }
 
