--- a/balancer/api.go
+++ b/balancer/api.go
@@ -5,7 +5,7 @@
 // RequestID names one request of a client. An ID is never used twice.
 type RequestID string
 
-// WorkerID names a worker. It says nothing about the worker.
+// WorkerID identifies a worker. Nothing about the worker follows from it.
 type WorkerID uint32
 
 // WorkerState is a worker's state in the list.
@@ -45,7 +45,7 @@
 	SpillsOver(tier int, busy bool) bool
 }
 
-// ListUpdateKind says how an update of the list is to be read.
+// ListUpdateKind is how an update of the list is to be read.
 type ListUpdateKind uint8
 
 // The kinds of list update.
@@ -71,7 +71,7 @@
 	MaxAttempts int   // within the class's; 0: as many
 }
 
-// Result says how an attempt or a health check ended.
+// Result is how an attempt or a health check ended.
 type Result uint8
 
 // The results of an attempt.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -37,7 +37,7 @@
 	maxCrossZoneLoad = 0.5
 	// minQuotaBurst is the least number of requests that a tenant's token bucket holds.
 	minQuotaBurst = 5
-	// checkedChoices is how many workers of a draw are asked for load reports.
+	// checkedChoices is how many workers of a draw get a health check.
 	checkedChoices = 3
 	// checkWaitDivisor: a request waits this part of its latency objective for the load reports.
 	checkWaitDivisor = 16
@@ -52,7 +52,7 @@
 	// maxListBackoff is the longest wait before the list is requested again. Hazard: when its service is back
 	// after a long outage, all that it has to report counts as reported 6 s later.
 	maxListBackoff = 4 * time.Second
-	// staleTimeouts: load reports older than so many of the least timeouts say nothing about a queue.
+	// staleTimeouts: load reports older than so many of the least timeouts are no measure of a queue.
 	staleTimeouts = 2
 	// epsilon keeps divisors off zero.
 	epsilon = 1e-9
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -1,9 +1,10 @@
 // Package balancer decides, for one dispatcher, which worker each request goes to, and which requests are
 // rejected.
 //
-// A [Balancer] is told what happens (a request arrives, an attempt ends, the list of workers changes, a timer
-// fires) and responds by calling the [Actions] of its host, in order, before the method returns. It owns no
-// clock, no goroutine and no socket, so the same events and the same seed always give the same actions.
+// A [Balancer] is notified of events (a request arrives, an attempt ends, the list of workers changes, a
+// timer fires) and responds by calling the [Actions] of its host, in order, before the method returns. It
+// owns no clock, no goroutine and no socket, so the same events and the same seed always give the same
+// actions.
 //
 // The load-balancing mechanism is the power-of-d(N) scheme of Mukherjee, Borst, van Leeuwaarden and Whiting:
 // a request draws d distinct workers at random and goes to the one with the fewest requests in flight. Round
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// EndMaintenance says that operators have put a worker back into service. It was restarted meanwhile: what
-// was learned of its earlier process is dropped, and it gets one of the next requests.
+// EndMaintenance is called when operators have put a worker back into service. It was restarted meanwhile:
+// what was learned of its earlier process is dropped, and it gets one of the next requests.
 func (b *Balancer) EndMaintenance(id WorkerID) {
 	w := b.workerByID[id]
 	if w == nil {
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -45,7 +45,7 @@
 	return line
 }
 
-// Verdict says whether a worker is eligible for a request.
+// Verdict is whether a worker is eligible for a request.
 type Verdict struct {
 	Worker Worker
 	Reason string // why the request may not go there now; empty: it may
--- a/balancer/rejections.go
+++ b/balancer/rejections.go
@@ -20,7 +20,7 @@
 }
 
 // fail gives the final response that promises nothing. Hazard: a request that workers can't read is otherwise
-// sent to one after the other, all of which then count as failing, and its client is asked to retry.
+// sent to one after the other, all of which then count as failing, and its client is made to retry.
 func (b *Balancer) fail(q *request) {
 	q.responded = true
 	b.failedCount++
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Idempotency says what running a request twice does.
+// Idempotency is what running a request twice does.
 type Idempotency uint8
 
 // The idempotency that a class can have.
@@ -12,7 +12,7 @@
 	NonIdempotent                      // it must never run twice
 )
 
-// KeyScope says which workers share the memory of idempotency keys.
+// KeyScope is which workers share the memory of idempotency keys.
 type KeyScope uint8
 
 // The scopes of idempotency keys.
@@ -22,7 +22,7 @@
 	ScopeCell
 )
 
-// SizeMeaning says what the sizes of workers in the list mean.
+// SizeMeaning is what the sizes of workers in the list mean.
 type SizeMeaning uint8
 
 // What a worker's Size can mean.
@@ -62,7 +62,7 @@
 	QuotaPerSecond float64 // requests within its share, over all dispatchers; 0: not limited
 }
 
-// Limits says what the deployment lets a dispatcher do.
+// Limits is what the deployment lets a dispatcher do.
 type Limits struct {
 	MaxAttempts    int  // of each request
 	CanCancel      bool // attempts in flight can be cancelled
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -196,7 +196,7 @@
 	w.Worker = e
 	w.Kind = min(max(w.Kind, 0), b.settings.WorkerKinds-1)
 	if b.settings.SizeMeaning == SizeNone || b.settings.SizeMeaning == SizeLive || w.Size <= 0 {
-		w.Size = 1 // it says nothing about the machine
+		w.Size = 1 // it is no measure of the machine
 	}
 }
 
--- a/internal/cluster/calendar/zone.go
+++ b/internal/cluster/calendar/zone.go
@@ -57,7 +57,7 @@
 			z.periods = append(z.periods, period{begin, 0, int64(offset)})
 		}
 		// Hazard: after the last change that the location lists, the library returns the end of the year that
-		// its rule is applied to, which may be the very instant that was asked for.
+		// its rule is applied to, which may be the very instant that was requested.
 		next := at + secondsPerDay
 		if end.IsZero() {
 			break
--- a/internal/cluster/consensus/proposals.go
+++ b/internal/cluster/consensus/proposals.go
@@ -18,7 +18,7 @@
 	formats  *formatTracker
 }
 
-// Propose asks for a change of the configuration. What would be rejected anyway gets its Response at once
+// Propose requests a change of the configuration. What would be rejected anyway gets its Response at once
 // and does not go into the log; at an instance that knows no leader, everything does.
 //
 // The Response comes when the change is in force, or is not to be; with noWait as soon as it begins to take
--- a/internal/cluster/consensus/reads.go
+++ b/internal/cluster/consensus/reads.go
@@ -15,7 +15,7 @@
 	requests *requestTable
 }
 
-// ReadIndex asks for a moment from which on this instance has applied everything that was committed when the
+// ReadIndex requests a moment from which on this instance has applied everything that was committed when the
 // request came. Its Response has no outcome.
 func (i *Instance) ReadIndex() RequestID {
 	q := &request{handler: i.reads, retryable: true, timeoutErr: ErrNoLeader}
--- a/internal/cluster/consensus/runner_requests.go
+++ b/internal/cluster/consensus/runner_requests.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Propose asks for a change of the configuration, and waits until it is in force or is not to be; with noWait
+// Propose requests a change of the configuration, and waits until it is in force or is not to be; with noWait
 // until it begins to take hold.
 func (r *Runner) Propose(
 	ctx context.Context, c clusterstate.Change, noWait bool,
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -7,7 +7,7 @@
 
 import "time"
 
-// Clock tells when the lease of an instance's session expires. The zero Clock has no lease.
+// Clock determines when the lease of an instance's session expires. The zero Clock has no lease.
 //
 // Hazard: a lease counts only at an instance whose state is as new as the leader's was when it granted the
 // lease. An instance that was disconnected, and whose shards or tasks have another owner since, would
--- a/internal/cluster/leasedtask/policy.go
+++ b/internal/cluster/leasedtask/policy.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Section is the name of the section of the agreed document that says which tasks exist.
+// Section is the name of the section of the agreed document that defines the tasks.
 const Section = "duties"
 
 // The names of the tasks. They stand in the log and in operators' commands.
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%d is %v (incarnation %d, by %d)", u.ID, u.State, u.Incarnation, u.ReportedBy)
 }
 
-// MessageKind tells messages apart. Its numbers are part of the wire format.
+// MessageKind distinguishes messages. Its numbers are part of the wire format.
 type MessageKind uint8
 
 // The kinds of message.
--- a/internal/cluster/placement/doc.go
+++ b/internal/cluster/placement/doc.go
@@ -8,9 +8,9 @@
 // even share.
 //
 // Hazard: two instances may have different views for a while, so two may each consider themselves the owner
-// of a shard. Placement says who is to act; it does not promise that nobody else acts. An owner must check
-// its lease (package lease) before it acts, and a new owner must wait until every lease that an earlier owner
-// may hold has expired.
+// of a shard. Placement determines who is to act; it does not guarantee that nobody else acts. An owner must
+// check its lease (package lease) before it acts, and a new owner must wait until every lease that an earlier
+// owner may hold has expired.
 //
 // The package has no I/O, no clock and no goroutine. Its types are not safe for concurrent use; each belongs
 // to the goroutine that created it.
--- a/internal/cluster/placement/partitioning.go
+++ b/internal/cluster/placement/partitioning.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Partitioning tells an instance which partition of a shared budget is its own: one of as many equal
+// Partitioning determines for an instance which partition of a shared budget is its own: one of as many equal
 // partitions as the view has members. At any time the partitions in use by all instances add up to at most
 // the whole budget, whichever instances join, leave or stall.
 //
--- a/internal/cluster/placement/policy.go
+++ b/internal/cluster/placement/policy.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Section is the name of the section of the agreed document that says how instances share workers.
+// Section is the name of the section of the agreed document that defines how instances share workers.
 const Section = "workers"
 
 // Bounds of the key subset, in workers.
--- a/internal/cluster/ratelimit/policy.go
+++ b/internal/cluster/ratelimit/policy.go
@@ -73,7 +73,7 @@
 // floorRate is how many tokens each front's floor gets a second.
 func (p *Policy) floorRate(l Limit) float64 { return l.Rate * l.FloorShare / float64(p.MaxFronts) }
 
-// lendable is what remains beside all floors to be lent: tokens a second, and tokens.
+// lendable is what remains, above all floors, to be lent: tokens a second, and tokens.
 func (p *Policy) lendable(l Limit) (rate, burst float64) {
 	return l.Rate * (1 - l.FloorShare), l.Burst - float64(p.MaxFronts)*p.floorBurst(l)
 }
--- a/internal/cluster/rollingrestart/controller.go
+++ b/internal/cluster/rollingrestart/controller.go
@@ -19,7 +19,7 @@
 	RestartLast bool   // it leads or runs the controller, which must be transferred: others come first
 }
 
-// Controller decides, for one lease of the task, what is to be noted next.
+// Controller decides, for one lease of the task, what is to be recorded next.
 type Controller struct {
 	restartingSince map[uint64]time.Duration // by member, since when it was observed
 	blocked         bool                     // no instance may be restarted
@@ -33,7 +33,7 @@
 	return &Controller{restartingSince: map[uint64]time.Duration{}}
 }
 
-// Reconcile returns the plan as it is to be noted, and whether it differs from p. A change has effect only
+// Reconcile returns the plan as it is to be recorded, and whether it differs from p. A change has effect only
 // once the note is committed. The time now is on a monotonic clock.
 func (c *Controller) Reconcile(now time.Duration, p Plan, instances []InstanceStatus) (Plan, bool) {
 	p, changed := c.reconcile(now, p, instances)
--- a/internal/cluster/rollingrestart/doc.go
+++ b/internal/cluster/rollingrestart/doc.go
@@ -6,7 +6,7 @@
 // process is to exit. So no message to an instance can arrive late, or from a controller that no longer holds
 // the task.
 //
-// Hazard: a controller that has noted that an instance is to exit can't know whether the instance has read
+// Hazard: a controller that has recorded that an instance is to exit can't know whether the instance has read
 // that. So a step is for one incarnation of the instance (the number that its process drew when it started),
 // and is never taken back: an instance that reads of its step late exits late, and its next incarnation does
 // not exit again.
--- a/internal/cluster/schedule/simulation_test.go
+++ b/internal/cluster/schedule/simulation_test.go
@@ -134,7 +134,7 @@
 	instance *instance
 	firing   Firing
 	session  Session
-	// awaited is set as long as the process lives that waits for the job.
+	// awaited is set as long as the process runs that waits for the job.
 	awaited bool
 	endsAt  time.Duration
 	result  Result
@@ -294,7 +294,7 @@
 		switch {
 		case !ok || now.Session != f.Session:
 		case f.Session.Epoch != n.epoch:
-			n.scheduler.RecordResult(f.Number, f.Session, Released) // it lives, and has not started it
+			n.scheduler.RecordResult(f.Number, f.Session, Released) // it runs, and has not started it
 		case s.now >= n.leaseEnd:
 			waiting = append(waiting, f)
 		default:
@@ -329,7 +329,7 @@
 	s.jobs = running
 }
 
-// simulationRuns is how many seeds are run: 20, or as many as the environment asks for.
+// simulationRuns is how many seeds are run: 20, or as many as the environment sets.
 func simulationRuns() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("STORIES"), 10, 32); err == nil {
 		return n
--- a/internal/frontend/platform/discovery_call.go
+++ b/internal/frontend/platform/discovery_call.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// heartbeat notes that nothing has changed since the last list.
+// heartbeat records that nothing has changed since the last list.
 func (c *discoveryCall) heartbeat() {
 	c.resetTimeout()
 	if c.isWatch() {
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -16,7 +16,7 @@
 	// read.
 	partialRequestGrace = time.Second
 
-	// drainedInterval is how often the shutdown looks whether all responses have been written.
+	// drainedInterval is how often the shutdown checks whether all responses have been written.
 	drainedInterval = 10 * time.Millisecond
 )
 
@@ -67,7 +67,7 @@
 	f.loop.At(f.drain.ClosingAt(), func() { f.awaitDrained(f.loop.Now()+partialRequestGrace, done) })
 }
 
-// ShutdownRequestedAt returns when the process was asked to end; 0: it was not.
+// ShutdownRequestedAt returns when the process was requested to end; 0: it was not.
 func (f *Front) ShutdownRequestedAt() time.Duration { return f.shutdownAt }
 
 // scheduleClosing closes idle connections once health checks have failed for long enough.
@@ -94,7 +94,7 @@
 // awaitDrained calls done once the last responses are written. The listener stays open until then: workers
 // call back on it.
 //
-// Hazards: between two looks at a connection a request may have come on it; one may come on a connection
+// Hazards: between two checks of a connection a request may have come on it; one may come on a connection
 // that waits to be accepted, or was just opened; a response is on its way on a connection that is being
 // closed, and the end of the process would reset it.
 func (f *Front) awaitDrained(partialUntil time.Duration, done func()) {
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -18,7 +18,7 @@
 
 	// reuseBackoff is how long idle connections are not reused for attempts after one was reset under a
 	// request. Hazard: some machines, and what lies between, drop idle connections early and show it only by
-	// resetting the next request. Each such attempt may have run, as far as this process can tell. A new
+	// resetting the next request. Each such attempt may have run, as far as this process can know. A new
 	// connection costs a few milliseconds of work. Health checks go on reusing connections, and so find out
 	// when this is over.
 	reuseBackoff = 10 * time.Second
--- a/internal/frontend/platform/front.go
+++ b/internal/frontend/platform/front.go
@@ -31,7 +31,7 @@
 	startTimes startTimes             // of workers
 
 	drain         drain.Machine
-	shutdownAt    time.Duration // when the process was asked to end; 0: it was not
+	shutdownAt    time.Duration // when the process was requested to end; 0: it was not
 	counters      metrics.Counters
 	accountHeader string         // the field that names a request's account; empty: none does
 	routes        *routing.Table // nil: the balancer alone chooses the worker
--- a/internal/frontend/platform/initial_list.go
+++ b/internal/frontend/platform/initial_list.go
@@ -58,7 +58,7 @@
 	return slices.Clone(l.front.cfg.InitialList.Workers)
 }
 
-// confirm notes discovery's answer that nothing has changed since the configured list.
+// confirm records discovery's response that nothing has changed since the configured list.
 func (l *initialList) confirm() {
 	if l.pending {
 		l.release()
--- a/internal/frontend/platform/peer_process.go
+++ b/internal/frontend/platform/peer_process.go
@@ -40,7 +40,7 @@
 	unknownPeerUntil time.Duration // until when there may be one with which this process has no link
 }
 
-// ExpectUnknownPeer notes that another process of the node may share the address for some time, though this
+// ExpectUnknownPeer records that another process of the node may share the address for some time, though this
 // one has no link with it.
 func (f *Front) ExpectUnknownPeer() { f.unknownPeerUntil = f.loop.Now() + unknownPeerSpan }
 
@@ -62,7 +62,7 @@
 	return true
 }
 
-// CallBackHandled notes that the other process has handled a call-back, or knows nothing of it either: in
+// CallBackHandled records that the other process has handled a call-back, or knows nothing of it either: in
 // both cases the worker need not call again.
 func (f *Front) CallBackHandled(number uint64) { f.respondForwarded(number, 204) }
 
--- a/internal/frontend/platform/start_times.go
+++ b/internal/frontend/platform/start_times.go
@@ -34,7 +34,7 @@
 // startTime is when a worker started, as it reports and by the loop's clock.
 type startTime struct{ reported, at time.Duration }
 
-// confirm notes that the list was as it is known at this time.
+// confirm records that the list was as it is known at this time.
 func (s *startTimes) confirm(now time.Duration) { s.confirmedAt = now }
 
 // resolve returns the time of a start that the worker reports. Step is how far the wall clock is ahead of
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -153,7 +153,7 @@
 	c.updateInterest()
 }
 
-// BeginProcessing notes that a whole message has come and is processed: the connection is not evicted until
+// BeginProcessing records that a whole message has come and is processed: the connection is not evicted until
 // EndProcessing.
 func (c *Conn) BeginProcessing() {
 	c.state = stateProcessing
@@ -161,7 +161,7 @@
 	c.messageTimer = nil
 }
 
-// EndProcessing notes that the message is processed: the connection may be evicted from here on.
+// EndProcessing records that the message is processed: the connection may be evicted from here on.
 func (c *Conn) EndProcessing() {
 	c.inputBlocked = false
 	if c.state = stateIdle; c.finishing {
--- a/internal/netio/eventloop/peek.go
+++ b/internal/netio/eventloop/peek.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The functions here ask the kernel about a connection, without waiting for the loop to report an event.
+// The functions here query the kernel about a connection, without waiting for the loop to report an event.
 
 // HasPendingInput reports whether input has come that was not discarded, whether read by the loop or not.
 func (c *Conn) HasPendingInput() bool { return c.inputEnd > 0 || c.HasUnreadInput() }
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -37,7 +37,7 @@
 // Admit implements broker.AdmissionController.
 func (a *admission) Admit(r *broker.Request) (broker.Rejection, bool) {
 	// Hazard: the process may have been stalled for long with this job in its buffers. The clock is read
-	// here and now, whatever any timer has said, and this moment decides whether the job is admitted.
+	// here and now, whatever any timer has set, and this moment decides whether the job is admitted.
 	now := consensus.BootTime()
 	a.slowStart.expire(now)
 	if !a.permit.Admits(now, a.running) {
--- a/internal/node/backups.go
+++ b/internal/node/backups.go
@@ -40,7 +40,7 @@
 	return repeat(ctx, backupCheckInterval, func() error { return b.backUpIfDue(ctx, r) })
 }
 
-// backUpIfDue writes the backup of this period, unless the task's note has it, and notes it.
+// backUpIfDue writes the backup of this period, unless the task's note has it, and records it there.
 func (b *backupTask) backUpIfDue(ctx context.Context, r *taskRun) error {
 	policy, ok := b.policy(ctx)
 	if !ok {
--- a/internal/node/instance.go
+++ b/internal/node/instance.go
@@ -44,7 +44,7 @@
 	stop func() error
 }
 
-// onStop notes a service that has been started: they are stopped in the opposite order.
+// onStop registers a service that has been started: they are stopped in the opposite order.
 func (i *Instance) onStop(name string, stop func() error) {
 	i.started = append(i.started, service{name, stop})
 }
--- a/internal/node/leasedtasks.go
+++ b/internal/node/leasedtasks.go
@@ -83,7 +83,7 @@
 	r.lease = lease
 }
 
-// end has the run act no more, and returns why the lease is to be released, if the group has asked for it.
+// end has the run act no more, and returns why the lease is to be released, if the group has requested it.
 //
 // Hazard: from here on nothing is done under this fencing token, whatever lease there still is.
 func (r *taskRun) end() (releaseReason string) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,7 @@
 }
 
 // Node is a node that serves: one event loop, the fronts, and a broker for each front. Its methods may be
-// called from any goroutine, unless they say otherwise.
+// called from any goroutine, unless stated otherwise.
 type Node struct {
 	// OnReload, where it is set, is called on SIGHUP, on the node's loop.
 	OnReload func()
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -64,7 +64,7 @@
 	return certificates, nil
 }
 
-// readLocal reads what this instance's own files say, which the fronts run until the group has agreed on
+// readLocal reads what this instance's own files contain, which the fronts run until the group has agreed on
 // something, and checks its rules.
 func (i *Instance) readLocal(cfg *platform.Config) error {
 	local, err := cfg.Settings.Balancer()
--- a/internal/node/rollingrestart.go
+++ b/internal/node/rollingrestart.go
@@ -37,8 +37,8 @@
 	return repeat(ctx, restartCheckInterval, func() error { return t.step(ctx, r, controller) })
 }
 
-// step notes the next action of the plan, if there is one. It counts once it is agreed on: the instance that
-// is to restart reads it there (selfRestart), and goes by that.
+// step records the next action of the plan, if there is one. It counts once it is agreed on: the instance
+// that is to restart reads it there (selfRestart), and goes by that.
 func (t *restartTask) step(ctx context.Context, r *taskRun, controller *rollingrestart.Controller) error {
 	lease := r.current()
 	plan, err := rollingrestart.DecodePlan(lease.Note)
--- a/internal/node/slowstart.go
+++ b/internal/node/slowstart.go
@@ -28,7 +28,7 @@
 	count int
 }
 
-// partitionState says what the decision module was given last.
+// partitionState is what the balancer was given last.
 type partitionState uint8
 
 const (
--- a/internal/operate/adminproto/command.go
+++ b/internal/operate/adminproto/command.go
@@ -76,8 +76,8 @@
 	return append(fmt.Appendf(dst, "NAK %s", strings.ReplaceAll(err.Error(), "\n", " ")), '\n')
 }
 
-// parse reads a command. An id is what stands between blanks: whether an endpoint has it is the handler's to
-// say.
+// parse reads a command. An id is what stands between blanks: whether an endpoint has it is for the handler
+// to check.
 func parse(line []byte) (c *command, id string, err error) {
 	for _, b := range line {
 		if b != '\t' && (b < ' ' || b > '~') {
--- a/internal/operate/backups/backups.go
+++ b/internal/operate/backups/backups.go
@@ -41,7 +41,7 @@
 	Verify func([]byte) error // fails unless a file's content is a complete backup
 }
 
-// WriteRequest asks for the backup of a period.
+// WriteRequest is a request for the backup of a period.
 type WriteRequest struct {
 	Group        string // the group's identity; a directory belongs to one group
 	Task         string // the leased task under which the request is made
@@ -160,7 +160,7 @@
 	return list, nil
 }
 
-// isBackup says whether a file has the name of a backup.
+// isBackup reports whether a file has the name of a backup.
 func isBackup(name string) bool {
 	period, hasSuffix := strings.CutSuffix(name, fileSuffix)
 	period, hasPrefix := strings.CutPrefix(period, filePrefix)
--- a/internal/operate/backups/backups_test.go
+++ b/internal/operate/backups/backups_test.go
@@ -29,7 +29,7 @@
 		Content: []byte(content), Retain: 3, LeaseValid: func() bool { return true }}
 }
 
-// One directory through its life: writes are fenced, verified and pruned.
+// One directory from creation on: writes are fenced, verified and pruned.
 func TestWritesAreFencedVerifiedAndPruned(t *testing.T) {
 	d := newDir(t)
 	first, err := d.Write(request(7, 1, "whole 1"))
--- a/internal/proxy/broker/attempt.go
+++ b/internal/proxy/broker/attempt.go
@@ -17,7 +17,7 @@
 
 // RunningAttempt is an attempt that an endpoint has started.
 type RunningAttempt interface {
-	// Abandon says that nobody waits for the attempt's end any more.
+	// Abandon is called when nobody waits for the attempt's end any more.
 	Abandon()
 }
 
@@ -50,7 +50,7 @@
 	return b.clientWaits(a.request) && !a.ended
 }
 
-// EndAttempt says how an attempt has ended. An attempt that has ended before keeps its first end.
+// EndAttempt records how an attempt has ended. An attempt that has ended before keeps its first end.
 func (b *Broker) EndAttempt(id slotmap.ID, res balancer.Result, body []byte, report balancer.LoadReport) {
 	if a, ok := b.attempts.Get(id); ok {
 		b.end(a, res, body, report)
--- a/internal/proxy/broker/endpoint.go
+++ b/internal/proxy/broker/endpoint.go
@@ -137,7 +137,7 @@
 	return id
 }
 
-// refresh tells the balancer the state of an endpoint as it is now.
+// refresh passes to the balancer the state of an endpoint as it is now.
 func (b *Broker) refresh(name string) { b.refreshThen(name, func(balancer.WorkerID) {}) }
 
 // refreshThen is refresh, with a call that follows it before anything else reaches the balancer.
--- a/internal/proxy/broker/maintenance.go
+++ b/internal/proxy/broker/maintenance.go
@@ -21,8 +21,8 @@
 // name. The list itself is kept as it was received. To the balancer an endpoint under maintenance is
 // draining.
 //
-// Hazard: whatever the list says meanwhile, a restart under the same name, a gap with a whole new list, or
-// the removal and return of the endpoint must not end its maintenance.
+// Hazard: whatever the list contains meanwhile, a restart under the same name, a gap with a whole new list,
+// or the removal and return of the endpoint must not end its maintenance.
 type maintenance struct {
 	since    map[string]time.Duration     // of endpoints under maintenance: when it began
 	returned map[string]MaintenancePeriod // of endpoints that are not listed as restarted since theirs ended
@@ -51,7 +51,7 @@
 	}
 	if period, ok := m.returned[name]; ok && w.State != balancer.Removed {
 		// Hazard: it was restarted during its maintenance and has to warm up, and the list, which is late,
-		// does not say so yet. Until it does, the endpoint counts as started when its maintenance ended.
+		// does not show that yet. Until it does, the endpoint counts as started when its maintenance ended.
 		if w.StartedAt > period.Since {
 			delete(m.returned, name)
 		} else {
--- a/internal/proxy/broker/maintenance_test.go
+++ b/internal/proxy/broker/maintenance_test.go
@@ -7,7 +7,7 @@
 	"moorstack/balancer"
 )
 
-// The overlay gives the balancer what the operators decided, whatever the endpoint list says.
+// The overlay gives the balancer what the operators decided, whatever the endpoint list contains.
 func TestMaintenanceOverlayOverridesEndpointList(t *testing.T) {
 	const began, ended = time.Minute, 2 * time.Minute
 	ready := balancer.Worker{State: balancer.Ready, StartedAt: 10 * time.Second}
--- a/internal/proxy/broker/request.go
+++ b/internal/proxy/broker/request.go
@@ -27,7 +27,7 @@
 	AttemptTimeout time.Duration  // of each attempt, within Timeout; 0: none of its own
 }
 
-// ResponseKind says how a request ended.
+// ResponseKind is how a request ended.
 type ResponseKind uint8
 
 // The kinds of final response.
@@ -51,7 +51,7 @@
 	Respond(Response)
 }
 
-// DisconnectChecker is a Client that can tell that it has disconnected before its front has read so.
+// DisconnectChecker is a Client that can detect that it has disconnected before its front has read so.
 //
 // Hazard: the process is stalled or overloaded, and the end of a client's connection is unread while an
 // attempt is started for it.
--- a/internal/proxy/hotrestart/message.go
+++ b/internal/proxy/hotrestart/message.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// Version is of the messages. Processes of different versions have no link: the child then serves beside
-	// its parent, at a socket of its own.
+	// Version is of the messages. Processes of different versions have no link: the child then serves
+	// alongside its parent, at a socket of its own.
 	Version = 1
 
 	// maxMessageBytes is the longest message that is read.
--- a/internal/proxy/settings/balancer.go
+++ b/internal/proxy/settings/balancer.go
@@ -7,7 +7,7 @@
 	"moorstack/balancer"
 )
 
-// The words of the wire, and what they mean to the balancer.
+// The names on the wire, and their values in the balancer.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"retryable": balancer.Idempotent,
@@ -29,7 +29,7 @@
 	}
 )
 
-// Balancer converts the object to the balancer's settings. It returns an error for a word that is not known;
+// Balancer converts the object to the balancer's settings. It returns an error for a name that is not known;
 // whether the values are in range, balancer.New decides.
 func (p *Params) Balancer() (balancer.Settings, error) {
 	s := balancer.Settings{
--- a/internal/proxy/settings/load_report.go
+++ b/internal/proxy/settings/load_report.go
@@ -2,7 +2,7 @@
 
 import "moorstack/balancer"
 
-// LoadReportFields says what the two free values of a load report, x0 and x1, hold.
+// LoadReportFields is what the two free values of a load report, x0 and x1, hold.
 type LoadReportFields struct{ x0, x1 string }
 
 // LoadReportFields gives what the free values of load reports hold.
--- a/internal/proxy/settings/params.go
+++ b/internal/proxy/settings/params.go
@@ -76,7 +76,7 @@
 	FullMayHaveRun    bool    `json:"full_unproven"`
 }
 
-// Extra is what the object says of classes and load reports beside the rest.
+// Extra is the object's further settings, of classes and load reports.
 type Extra struct {
 	ClassKind        []int     `json:"class_kind"`     // by class: the kind of worker
 	ClassPriority    []int     `json:"class_priority"` // by class
