--- a/cmd/moorstack-lab/paper.go
+++ b/cmd/moorstack-lab/paper.go
@@ -40,7 +40,7 @@
 		Example: "  moorstack emulate paper --sizes 10,100,1000 --chart waits.svg",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			rows, err := playPaper(sizes, seeds, jobs)
+			rows, err := runPaper(sizes, seeds, jobs)
 			if err != nil {
 				return err
 			}
@@ -69,7 +69,8 @@
 	return cmd
 }
 
-func playPaper(sizes []int, seeds, jobs int) ([]paperRow, error) {
+// runPaper emulates each point of the claim, on all cores.
+func runPaper(sizes []int, seeds, jobs int) ([]paperRow, error) {
 	if seeds < 1 || jobs < 1000 {
 		return nil, fmt.Errorf("--seeds and --jobs: at least 1 seed and 1000 jobs are wanted")
 	}
