--- a/cmd/moorstack/call.go
+++ b/cmd/moorstack/call.go
@@ -35,18 +35,18 @@
 			if output != "table" && output != "json" {
 				return fmt.Errorf("--output: %q is not table or json", output)
 			}
-			answer, err := request(args[0], strings.Join(args[1:], " "))
+			reply, err := request(args[0], strings.Join(args[1:], " "))
 			if err != nil {
 				return exitError{exitFailed, err}
 			}
-			if figures, ok := strings.CutSuffix(answer, "\n--\n"); ok {
-				return printMetrics(cmd.OutOrStdout(), figures, output)
+			if metrics, ok := strings.CutSuffix(reply, "\n--\n"); ok {
+				return printMetrics(cmd.OutOrStdout(), metrics, output)
 			}
-			if strings.HasPrefix(answer, "ACK") {
-				_, err = io.WriteString(cmd.OutOrStdout(), answer)
+			if strings.HasPrefix(reply, "ACK") {
+				_, err = io.WriteString(cmd.OutOrStdout(), reply)
 				return err
 			}
-			return exitError{exitFailed, errors.New(strings.TrimSpace(answer))}
+			return exitError{exitFailed, errors.New(strings.TrimSpace(reply))}
 		},
 	}
 	cmd.Flags().StringVar(&output, "output", "table", "form of the figures: table or json")
@@ -69,27 +69,27 @@
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return "", err
 	}
-	answer, err := io.ReadAll(io.LimitReader(c, 1<<20))
+	reply, err := io.ReadAll(io.LimitReader(c, 1<<20))
 	if err != nil {
 		return "", fmt.Errorf("the node at %s does not answer: %w", address, err)
 	}
-	if len(answer) == 0 {
+	if len(reply) == 0 {
 		return "", fmt.Errorf("the node at %s hung up", address)
 	}
-	return string(answer), nil
+	return string(reply), nil
 }
 
 // printMetrics prints the figures as they came, or as a table.
-func printMetrics(w io.Writer, figures, output string) error {
+func printMetrics(w io.Writer, metrics, output string) error {
 	if output == "json" {
-		_, err := fmt.Fprintln(w, figures)
+		_, err := fmt.Fprintln(w, metrics)
 		return err
 	}
 	var s struct {
 		Results                                          map[string]map[string]uint64
 		Forwards, Outstanding, Discovered, Ejected, Left uint64
 	}
-	if err := json.Unmarshal([]byte(figures), &s); err != nil {
+	if err := json.Unmarshal([]byte(metrics), &s); err != nil {
 		return exitError{exitFailed, fmt.Errorf("figures that can't be read: %w", err)}
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/cmd/moorstack/page_test.go
+++ b/cmd/moorstack/cluster_page_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// block is the indented block of a page that holds a text, without the indent.
-func block(t *testing.T, page, holds string) string {
+// pageBlock is the indented block of a page that contains a text, without the indent.
+func pageBlock(t *testing.T, page, holds string) string {
 	t.Helper()
 	raw, err := os.ReadFile(page)
 	check(t, err)
@@ -27,12 +27,12 @@
 	return ""
 }
 
-// moved gives the ports that a text names on loopback another loopback address, so that the page's
+// withHost gives the ports that a text names on loopback another loopback address, so that the page's
 // commands meet no other process of this machine.
-func moved(text, host string) string { return strings.ReplaceAll(text, "127.0.0.1", host) }
+func withHost(text, host string) string { return strings.ReplaceAll(text, "127.0.0.1", host) }
 
 // The page's commands, as they stand there but for the address, make a group of three.
-func TestClusterPage(t *testing.T) {
+func TestCommandsOfTheClusterPage(t *testing.T) {
 	t.Parallel()
 	host := net.IPv4(127, 77, byte(os.Getpid()>>8), byte(os.Getpid())).String()
 	dir := t.TempDir()
@@ -43,13 +43,13 @@
 		raw, err := os.ReadFile(path)
 		check(t, err)
 		check(t, os.WriteFile(filepath.Join(dir, "deploy", filepath.Base(path)),
-			[]byte(moved(string(raw), host)), 0o600))
+			[]byte(withHost(string(raw), host)), 0o600))
 	}
 	check(t, os.MkdirAll(filepath.Join(dir, "bin"), 0o700))
 	check(t, os.Symlink(program, filepath.Join(dir, "bin", "moorstack")))
 
 	page := "../../docs/operators/cluster.md"
-	script := "set -eu\nPATH=$PWD/bin:$PATH\n" + moved(block(t, page, "keys new-ca"), host)
+	script := "set -eu\nPATH=$PWD/bin:$PATH\n" + withHost(pageBlock(t, page, "keys new-ca"), host)
 	// The page starts its instances in the background and goes on; here they are ended too.
 	script = strings.ReplaceAll(script, ".log &", ".log & echo $! >> pids")
 	script = strings.Replace(script, "moorstack cluster init",
@@ -77,17 +77,17 @@
 	if out := run("three instances from nothing", script); strings.Count(out, ", voter") != 1+3 {
 		t.Fatalf("the page's commands make no group of three: %s", out)
 	}
-	change := strings.ReplaceAll(block(t, page, "config propose config.toml --dry-run"),
+	change := strings.ReplaceAll(pageBlock(t, page, "config propose config.toml --dry-run"),
 		"$EDITOR config.toml", "sed -i 's/worth = 5.0/worth = 6.0/' config.toml")
 	out := run("a change", "set -eu\nPATH=$PWD/bin:$PATH\ncd demo\n"+change)
 	for _, say := range []string{"worth 5 -> 6", "in force as revision 2", "in force as revision 3"} {
 		if !strings.Contains(out, say) {
-			t.Errorf("the page's change does not say %q: %s", say, out)
+			t.Errorf("the page's change does not print %q: %s", say, out)
 		}
 	}
 }
 
-// A start that fails half-way stops what had started, says why, and leaves nothing behind.
+// A start that fails half-way stops what had started, prints why, and leaves nothing behind.
 func TestStartThatFailsHalfWay(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -121,7 +121,7 @@
 	g.start("n1") // and its directory and addresses are free
 }
 
-func TestUnknownCommandsAreRefused(t *testing.T) {
+func TestUnknownCommandsAreRejected(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	for _, args := range [][]string{{"nosuch"}, {"prove", "nosuch"}, {"cluster", "stauts"}, {"config", "x"},
--- a/cmd/moorstack/emulate.go
+++ b/cmd/moorstack/emulate.go
@@ -56,8 +56,8 @@
 	run.Flags().BoolVar(&seconds, "seconds", false, "also a row for each second")
 	addOutput(run, g)
 	cmd.AddCommand(run, newStorm(g),
-		labCommand("demo", "A real node, ten modelled workers, clients and a crash, in half a minute"),
-		labCommand("paper", "Waits against the number of servers, for 1, 2, d(N) and all draws"))
+		newLabCommand("demo", "A real node, ten modelled workers, clients and a crash, in half a minute"),
+		newLabCommand("paper", "Waits against the number of servers, for 1, 2, d(N) and all draws"))
 	return cmd
 }
 
--- a/cmd/moorstack/emulate_storm.go
+++ b/cmd/moorstack/emulate_storm.go
@@ -65,8 +65,8 @@
 	return emulate.ParseScenario(path, raw)
 }
 
-// stormResults sums the fault storms of many seeds.
-type stormResults struct {
+// faultStormResults sums the fault storms of many seeds.
+type faultStormResults struct {
 	broken []emulate.FaultStorm // those that break a rule
 	worth  []float64            // earned in each, as a share
 	jobs   int
@@ -74,8 +74,8 @@
 }
 
 // run emulates a scenario under the fault storms of all seeds, and shows its progress at a terminal.
-func (f *stormFlags) run(scenario *emulate.Scenario) (*stormResults, error) {
-	r := &stormResults{}
+func (f *stormFlags) run(scenario *emulate.Scenario) (*faultStormResults, error) {
+	r := &faultStormResults{}
 	began := time.Now()
 	err := emulate.RunFaultStorms(scenario, f.first, f.seeds, f.most, func(s emulate.FaultStorm) {
 		r.jobs += s.Jobs
@@ -94,7 +94,7 @@
 	return r, nil
 }
 
-func (r *stormResults) table() table {
+func (r *faultStormResults) table() table {
 	t := table{}
 	t.add(fmt.Sprintf("%d storms, %d jobs, %d break a rule; %.1f s", len(r.worth), r.jobs, len(r.broken),
 		r.took.Seconds()))
--- a/cmd/moorstack/standin_test.go
+++ b/cmd/moorstack/faktory_reference_test.go
@@ -13,10 +13,10 @@
 	"moorstack/internal/frontend/faktory"
 )
 
-// standIn is a small Faktory server after the public specification: queues in
+// referenceServer is a small Faktory server after the public specification: queues in
 // memory, reservations that end, and no decisions. It shows what a producer and a
 // worker may expect of any server.
-type standIn struct {
+type referenceServer struct {
 	mu       sync.Mutex
 	password string
 	term     time.Duration // of a reservation
@@ -35,11 +35,11 @@
 	until time.Time
 }
 
-func startStandIn(t *testing.T, password string, term time.Duration) string {
+func startReferenceServer(t *testing.T, password string, term time.Duration) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	check(t, err)
 	t.Cleanup(func() { l.Close() })
-	s := &standIn{password: password, term: term, queues: map[string][]*standInJob{},
+	s := &referenceServer{password: password, term: term, queues: map[string][]*standInJob{},
 		held: map[string]*standInJob{}, states: map[string]string{}}
 	go func() {
 		for {
@@ -53,7 +53,7 @@
 	return l.Addr().String()
 }
 
-func (s *standIn) serve(c net.Conn) {
+func (s *referenceServer) serve(c net.Conn) {
 	defer c.Close()
 	const salt, rounds = "55104dc76695721d", 7
 	hi := `{"v":2}`
@@ -93,7 +93,7 @@
 	return fmt.Sprintf("$%d\r\n%s\r\n", len(text), text)
 }
 
-func (s *standIn) command(verb, args, jid, wid string) string {
+func (s *referenceServer) command(verb, args, jid, wid string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -137,7 +137,7 @@
 }
 
 // expire puts jobs whose reservation has ended back into their queues.
-func (s *standIn) expire() {
+func (s *referenceServer) expire() {
 	for jid, j := range s.held {
 		if time.Now().After(j.until) {
 			delete(s.held, jid)
@@ -147,7 +147,7 @@
 	}
 }
 
-func (s *standIn) fetch(wid string, queues []string) string {
+func (s *referenceServer) fetch(wid string, queues []string) string {
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
 		s.expire()
--- a/cmd/moorstack/frozen_answers_test.go
+++ b/cmd/moorstack/frozen_answers_test.go
@@ -15,17 +15,17 @@
 )
 
 // Operators' scripts call at the second address: each call's line and all of its answer stay, and so do the
-// names of the figures and what the command makes of them.
+// names of the metrics and what the command makes of them.
 func TestCallsAreFrozen(t *testing.T) {
-	o := newOperated(t, 2, done)
-	o.dial().send(job("a", "quote", "4000m", "x")).want(200, "did x")
+	o := startNodeWithAdmin(t, 2, completeJob)
+	o.dial().send(jobRequest("a", "quote", "4000m", "x")).expectResponse(200, "did x")
 	var b strings.Builder
 	for _, line := range []string{"status", "stats", " stats\t", "maint-on s-0000", "stats",
 		"maint-on s-0000", "maint-off s-0000", "maint-off s-0000", "maint-on s-none", "maint-off s-none",
 		"standby", "status", "standby", "active", "active", "status",
 		"", "maint-on", "maint-on a b", "standby now", "STATUS",
 		"stat\x00us", strings.Repeat("x", 513)} {
-		answer := call(t, o.admin, line+"\n")
+		answer := adminCall(t, o.admin, line+"\n")
 		fmt.Fprintf(&b, "%q\n  %q\n", line, answer)
 	}
 	for _, args := range []string{"status", "stats", "stats --output json", "maint-on s-none"} {
@@ -37,37 +37,38 @@
 }
 
 var (
-	figures = regexp.MustCompile(`[0-9a-f]{8,}|[0-9.]+(µs|ms|s\b|m\b)?`)
+	numbers = regexp.MustCompile(`[0-9a-f]{8,}|[0-9.]+(µs|ms|s\b|m\b)?`)
 	blanks  = regexp.MustCompile(` +`)
 )
 
-// unfigured is a text without what differs from run to run: figures, their units and the columns' widths.
-func unfigured(text string) string {
-	return blanks.ReplaceAllString(figures.ReplaceAllString(text, "#"), " ")
+// withoutNumbers is a text without what differs from run to run: numbers, their units and the columns'
+// widths.
+func withoutNumbers(text string) string {
+	return blanks.ReplaceAllString(numbers.ReplaceAllString(text, "#"), " ")
 }
 
-// What an instance that is a group by itself answers in tables, and the names of its counters, with figures
-// left out.
+// What an instance that is a group by itself answers in tables, and the names of its counters, without
+// numbers.
 func TestAnswersOfCommandsAreFrozen(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1")
-	g.admits("n1")
+	g.waitAdmitting("n1")
 	g.sections("n1", `[section.duties]
 drill = "1"
 [section.schedule]
 "trigger.yearly" = "0 0 29 2 * zone=UTC class=trip-quote"
 `)
-	g.held("drill-1", 0, "n1")
+	g.waitHeld("drill-1", 0, "n1")
 	eventually(t, "the triggers' owner knows the fleet's time", func() bool {
 		out := g.must("cluster", "status", "--config", "n1.toml")
-		return strings.Contains(unfigured(out), "fleet's time #")
+		return strings.Contains(withoutNumbers(out), "fleet's time #")
 	})
 	var b strings.Builder
 	for _, c := range []string{"cluster status", "duty list", "duty show drill-1", "duty history drill-1",
 		"config history", "cluster roll show"} {
 		out, code := g.run(append(strings.Fields(c), "--config", "n1.toml")...)
-		fmt.Fprintf(&b, "moorstack %s\nexit code %d\n%s", c, code, unfigured(out))
+		fmt.Fprintf(&b, "moorstack %s\nexit code %d\n%s", c, code, withoutNumbers(out))
 	}
 	var s schema.StatusReply
 	out := g.must("cluster", "status", "--output", "json", "--config", "n1.toml")
--- a/cmd/moorstack/keys.go
+++ b/cmd/moorstack/keys.go
@@ -46,13 +46,8 @@
 			if err != nil {
 				return exitError{exitFailed, err}
 			}
-			fmt.Fprintf(
-				cmd.OutOrStdout(),
-				"%s and %s are made, good for %d days\n",
-				filepath.Join(dir, "ca.crt"),
-				filepath.Join(dir, "ca.key"),
-				days,
-			)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s and %s are made, good for %d days\n",
+				filepath.Join(dir, "ca.crt"), filepath.Join(dir, "ca.key"), days)
 			return nil
 		},
 	}
--- a/cmd/moorstack/lab.go
+++ b/cmd/moorstack/lab.go
@@ -9,9 +9,9 @@
 	"github.com/spf13/cobra"
 )
 
-// labCommand hands a command over to the program beside this one. With the libraries for columns,
+// newLabCommand hands a command over to the program beside this one. With the libraries for columns,
 // charts and histograms linked in, the platform's node would take 18 MB at rest of 16.
-func labCommand(name, short string) *cobra.Command {
+func newLabCommand(name, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:                name,
 		Short:              short,
--- a/cmd/moorstack/duty_test.go
+++ b/cmd/moorstack/leased_tasks_test.go
@@ -15,14 +15,7 @@
 	"moorstack/internal/schema"
 )
 
-// sections puts sections into the configuration, in the place of those that it has.
-func (g *group) sections(at, text string) {
-	g.t.Helper()
-	g.write("sections.toml", g.documentOf(at)+text)
-	g.mustOnceLed("config", "propose", "sections.toml", "--config", at+".toml")
-}
-
-func (g *group) duty(name string, at ...string) (d *schema.Duty) {
+func (g *group) task(name string, at ...string) (d *schema.Duty) {
 	for _, n := range at {
 		out, code := g.run("duty", "show", name, "--output", "json", "--config", n+".toml")
 		if code == 0 && json.Unmarshal([]byte(out), &d) == nil {
@@ -32,45 +25,36 @@
 	return nil
 }
 
-// held waits until somebody holds a duty under a number above the given.
-func (g *group) held(name string, above uint64, at ...string) (d *schema.Duty) {
+// waitHeld waits until an instance holds a leased task with a fencing token above the given.
+func (g *group) waitHeld(name string, above uint64, at ...string) (d *schema.Duty) {
 	g.t.Helper()
 	eventually(g.t, name+" is held", func() bool {
-		d = g.duty(name, at...)
+		d = g.task(name, at...)
 		return d != nil && d.Holder != "" && d.Number > above
 	})
 	return d
 }
 
-func without(list []string, name string) (rest []string) {
-	for _, n := range list {
-		if n != name {
-			rest = append(rest, n)
-		}
-	}
-	return rest
-}
-
-func TestDuties(t *testing.T) {
+func TestLeasedTasksMoveBetweenInstances(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	all := []string{"n1", "n2", "n3"}
 	g.form(all...)
-	g.admits(all...)
+	g.waitAdmitting(all...)
 	g.expect(0, "the configuration has no duties", "duty", "list", "--config", "n1.toml")
 	bad := g.must("config", "get", "--config", "n1.toml") + "[section.duties]\ndrill = \"many\"\n"
 	check(t, os.WriteFile(filepath.Join(g.dir, "bad.toml"), []byte(bad), 0o600))
 	g.expect(exitInvalid, `drill: "many" is not a number from 0 to 100`, "config", "propose", "bad.toml",
 		"--config", "n1.toml")
 	g.sections("n1", "[section.duties]\ndrill = \"2\"\n")
-	first := g.held("drill-1", 0, all...)
+	first := g.waitHeld("drill-1", 0, all...)
 
 	// By wish: to one that is named, under a greater number.
 	to := without(all, first.Holder)[0]
 	g.expect(0, "drill-1 is handed on to "+to, "duty", "hand-on", "drill-1", to, "--config", "n2.toml")
-	second := g.held("drill-1", first.Number, all...)
+	second := g.waitHeld("drill-1", first.Number, all...)
 	if second.Holder != to {
-		t.Errorf("handed on to %s, and %s holds it", to, second.Holder)
+		t.Errorf("transferred to %s, and %s holds it", to, second.Holder)
 	}
 	g.expect(exitFailed, to+" holds drill-1", "duty", "hand-on", "drill-1", to, "--config", "n1.toml")
 	g.expect(exitFailed, `there is no duty "drill-9"; drill-1, drill-2 are`, "duty", "hand-on", "drill-9",
@@ -83,72 +67,72 @@
 
 	// Paused, nobody holds it; then somebody does again.
 	g.expect(0, "drill-1 is paused", "duty", "pause", "drill-1", "--config", "n1.toml")
-	eventually(t, "it is given back", func() bool {
-		d := g.duty("drill-1", all...)
+	eventually(t, "it is released", func() bool {
+		d := g.task("drill-1", all...)
 		return d != nil && d.Holder == ""
 	})
 	g.expect(exitFailed, "is paused by socket already", "duty", "pause", "drill-1", "--config", "n2.toml")
 	g.expect(exitFailed, "resume it first", "duty", "hand-on", "drill-1", "--config", "n2.toml")
 	g.expect(0, "drill-1 is resumed", "duty", "resume", "drill-1", "--config", "n1.toml")
-	third := g.held("drill-1", second.Number, all...)
+	third := g.waitHeld("drill-1", second.Number, all...)
 
-	// One that ends hands on first; one that is killed is waited for.
+	// One that shuts down transfers it first; the lease of one that is killed has to expire.
 	rest := without(all, third.Holder)
 	g.kill(third.Holder, syscall.SIGTERM)
-	fourth := g.held("drill-1", third.Number, rest...)
+	fourth := g.waitHeld("drill-1", third.Number, rest...)
 	if out := g.must("duty", "history", "drill-1", "--config", rest[0]+".toml"); !strings.Contains(out,
 		fmt.Sprintf("%d       %s", third.Number, third.Holder)) || strings.Contains(out,
 		"its session ended") {
-		t.Errorf("asked to end, it has not handed on: %s", out)
+		t.Errorf("shut down, it has not transferred the task: %s", out)
 	}
 	g.start(third.Holder)
-	g.admits(third.Holder)
+	g.waitAdmitting(third.Holder)
 	g.kill(fourth.Holder, syscall.SIGKILL)
-	fifth := g.held("drill-1", fourth.Number, without(all, fourth.Holder)...)
+	fifth := g.waitHeld("drill-1", fourth.Number, without(all, fourth.Holder)...)
 	if fifth.Holder == fourth.Holder {
 		t.Errorf("%s is dead and holds drill-1", fifth.Holder)
 	}
 }
 
-// One that stands by hands its duties on, and is given none until it serves again; alone it keeps them.
-func TestStandbyHandsOn(t *testing.T) {
+// An instance on standby transfers its tasks, and gets none until it serves again; alone it keeps them.
+func TestStandbyInstanceTransfersItsTasks(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.admin = map[string]string{"n1": freeAddress(t), "n2": freeAddress(t), "n3": freeAddress(t)}
 	all := []string{"n1", "n2", "n3"}
 	g.form("n1")
 	g.sections("n1", "[section.duties]\ndrill = \"2\"\n")
-	g.held("drill-1", 0, "n1")
+	g.waitHeld("drill-1", 0, "n1")
 	g.must("call", g.admin["n1"], "standby")
-	time.Sleep(500 * time.Millisecond) // in which it must not be given back
-	if d := g.duty("drill-1", "n1"); d == nil || d.Holder != "n1" {
+	time.Sleep(500 * time.Millisecond) // in which it must not be released
+	if d := g.task("drill-1", "n1"); d == nil || d.Holder != "n1" {
 		t.Errorf("nobody else is there, and it is held by %+v", d)
 	}
 	for _, n := range all[1:] {
 		g.start(n)
-		g.must("cluster", "add", n, g.addr[n], "--promote", "--config", "n1.toml")
+		g.must("cluster", "add", n, g.peerAddress[n], "--promote", "--config", "n1.toml")
 	}
 	for _, name := range []string{"drill-1", "drill-2"} {
-		eventually(t, name+" is handed on", func() bool {
-			d := g.duty(name, all...)
+		eventually(t, name+" is transferred", func() bool {
+			d := g.task(name, all...)
 			return d != nil && d.Holder != "" && d.Holder != "n1"
 		})
 	}
 	g.expect(exitFailed, "n1 is about to go", "duty", "hand-on", "drill-1", "n1", "--config", "n2.toml")
 	g.must("call", g.admin["n1"], "active")
-	eventually(t, "it may hold duties again", func() bool {
+	eventually(t, "it may hold tasks again", func() bool {
 		_, code := g.run("duty", "hand-on", "drill-1", "n1", "--config", "n2.toml")
 		return code == 0
 	})
 	eventually(t, "it holds it", func() bool {
-		d := g.duty("drill-1", all...)
+		d := g.task("drill-1", all...)
 		return d != nil && d.Holder == "n1"
 	})
 }
 
 // One backup for each period, through deaths of whoever keeps them; a directory takes nothing under
 // an old number.
-func TestBackupKeeper(t *testing.T) {
+func TestBackupTaskWritesBackups(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	all := []string{"n1", "n2", "n3"}
@@ -156,14 +140,14 @@
 	g.form(all[:2]...)
 	g.backups = false // the third has no directory
 	g.start("n3")
-	g.must("cluster", "add", "n3", g.addr["n3"], "--promote", "--config", "n1.toml")
+	g.must("cluster", "add", "n3", g.peerAddress["n3"], "--promote", "--config", "n1.toml")
 	g.sections("n1", "[section.duties]\nbackup_every = \"1s\"\nbackup_keep = \"5\"\n")
 	dir := backups.Dir{Path: filepath.Join(g.dir, "kept"), Verify: func(b []byte) error {
 		_, err := controlapi.DecodeBackup(b)
 		return err
 	}}
 	for range 3 {
-		d := g.held(dutyBackup, 0, all...)
+		d := g.waitHeld(dutyBackup, 0, all...)
 		if d.Holder == "n3" {
 			t.Fatalf("n3 has no directory and keeps the backups")
 		}
@@ -171,16 +155,16 @@
 			dutyBackup,
 			"n3", "--config", "n3.toml")
 		g.kill(d.Holder, syscall.SIGKILL)
-		after := g.held(dutyBackup, d.Number, without(all, d.Holder)...)
+		after := g.waitHeld(dutyBackup, d.Number, without(all, d.Holder)...)
 		eventually(t, "it goes on", func() bool {
-			now := g.duty(dutyBackup, after.Holder)
+			now := g.task(dutyBackup, after.Holder)
 			return now != nil && string(now.Note) != "" && string(now.Note) != string(d.Note)
 		})
 		g.start(d.Holder)
-		g.admits(d.Holder)
+		g.waitAdmitting(d.Holder)
 	}
-	// What is noted is what is there, and whole.
-	d := g.held(dutyBackup, 0, all...)
+	// The note names the backup that is there, and that is complete.
+	d := g.waitHeld(dutyBackup, 0, all...)
 	var kept backups.Result
 	check(t, json.Unmarshal(d.Note, &kept))
 	list, err := dir.List()
--- /dev/null
+++ b/cmd/moorstack/list_relay_test.go
@@ -0,0 +1,177 @@
+package main
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"moorstack/internal/verify/faultinjection"
+)
+
+// receivedFromLog is what an instance's log has once another one relays the endpoint list to it.
+func receivedFromLog(name string) string {
+	return `"instance":"` + name + `","level":"info","msg":"endpoint list received from another instance"`
+}
+
+// listRelay is a group of three that polls discovery, and a worker that fails each job.
+type listRelay struct {
+	*group
+	discovery *discoveryStub
+	all       []string
+	mu        sync.Mutex
+	received  map[string]bool // paths of the jobs that came to the worker
+}
+
+func newListRelay(t *testing.T) *listRelay {
+	r := &listRelay{group: newGroup(t), discovery: startDiscoveryStub(t), all: []string{"n1", "n2", "n3"},
+		received: map[string]bool{}}
+	r.group.discovery = r.discovery.address()
+	r.form(r.all...)
+	return r
+}
+
+// addWorker has discovery list a worker.
+func (r *listRelay) addWorker() {
+	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.received[req.URL.Path] = true
+		w.WriteHeader(500)
+	}))
+	r.t.Cleanup(worker.Close)
+	r.discovery.add("w1", strings.TrimPrefix(worker.URL, "http://"))
+}
+
+// waitWatches waits until so many instances poll discovery.
+func (r *listRelay) waitWatches(what string, n int) {
+	r.t.Helper()
+	eventually(r.t, what, func() bool { return r.discovery.watchCount() == n })
+}
+
+// waitWorkerKnown waits until an instance sends jobs to the worker. A busy machine may let a lease expire: a
+// job that is rejected for that is sent again.
+func (r *listRelay) waitWorkerKnown(name string) {
+	r.t.Helper()
+	eventually(r.t, name+" knows the worker", func() bool {
+		r.mu.Lock()
+		clear(r.received)
+		r.mu.Unlock()
+		r.sendJob(name)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		return len(r.received) > 0
+	})
+}
+
+// One instance polls discovery for all, and relays the endpoint list. While it is stalled each polls by
+// itself until there is another relay, and goes back.
+func TestOneInstancePollsDiscoveryForAll(t *testing.T) {
+	t.Parallel()
+	r := newListRelay(t)
+	r.waitWatches("each polls discovery", 3)
+	r.sections("n1", "[section.duties]\nlist = \"on\"\n")
+	r.waitWatches("one polls for all", 1)
+	relay := r.waitHeld("list", 0, r.all...)
+	r.addWorker()
+	for _, name := range r.all {
+		r.waitWorkerKnown(name)
+	}
+	// Its process is stalled: the others go on, by themselves and then by another relay.
+	wake := r.stall(relay.Holder)
+	rest := without(r.all, relay.Holder)
+	next := r.waitHeld("list", relay.Number, rest...)
+	if next.Holder == relay.Holder {
+		t.Fatalf("%s is stalled and relays the list", next.Holder)
+	}
+	for _, name := range rest {
+		if name != next.Holder {
+			eventually(t, name+" gets the list from the new relay", func() bool {
+				return strings.Contains(r.logOf(name), receivedFromLog(next.Holder))
+			})
+		}
+	}
+	wake()
+	r.waitWatches("one polls for all again", 1)
+	r.checkWhileDiscoveryFails()
+	r.waitWatches("one polls for all once more", 1)
+	// Off, each polls for itself.
+	r.sections("n1", "[section.duties]\nlist = \"off\"\n")
+	r.waitWatches("each polls discovery again", 3)
+	r.kill("n1", syscall.SIGTERM)
+}
+
+// checkWhileDiscoveryFails checks that, where discovery answers nobody, nobody reports that nothing has
+// changed; and that an instance which has just started, and knows of no worker, does not relay an empty list
+// to the others.
+func (r *listRelay) checkWhileDiscoveryFails() {
+	r.t.Helper()
+	r.discovery.setFailing(true)
+	r.discovery.CloseClientConnections()
+	eventually(r.t, "each tries by itself", func() bool {
+		return strings.Count(r.logOf("n1")+r.logOf("n2")+r.logOf("n3"), "polling discovery directly") >= 2
+	})
+	fresh := without(r.all, r.waitHeld("list", 0, r.all...).Holder)[0]
+	r.kill(fresh, syscall.SIGKILL)
+	r.start(fresh)
+	r.waitAdmitting(fresh)
+	eventually(r.t, fresh+" holds the task of the list", func() bool {
+		r.run("duty", "hand-on", "list", fresh, "--config", fresh+".toml")
+		d := r.task("list", r.all...)
+		return d != nil && d.Holder == fresh
+	})
+	time.Sleep(700 * time.Millisecond) // a heartbeat, and more, in which nothing must be relayed
+	for _, name := range without(r.all, fresh) {
+		r.waitWorkerKnown(name) // discovery fails still
+		if strings.Contains(r.logOf(name), `"generation":0`) {
+			r.t.Errorf("%s got a list from an instance that has none", name)
+		}
+	}
+	r.discovery.setFailing(false)
+}
+
+// A relay that one follower alone does not reach, or that does not reach it, goes on relaying the list;
+// that follower polls by itself meanwhile, and goes back.
+func TestEndpointListWhileItsRelayIsCutFromOne(t *testing.T) {
+	t.Parallel()
+	g := newGroup(t)
+	g.links = faultinjection.NewLinks()
+	t.Cleanup(g.links.Close)
+	c := startDiscoveryStub(t)
+	g.discovery = c.address()
+	all := []string{"n1", "n2", "n3"}
+	g.form(all...)
+	g.sections("n1", "[section.rollout]\nlease = \"2s\"\n[section.duties]\nlist = \"on\"\n")
+	eventually(t, "one polls for all", func() bool { return c.watchCount() == 1 })
+	// Neither leads: nothing but the list goes from one to the other.
+	others := without(all, g.leader(all...))
+	relay, follower := others[0], others[1]
+	if g.waitHeld("list", 0, all...).Holder != relay {
+		g.mustOnceLed("duty", "hand-on", "list", relay, "--config", "n1.toml")
+		eventually(t, relay+" relays it",
+			func() bool { return g.waitHeld("list", 0, all...).Holder == relay })
+	}
+	hears := func() {
+		t.Helper()
+		eventually(t, follower+" gets the list from the relay", func() bool {
+			log := g.logOf(follower)
+			return c.watchCount() == 1 && strings.LastIndex(log, receivedFromLog(relay)) >
+				strings.LastIndex(log, "polling discovery directly")
+		})
+	}
+	hears()
+	before := g.waitHeld("list", 0, all...)
+	for _, way := range [][2]string{{relay, follower}, {follower, relay}} {
+		g.links.Cut(way[0], way[1])
+		within(t, 2*waitLimit, follower+" polls by itself", func() bool { return c.watchCount() == 2 })
+		g.links.Heal()
+		hears()
+	}
+	if now := g.waitHeld("list", 0, all...); now.Number != before.Number {
+		t.Errorf("%s held it with fencing token %d, %s does with %d", relay, before.Number, now.Holder,
+			now.Number)
+	}
+}
--- a/cmd/moorstack/members_test.go
+++ b/cmd/moorstack/membership_test.go
@@ -10,8 +10,8 @@
 	"moorstack/internal/verify/faultinjection"
 )
 
-// seems is what an instance believes of another.
-func (g *group) seems(at, of string) (m *schema.MemberStatus) {
+// memberSeenBy is the state of a member as an instance sees it.
+func (g *group) memberSeenBy(at, of string) (m *schema.MemberStatus) {
 	out, _ := g.run("cluster", "status", "--output", "json", "--config", at+".toml")
 	var s schema.StatusReply
 	if json.Unmarshal([]byte(out), &s) == nil {
@@ -24,7 +24,7 @@
 	return &schema.MemberStatus{}
 }
 
-// Instances that probe each other know who is there: one that is killed, one that stands still and comes
+// Instances that probe each other know who is there: one that is killed, one that is stalled and comes
 // back, and that a cut between two of them is no death.
 func TestMembership(t *testing.T) {
 	t.Parallel()
@@ -34,13 +34,13 @@
 	all := []string{"n1", "n2", "n3", "n4"}
 	g.form(all...)
 	bad := g.documentOf("n1") + "[section.membership]\nprobe = \"often\"\n"
-	g.expectChange(exitInvalid, `probe: "often" is not a time from 50ms to 1m`, bad)
+	g.expectProposal(exitInvalid, `probe: "often" is not a time from 50ms to 1m`, bad)
 	g.sections("n1", "[section.rollout]\nlease = \"2s\"\n[section.membership]\nprobe = \"200ms\"\n")
 	everybody := func(state string, of string, at ...string) {
 		t.Helper()
 		for _, n := range at {
-			within(t, 3*limit, n+" takes "+of+" for "+state, func() bool {
-				return g.seems(n, of).Seems == state
+			within(t, 3*waitLimit, n+" takes "+of+" for "+state, func() bool {
+				return g.memberSeenBy(n, of).Seems == state
 			})
 		}
 	}
@@ -49,8 +49,8 @@
 	}
 	// Two that can't reach each other, while the others reach both.
 	g.links.Cut("n2", "n3")
-	within(t, 3*limit, "n2 does not reach n3", func() bool {
-		m := g.seems("n2", "n3")
+	within(t, 3*waitLimit, "n2 does not reach n3", func() bool {
+		m := g.memberSeenBy("n2", "n3")
 		if m.Seems != "alive" {
 			t.Fatalf("others reach it, and n2 takes it for %s", m.Seems)
 		}
@@ -58,14 +58,15 @@
 	})
 	g.eventuallySays("NOT REACHED FROM HERE", "cluster", "status", "--config", "n2.toml")
 	g.links.Heal()
-	within(t, 3*limit, "n2 reaches n3 again", func() bool { return g.seems("n2", "n3").UnreachedS == 0 })
+	within(t, 3*waitLimit, "n2 reaches n3 again",
+		func() bool { return g.memberSeenBy("n2", "n3").UnreachedS == 0 })
 	// A death, and the return of a process that knows nothing of it.
 	g.kill("n4", syscall.SIGKILL)
 	everybody("failed", "n4", "n1", "n2", "n3")
 	g.eventuallySays("failed for", "cluster", "status", "--config", "n1.toml")
 	g.start("n4")
 	everybody("alive", "n4", "n1", "n2", "n3")
-	// One that stands still for long is held for failed, and says otherwise when it wakes.
+	// One that is stalled for long counts as failed, and refutes that when it goes on.
 	wake := g.stall("n3")
 	everybody("failed", "n3", "n1", "n2", "n4")
 	wake()
@@ -74,7 +75,7 @@
 	}
 }
 
-func (g *group) expectChange(code int, say, text string) {
+func (g *group) expectProposal(code int, say, text string) {
 	g.t.Helper()
 	g.write("change.toml", text)
 	out, got := g.runOnceLed("config", "propose", "change.toml", "--config", "n1.toml")
--- a/cmd/moorstack/prove_cluster.go
+++ b/cmd/moorstack/prove_cluster.go
@@ -174,7 +174,7 @@
 		MaxChanges: f.changes,
 		ClusterOptions: faultinjection.ClusterOptions{
 			Program:              program,
-			OlderProgram:         f.older,
+			OlderProgram:         f.olderProgram,
 			Dir:                  dir,
 			Instances:            f.processes,
 			Voters:               f.voters,
@@ -186,14 +186,14 @@
 			MaxRestarting:        f.rollingRestarts,
 			OperatorCommands:     f.faultFile == "",
 			Accounts:             f.accounts,
-			UnlistedAccounts:     f.names,
+			UnlistedAccounts:     f.unlistedAccounts,
 			Triggers:             f.triggers,
-			ClockSpeed:           f.speed,
-			OldZoneRulesInstance: f.oldRules,
+			ClockSpeed:           f.clockSpeed,
+			OldZoneRulesInstance: f.oldZoneRulesInstance,
 		},
 	}
-	if f.clock != "" {
-		if o.ClockStart, err = time.Parse(time.RFC3339, f.clock); err != nil {
+	if f.clockStart != "" {
+		if o.ClockStart, err = time.Parse(time.RFC3339, f.clockStart); err != nil {
 			return o, fmt.Errorf("--clock: %w", err)
 		}
 	}
--- a/cmd/moorstack/prove_cluster_flags.go
+++ b/cmd/moorstack/prove_cluster_flags.go
@@ -11,20 +11,20 @@
 )
 
 type faultRunFlags struct {
-	processes, voters   int
-	length, tick        time.Duration
-	seed                uint64
-	faultFile, keep     string
-	rate                float64
-	changes, drillTasks int
-	rollingRestarts     int
-	accounts, names     int
-	triggers            int
-	clock, oldRules     string
-	older               string
-	speed               float64
-	shrink, quiet       bool
-	trace, kills        bool
+	processes, voters                int
+	length, tick                     time.Duration
+	seed                             uint64
+	faultFile, keep                  string
+	rate                             float64
+	changes, drillTasks              int
+	rollingRestarts                  int
+	accounts, unlistedAccounts       int
+	triggers                         int
+	clockStart, oldZoneRulesInstance string
+	olderProgram                     string
+	clockSpeed                       float64
+	shrink, quiet                    bool
+	trace, kills                     bool
 }
 
 func (f *faultRunFlags) add(cmd *cobra.Command) {
@@ -37,19 +37,20 @@
 	fl.StringVar(&f.faultFile, "story", "", "play the story in this `file` instead")
 	fl.Float64Var(&f.rate, "rate", 20, "jobs a second at each instance; 0: none")
 	fl.IntVar(&f.changes, "changes", 0, "at most so many changes; 0: as many as there is time for")
-	fl.IntVar(&f.names, "names", 0,
+	fl.IntVar(&f.unlistedAccounts, "names", 0,
 		"how many more accounts call that have no line of their own; 0 to 1000000")
 	fl.IntVar(&f.accounts, "accounts", 4, "how many accounts' rates are kept over all instances; 0 to 1000")
 	fl.IntVar(&f.rollingRestarts, "rolls", 0,
 		"take instances out one after another, again and again, at the most so many at once; 0: none")
 	fl.IntVar(&f.drillTasks, "duties", 3, "how many duties the instances hold, to practise; 0 to 100")
 	fl.IntVar(&f.triggers, "triggers", 6, "how many triggers fire over all instances; 0 to 1000")
-	fl.StringVar(&f.clock, "clock", "", "what the instances' clocks show at the beginning, as in "+
+	fl.StringVar(&f.clockStart, "clock", "", "what the instances' clocks show at the beginning, as in "+
 		"2026-10-25T00:30:00Z; empty: the machine's time")
-	fl.Float64Var(&f.speed, "speed", 1, "how fast the instances' clocks run, 1 to 600")
-	fl.StringVar(&f.older, "older", "", "the `program` of an earlier version, which all instances run "+
-		"before the story renews them")
-	fl.StringVar(&f.oldRules, "old-rules", "", "an `instance` that has other zone rules than the rest")
+	fl.Float64Var(&f.clockSpeed, "speed", 1, "how fast the instances' clocks run, 1 to 600")
+	fl.StringVar(&f.olderProgram, "older", "",
+		"the `program` of an earlier version, which all instances run before the story renews them")
+	fl.StringVar(&f.oldZoneRulesInstance, "old-rules", "",
+		"an `instance` that has other zone rules than the rest")
 	fl.BoolVar(&f.quiet, "quiet", false, "no faults")
 	fl.BoolVar(&f.shrink, "shrink", false,
 		"play a story that breaks something again, with fewer faults each time")
@@ -72,15 +73,17 @@
 		return fmt.Errorf("--changes: %d is not from 1 to 100000", f.changes)
 	case f.accounts < 0 || f.accounts > 1000:
 		return fmt.Errorf("--accounts: %d is not from 0 to 1000", f.accounts)
-	case f.names < 0 || f.names > 1_000_000 || f.names > 0 && f.accounts == 0:
+	case f.unlistedAccounts < 0 || f.unlistedAccounts > 1_000_000 ||
+		f.unlistedAccounts > 0 && f.accounts == 0:
 		return fmt.Errorf("--names: %d is not from 0 to 1000000, or there are no accounts beside them",
-			f.names)
+			f.unlistedAccounts)
 	case f.triggers < 0 || f.triggers > 1000:
 		return fmt.Errorf("--triggers: %d is not from 0 to 1000", f.triggers)
-	case f.speed < 1 || f.speed > 600:
-		return fmt.Errorf("--speed: %v is not from 1 to 600", f.speed)
-	case f.oldRules != "" && !slices.Contains(faultinjection.InstanceNames(f.processes), f.oldRules):
-		return fmt.Errorf("--old-rules: there is no instance %q", f.oldRules)
+	case f.clockSpeed < 1 || f.clockSpeed > 600:
+		return fmt.Errorf("--speed: %v is not from 1 to 600", f.clockSpeed)
+	case f.oldZoneRulesInstance != "" &&
+		!slices.Contains(faultinjection.InstanceNames(f.processes), f.oldZoneRulesInstance):
+		return fmt.Errorf("--old-rules: there is no instance %q", f.oldZoneRulesInstance)
 	case f.rollingRestarts < 0 || f.rollingRestarts >= f.processes:
 		return fmt.Errorf("--rolls: %d is not from 0 to %d, one less than --processes", f.rollingRestarts,
 			f.processes-1)
--- a/cmd/moorstack/prove_config.go
+++ b/cmd/moorstack/prove_config.go
@@ -65,12 +65,8 @@
 	fl.Int64Var(&f.seed, "seed", -1, "play the story of this seed alone")
 	fl.BoolVar(&f.trace, "trace", false, "with --seed: print each event")
 	fl.IntSliceVar(&f.instances, "instances", []int{3, 5}, "sizes of groups")
-	fl.BoolVar(
-		&f.broken,
-		"broken",
-		false,
-		"play a build that acknowledges before it syncs: the checks must find it",
-	)
+	fl.BoolVar(&f.broken, "broken", false,
+		"play a build that acknowledges before it syncs: the checks must find it")
 	fl.BoolVar(&f.processes, "processes", false, "real processes in place of virtual time")
 	fl.IntVar(&f.changes, "changes", 300, "with --processes: how many changes")
 	fl.StringVar(&f.keep, "keep", "", "with --processes: keep directories and logs in this `directory`")
@@ -78,7 +74,7 @@
 	return cmd
 }
 
-// simulationTotals sums the stories of one size.
+// simulationTotals sums the runs of groups of one size.
 type simulationTotals struct {
 	Instances       int                 `json:"instances"`
 	Runs            int                 `json:"stories"`
@@ -167,19 +163,8 @@
 			n += k
 			faults[name] += k
 		}
-		t.add(
-			s.Instances,
-			s.Runs,
-			len(s.Violating),
-			s.Events,
-			s.Ticks,
-			s.ChangesAccepted,
-			s.ChangesRejected,
-			s.ChangesUnknown,
-			s.Reads,
-			n,
-			fmt.Sprintf("%.1f", s.WallSeconds),
-		)
+		t.add(s.Instances, s.Runs, len(s.Violating), s.Events, s.Ticks, s.ChangesAccepted, s.ChangesRejected,
+			s.ChangesUnknown, s.Reads, n, fmt.Sprintf("%.1f", s.WallSeconds))
 	}
 	t.add("")
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
--- a/cmd/moorstack/rates_test.go
+++ b/cmd/moorstack/rate_limits_test.go
@@ -12,23 +12,16 @@
 	"time"
 )
 
-// rated sends a job of an account to an instance, and says whether the account's rate had room. There are
-// no workers: a job that is admitted is refused by the module, with no word on a rate.
-func (g *group) rated(name, account string) (admitted bool, after string) {
+// admittedByRate sends a job of an account to an instance, and reports whether the account's rate had
+// capacity. There are no workers: a job that is admitted is rejected by the module, without naming a rate.
+func (g *group) admittedByRate(name, account string) (admitted bool, after string) {
 	g.t.Helper()
-	_, h := g.job(name, account)
+	_, h := g.sendJob(name, account)
 	return !strings.Contains(h.Get("X-Refusal"), "has used its rate"), h.Get("Retry-After")
 }
 
-// propose proposes the configuration with another section, and gives what was said and the exit code.
-func (g *group) propose(at, section string) (string, int) {
-	g.t.Helper()
-	g.write("new.toml", g.documentOf(at)+section)
-	return g.runOnceLed("config", "propose", "new.toml", "--config", at+".toml")
-}
-
 // An account's burst is one over three instances, wherever its calls come in; one that names no account is
-// limited by none. What makes no sense is refused with its key, and changes nothing.
+// limited by none. What is invalid is rejected with its key, and changes nothing.
 func TestAccountsHaveOneRateOverAllFronts(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -56,16 +49,16 @@
 		t.Fatal(out)
 	}
 	for _, name := range []string{"n1", "n2", "n3"} {
-		if rated, after := g.rated(name, "few"); rated || after == "" {
+		if rated, after := g.admittedByRate(name, "few"); rated || after == "" {
 			t.Errorf("%s: a floor with no time to fill: admitted %v, back after %q", name, rated, after)
 		}
-		if rated, _ := g.rated(name, "unknown"); !rated {
+		if rated, _ := g.admittedByRate(name, "unknown"); !rated {
 			t.Errorf("%s: an account that has no line is limited, and there is no default", name)
 		}
 	}
 	began, admitted := time.Now(), 0
 	for n := 0; time.Since(began) < 6*time.Second; n++ {
-		if rated, _ := g.rated([]string{"n1", "n2", "n3"}[n%3], "some"); rated {
+		if rated, _ := g.admittedByRate([]string{"n1", "n2", "n3"}[n%3], "some"); rated {
 			admitted++
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -78,24 +71,25 @@
 
 // While one instance learns late of others that come back, parts of cold workers' budgets add up, and so do
 // the slices of accounts: also of some thousands that have no line of their own.
-func TestSharesAddUpWhileOneLags(t *testing.T) {
+func TestQuotasAddUpWhileOneInstanceLags(t *testing.T) {
 	t.Parallel()
 	g := &group{t: t, dir: t.TempDir()}
-	story, err := os.ReadFile("../../docs/examples/lag.txt")
+	faults, err := os.ReadFile("../../docs/examples/lag.txt")
 	check(t, err)
-	check(t, os.WriteFile(filepath.Join(g.dir, "story.txt"), story, 0o600))
+	check(t, os.WriteFile(filepath.Join(g.dir, "story.txt"), faults, 0o600))
 	g.expect(0, ", 0 violations", "prove", "cluster", "--processes", "5", "--story", "story.txt", "--for",
 		"14s", "--duties", "0", "--triggers", "0", "--accounts", "6", "--names", "5000", "--rate", "100")
 }
 
-// Instances own accounts and triggers by agreed weights: a dry run says what would change hands, the status
-// what each has; and a weight that makes no sense is refused.
-func TestWeightsOfInstances(t *testing.T) {
+// Instances own accounts and triggers by agreed weights: a dry run prints what would change owners, the
+// status
+// what each has; and a weight that is invalid is rejected.
+func TestWeightsDecideWhatInstancesOwn(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	all := []string{"n1", "n2", "n3"}
 	g.form(all...)
-	g.admits(all...)
+	g.waitAdmitting(all...)
 	for want, bad := range map[string]string{`"x" is not a number from 0.1 to 10`: `"weight.n1" = "x"`,
 		`"1000" is not a number`: `"weight.n1" = "1000"`, "is no key of this section": `"weights" = "2"`} {
 		if out, code := g.propose("n1", "[section.placement]\n"+bad+"\n"); code == 0 ||
@@ -121,7 +115,7 @@
 		})
 	}
 	near("n2", 33, 33, 33)
-	words := steady + "[section.placement]\n\"weight.n1\" = \"3\"\n\"weight.n9\" = \"2\"\n" +
+	words := steadyLease + "[section.placement]\n\"weight.n1\" = \"3\"\n\"weight.n9\" = \"2\"\n" +
 		"[section.ratelimit]\naccount = \"X-Account\"\n\"account.desk-4\" = \"20/s burst=40 floor=equal\"\n"
 	if out, code := g.propose("n1", words); code != 0 {
 		t.Fatal(out)
@@ -130,14 +124,14 @@
 	g.kill("n1", syscall.SIGKILL) // its number stays: it owns what it did
 	near("n2", 50, 50)
 	g.start("n1")
-	g.admits("n1")
+	g.waitAdmitting("n1")
 	near("n1", 60, 20, 20)
 	check(t, os.WriteFile(filepath.Join(g.dir, "even.toml"), []byte(strings.Replace(g.must("config", "get",
 		"--config", "n1.toml"), `"weight.n1" = "3"`, `"weight.n1" = "1"`, 1)), 0o600))
 	// Numbers of instances are drawn, and shares go by them, give or take some percent. And on a busy
 	// machine a session may have ended just now.
 	third := regexp.MustCompile(`n1 owns 3[0-7]% of accounts and triggers`)
-	within(t, time.Minute, "a dry run says what accounts may send and what changes hands", func() bool {
+	within(t, time.Minute, "a dry run prints what accounts may send and what changes owners", func() bool {
 		out, _ := g.run("config", "propose", "even.toml", "--dry-run", "--config", "n3.toml")
 		for _, want := range []string{"of them change hands",
 			"account desk-4: 20 a second and 40 at once over all instances; of that 4 a second and 8 at",
--- a/cmd/moorstack/remote.go
+++ b/cmd/moorstack/remote.go
@@ -126,7 +126,7 @@
 // withExitCode turns the service's error into one with an exit code.
 //
 // Hazard: gRPC's code Unavailable stands for a lost connection, too. Of the service's errors only the text
-// crosses the wire, so a group without a leader is told from that by the text.
+// crosses the wire, so a group without a leader is distinguished from that by the text.
 func withExitCode(err error) error {
 	s, ok := status.FromError(err)
 	if err == nil || !ok {
--- a/cmd/moorstack/roll_test.go
+++ b/cmd/moorstack/rolling_restart_test.go
@@ -10,8 +10,8 @@
 	"moorstack/internal/cluster/rollingrestart"
 )
 
-// rolled waits until a rolling restart stands so, and says how it does.
-func (g *group) rolled(standing rollingrestart.Status, at ...string) (p rollingrestart.Plan) {
+// waitRollingRestart waits until a rolling restart has a status, and gives its plan.
+func (g *group) waitRollingRestart(status rollingrestart.Status, at ...string) (p rollingrestart.Plan) {
 	g.t.Helper()
 	defer func() {
 		if g.t.Failed() {
@@ -21,11 +21,11 @@
 			}
 		}
 	}()
-	within(g.t, 3*limit, "the rolling restart is "+string(standing), func() bool {
+	within(g.t, 3*waitLimit, "the rolling restart is "+string(status), func() bool {
 		for _, n := range at {
 			out, code := g.run("cluster", "roll", "show", "--output", "json", "--config", n+".toml")
 			p = rollingrestart.Plan{}
-			if code == 0 && json.Unmarshal([]byte(out), &p) == nil && p.Status == standing {
+			if code == 0 && json.Unmarshal([]byte(out), &p) == nil && p.Status == status {
 				return true
 			}
 		}
@@ -34,54 +34,54 @@
 	return p
 }
 
-// A rolling restart takes each instance out once: those that start themselves anew and one that does not, for
-// which it halts and says why. It is undone with its conductor killed, and done all the same.
-func TestRoll(t *testing.T) {
+// A rolling restart takes each instance out once: those that restart themselves and one that does not, for
+// which it halts with a reason. It is undone with its controller killed, and done all the same.
+func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	all := []string{"n1", "n2", "n3"}
-	g.anew = true
+	g.restartsItself = true
 	g.form("n1", "n2")
-	g.anew = false
+	g.restartsItself = false
 	g.start("n3")
-	g.must("cluster", "add", "n3", g.addr["n3"], "--promote", "--config", "n1.toml")
+	g.must("cluster", "add", "n3", g.peerAddress["n3"], "--promote", "--config", "n1.toml")
 	roll := func(code int, say string, args ...string) {
 		t.Helper()
 		g.expect(code, say, append([]string{"cluster", "roll", "--config", "n2.toml"}, args...)...)
 	}
 	roll(exitFailed, `the configuration has no conductor: say roll = "on" in the section "duties"`, "start")
 	g.sections("n1", "[section.duties]\nroll = \"on\"\ndrill = \"1\"\n")
-	g.admits(all...)
-	g.held(leasedtask.RollingRestartTask, 0, all...)
+	g.waitAdmitting(all...)
+	g.waitHeld(leasedtask.RollingRestartTask, 0, all...)
 	roll(exitFailed, `the group has no instance "n7"; n1, n2, n3 are`, "start", "--only", "n7")
 	roll(exitFailed, "nothing is to be stopped", "stop")
 	roll(0, "taken out one after another", "start", "--within", "2s")
-	p := g.rolled(rollingrestart.Halted, all...)
+	p := g.waitRollingRestart(rollingrestart.Halted, all...)
 	if !strings.HasPrefix(p.HaltReason, "n3 is not back within 2s: it has no session") {
 		t.Fatalf("it is %s", p.Progress())
 	}
 	g.kill("n3", syscall.SIGTERM) // it has ended: this waits for it
-	g.anew = true
+	g.restartsItself = true
 	g.start("n3")
-	g.anew = false
+	g.restartsItself = false
 	eventually(t, "it goes on", func() bool {
 		_, code := g.run("cluster", "roll", "resume", "--config", "n1.toml")
 		return code == 0
 	})
-	g.rolled(rollingrestart.Done, all...)
+	g.waitRollingRestart(rollingrestart.Done, all...)
 	roll(exitFailed, "nothing is to be resumed: done: 3 back", "resume")
 	roll(0, "the last first", "undo")
-	conductor := g.held(leasedtask.RollingRestartTask, 0, all...).Holder
-	g.kill(conductor, syscall.SIGKILL)
-	g.start(conductor)
-	if p := g.rolled(rollingrestart.Done, all...); !p.Undo || p.Steps[0].Name != "n3" {
+	controller := g.waitHeld(leasedtask.RollingRestartTask, 0, all...).Holder
+	g.kill(controller, syscall.SIGKILL)
+	g.start(controller)
+	if p := g.waitRollingRestart(rollingrestart.Done, all...); !p.Undo || p.Steps[0].Name != "n3" {
 		t.Errorf("undone in another order: %+v", p)
 	}
-	g.admits(all...)
+	g.waitAdmitting(all...)
 	for _, n := range all {
 		outs := strings.Count(g.logOf(n), "process ends for a rolling restart")
-		if outs > 2 || outs < 1 || n != conductor && outs < 2 {
-			t.Errorf("%s was taken out %d times, the conductor was %s", n, outs, conductor)
+		if outs > 2 || outs < 1 || n != controller && outs < 2 {
+			t.Errorf("%s was taken out %d times, the controller was %s", n, outs, controller)
 		}
 	}
 }
--- a/cmd/moorstack/rollout_members_test.go
+++ b/cmd/moorstack/rollout_members_test.go
@@ -11,40 +11,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// trio is a group of three with such a lease, its leader and the two others.
-func trio(t *testing.T, rules string) (g *group, lead string, rest []string) {
-	t.Helper()
-	g = newGroup(t)
-	g.form("n1", "n2", "n3")
-	g.rolloutSection("n1", rules)
-	g.admits("n1", "n2", "n3")
-	lead = g.leader("n1", "n2", "n3")
-	return g, lead, map[string][]string{"n1": {"n2", "n3"}, "n2": {"n1", "n3"}, "n3": {"n1", "n2"}}[lead]
-}
-
-// stall has an instance stand still until the test ends, or until the function is called.
-func (g *group) stall(name string) (wake func()) {
-	g.t.Helper()
-	check(g.t, g.proc[name].Process.Signal(syscall.SIGSTOP))
-	return func() { check(g.t, g.proc[name].Process.Signal(syscall.SIGCONT)) }
-}
-
-func (g *group) runs(revision string, names ...string) {
-	g.t.Helper()
-	for _, name := range names {
-		eventually(g.t, name+" runs revision "+revision, func() bool {
-			out, _ := g.run("cluster", "status", "--config", name+".toml")
-			return strings.Contains(out, "running   revision "+revision+"\n") &&
-				strings.Contains(out, "admits    jobs")
-		})
-	}
-}
-
-// While a change waits for one that stands still, members come and go. The change holds for who has
+// While a change waits for a stalled instance, members come and go. The change holds for who has
 // come, and waits for who was removed until that one's lease has surely run out.
 func TestMembersChangeWhileAChangeTakesHold(t *testing.T) {
 	t.Parallel()
-	g, lead, rest := trio(t, `lease = "2s"`)
+	g, lead, rest := newTrio(t, `lease = "2s"`)
 	at := func(name string) string { return name + ".toml" }
 	g.start("n4")
 	g.start("n5")
@@ -53,21 +24,21 @@
 	g.expect(0, "it takes hold as revision 3", "config", "propose", "c.toml", "--no-wait", "--id", "x",
 		"--config", at(lead))
 	g.expect(0, "waits for  "+rest[0], "config", "pending", "--config", at(lead))
-	// One is added, takes the vote of the one that stands still, and another is added.
-	g.must("cluster", "add", "n4", g.addr["n4"], "--config", at(lead))
+	// One is added, takes the vote of the stalled one, and another is added.
+	g.must("cluster", "add", "n4", g.peerAddress["n4"], "--config", at(lead))
 	eventually(t, "n4 catches up", func() bool {
 		_, code := g.run("cluster", "replace", rest[0], "n4", "--config", at(lead))
 		return code == 0
 	})
-	g.must("cluster", "add", "n5", g.addr["n5"], "--config", at(lead))
+	g.must("cluster", "add", "n5", g.peerAddress["n5"], "--config", at(lead))
 	g.expect(0, "in force as revision 3", "config", "propose", "c.toml", "--id", "x", "--config", at(rest[1]))
-	g.runs("3", lead, rest[1], "n4", "n5")
+	g.waitRunning("3", lead, rest[1], "n4", "n5")
 	wake()
 	eventually(t, "the removed one knows it", func() bool {
 		out, _ := g.run("cluster", "status", "--config", at(rest[0]))
 		return strings.Contains(out, "no jobs: this instance has been removed")
 	})
-	if code, head := g.job(rest[0]); code != 503 || head.Get("X-Refusal") == "" {
+	if code, head := g.sendJob(rest[0]); code != 503 || head.Get("X-Refusal") == "" {
 		t.Errorf("the removed one answers %d %v", code, head)
 	}
 }
@@ -75,7 +46,7 @@
 // A rollback while a change takes hold is a conflict like any other change; after the change it works.
 func TestRollbackWhileAChangeTakesHold(t *testing.T) {
 	t.Parallel()
-	g, lead, rest := trio(t, `lease = "1500ms"`)
+	g, lead, rest := newTrio(t, `lease = "1500ms"`)
 	at := lead + ".toml"
 	g.edit("c.toml", lead, "worth = 5.0", "worth = 6.0")
 	g.must("config", "propose", "c.toml", "--config", at)
@@ -86,7 +57,7 @@
 	g.expect(0, "in force as revision 4", "config", "propose", "d.toml", "--id", "x", "--config", at)
 	g.expect(0, "in force as revision 5", "config", "rollback", "2", "--config", at)
 	wake()
-	g.runs("5", "n1", "n2", "n3")
+	g.waitRunning("5", "n1", "n2", "n3")
 	if out := g.must("config", "get", "--config", rest[0]+".toml"); !strings.Contains(out, "worth = 5.0") {
 		t.Errorf("rolled back to %s", out)
 	}
@@ -94,12 +65,12 @@
 
 // The majority is lost for good. By lease nobody serves, by "serve" the rest do; either way nothing
 // can change until a new group is made from a backup, which counts on.
-func TestLostMajority(t *testing.T) {
+func TestGroupAfterALostMajority(t *testing.T) {
 	t.Parallel()
 	for name, rules := range map[string]string{"lease": `lease = "1s"`, "serve": `cut_off = "serve"`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g, lead, rest := trio(t, rules)
+			g, lead, rest := newTrio(t, rules)
 			last := rest[1]
 			g.edit("c.toml", lead, "worth = 5.0", "worth = 6.0")
 			g.must("cluster", "backup", "all.backup", "--config", lead+".toml")
@@ -109,33 +80,33 @@
 				out, code := g.run("cluster", "status", "--config", last+".toml")
 				return code == exitNoLeader && strings.Contains(out, "ADMITS    no jobs") == (name == "lease")
 			})
-			if _, head := g.job(last); (head.Get("X-Refusal") != "") != (name == "lease") {
+			if _, head := g.sendJob(last); (head.Get("X-Refusal") != "") != (name == "lease") {
 				t.Errorf("cut off, it answers %v", head)
 			}
 			g.expect(exitNoLeader, "cut off", "config", "propose", "c.toml", "--base", "2", "--config",
 				last+".toml")
-			// The page's way back: the last one ends, all begin anew on empty directories.
+			// The page's way back: the last one ends, all begin again on empty directories.
 			g.kill(last, syscall.SIGTERM)
 			for _, n := range []string{"n1", "n2", "n3"} {
 				check(t, os.RemoveAll(filepath.Join(g.dir, "d-"+n)))
 				g.start(n)
 			}
 			g.must("cluster", "init", "--from", "all.backup", "--config", "n1.toml")
-			g.must("cluster", "add", "n2", g.addr["n2"], "--promote", "--config", "n1.toml")
-			g.must("cluster", "add", "n3", g.addr["n3"], "--promote", "--config", "n1.toml")
-			g.runs("3", "n1", "n2", "n3")
+			g.must("cluster", "add", "n2", g.peerAddress["n2"], "--promote", "--config", "n1.toml")
+			g.must("cluster", "add", "n3", g.peerAddress["n3"], "--promote", "--config", "n1.toml")
+			g.waitRunning("3", "n1", "n2", "n3")
 		})
 	}
 }
 
 // A disk that is full when a change is to be staged: the change waits for that instance's lease and
-// goes on without it. With room again and started anew it catches up.
-func TestDiskFullAtStaging(t *testing.T) {
+// goes on without it. With space again and restarted it catches up.
+func TestFullDiskWithdrawsAChangeAtStaging(t *testing.T) {
 	t.Parallel()
-	g, lead, rest := trio(t, `lease = "1s"`)
+	g, lead, rest := newTrio(t, `lease = "1s"`)
 	full := rest[0]
 	none := unix.Rlimit{Cur: 0, Max: unix.RLIM_INFINITY}
-	check(t, unix.Prlimit(g.proc[full].Process.Pid, unix.RLIMIT_FSIZE, &none, nil))
+	check(t, unix.Prlimit(g.processes[full].Process.Pid, unix.RLIMIT_FSIZE, &none, nil))
 	g.edit("c.toml", lead, "worth = 5.0", "worth = 6.0")
 	g.expect(0, "in force as revision 3", "config", "propose", "c.toml", "--config", lead+".toml")
 	out, code := g.run("cluster", "status", "--config", full+".toml")
@@ -145,11 +116,11 @@
 		t.Errorf("with its disk full: exit %d: %s", code, out)
 	}
 	began := time.Now()
-	if code, head := g.job(full); code != 503 || head.Get("Retry-After") == "" ||
+	if code, head := g.sendJob(full); code != 503 || head.Get("Retry-After") == "" ||
 		time.Since(began) > time.Second {
 		t.Errorf("with its disk full it answers %d %v after %v", code, head, time.Since(began))
 	}
 	g.kill(full, syscall.SIGTERM)
 	g.start(full)
-	g.runs("3", full)
+	g.waitRunning("3", full)
 }
--- a/cmd/moorstack/rollout_test.go
+++ b/cmd/moorstack/rollout_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"fmt"
-	"net/http"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -12,67 +10,27 @@
 	"time"
 )
 
-// rolloutSection has the group go by these rules, as a change like any other.
-func (g *group) rolloutSection(at string, values string) {
-	g.t.Helper()
-	g.sections(at, "[section.rollout]\n"+values+"\n")
-}
-
-// job asks an instance's front to do a job, of an account where one is named, and gives the answer's code
-// and its headers.
-func (g *group) job(name string, account ...string) (int, http.Header) {
-	g.t.Helper()
-	text, err := os.ReadFile(filepath.Join(g.dir, name+".toml"))
-	check(g.t, err)
-	front := regexp.MustCompile(`(?s)\[front\].*?listen = "([^"]+)"`).FindStringSubmatch(string(text))[1]
-	req, err := http.NewRequest(http.MethodPost, "http://"+front+"/job", strings.NewReader("x"))
-	check(g.t, err)
-	for k, v := range map[string]string{"X-Request-ID": fmt.Sprint(time.Now().UnixNano()),
-		"X-Priority-Class": "trip-quote", "X-Timeout": "2000m"} {
-		req.Header.Set(k, v)
-	}
-	if len(account) > 0 {
-		req.Header.Set("X-Account", account[0])
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return 0, nil
-	}
-	resp.Body.Close()
-	return resp.StatusCode, resp.Header
-}
-
-func (g *group) admits(names ...string) {
-	g.t.Helper()
-	for _, name := range names {
-		eventually(g.t, name+" admits jobs", func() bool {
-			out, _ := g.run("cluster", "status", "--config", name+".toml")
-			return strings.Contains(out, "admits    jobs")
-		})
-	}
-}
-
-// A change waits for one that stands still until its lease has run out; woken, that one admits
+// A change waits for a stalled instance until its lease has expired; resumed, that one admits
 // nothing before it has the new policy.
 func TestChangeWaitsForAStalledInstance(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
 	g.rolloutSection("n1", `lease = "2s"`)
-	g.admits("n1", "n2", "n3")
+	g.waitAdmitting("n1", "n2", "n3")
 	lead := g.leader("n1", "n2", "n3")
-	still := map[string]string{"n1": "n2", "n2": "n3", "n3": "n1"}[lead]
-	check(t, g.proc[still].Process.Signal(syscall.SIGSTOP))
+	stalled := map[string]string{"n1": "n2", "n2": "n3", "n3": "n1"}[lead]
+	check(t, g.processes[stalled].Process.Signal(syscall.SIGSTOP))
 	time.Sleep(300 * time.Millisecond)
 	g.edit("c.toml", lead, "worth = 5.0", "worth = 6.0")
 	began := time.Now()
 	g.expect(0, "it takes hold as revision 3", "config", "propose", "c.toml", "--no-wait", "--id", "x",
 		"--config", lead+".toml")
 	if out := g.must("config", "pending", "--config", lead+".toml"); !strings.Contains(out,
-		"waits for  "+still) {
-		t.Errorf("who is waited for is not said: %s", out)
+		"waits for  "+stalled) {
+		t.Errorf("the awaited instance is not printed: %s", out)
 	}
-	// Another change at once is a conflict that says why, and changes nothing.
+	// Another change at once is a conflict with a reason, and changes nothing.
 	g.edit("d.toml", lead, "worth = 5.0", "worth = 7.0")
 	g.expect(exitConflict, "is taking hold as revision 3", "config", "propose", "d.toml", "--config",
 		lead+".toml")
@@ -80,27 +38,27 @@
 	g.expect(0, "in force as revision 3", "config", "propose", "c.toml", "--id", "x", "--config",
 		lead+".toml")
 	if took := time.Since(began); took < 1500*time.Millisecond {
-		t.Errorf("in force after %v, while the lease of %s lasted", took, still)
+		t.Errorf("in force after %v, while the lease of %s lasted", took, stalled)
 	}
-	check(t, g.proc[still].Process.Signal(syscall.SIGCONT))
-	g.admits(still)
-	if out := g.must("cluster", "status", "--config", still+".toml"); !strings.Contains(out,
+	check(t, g.processes[stalled].Process.Signal(syscall.SIGCONT))
+	g.waitAdmitting(stalled)
+	if out := g.must("cluster", "status", "--config", stalled+".toml"); !strings.Contains(out,
 		"running   revision 3") {
-		t.Errorf("woken: %s", out)
+		t.Errorf("resumed: %s", out)
 	}
 	if out := g.must("config", "history", "--config",
-		still+".toml"); !regexp.MustCompile(`(?m)^3 .*\d\.\d+s`).MatchString(out) {
-		t.Errorf("the history does not say how long it took: %s", out)
+		stalled+".toml"); !regexp.MustCompile(`(?m)^3 .*\d\.\d+s`).MatchString(out) {
+		t.Errorf("the history does not print how long it took: %s", out)
 	}
 }
 
-// One that starts alone knows no policy that is in force: it refuses at once, and says when to
-// come back.
-func TestAloneAfterItsStart(t *testing.T) {
+// One that starts alone knows no policy that is in force: it rejects at once, and names the time
+// after which to retry.
+func TestInstanceAloneAfterItsStartRejects(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
-	g.admits("n1", "n2", "n3")
+	g.waitAdmitting("n1", "n2", "n3")
 	g.kill("n2", syscall.SIGKILL)
 	g.kill("n3", syscall.SIGKILL)
 	eventually(t, "its lease runs out", func() bool {
@@ -112,18 +70,18 @@
 	g.expect(exitNoLeader, "no jobs: this instance has not heard from its group", "cluster", "status",
 		"--config", "n2.toml")
 	began := time.Now()
-	code, head := g.job("n2")
+	code, head := g.sendJob("n2")
 	if code != 503 || head.Get("Retry-After") == "" || !strings.Contains(head.Get("X-Refusal"), "not heard") {
 		t.Errorf("answer %d, %v", code, head)
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("refused after %v", took)
+		t.Errorf("rejected after %v", took)
 	}
 	g.start("n3") // with it there is a majority
-	g.admits("n2", "n3")
+	g.waitAdmitting("n2", "n3")
 }
 
-func TestChangeThatOneInstanceRefuses(t *testing.T) {
+func TestChangeThatOneInstanceRejectsIsWithdrawn(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2")
@@ -135,8 +93,8 @@
 	check(t, err)
 	check(t, os.WriteFile(file, []byte(strings.Replace(string(text), `"20ms"`, `"30ms"`, 1)), 0o600))
 	g.start("n3")
-	g.must("cluster", "add", "n3", g.addr["n3"], "--config", "n1.toml")
-	g.admits("n1", "n2", "n3")
+	g.must("cluster", "add", "n3", g.peerAddress["n3"], "--config", "n1.toml")
+	g.waitAdmitting("n1", "n2", "n3")
 	text, err = os.ReadFile(filepath.Join(g.dir, "c.toml"))
 	if err == nil {
 		t.Fatalf("there is %s", text)
@@ -161,13 +119,13 @@
 		"n2.toml")
 }
 
-// Where who is cut off serves on, a change needs everybody's yes, or an operator's word.
-func TestServeOnWhenCutOff(t *testing.T) {
+// Where who is cut off serves on, a change needs the consent of all, or an operator's command.
+func TestInstanceServesOnWhileCutOff(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
 	g.rolloutSection("n1", "cut_off = \"serve\"\nstage_within = \"1500ms\"")
-	g.admits("n1", "n2", "n3")
+	g.waitAdmitting("n1", "n2", "n3")
 	g.kill("n3", syscall.SIGKILL)
 	g.edit("c.toml", "n1", "worth = 5.0", "worth = 6.0")
 	out, code := g.run("config", "propose", "c.toml", "--config", "n1.toml")
@@ -180,7 +138,7 @@
 	g.expect(0, "in force as revision 3", "config", "propose", "c.toml", "--config", "n1.toml")
 	// It comes back through the group, under the new policy.
 	g.start("n3")
-	g.admits("n3")
+	g.waitAdmitting("n3")
 	g.expect(0, "running   revision 3", "cluster", "status", "--config", "n3.toml")
 	// One that is alone and runs serves on.
 	g.kill("n1", syscall.SIGKILL)
@@ -189,22 +147,22 @@
 		_, code := g.run("cluster", "status", "--config", "n3.toml")
 		return code == exitNoLeader
 	})
-	if _, head := g.job("n3"); head.Get("X-Refusal") != "" {
-		t.Errorf("cut off, it refuses: %v", head)
+	if _, head := g.sendJob("n3"); head.Get("X-Refusal") != "" {
+		t.Errorf("cut off, it rejects: %v", head)
 	}
 }
 
-func TestWithdraw(t *testing.T) {
+func TestWithdrawnChangeIsInForceNowhere(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
 	g.rolloutSection("n1", `lease = "3s"`)
-	g.admits("n1", "n2", "n3")
+	g.waitAdmitting("n1", "n2", "n3")
 	g.expect(exitFailed, "no change is pending", "config", "withdraw", "--config", "n1.toml")
 	lead := g.leader("n1", "n2", "n3")
-	still := map[string]string{"n1": "n2", "n2": "n3", "n3": "n1"}[lead]
-	check(t, g.proc[still].Process.Signal(syscall.SIGSTOP))
-	defer func() { check(t, g.proc[still].Process.Signal(syscall.SIGCONT)) }()
+	stalled := map[string]string{"n1": "n2", "n2": "n3", "n3": "n1"}[lead]
+	check(t, g.processes[stalled].Process.Signal(syscall.SIGSTOP))
+	defer func() { check(t, g.processes[stalled].Process.Signal(syscall.SIGCONT)) }()
 	g.edit("c.toml", lead, "worth = 5.0", "worth = 6.0")
 	g.must("config", "propose", "c.toml", "--no-wait", "--id", "x", "--config", lead+".toml")
 	g.expect(0, "change x is withdrawn", "config", "withdraw", "x", "--reason", "the wrong file", "--config",
@@ -216,7 +174,7 @@
 
 // Faults of links and processes between real instances, with jobs and changes meanwhile. The
 // verdict is the audit's, and depends on no speed.
-func TestClusterStories(t *testing.T) {
+func TestClusterUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	for name, story := range map[string]string{
@@ -226,7 +184,8 @@
 			"5600ms cut n1 n3\n5700ms half-open n1 n2\n5800ms reset n2 n3",
 		"crashes": "500ms restart leader 400ms\n2s kill n2\n2s kill n3\n3s start n3\n" +
 			"4s start n2\n4500ms restart leader 50ms",
-		// The leader, and who was asked, die, stand still and are cut off at each step of a change.
+		// The leader, and the instance that got the call, die, stall and are cut off at each step of a
+		// change.
 		"steps die": "300ms @proposed restart leader 400ms\n1700ms @staged restart leader 300ms\n" +
 			"3s @ceased restart leader 400ms\n4500ms @switched restart leader 300ms\n" +
 			"6s @switched restart asked 300ms",
@@ -235,7 +194,8 @@
 			"5200ms @switched stall it 900ms\n6700ms @staged:n2 stall n2 300ms",
 		"steps cut": "300ms @proposed deaf leader\n1300ms heal\n1800ms @staged isolate it\n2900ms heal\n" +
 			"3400ms @ceased mute leader\n4500ms heal\n5s @switched isolate it\n6s heal",
-		// Who holds a duty, at each step of its work, while the instances are taken out one after another.
+		// Faults at the holder of a leased task, at each step of its work, while the instances are taken out
+		// one after another.
 		"rolls": "1ms @holds restart it 300ms\n1500ms @gives stall it 900ms\n3s @holds stall it 1s\n" +
 			"4s @acts isolate it\n5s heal\n5100ms @gives restart it 300ms\n6s @out restart it 200ms\n" +
 			"6500ms @out restart conductor 300ms\n7500ms @acts stall conductor 600ms",
--- a/cmd/moorstack/root.go
+++ b/cmd/moorstack/root.go
@@ -56,31 +56,20 @@
 	root.PersistentFlags().
 		StringVar(&g.logLevel, "log-level", "info", "least level logged: debug, info, warn or error")
 	root.PersistentFlags().StringVar(&g.logFormat, "log-format", "text", "form of the log: text or json")
-	root.AddCommand(
-		newVersion(),
-		newCall(),
-		newServe(&g),
-		newConfig(&g),
-		newCluster(&g),
-		newDuty(&g),
-		newKeys(&g),
-		newStore(&g),
-		newExpect(&g),
-		newEmulate(&g),
-		labCommand("experiment", "Run plans of emulated worlds, and say which differences are real"),
-		labCommand("load", "Send jobs to a node on loopback at a steady rate, and measure"),
-		newRoute(&g),
-		newProve(&g),
-	)
-	refuseUnknown(root)
+	root.AddCommand(newVersion(), newCall(), newServe(&g), newConfig(&g), newCluster(&g), newDuty(&g),
+		newKeys(&g), newStore(&g), newExpect(&g), newEmulate(&g),
+		newLabCommand("experiment", "Run plans of emulated worlds, and say which differences are real"),
+		newLabCommand("load", "Send jobs to a node on loopback at a steady rate, and measure"), newRoute(&g),
+		newProve(&g))
+	rejectUnknownCommands(root)
 	return root
 }
 
-// refuseUnknown has every command that only holds others refuse a word that names none of
-// them. Cobra does so at the root alone, and prints help with exit code 0 elsewhere.
-func refuseUnknown(cmd *cobra.Command) {
+// rejectUnknownCommands has every command that only holds others reject an argument that names none
+// of them. Cobra does so at the root alone, and prints help with exit code 0 elsewhere.
+func rejectUnknownCommands(cmd *cobra.Command) {
 	for _, c := range cmd.Commands() {
-		refuseUnknown(c)
+		rejectUnknownCommands(c)
 	}
 	if cmd.Runnable() || !cmd.HasSubCommands() {
 		return
--- a/cmd/moorstack/route.go
+++ b/cmd/moorstack/route.go
@@ -63,13 +63,8 @@
 			for _, w := range warnings {
 				fmt.Fprintln(cmd.ErrOrStderr(), "warning:", w.Error())
 			}
-			fmt.Fprintf(
-				cmd.OutOrStdout(),
-				"%s: %d rules, %d warnings\n",
-				args[0],
-				len(compiled.Rules()),
-				len(warnings),
-			)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d rules, %d warnings\n", args[0], len(compiled.Rules()),
+				len(warnings))
 			return nil
 		},
 	}
--- a/cmd/moorstack/routes_test.go
+++ b/cmd/moorstack/routes_test.go
@@ -3,15 +3,13 @@
 import (
 	"fmt"
 	"net/http"
-	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-const twoRules = `version = 1
+const sampleRules = `version = 1
 
 [[pool]]
 name = "first"
@@ -31,133 +29,127 @@
 spill = "never"
 `
 
-// Rules of the instance's own file, read anew on SIGHUP; then the group's, which come first.
+// agreedExpectation is a file of expectations with one on a rejection, for its reason.
+const agreedExpectation = `version = 1
+platform = "platform.json"
+rules = "routes.toml"
+[[worker]]
+name = "a"
+zone = "z"
+kind = "k"
+cell = 1
+[[job]]
+name = "book"
+class = "book"
+path = "/api"
+[[expect]]
+name = "books are refused"
+job = "book"
+refused = { reason = "%s" }
+`
+
+// routedInstance is an instance with rules by which jobs are routed.
+type routedInstance struct {
+	*group
+	node    *nodeFixture
+	faktory string // where the Faktory front listens
+}
+
+// Rules of the instance's own file, read again on SIGHUP; then the group's, which come first.
 func TestRoutesAtAnInstance(t *testing.T) {
 	t.Parallel()
-	g := newGroup(t)
-	g.must("keys", "issue", "n1")
-	file := func(name, text string) string {
-		path := filepath.Join(g.dir, name)
-		check(t, os.WriteFile(path, []byte(text), 0o600))
-		return path
-	}
-	front := freeAddress(t)
-	file("faktory.toml", fmt.Sprintf("listen = %q\n[classes]\n", front))
-	file("routes.toml", twoRules)
-	file("n1.toml", fmt.Sprintf(`name = "n1"
-data = "d"
-[front]
-platform = "platform.json"
-faktory = "faktory.toml"
-routes = "routes.toml"
-[peers]
-listen = %q
-tick = "100ms"
-[keys]
-ca = "keys/ca.crt"
-cert = "keys/n1.crt"
-key = "keys/n1.key"
-[control]
-socket = "n1.sock"
-`, freeAddress(t)))
-	w := newWorldAt(t, filepath.Join(g.dir, "platform.json"), 3, func(_ int, s seen, rw http.ResponseWriter) {
-		accept(s, rw, "done")
-	}, "serve", "--config", filepath.Join(g.dir, "n1.toml"))
+	r := &routedInstance{group: newGroup(t), faktory: freeAddress(t)}
+	r.write("faktory.toml", fmt.Sprintf("listen = %q\n[classes]\n", r.faktory))
+	r.write("routes.toml", sampleRules)
+	r.node = r.startSoleInstance("faktory = \"faktory.toml\"\nroutes = \"routes.toml\"\n",
+		func(_ int, s workerCall, rw http.ResponseWriter) { acceptJob(s, rw, "done") })
 
 	// One that belongs to no group knows no policy that is in force, and admits nothing.
-	none := w.dial().send(job("r0", "quote", "2000m", "x")).want(503, "")
+	none := r.node.dial().send(jobRequest("r0", "quote", "2000m", "x")).expectResponse(503, "")
 	if none.Header.Get("Retry-After") == "" || !strings.Contains(none.Header.Get("X-Refusal"), "no group") {
-		t.Errorf("without a group refused with %v", none.Header)
+		t.Errorf("without a group rejected with %v", none.Header)
 	}
-	g.must("cluster", "init", "--config", "n1.toml")
+	r.must("cluster", "init", "--config", "n1.toml")
 	eventually(t, "jobs are admitted", func() bool {
-		return strings.Contains(g.must("cluster", "status", "--config", "n1.toml"),
+		return strings.Contains(r.must("cluster", "status", "--config", "n1.toml"),
 			"admits    jobs, under revision 1")
 	})
+	r.checkOwnRules()
+	r.checkReload()
+	r.checkAgreedRules()
+	r.checkFaktoryRules()
+}
 
-	// Refused by a rule, over both fronts, with the reason and when to return.
-	resp := w.dial().send(job("r1", "book", "2000m", "x")).want(503, "")
+// checkOwnRules checks that the rules of the instance's file decide.
+func (r *routedInstance) checkOwnRules() {
+	r.t.Helper()
+	// Rejected by a rule, with the reason and the time after which to retry.
+	resp := r.node.dial().send(jobRequest("r1", "book", "2000m", "x")).expectResponse(503, "")
 	if resp.Header.Get("Retry-After") != "1.500" || resp.Header.Get("X-Refusal") != "no bookings today" {
-		t.Errorf("refused with %v", resp.Header)
+		r.t.Errorf("rejected with %v", resp.Header)
 	}
 	// Quotes go to the pool of the first worker, whose cell is 1, also those without a class.
 	for i := range 20 {
 		class := []string{"quote", ""}[i%2]
-		w.dial().send(job(fmt.Sprint("q", i), class, "2000m", "x")).want(200, "did x")
+		r.node.dial().send(jobRequest(fmt.Sprint("q", i), class, "2000m", "x")).expectResponse(200, "did x")
 	}
-	if a, b := w.hops[0].calls(), w.hops[1].calls()+w.hops[2].calls(); a < 20 || b > 0 {
-		t.Errorf("the pool got %d calls, the others %d", a, b)
+	workers := r.node.workers
+	if a, b := workers[0].callCount(), workers[1].callCount()+workers[2].callCount(); a < 20 || b > 0 {
+		r.t.Errorf("the pool got %d calls, the others %d", a, b)
 	}
-	out := g.must("route", "explain", "--config", "n1.toml", "--class", "quote", "--host", "app.svc")
-	for _, say := range []string{"rule 2 (quotes)", "routes.toml:13", "first: s-0000",
+	out := r.must("route", "explain", "--config", "n1.toml", "--class", "quote", "--host", "app.svc")
+	for _, want := range []string{"rule 2 (quotes)", "routes.toml:13", "first: s-0000",
 		"out: s-0001, the rule puts it elsewhere or nowhere"} {
-		if !strings.Contains(out, say) {
-			t.Errorf("explained without %q: %s", say, out)
+		if !strings.Contains(out, want) {
+			r.t.Errorf("explained without %q: %s", want, out)
 		}
 	}
+}
 
-	// A file that is no good changes nothing; a good one comes into force on SIGHUP.
-	file("routes.toml", strings.Replace(twoRules, `["first"]`, `["frist"]`, 1))
-	check(t, w.cmd.Process.Signal(syscall.SIGHUP))
-	time.Sleep(100 * time.Millisecond)
-	w.dial().send(job("r2", "book", "2000m", "x")).want(503, "")
-	file("routes.toml", strings.Replace(twoRules, `class = ["book"]`, `class = ["quote"]`, 1))
-	check(t, w.cmd.Process.Signal(syscall.SIGHUP))
-	eventually(t, "the rules are read", func() bool {
+// checkReload checks that an invalid file changes nothing, and a valid one comes into force on SIGHUP.
+func (r *routedInstance) checkReload() {
+	r.t.Helper()
+	r.write("routes.toml", strings.Replace(sampleRules, `["first"]`, `["frist"]`, 1))
+	check(r.t, r.node.cmd.Process.Signal(syscall.SIGHUP))
+	time.Sleep(100 * time.Millisecond) // in which the old rules must stay
+	r.node.dial().send(jobRequest("r2", "book", "2000m", "x")).expectResponse(503, "")
+	r.write("routes.toml", strings.Replace(sampleRules, `class = ["book"]`, `class = ["quote"]`, 1))
+	check(r.t, r.node.cmd.Process.Signal(syscall.SIGHUP))
+	eventually(r.t, "the rules are read", func() bool {
 		return strings.Contains(
-			g.must("route", "explain", "--config", "n1.toml", "--class", "quote", "--path", "/api"),
-			"no bookings today",
-		)
+			r.must("route", "explain", "--config", "n1.toml", "--class", "quote", "--path", "/api"),
+			"no bookings today")
 	})
-	w.dial().send(job("r3", "book", "2000m", "x")).want(200, "did x")
+	r.node.dial().send(jobRequest("r3", "book", "2000m", "x")).expectResponse(200, "did x")
+}
 
-	// What the group agrees on comes first. A change that breaks an expectation is refused.
-	file("agreed.toml", strings.Replace(twoRules, "no bookings today", "the group says no", 1))
-	expectation := `version = 1
-platform = "platform.json"
-rules = "routes.toml"
-[[worker]]
-name = "a"
-zone = "z"
-kind = "k"
-cell = 1
-[[job]]
-name = "book"
-class = "book"
-path = "/api"
-[[expect]]
-name = "books are refused"
-job = "book"
-refused = { reason = "%s" }
-`
-	file("wrong.toml", fmt.Sprintf(expectation, "something else"))
-	file("right.toml", fmt.Sprintf(expectation, "the group says no"))
+// checkAgreedRules checks that the group's rules come first, and a change that breaks an expectation is
+// rejected.
+func (r *routedInstance) checkAgreedRules() {
+	r.t.Helper()
+	r.write("agreed.toml", strings.Replace(sampleRules, "no bookings today", "the group says no", 1))
+	r.write("wrong.toml", fmt.Sprintf(agreedExpectation, "something else"))
+	r.write("right.toml", fmt.Sprintf(agreedExpectation, "the group says no"))
 	set := []string{"config", "set", "routes", "toml", "agreed.toml", "--config", "n1.toml", "--expect"}
-	g.expect(exitInvalid, "wrong.toml:13: books are refused", append(set, "wrong.toml")...)
-	g.expect(0, "revision 2", append(set, "right.toml")...)
-	eventually(t, "the group's rules are in force", func() bool {
-		r := w.dial().send(job(fmt.Sprint("g", time.Now().UnixNano()), "book", "2000m", "x"))
-		resp, _ := r.answer()
+	r.expect(exitInvalid, "wrong.toml:13: books are refused", append(set, "wrong.toml")...)
+	r.expect(0, "revision 2", append(set, "right.toml")...)
+	eventually(r.t, "the group's rules are in force", func() bool {
+		id := fmt.Sprint("g", time.Now().UnixNano())
+		resp, _ := r.node.dial().send(jobRequest(id, "book", "2000m", "x")).readResponse()
 		return resp.Header.Get("X-Refusal") == "the group says no"
 	})
-	file("bad.toml", strings.Replace(twoRules, `class = ["book"]`, `class = ["bok"]`, 1))
-	g.expect(
-		exitInvalid,
-		`there is no class "bok"`,
-		"config",
-		"set",
-		"routes",
-		"toml",
-		"bad.toml",
-		"--config",
-		"n1.toml",
-	)
+	r.write("bad.toml", strings.Replace(sampleRules, `class = ["book"]`, `class = ["bok"]`, 1))
+	r.expect(exitInvalid, `there is no class "bok"`, "config", "set", "routes", "toml", "bad.toml",
+		"--config", "n1.toml")
+}
 
-	// The Faktory front goes by the same rules.
-	c := dial(t, front)
+// checkFaktoryRules checks that the Faktory front goes by the same rules.
+func (r *routedInstance) checkFaktoryRules() {
+	r.t.Helper()
+	c := dial(r.t, r.faktory)
 	line := func() string {
 		s, err := c.r.ReadString('\n')
-		check(t, err)
+		check(r.t, err)
 		return s
 	}
 	line()
@@ -165,10 +157,10 @@
 	line()
 	c.send("PUSH {\"jid\":\"job-0001\",\"jobtype\":\"book\",\"args\":[]}\r\n")
 	if got := line(); strings.Contains(got, "the group says no") {
-		t.Errorf("a rule for a path decides a job without one: %q", got)
+		r.t.Errorf("a rule for a path decides a job without one: %q", got)
 	}
-	out = g.must("route", "explain", "--config", "n1.toml", "--front", "faktory", "--class", "quote")
+	out := r.must("route", "explain", "--config", "n1.toml", "--front", "faktory", "--class", "quote")
 	if !strings.Contains(out, "any worker") {
-		t.Errorf("a rule for a host decides a job without one: %s", out)
+		r.t.Errorf("a rule for a host decides a job without one: %s", out)
 	}
 }
--- a/cmd/moorstack/triggers_test.go
+++ b/cmd/moorstack/triggers_test.go
@@ -14,8 +14,8 @@
 )
 
 // Triggers are set in the agreed configuration, and seen before and after by the operators' commands.
-// What makes no sense is refused with its key, and changes nothing.
-func TestTriggersByTheOperatorsCommands(t *testing.T) {
+// What is invalid is rejected with its key, and changes nothing.
+func TestTriggersAreSetAndShownByCommands(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
@@ -61,7 +61,7 @@
 	for _, want := range []string{"dialysis-7 (Europe/Berlin): ", "T02:30", "-02-29T06:00",
 		"the month lacks its day", "zones = "} {
 		if !strings.Contains(out, want) {
-			t.Errorf("a dry run does not say %q: %s", want, out)
+			t.Errorf("a dry run does not print %q: %s", want, out)
 		}
 	}
 	// A clock that is set by a file is for tests.
@@ -72,16 +72,9 @@
 	g.expect(1, "for tests: take the line out", "serve", "--config", "n4.toml")
 }
 
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err)
-	}
-	return v
-}
-
-// Instances that are asked to end, one after another, give back what they have not begun, and see to its end
-// what they have: nothing may have run.
-func TestTriggersWhileInstancesLeave(t *testing.T) {
+// Instances that shut down, one after another, release the firings that they have not begun, and complete
+// those that they have: none is of unknown outcome.
+func TestTriggersWhileInstancesShutDown(t *testing.T) {
 	t.Parallel()
 	g := &group{t: t, dir: t.TempDir()}
 	check(t, os.WriteFile(filepath.Join(g.dir, "story.txt"), []byte("1s leave n1 300ms\n3s leave n2 300ms\n"+
@@ -91,10 +84,10 @@
 		"--duties", "0", "--accounts", "0", "--triggers", "9", "--rate", "5")
 }
 
-// The night of a clock change, the 29th of February and the day that a place left out, in fast time, with
+// The night of a clock change, the 29th of February and the day that a place skipped, in fast time, with
 // kills in the very hour; one clock that is off, by minutes and by an hour; one instance with older zone
-// rules. No occurrence comes twice, is left out, or is repeated where it may not be.
-func TestTriggersThroughNights(t *testing.T) {
+// rules. No occurrence comes twice, is missed, or is repeated where it may not be.
+func TestTriggersThroughClockChanges(t *testing.T) {
 	for name, c := range map[string]struct {
 		story string
 		args  []string
@@ -137,7 +130,7 @@
 	g := newGroup(t)
 	var mu sync.Mutex
 	took := map[string][]string{} // by occurrence: whose workers
-	g.stages([]string{"n1", "n2", "m1"}, func(name string) loopback.Options {
+	g.startWithWorkers([]string{"n1", "n2", "m1"}, func(name string) loopback.Options {
 		return loopback.Options{OnJob: func(_, key string) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -157,7 +150,7 @@
 		return n
 	}
 	g.form("n1", "n2")
-	if out, code := g.propose("n1", steady+"[section.schedule]\nzone = \"Asia/Muscat\"\n"+
+	if out, code := g.propose("n1", steadyLease+"[section.schedule]\nzone = \"Asia/Muscat\"\n"+
 		"\"trigger.each-second\" = \"* * * * * * class=trip-book\"\n"); code != 0 {
 		t.Fatal(out)
 	}
@@ -185,7 +178,7 @@
 	slices.SortFunc(own, time.Time.Compare)
 	for n := range own[1:] {
 		if d := own[n+1].Sub(own[n]); d != time.Second {
-			t.Errorf("between %v and %v occurrences were left out", own[n], own[n+1])
+			t.Errorf("between %v and %v occurrences were missed", own[n], own[n+1])
 		}
 	}
 }
