--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -63,8 +63,8 @@
 		}
 	}
 	bucket := &b.quotas[q.Tenant]
-	part := max(1/float64(b.settings.DispatcherCount), offered/max(allowed*b.observedSeconds, epsilon))
-	rate := b.settings.Tenants[q.Tenant].QuotaPerSecond * part
+	fraction := max(1/float64(b.settings.DispatcherCount), offered/max(allowed*b.observedSeconds, epsilon))
+	rate := b.settings.Tenants[q.Tenant].QuotaPerSecond * fraction
 	burst := max(rate*b.settings.Rules.SlowStartWindow.Seconds(), minQuotaBurst)
 	bucket.tokens = min(bucket.tokens+rate*(now-bucket.updatedAt).Seconds(), burst)
 	bucket.updatedAt = now
--- a/internal/cluster/membership/convergence_test.go
+++ b/internal/cluster/membership/convergence_test.go
@@ -25,8 +25,8 @@
 	for seed := range seedCount(t, 20) {
 		n := []int{5, 10, 30}[seed%3]
 		s := newSimulation(seed, n, simulationPolicy())
-		s.onFalseFailure = func(observer, subject *simMember) {
-			t.Errorf("seed %d: at %v %d calls %d failed", seed, s.now, observer.id, subject.id)
+		s.onFalseFailure = func(observer, observed *simMember) {
+			t.Errorf("seed %d: at %v %d calls %d failed", seed, s.now, observer.id, observed.id)
 		}
 		for at := 5 * time.Second; at < 100*time.Second; at += 5 * time.Second {
 			s.after(at, func() {
--- a/internal/cluster/membership/simulation_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -22,7 +22,7 @@
 	cut      map[link]bool
 	sent     int // messages
 	// onFalseFailure is called when one member calls another failed that is alive.
-	onFalseFailure func(observer, subject *simMember)
+	onFalseFailure func(observer, observed *simMember)
 }
 
 // link is one direction between two members.
@@ -129,9 +129,9 @@
 
 func (s *simulation) observeEvents(m *simMember) {
 	for _, e := range m.detector.PopEvents() {
-		subject := s.members[e.ID-1]
-		if e.State == Failed && subject.alive && s.onFalseFailure != nil {
-			s.onFalseFailure(m, subject)
+		observed := s.members[e.ID-1]
+		if e.State == Failed && observed.alive && s.onFalseFailure != nil {
+			s.onFalseFailure(m, observed)
 		}
 	}
 }
@@ -178,12 +178,12 @@
 		for _, m := range observer.detector.Members() {
 			states[m.ID] = m.State
 		}
-		for _, subject := range s.members {
-			state, known := states[subject.id]
-			if subject != observer &&
-				(!known || subject.alive && state != Alive || !subject.alive && state < Failed) {
-				return fmt.Sprintf("%d takes %d for %v (known: %v), alive: %v", observer.id, subject.id,
-					state, known, subject.alive)
+		for _, observed := range s.members {
+			state, known := states[observed.id]
+			if observed != observer &&
+				(!known || observed.alive && state != Alive || !observed.alive && state < Failed) {
+				return fmt.Sprintf("%d takes %d for %v (known: %v), alive: %v", observer.id, observed.id,
+					state, known, observed.alive)
 			}
 		}
 	}
--- a/internal/cluster/ratelimit/utilisation_test.go
+++ b/internal/cluster/ratelimit/utilisation_test.go
@@ -90,10 +90,10 @@
 func measureStaticSplit(pattern callPattern, fronts int) float64 {
 	rng := rand.New(rand.NewPCG(7, 1))
 	level, refilledAt, admitted := make([]float64, fronts), make([]time.Duration, fronts), 0
-	part := measuredRate / float64(fronts)
+	ratePerFront := measuredRate / float64(fronts)
 	for now := callsFrom; now < measureUntil; now += callInterval {
 		n := pattern.frontAt(now, rng, fronts)
-		level[n] = min(part, level[n]+part*(now-refilledAt[n]).Seconds())
+		level[n] = min(ratePerFront, level[n]+ratePerFront*(now-refilledAt[n]).Seconds())
 		if refilledAt[n] = now; level[n] >= 1 {
 			level[n]--
 			if now >= measureFrom {
--- a/internal/frontend/platform/harness_test.go
+++ b/internal/frontend/platform/harness_test.go
@@ -166,11 +166,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan error, 1)
-	go func() { over <- loop.Run() }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- loop.Run() }()
 	t.Cleanup(func() {
 		loop.Post(loop.Stop)
-		<-over
+		<-runResult
 	})
 	return f
 }
--- a/internal/proxy/routing/enumerate.go
+++ b/internal/proxy/routing/enumerate.go
@@ -137,16 +137,16 @@
 
 // DescribeJob describes a job, without what it does not name.
 func DescribeJob(names KnownNames, j *Job) string {
-	parts := []string{j.Front}
+	properties := []string{j.Front}
 	add := func(what, value string) {
 		if value != "" {
-			parts = append(parts, what+" "+value)
+			properties = append(properties, what+" "+value)
 		}
 	}
 	if j.Class >= 0 && j.Class < len(names.Classes) {
 		add("class", names.Classes[j.Class])
 	} else {
-		parts = append(parts, "no class")
+		properties = append(properties, "no class")
 	}
 	if j.Tenant >= 0 && j.Tenant < len(names.Tenants) {
 		add("tenant", names.Tenants[j.Tenant])
@@ -162,5 +162,5 @@
 	for _, name := range slices.Sorted(maps.Keys(j.headers)) {
 		add("header "+name+":", j.headers[name])
 	}
-	return strings.Join(parts, ", ")
+	return strings.Join(properties, ", ")
 }
