--- a/cmd/moorstack/earlier_program_test.go
+++ b/cmd/moorstack/earlier_program_test.go
@@ -7,12 +7,15 @@
 	"testing"
 )
 
+// beforePresentNames is the last commit before identifiers and packages got their present names.
+const beforePresentNames = "ed6dd0a"
+
 // earlierPrograms are commits whose program an instance of now has to share a group with.
 var earlierPrograms = []struct{ name, commit string }{
 	// The last one whose program knows rates over all fronts and nothing of triggers: state format 4.
 	{"before triggers", "337f08d"},
 	// The last one before identifiers and packages got their present names: the same state format.
-	{"before the present names", "ed6dd0a"},
+	{"before the present names", beforePresentNames},
 }
 
 // mixedGroupFaults has the instances renewed one after another, and n1 rolled back once in between.
--- a/cmd/moorstack/upgrade_fixture_test.go
+++ b/cmd/moorstack/upgrade_fixture_test.go
@@ -151,9 +151,15 @@
 
 // startProcess starts one more process of the node, with a second address of its own.
 func (u *upgradeFixture) startProcess() (cmd *exec.Cmd, admin string) {
+	u.t.Helper()
+	return u.startProgram(program)
+}
+
+// startProgram is startProcess for a program that may be of an earlier version.
+func (u *upgradeFixture) startProgram(path string) (cmd *exec.Cmd, admin string) {
 	u.t.Helper()
 	admin = freeAddress(u.t)
-	cmd = exec.Command(program)
+	cmd = exec.Command(path)
 	cmd.Env = append(append([]string{}, u.cmd.Env...), "BALANCER_ADMIN_ADDR="+admin)
 	cmd.Stderr = os.Stderr
 	check(u.t, cmd.Start())
--- a/cmd/moorstack/upgrade_test.go
+++ b/cmd/moorstack/upgrade_test.go
@@ -19,16 +19,28 @@
 
 // One process takes the other's place under load: every client has its one answer, no
 // connection is refused or reset, no job runs twice, maintenance lasts, and so twice over.
-func TestUpgradeUnderLoad(t *testing.T) {
+func TestUpgradeUnderLoad(t *testing.T) { upgradeUnderLoad(t, program, program) }
+
+// The same, from this program to the one before the present names and back, twice over.
+func TestUpgradeAcrossVersionsUnderLoad(t *testing.T) {
+	dir := t.TempDir()
+	buildCommit(t, must(filepath.Abs("../..")), beforePresentNames, dir, "older")
+	older := filepath.Join(dir, "older")
+	upgradeUnderLoad(t, older, program, older, program)
+}
+
+// upgradeUnderLoad has a process of each program in turn take the place of the one before.
+func upgradeUnderLoad(t *testing.T, programs ...string) {
+	t.Helper()
 	u := startUpgradableNode(t, 3)
 	out := u.workers[2]
 	u.expectReply("ACK", "maint-on "+out.name+"\n")
 	banned := out.callCount()
 	u.startClients(40)
-	for range 2 {
+	for _, next := range programs {
 		u.sleepUpTo(400)
 		old := u.cmd
-		cmd, admin := u.startProcess()
+		cmd, admin := u.startProgram(next)
 		eventually(t, "the new process is ready", func() bool { return isReady(admin) })
 		if isReady(u.admin) {
 			t.Error("both processes are ready")
