--- a/internal/cluster/consensus/apply.go
+++ b/internal/cluster/consensus/apply.go
@@ -11,7 +11,8 @@
 	"moorstack/internal/schema"
 )
 
-// applyEntry applies a committed entry. It panics where it can't: see guarded.
+// applyEntry applies a committed entry. It panics if the entry can't be applied; haltOnPanic then halts the
+// instance.
 func (i *Instance) applyEntry(e *pb.Entry) {
 	i.appliedTerm = e.GetTerm()
 	switch e.GetType() {
@@ -20,16 +21,16 @@
 			i.applyNormal(e.GetData())
 		}
 	case pb.EntryConfChangeV2:
-		if err := i.applyConfigChange(e); err != nil {
-			panic(fmt.Sprintf("entry %d: %v", e.GetIndex(), err))
+		if err := i.applyMembershipChange(e); err != nil {
+			panic(fmt.Sprintf("apply membership change at index %d: %v", e.GetIndex(), err))
 		}
 	default:
-		panic(fmt.Sprintf("entry %d is of the kind %v, which nobody proposes", e.GetIndex(), e.GetType()))
+		panic(fmt.Sprintf("log entry %d has unexpected type %v", e.GetIndex(), e.GetType()))
 	}
 	i.applied = e.GetIndex()
 }
 
-func (i *Instance) applyConfigChange(e *pb.Entry) error {
+func (i *Instance) applyMembershipChange(e *pb.Entry) error {
 	change := &pb.ConfChangeV2{}
 	if err := proto.Unmarshal(e.GetData(), change); err != nil {
 		return err
@@ -52,8 +53,8 @@
 func (i *Instance) applyNormal(data []byte) {
 	m, change, err := i.decodeEntry(data)
 	if err != nil {
-		// Hazard: to skip an entry that can't be read would be to agree on something else than the instances
-		// that can read it.
+		// Skipping an entry that can't be decoded would make this instance's state diverge from that of the
+		// instances that can decode it.
 		panic(err)
 	}
 	switch {
@@ -75,8 +76,9 @@
 
 func (i *Instance) applyRolloutCommand(m *schema.Command) {
 	c := decodeRolloutCommand(m)
-	// Hazard: a proposal of a leader that was deposed between its decision and the proposal is forwarded to
-	// the next leader, which may have granted leases since that the command counts as expired.
+	// A leader's decision is valid only in the leader's term. If the leader is deposed between its decision
+	// and its proposal, the proposal is forwarded to the next leader, which may since have granted leases
+	// that the command treats as expired.
 	if c.Kind.LeaderDecision() && c.Term != i.appliedTerm {
 		return
 	}
@@ -85,13 +87,13 @@
 			return
 		}
 	}
-	o, decided := i.state.ApplyRollout(c)
+	o, decidedChange := i.state.ApplyRollout(c)
 	if c.ID != "" {
 		i.requests.recordOutcome(c.ID, o)
 	}
-	if decided != "" {
-		if known, ok := i.state.OutcomeOf(decided); ok {
-			i.requests.recordOutcome(decided, known)
+	if decidedChange != "" {
+		if known, ok := i.state.OutcomeOf(decidedChange); ok {
+			i.requests.recordOutcome(decidedChange, known)
 		}
 	}
 	i.emitRevision()
@@ -100,7 +102,7 @@
 // applyCommand applies a command of a replicated state machine.
 func (i *Instance) applyCommand(e *schema.Change) {
 	c, ok := i.state.DecodeCommand(e)
-	// Hazard: as with sessions, a deposed leader's decision is void.
+	// As in applyRolloutCommand, a decision of a deposed leader is void.
 	if !ok || c.LeaderDecision && c.Term != i.appliedTerm {
 		return
 	}
--- a/internal/cluster/consensus/cluster_view.go
+++ b/internal/cluster/consensus/cluster_view.go
@@ -9,33 +9,33 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// ClusterView is what an instance knows of the group where something is owned by placement.
+// ClusterView holds what the owners of placed resources need to know of the group: the placement views, and
+// until when this instance may act on what it owns.
 type ClusterView struct {
 	// Views are the placement views that came into force since the last ClusterView, in order. An owner must
-	// see each: in one that it does not belong to, another owner may have acted.
+	// see every view: during a view that excludes it, another owner may have acted.
 	Views             []placement.View
-	SnapshotInstalled bool              // before them there were views that this instance skipped
-	Session           placement.Session // of this instance; the zero Session: none
-	ExpiresAt         time.Duration     // when its right to act on what it owns ends, on its clock
-	LeaseDuration     time.Duration     // of any instance's lease
+	SnapshotInstalled bool              // a snapshot replaced the log, so earlier views may be missing
+	Session           placement.Session // of this instance; the zero Session if it has none
+	ExpiresAt         time.Duration     // when this instance's ownership expires, on its own clock
+	LeaseDuration     time.Duration     // of every member's lease
 }
 
-// ownership follows the placement views, and how long this instance may act on what it owns.
+// ownership tracks the placement views and the time until which this instance may act on what it owns.
 type ownership struct {
 	replica      *replica
 	participants *participants
 
 	lease   lease.Clock
-	views   []placement.View // to be emitted
+	views   []placement.View // not emitted yet
 	latest  placement.View
-	skipped bool // views may have been skipped since the last ClusterView
-	emitted ClusterView
+	skipped bool        // views may have been skipped since the last ClusterView
+	emitted ClusterView // the last one
 }
 
-// observeView takes the placement view after an entry of the log.
-//
-// Hazard: one Advance may apply two entries, and another instance may have acted by the view between them.
-// So each view is kept, and emitted.
+// observeView records the placement view that results from a log entry. One Advance may apply several
+// entries, and another instance may have acted under the view between two of them, so every view is kept and
+// emitted.
 func (o *ownership) observeView() {
 	v := o.replica.state.PlacementView()
 	expired := o.replica.state.PopExpiredSessions()
@@ -51,12 +51,12 @@
 	o.views = append(o.views, v)
 }
 
-// observeGrant takes a lease of a leader that had applied the log up to an index.
+// observeGrant records a lease granted by a leader that had applied the log up to index.
 func (o *ownership) observeGrant(g rollout.Grant, index uint64) {
 	o.lease.ObserveGrant(g.Epoch, g.RequestedAt, g.Duration, index, o.replica.applied)
 }
 
-// snapshotInstalled begins again with the view of a snapshot.
+// snapshotInstalled discards the views seen so far and starts with the view in the snapshot.
 func (o *ownership) snapshotInstalled() {
 	o.views, o.latest, o.skipped = nil, placement.View{}, true
 	o.participants.snapshotInstalled()
@@ -64,16 +64,16 @@
 	o.observeView()
 }
 
-// emit puts a ClusterView into the effects, when it has changed.
+// emit adds a ClusterView to the effects if it has changed.
 func (o *ownership) emit(session placement.Session) {
 	o.lease.ObserveApplied(o.replica.applied)
 	lease := o.replica.policy().Lease
-	now := ClusterView{Views: o.views, SnapshotInstalled: o.skipped, Session: session, LeaseDuration: lease,
+	view := ClusterView{Views: o.views, SnapshotInstalled: o.skipped, Session: session, LeaseDuration: lease,
 		ExpiresAt: o.lease.ExpiresAt(session.Epoch, lease)}
-	if len(now.Views) == 0 && now.Session == o.emitted.Session && now.ExpiresAt == o.emitted.ExpiresAt &&
-		now.LeaseDuration == o.emitted.LeaseDuration {
+	if len(view.Views) == 0 && view.Session == o.emitted.Session && view.ExpiresAt == o.emitted.ExpiresAt &&
+		view.LeaseDuration == o.emitted.LeaseDuration {
 		return
 	}
-	o.views, o.skipped, o.emitted = nil, false, now
-	o.replica.out.ClusterView = &now
+	o.views, o.skipped, o.emitted = nil, false, view
+	o.replica.out.ClusterView = &view
 }
--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -9,7 +9,7 @@
 	"moorstack/internal/cluster/clusterstate"
 )
 
-// What Config's fields mean where they are zero.
+// Defaults of Config's fields.
 const (
 	defaultElectionTicks          = 10
 	defaultHeartbeatTicks         = 1
@@ -19,34 +19,35 @@
 	defaultSnapshotCatchUpEntries = 50
 )
 
-// Limits of the Raft library's configuration.
+// Limits and timeouts. The first four configure the Raft library.
 const (
-	maxMessageBytes          = 1 << 20 // of the entries of one MsgApp
-	maxCommittedBytes        = 4 << 20 // of the entries applied by one Ready
-	maxUncommittedBytes      = 8 << 20 // beyond them the leader drops proposals
-	maxInflightMessages      = 64      // MsgApp to one follower
-	maxTrackedMembers        = 1024    // by maps that messages fill
-	maxPromotionLag          = 16      // entries that a learner may be behind when it gets a vote
-	leaderTransferElections  = 3       // election timeouts that a leader transfer may take
-	memberActiveElections    = 2       // election timeouts without a message until a member is inactive
-	confirmationTimeoutTicks = 1       // until a lost leadership confirmation is requested again
+	maxMessageBytes          = 1 << 20 // of entries in one MsgApp
+	maxCommittedBytes        = 4 << 20 // of entries applied per Ready
+	maxUncommittedBytes      = 8 << 20 // of entries; beyond this the leader drops proposals
+	maxInflightMessages      = 64      // unacknowledged MsgApps per follower
+	maxTrackedMembers        = 1024    // in maps filled from received messages
+	maxPromotionLag          = 16      // entries by which a learner may lag when it is promoted to voter
+	leaderTransferElections  = 3       // timeout of a leader transfer, in election timeouts
+	memberActiveElections    = 2       // election timeouts without a message after which a member is inactive
+	confirmationTimeoutTicks = 1       // ticks after which an unanswered leadership confirmation is repeated
 )
 
-// Config is how an instance is run. Zero fields have defaults.
+// Config configures an Instance. Numeric fields that are zero have defaults.
 type Config struct {
 	Rules               clusterstate.Rules
-	ElectionTicks       int    // without a message of the leader, and up to twice as many: 10, if 0
-	HeartbeatTicks      int    // 1, if 0
-	RequestTimeoutTicks int    // after them a request that isn't decided gets an error: 50, if 0
-	SnapshotCount       uint64 // entries applied between snapshots: 200, if 0
-	// SnapshotCatchUpEntries are kept behind a snapshot for followers that lag a little: 50, if 0.
+	ElectionTicks       int    // election timeout: from this to twice as many; default 10
+	HeartbeatTicks      int    // default 1
+	RequestTimeoutTicks int    // after which an undecided request fails; default 50
+	SnapshotCount       uint64 // entries applied between snapshots; default 200
+	// SnapshotCatchUpEntries is the number of entries kept in the log before a snapshot, so that followers
+	// that lag slightly need no snapshot; default 50.
 	SnapshotCatchUpEntries uint64
-	Seed                   uint64
+	Seed                   uint64 // of the instance's random numbers
 	Logger                 logrus.FieldLogger
-	TickInterval           time.Duration    // 100 ms, if 0
-	WallClock              func() time.Time // shown to people and base of the group's time; may be nil
-	Zones                  *calendar.ZoneDB // the time zones for triggers; nil: this machine's
-	Labels                 []string         // what this instance offers to leased tasks
+	TickInterval           time.Duration    // default 100 ms
+	WallClock              func() time.Time // for displayed timestamps and the group's time; may be nil
+	Zones                  *calendar.ZoneDB // time zones for triggers; nil means the machine's
+	Labels                 []string         // capabilities of this instance that leased tasks may require
 }
 
 func (c Config) withDefaults() Config {
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// soleMember is an instance that is a group by itself, with the responses that it has given.
+// soleMember is an instance in a group of one, with its disk and the responses that it has given.
 type soleMember struct {
 	*Instance
 	disk      *faultfs.FS
@@ -61,11 +61,11 @@
 	return &soleMember{i, disk, log, map[RequestID]Response{}}
 }
 
-// process carries out what is due, and answers for the fronts.
+// process processes the outputs of the instance, and reports to it in place of the fronts.
 func (s *soleMember) process(t testing.TB) {
 	t.Helper()
 	var reports []func() // of the fronts
-	carryOut := func(e Effects) {
+	handleEffects := func(e Effects) {
 		for _, r := range e.Responses {
 			s.responses[r.RequestID] = r
 		}
@@ -76,7 +76,7 @@
 			reports = append(reports, func() { s.ReportAdmissionClosed(p.Change, p.Attempt) })
 		}
 	}
-	if err := ProcessReady(s.Instance, s.log, func() time.Duration { return 0 }, carryOut); err != nil {
+	if err := ProcessReady(s.Instance, s.log, func() time.Duration { return 0 }, handleEffects); err != nil {
 		t.Fatal(err)
 	}
 	for _, report := range reports {
@@ -93,7 +93,7 @@
 	}
 }
 
-// newLeader is the leader of a new group of one.
+// newLeader returns the leader and only member of a new group.
 func newLeader(t testing.TB) *soleMember {
 	t.Helper()
 	s := open(t, faultfs.New(1))
@@ -111,25 +111,25 @@
 	return s.responses[request]
 }
 
-// What was acknowledged is there after any number of restarts, through snapshots.
+// Acknowledged changes survive repeated power failures and restarts, including those after a snapshot.
 func TestAcknowledgedChangesSurviveRestarts(t *testing.T) {
 	s := newLeader(t)
 	for n := range 40 {
 		got := s.propose(t, "x"+string(rune('a'+n)), uint64(n+1), float64(n+2))
 		if got.Err != nil || got.Outcome.Code != clusterstate.Accepted ||
 			got.Outcome.Revision != uint64(n+2) {
-			t.Fatalf("change %d: %+v", n, got)
+			t.Fatalf("change %d: %+v, want it accepted as the next revision", n, got)
 		}
 		if n%3 == 0 {
 			s.disk.LosePower()
 			s = open(t, s.disk)
-			// It has not been elected again, but knows what it knew.
+			// It has recovered its state, but is not the leader again yet.
 			if got := s.propose(t, "y", uint64(n+2), 0); !errors.Is(got.Err, ErrNoLeader) {
-				t.Fatalf("without a leader: %+v", got)
+				t.Fatalf("response without a leader: %+v, want ErrNoLeader", got)
 			}
 			s.tick(t, 25)
 			if st := s.Status(); st.Role != RoleLeader || st.Revision != uint64(n+2) {
-				t.Fatalf("after a restart: %+v", st)
+				t.Fatalf("status after a restart: %+v, want a leader at the last accepted revision", st)
 			}
 		}
 	}
@@ -148,35 +148,36 @@
 		s.process(t)
 		var rejected *RejectedError
 		if got := s.responses[request].Err; !errors.As(got, &rejected) || got.Error() != want {
-			t.Errorf("%v: %v", op.Kind, got)
+			t.Errorf("%v: unexpected error %v", op.Kind, got)
 		}
 	}
 	if err := s.Bootstrap("h", "127.0.0.1:1", document(1), 0); err == nil {
-		t.Error("a group is made of a member of another")
+		t.Error("a member of one group bootstraps another")
 	}
 	if err := s.Join("h"); err == nil {
-		t.Error("a member joins another group")
+		t.Error("a member of one group joins another")
 	}
 }
 
-// A proposal that nobody can read must not get into the log: it would stop every instance.
+// A forwarded proposal that can't be decoded must not be appended to the log: every instance would halt when
+// it applies the entry.
 func TestUnreadableProposalIsRejected(t *testing.T) {
 	s := newLeader(t)
 	for _, e := range []*pb.Entry{{Data: []byte("x")}, {Type: pb.EntryConfChangeV2.Enum()}, {}, nil} {
 		err := s.Step(&pb.Message{Type: pb.MsgProp.Enum(), From: proto.Uint64(78), To: proto.Uint64(77),
 			Entries: []*pb.Entry{e}})
 		if err == nil {
-			t.Errorf("accepted: %v", e)
+			t.Errorf("proposal of entry %v is accepted", e)
 		}
 		s.process(t)
 	}
 	if got := s.propose(t, "x", 1, 2); got.Outcome.Code != clusterstate.Accepted {
-		t.Errorf("it goes on with %+v", got)
+		t.Errorf("a valid proposal afterwards: %+v, want it accepted", got)
 	}
 }
 
-// FuzzStep has any bytes come from another instance: an error or not, but the process goes on, and nothing
-// that was committed is lost.
+// FuzzStep passes arbitrary messages to an instance. Whether they are rejected or not, the process must
+// survive, and nothing that was committed may be lost.
 func FuzzStep(f *testing.F) {
 	for _, m := range fuzzMessages() {
 		b, err := proto.Marshal(m)
@@ -195,14 +196,14 @@
 		s.process(t)
 		s.tick(t, 3)
 		if r := s.State().CurrentRevision(); r.Number < 1 {
-			t.Errorf("revision %d remains", r.Number)
+			t.Errorf("revision is %d after the message, want at least 1", r.Number)
 		}
 		s.disk.LosePower()
-		open(t, s.disk) // and what it wrote can be read
+		open(t, s.disk) // fails the test if the written records can't be read
 	})
 }
 
-// fuzzMessages are the seeds of FuzzStep.
+// fuzzMessages returns the seed corpus of FuzzStep.
 func fuzzMessages() []*pb.Message {
 	u := proto.Uint64
 	from, to := u(78), u(77)
@@ -223,38 +224,38 @@
 	}
 }
 
-// A group that an older program has made takes no change while one of its members is not known to know
-// staging, by its name; then it upgrades the format by itself.
+// A group created by an older program rejects changes, and names the member, while a member has not reported
+// that it supports staging. Once all members have reported that, the group upgrades the log format.
 func TestGroupWithOlderProgramTakesNoChange(t *testing.T) {
 	s := newLeader(t)
 	s.state.ApplyMembership([]clusterstate.Member{{ID: 88, Name: "old", Address: "127.0.0.1:8"}}, nil)
 	s.state = inFirstFormat(t, s.state)
 	s.tick(t, 12)
 	got := s.propose(t, "x", 1, 5)
-	if got.Err == nil || !strings.Contains(got.Err.Error(), "old: not known yet to run a program") {
-		t.Fatalf("with an older program: %+v", got)
+	if got.Err == nil || !strings.Contains(got.Err.Error(), "old: has not reported yet that its program") {
+		t.Fatalf("before the older program has reported: %+v", got)
 	}
 	s.ObserveFormat(88, 1)
 	got = s.propose(t, "x", 1, 5)
 	if got.Err == nil || !strings.Contains(got.Err.Error(), "old: runs an older program") {
-		t.Fatalf("with an older program that has reported: %+v", got)
+		t.Fatalf("after the older program has reported: %+v", got)
 	}
 	if s.State().Format() != 1 || s.State().CurrentRevision().Number != 1 {
-		t.Fatal("the group has changed all the same")
+		t.Fatal("the format or the revision is not 1 after the changes were rejected")
 	}
 	s.ObserveFormat(88, clusterstate.LatestFormat)
 	s.tick(t, 12)
 	if s.State().Format() != clusterstate.LatestFormat {
-		t.Fatal("the group does not upgrade to the new format")
+		t.Fatal("the group does not upgrade to the latest format after all members have reported it")
 	}
 	for _, x := range s.State().Rollout().List() {
 		if !x.Open || !x.Unleased {
-			t.Errorf("one that served before has %+v", x)
+			t.Errorf("session of a member from before the upgrade: %+v, want it open and unleased", x)
 		}
 	}
 }
 
-// inFirstFormat is a state as a program of the first format has it.
+// inFirstFormat converts a state to the first format.
 func inFirstFormat(t testing.TB, state *clusterstate.State) *clusterstate.State {
 	t.Helper()
 	encoded := strings.Replace(string(state.Encode()), fmt.Sprintf(`"format":%d`, clusterstate.LatestFormat),
@@ -262,12 +263,13 @@
 	encoded = regexp.MustCompile(`,"sessions":\[.*?\],"epoch":\d+`).ReplaceAllString(encoded, "")
 	old, err := clusterstate.Restore(clusterstate.Rules{}, []byte(encoded))
 	if err != nil || old.Format() != 1 {
-		t.Fatalf("%v: %s", err, encoded)
+		t.Fatalf("restore a state in the first format: %v\n%s", err, encoded)
 	}
 	return old
 }
 
-// A request to an instance that is removed while the change takes hold gets its response all the same.
+// A pending change extends the deadline of its request. An instance that is removed meanwhile never learns
+// the outcome, so its request must still time out.
 func TestRequestToRemovedInstanceGetsResponse(t *testing.T) {
 	s := newLeader(t)
 	s.state.Rollout().Sessions[88] = rollout.Session{Member: 88, Name: "n2", Epoch: 99, Open: true,
@@ -276,11 +278,11 @@
 	beyondTimeout := s.cfg.RequestTimeoutTicks + 2
 	s.tick(t, beyondTimeout)
 	if got, ok := s.responses[request]; ok {
-		t.Fatalf("while it waits for n2: %+v", got)
+		t.Fatalf("response while the change waits for n2: %+v, want none", got)
 	}
 	s.state.ApplyMembership(nil, []uint64{77})
 	s.tick(t, beyondTimeout)
 	if got := s.responses[request]; !errors.Is(got.Err, ErrOutcomeUnknown) {
-		t.Errorf("removed: %+v", got)
+		t.Errorf("response after the removal: %+v, want ErrOutcomeUnknown", got)
 	}
 }
--- a/internal/cluster/consensus/entries.go
+++ b/internal/cluster/consensus/entries.go
@@ -11,11 +11,11 @@
 	"moorstack/internal/schema"
 )
 
-// encodeEntry gives the data of a log entry.
+// encodeEntry encodes the data of a log entry.
 func encodeEntry(e *schema.Change) []byte {
 	b, err := proto.Marshal(e)
 	if err != nil {
-		panic(err) // a string that is not UTF-8 was rejected before
+		panic(err) // can't happen: strings that are not UTF-8 have been rejected
 	}
 	return b
 }
@@ -25,7 +25,7 @@
 		AtMs: c.ProposedAt.UnixMilli(), Format: uint32(format), Document: c.Document.Encode()})
 }
 
-// rolloutFormat is the format of the log from which on rollout commands stand in it.
+// rolloutFormat is the first format of the log that has rollout commands.
 const rolloutFormat = 2
 
 func encodeRolloutCommand(c rollout.Command) []byte {
@@ -48,16 +48,16 @@
 	return c
 }
 
-// decodeEntry reads the data of a log entry: a change of the configuration, or the message that holds
-// another command.
+// decodeEntry decodes the data of a log entry. The message holds either a configuration change, which is
+// returned decoded, or another command.
 func (r *replica) decodeEntry(data []byte) (*schema.Change, clusterstate.Change, error) {
 	m := &schema.Change{}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return nil, clusterstate.Change{}, fmt.Errorf("a change in the log can't be read: %w", err)
+		return nil, clusterstate.Change{}, fmt.Errorf("decode log entry: %w", err)
 	}
 	if m.Format > clusterstate.LatestFormat {
 		return nil, clusterstate.Change{}, fmt.Errorf(
-			"a change in the log has format %d; this program reads %d and must be renewed",
+			"log entry has format %d, this program supports up to %d and must be upgraded",
 			m.Format, clusterstate.LatestFormat)
 	}
 	if m.Command != nil || m.Enter || r.cfg.Rules.HasCommand(m) {
--- a/internal/cluster/consensus/errors.go
+++ b/internal/cluster/consensus/errors.go
@@ -7,7 +7,7 @@
 	"moorstack/internal/cluster/clusterstate"
 )
 
-// Why a request is not carried out.
+// Errors of requests that are not carried out.
 var (
 	ErrNoGroup  = errors.New("this instance belongs to no group yet")
 	ErrNoLeader = errors.New(
@@ -17,7 +17,8 @@
 	ErrHalted         = errors.New("this instance has stopped taking part in the agreement")
 )
 
-// NotLeaderError is an operation that only the leader can carry out, at another instance.
+// NotLeaderError is returned by an instance that does not lead for an operation that only the leader can
+// carry out.
 type NotLeaderError struct{ Leader clusterstate.Member }
 
 // Error implements error.
@@ -25,7 +26,7 @@
 	return fmt.Sprintf("only the leader can, which is %s", e.Leader.Name)
 }
 
-// RejectedError is an operation that would do harm or can't be carried out in the present state.
+// RejectedError is returned for an operation that would be harmful or is impossible in the current state.
 type RejectedError struct{ Reason string }
 
 // Error implements error.
--- a/internal/cluster/consensus/formats.go
+++ b/internal/cluster/consensus/formats.go
@@ -5,24 +5,25 @@
 	"moorstack/internal/schema"
 )
 
-// formatTracker knows the newest format of the log that each member reads, as it reports itself, and has the
-// group upgrade once all read it.
+// formatTracker records the newest log format that each member can read, according to the member's reports,
+// and proposes the upgrade to the latest format once all members can read it.
 type formatTracker struct {
 	replica    *replica
 	formats    map[uint64]uint32 // by member
-	proposedAt uint64            // tick at which the upgrade was proposed last
+	proposedAt uint64            // tick of the last proposal of the upgrade
 }
 
-// ObserveFormat takes which format of the log a member reads, as it reports itself.
+// ObserveFormat records the newest log format that a member reports it can read.
 func (i *Instance) ObserveFormat(member uint64, format uint32) {
 	if f := i.sessions.formats; len(f.formats) < maxTrackedMembers {
 		f.formats[member] = format
 	}
 }
 
-// outdated names the members that have reported that they read an older format, and those that have reported
-// nothing to this instance: followers seldom send each other messages.
-func (f *formatTracker) outdated() (old, silent []string) {
+// outdated returns the names of the members that reported an older format, and of those that have not
+// reported to this instance. On a follower the latter are common, as followers seldom send each other
+// messages.
+func (f *formatTracker) outdated() (old, unreported []string) {
 	for _, m := range f.replica.state.Members() {
 		format, known := f.formats[m.ID]
 		switch {
@@ -30,21 +31,21 @@
 		case known:
 			old = append(old, m.Name)
 		default:
-			silent = append(silent, m.Name)
+			unreported = append(unreported, m.Name)
 		}
 	}
-	return old, silent
+	return old, unreported
 }
 
-// proposeUpgrade proposes the newest format of the log, once every member is known to read it. The leader
-// calls it.
+// proposeUpgrade proposes the latest log format once every member is known to read it. Only the leader calls
+// it.
 func (f *formatTracker) proposeUpgrade() {
 	r := f.replica
 	if r.state.Format() >= clusterstate.LatestFormat ||
 		r.ticks-f.proposedAt < uint64(r.cfg.ElectionTicks) {
 		return
 	}
-	if old, silent := f.outdated(); len(old)+len(silent) > 0 {
+	if old, unreported := f.outdated(); len(old)+len(unreported) > 0 {
 		return
 	}
 	f.proposedAt = r.ticks
--- a/internal/cluster/consensus/instance.go
+++ b/internal/cluster/consensus/instance.go
@@ -12,8 +12,8 @@
 	"moorstack/internal/storage/store"
 )
 
-// Instance is one member of a group, as a state machine; see the package's comment. One goroutine must use
-// it at a time.
+// Instance is one member of a group, as a deterministic state machine; see the package comment. It is not
+// safe for concurrent use.
 type Instance struct {
 	*replica
 	requests     *requestTable
@@ -27,9 +27,9 @@
 	pendingReady *raft.Ready // between Ready and Advance
 }
 
-// New makes an instance from what its store recovered. One whose store is empty is a new instance under the
-// given number, which must have been drawn at random: a number is never used again, so that an instance
-// whose disk was wiped has no vote under the old one.
+// New returns an instance with the state recovered from its store. If the store is empty, the instance is new
+// and gets the given number, which must be random: numbers are never reused, so that an instance whose disk
+// was wiped can't vote under its old number.
 func New(cfg Config, recovered *RecoveredState, number uint64, name string) (*Instance, error) {
 	r, err := newReplica(cfg.withDefaults(), recovered, number, name)
 	if err != nil {
@@ -57,27 +57,27 @@
 	return i, i.start()
 }
 
-// start begins to take part in the group.
+// start starts the Raft node of an instance that belongs to a group.
 func (i *Instance) start() error {
 	if err := i.replica.start(); err != nil {
 		return err
 	}
-	i.sessions.evaluate() // so that the fronts learn why they may not admit yet
+	i.sessions.evaluate() // emits the initial permit, which tells the fronts why they may not admit jobs yet
 	return nil
 }
 
-// Bootstrap makes a group of this instance alone, with a document. A group made from a backup numbers its
-// revisions after the backup's.
+// Bootstrap creates a group whose only member is this instance. The revision of its initial document is
+// after+1, so that a group created from a backup continues the backup's revision numbers.
 func (i *Instance) Bootstrap(cluster, address string, first *clusterstate.Document, after uint64) error {
 	if i.identity.Cluster != "" {
-		return &RejectedError{"this instance belongs to a group already"}
+		return &RejectedError{"this instance already belongs to a group"}
 	}
 	state, err := clusterstate.New(i.cfg.Rules, cluster, first, after,
 		clusterstate.Member{ID: i.identity.Id, Name: i.identity.Name, Address: address})
 	if err != nil {
 		return &RejectedError{err.Error()}
 	}
-	// The group begins with a snapshot: there are no entries that made it.
+	// The initial state is a snapshot, as there are no log entries that produce it.
 	snap := &pb.Snapshot{Data: state.Encode(), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1),
 		Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: []uint64{i.identity.Id}}}}
 	hard := &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
@@ -96,7 +96,7 @@
 		return err
 	}
 	i.identity.Cluster = cluster
-	// Hazard: the identity comes last, so that a group exists completely or not at all.
+	// The identity is written last, so that after a crash the group exists either completely or not at all.
 	i.unsaved = append(i.unsaved, snapshotRecord, hardStateRecord)
 	i.saveIdentity()
 	if err := i.start(); err != nil {
@@ -110,8 +110,8 @@
 	return store.Record{Kind: kind, Data: b}, err
 }
 
-// Join has this instance belong to a group from now on. It has no vote, and nothing to agree on, until the
-// group has added it.
+// Join makes this instance a member of a group. It has no vote and no cluster state until the group has added
+// it.
 func (i *Instance) Join(cluster string) error {
 	if i.identity.Cluster == cluster && cluster != "" {
 		return nil
@@ -124,36 +124,36 @@
 	return i.start()
 }
 
-// SetClock sets the time before an input: on a clock that goes on while the process, or the machine, stands
-// still, and that nobody sets (see BootTime).
+// SetClock sets the current time; it is called before each input. The time must come from a monotonic clock
+// that keeps running while the process or the machine is suspended (see BootTime).
 func (i *Instance) SetClock(now time.Duration) { i.now = max(i.now, now) }
 
-// Tick lets one unit of time pass, of Config.TickInterval.
+// Tick advances the instance by one tick. It is called every Config.TickInterval.
 func (i *Instance) Tick() {
 	i.ticks++
 	if i.node == nil || i.halted != nil {
 		return
 	}
-	i.guarded(func() {
+	i.haltOnPanic(func() {
 		i.tick()
 		i.requests.evaluate()
 	})
 	i.sessions.evaluate()
 }
 
-// Identity gives the instance's number and name, and its group; empty: it belongs to none.
+// Identity returns the instance's number, its name and its group, which is empty if it belongs to none.
 func (i *Instance) Identity() (number uint64, name, cluster string) {
 	return i.identity.Id, i.identity.Name, i.identity.Cluster
 }
 
-// State is the cluster state as far as this instance has applied it, or nil. It must not be changed, and
-// changes with the next Advance.
+// State returns the cluster state that this instance has applied, or nil if it has none yet. The caller must
+// not modify it, and the next Advance may change it.
 func (i *Instance) State() *clusterstate.State { return i.state }
 
-// Applied is the index of the last entry that the state holds.
+// Applied returns the index of the last log entry that has been applied to the state.
 func (i *Instance) Applied() uint64 { return i.applied }
 
-// The kinds of records in an instance's store.
+// Kinds of records in an instance's store.
 const (
 	recIdentity  = 1 + iota // schema.Identity
 	recHardState            // raftpb.HardState
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -12,8 +12,9 @@
 	"moorstack/internal/schema"
 )
 
-// Operate carries out an operation on the members, the leader, or a replicated state machine. Only the
-// leader does it. number is the id of the instance to be added, which that instance chose itself.
+// Operate starts an operation on the members, the leadership, or a replicated state machine. On an instance
+// that does not lead it fails with a NotLeaderError. number is the id of the instance to add, which that
+// instance has drawn itself.
 func (i *Instance) Operate(op *schema.Operation, number uint64) RequestID {
 	q := &request{handler: i.membership}
 	id := i.requests.register(q)
@@ -27,7 +28,7 @@
 }
 
 func (i *Instance) startOperation(q *request, op *schema.Operation, number uint64) error {
-	if err := i.available(); err != nil {
+	if err := i.checkAvailable(); err != nil {
 		return err
 	}
 	if s := i.node.BasicStatus(); s.RaftState != raft.StateLeader {
@@ -35,7 +36,7 @@
 		return &NotLeaderError{leader}
 	}
 	var err error
-	i.guarded(func() {
+	i.haltOnPanic(func() {
 		switch op.Kind {
 		case schema.Operation_ADD, schema.Operation_PROMOTE, schema.Operation_REMOVE,
 			schema.Operation_REPLACE:
@@ -52,7 +53,7 @@
 	return i.halted
 }
 
-// startCommand proposes the command of a replicated state machine that carries out an operation.
+// startCommand proposes the command of a replicated state machine that performs an operation.
 func (i *Instance) startCommand(q *request, op *schema.Operation) error {
 	entryID := fmt.Sprintf("wish/%x/%d/%d", i.identity.Id, i.sessions.lease.Incarnation(), q.id)
 	e, err := i.participants.commandFor(op, entryID)
@@ -60,18 +61,18 @@
 		return err
 	}
 	q.handler, q.retryable, q.entryID, q.data = i.proposals, true, entryID, encodeEntry(e)
-	i.guarded(func() { i.requests.submit(q) })
+	i.haltOnPanic(func() { i.requests.submit(q) })
 	return nil
 }
 
-// leaderTransfers are the requests to make another member the leader.
+// leaderTransfers handles the requests to make another member the leader.
 type leaderTransfers struct {
 	replica  *replica
 	requests *requestTable
 }
 
 func (t *leaderTransfers) start(q *request, op *schema.Operation) error {
-	m, err := memberNamed(t.replica.state, op.Name)
+	m, err := memberByName(t.replica.state, op.Name)
 	if err != nil {
 		return err
 	}
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// submit implements requestHandler; a transfer is not retried.
+// submit implements requestHandler. Transfers are not retried.
 func (t *leaderTransfers) submit(*request) {}
 
 // resolve implements requestHandler.
@@ -96,25 +97,25 @@
 	return resolved
 }
 
-// membershipChanges are the requests to change Raft's configuration of the group, one at a time.
+// membershipChanges handles the requests to change the Raft configuration of the group, one at a time.
 type membershipChanges struct {
 	replica  *replica
 	requests *requestTable
 }
 
-// configChange is a change of the members, as Raft and the cluster state take it.
-type configChange struct {
+// membershipPlan is a membership change, in the form that Raft and the cluster state expect.
+type membershipPlan struct {
 	raft  []*pb.ConfChangeSingle
-	put   []*schema.Member
-	drop  []uint64
-	force bool
+	put   []*schema.Member // added to the cluster state
+	drop  []uint64         // removed from the cluster state
+	force bool             // skip checkQuorum's majority check
 }
 
-func (c *configChange) add(t pb.ConfChangeType, id uint64) {
+func (c *membershipPlan) add(t pb.ConfChangeType, id uint64) {
 	c.raft = append(c.raft, &pb.ConfChangeSingle{Type: t.Enum(), NodeId: proto.Uint64(id)})
 }
 
-func memberNamed(state *clusterstate.State, name string) (clusterstate.Member, error) {
+func memberByName(state *clusterstate.State, name string) (clusterstate.Member, error) {
 	m, ok := state.MemberByName(name)
 	if !ok {
 		return m, rejectf("the group has no instance %q", name)
@@ -124,12 +125,12 @@
 
 func (m *membershipChanges) start(q *request, op *schema.Operation, number uint64) error {
 	if op.Kind != schema.Operation_ADD {
-		if _, err := memberNamed(m.replica.state, op.Name); err != nil {
+		if _, err := memberByName(m.replica.state, op.Name); err != nil {
 			return err
 		}
 	}
-	underWay := slices.ContainsFunc(m.requests.pending, func(w *request) bool { return w.handler == m })
-	if m.replica.members.joint() || underWay {
+	pending := slices.ContainsFunc(m.requests.pending, func(w *request) bool { return w.handler == m })
+	if m.replica.members.joint() || pending {
 		return rejectf("another change of the members is under way")
 	}
 	change, err := m.plan(op, number)
@@ -152,8 +153,8 @@
 	return nil
 }
 
-func (m *membershipChanges) plan(op *schema.Operation, number uint64) (*configChange, error) {
-	c := &configChange{force: op.Force}
+func (m *membershipChanges) plan(op *schema.Operation, number uint64) (*membershipPlan, error) {
+	c := &membershipPlan{force: op.Force}
 	switch op.Kind {
 	case schema.Operation_ADD:
 		return c, m.planAdd(c, op, number)
@@ -167,7 +168,7 @@
 	return nil, rejectf("%v is no operation on members", op.Kind)
 }
 
-func (m *membershipChanges) planAdd(c *configChange, op *schema.Operation, number uint64) error {
+func (m *membershipChanges) planAdd(c *membershipPlan, op *schema.Operation, number uint64) error {
 	if err := m.checkAdd(op, number); err != nil {
 		return err
 	}
@@ -176,8 +177,8 @@
 	return nil
 }
 
-func (m *membershipChanges) planPromote(c *configChange, op *schema.Operation) error {
-	learner, err := memberNamed(m.replica.state, op.Name)
+func (m *membershipChanges) planPromote(c *membershipPlan, op *schema.Operation) error {
+	learner, err := memberByName(m.replica.state, op.Name)
 	if err != nil {
 		return err
 	}
@@ -185,28 +186,28 @@
 	return m.checkPromote(learner)
 }
 
-func (m *membershipChanges) planRemove(c *configChange, op *schema.Operation) error {
-	member, err := memberNamed(m.replica.state, op.Name)
+func (m *membershipChanges) planRemove(c *membershipPlan, op *schema.Operation) error {
+	member, err := memberByName(m.replica.state, op.Name)
 	c.add(pb.ConfChangeType_ConfChangeRemoveNode, member.ID)
 	c.drop = []uint64{member.ID}
 	return err
 }
 
-// planReplace plans two changes in one, which go through a joint configuration: both the old and the new
-// majority must agree. Raft leaves it by itself.
-func (m *membershipChanges) planReplace(c *configChange, op *schema.Operation) error {
-	member, err := memberNamed(m.replica.state, op.Name)
+// planReplace plans a promotion and a removal in one change, which passes through a joint configuration: a
+// majority of both the old and the new voters must agree. Raft leaves the joint configuration automatically.
+func (m *membershipChanges) planReplace(c *membershipPlan, op *schema.Operation) error {
+	member, err := memberByName(m.replica.state, op.Name)
 	if err != nil {
 		return err
 	}
-	by, err := memberNamed(m.replica.state, op.By)
+	replacement, err := memberByName(m.replica.state, op.By)
 	if err != nil {
 		return err
 	}
-	if err := m.checkPromote(by); err != nil {
+	if err := m.checkPromote(replacement); err != nil {
 		return err
 	}
-	c.add(pb.ConfChangeType_ConfChangeAddNode, by.ID)
+	c.add(pb.ConfChangeType_ConfChangeAddNode, replacement.ID)
 	c.add(pb.ConfChangeType_ConfChangeRemoveNode, member.ID)
 	c.drop = []uint64{member.ID}
 	return nil
@@ -214,15 +215,15 @@
 
 func (m *membershipChanges) checkAdd(op *schema.Operation, number uint64) error {
 	state := m.replica.state
-	namesake, known := state.MemberByName(op.Name)
+	existing, known := state.MemberByName(op.Name)
 	switch {
 	case number == 0 || op.Name == "" || op.Address == "":
 		return rejectf("a new instance needs a name, an address and its number")
-	case known && namesake.ID == number:
+	case known && existing.ID == number:
 		return rejectf("%s is a member already", op.Name)
 	case known:
 		return rejectf("the group has another instance %s (%x): if that one's disk is lost, remove it first",
-			namesake.Name, namesake.ID)
+			existing.Name, existing.ID)
 	case state.WasRemoved(number):
 		return rejectf("the instance %x was removed before; start it on an empty directory", number)
 	}
@@ -234,8 +235,8 @@
 	return nil
 }
 
-// checkPromote rejects giving a vote to a learner that lags or is silent: the group would need it for its
-// majorities at once.
+// checkPromote rejects the promotion of a learner that lags or is inactive. As a voter it counts towards the
+// quorum immediately, so the group might be unable to commit until the learner has caught up.
 func (m *membershipChanges) checkPromote(learner clusterstate.Member) error {
 	if !m.replica.members.learner(learner.ID) {
 		return rejectf("%s has a vote already", learner.Name)
@@ -251,7 +252,8 @@
 }
 
 // checkQuorum rejects a change after which no majority of the voters would be active, unless it is forced.
-func (m *membershipChanges) checkQuorum(change *configChange) error {
+// Even a forced change can't remove the last voter.
+func (m *membershipChanges) checkQuorum(change *membershipPlan) error {
 	voters := slices.Clone(m.replica.members.conf.GetVoters())
 	for _, c := range change.raft {
 		voters = slices.DeleteFunc(voters, func(id uint64) bool { return id == c.GetNodeId() })
@@ -275,7 +277,7 @@
 	return nil
 }
 
-// submit implements requestHandler; a change of the members is not retried.
+// submit implements requestHandler. Membership changes are not retried.
 func (m *membershipChanges) submit(*request) {}
 
 // resolve implements requestHandler.
--- a/internal/cluster/consensus/participants.go
+++ b/internal/cluster/consensus/participants.go
@@ -8,7 +8,7 @@
 	"moorstack/internal/schema"
 )
 
-// participants are this instance's side of each replicated state machine.
+// participants holds this instance's participant of each replicated state machine.
 type participants struct {
 	replica   *replica
 	sessions  *sessions
@@ -32,7 +32,7 @@
 	return ps
 }
 
-// view is this instance as a participant sees it.
+// view returns this instance's state as a participant may see it.
 func (ps *participants) view(p participant) replicated.InstanceView {
 	r := ps.replica
 	v := replicated.InstanceView{Now: r.now, StateMachine: r.state.StateMachine(p.Section()),
@@ -79,8 +79,8 @@
 	}
 }
 
-// proposeDecisions proposes what the leader's side of each participant decides. What Raft drops they decide
-// again.
+// proposeDecisions proposes the leader commands of each participant. A participant returns a command again if
+// Raft drops it.
 func (ps *participants) proposeDecisions() {
 	for _, p := range ps.list {
 		if ps.replica.state.Format() < p.SinceFormat() {
@@ -92,7 +92,7 @@
 	}
 }
 
-// advance has each participant do what is due, proposes its commands and emits its notifications.
+// advance calls Advance of each participant, proposes the commands and emits the notifications.
 func (ps *participants) advance() {
 	for _, p := range ps.list {
 		notifications, commands := p.Advance(ps.view(p))
@@ -103,7 +103,7 @@
 	}
 }
 
-// NotifyParticipant gives a participant a notification of the rest of the node.
+// NotifyParticipant passes a notification from the rest of the node to the participant of a section.
 func (i *Instance) NotifyParticipant(section string, notification any) {
 	if i.state == nil || i.halted != nil {
 		return
@@ -116,7 +116,7 @@
 	i.sessions.evaluate()
 }
 
-// checkFormat rejects a command of a state machine that the log's format does not have yet.
+// checkFormat rejects commands of a state machine that the current log format does not support yet.
 func (ps *participants) checkFormat(t replicated.StateMachineType) error {
 	if ps.replica.state.Format() < t.SinceFormat() {
 		return rejectf("an instance runs a program that knows no %s; renew it first", t.Section())
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// commandFor gives the command that carries out an operator's operation, under an id.
+// commandFor returns the command, with the given id, that performs an operator's operation.
 func (ps *participants) commandFor(op *schema.Operation, id string) (*schema.Change, error) {
 	for _, p := range ps.list {
 		controlled, ok := p.Participant.(replicated.OperatorControlled)
@@ -155,7 +155,7 @@
 	return nil, rejectf("%v is no operation that this program knows", op.Kind)
 }
 
-// status is the status of each participant that has one, by its section.
+// status returns the status of each participant that has one, by section.
 func (ps *participants) status() map[string]any {
 	out := map[string]any{}
 	for _, p := range ps.list {
@@ -166,7 +166,7 @@
 	return out
 }
 
-// groupView is the group as participants see it.
+// groupView implements replicated.Group for participants.
 type groupView struct {
 	replica  *replica
 	sessions *sessions
--- a/internal/cluster/consensus/participants_test.go
+++ b/internal/cluster/consensus/participants_test.go
@@ -13,12 +13,12 @@
 	"moorstack/internal/storage/faultfs"
 )
 
-// counterType is a replicated state machine that nothing in the program knows: it counts, one a command, up
-// to the length of its section's value "till". Its commands stand in a field that the schema does not have,
-// as a later program's would.
+// counterType is a replicated state machine that exists only in this test. Each command increments its count,
+// up to the length of the value "limit" of its section. Its commands are in a field that the schema does not
+// have, like those of a later program.
 type counterType struct{ replicated.SectionOnly }
 
-type counter struct{ till, n int }
+type counter struct{ limit, n int }
 
 type counterParticipant struct{ replicated.NoopParticipant }
 
@@ -27,7 +27,7 @@
 func (counterType) OwnsEntry(e *schema.Change) bool                { return isCounterEntry(e) }
 func (counterType) NewStateMachine(uint64) replicated.StateMachine { return &counter{} }
 func (counterParticipant) Status(v replicated.InstanceView) any    { return v.StateMachine.(*counter).n }
-func (c *counter) Configure(cfg replicated.Config)                 { c.till = len(cfg.Values["till"]) }
+func (c *counter) Configure(cfg replicated.Config)                 { c.limit = len(cfg.Values["limit"]) }
 func (c *counter) SetOwners([]placement.Member)                    {}
 func (c *counter) SessionsExpired(func(placement.Session) bool, string, int64) {
 }
@@ -37,11 +37,11 @@
 }
 
 func (c *counter) Snapshot() []replicated.SnapshotField {
-	return []replicated.SnapshotField{{Name: "tally", Value: c.n}}
+	return []replicated.SnapshotField{{Name: "counter", Value: c.n}}
 }
 
 func (c *counter) Restore(read func(string, any) (bool, error)) error {
-	_, err := read("tally", &c.n)
+	_, err := read("counter", &c.n)
 	return err
 }
 
@@ -51,7 +51,7 @@
 }
 
 func (counterParticipant) Advance(v replicated.InstanceView) ([]any, []*schema.Change) {
-	if c := v.StateMachine.(*counter); c.n >= c.till || v.Now >= v.OwnershipExpiresAt {
+	if c := v.StateMachine.(*counter); c.n >= c.limit || v.Now >= v.OwnershipExpiresAt {
 		return nil, nil
 	}
 	e := &schema.Change{Format: clusterstate.LatestFormat}
@@ -59,49 +59,50 @@
 	return nil, []*schema.Change{e}
 }
 
-// counterRules are the rules of a program that knows the counter.
+// counterRules returns the rules of a program that has the counter.
 func counterRules() clusterstate.Rules {
 	validate := func(cfg replicated.Config) []string {
-		if len(cfg.Values["till"]) > 40 {
-			return []string{"till: it is too long"}
+		if len(cfg.Values["limit"]) > 40 {
+			return []string{"limit: must have at most 40 characters"}
 		}
 		return nil
 	}
 	return clusterstate.Rules{Types: append(clusterstate.StateMachineTypes(), counterType{
-		replicated.SectionOnly{SectionName: "tally", FirstFormat: clusterstate.LatestFormat,
+		replicated.SectionOnly{SectionName: "counter", FirstFormat: clusterstate.LatestFormat,
 			Validator: validate}})}
 }
 
-// A new state machine is a package and a line in the list: its commands go through the log and its state
-// through snapshots and restarts, and a program that does not know it takes no part rather than a part of it.
+// A new type of state machine only has to be added to the list of types. Its commands then go through the
+// log, and its state survives snapshots and restarts. A program without the type must fail to read that state
+// as a whole, rather than continue without a part of it.
 func TestNewStateMachineTypeNeedsOnlyALineInTheList(t *testing.T) {
 	rules := counterRules()
-	countTill := func(n int) *clusterstate.Document {
+	documentWithLimit := func(n int) *clusterstate.Document {
 		d := document(1)
-		d.Sections = map[string]map[string]string{"tally": {"till": strings.Repeat("x", n)}}
+		d.Sections = map[string]map[string]string{"counter": {"limit": strings.Repeat("x", n)}}
 		return d
 	}
 	s := openWithRules(t, faultfs.New(1), rules)
-	if err := s.Bootstrap("g", "127.0.0.1:1", countTill(41), 0); err == nil {
-		t.Error("its section is not validated")
+	if err := s.Bootstrap("g", "127.0.0.1:1", documentWithLimit(41), 0); err == nil {
+		t.Error("an invalid section of the counter is accepted")
 	}
-	if err := s.Bootstrap("g", "127.0.0.1:1", countTill(30), 0); err != nil {
+	if err := s.Bootstrap("g", "127.0.0.1:1", documentWithLimit(30), 0); err != nil {
 		t.Fatal(err)
 	}
 	for incarnation := range 3 {
 		s.tick(t, 60)
-		n := s.Status().Participants["tally"].(int)
-		if c := s.State().StateMachine("tally").(*counter); n != c.n || n < 30 {
-			t.Fatalf("incarnation %d: it has counted to %d, its state to %d", incarnation, n, c.n)
+		n := s.Status().Participants["counter"].(int)
+		if c := s.State().StateMachine("counter").(*counter); n != c.n || n < 30 {
+			t.Fatalf("incarnation %d: status has %d, state has %d, want at least 30", incarnation, n, c.n)
 		}
 		if _, err := clusterstate.Restore(clusterstate.Rules{}, s.State().Encode()); err == nil {
-			t.Error("a program that does not know it reads its state")
+			t.Error("a program without the counter restores a state with it")
 		}
 		s.disk.LosePower()
 		s = openWithRules(t, s.disk, rules)
-		// The end of the log is committed only once it is elected again.
-		if got := s.State().StateMachine("tally").(*counter).n; got > n || got < n-7 {
-			t.Fatalf("incarnation %d: of %d it has %d", incarnation, n, got)
+		// The last entries of the log are committed only after the next election.
+		if got := s.State().StateMachine("counter").(*counter).n; got > n || got < n-7 {
+			t.Fatalf("incarnation %d: count was %d and is %d after recovery", incarnation, n, got)
 		}
 	}
 }
--- a/internal/cluster/consensus/process_ready.go
+++ b/internal/cluster/consensus/process_ready.go
@@ -14,12 +14,12 @@
 	WriteSnapshot([]byte) error
 }
 
-// ProcessReady carries out what an instance wants done after an input: it persists and syncs, and only then
-// calls carryOut with the effects. After an error the instance must not be used.
+// ProcessReady processes everything that is due after an input: it persists and syncs the records, and only
+// then calls handleEffects. After an error the instance must not be used any more.
 //
-// Hazard: persisting may take long, and a lease that is granted after it must not be counted from before it.
-// So the clock is read again.
-func ProcessReady(i *Instance, log LogStore, clock func() time.Duration, carryOut func(Effects)) error {
+// Persisting may take long, and a lease that is granted afterwards must not be counted from a time before it.
+// The clock is therefore read again after the sync.
+func ProcessReady(i *Instance, log LogStore, clock func() time.Duration, handleEffects func(Effects)) error {
 	for {
 		rd, ok := i.Ready()
 		if !ok {
@@ -27,23 +27,23 @@
 		}
 		if len(rd.Records) > 0 {
 			if _, err := log.Append(rd.Records...); err != nil {
-				return fmt.Errorf("writing the agreement's log: %w", err)
+				return fmt.Errorf("append to the consensus log: %w", err)
 			}
 		}
-		// Hazard: a message or a response that goes out before what it promises is durable is a promise that
-		// a crash breaks.
+		// Messages and responses acknowledge these records. If one were sent before the records are durable,
+		// a crash could lose what it acknowledged.
 		if rd.Sync {
 			if err := log.Sync(); err != nil {
-				return fmt.Errorf("writing the agreement's log: %w", err)
+				return fmt.Errorf("sync the consensus log: %w", err)
 			}
 		}
 		i.SetClock(clock())
 		effects := i.Advance()
 		if effects.Snapshot != nil {
 			if err := log.WriteSnapshot(effects.Snapshot); err != nil {
-				return fmt.Errorf("writing the agreement's snapshot: %w", err)
+				return fmt.Errorf("write the consensus snapshot: %w", err)
 			}
 		}
-		carryOut(effects)
+		handleEffects(effects)
 	}
 }
--- a/internal/cluster/consensus/proposals.go
+++ b/internal/cluster/consensus/proposals.go
@@ -11,22 +11,22 @@
 	"moorstack/internal/schema"
 )
 
-// proposals are the requests that put something into the log: changes of the configuration, and commands.
+// proposals handles the requests that append an entry to the log: configuration changes and commands.
 type proposals struct {
 	replica  *replica
 	requests *requestTable
 	formats  *formatTracker
 }
 
-// Propose requests a change of the configuration. What would be rejected anyway gets its Response at once
-// and does not go into the log; at an instance that knows no leader, everything does.
+// Propose requests a configuration change. A change that would certainly be rejected gets its Response
+// immediately and is not appended to the log. An instance that knows no leader responds with an error.
 //
-// The Response comes when the change is in force, or is not to be; with noWait as soon as it begins to take
-// hold, with the code Accepted and the revision that it is to be.
+// The Response comes once the change is in force or has failed. With noWait it comes as soon as the change is
+// pending, with the code Accepted and the number that its revision will have.
 func (i *Instance) Propose(c clusterstate.Change, noWait bool) RequestID {
-	q := &request{handler: i.proposals, retryable: true, entryID: c.ID, change: true, noWait: noWait}
+	q := &request{handler: i.proposals, retryable: true, entryID: c.ID, configChange: true, noWait: noWait}
 	id := i.requests.register(q)
-	if err := i.available(); err != nil {
+	if err := i.checkAvailable(); err != nil {
 		i.requests.reject(q, err)
 		return id
 	}
@@ -43,33 +43,33 @@
 	return id
 }
 
-// checkFormat rejects changes while the log has a format in which they would take hold unstaged.
+// checkFormat rejects changes while the log has a format without staging.
 func (p *proposals) checkFormat() error {
 	if p.replica.state.Format() >= rolloutFormat {
 		return nil
 	}
-	old, silent := p.formats.outdated()
+	old, unreported := p.formats.outdated()
 	switch {
 	case len(old) > 0:
-		// A program that knows no staging would run the change as soon as it is committed.
-		return rejectf("%s: runs an older program, which can't make itself ready for a change "+
-			"before it takes hold; renew or remove it first", strings.Join(old, ", "))
-	case len(silent) > 0:
-		return rejectf("%s: not known yet to run a program that can make itself ready for a change "+
-			"before it takes hold; try again, or at the leader", strings.Join(silent, ", "))
+		// A program without staging would apply the change as soon as it is committed.
+		return rejectf("%s: runs an older program, which can't stage a change before it takes effect; "+
+			"upgrade or remove it first", strings.Join(old, ", "))
+	case len(unreported) > 0:
+		return rejectf("%s: has not reported yet that its program can stage a change before it takes "+
+			"effect; try again, or propose the change at the leader", strings.Join(unreported, ", "))
 	}
-	return rejectf("the group is about to have changes take hold everywhere at once; try again")
+	return rejectf("the group is upgrading to a log format with staged changes; try again")
 }
 
-// checkChange gives the outcome of a change that is decided without the log.
+// checkChange returns the outcome of a change if it can be decided without the log.
 func (p *proposals) checkChange(c clusterstate.Change) (o clusterstate.Outcome, decided bool) {
 	state := p.replica.state
-	// An instance that lags may know an older revision than the change was made from. That is no conflict
-	// yet; once the change is in the log, all instances decide it alike.
+	// The change may be based on a newer revision than a lagging instance has applied. That is not a
+	// conflict: once the change is in the log, all instances reach the same decision.
 	current := state.CurrentRevision().Number
 	if _, known := state.OutcomeOf(c.ID); known || c.BaseRevision <= current || c.Document == nil {
-		// Hazard: another change that is pending here may have been withdrawn since, and this one, which is
-		// retried, be in the log already. Only the log shows it.
+		// Another change that is pending here may have been withdrawn since, and this change, if it is a
+		// retry, may be in the log already. Only the log can decide such a conflict.
 		mayBePending := c.BaseRevision == current && c.Document != nil
 		o := state.CheckChange(c)
 		if known || o.Code != clusterstate.Accepted && !(mayBePending && o.Code == clusterstate.Conflict) {
@@ -78,7 +78,7 @@
 	}
 	if !utf8.ValidString(c.ID) || !utf8.ValidString(c.Author) || !utf8.ValidString(c.Note) {
 		return clusterstate.Outcome{Code: clusterstate.Invalid, Revision: current,
-			Problems: []string{"id, author and note must be text"}}, true
+			Problems: []string{"id, author and note must be valid UTF-8"}}, true
 	}
 	if len(c.Document.Encode()) > clusterstate.MaxDocumentBytes {
 		return clusterstate.Outcome{Code: clusterstate.TooLarge, Revision: current}, true
@@ -86,14 +86,14 @@
 	return clusterstate.Outcome{}, false
 }
 
-// ProposeRolloutCommand puts an operator's command into the log: a withdrawal, or the closing of an
-// instance's session.
+// ProposeRolloutCommand proposes an operator's rollout command: the withdrawal of a change, or the closing of
+// an instance's session.
 func (i *Instance) ProposeRolloutCommand(c rollout.Command) RequestID {
 	return i.proposals.command(c.ID, func() ([]byte, error) { return encodeRolloutCommand(c), nil })
 }
 
-// ProposeCommand puts a command of a replicated state machine into the log: a lease holder's, or an
-// operator's. The entry must hold the id.
+// ProposeCommand proposes a command of a replicated state machine, from a lease holder or an operator. The
+// entry must contain the id.
 func (i *Instance) ProposeCommand(section string, e *schema.Change, id string) RequestID {
 	return i.proposals.command(id, func() ([]byte, error) {
 		if err := i.participants.checkSection(section); err != nil {
@@ -103,11 +103,11 @@
 	})
 }
 
-// command proposes the entry that encode gives, if this instance takes part.
+// command proposes the entry that encode returns, if this instance is available.
 func (p *proposals) command(entryID string, encode func() ([]byte, error)) RequestID {
 	q := &request{handler: p, retryable: true, entryID: entryID}
 	id := p.requests.register(q)
-	err := p.replica.available()
+	err := p.replica.checkAvailable()
 	if err == nil {
 		q.data, err = encode()
 	}
@@ -119,8 +119,8 @@
 	return id
 }
 
-// submit implements requestHandler. A proposal that Raft drops, say because too much is uncommitted, is
-// submitted again later.
+// submit implements requestHandler. A proposal that Raft drops, for example because too many bytes are
+// uncommitted, is submitted again later.
 func (p *proposals) submit(q *request) { _ = p.replica.node.Propose(q.data) }
 
 // resolve implements requestHandler.
@@ -135,8 +135,9 @@
 				clusterstate.Outcome{Code: clusterstate.Accepted, Revision: pending.Number})
 			return resolved
 		}
-		// It is in the log, which bounds its time. Hazard: an instance that is partitioned or was removed
-		// does not learn of its end, and would wait for ever.
+		// The change is in the log and will be decided, so the deadline is extended. An instance that is
+		// partitioned or was removed does not learn the decision; extending its deadline would make the
+		// request wait forever.
 		if s.Lead != raft.None && !p.replica.wasRemoved() {
 			q.deadline = max(q.deadline, p.replica.ticks+uint64(p.replica.cfg.RequestTimeoutTicks))
 		}
@@ -145,7 +146,7 @@
 		}
 	}
 	if state != nil {
-		if o, ok := state.OutcomeOf(q.entryID); ok { // it may have come with a snapshot
+		if o, ok := state.OutcomeOf(q.entryID); ok { // the outcome may have arrived in a snapshot
 			p.requests.respond(q, nil, o)
 			return resolved
 		}
@@ -153,9 +154,9 @@
 	return undecided
 }
 
-// pendingRevision is the change that a request is about, if it takes hold now.
+// pendingRevision returns the pending revision if it is the change that the request proposed.
 func (p *proposals) pendingRevision(q *request) (clusterstate.Revision, bool) {
-	if p.replica.state == nil || !q.change {
+	if p.replica.state == nil || !q.configChange {
 		return clusterstate.Revision{}, false
 	}
 	pending, ok := p.replica.state.PendingRevision()
--- a/internal/cluster/consensus/raft_logger.go
+++ b/internal/cluster/consensus/raft_logger.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger sends Raft's log lines where the program's go. Most of what Raft logs at info concerns its
-// internals, so that counts as debug here.
+// raftLogger writes Raft's log messages to the program's log. What Raft logs at the levels info and warning
+// mostly concerns its internals, and is logged at debug.
 type raftLogger struct{ logrus.FieldLogger }
 
 func (l raftLogger) Info(v ...any)                    { l.Debug(v...) }
--- a/internal/cluster/consensus/reads.go
+++ b/internal/cluster/consensus/reads.go
@@ -8,19 +8,19 @@
 	"moorstack/internal/cluster/clusterstate"
 )
 
-// reads are the linearizable read requests: each waits until this instance has applied everything that was
-// committed when the request came (Raft's ReadIndex).
+// reads handles the linearizable read requests: each waits until this instance has applied everything that
+// was committed when the request arrived (Raft's ReadIndex).
 type reads struct {
 	replica  *replica
 	requests *requestTable
 }
 
-// ReadIndex requests a moment from which on this instance has applied everything that was committed when the
-// request came. Its Response has no outcome.
+// ReadIndex requests a Response once this instance has applied everything that was committed when the request
+// arrived. The Response has no outcome.
 func (i *Instance) ReadIndex() RequestID {
 	q := &request{handler: i.reads, retryable: true, timeoutErr: ErrNoLeader}
 	id := i.requests.register(q)
-	if err := i.available(); err != nil {
+	if err := i.checkAvailable(); err != nil {
 		i.requests.reject(q, err)
 		return id
 	}
@@ -28,14 +28,14 @@
 	return id
 }
 
-// submit implements requestHandler. Each attempt has a context of its own: a late ReadState of an earlier
-// attempt must not be taken for one of this.
+// submit implements requestHandler. Each attempt has a unique context, so that a late ReadState of an earlier
+// attempt is not mistaken for that of the current one.
 func (r *reads) submit(q *request) {
 	q.readContext = string(readContext(nil, r.replica.identity.Id, uint64(q.id), r.replica.ticks))
 	r.replica.node.ReadIndex([]byte(q.readContext))
 }
 
-// observe takes the index of a read.
+// observe records the read index of the request that a ReadState belongs to.
 func (r *reads) observe(s raft.ReadState) {
 	for _, q := range r.requests.pending {
 		if q.handler == r && q.readContext == string(s.RequestCtx) {
@@ -54,7 +54,7 @@
 	return resolved
 }
 
-// readContext appends numbers that make a read unique to a prefix.
+// readContext returns the context of a read: prefix followed by numbers that make it unique.
 func readContext(prefix []byte, numbers ...uint64) []byte {
 	for _, n := range numbers {
 		prefix = binary.BigEndian.AppendUint64(prefix, n)
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -11,25 +11,25 @@
 	"moorstack/internal/storage/store"
 )
 
-// Ready is what must be persisted before Advance.
+// Ready holds the records that must be persisted before Advance.
 type Ready struct {
 	Records []store.Record // in this order
-	Sync    bool           // they must be durable before any effect is carried out
+	Sync    bool           // the records must be durable before Advance
 }
 
-// Effects are what follows from the inputs since the last Advance.
+// Effects holds the outputs that result from the inputs since the last Advance.
 type Effects struct {
 	Messages  []*pb.Message
 	Responses []Response
 	Revisions []clusterstate.Revision // newly in force, in order
-	Snapshot  []byte                  // for store.WriteSnapshot; it replaces the records so far
+	Snapshot  []byte                  // for store.WriteSnapshot; replaces all records so far
 
 	SessionMessages []SessionMessage       // to other instances
-	Permit          *rollout.Permit        // whether the fronts may admit jobs, where that has changed
-	Stage           *clusterstate.Revision // the fronts must be made ready for this change; see ReportStaged
-	ClusterView     *ClusterView           // of placement and this instance's session, likewise
-	// Notifications are what participants send to the rest of the node, in order, after the ClusterView.
-	// Each participant has types of its own.
+	Permit          *rollout.Permit        // whether the fronts may admit jobs; nil: unchanged
+	Stage           *clusterstate.Revision // a pending change that the fronts must stage; see ReportStaged
+	ClusterView     *ClusterView           // nil: unchanged
+	// Notifications are messages of participants to the rest of the node, in order. They must be delivered
+	// after the ClusterView. Each participant defines its own types.
 	Notifications []any
 }
 
@@ -45,7 +45,7 @@
 		len(e.Notifications) == 0
 }
 
-// Ready gives what must be persisted next. It is false if there is nothing to do until the next input.
+// Ready returns what must be persisted next. ok is false if there is nothing to do until the next input.
 func (i *Instance) Ready() (rd Ready, ok bool) {
 	if i.pendingReady != nil {
 		panic("consensus: Ready before Advance")
@@ -55,7 +55,7 @@
 		i.unsaved = nil
 	}
 	if i.node != nil && i.halted == nil {
-		i.guarded(func() {
+		i.haltOnPanic(func() {
 			if !i.node.HasReady() {
 				return
 			}
@@ -68,8 +68,8 @@
 	return rd, ok || !i.out.empty()
 }
 
-// add makes records of what must outlive the process. The order matters where the end of them is lost: a
-// snapshot before the entries after it, and the commit index after the entries.
+// add adds the records of a Raft Ready. Their order matters if a crash loses the last ones: a snapshot comes
+// before the entries that follow it, and the commit index comes after the entries.
 func (rd *Ready) add(ready *raft.Ready) {
 	add := func(kind uint8, m proto.Message) {
 		record, err := newRecord(kind, m)
@@ -91,12 +91,12 @@
 	rd.Sync = rd.Sync || ready.MustSync
 }
 
-// Advance must be called once what Ready gave is persisted. It applies the committed entries and gives what
-// is to be carried out.
+// Advance must be called once the records that Ready returned are persisted. It applies the committed entries
+// and returns the effects.
 func (i *Instance) Advance() Effects {
 	if ready := i.pendingReady; ready != nil {
 		i.pendingReady = nil
-		i.guarded(func() { i.advance(ready) })
+		i.haltOnPanic(func() { i.advance(ready) })
 		i.sessions.evaluate()
 	}
 	out := i.out
@@ -118,7 +118,7 @@
 	}
 	for _, m := range rd.Messages {
 		if m.GetType() == pb.MsgVoteResp && !m.GetReject() {
-			i.electionElapsed = 0 // an instance that has voted waits for the result
+			i.electionElapsed = 0 // this instance has voted and waits for the result
 		}
 	}
 	i.out.Messages = append(i.out.Messages, rd.Messages...)
@@ -132,8 +132,8 @@
 	}
 	i.node.Advance(*rd)
 	i.requests.evaluate()
-	// Hazard: Raft passes over a snapshot in which the one that gets it is no member yet, so that a new
-	// member would wait for ever for the next one.
+	// Raft ignores a snapshot whose configuration does not include the receiver. Without a new snapshot after
+	// a membership change, a new member would wait forever for one that includes it.
 	if i.membersChanged || i.applied-i.snapshotIndex >= i.cfg.SnapshotCount {
 		i.createSnapshot()
 	}
--- a/internal/cluster/consensus/recovered_state.go
+++ b/internal/cluster/consensus/recovered_state.go
@@ -12,22 +12,22 @@
 	"moorstack/internal/storage/store"
 )
 
-// RecoveredState collects what an instance's store holds, for New. RestoreSnapshot and ReplayRecord are the
-// callbacks of store.Open.
+// RecoveredState collects the contents of an instance's store, for New. RestoreSnapshot and ReplayRecord are
+// the callbacks for store.Open.
 type RecoveredState struct {
 	identity *schema.Identity
 	hard     *pb.HardState
 	storage  *raft.MemoryStorage
 }
 
-// NewRecoveredState is that of an empty store, or of one that is to be read.
+// NewRecoveredState returns the state of an empty store, into which the contents of a store can be read.
 func NewRecoveredState() *RecoveredState { return &RecoveredState{storage: raft.NewMemoryStorage()} }
 
-// RestoreSnapshot reads the snapshot of the store: see Effects.Snapshot.
+// RestoreSnapshot reads the store's snapshot, as written from Effects.Snapshot.
 func (s *RecoveredState) RestoreSnapshot(b []byte) error {
 	var stored schema.Image
 	if err := proto.Unmarshal(b, &stored); err != nil {
-		return fmt.Errorf("the snapshot can't be read: %w", err)
+		return fmt.Errorf("decode snapshot: %w", err)
 	}
 	s.identity = stored.Identity
 	if len(stored.HardState) > 0 {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// ReplayRecord reads a record of the store.
+// ReplayRecord reads a record of the store. Records must be replayed in the order in which they were written.
 func (s *RecoveredState) ReplayRecord(r store.Record) error {
 	switch r.Kind {
 	case recIdentity:
@@ -61,7 +61,7 @@
 	case recSnapshot:
 		return s.replaySnapshot(r.Data)
 	}
-	return fmt.Errorf("a record of the unknown kind %d", r.Kind)
+	return fmt.Errorf("record has unknown kind %d", r.Kind)
 }
 
 func (s *RecoveredState) replayHardState(b []byte) error {
@@ -77,7 +77,7 @@
 	last, _ := s.storage.LastIndex()
 	first, _ := s.storage.FirstIndex()
 	if e.GetIndex() > last+1 || e.GetIndex() < first {
-		return fmt.Errorf("entry %d is not within %d and %d", e.GetIndex(), first, last+1)
+		return fmt.Errorf("log entry index is %d, expected %d to %d", e.GetIndex(), first, last+1)
 	}
 	return s.storage.Append([]*pb.Entry{e})
 }
--- a/internal/cluster/consensus/recovered_state_test.go
+++ b/internal/cluster/consensus/recovered_state_test.go
@@ -26,11 +26,11 @@
 	}
 	for name, c := range map[string]struct {
 		records []store.Record
-		want    string // in the last record's error; empty: it has none
+		want    string // part of the error of the last record; empty: no error
 	}{
 		"entries in order":  {[]store.Record{entry(1), entry(2)}, ""},
 		"an entry twice":    {[]store.Record{entry(1), entry(1)}, ""},
-		"a missing entry":   {[]store.Record{entry(2)}, "entry 2 is not within 1 and 1"},
+		"a missing entry":   {[]store.Record{entry(2)}, "log entry index is 2, expected 1 to 1"},
 		"an unknown kind":   {[]store.Record{{Kind: 99}}, "unknown kind 99"},
 		"a broken identity": {[]store.Record{{Kind: recIdentity, Data: []byte{0xff}}}, "proto"},
 		"a broken entry":    {[]store.Record{{Kind: recEntry, Data: []byte{0xff}}}, "proto"},
@@ -42,7 +42,7 @@
 			err = s.ReplayRecord(r)
 		}
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want %q", name, err, c.want)
 		}
 	}
 }
@@ -60,15 +60,15 @@
 		number uint64
 		want   string
 	}{
-		"no number": {NewRecoveredState(), 0, "0 is no number for an instance"},
-		"of another": {recovered(&schema.Identity{Id: 7, Name: "n2"}, nil), 8,
-			`the directory is of instance "n2"`},
-		"commit without log": {recovered(member, &pb.HardState{Commit: proto.Uint64(5)}), 8,
-			"entry 5 was agreed on"},
+		"number 0": {NewRecoveredState(), 0, "invalid instance number 0"},
+		"another name": {recovered(&schema.Identity{Id: 7, Name: "n2"}, nil), 8,
+			`data directory belongs to instance "n2"`},
+		"commit index beyond the log": {recovered(member, &pb.HardState{Commit: proto.Uint64(5)}), 8,
+			"commit index is 5"},
 	} {
 		_, err := New(cfg, c.state, c.number, "n1")
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want %q", name, err, c.want)
 		}
 	}
 }
--- a/internal/cluster/consensus/replica.go
+++ b/internal/cluster/consensus/replica.go
@@ -14,50 +14,50 @@
 	"moorstack/internal/storage/store"
 )
 
-// replica is the Raft node of an instance: its durable identity, Raft's log, and the cluster state that the
-// committed entries have produced.
+// replica is the Raft node of an instance: its durable identity, the Raft log, and the cluster state that
+// results from the committed entries.
 type replica struct {
 	cfg      Config
 	identity *schema.Identity
 	node     *raft.RawNode // nil until the instance belongs to a group
 	storage  *raft.MemoryStorage
-	state    *clusterstate.State // nil until the first snapshot has come
+	state    *clusterstate.State // nil until the first snapshot is installed
 	members  memberTracker
 	rng      *rand.Rand
 
 	now         time.Duration // see Instance.SetClock
 	ticks       uint64
-	lastContact uint64 // tick of the last message of the leader; of a leader: now
+	lastContact uint64 // tick of the leader's last message; the current tick on the leader itself
 
-	electionElapsed int // ticks since the last message of the leader, or since it campaigned
-	electionTimeout int // after so many it campaigns
+	electionElapsed int // ticks since the leader's last message or this instance's last campaign
+	electionTimeout int // value of electionElapsed at which this instance campaigns
 
-	applied         uint64
-	appliedTerm     uint64 // of that entry
+	applied         uint64 // index of the last applied entry
+	appliedTerm     uint64 // term of the entry at applied
 	snapshotIndex   uint64 // of the last snapshot
 	membersChanged  bool   // since the last snapshot
-	emittedRevision uint64 // the newest that Effects have held
+	emittedRevision uint64 // the newest revision that was added to the effects
 	removed         bool   // another member reported that this one was removed
-	halted          error
+	halted          error  // why the instance has halted; nil: it has not
 	onHalt          func(error)
 
-	unsaved []store.Record // of the identity, before anything else
-	out     Effects
+	unsaved []store.Record // records of the identity and a new group, persisted before all others
+	out     Effects        // to be returned by the next Advance
 }
 
-// newReplica makes a replica from what its store recovered. Where that is nothing it gets the given number
-// and name.
+// newReplica returns a replica with the state recovered from its store. If the store is empty, the replica
+// gets the given number and name.
 func newReplica(cfg Config, recovered *RecoveredState, number uint64, name string) (*replica, error) {
 	r := &replica{cfg: cfg, identity: recovered.identity, storage: recovered.storage}
 	if r.identity == nil {
 		if number == 0 || raft.IsLocalMsgTarget(number) {
-			return nil, fmt.Errorf("%d is no number for an instance", number)
+			return nil, fmt.Errorf("invalid instance number %d", number)
 		}
 		r.identity = &schema.Identity{Id: number, Name: name}
 		r.saveIdentity()
 	}
 	if name != "" && r.identity.Name != name {
-		return nil, fmt.Errorf("the directory is of instance %q, the configuration names %q",
+		return nil, fmt.Errorf("data directory belongs to instance %q, but the configured name is %q",
 			r.identity.Name, name)
 	}
 	r.members = memberTracker{self: r.identity.Id, lastSeen: map[uint64]uint64{}}
@@ -67,20 +67,21 @@
 	}
 	last, _ := r.storage.LastIndex()
 	if commit := recovered.hard.GetCommit(); commit > last {
-		return nil, fmt.Errorf("the store says that entry %d was agreed on and ends at %d", commit, last)
+		return nil, fmt.Errorf("commit index is %d, but the stored log ends at %d", commit, last)
 	}
 	return r, r.storage.SetHardState(recovered.hard)
 }
 
+// saveIdentity adds the identity to the records to be persisted.
 func (r *replica) saveIdentity() {
 	b, err := proto.Marshal(r.identity)
 	if err != nil {
-		panic(err) // there is nothing in it that can't be written
+		panic(err) // can't happen: every identity can be encoded
 	}
 	r.unsaved = append(r.unsaved, store.Record{Kind: recIdentity, Data: b})
 }
 
-// start makes the Raft node, from what the storage has.
+// start creates the Raft node from the contents of the storage.
 func (r *replica) start() error {
 	snap, err := r.storage.Snapshot()
 	if err != nil {
@@ -103,32 +104,32 @@
 	return err
 }
 
-// randomElectionTimeout draws the ticks without a leader until this instance campaigns.
+// randomElectionTimeout draws the number of ticks without a leader after which this instance campaigns.
 func (r *replica) randomElectionTimeout() int {
 	return r.cfg.ElectionTicks + r.rng.IntN(r.cfg.ElectionTicks)
 }
 
-// tick lets one unit of time pass for Raft.
+// tick advances Raft's clock by one tick, and campaigns when the election timeout expires.
 func (r *replica) tick() {
 	if r.node.BasicStatus().RaftState == raft.StateLeader {
 		r.lastContact, r.electionElapsed = r.ticks, 0
 		r.node.Tick()
 		return
 	}
-	// Raft's own Tick would campaign at a time that can't be reproduced.
+	// Raft's own Tick would campaign after a timeout that is not reproducible.
 	r.node.TickQuiesced()
 	r.electionElapsed++
 	if r.electionElapsed >= r.electionTimeout && r.members.electable() && !r.wasRemoved() {
 		r.electionElapsed, r.electionTimeout = 0, r.randomElectionTimeout()
-		_ = r.node.Campaign() // refused while a change of the members waits to be applied
+		_ = r.node.Campaign() // rejected while a membership change is committed but not applied
 	}
 }
 
-// propose proposes a command that its proposer makes again if Raft drops it.
+// propose proposes a command. If Raft drops it, the caller has to propose it again.
 func (r *replica) propose(data []byte) { _ = r.node.Propose(data) }
 
-// available is why this instance can't take a request, or nil.
-func (r *replica) available() error {
+// checkAvailable returns an error if this instance can't accept requests.
+func (r *replica) checkAvailable() error {
 	switch {
 	case r.node == nil:
 		return ErrNoGroup
@@ -146,17 +147,17 @@
 	return r.removed || r.state != nil && r.state.WasRemoved(r.identity.Id)
 }
 
-// memberActive reports whether a member sent a message lately.
+// memberActive reports whether a member is active: whether its last message is recent.
 func (r *replica) memberActive(id uint64) bool {
 	return r.members.active(id, r.ticks, uint64(memberActiveElections*r.cfg.ElectionTicks))
 }
 
-// policy is the rollout policy in force.
+// policy returns the rollout policy in force.
 func (r *replica) policy() rollout.Policy {
 	return r.state.RolloutPolicy().WithDefaults(r.cfg.TickInterval)
 }
 
-// emitRevision puts the current revision into the effects, once.
+// emitRevision adds the current revision to the effects, unless that was done before.
 func (r *replica) emitRevision() {
 	if current := r.state.CurrentRevision(); current.Number > r.emittedRevision {
 		r.emittedRevision = current.Number
@@ -164,9 +165,9 @@
 	}
 }
 
-// guarded keeps a broken log or message from ending the process: the node serves on with the configuration
-// that it has, and reports that it has halted.
-func (r *replica) guarded(f func()) {
+// haltOnPanic calls f and halts the instance if it panics. An invalid log or message thus does not end the
+// process: the node continues to serve with its current configuration, and reports that consensus has halted.
+func (r *replica) haltOnPanic(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.halt(fmt.Errorf("%w: %v", ErrHalted, p))
@@ -175,6 +176,7 @@
 	f()
 }
 
+// halt ends this instance's participation in the group, and fails the pending requests.
 func (r *replica) halt(err error) {
 	if r.halted == nil {
 		r.halted = err
--- a/internal/cluster/consensus/requests.go
+++ b/internal/cluster/consensus/requests.go
@@ -8,55 +8,55 @@
 	"moorstack/internal/cluster/clusterstate"
 )
 
-// RequestID names a request until its Response.
+// RequestID identifies a request and its Response.
 type RequestID uint64
 
-// Response ends a request, once.
+// Response is the result of a request. Each request gets exactly one.
 type Response struct {
 	RequestID RequestID
 	Err       error
-	Outcome   clusterstate.Outcome // of a proposal
+	Outcome   clusterstate.Outcome // of a proposal or an operation
 }
 
-// request is pending until its Response.
+// request is a request that is pending until its Response.
 type request struct {
 	id          RequestID
 	handler     requestHandler
-	deadline    uint64 // tick at which it gets timeoutErr
+	deadline    uint64 // tick at which the request fails with timeoutErr
 	timeoutErr  error
-	retryable   bool   // it may be submitted to Raft again
+	retryable   bool   // may be submitted to Raft again
 	submittedAt uint64 // tick of the last submission
-	submittedTo uint64 // the leader then
+	submittedTo uint64 // leader at the last submission
 
-	// Of a proposal, or a change of the members.
-	entryID string // by which its outcome is recognised
-	data    []byte // to be submitted again under another leader
-	change  bool   // of the configuration, which takes hold in steps; false: a command
-	noWait  bool   // it gets its Response once the change begins to take hold
+	// Of a proposal or a membership change.
+	entryID      string // matches the request with the outcome of its entry
+	data         []byte // of the entry, for repeated submissions
+	configChange bool   // a configuration change, which is staged before it is in force; false: a command
+	noWait       bool   // respond as soon as the change is pending
 
 	// Of a read.
-	readContext string // by which Raft's ReadState is recognised
-	readIndex   uint64 // it waits until that entry is applied; 0: not known yet
+	readContext string // matches the request with its raft.ReadState
+	readIndex   uint64 // index that must be applied before the Response; 0: not known yet
 
 	transferee uint64 // of a leader transfer
 }
 
-// requestHandler is one kind of request on its way through Raft.
+// requestHandler submits and resolves one kind of request.
 type requestHandler interface {
-	// submit hands a request to Raft, for the first time or again. That is safe: a proposal is applied once
-	// however often it is in the log, and a read has no effect.
+	// submit submits a request to Raft, possibly repeatedly. Repeating is safe: a proposal is applied only
+	// once even if the log contains it several times, and a read changes nothing.
 	submit(q *request)
-	// resolve sends the Response of a request, if it is decided.
+	// resolve emits the Response of a request if it is decided.
 	resolve(q *request, s raft.BasicStatus) resolution
 }
 
-// resolution is how far a request has come.
+// resolution is the progress of a request.
 type resolution uint8
 
 const (
-	undecided  resolution = iota // it may time out, or be submitted again
-	inProgress                   // it is known to be in the log
-	resolved                     // it has its Response
+	undecided  resolution = iota // may time out or be submitted again
+	inProgress                   // known to be in the log
+	resolved                     // has its Response
 )
 
 // requestTable holds the pending requests of an instance.
@@ -64,16 +64,16 @@
 	replica  *replica
 	lastID   RequestID
 	pending  []*request
-	outcomes []entryOutcome // of the entries of this Ready
+	outcomes []entryOutcome // of the entries applied since the last evaluate
 }
 
-// entryOutcome is the outcome of an entry by the id of its change or command.
+// entryOutcome is the outcome of the entry with a change or command of a given id.
 type entryOutcome struct {
 	entryID string
 	outcome clusterstate.Outcome
 }
 
-// register gives a request its id and its deadline.
+// register assigns a request its id and its deadline.
 func (t *requestTable) register(q *request) RequestID {
 	t.lastID++
 	q.id = t.lastID
@@ -88,6 +88,7 @@
 	t.replica.out.Responses = append(t.replica.out.Responses, Response{RequestID: q.id, Err: err, Outcome: o})
 }
 
+// reject responds to a request with an error.
 func (t *requestTable) reject(q *request, err error) { t.respond(q, err, clusterstate.Outcome{}) }
 
 // failAll responds to every pending request with an error.
@@ -98,16 +99,17 @@
 	t.pending = nil
 }
 
+// recordOutcome records the outcome of an applied entry for the next evaluate.
 func (t *requestTable) recordOutcome(entryID string, o clusterstate.Outcome) {
 	t.outcomes = append(t.outcomes, entryOutcome{entryID, o})
 }
 
 func (t *requestTable) add(q *request) { t.pending = append(t.pending, q) }
 
-// start makes a request pending and submits it.
+// start adds a request to the pending ones and submits it.
 func (t *requestTable) start(q *request) {
 	t.add(q)
-	t.replica.guarded(func() { t.submit(q) })
+	t.replica.haltOnPanic(func() { t.submit(q) })
 }
 
 func (t *requestTable) submit(q *request) {
@@ -115,7 +117,7 @@
 	q.handler.submit(q)
 }
 
-// evaluate responds to the requests that are decided now, and submits others again.
+// evaluate responds to the requests that are decided or have timed out, and submits lost requests again.
 func (t *requestTable) evaluate() {
 	if t.replica.node == nil {
 		return
@@ -125,7 +127,7 @@
 	t.outcomes = t.outcomes[:0]
 }
 
-// resolve reports whether a request has got its Response.
+// resolve responds to a request if it is decided or has timed out, and reports whether it did.
 func (t *requestTable) resolve(q *request, s raft.BasicStatus) bool {
 	switch q.handler.resolve(q, s) {
 	case resolved:
@@ -138,7 +140,7 @@
 		t.reject(q, q.timeoutErr)
 		return true
 	}
-	// Hazard: a request that was submitted to a former leader, or lost on the way, would wait in vain.
+	// A request that was submitted to a former leader or lost in transit would otherwise never be decided.
 	lost := now-q.submittedAt >= uint64(t.replica.cfg.ElectionTicks) || s.Lead != q.submittedTo
 	if q.retryable && s.Lead != raft.None && lost && now > q.submittedAt {
 		t.submit(q)
@@ -146,7 +148,7 @@
 	return false
 }
 
-// resolveByOutcome resolves a request whose entry was applied in this Ready.
+// resolveByOutcome resolves a request whose entry was applied since the last evaluate.
 func (t *requestTable) resolveByOutcome(q *request) resolution {
 	for _, o := range t.outcomes {
 		if o.entryID == q.entryID {
--- a/internal/cluster/consensus/runner.go
+++ b/internal/cluster/consensus/runner.go
@@ -17,35 +17,36 @@
 	"moorstack/internal/storage/store"
 )
 
-// Transport carries messages to other instances. It must not block: a message that can't be carried now is
-// dropped, and Raft sends what matters again.
+// Transport sends messages to other instances. It must not block: messages that can't be sent immediately are
+// dropped, as Raft repeats the messages that it needs.
 type Transport interface {
 	Send(to clusterstate.Member, m *pb.Message)
 	SendSession(to clusterstate.Member, m *schema.SessionMessage)
 }
 
-// RunnerConfig is how a Runner is run. The callbacks run on the runner's goroutine and must not block; each
-// may be nil.
+// RunnerConfig configures a Runner. The callbacks are called on the runner's goroutine and must not block.
+// Each may be nil.
 type RunnerConfig struct {
 	Config
 	Name      string
 	Dir       string
 	Transport Transport
-	// OnRevision gets each revision that comes into force, in order.
+	// OnRevision is called with each revision that comes into force, in order.
 	OnRevision func(clusterstate.Revision)
-	// OnPermit gets whether the fronts may admit jobs, whenever that changes. A permit that is closed for a
-	// change is answered by ReportAdmissionClosed.
+	// OnPermit is called whenever the permission of the fronts to admit jobs changes. If the permit is closed
+	// for a change, ReportAdmissionClosed must be called once the fronts have stopped admitting jobs.
 	OnPermit func(rollout.Permit)
-	// OnStage gets a change that the fronts must be made ready for. It is answered by ReportStaged.
+	// OnStage is called with a pending change that the fronts must stage. ReportStaged must be called with
+	// the result.
 	OnStage func(clusterstate.Revision)
-	// OnClusterView gets the placement views and the instance's session, whenever they change.
+	// OnClusterView is called whenever the placement views or the instance's session and its lease change.
 	OnClusterView func(ClusterView)
-	// OnNotification gets what participants send to the rest of the node. Each has types of its
-	// own.
+	// OnNotification is called with each notification from a participant to the rest of the node. Each
+	// participant defines its own types.
 	OnNotification func(notification any)
 }
 
-// Sizes of the runner's queues, and of its directory's segments.
+// Sizes of the runner's queues and tables, and of the segments of its log.
 const (
 	callQueueLength = 64
 	inboxLength     = 1024
@@ -53,8 +54,8 @@
 	maxSenders      = 64
 )
 
-// Runner is an instance with a clock, a disk and a network. One goroutine drives it, from Start to Stop; its
-// methods may be called from any goroutine.
+// Runner drives an Instance with a clock, a disk and a network, on one goroutine from Start to Stop. Its
+// methods are safe for concurrent use.
 type Runner struct {
 	cfg      RunnerConfig
 	instance *Instance
@@ -64,19 +65,19 @@
 	done     chan struct{}
 	cancel   context.CancelFunc
 	status   atomic.Pointer[Status]
-	failure  error // why it ended by itself; valid once done is closed
+	failure  error // why the runner has ended without Stop; valid once done is closed
 
-	// Of the runner's goroutine.
+	// Only for the runner's goroutine.
 	onResponse map[RequestID]func(Response)
-	senders    map[uint64]clusterstate.Member // who has sent something and isn't known as a member here
+	senders    map[uint64]clusterstate.Member // senders of messages that may not be known as members yet
 
 	mu       sync.Mutex
 	watchers map[chan struct{}]bool
-	dropped  atomic.Uint64
+	dropped  atomic.Uint64 // messages; see Counters
 	rejected atomic.Uint64
 }
 
-// Open opens the instance's directory. Nothing happens before Start.
+// Open opens the instance's directory and recovers its state. The instance is not active before Start.
 func Open(cfg RunnerConfig) (*Runner, error) {
 	cfg.Config = cfg.withDefaults()
 	if cfg.WallClock == nil {
@@ -103,11 +104,12 @@
 		r.store.Close()
 		return nil, err
 	}
-	r.publish()
+	r.publishStatus()
 	return r, nil
 }
 
-// CommittedRevision is the configuration that the directory holds, for use before Start.
+// CommittedRevision returns the configuration recovered from the directory. It must only be called before
+// Start.
 func (r *Runner) CommittedRevision() (clusterstate.Revision, bool) {
 	if r.instance.State() == nil {
 		return clusterstate.Revision{}, false
@@ -115,14 +117,14 @@
 	return r.instance.State().CurrentRevision(), true
 }
 
-// Start begins to take part.
+// Start starts the runner's goroutine.
 func (r *Runner) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	go r.run(ctx)
 }
 
-// Stop ends the instance and closes its directory. It may be called before Start.
+// Stop stops the runner and closes its directory. It may be called before Start.
 func (r *Runner) Stop() error {
 	if r.cancel != nil {
 		r.cancel()
@@ -131,10 +133,11 @@
 	return r.store.Close()
 }
 
-// Done is closed when the runner has ended, also by itself: then Err gives the reason.
+// Done returns a channel that is closed when the runner has ended. If it ended without Stop, Err returns the
+// reason.
 func (r *Runner) Done() <-chan struct{} { return r.done }
 
-// Err is why the runner ended by itself, once Done is closed.
+// Err returns why the runner has ended without Stop. It must only be called once Done is closed.
 func (r *Runner) Err() error { return r.failure }
 
 func (r *Runner) run(ctx context.Context) {
@@ -147,12 +150,12 @@
 	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
-		if err := ProcessReady(r.instance, r.store, BootTime, r.carryOut); err != nil {
+		if err := ProcessReady(r.instance, r.store, BootTime, r.handleEffects); err != nil {
 			r.failure = err
 			r.cfg.Logger.WithError(err).Error("consensus halted: log write failed")
 			return
 		}
-		r.publish()
+		r.publishStatus()
 		select {
 		case <-ctx.Done():
 			return
@@ -165,7 +168,7 @@
 		case m := <-r.inbox:
 			r.instance.SetClock(BootTime())
 			r.step(m)
-			// What came meanwhile shares the next sync.
+			// Messages that have arrived in the meantime share the next sync.
 			for range len(r.inbox) {
 				r.step(<-r.inbox)
 			}
@@ -181,10 +184,10 @@
 	}
 }
 
-// Status is the instance's status after its last step. It never blocks.
+// Status returns the instance's status after its last input. It never blocks.
 func (r *Runner) Status() Status { return *r.status.Load() }
 
-// Counters are the messages that were dropped or rejected, by the names of the metrics.
+// Counters returns the numbers of messages that were dropped or rejected, by metric name.
 func (r *Runner) Counters() map[string]uint64 {
 	return map[string]uint64{
 		"messages_dropped_inbound": r.dropped.Load(),
@@ -192,12 +195,12 @@
 	}
 }
 
-// BootTime is the clock of leases: it goes on while the process or the machine stands still, and nobody sets
-// it. Processes of one machine share it.
+// BootTime returns the time since the machine was booted, which is the clock of leases. It keeps running
+// while the process or the machine is suspended, and can't be set. All processes of a machine share it.
 func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(fmt.Sprintf("consensus: no boottime clock: %v", err))
+		panic(fmt.Sprintf("consensus: read CLOCK_BOOTTIME: %v", err))
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/cluster/consensus/runner_effects.go
+++ b/internal/cluster/consensus/runner_effects.go
@@ -6,16 +6,16 @@
 	"moorstack/internal/cluster/clusterstate"
 )
 
-// carryOut carries out an instance's effects.
-func (r *Runner) carryOut(e Effects) {
-	r.callBack(e)
+// handleEffects calls the callbacks, sends the messages and delivers the responses.
+func (r *Runner) handleEffects(e Effects) {
+	r.invokeCallbacks(e)
 	for _, m := range e.Messages {
-		if to, ok := r.member(m.GetTo()); ok {
+		if to, ok := r.recipient(m.GetTo()); ok {
 			r.cfg.Transport.Send(to, m)
 		}
 	}
 	for _, m := range e.SessionMessages {
-		if to, ok := r.member(m.To); ok {
+		if to, ok := r.recipient(m.To); ok {
 			r.cfg.Transport.SendSession(to, m.Message)
 		}
 	}
@@ -27,8 +27,8 @@
 	}
 }
 
-// callBack calls the callbacks of the configuration.
-func (r *Runner) callBack(e Effects) {
+// invokeCallbacks calls the callbacks of the configuration.
+func (r *Runner) invokeCallbacks(e Effects) {
 	for _, rev := range e.Revisions {
 		r.cfg.Logger.WithFields(logrus.Fields{"revision": rev.Number, "author": rev.Author,
 			"change": rev.ChangeID}).Info("configuration committed")
@@ -52,8 +52,8 @@
 	}
 }
 
-// member is the instance of a number. A message to an unknown one counts as dropped.
-func (r *Runner) member(id uint64) (to clusterstate.Member, ok bool) {
+// recipient returns the instance with a number. If it is unknown, the message to it is counted as dropped.
+func (r *Runner) recipient(id uint64) (to clusterstate.Member, ok bool) {
 	if s := r.instance.State(); s != nil {
 		to, ok = s.Member(id)
 	}
@@ -66,8 +66,8 @@
 	return to, ok
 }
 
-// publish makes the status known, and wakes the watchers when it has changed.
-func (r *Runner) publish() {
+// publishStatus updates the status, and wakes the watchers if the revision or the applied index has changed.
+func (r *Runner) publishStatus() {
 	s := r.instance.Status()
 	old := r.status.Swap(&s)
 	if old != nil && (old.Role != s.Role || old.Leader != s.Leader) && s.Role != RoleWaiting {
--- a/internal/cluster/consensus/runner_requests.go
+++ b/internal/cluster/consensus/runner_requests.go
@@ -10,7 +10,8 @@
 	"moorstack/internal/schema"
 )
 
-// post runs f on the runner's goroutine, or not at all if that is busy or has ended.
+// post queues f to run on the runner's goroutine, and does not wait for it. If the queue is full, f is
+// dropped; if the runner ends first, f is not called.
 func (r *Runner) post(f func()) {
 	select {
 	case r.calls <- f:
@@ -18,7 +19,7 @@
 	}
 }
 
-// runAndWait runs f on the runner's goroutine and waits.
+// runAndWait runs f on the runner's goroutine and waits until it has returned.
 func (r *Runner) runAndWait(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
@@ -36,7 +37,7 @@
 	}
 }
 
-// runWithError is runAndWait with a function that may fail.
+// runWithError is runAndWait for a function that may return an error.
 func (r *Runner) runWithError(ctx context.Context, f func() error) error {
 	var err error
 	if failure := r.runAndWait(ctx, func() { err = f() }); failure != nil {
@@ -45,7 +46,7 @@
 	return err
 }
 
-// request makes a request and waits for its outcome.
+// request starts a request and waits for its outcome.
 func (r *Runner) request(ctx context.Context, start func() RequestID) (clusterstate.Outcome, error) {
 	c := make(chan Response, 1)
 	err := r.runAndWait(ctx, func() { r.onResponse[start()] = func(response Response) { c <- response } })
@@ -60,20 +61,20 @@
 	}
 }
 
-// Propose requests a change of the configuration, and waits until it is in force or is not to be; with noWait
-// until it begins to take hold.
+// Propose requests a configuration change, and waits until it is in force or has failed; with noWait, only
+// until it is pending.
 func (r *Runner) Propose(
 	ctx context.Context, c clusterstate.Change, noWait bool,
 ) (clusterstate.Outcome, error) {
 	return r.request(ctx, func() RequestID { return r.instance.Propose(c, noWait) })
 }
 
-// ProposeRolloutCommand puts an operator's command into the log and waits for its outcome.
+// ProposeRolloutCommand proposes an operator's rollout command and waits for its outcome.
 func (r *Runner) ProposeRolloutCommand(ctx context.Context, c rollout.Command) (clusterstate.Outcome, error) {
 	return r.request(ctx, func() RequestID { return r.instance.ProposeRolloutCommand(c) })
 }
 
-// ProposeCommand puts a command of a replicated state machine into the log, with its id in it, and waits for
+// ProposeCommand proposes a command of a replicated state machine, which must contain the id, and waits for
 // its outcome.
 func (r *Runner) ProposeCommand(
 	ctx context.Context, section string, e *schema.Change, id string,
@@ -81,7 +82,8 @@
 	return r.request(ctx, func() RequestID { return r.instance.ProposeCommand(section, e, id) })
 }
 
-// CheckChange gives the outcome that a change would have now, as far as this instance knows.
+// CheckChange returns the outcome that a change would have now, given the state that this instance has
+// applied.
 func (r *Runner) CheckChange(ctx context.Context, c clusterstate.Change) (o clusterstate.Outcome, err error) {
 	err = r.View(ctx, func(s *clusterstate.State) { o = s.CheckChange(c) })
 	return o, err
@@ -93,7 +95,7 @@
 	return err
 }
 
-// View calls f with the cluster state as far as this instance has applied it.
+// View calls f with the cluster state that this instance has applied. f must not modify or retain it.
 func (r *Runner) View(ctx context.Context, f func(*clusterstate.State)) error {
 	return r.runWithError(ctx, func() error {
 		s := r.instance.State()
@@ -105,8 +107,8 @@
 	})
 }
 
-// Operate carries out an operation on the members, the leader or a replicated state machine, if this instance
-// leads.
+// Operate performs an operation on the members, the leadership or a replicated state machine. It returns a
+// NotLeaderError if another instance leads.
 func (r *Runner) Operate(ctx context.Context, op *schema.Operation, number uint64) error {
 	o, err := r.request(ctx, func() RequestID { return r.instance.Operate(op, number) })
 	if err == nil && o.Code != clusterstate.Accepted {
@@ -115,40 +117,42 @@
 	return err
 }
 
-// Bootstrap makes a new group of this instance.
+// Bootstrap creates a new group whose only member is this instance; see Instance.Bootstrap.
 func (r *Runner) Bootstrap(
 	ctx context.Context, cluster, address string, first *clusterstate.Document, after uint64,
 ) error {
 	return r.runWithError(ctx, func() error { return r.instance.Bootstrap(cluster, address, first, after) })
 }
 
-// Join has this instance belong to a group, durably when it returns.
+// Join makes this instance a member of a group. The membership is durable when Join returns without an error.
 func (r *Runner) Join(ctx context.Context, cluster string) error {
 	if err := r.runWithError(ctx, func() error { return r.instance.Join(cluster) }); err != nil {
 		return err
 	}
-	return r.persisted(ctx)
+	return r.waitUntilPersisted(ctx)
 }
 
-// Compact writes a snapshot now.
+// Compact writes a snapshot immediately, unless nothing was applied since the last one.
 func (r *Runner) Compact(ctx context.Context) error {
 	if err := r.runAndWait(ctx, r.instance.Compact); err != nil {
 		return err
 	}
-	return r.persisted(ctx)
+	return r.waitUntilPersisted(ctx)
 }
 
-// persisted waits until the effects of earlier calls are persisted: the loop persists before it takes the
-// next call.
-func (r *Runner) persisted(ctx context.Context) error { return r.runAndWait(ctx, func() {}) }
+// waitUntilPersisted waits until the results of earlier calls are persisted. An empty call suffices, as the
+// runner persists everything before it accepts the next call.
+func (r *Runner) waitUntilPersisted(ctx context.Context) error { return r.runAndWait(ctx, func() {}) }
 
-// SetDeparting sets whether this instance is about to end, and so has its leased tasks transferred.
+// SetDeparting sets whether this instance is shutting down, in which case its leased tasks are transferred to
+// others.
 func (r *Runner) SetDeparting(ctx context.Context, departing bool) error {
 	return r.runAndWait(ctx, func() { r.instance.SetDeparting(departing) })
 }
 
-// Watch gives a channel that is written to when the state has changed, and a function that ends it.
-func (r *Runner) Watch() (changed <-chan struct{}, end func()) {
+// Watch returns a channel that receives a value when the revision or the applied index has changed, and once
+// at the start. The caller must call stop when it no longer needs the channel.
+func (r *Runner) Watch() (changed <-chan struct{}, stop func()) {
 	c := make(chan struct{}, 1)
 	c <- struct{}{}
 	r.mu.Lock()
--- a/internal/cluster/consensus/sessions.go
+++ b/internal/cluster/consensus/sessions.go
@@ -11,26 +11,25 @@
 	"moorstack/internal/schema"
 )
 
-// sessions are this instance's side of the rollout: its own session and lease and, while it leads, the leases
-// of all members.
+// sessions manages this instance's session and lease and, while it leads, the leases of all members.
 type sessions struct {
 	replica      *replica
 	participants *participants
 	ownership    *ownership
 
 	lease        *rollout.LeaseHolder
-	leader       *rollout.Leader // nil unless it leads, and has applied an entry of its term
+	leader       *rollout.Leader // nil unless this instance leads and has applied an entry of its term
 	confirmation leaseConfirmation
 	formats      *formatTracker
 
-	reportedTo uint64 // the leader that was reported to last
-	leaderSeen bool   // a leader was known at any time since the start
+	reportedTo uint64 // leader that the last report went to
+	leaderSeen bool   // a leader has been known since the start
 
-	permit           rollout.Permit // as emitted last
+	permit           rollout.Permit // the last one emitted
 	permitEmitted    bool
-	stagingChange    string // the change that the fronts are to stage
-	departing        bool   // this instance is about to end
-	departingMembers map[uint64]bool
+	stagingChange    string          // id of the last change emitted for staging; empty: none is pending
+	departing        bool            // this instance is shutting down
+	departingMembers map[uint64]bool // whether a member is shutting down, by its last report
 }
 
 func newSessions(r *replica, o *ownership) *sessions {
@@ -44,31 +43,32 @@
 	return s
 }
 
-// ReportStaged reports that the fronts have staged a change, or why they can't.
+// ReportStaged reports that the fronts have staged a change, or the problems that prevent it.
 func (i *Instance) ReportStaged(change string, problems []string) {
 	i.sessions.lease.SetStaged(change, problems)
 	i.sessions.evaluate()
 }
 
-// ReportAdmissionClosed reports that the fronts have ceased to admit jobs for a change.
+// ReportAdmissionClosed reports that the fronts have stopped admitting jobs for a change.
 func (i *Instance) ReportAdmissionClosed(change string, attempt int) {
 	i.sessions.lease.SetAdmissionClosed(change, attempt)
 	i.sessions.evaluate()
 }
 
-// ReportRunningRevision reports which revision the fronts run.
+// ReportRunningRevision reports the revision that the fronts run.
 func (i *Instance) ReportRunningRevision(revision uint64) {
 	i.sessions.lease.SetRunningRevision(revision)
 }
 
-// SetDeparting sets whether this instance is about to end, and so has its leased tasks transferred.
+// SetDeparting sets whether this instance is shutting down, in which case its leased tasks are transferred to
+// others.
 func (i *Instance) SetDeparting(departing bool) {
 	i.sessions.departing = departing
 	i.sessions.lease.ReportNow()
 	i.sessions.evaluate()
 }
 
-// StepSession takes a session message of another instance: a report, a grant or both.
+// StepSession processes a session message from another instance: a report, a grant or both.
 func (i *Instance) StepSession(from uint64, m *schema.SessionMessage) error {
 	if i.node == nil || i.state == nil {
 		return ErrNoGroup
@@ -81,13 +81,13 @@
 			return ErrRemoved
 		}
 		if r.Nonce == 0 {
-			return errors.New("a session report without an incarnation")
+			return errors.New("session report has no incarnation")
 		}
 		i.sessions.observeReport(from, r)
 	}
 	if g := m.Grant; g != nil {
 		if g.AskedNs > int64(i.now) {
-			return errors.New("a lease that was requested at a future time")
+			return errors.New("lease grant answers a request from the future")
 		}
 		i.sessions.observeGrant(g)
 	}
@@ -95,13 +95,13 @@
 	return nil
 }
 
-// evaluate does what follows from the last input.
+// evaluate updates the sessions and everything that depends on them after an input.
 func (s *sessions) evaluate() {
 	r := s.replica
 	if r.node == nil || r.state == nil || r.halted != nil {
 		return
 	}
-	r.guarded(func() {
+	r.haltOnPanic(func() {
 		st := r.node.BasicStatus()
 		s.leaderSeen = s.leaderSeen || st.Lead != raft.None
 		s.updateLeadership(st)
@@ -125,7 +125,7 @@
 	})
 }
 
-// session is this instance's session; the zero Session: it has none.
+// session returns this instance's session, or the zero Session if it has none.
 func (s *sessions) session() placement.Session {
 	if epoch := s.lease.Epoch(); epoch != 0 && !s.replica.wasRemoved() {
 		return placement.Session{Member: s.replica.identity.Id, Epoch: epoch}
@@ -133,7 +133,7 @@
 	return placement.Session{}
 }
 
-// updateLeadership begins and ends the leader's side.
+// updateLeadership starts or ends this instance's work as the leader when its leadership changes.
 func (s *sessions) updateLeadership(st raft.BasicStatus) {
 	now := s.replica.now
 	leads := st.RaftState == raft.StateLeader && s.replica.appliedTerm == st.GetTerm()
@@ -150,7 +150,7 @@
 	}
 }
 
-// report sends the session report to the leader, when it is due.
+// report sends a session report to the leader if one is due.
 func (s *sessions) report(st raft.BasicStatus) {
 	self := s.replica.identity.Id
 	if st.Lead == raft.None || s.replica.wasRemoved() {
@@ -182,8 +182,8 @@
 	s.replica.out.SessionMessages = append(s.replica.out.SessionMessages, SessionMessage{to, m})
 }
 
-// observeReport takes a member's session report. Unless this instance leads the report requests nothing: the
-// member will report again.
+// observeReport processes a member's session report. If this instance does not lead, it does not grant a
+// lease; the member will report again, to the leader.
 func (s *sessions) observeReport(member uint64, m *schema.SessionReport) {
 	if s.leader != nil {
 		r := rollout.Report{Member: member, Incarnation: m.Nonce, Epoch: m.Epoch,
@@ -199,7 +199,7 @@
 	s.participants.observeReport(member, m)
 }
 
-// observeGrant takes a lease of a leader that had applied the log up to m.Applied.
+// observeGrant processes a lease granted by a leader that had applied the log up to m.Applied.
 func (s *sessions) observeGrant(m *schema.SessionGrant) {
 	g := rollout.Grant{Epoch: m.Epoch, RequestedAt: time.Duration(m.AskedNs),
 		Duration: time.Duration(m.ForNs)}
@@ -208,8 +208,8 @@
 	s.participants.observeGrant(m)
 }
 
-// grantLeases grants the leases that are confirmed, and has a quorum confirm that this instance still leads
-// where others wait.
+// grantLeases grants the leases whose leadership confirmation is complete. If more reports wait, it requests
+// the next confirmation from a quorum.
 func (s *sessions) grantLeases() {
 	r := s.replica
 	if s.confirmation.confirmed(r.applied) {
@@ -220,7 +220,7 @@
 		}
 		s.confirmation.finish()
 	}
-	if context, due := s.confirmation.next(r.ticks, r.identity.Id, s.lease.Incarnation()); due {
+	if context, due := s.confirmation.nextRead(r.ticks, r.identity.Id, s.lease.Incarnation()); due {
 		r.node.ReadIndex(context)
 	}
 }
@@ -238,7 +238,8 @@
 	}
 }
 
-// proposeDecisions has the leader's side decide what is due.
+// proposeDecisions proposes the leader's due decisions on sessions, the pending change and the replicated
+// state machines.
 func (s *sessions) proposeDecisions() {
 	r := s.replica
 	names := map[uint64]string{}
@@ -254,7 +255,7 @@
 	s.participants.proposeDecisions()
 }
 
-// emitPermit puts into the effects whether the fronts may admit jobs, when that has changed.
+// emitPermit adds the fronts' admission permit to the effects if it has changed.
 func (s *sessions) emitPermit() {
 	r := s.replica
 	revision := r.state.CurrentRevision().Number
@@ -276,7 +277,7 @@
 	r.out.Permit = &p
 }
 
-// emitStage puts the pending change into the effects, once, for the fronts to stage it.
+// emitStage adds the pending change to the effects, once, so that the fronts stage it.
 func (s *sessions) emitStage() {
 	pending, ok := s.replica.state.PendingRevision()
 	if !ok {
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/schema"
 )
 
-// restore takes over the cluster state of a snapshot.
+// restore replaces the cluster state with that of a snapshot.
 func (r *replica) restore(snap *pb.Snapshot) error {
 	state, err := clusterstate.Restore(r.cfg.Rules, snap.GetData())
 	if err != nil {
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// installSnapshot takes over a snapshot of the leader in place of entries that this instance lacks.
+// installSnapshot installs a snapshot from the leader, which replaces log entries that this instance lacks.
 func (i *Instance) installSnapshot(snap *pb.Snapshot) {
 	if err := i.storage.ApplySnapshot(snap); err != nil {
 		panic(err)
@@ -35,7 +35,8 @@
 	i.emitRevision()
 }
 
-// createSnapshot has the state replace the entries that made it.
+// createSnapshot creates a snapshot of the state and compacts the log up to it, except for the entries kept
+// for lagging followers.
 func (r *replica) createSnapshot() {
 	snap, err := r.storage.CreateSnapshot(r.applied, r.members.conf, r.state.Encode())
 	if err != nil {
@@ -53,8 +54,8 @@
 	}
 }
 
-// encodeSnapshot gives a snapshot as the store keeps it: with the identity, Raft's hard state and the entries
-// after the snapshot, for it replaces the store's records.
+// encodeSnapshot encodes a snapshot for the store. As it replaces all records of the store, it also contains
+// the identity, Raft's hard state and the entries after the snapshot.
 func (r *replica) encodeSnapshot(snap *pb.Snapshot) ([]byte, error) {
 	hard, _, err := r.storage.InitialState()
 	if err != nil {
@@ -83,9 +84,10 @@
 	return proto.Marshal(stored)
 }
 
-// Compact has the next Advance give a snapshot, for operators who request one.
+// Compact creates a snapshot at an operator's request, unless nothing was applied since the last one. The
+// next Advance returns it.
 func (i *Instance) Compact() {
 	if i.node != nil && i.state != nil && i.halted == nil && i.applied > i.snapshotIndex {
-		i.guarded(i.createSnapshot)
+		i.haltOnPanic(i.createSnapshot)
 	}
 }
--- a/internal/cluster/consensus/status.go
+++ b/internal/cluster/consensus/status.go
@@ -12,12 +12,12 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// Role is an instance's role in its group.
+// Role is the role of an instance in its group.
 type Role string
 
-// The roles. RoleWaiting is that of an instance that belongs to no group yet.
+// Roles of an instance.
 const (
-	RoleWaiting      Role = "waiting"
+	RoleWaiting      Role = "waiting" // belongs to no group yet
 	RoleLeader       Role = "leader"
 	RoleFollower     Role = "follower"
 	RoleLearner      Role = "learner"
@@ -26,57 +26,59 @@
 	RoleRemoved      Role = "removed"
 )
 
-// Status is a copy of what an instance knows of itself and its group.
+// Status is a snapshot of an instance's view of itself and its group.
 type Status struct {
-	ID                uint64
-	Name              string
-	Cluster           string
-	Role              Role
-	Leader            uint64
-	Term              uint64
-	Commit            uint64
-	Applied           uint64
-	Revision          uint64
-	NoLeader          bool   // no leader is known
-	TicksSinceContact uint64 // with the leader or, at the leader, a majority
-	JointConsensus    bool   // a change of the voters is half done
+	ID       uint64
+	Name     string
+	Cluster  string
+	Role     Role
+	Leader   uint64
+	Term     uint64
+	Commit   uint64
+	Applied  uint64
+	Revision uint64
+	NoLeader bool // no leader is known
+	// TicksSinceContact counts from the leader's last message. It is 0 on the leader, which steps down if it
+	// loses contact with a majority.
+	TicksSinceContact uint64
+	JointConsensus    bool // a joint configuration is in force: a change of the voters is in progress
 	Members           []MemberStatus
-	Halted            error // why it has stopped taking part
+	Halted            error // why the instance has halted; nil: it has not
 	Rollout           RolloutStatus
 	PlacementView     placement.View
-	Participants      map[string]any // the status of each participant that has one, by its section
-	Incarnation       uint64         // the number that the process drew when it started
+	Participants      map[string]any // status of each participant that has one, by section
+	Incarnation       uint64         // random number drawn when the process started
 }
 
-// MemberStatus is what an instance knows of a member.
+// MemberStatus is an instance's view of a member.
 type MemberStatus struct {
 	clusterstate.Member
 	Voter         bool
-	ProgressKnown bool // Active and Match are: only the leader knows
-	Active        bool
-	Match         uint64
+	ProgressKnown bool   // whether Active and Match are valid, which is the case on the leader only
+	Active        bool   // a message of the member arrived recently
+	Match         uint64 // index up to which the member's log is known to match the leader's
 }
 
-// RolloutStatus is what an instance knows of the sessions and the pending change.
+// RolloutStatus is an instance's view of the sessions and the pending change.
 type RolloutStatus struct {
 	Format           int
 	Policy           rollout.Policy
 	Permit           rollout.Permit
 	LeaseRemaining   time.Duration
 	SessionEpoch     uint64
-	Staged           string
+	Staged           string // id of the change that this instance has staged
 	Pending          *clusterstate.Revision
 	PendingPhase     rollout.PendingChange
-	AwaitedMembers   map[string]time.Duration // by name, until their lease expires; known to the leader only
+	AwaitedMembers   map[string]time.Duration // time until the lease expires, by name; leader only
 	Sessions         []rollout.Session
-	RunningRevisions map[uint64]uint64 // by member; known to the leader only
-	StagedChanges    map[uint64]string // by member; known to the leader only
+	RunningRevisions map[uint64]uint64 // by member; leader only
+	StagedChanges    map[uint64]string // id of the staged change, by member; leader only
 }
 
 var raftRoles = map[raft.StateType]Role{raft.StateLeader: RoleLeader, raft.StateFollower: RoleFollower,
 	raft.StateCandidate: RoleCandidate, raft.StatePreCandidate: RolePreCandidate}
 
-// Status gives the instance's status after the last Advance.
+// Status returns the instance's current status.
 func (i *Instance) Status() Status {
 	st := Status{ID: i.identity.Id, Name: i.identity.Name, Cluster: i.identity.Cluster, Role: RoleWaiting,
 		NoLeader: true, Halted: i.halted}
--- a/internal/cluster/consensus/step.go
+++ b/internal/cluster/consensus/step.go
@@ -10,7 +10,8 @@
 	"moorstack/internal/cluster/clusterstate"
 )
 
-// Step takes a Raft message of another instance. One that makes no sense is an error, and changes nothing.
+// Step processes a Raft message from another instance. It returns an error for an invalid message, which
+// changes nothing.
 func (i *Instance) Step(m *pb.Message) error {
 	if i.node == nil {
 		return ErrNoGroup
@@ -23,7 +24,7 @@
 	}
 	i.members.observe(m.GetFrom(), i.ticks)
 	var err error
-	i.guarded(func() {
+	i.haltOnPanic(func() {
 		err = i.node.Step(m)
 		s := i.node.BasicStatus()
 		switch m.GetType() {
@@ -35,18 +36,18 @@
 	})
 	i.sessions.evaluate()
 	if errors.Is(err, raft.ErrStepPeerNotFound) {
-		return nil // a response of a member that has been removed meanwhile
+		return nil // a response from a member that was removed in the meantime
 	}
 	return err
 }
 
-// checkMessage checks what a message must hold. Raft trusts its peers for the rest.
+// checkMessage validates those parts of a message that Raft itself does not, as it trusts its peers.
 func (r *replica) checkMessage(m *pb.Message) error {
 	if m.GetTo() != r.identity.Id {
-		return fmt.Errorf("the message is for instance %x, this is %x", m.GetTo(), r.identity.Id)
+		return fmt.Errorf("message is addressed to instance %x, but this is %x", m.GetTo(), r.identity.Id)
 	}
 	if m.GetFrom() == r.identity.Id || m.GetFrom() == raft.None || raft.IsLocalMsgTarget(m.GetFrom()) {
-		return fmt.Errorf("the message is from %x", m.GetFrom())
+		return fmt.Errorf("message has invalid sender %x", m.GetFrom())
 	}
 	if r.state != nil && r.state.WasRemoved(m.GetFrom()) {
 		return ErrRemoved
@@ -60,27 +61,26 @@
 		return r.checkSnapshot(m)
 	case pb.MsgReadIndex, pb.MsgReadIndexResp:
 		if len(m.GetEntries()) != 1 || m.GetEntries()[0] == nil {
-			return errors.New("a read without its number")
+			return errors.New("read index message must have exactly one entry with the read context")
 		}
 		return nil
 	case pb.MsgAppResp, pb.MsgVote, pb.MsgVoteResp, pb.MsgPreVote, pb.MsgPreVoteResp, pb.MsgHeartbeat,
 		pb.MsgHeartbeatResp, pb.MsgTransferLeader, pb.MsgTimeoutNow:
 		return nil
 	}
-	return fmt.Errorf("a message of the kind %v does not come from another instance", m.GetType())
+	return fmt.Errorf("unexpected type %v of a message from another instance", m.GetType())
 }
 
-// checkForwardedProposal checks a proposal that a follower forwards.
-//
-// Hazard: an entry that can't be read stops every instance. Changes of the members are only proposed by the
-// leader itself.
+// checkForwardedProposal validates a proposal that a follower has forwarded. If an entry that can't be
+// decoded got into the log, every instance would halt. Membership changes are rejected too, as only the
+// leader itself proposes them.
 func (r *replica) checkForwardedProposal(m *pb.Message) error {
 	if len(m.GetEntries()) == 0 {
-		return errors.New("a proposal of nothing")
+		return errors.New("proposal has no entries")
 	}
 	for _, e := range m.GetEntries() {
 		if e.GetType() != pb.EntryNormal {
-			return errors.New("a proposal of another kind than a change")
+			return errors.New("forwarded proposal must consist of normal entries")
 		}
 		if _, _, err := r.decodeEntry(e.GetData()); err != nil {
 			return err
@@ -92,7 +92,7 @@
 func checkAppend(m *pb.Message) error {
 	for n, e := range m.GetEntries() {
 		if e == nil || e.GetIndex() != m.GetIndex()+1+uint64(n) || e.GetTerm() > m.GetTerm() {
-			return errors.New("the entries are not in order")
+			return errors.New("append message has entries out of order")
 		}
 	}
 	return nil
@@ -101,13 +101,13 @@
 func (r *replica) checkSnapshot(m *pb.Message) error {
 	meta := m.GetSnapshot().GetMetadata()
 	if meta.GetIndex() == 0 || meta.GetTerm() == 0 || meta.GetConfState() == nil {
-		return errors.New("the snapshot is of nothing")
+		return errors.New("snapshot message must have an index, a term and a configuration")
 	}
 	_, err := clusterstate.Restore(r.cfg.Rules, m.GetSnapshot().GetData())
 	return err
 }
 
-// ReportSnapshot reports whether a snapshot reached the instance that it was sent to.
+// ReportSnapshot reports whether a snapshot reached its recipient.
 func (i *Instance) ReportSnapshot(to uint64, ok bool) {
 	if i.node == nil {
 		return
@@ -116,16 +116,16 @@
 	if !ok {
 		status = raft.SnapshotFailure
 	}
-	i.guarded(func() { i.node.ReportSnapshot(to, status) })
+	i.haltOnPanic(func() { i.node.ReportSnapshot(to, status) })
 }
 
-// ReportUnreachable reports that messages to an instance do not get through.
+// ReportUnreachable reports that an instance can't be reached.
 func (i *Instance) ReportUnreachable(id uint64) {
 	if i.node != nil {
-		i.guarded(func() { i.node.ReportUnreachable(id) })
+		i.haltOnPanic(func() { i.node.ReportUnreachable(id) })
 	}
 }
 
-// ReportRemoved reports that another member knows this one to be removed. One that was partitioned when it
-// happened would campaign for ever.
+// ReportRemoved reports that, according to another member, this one was removed. Without this report, an
+// instance that was partitioned during its removal would campaign forever.
 func (i *Instance) ReportRemoved() { i.removed = true }
