--- a/cmd/moorstack/leased_tasks_test.go
+++ b/cmd/moorstack/leased_tasks_test.go
@@ -56,7 +56,7 @@
 	if second.Holder != to {
 		t.Errorf("transferred to %s, and %s holds it", to, second.Holder)
 	}
-	g.expect(exitFailed, to+" holds drill-1", "duty", "hand-on", "drill-1", to, "--config", "n1.toml")
+	g.expect(exitFailed, to+" already holds drill-1", "duty", "hand-on", "drill-1", to, "--config", "n1.toml")
 	g.expect(exitFailed, `there is no duty "drill-9"; drill-1, drill-2 are`, "duty", "hand-on", "drill-9",
 		"--config", "n1.toml")
 	g.expect(exitFailed, `there is no duty "drill-9"; drill-1, drill-2 are`, "duty", "show", "drill-9",
@@ -118,7 +118,8 @@
 			return d != nil && d.Holder != "" && d.Holder != "n1"
 		})
 	}
-	g.expect(exitFailed, "n1 is about to go", "duty", "hand-on", "drill-1", "n1", "--config", "n2.toml")
+	g.expect(exitFailed, "n1 is draining or shutting down", "duty", "hand-on", "drill-1", "n1", "--config",
+		"n2.toml")
 	g.must("call", g.admin["n1"], "active")
 	eventually(t, "it may hold tasks again", func() bool {
 		_, code := g.run("duty", "hand-on", "drill-1", "n1", "--config", "n2.toml")
@@ -151,7 +152,7 @@
 		if d.Holder == "n3" {
 			t.Fatalf("n3 has no directory and keeps the backups")
 		}
-		g.expect(exitFailed, `n3 can't hold backup: n3 has not the label "backups"`, "duty", "hand-on",
+		g.expect(exitFailed, `n3 can't hold backup: n3 lacks the label "backups"`, "duty", "hand-on",
 			dutyBackup,
 			"n3", "--config", "n3.toml")
 		g.kill(d.Holder, syscall.SIGKILL)
--- a/cmd/moorstack/rolling_restart_test.go
+++ b/cmd/moorstack/rolling_restart_test.go
@@ -49,12 +49,12 @@
 		t.Helper()
 		g.expect(code, say, append([]string{"cluster", "roll", "--config", "n2.toml"}, args...)...)
 	}
-	roll(exitFailed, `the configuration has no conductor: say roll = "on" in the section "duties"`, "start")
+	roll(exitFailed, `rolling restarts are disabled: set roll = "on" in the section "duties"`, "start")
 	g.sections("n1", "[section.duties]\nroll = \"on\"\ndrill = \"1\"\n")
 	g.waitAdmitting(all...)
 	g.waitHeld(leasedtask.RollingRestartTask, 0, all...)
-	roll(exitFailed, `the group has no instance "n7"; n1, n2, n3 are`, "start", "--only", "n7")
-	roll(exitFailed, "nothing is to be stopped", "stop")
+	roll(exitFailed, `the group has no instance "n7"; its instances are n1, n2, n3`, "start", "--only", "n7")
+	roll(exitFailed, "nothing to stop", "stop")
 	roll(0, "taken out one after another", "start", "--within", "2s")
 	p := g.waitRollingRestart(rollingrestart.Halted, all...)
 	if !strings.HasPrefix(p.HaltReason, "n3 is not back within 2s: it has no session") {
@@ -69,7 +69,7 @@
 		return code == 0
 	})
 	g.waitRollingRestart(rollingrestart.Done, all...)
-	roll(exitFailed, "nothing is to be resumed: done: 3 back", "resume")
+	roll(exitFailed, "nothing to resume: done: 3 restarted", "resume")
 	roll(0, "the last first", "undo")
 	controller := g.waitHeld(leasedtask.RollingRestartTask, 0, all...).Holder
 	g.kill(controller, syscall.SIGKILL)
--- a/internal/cluster/leasedtask/assigner.go
+++ b/internal/cluster/leasedtask/assigner.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// spreadInterval is the number of leases between two transfers that only spread tasks evenly. A preferred
-// member that flaps attracts nothing: preference counts only where nobody holds the task.
-const spreadInterval = 10
+// rebalanceInterval is the number of lease durations between two transfers that only rebalance tasks. A
+// preferred member that repeatedly leaves and returns causes no transfers: preferences only count for tasks
+// without a holder.
+const rebalanceInterval = 10
 
-// maxProposals bounds the proposals that are remembered; beyond it all are proposed again.
+// maxProposals bounds the remembered proposals; when it is exceeded, all are forgotten and proposed again.
 const maxProposals = 1024
 
-// Assigner decides, on the leader and for one term, which instance is to hold which task.
+// Assigner decides, on the leader and for one term, which instance holds which task.
 type Assigner struct {
 	term          uint64
 	leaseDuration time.Duration
 	proposedAt    map[proposal]time.Duration
-	lastSpread    time.Duration // when it last transferred a task to spread tasks evenly
-	// expiring is the fencing token of each task whose expiry was proposed. Hazard: once it has been proposed
-	// it may be committed at any time.
+	lastRebalance time.Duration // time of the last transfer for rebalancing
+	// expiring maps each task whose expiry was proposed to the fencing token of its lease. Once the expiry
+	// has been proposed it may be committed at any time.
 	expiring map[string]uint64
 }
 
-// proposal identifies a command that may have to be proposed again. Tasks has the declared names, joined.
+// proposal identifies a command that may have to be proposed again. The field tasks contains the declared
+// names, joined with spaces.
 type proposal struct {
 	kind         Kind
 	task, tasks  string
@@ -32,24 +34,24 @@
 	session      Session
 }
 
-// ClusterView is what the decisions are based on.
+// ClusterView is the information that decisions are based on.
 type ClusterView struct {
 	Now     time.Duration // the leader's monotonic clock
 	Lease   time.Duration // duration of a lease
 	Specs   []Spec
 	Members []Member
-	// LeaseExpired reports whether a member's lease has surely expired.
+	// LeaseExpired reports whether a member's lease has certainly expired.
 	LeaseExpired func(member uint64) bool
 }
 
-// NewAssigner begins a term at the time now.
+// NewAssigner returns an assigner for a term that begins at the time now.
 func NewAssigner(now time.Duration, term uint64) *Assigner {
-	return &Assigner{term: term, lastSpread: now, proposedAt: map[proposal]time.Duration{},
+	return &Assigner{term: term, lastRebalance: now, proposedAt: map[proposal]time.Duration{},
 		expiring: map[string]uint64{}}
 }
 
-// CanGrant reports whether a lease that is granted to a member now may count for tasks. It may not while the
-// expiry of a task that the member holds has been proposed.
+// CanGrant reports whether a lease that is granted to a member now may count for tasks. It may not while a
+// proposed expiry of a task that the member holds can still be committed.
 func (a *Assigner) CanGrant(member uint64, s *State) bool {
 	for name, token := range a.expiring {
 		t := s.Tasks[name]
@@ -60,7 +62,7 @@
 	return true
 }
 
-// shouldPropose reports whether to propose a command now, for the first time or again after half a lease.
+// shouldPropose reports whether to propose a command now: for the first time, or again after half a lease.
 func (a *Assigner) shouldPropose(now time.Duration, p proposal) bool {
 	if at, ok := a.proposedAt[p]; ok && now-at < a.leaseDuration/2 {
 		return false
@@ -72,8 +74,8 @@
 	return true
 }
 
-// Evaluate returns the commands that must be proposed now. They are to be proposed in this term, and are void
-// in the log of another leader.
+// Evaluate returns the commands that must be proposed now, in this term. They are void in the log of another
+// leader.
 func (a *Assigner) Evaluate(s *State, v ClusterView) []Command {
 	a.leaseDuration = v.Lease
 	e := evaluation{Assigner: a, state: s, view: v, specs: map[string]Spec{}, settled: true}
@@ -89,27 +91,27 @@
 	for _, t := range s.List() {
 		e.evaluateTask(t)
 	}
-	// A transfer that is due while tasks change hands is skipped, and the next one is due an interval later.
-	if c, ok := e.spreadTransfer(); ok && e.settled {
+	// A transfer that is due while a task changes its holder is skipped; the next is due an interval later.
+	if c, ok := e.rebalanceTransfer(); ok && e.settled {
 		e.propose(c)
 	}
 	return e.commands
 }
 
-// declared reports whether the state has exactly the named tasks.
+// declared reports whether exactly the named tasks exist in the state.
 func declared(s *State, names []string) bool {
 	return len(s.Tasks) == len(names) &&
 		!slices.ContainsFunc(names, func(n string) bool { return s.Tasks[n] == nil })
 }
 
-// evaluation is one call of Evaluate.
+// evaluation holds the data of one call of Evaluate.
 type evaluation struct {
 	*Assigner
 	state    *State
 	view     ClusterView
 	specs    map[string]Spec // by task
-	held     map[uint64]int  // number of tasks by member, with those that are being assigned
-	settled  bool            // every task is held, and none is about to change hands
+	held     map[uint64]int  // number of tasks by member, including those being assigned
+	settled  bool            // every task that is not paused is held, and none is changing its holder
 	commands []Command
 }
 
@@ -118,7 +120,7 @@
 	e.commands = append(e.commands, c)
 }
 
-// evaluateTask proposes what a task needs next.
+// evaluateTask proposes the next command for a task, if it needs one.
 func (e *evaluation) evaluateTask(t *Task) {
 	switch {
 	case t.IsHeld() && e.holderExpired(t):
@@ -134,7 +136,8 @@
 	}
 }
 
-// holderExpired reports whether the holder's lease has surely expired, or had when its expiry was proposed.
+// holderExpired reports whether the holder's lease has certainly expired, or had when its expiry was
+// proposed.
 func (e *evaluation) holderExpired(t *Task) bool {
 	return e.expiring[t.Name] == t.FencingToken || e.view.LeaseExpired(t.Holder.Member)
 }
@@ -147,8 +150,8 @@
 	}
 }
 
-// transferFromDeparting has a holder that is departing release the task, if another member can hold it. An
-// operator's transfer comes as a command of its own.
+// transferFromDeparting asks a departing holder to release the task if another member is eligible. An
+// operator's transfer is a command of its own.
 func (e *evaluation) transferFromDeparting(t *Task) {
 	k := slices.IndexFunc(e.view.Members, func(m Member) bool {
 		return m.Session.Member == t.Holder.Member
@@ -173,13 +176,13 @@
 		e.propose(Command{Kind: Assign, Task: t.Name, FencingToken: t.FencingToken, Session: m.Session,
 			Name: m.Name})
 	}
-	e.held[m.Session.Member]++ // soon
+	e.held[m.Session.Member]++ // although the assignment is not committed yet
 }
 
-// spreadTransfer returns the transfer of one task from a member that holds at least two more than another
-// that could hold it.
-func (e *evaluation) spreadTransfer() (Command, bool) {
-	if e.view.Now-e.lastSpread < spreadInterval*e.view.Lease {
+// rebalanceTransfer returns the transfer of one task from its holder to an eligible member that holds at
+// least two tasks fewer. It returns false if there is none, or the next one is not due yet.
+func (e *evaluation) rebalanceTransfer() (Command, bool) {
+	if e.view.Now-e.lastRebalance < rebalanceInterval*e.view.Lease {
 		return Command{}, false
 	}
 	held := heldCounts(e.state)
@@ -193,7 +196,7 @@
 				held[t.Holder.Member]-held[m.Session.Member] < 2 {
 				continue
 			}
-			e.lastSpread = e.view.Now
+			e.lastRebalance = e.view.Now
 			return Command{Kind: Transfer, Task: t.Name, FencingToken: t.FencingToken,
 				TransferTo: m.Session.Member, Reason: "so that nobody holds all"}, true
 		}
--- a/internal/cluster/leasedtask/assigner_test.go
+++ b/internal/cluster/leasedtask/assigner_test.go
@@ -9,7 +9,7 @@
 
 func neverExpired(uint64) bool { return false }
 
-// threeMembers are n1 to n3, of which n2 and n3 have a disk.
+// threeMembers returns the members n1 to n3; n2 and n3 have the label "disk".
 func threeMembers() []Member {
 	disk := []string{"disk"}
 	return []Member{
@@ -19,7 +19,7 @@
 	}
 }
 
-// assignerTest is an assigner with a state and the view that it evaluates.
+// assignerTest is an assigner with the state and the view that it evaluates.
 type assignerTest struct {
 	*testing.T
 	assigner *Assigner
@@ -27,7 +27,8 @@
 	view     ClusterView
 }
 
-// newAssignerTest has the tasks a and b, and c, which needs a disk and prefers n3 to n2.
+// newAssignerTest returns a test with the tasks a and b, and with c, which requires the label "disk" and
+// prefers n3 to n2.
 func newAssignerTest(t *testing.T) *assignerTest {
 	t.Helper()
 	return &assignerTest{t, NewAssigner(0, 1), NewState(0), ClusterView{Lease: time.Second,
@@ -36,7 +37,7 @@
 		Members: threeMembers(), LeaseExpired: neverExpired}}
 }
 
-// settle evaluates and commits at a time until there is nothing more to propose.
+// settle evaluates the state and applies the proposed commands until none is proposed.
 func (a *assignerTest) settle(now time.Duration) {
 	a.Helper()
 	a.view.Now = now
@@ -49,10 +50,10 @@
 			apply(a.T, a.state, c)
 		}
 	}
-	a.Fatal("it does not settle")
+	a.Fatal("commands are still proposed after 20 evaluations")
 }
 
-// release has the holder of a task release it.
+// release applies the release of a task by its holder.
 func (a *assignerTest) release(task string, failed bool) {
 	a.Helper()
 	apply(a.T, a.state, Command{Kind: Release, Task: task, FencingToken: a.state.Tasks[task].FencingToken,
@@ -65,18 +66,19 @@
 	a := newAssignerTest(t)
 	a.settle(0)
 	if a.holder("c") != "n3" || a.holder("a") == "" || a.holder("b") == "" || a.holder("a") == a.holder("b") {
-		t.Fatalf("held by %s, %s and %s", a.holder("a"), a.holder("b"), a.holder("c"))
+		t.Fatalf("a, b and c are held by %q, %q and %q; want c held by n3, a and b by different members",
+			a.holder("a"), a.holder("b"), a.holder("c"))
 	}
 }
 
-// A preferred member that departs transfers its task, and does not get it back when it returns.
+// A preferred member that departs releases its task, and does not get it back when it returns.
 func TestDepartingHolderTransfersItsTask(t *testing.T) {
 	a := newAssignerTest(t)
 	a.settle(0)
 	a.view.Members[2].Departing, a.view.Now = true, 2*time.Second
 	commands := a.assigner.Evaluate(a.state, a.view)
 	if !slices.ContainsFunc(commands, func(c Command) bool { return c.Kind == Transfer && c.Task == "c" }) {
-		t.Fatalf("no command has a departing holder release its task: %+v", commands)
+		t.Fatalf("no command transfers task c from its departing holder: %+v", commands)
 	}
 	for _, c := range commands {
 		apply(t, a.state, c)
@@ -86,11 +88,11 @@
 	a.view.Members[2].Departing = false
 	a.settle(4 * time.Second)
 	if got := a.holder("c"); got != "n2" {
-		t.Fatalf("held by %s", got)
+		t.Fatalf("after the preferred member has returned, c is held by %s, want n2", got)
 	}
 }
 
-// A member that has failed at a task cools down while there is another.
+// A task does not go back to a member that has failed at it while another member is eligible.
 func TestFailedHolderCoolsDown(t *testing.T) {
 	a := newAssignerTest(t)
 	a.settle(0)
@@ -98,12 +100,12 @@
 		a.release("c", true)
 		a.settle(a.view.Now + time.Second)
 		if got := a.holder("c"); got != want {
-			t.Fatalf("after a failure it is held by %s, want %s", got, want)
+			t.Fatalf("after a failure c is held by %s, want %s", got, want)
 		}
 	}
 }
 
-// An operator's transfer does not give a task to a member that is not eligible.
+// An operator's transfer does not assign a task to a member that is not eligible.
 func TestTransferGoesToEligibleMembersOnly(t *testing.T) {
 	a := newAssignerTest(t)
 	a.settle(0)
@@ -111,17 +113,18 @@
 	a.release("c", false)
 	a.settle(time.Second)
 	if got := a.holder("c"); got == "n1" || got == "" {
-		t.Fatalf("held by %q, and n1 has no disk", got)
+		t.Fatalf("c is held by %q, want n2 or n3: n1 lacks the required label", got)
 	}
 	apply(t, a.state, Command{Kind: Transfer, Task: "c", TransferTo: 2, Reason: "by an operator"})
 	a.release("c", false)
 	a.settle(2 * time.Second)
 	if got := a.holder("c"); got != "n2" {
-		t.Fatalf("transferred to n2, it is held by %q", got)
+		t.Fatalf("after a transfer to n2, c is held by %q", got)
 	}
 }
 
-// No member holds all tasks for long while others are free, and tasks do not go round in circles.
+// Tasks are rebalanced when members join. No task is transferred back and forth: at most three transfers are
+// needed.
 func TestTasksAreSpread(t *testing.T) {
 	a := newAssignerTest(t)
 	a.view.Specs = []Spec{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
@@ -140,7 +143,8 @@
 	}
 	held := heldCounts(a.state)
 	if held[1] > 2 || held[1]+held[2]+held[3] != 4 || transfers > 3 {
-		t.Errorf("%v after %d transfers", held, transfers)
+		t.Errorf("held tasks by member: %v after %d transfers; want 4 in all, at most 2 at member 1, "+
+			"at most 3 transfers", held, transfers)
 	}
 }
 
@@ -154,23 +158,23 @@
 		t.Helper()
 		commands := a.assigner.Evaluate(a.state, a.view)
 		if len(commands) != 1 || commands[0].Kind != Expire || a.assigner.CanGrant(1, a.state) {
-			t.Fatalf("%+v", commands)
+			t.Fatalf("got %+v and CanGrant(1), want one Expire and no grant for member 1", commands)
 		}
 		return commands[0]
 	}
 	proposed()
 	if !a.assigner.CanGrant(2, a.state) {
-		t.Error("no grant counts for a member that holds nothing")
+		t.Error("no grant counts for a member that holds no task")
 	}
-	// The holder reports again, and the proposal was lost.
+	// The proposal is lost, and the holder reports again.
 	a.view.LeaseExpired, a.view.Now = neverExpired, time.Second
 	apply(t, a.state, proposed())
 	if !a.assigner.CanGrant(1, a.state) {
-		t.Error("no grant counts for a member that holds nothing any more")
+		t.Error("no grant counts for a member that no longer holds a task")
 	}
 }
 
-// A suspected member is assigned a task after all others, and one of them is where all are suspected.
+// A suspected member is assigned a task only after all others, but it is assigned one if all are suspected.
 func TestSuspicionsOrderAndExcludeNobody(t *testing.T) {
 	for _, x := range []struct {
 		suspected []bool
@@ -179,7 +183,7 @@
 		{[]bool{false, false}, 1},
 		{[]bool{true, false}, 2},
 		{[]bool{true, true, false}, 3},
-		{[]bool{true, true}, 1}, // the preferred one
+		{[]bool{true, true}, 1}, // the preferred member
 	} {
 		t.Run(fmt.Sprint(x.suspected), func(t *testing.T) {
 			a := newAssignerTest(t)
@@ -191,7 +195,7 @@
 			}
 			a.settle(0)
 			if got := a.state.Tasks["a"].Holder.Member; got != x.want {
-				t.Errorf("assigned to %d, want %d", got, x.want)
+				t.Errorf("assigned to member %d, want %d", got, x.want)
 			}
 		})
 	}
--- a/internal/cluster/leasedtask/command.go
+++ b/internal/cluster/leasedtask/command.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Kind is what a command does. Its numbers stand in the log.
+// Kind is the kind of a command. Its values are stored in the log.
 type Kind uint8
 
 // The kinds of command.
 const (
 	None         Kind = iota
-	DeclareTasks      // the tasks of Command.Tasks exist, and no others
-	Assign            // Session holds the task from here on, under a new fencing token
-	Release           // the holder releases the task, with its last note
-	Expire            // the holder's lease has surely expired
-	UpdateNote        // the holder's, or an operator's, new note of where the work stands
-	Transfer          // the holder is to release the task, to TransferTo if that is named
-	Pause             // nobody is to hold the task
+	DeclareTasks      // from now on exactly the tasks of Command.Tasks exist
+	Assign            // Session holds the task from now on, under a new fencing token
+	Release           // the holder releases the task, with its last note if it has one
+	Expire            // the holder's lease has certainly expired
+	UpdateNote        // the holder or an operator replaces the note
+	Transfer          // the holder must release the task, to TransferTo if that is set
+	Pause             // no session may hold the task until Resume
 	Resume
 )
 
@@ -27,33 +27,33 @@
 		"resume"}[min(int(k), int(Resume))]
 }
 
-// LeaderDecision reports whether a command is a decision of the leader of a term: void in the log of another
-// leader.
+// LeaderDecision reports whether commands of this kind are decisions of the leader of a term. Such a command
+// is void in the log of another leader.
 func (k Kind) LeaderDecision() bool { return k == DeclareTasks || k == Assign || k == Expire }
 
 // Command is an entry of the replicated log.
 type Command struct {
 	Kind         Kind
-	ID           string // of the request that waits for the outcome; empty: none does
-	Term         uint64 // of the leader that decided; 0: no leader's decision
+	ID           string // of the request that waits for the outcome; empty: none waits
+	Term         uint64 // of the leader that decided; 0: not a leader's decision
 	Task         string
 	Tasks        []string // with DeclareTasks
 	Session      Session  // with Assign
 	Name         string   // of the session's instance, or of the operator
-	FencingToken uint64   // under which the sender holds the task, or knows it to be held
-	Note         []byte   // nil: the note stays as it is
-	NoteRevision uint64   // with UpdateNote: of the note that it replaces
+	FencingToken uint64   // the task's newest token, as the sender knows it
+	Note         []byte   // nil: the note does not change
+	NoteRevision uint64   // with UpdateNote: revision of the note to replace
 	TransferTo   uint64   // with Transfer: the member that is to hold the task next; 0: any
-	Failed       bool     // with Release: the holder failed at the task, and cools down
+	Failed       bool     // with Release: the holder failed, and is added to Task.CoolingDown
 	Reason       string
-	AtMS         int64 // wall clock in Unix milliseconds, for the history
+	AtMS         int64 // wall-clock time in Unix milliseconds, for the history
 }
 
 // Apply applies a command, or returns why it has no effect. The function isOpen reports whether a session is
 // open.
 //
-// Hazard: every instance must compute the same state, also in a group with an older program. The outcome of
-// an operator's command is part of the state with its error text, so texts that are returned or stored here
+// Every instance must compute the same state, including instances that run an older program. The outcome of
+// an operator's command is part of the state, with its error text, so texts that are returned or stored here
 // must not change.
 func (s *State) Apply(c Command, isOpen func(Session) bool) error {
 	if c.Kind == DeclareTasks {
@@ -84,13 +84,13 @@
 	}
 }
 
-// applyDeclare sets which tasks exist. One that no longer exists and is held must be released first; its
-// fencing token is kept for as long as the task is known.
+// applyDeclare sets which tasks exist. A task that is no longer declared is deleted. While such a task is
+// held it is kept, with its fencing token, and its holder is asked to release it first.
 func (s *State) applyDeclare(c Command) {
 	for _, name := range c.Tasks {
 		if s.Tasks[name] == nil && len(s.Tasks) < maxTasks {
-			// Hazard: were it to begin at 0, a task that is removed and declared again would reuse fencing
-			// tokens. It begins with the newest of all.
+			// The task starts with the newest token of all tasks: if it started at 0, a task that is
+			// removed and declared again would reuse fencing tokens.
 			s.Tasks[name] = &Task{Name: name, FencingToken: s.LastFencingToken}
 		}
 	}
@@ -113,7 +113,7 @@
 	case t.PausedBy != "":
 		return fmt.Errorf("%s is paused by %s", t.Name, t.PausedBy)
 	case !isOpen(c.Session):
-		// Hazard: the session may have ended between the leader's decision and this entry.
+		// The session may have ended between the leader's decision and this entry.
 		return fmt.Errorf("%s has no session that is open", c.Name)
 	case c.FencingToken != t.FencingToken:
 		return fmt.Errorf("%s has had another holder since", t.Name)
@@ -129,10 +129,10 @@
 	return nil
 }
 
-// checkHolder returns an error unless the task is held under the fencing token.
+// checkHolder returns an error unless the task is held under the given fencing token.
 func (t *Task) checkHolder(fencingToken uint64) error {
 	if !t.IsHeld() || t.FencingToken != fencingToken {
-		// Hazard: a command under an earlier fencing token was sent by a holder that has stalled.
+		// A command under an earlier fencing token was sent by a former holder that had stalled.
 		return fmt.Errorf("%s is held under the number %d, not %d", t.Name, t.FencingToken, fencingToken)
 	}
 	return nil
@@ -182,8 +182,8 @@
 	if err := checkNote(c.Note); err != nil {
 		return err
 	}
-	// Hazard: a command without an outcome is proposed again, and may stand in the log twice, with a later
-	// one in between.
+	// A command whose outcome is unknown is proposed again, so it may be in the log twice, with a later
+	// update in between. Without this check, the second copy would undo the later update.
 	if c.NoteRevision != t.NoteRevision {
 		return fmt.Errorf("the note of %s has changed since", t.Name)
 	}
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// applyResume leaves ReleaseReason: a holder that is to release the task may have begun to.
+// applyResume keeps ReleaseReason: the holder may already have begun to release the task.
 func (t *Task) applyResume() error {
 	if t.PausedBy == "" {
 		return fmt.Errorf("%s is not paused", t.Name)
--- a/internal/cluster/leasedtask/eligibility.go
+++ b/internal/cluster/leasedtask/eligibility.go
@@ -7,34 +7,34 @@
 	"slices"
 )
 
-// Member is an instance as the leader sees it.
+// Member is a group member as the leader sees it.
 type Member struct {
-	Session   Session // Epoch 0: none is open
+	Session   Session // Epoch 0: no session is open
 	Name      string
-	Healthy   bool // it has reported within a lease
-	Departing bool // it is draining or about to end, and transfers what it holds
+	Healthy   bool // it has reported within the duration of a lease
+	Departing bool // it is draining or shutting down, and transfers the tasks that it holds
 	Labels    []string
 	Suspected bool // by the failure detector (package membership)
 }
 
-// Spec is a task as it is configured.
+// Spec is the configuration of a task.
 type Spec struct {
 	Name             string
-	RequiredLabel    string   // of the holder; empty: any instance may hold the task
-	PreferredHolders []string // names, best first
+	RequiredLabel    string   // label that the holder must have; empty: none
+	PreferredHolders []string // instance names, most preferred first
 }
 
-// CheckEligible returns why a member may not hold a task; nil if it may.
+// CheckEligible returns the reason why a member may not hold a task, or nil if it may.
 func CheckEligible(m Member, spec Spec) error {
 	switch {
 	case m.Session.Epoch == 0:
-		return fmt.Errorf("%s has no session that is open", m.Name)
+		return fmt.Errorf("%s has no open session", m.Name)
 	case !m.Healthy:
-		return fmt.Errorf("%s has not been heard of lately", m.Name)
+		return fmt.Errorf("%s has not reported within the duration of a lease", m.Name)
 	case m.Departing:
-		return fmt.Errorf("%s is about to go", m.Name)
+		return fmt.Errorf("%s is draining or shutting down", m.Name)
 	case spec.RequiredLabel != "" && !slices.Contains(m.Labels, spec.RequiredLabel):
-		return fmt.Errorf("%s has not the label %q", m.Name, spec.RequiredLabel)
+		return fmt.Errorf("%s lacks the label %q", m.Name, spec.RequiredLabel)
 	}
 	return nil
 }
@@ -57,10 +57,10 @@
 	return held
 }
 
-// chooseHolder chooses a holder for a task that nobody holds: first the member that an operator named; then
-// one that is not suspected; that has not failed at the task; that the configuration prefers; that holds the
-// fewest tasks. Ties are broken by a hash of the names of task and member, so that different tasks go to
-// different members.
+// chooseHolder chooses a holder for a task that no session holds. It prefers, in this order, the member that
+// a transfer named; members that are not suspected; members that have not failed at the task; members that
+// the configuration prefers; members that hold fewer tasks. Ties are broken by a hash of the names of task
+// and member, so that different tasks go to different members.
 func chooseHolder(t *Task, spec Spec, members []Member, held map[uint64]int) (best Member, found bool) {
 	for _, m := range members {
 		if CheckEligible(m, spec) != nil {
@@ -73,7 +73,7 @@
 	return best, found
 }
 
-// compareCandidates is negative if a is a better holder than b.
+// compareCandidates returns a negative number if a is a better holder than b.
 func compareCandidates(a, b Member, t *Task, spec Spec, held map[uint64]int) int {
 	trueFirst := func(yes bool) int {
 		if yes {
@@ -90,7 +90,7 @@
 	return cmp.Or(
 		cmp.Compare(trueFirst(a.Session.Member == t.TransferTo), trueFirst(b.Session.Member == t.TransferTo)),
 		cmp.Compare(trueFirst(!a.Suspected), trueFirst(!b.Suspected)),
-		// Of those that have failed at the task, the one that did longest ago comes first.
+		// Members that have failed at the task come last, the one that failed longest ago first among them.
 		cmp.Compare(t.CoolingDown[a.Session.Member], t.CoolingDown[b.Session.Member]),
 		cmp.Compare(preference(a), preference(b)),
 		cmp.Compare(held[a.Session.Member], held[b.Session.Member]),
@@ -98,7 +98,7 @@
 	)
 }
 
-// tieBreak is a hash that orders the candidates of each task in a different way.
+// tieBreak returns a hash that orders the candidates differently for each task.
 func tieBreak(task, member string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, task, "/", member)
--- a/internal/cluster/leasedtask/model_test.go
+++ b/internal/cluster/leasedtask/model_test.go
@@ -12,32 +12,34 @@
 	"moorstack/internal/verify/modelcheck"
 )
 
-// The model has three instances, a leader that grants leases and assigns tasks, and the log. Entries are
-// applied, leases requested and granted at any time, in any order; one instance at a time is isolated or
-// stalls, for up to twice the time that surely ends its lease; the others get all that is in transit before
-// time passes. Instances' clocks run at 0.6 to the leader's 1.4.
+// The model consists of three instances, a leader that grants leases and assigns tasks, and the log. Entries
+// are applied, and leases are requested and granted, at any time and in any order. One instance at a time is
+// isolated or stalls, for up to twice the time after which its lease has certainly expired; the others
+// receive everything in transit before time passes. The instances' clocks run at a rate of 0.6, the leader's
+// at 1.4.
 
 const (
-	leaderStep       = 7 * time.Second // a step of time on the leader's clock
+	leaderStep       = 7 * time.Second // a time step on the leader's clock
 	instanceStep     = 3 * time.Second // the same step on the instances' clocks
 	modelLease       = 2 * leaderStep
-	modelExpiryWait  = 5 * leaderStep // a lease has surely expired after 4.9
+	modelExpiryWait  = 5 * leaderStep // a lease has certainly expired after 4.9 steps
 	longestIsolation = 11 * leaderStep
-	// requestsPerLease is how often an instance requests a lease while one lasts.
+	// requestsPerLease is how many times an instance requests a lease within the duration of one.
 	requestsPerLease = 4
 )
 
-// guard is a rule that the model can leave out, to show that the model finds it missing.
+// guard is a safety rule that the model can omit, to show that it detects the violations that the rule
+// prevents.
 type guard string
 
 const (
-	clockReadWhenActing  guard = "the clock is read in the turn that acts"
-	leaseFromRequest     guard = "a lease counts from its request"
-	stateAsNewAsLeaders  guard = "a lease counts once the state is as new as the leader's"
-	noGrantWhileExpiring guard = "no grant counts once expiry is proposed"
+	clockReadWhenActing  guard = "the clock is read immediately before acting"
+	leaseFromRequest     guard = "a lease starts at the time of its request"
+	stateAsNewAsLeaders  guard = "a lease counts once the state is as new as the leader's was"
+	noGrantWhileExpiring guard = "no grant counts once an expiry is proposed"
 )
 
-// limits bound the model.
+// limits bounds the events of the model.
 type limits struct {
 	tasks, isolations, crashes, transfers, newLeaders int
 	// losses: messages to and from the isolated instance may be lost.
@@ -45,19 +47,19 @@
 	omittedGuard guard
 }
 
-// logEntry is a command, or the opening of a session that replaces the member's last one.
+// logEntry is a command, or the opening of a session that replaces the member's previous one.
 type logEntry struct {
 	command Command
-	opened  Session // the zero Session: a command
+	opened  Session // the zero Session: the entry is a command
 }
 
-// leaseRequest is a request for a lease in transit.
+// leaseRequest is a request for a lease, in transit.
 type leaseRequest struct {
 	at    time.Duration // on the instance's clock
 	epoch uint64
 }
 
-// leaseGrant is a grant in transit; index 0: it does not count for tasks.
+// leaseGrant is a grant in transit. Index 0 means that it does not count for tasks.
 type leaseGrant struct {
 	leaseRequest
 	index uint64
@@ -66,38 +68,38 @@
 type modelInstance struct {
 	state         *State
 	applied       int
-	epoch         uint64 // of this incarnation's session
+	epoch         uint64 // of the current incarnation's session
 	clock         lease.Clock
 	lastRequestAt time.Duration
 	request       *leaseRequest
 	grant         *leaseGrant
-	released      uint64 // the fencing tokens that it has released, as bits
+	released      uint64 // bit set of the fencing tokens of the leases that it has released
 }
 
 type model struct {
 	limits    limits
 	now       time.Duration
 	log       []logEntry
-	logStart  uint64    // entries before log, which all have applied
-	proposed  []Command // the leader's, not committed yet
+	logStart  uint64    // index of the last entry before log, which all have applied
+	proposed  []Command // the leader's proposals that are not committed yet
 	instances [3]modelInstance
 
 	assigner        *Assigner
 	leaderState     *State
-	sessionEpochs   [3]uint64        // of the open sessions, as the leader has applied
+	sessionEpochs   [3]uint64        // of the open sessions, as applied by the leader
 	leaseExpiresAt  [3]time.Duration // on the leader's clock
 	preferredHolder string
 
-	newestActs map[string]act // by task
-	violation  string
+	lastActions map[string]action // by task
+	violation   string
 
 	isolated                                   int // the isolated instance, from 1 on; 0: none
 	isolatedSince                              time.Duration
 	isolations, crashes, transfers, newLeaders int
 }
 
-// act is that an instance acted on a task under a fencing token.
-type act struct {
+// action records that an instance acted on a task under a fencing token.
+type action struct {
 	fencingToken uint64
 	instance     int
 }
@@ -105,7 +107,7 @@
 // newModel returns a state in which all leases are granted and all tasks are held.
 func newModel(l limits) *model {
 	m := &model{limits: l, assigner: NewAssigner(0, 1), leaderState: NewState(0),
-		newestActs: map[string]act{}, preferredHolder: "n1", logStart: 1}
+		lastActions: map[string]action{}, preferredHolder: "n1", logStart: 1}
 	for i := range m.instances {
 		m.instances[i] = modelInstance{state: NewState(0), epoch: uint64(i + 1), lastRequestAt: -modelLease}
 		m.sessionEpochs[i], m.leaseExpiresAt[i] = uint64(i+1), modelExpiryWait
@@ -118,7 +120,7 @@
 				strings.HasPrefix(x.Event, "deliver grant") || x.Event == "commit"
 		})
 		if k < 0 {
-			// Were n1 preferred, it would get again what it has lost, and its lease would show nothing.
+			// If n1 were still preferred, it would get back each task that it loses: no violation would show.
 			m.preferredHolder = "n2"
 			return m
 		}
@@ -126,12 +128,12 @@
 	}
 }
 
-// instanceClock is what the instances' clocks show.
+// instanceClock returns the time on the instances' clocks.
 func (m *model) instanceClock() time.Duration { return m.now / leaderStep * instanceStep }
 
 func (m *model) session(i int) Session { return Session{uint64(i + 1), m.instances[i].epoch} }
 
-// leases are the tasks that an instance holds, as far as its own state goes.
+// leases returns the tasks that an instance holds according to its own state.
 func (m *model) leases(i int) []Lease {
 	x := &m.instances[i]
 	return x.state.HeldBy(m.session(i), x.clock.ExpiresAt(x.epoch, modelLease))
@@ -151,7 +153,7 @@
 	_ = s.Apply(e.command, everySessionOpen)
 }
 
-// commit puts an entry into the log. The leader applies it at once.
+// commit appends an entry to the log. The leader applies it at once.
 func (m *model) commit(e logEntry) {
 	m.log = append(m.log, e)
 	if e.opened != (Session{}) {
@@ -160,8 +162,8 @@
 	e.applyTo(m.leaderState)
 }
 
-// settle does what follows from an event at once: instances request leases, the leader evaluates, and
-// holders act.
+// settle performs what immediately follows an event: instances request leases, the leader evaluates the
+// tasks, and holders act.
 func (m *model) settle() {
 	now := m.instanceClock()
 	for i := range m.instances {
@@ -185,7 +187,8 @@
 	m.act()
 }
 
-// act has every holder act that may, and records what is wrong with it.
+// act makes every instance with a valid lease act, and records a violation if another instance has already
+// acted under the same or a newer fencing token.
 func (m *model) act() {
 	for i := range m.instances {
 		now := m.instanceClock()
@@ -196,13 +199,13 @@
 			if !l.Valid(now) || m.instances[i].hasReleased(l.FencingToken) {
 				continue
 			}
-			newest := m.newestActs[l.Task]
+			newest := m.lastActions[l.Task]
 			if l.FencingToken < newest.fencingToken ||
 				l.FencingToken == newest.fencingToken && newest.instance != i {
-				m.violation = fmt.Sprintf("n%d acts on %s under %d after n%d has under %d", i+1, l.Task,
-					l.FencingToken, newest.instance+1, newest.fencingToken)
+				m.violation = fmt.Sprintf("n%d acts on %s under token %d after n%d has acted under token %d",
+					i+1, l.Task, l.FencingToken, newest.instance+1, newest.fencingToken)
 			}
-			m.newestActs[l.Task] = act{l.FencingToken, i}
+			m.lastActions[l.Task] = action{l.FencingToken, i}
 		}
 	}
 }
@@ -234,11 +237,11 @@
 	a := *m.assigner
 	a.proposedAt, a.expiring = map[proposal]time.Duration{}, maps.Clone(a.expiring)
 	for key, at := range m.assigner.proposedAt {
-		if m.now-at < modelLease/2 { // older ones have no effect
+		if m.now-at < modelLease/2 { // older proposals have no effect
 			a.proposedAt[key] = at
 		}
 	}
-	c.proposed, c.newestActs = slices.Clone(m.proposed), maps.Clone(m.newestActs)
+	c.proposed, c.lastActions = slices.Clone(m.proposed), maps.Clone(m.lastActions)
 	c.assigner, c.leaderState = &a, m.leaderState.clone()
 	return &c
 }
@@ -250,7 +253,7 @@
 	var h maphash.Hash
 	h.SetSeed(keySeed)
 	put := func(values ...any) { fmt.Fprintln(&h, values...) }
-	put(m.isolated, m.isolations, m.crashes, m.transfers, m.newLeaders, m.sessionEpochs, m.newestActs)
+	put(m.isolated, m.isolations, m.crashes, m.transfers, m.newLeaders, m.sessionEpochs, m.lastActions)
 	if m.isolated > 0 {
 		put(int(m.now - m.isolatedSince))
 	}
@@ -274,7 +277,7 @@
 	return h.Sum64()
 }
 
-// putInstance writes what belongs to one instance, with times counted from now.
+// putInstance adds the state of one instance to the key. Times are relative to the present.
 func (m *model) putInstance(i int, put func(values ...any)) {
 	x, now := &m.instances[i], m.instanceClock()
 	remaining := func(d time.Duration) int { return int(max(d, 0) / time.Second) }
@@ -287,7 +290,7 @@
 		put("grant", x.grant.epoch, remaining(x.grant.at+modelLease-now),
 			int(x.grant.index-m.logStart)-x.applied)
 	}
-	// A granted lease that waits for an entry shows in what a copy of the clock does once that is applied.
+	// A granted lease that waits for an entry is detected by applying the entries to a copy of the clock.
 	for applied := x.applied + 1; applied <= len(m.log); applied++ {
 		clock := x.clock
 		clock.ObserveApplied(m.logStart + uint64(applied))
--- a/internal/cluster/leasedtask/modelcheck_test.go
+++ b/internal/cluster/leasedtask/modelcheck_test.go
@@ -13,7 +13,7 @@
 
 type transitions []modelcheck.Transition[*model]
 
-// add adds the transition by an event, and what follows from it at once.
+// add adds the transition for an event, including what immediately follows the event.
 func (t *transitions) add(m *model, event string, apply func(next *model)) {
 	next := m.clone()
 	apply(next)
@@ -36,7 +36,7 @@
 	return t
 }
 
-// allDelivered reports whether nothing is in transit but to or from the isolated instance.
+// allDelivered reports whether nothing is in transit except to or from the isolated instance.
 func (m *model) allDelivered() bool {
 	for i, x := range m.instances {
 		if m.isolated != i+1 && (x.applied < len(m.log) || x.request != nil || x.grant != nil) {
@@ -46,8 +46,8 @@
 	return len(m.proposed) == 0
 }
 
-// addMessages adds the delivery of entries, requests and grants, and their loss. What is sent to an isolated
-// instance does not arrive; its own requests may.
+// addMessages adds the delivery of log entries, requests and grants, and their loss. Messages to an isolated
+// instance do not arrive; its own requests may.
 func (m *model) addMessages(t *transitions, i int) {
 	x, isolated := &m.instances[i], m.isolated == i+1
 	if !isolated && x.applied < len(m.log) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// grantLease has the leader respond to a request, as package consensus does.
+// grantLease makes the leader answer a request, as package consensus does.
 func (m *model) grantLease(i int) {
 	x := &m.instances[i]
 	r := *x.request
@@ -99,11 +99,11 @@
 	x.clock.ObserveGrant(g.epoch, g.at, modelLease, g.index, m.logStart+uint64(x.applied))
 }
 
-// addInstanceEvents adds a crash, and the release of tasks that the holder is to release.
+// addInstanceEvents adds a crash, and the releases that the instance has been asked for.
 func (m *model) addInstanceEvents(t *transitions, i int) {
 	x := &m.instances[i]
 	if m.crashes < m.limits.crashes {
-		// It restarts at once, before its lease expires. Its new session opens when the leader learns of it.
+		// The instance restarts at once, before its lease expires, and the leader opens its new session.
 		t.add(m, fmt.Sprint("crash ", i+1), func(next *model) {
 			x := &next.instances[i]
 			x.epoch += 10
@@ -124,7 +124,7 @@
 	}
 }
 
-// addLeaderEvents adds operators' transfers, the commit of a proposal and a change of leader.
+// addLeaderEvents adds operators' transfers, the commit of a proposal, and a change of the leader.
 func (m *model) addLeaderEvents(t *transitions) {
 	for name, task := range m.leaderState.Tasks {
 		if m.transfers < m.limits.transfers && task.IsHeld() && task.ReleaseReason == "" {
@@ -144,10 +144,10 @@
 	if m.newLeaders < m.limits.newLeaders {
 		t.add(m, "new leader", func(next *model) {
 			next.newLeaders++
-			next.proposed = nil // void in the log of the new one
+			next.proposed = nil // void in the log of the new leader
 			next.assigner = NewAssigner(next.now, next.assigner.term+1)
 			for i := range next.instances {
-				// It can't know what the last leader has granted.
+				// The new leader can't know which leases its predecessor granted.
 				next.leaseExpiresAt[i] = next.now + modelExpiryWait
 			}
 		})
@@ -169,7 +169,7 @@
 	}
 }
 
-var maxStates = flag.Int64("explore", 40_000, "visit at most so many states of the model")
+var maxStates = flag.Int64("explore", 40_000, "maximum `number` of states of the model to visit")
 
 func TestNoTwoInstancesHoldATaskInAnyState(t *testing.T) {
 	for _, l := range []limits{
@@ -194,16 +194,16 @@
 	}
 }
 
-// Each guard that is left out is found missing.
+// The model finds a violation for each guard that is omitted.
 func TestModelFindsEachMissingGuard(t *testing.T) {
 	for _, g := range []guard{clockReadWhenActing, leaseFromRequest, stateAsNewAsLeaders,
 		noGrantWhileExpiring} {
 		t.Run(string(g), func(t *testing.T) {
 			l := limits{tasks: 1, isolations: 1, omittedGuard: g}
-			l.losses = g == noGrantWhileExpiring // what counts is a second lease
+			l.losses = g == noGrantWhileExpiring // the violation needs a second lease, requested after a loss
 			r := modelcheck.Check(newModel(l), 200_000)
 			if r.Violation == "" {
-				t.Fatalf("not found in %d states, complete: %v", r.States, r.Complete)
+				t.Fatalf("no violation in %d states, complete: %v", r.States, r.Complete)
 			}
 			t.Logf("found after %d states, by %d events: %s", r.States, len(r.Trace), r.Violation)
 		})
--- a/internal/cluster/leasedtask/operator.go
+++ b/internal/cluster/leasedtask/operator.go
@@ -12,8 +12,9 @@
 	"moorstack/internal/schema"
 )
 
-// CommandFor implements replicated.OperatorControlled: it returns the log entry that carries out an
-// operator's operation, if the operation is one of this package's and can be carried out.
+// CommandFor implements replicated.OperatorControlled. It returns the log entry that carries out an
+// operator's operation, or an error if that is not possible. The result mine is false for operations of other
+// state machines.
 func (p *participant) CommandFor(v replicated.InstanceView, op *schema.Operation, id string) (
 	_ *schema.Change, mine bool, _ error) {
 	c := Command{ID: id, Task: op.Name, Name: op.Author}
@@ -37,13 +38,13 @@
 	return EncodeCommand(c), true, nil
 }
 
-// fillTransfer completes the command that transfers a task, to the named instance if there is one.
+// fillTransfer completes the command that transfers a task, to a named instance if the operation names one.
 func (p *participant) fillTransfer(v replicated.InstanceView, op *schema.Operation, c *Command) error {
 	c.Kind, c.Reason = Transfer, "handed on by "+op.Author
 	s := v.StateMachine.(*StateMachine)
 	t := s.Tasks[op.Name]
 	if t == nil {
-		return nil // the state rejects the command, and names the tasks that exist
+		return nil // State.Apply rejects the command, and lists the tasks that exist
 	}
 	c.FencingToken = t.FencingToken
 	if op.By == "" {
@@ -54,7 +55,7 @@
 		return fmt.Errorf("the group has no instance %q", op.By)
 	}
 	if t.Holder.Member == m.Session.Member {
-		return fmt.Errorf("%s holds %s", op.By, op.Name)
+		return fmt.Errorf("%s already holds %s", op.By, op.Name)
 	}
 	spec := Spec{Name: op.Name}
 	if k := slices.IndexFunc(s.Specs, func(x Spec) bool { return x.Name == op.Name }); k >= 0 {
@@ -67,16 +68,16 @@
 	return nil
 }
 
-// fillRollingRestart completes the command that puts an operator's change of a rolling restart into the plan,
+// fillRollingRestart completes the command that applies an operator's change to the plan of rolling restarts,
 // which is the note of its task. The holder and operators alike replace the note under the holder's fencing
-// token and at the note revision that they have read: of two concurrent changes one is void.
+// token and at the note revision that they have read, so one of two concurrent changes is rejected.
 func (p *participant) fillRollingRestart(v replicated.InstanceView, op *schema.Operation, c *Command) error {
 	t := v.StateMachine.(*StateMachine).Tasks[RollingRestartTask]
 	switch {
 	case t == nil:
-		return fmt.Errorf("the configuration has no conductor: say roll = \"on\" in the section %q", Section)
+		return fmt.Errorf("rolling restarts are disabled: set roll = \"on\" in the section %q", Section)
 	case !t.IsHeld():
-		return errors.New("nobody conducts at this moment; ask again")
+		return errors.New("no instance holds the duty \"roll\" at present; try again")
 	}
 	plan, err := rollingrestart.DecodePlan(t.Note)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return err
 }
 
-// restartMembers lists the members as a rolling restart sees them when it starts.
+// restartMembers returns the group's members, with their zones, for the start of a rolling restart.
 func (p *participant) restartMembers(v replicated.InstanceView) []rollingrestart.Member {
 	var members []rollingrestart.Member
 	for _, m := range v.Group.Members() {
--- a/internal/cluster/leasedtask/participant.go
+++ b/internal/cluster/leasedtask/participant.go
@@ -9,12 +9,12 @@
 	"moorstack/internal/schema"
 )
 
-// maxMembers bounds the members whose labels are remembered; beyond it all labels are dropped, and come
-// again with the next reports.
+// maxMembers bounds the members whose labels are remembered. Beyond it all labels are dropped, and the next
+// reports bring them again.
 const maxMembers = 1024
 
-// participant is one instance's side of the leased tasks: what it holds itself and, while it leads, which
-// instance is to hold what. It belongs to the goroutine of the consensus instance.
+// participant is one instance's side of the leased tasks: which tasks it holds and, while it is the leader,
+// which instance is to hold which task. It belongs to the goroutine of the consensus instance.
 type participant struct {
 	replicated.NoopParticipant
 	clock        lease.Clock
@@ -24,26 +24,26 @@
 	suspicions   Suspicions
 	wallClock    func() time.Time
 	labels       []string
-	memberLabels map[uint64][]string // as the members reported them to this leader
+	memberLabels map[uint64][]string // by member, as reported to this leader
 }
 
 var _ replicated.OperatorControlled = (*participant)(nil)
 
-// Suspicions are the members that the failure detector suspects to have failed. They are assigned a task
-// after all others. Hazard: a suspicion may be wrong for every member, and excludes none. A suspected holder
-// keeps its task: only its lease shows that it has ended.
+// Suspicions are the members that the failure detector suspects to have failed. A task is assigned to them
+// only after all other members. Suspicions exclude no member, because they may be wrong, even about every
+// member. A suspected holder keeps its task, because only the expiry of its lease shows that it has ended.
 type Suspicions struct {
-	Sequence uint64 // grows with each notification: an earlier one may arrive later
+	Sequence uint64 // grows with each notification; an earlier one may arrive after a later one
 	Members  map[uint64]bool
 }
 
-// PlanChanged is the notification that the plan of rolling restarts has changed. It is for every instance,
-// and not only for the task's holder.
+// PlanChanged notifies an instance that the plan of rolling restarts has changed. Every instance is notified,
+// not only the task's holder.
 type PlanChanged struct {
 	NoteRevision uint64 // 0: there is no plan
 	Member       uint64 // member number of the notified instance
 	Incarnation  uint64 // of its process
-	Note         []byte
+	Note         []byte // the encoded plan
 }
 
 func (p *participant) BecomeLeader(now time.Duration, term uint64) {
@@ -63,8 +63,8 @@
 	p.memberLabels[member] = r.Labels
 }
 
-// FillGrant names the log index up to which a member must have applied the log for a lease granted now to
-// count for tasks; 0: the lease does not count for tasks.
+// FillGrant sets the log index up to which a member must have applied the log before a lease granted now
+// counts for tasks. Index 0 means that the lease does not count for tasks.
 func (p *participant) FillGrant(v replicated.InstanceView, member uint64, g *schema.SessionGrant) {
 	if p.assigner.CanGrant(member, v.StateMachine.(*StateMachine).State) {
 		g.Index = v.AppliedIndex
@@ -93,22 +93,22 @@
 	return commands
 }
 
-// Receive takes the failure detector's Suspicions.
+// Receive records the failure detector's Suspicions.
 func (p *participant) Receive(_ replicated.InstanceView, message any) {
 	if s, ok := message.(Suspicions); ok && s.Sequence > p.suspicions.Sequence {
 		p.suspicions = s
 	}
 }
 
-// member is a member as the assigner sees it.
+// member returns a group member as the assigner sees it.
 func (p *participant) member(v replicated.InstanceView, m replicated.Member) Member {
 	return Member{Session: Session(m.Session), Name: m.Name, Healthy: m.Healthy,
 		Departing: v.Group.Departing(m.Session.Member), Suspected: p.suspicions.Members[m.Session.Member],
 		Labels: p.memberLabels[m.Session.Member]}
 }
 
-// Advance returns notifications of the tasks that this instance holds ([]Lease) and of the plan of rolling
-// restarts (PlanChanged), where they have changed.
+// Advance notifies this instance of the tasks that it holds ([]Lease) and of the plan of rolling restarts
+// (PlanChanged), each if it has changed.
 func (p *participant) Advance(v replicated.InstanceView) (notifications []any, _ []*schema.Change) {
 	notifications = p.planNotification(v)
 	p.clock.ObserveApplied(v.AppliedIndex)
--- a/internal/cluster/leasedtask/policy_test.go
+++ b/internal/cluster/leasedtask/policy_test.go
@@ -10,7 +10,7 @@
 		"backup_prefer": "n2 n1"}, 6)
 	if len(problems) > 0 || len(p.Specs()) != 3 || p.BackupsKept != 24 ||
 		p.Specs()[0].RequiredLabel != BackupLabel {
-		t.Errorf("%+v %v", p, problems)
+		t.Errorf("got the policy %+v and the problems %v", p, problems)
 	}
 }
 
@@ -20,20 +20,20 @@
 	for _, want := range []string{`drill: "x" is not a number`, `backup_every: "1ms" is not a time from 1s`,
 		`backup_keep: "0" is not a number from 1`, `"bakup" is no key of this section`} {
 		if !strings.Contains(strings.Join(problems, "\n"), want) {
-			t.Errorf("%v lacks %q", problems, want)
+			t.Errorf("the problems %v do not include %q", problems, want)
 		}
 	}
 }
 
-// A group that includes an older program finds the same problems as that does, word for word.
+// A group that includes an older program reports the same problems as that program, word for word.
 func TestParsePolicyOfAnOlderFormat(t *testing.T) {
 	p, problems := ParsePolicy(map[string]string{"roll": "on"}, rollingRestartFormat-1)
 	if p.RollingRestart || len(problems) != 1 || problems[0] != `"roll" is no key of this section; list, `+
 		`backup_every, backup_keep, backup_prefer and drill are` {
-		t.Errorf("%+v %v", p, problems)
+		t.Errorf("got the policy %+v and the problems %v", p, problems)
 	}
 	p, problems = ParsePolicy(map[string]string{"roll": "on"}, rollingRestartFormat)
 	if !p.RollingRestart || len(problems) > 0 {
-		t.Errorf("%+v %v", p, problems)
+		t.Errorf("got the policy %+v and the problems %v", p, problems)
 	}
 }
--- a/internal/cluster/leasedtask/state.go
+++ b/internal/cluster/leasedtask/state.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Bounds of the replicated state. All instances of a group must use the same ones.
+// Bounds of the replicated state. All instances of a group must use the same values.
 const (
-	MaxNoteBytes = 4096 // size of a note
-	maxHistory   = 20   // leases that are kept in the history of each task
+	MaxNoteBytes = 4096 // maximum size of a task's note
+	maxHistory   = 20   // leases kept in the history of each task
 	maxTasks     = 128
 )
 
@@ -21,10 +21,10 @@
 	LastFencingToken uint64
 }
 
-// NewState returns the state of a group without tasks, whose fencing tokens begin after the given one.
+// NewState returns the state of a group without tasks. The first fencing token is after+1.
 func NewState(after uint64) *State { return &State{Tasks: map[string]*Task{}, LastFencingToken: after} }
 
-// List returns the tasks sorted by name.
+// List returns the tasks, sorted by name.
 func (s *State) List() []*Task {
 	list := make([]*Task, 0, len(s.Tasks))
 	for _, name := range slices.Sorted(maps.Keys(s.Tasks)) {
@@ -34,7 +34,7 @@
 }
 
 // HeldBy returns the tasks that a session holds, sorted by name, as leases that expire at expiresAt on the
-// holder's clock. A session without epoch holds none.
+// holder's clock. Epoch 0 means that there is no session, and returns no leases.
 func (s *State) HeldBy(session Session, expiresAt time.Duration) []Lease {
 	if session.Epoch == 0 {
 		return nil
@@ -49,8 +49,8 @@
 	return leases
 }
 
-// SessionsExpired ends the leases of all sessions that have surely ended, for a reason and at a time in Unix
-// milliseconds, which both go into the tasks' histories.
+// SessionsExpired ends the leases of all sessions that have certainly expired. The reason and the time, in
+// Unix milliseconds, are recorded in the tasks' histories.
 func (s *State) SessionsExpired(expired func(Session) bool, reason string, atMS int64) {
 	for _, t := range s.Tasks {
 		if t.IsHeld() && expired(t.Holder) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// endLease leaves the task without a holder.
+// endLease ends the current lease and records the reason and the time in the history.
 func (t *Task) endLease(reason string, atMS int64) {
 	if n := len(t.History); n > 0 {
 		t.History[n-1].EndReason, t.History[n-1].EndedAtMS = reason, atMS
@@ -67,7 +67,7 @@
 	t.Holder, t.HolderName, t.ReleaseReason = Session{}, "", ""
 }
 
-// knownTasks lists the tasks for an error text.
+// knownTasks lists the existing tasks, as the second half of an error message.
 func (s *State) knownTasks() string {
 	if len(s.Tasks) == 0 {
 		return "the configuration has none"
--- a/internal/cluster/leasedtask/state_test.go
+++ b/internal/cluster/leasedtask/state_test.go
@@ -8,7 +8,7 @@
 
 func everySessionOpen(Session) bool { return true }
 
-// stateWithHolder has one task a, held by member 1 under the fencing token 1.
+// stateWithHolder returns a state with one task a, held by member 1 under the fencing token 1.
 func stateWithHolder(t *testing.T) *State {
 	t.Helper()
 	s := NewState(0)
@@ -40,11 +40,11 @@
 		t.Run(want, func(t *testing.T) {
 			s := stateWithHolder(t)
 			if err := s.Apply(c, everySessionOpen); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v: %v, want %q", c.Kind, err, want)
+				t.Errorf("%v: got the error %v, want %q", c.Kind, err, want)
 			}
 			if a := s.Tasks["a"]; !a.IsHeld() || a.FencingToken != 1 || a.Note != nil ||
 				a.ReleaseReason != "" {
-				t.Errorf("%v has changed %+v", c.Kind, a)
+				t.Errorf("the rejected command %v has changed the task: %+v", c.Kind, a)
 			}
 		})
 	}
@@ -60,20 +60,20 @@
 	stale := c
 	stale.FencingToken = 0
 	if s.Apply(stale, everySessionOpen) == nil {
-		t.Error("assigned by a decision from before its last holder")
+		t.Error("assigned by a decision from before the last assignment")
 	}
 	apply(t, s, Command{Kind: Pause, Task: "a", Name: "op"})
 	if s.Apply(c, everySessionOpen) == nil {
-		t.Error("assigned though it is paused")
+		t.Error("assigned although the task is paused")
 	}
 }
 
-// Fencing tokens only grow: over holders, and over tasks that are removed and declared again.
+// Fencing tokens grow with every assignment, also of a task that is removed and declared again.
 func TestFencingTokensOnlyGrow(t *testing.T) {
 	s := stateWithHolder(t)
-	apply(t, s, Command{Kind: DeclareTasks, Tasks: []string{"b"}}) // a is held, and stays until its release
+	apply(t, s, Command{Kind: DeclareTasks, Tasks: []string{"b"}}) // a is held, and is kept until its release
 	if s.Tasks["a"].ReleaseReason == "" {
-		t.Fatal("the holder of a removed task has no reason to release it")
+		t.Fatal("the holder of a removed task is not asked to release it")
 	}
 	assign := func(task string) {
 		t.Helper()
@@ -86,7 +86,7 @@
 	apply(t, s, Command{Kind: DeclareTasks, Tasks: []string{"a", "b"}})
 	assign("a")
 	if got := s.Tasks["a"].FencingToken; got != 3 {
-		t.Errorf("a is declared again and assigned under the token %d, 2 was used last", got)
+		t.Errorf("a, declared again, is assigned under the token %d, want 3", got)
 	}
 }
 
@@ -94,7 +94,7 @@
 	f := NewFence(map[string]uint64{"a": 3})
 	var stale *StaleTokenError
 	if err := f.Admit("a", 2); !errors.As(err, &stale) || stale.NewestToken != 3 {
-		t.Errorf("an earlier token is admitted: %v", err)
+		t.Errorf("got %v for an earlier token, want a StaleTokenError with the newest token 3", err)
 	}
 	for _, x := range []struct {
 		task  string
@@ -102,7 +102,7 @@
 		want  bool
 	}{{"a", 3, true}, {"a", 4, true}, {"a", 3, false}, {"b", 0, false}} {
 		if got := f.Admit(x.task, x.token) == nil; got != x.want {
-			t.Errorf("%s under the token %d is admitted: %v, want %v", x.task, x.token, got, x.want)
+			t.Errorf("%s under the token %d: admitted %v, want %v", x.task, x.token, got, x.want)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 func TestLeaseIsValidUntilItExpires(t *testing.T) {
 	l := Lease{FencingToken: 1, ExpiresAt: 10}
 	if !l.Valid(9) || l.Valid(10) || (Lease{ExpiresAt: 10}).Valid(1) {
-		t.Error("a lease is valid when it must not be, or not when it must")
+		t.Error("a lease must be valid before it expires, and not afterwards or without a fencing token")
 	}
 }
 
@@ -118,11 +118,11 @@
 	s := stateWithHolder(t)
 	if held := s.HeldBy(Session{1, 10}, 5); len(held) != 1 || held[0].Task != "a" || held[0].ExpiresAt != 5 ||
 		held[0].FencingToken != 1 {
-		t.Errorf("the holder has %+v", held)
+		t.Errorf("the holder's session holds %+v, want task a", held)
 	}
 	for _, other := range []Session{{1, 11}, {2, 10}, {}} {
 		if held := s.HeldBy(other, 5); len(held) > 0 {
-			t.Errorf("%+v has %+v", other, held)
+			t.Errorf("session %+v holds %+v, want nothing", other, held)
 		}
 	}
 }
--- a/internal/cluster/leasedtask/statemachine.go
+++ b/internal/cluster/leasedtask/statemachine.go
@@ -8,10 +8,11 @@
 	"moorstack/internal/schema"
 )
 
-// firstFormat is the first format of the group's log that has leased tasks, and the format of their entries.
+// firstFormat is the first format of the group's log that supports leased tasks, and the format of their
+// entries.
 const firstFormat = 3
 
-// Type replicates the leased tasks of a group.
+// Type is the type of the state machine of leased tasks.
 type Type struct{}
 
 var _ replicated.StateMachineType = Type{}
@@ -41,10 +42,10 @@
 	return &participant{wallClock: l.WallClock, labels: l.Labels, memberLabels: map[uint64][]string{}}
 }
 
-// StateMachine is State as a replicated state machine.
+// StateMachine implements replicated.StateMachine with a State.
 type StateMachine struct {
 	*State
-	Specs []Spec // of the document in force
+	Specs []Spec // from the document in force
 }
 
 // Configure implements replicated.StateMachine.
@@ -53,7 +54,8 @@
 	m.Specs = p.Specs()
 }
 
-// SetOwners implements replicated.StateMachine. A task has a holder, and no owner by placement.
+// SetOwners implements replicated.StateMachine. It does nothing: tasks have holders, and no owners by
+// placement.
 func (m *StateMachine) SetOwners([]placement.Member) {}
 
 // SessionsExpired implements replicated.StateMachine.
@@ -68,7 +70,8 @@
 }
 
 // errInvalidSnapshot is returned for a snapshot that no State can have written.
-var errInvalidSnapshot = errors.New("a duty that can't be")
+var errInvalidSnapshot = errors.New("the snapshot has an invalid duty: an empty one, a fencing token above " +
+	"the newest, or a note above 4096 bytes")
 
 // Restore implements replicated.StateMachine.
 func (m *StateMachine) Restore(read func(string, any) (bool, error)) error {
@@ -100,8 +103,8 @@
 		c.Note = append([]byte{}, d.Note...)
 	}
 	return replicated.Command{ID: c.ID, Term: c.Term,
-		// A holder's commands are many, and have no effect when they are repeated: only the outcomes of
-		// operators' commands are remembered.
+		// Holders send many commands, which have no effect when they are repeated, so only the outcomes
+		// of operators' commands are remembered.
 		RememberOutcome: c.Kind >= Transfer,
 		LeaderDecision:  c.Term != 0 || c.Kind.LeaderDecision(),
 		Apply: func(isOpen func(placement.Session) bool) error {
@@ -109,7 +112,7 @@
 		}}, true
 }
 
-// EncodeCommand returns a command as an entry of the log.
+// EncodeCommand returns a command as a log entry.
 func EncodeCommand(c Command) *schema.Change {
 	return &schema.Change{Format: firstFormat, Duty: &schema.DutyCommand{Kind: uint32(c.Kind), Id: c.ID,
 		Term: c.Term, Duty: c.Task, Names: c.Tasks, Member: c.Session.Member, Epoch: c.Session.Epoch,
--- a/internal/cluster/rollingrestart/controller.go
+++ b/internal/cluster/rollingrestart/controller.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// InstanceStatus is an instance as the controller observes it. It may be wrong or late: it decides when the
-// next instance is restarted, and never which instance is restarting.
+// InstanceStatus is an instance as the controller observes it. The observation may be wrong or late: it
+// determines when the next instance is restarted, but never which instances count as restarting.
 type InstanceStatus struct {
 	Member      uint64
 	Name        string
 	Zone        string
 	Voter       bool
-	Incarnation uint64 // of the process that has the open session; 0: none has
+	Incarnation uint64 // of the process that has the open session; 0: none is open
 	Healthy     bool   // it responds, runs the configuration in force, and admits jobs
 	Reason      string // why it is not healthy
-	RestartLast bool   // it leads or runs the controller, which must be transferred: others come first
+	RestartLast bool   // it leads or runs the controller: it is last, as that must be transferred
 }
 
-// Controller decides, for one lease of the task, what is to be recorded next.
+// Controller decides, during one lease of the task, what to record next.
 type Controller struct {
-	restartingSince map[uint64]time.Duration // by member, since when it was observed
-	blocked         bool                     // no instance may be restarted
+	restartingSince map[uint64]time.Duration // by member: when it was first observed to be restarting
+	blocked         bool                     // no waiting instance may be restarted
 	blockedSince    time.Duration
-	wasRolling      bool // the plan was, after the last call of Reconcile
+	wasRolling      bool // the plan was rolling after the last call of Reconcile
 }
 
-// NewController returns a controller. Hazard: it does not know how long an instance has been restarting. It
-// counts from when it first observes that, so that a new controller does not halt a restart that goes well.
+// NewController returns a controller. It does not know how long an instance has been restarting. It counts
+// from its first observation, so that a new controller does not halt a restart that is progressing well.
 func NewController() *Controller {
 	return &Controller{restartingSince: map[uint64]time.Duration{}}
 }
 
-// Reconcile returns the plan as it is to be recorded, and whether it differs from p. A change has effect only
-// once the note is committed. The time now is on a monotonic clock.
+// Reconcile returns the plan to record, and whether it differs from p. A change takes effect only once the
+// note is committed. The time now is on a monotonic clock.
 func (c *Controller) Reconcile(now time.Duration, p Plan, instances []InstanceStatus) (Plan, bool) {
 	p, changed := c.reconcile(now, p, instances)
 	p.HaltReason = p.HaltReason[:min(len(p.HaltReason), maxReasonBytes)]
@@ -46,8 +46,8 @@
 	if !p.Active() {
 		return p, false
 	}
-	// Hazard: an instance that had exceeded the timeout before an operator resumed the plan would exceed it
-	// again at once.
+	// Without this reset, an instance that had exceeded the timeout before an operator resumed the plan would
+	// exceed it again at once.
 	if !c.wasRolling {
 		clear(c.restartingSince)
 		c.blocked = false
@@ -61,7 +61,7 @@
 	if p.Status != Rolling {
 		return p, changed
 	}
-	// One step for each note: it must be committed before anybody acts on it.
+	// Only one step begins per update of the note: it must be committed before anything acts on it.
 	if changed || p.count(Waiting) == 0 || p.count(Restarting) >= p.MaxUnavailable {
 		c.blocked = false
 		return p, changed
@@ -69,12 +69,13 @@
 	return c.restartNext(now, p, instances)
 }
 
-// restartNext begins the next step, or halts the plan once no step has been allowed for the timeout.
+// restartNext begins the next step, or halts the plan if no step has been allowed for longer than the
+// timeout.
 func (c *Controller) restartNext(now time.Duration, p Plan, instances []InstanceStatus) (Plan, bool) {
 	k, reason := nextStep(p, instances)
 	if k >= 0 {
 		c.blocked = false
-		instance, _ := find(instances, p.Steps[k].Member)
+		instance, _ := findInstance(instances, p.Steps[k].Member)
 		p.Steps[k].Phase, p.Steps[k].Incarnation = Restarting, instance.Incarnation
 		return p, true
 	}
@@ -88,11 +89,11 @@
 	return p, true
 }
 
-// observeSteps records which instances are back or removed, and halts the plan where one exceeds the timeout.
+// observeSteps records which instances are back or removed, and halts the plan if one exceeds the timeout.
 func (c *Controller) observeSteps(now time.Duration, p *Plan, instances []InstanceStatus) (changed bool) {
 	for i := range p.Steps {
 		s := &p.Steps[i]
-		instance, member := find(instances, s.Member)
+		instance, member := findInstance(instances, s.Member)
 		switch {
 		case !member && s.Phase != Removed:
 			s.Phase, s.RestartAgain, changed = Removed, false, true
@@ -122,7 +123,7 @@
 	return now-since > timeout
 }
 
-// pendingReason is why an instance is not back whose given incarnation is to exit.
+// pendingReason returns why an instance is not back. The given incarnation is the one that must exit.
 func pendingReason(instance InstanceStatus, incarnation uint64) string {
 	switch instance.Incarnation {
 	case 0:
@@ -133,7 +134,7 @@
 	return instance.Reason
 }
 
-func find(instances []InstanceStatus, member uint64) (InstanceStatus, bool) {
+func findInstance(instances []InstanceStatus, member uint64) (InstanceStatus, bool) {
 	k := slices.IndexFunc(instances, func(s InstanceStatus) bool { return s.Member == member })
 	if k < 0 {
 		return InstanceStatus{}, false
@@ -141,14 +142,14 @@
 	return instances[k], true
 }
 
-// nextStep returns the index of the step that may begin now; -1 and the reason if none may.
+// nextStep returns the index of the step that may begin now, or -1 and the reason if none may.
 func nextStep(p Plan, instances []InstanceStatus) (best int, reason string) {
 	best = -1
 	for k, s := range p.Steps {
 		if s.Phase != Waiting {
 			continue
 		}
-		instance, _ := find(instances, s.Member)
+		instance, _ := findInstance(instances, s.Member)
 		if blocked := blockedReason(p, instance, instances); blocked != "" {
 			if reason == "" {
 				reason = blocked
@@ -157,7 +158,7 @@
 		}
 		if best < 0 {
 			best = k
-		} else if other, _ := find(instances, p.Steps[best].Member); other.RestartLast &&
+		} else if other, _ := findInstance(instances, p.Steps[best].Member); other.RestartLast &&
 			!instance.RestartLast {
 			best = k
 		}
@@ -165,7 +166,7 @@
 	return best, reason
 }
 
-// blockedReason returns why an instance may not be restarted now; empty if it may.
+// blockedReason returns why an instance may not be restarted now, or an empty string if it may.
 func blockedReason(p Plan, instance InstanceStatus, instances []InstanceStatus) string {
 	unavailable, voters, healthyVoters, othersInZone, healthyInZone := p.count(Restarting), 0, 0, 0, 0
 	for _, x := range instances {
@@ -173,7 +174,7 @@
 			voters++
 		}
 		if x.Member == instance.Member {
-			continue // an instance that is not healthy itself may be restarted
+			continue // whether the instance itself is healthy does not matter
 		}
 		if x.Zone == instance.Zone {
 			othersInZone++
--- a/internal/cluster/rollingrestart/controller_test.go
+++ b/internal/cluster/rollingrestart/controller_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// restartTest is a group of five healthy voters, n1 to n5 in the given zones, with a plan for all.
+// restartTest is a group of healthy voters, named n1 and so on, with a plan for all of them.
 type restartTest struct {
 	*testing.T
 	controller *Controller
@@ -33,21 +33,22 @@
 	return r
 }
 
-// down makes instances, by index, unhealthy and without a session.
+// down makes instances, given by index, unhealthy and without a session.
 func (r *restartTest) down(reason string, indices ...int) {
 	for _, k := range indices {
 		r.instances[k].Healthy, r.instances[k].Incarnation, r.instances[k].Reason = false, 0, reason
 	}
 }
 
-// run reconciles each second while the plan is rolling, for a time at most. Each instance whose step begins
-// is restarted at once; the one named stuck goes down instead. It returns the order of the restarts.
+// run calls Reconcile once a second between two times while the plan is rolling. Each instance whose step
+// begins is restarted at once, except that the one named stuck goes down. It returns the order of the
+// restarts.
 func (r *restartTest) run(from, until time.Duration, stuck string) (order []string) {
 	r.Helper()
 	for now := from; r.plan.Status == Rolling && now < until; now += time.Second {
 		r.plan, _ = r.controller.Reconcile(now, r.plan, r.instances)
 		if n := r.plan.count(Restarting); n > r.plan.MaxUnavailable {
-			r.Fatalf("%d are out", n)
+			r.Fatalf("%d instances are restarting, more than allowed", n)
 		}
 		for k := range r.instances {
 			x := &r.instances[k]
@@ -64,51 +65,52 @@
 	return order
 }
 
-// With nothing in the way a rolling restart completes, the leader last; with an instance that does not come
-// back it halts with the reason, and continues once it is resumed.
+// A rolling restart completes, with the leader last. If an instance does not come back, the plan halts with
+// the reason, and continues once it is resumed.
 func TestRollingRestartOfFiveInstances(t *testing.T) {
 	r := newRestartTest(t, Options{MaxUnavailable: 2, Timeout: time.Minute},
 		[]string{"z0", "z1", "z0", "z1", "z0"})
 	r.instances[0].RestartLast = true
 	order := r.run(0, time.Hour, "n4")
 	if r.plan.Status != Halted || r.plan.HaltReason != "n4 is not back within 1m0s: it has no session" {
-		t.Fatalf("it is %s", r.plan.Progress())
+		t.Fatalf("the plan is %s; want halted, with the reason that n4 has no session", r.plan.Progress())
 	}
 	var err error
 	if r.plan, err = Resume(r.plan); err != nil {
 		t.Fatal(err)
 	}
 	if r.plan, _ = r.controller.Reconcile(30*time.Minute, r.plan, r.instances); r.plan.Status != Rolling {
-		t.Fatalf("as soon as it is resumed it is %s", r.plan.Progress())
+		t.Fatalf("after Resume the plan is %s, want rolling", r.plan.Progress())
 	}
 	r.instances[3].Healthy, r.instances[3].Incarnation = true, 104
 	order = append(order, r.run(time.Hour, 2*time.Hour, "")...)
 	if r.plan.Status != Done || order[len(order)-1] != "n1" || len(order) != 4 {
-		t.Errorf("%s, in the order of %v", r.plan.Progress(), order)
+		t.Errorf("the plan is %s after restarts in the order %v; want done, with 4 restarts and n1 last",
+			r.plan.Progress(), order)
 	}
 }
 
-// Which instance is restarted first, or why none is, by the statuses of the others.
+// Which instance is restarted first, or why none is, depends on the statuses of all instances.
 func TestWhichInstanceMayRestart(t *testing.T) {
 	for name, x := range map[string]struct {
 		maxUnavailable int
 		change         func(r *restartTest) // of n1 to n5, in the zones a, a, b, b, b
-		want           string               // who is restarted, or why nobody is
+		want           string               // the instance that is restarted, or the halt reason
 	}{
 		"all are healthy":  {1, func(*restartTest) {}, "n1"},
 		"the leader last":  {1, func(r *restartTest) { r.instances[0].RestartLast = true }, "n2"},
 		"another is down":  {1, func(r *restartTest) { r.down("silent", 4) }, "n5 is not well: silent"},
-		"two may be out":   {2, func(r *restartTest) { r.down("silent", 4) }, "n1"},
+		"two may be down":  {2, func(r *restartTest) { r.down("silent", 4) }, "n1"},
 		"two are down":     {2, func(r *restartTest) { r.down("silent", 3, 4) }, "n5 is not well: silent"},
-		"its fronts stall": {1, func(r *restartTest) { r.instances[3].Healthy = false }, "n4"},
+		"itself unhealthy": {1, func(r *restartTest) { r.instances[3].Healthy = false }, "n4"},
 		"no majority": {4, func(r *restartTest) { r.down("silent", 3, 4) },
 			"without n1 only 2 of 5 voters"},
-		"one that is no voter": {4, func(r *restartTest) {
+		"it is not a voter": {4, func(r *restartTest) {
 			r.down("silent", 3, 4)
 			r.instances[0].Voter = false
 		}, "n1"},
-		"the last of its zone": {2, func(r *restartTest) { r.down("silent", 1) }, "n3"},
-		"the last of all zones": {3, func(r *restartTest) {
+		"n1 is the last of its zone": {2, func(r *restartTest) { r.down("silent", 1) }, "n3"},
+		"the last of every zone": {3, func(r *restartTest) {
 			r.down("silent", 1, 3)
 			r.instances[2].Zone, r.instances[4].Zone, r.instances[0].Voter = "c", "d", false
 		}, "n1 is the last of zone a that is well"},
@@ -130,11 +132,11 @@
 			for now := time.Duration(0); now < time.Second; now += 100 * time.Millisecond {
 				r.plan, _ = r.controller.Reconcile(now, r.plan, r.instances)
 				if n := r.plan.count(Restarting); n > x.maxUnavailable {
-					t.Errorf("%d are out", n)
+					t.Errorf("%d instances are restarting, more than allowed", n)
 				}
 			}
 			if !strings.HasPrefix(got, x.want) {
-				t.Errorf("%q, want %q", got, x.want)
+				t.Errorf("got %q, want %q", got, x.want)
 			}
 		})
 	}
--- a/internal/cluster/rollingrestart/model_test.go
+++ b/internal/cluster/rollingrestart/model_test.go
@@ -10,14 +10,14 @@
 	"moorstack/internal/verify/modelcheck"
 )
 
-// The model has three voters and one or two controllers, of which the second takes itself for the task's
-// holder as well. At any time a controller evaluates, and its note is committed later or never; an instance
-// reads the plan, however late, and exits or stays; one that is down is started, or its session expires; one
-// dies by itself; an operator stops, resumes or undoes the restart.
+// The model consists of three voters and one or two controllers; the second one also believes that it holds
+// the task. At any time a controller evaluates the plan, and its note is committed later or never; an
+// instance reads the plan, with any delay, and exits or continues; an instance that is down is started, or
+// its session expires; an instance dies by itself; an operator stops, resumes or undoes the rolling restart.
 type model struct {
 	remaining       limits
-	plan            Plan   // the newest of the committed ones
-	notes           []Plan // all that were committed, by note revision
+	plan            Plan   // the newest committed plan
+	committed       []Plan // all committed plans, by note revision
 	noteRevision    int
 	instances       [3]modelInstance
 	controllers     [2]modelController
@@ -25,21 +25,21 @@
 	violation       string
 }
 
-// limits bound the model's events.
+// limits bounds the model's controllers and events.
 type limits struct{ controllers, evaluations, deaths, operations int }
 
 type modelInstance struct {
 	Incarnation, Session uint64 // Session is the incarnation that has the open session; 0: none
 	Up                   bool
-	Read                 int  // the note revision of the plan that it has read
-	Restarting           bool // it exited by the plan, and is not back
-	Exits                int  // by the plan
+	ReadRevision         int  // note revision of the plan that it has read
+	Restarting           bool // it exited because of the plan, and is not back
+	Exits                int  // number of exits because of the plan
 }
 
-// modelController has a note in transit to the log.
+// modelController is a controller, possibly with a note in transit to the log.
 type modelController struct {
-	noting       bool
-	noteRevision int // that the note replaces
+	pending      bool // a note is in transit
+	noteRevision int  // of the note to replace
 	plan         Plan
 }
 
@@ -52,17 +52,17 @@
 func (m *model) Key() uint64 {
 	plan, _ := json.Marshal(m.plan)
 	text := fmt.Sprint(m.remaining, string(plan), m.noteRevision, m.instances, m.lastIncarnation)
-	// Of older plans, those matter that an instance has yet to read.
+	// Older plans matter only if an instance has yet to read them.
 	read := m.noteRevision
 	for _, x := range m.instances {
-		read = min(read, x.Read)
+		read = min(read, x.ReadRevision)
 	}
-	for _, p := range m.notes[read:] {
+	for _, p := range m.committed[read:] {
 		steps, _ := json.Marshal(p.Steps)
 		text += string(steps)
 	}
 	for _, c := range m.controllers {
-		if c.noting {
+		if c.pending {
 			plan, _ := json.Marshal(c.plan)
 			text += fmt.Sprint(c.noteRevision, string(plan))
 		}
@@ -71,7 +71,7 @@
 	return maphash.String(keySeed, text)
 }
 
-// statuses are the instances as a controller observes them.
+// statuses returns the instances as a controller observes them.
 func (m *model) statuses() (list []InstanceStatus) {
 	for k, x := range m.instances {
 		list = append(list, InstanceStatus{Member: uint64(k + 1), Name: fmt.Sprint("n", k+1), Voter: true,
@@ -83,7 +83,7 @@
 
 type transitions []modelcheck.Transition[*model]
 
-// add adds the transition by an event, unless the count of such events that remain is 0.
+// add adds the transition for an event, unless none of its kind remains.
 func (t *transitions) add(m *model, event string, remaining int, apply func(next *model)) {
 	if remaining > 0 {
 		next := *m
@@ -97,8 +97,8 @@
 func (m *model) Transitions() []modelcheck.Transition[*model] {
 	var t transitions
 	for k := range m.remaining.controllers {
-		if m.controllers[k].noting {
-			m.addNoteOutcomes(&t, k)
+		if m.controllers[k].pending {
+			m.addCommitOutcomes(&t, k)
 		} else {
 			m.addEvaluations(&t, k)
 		}
@@ -118,19 +118,19 @@
 	return t
 }
 
-// addEvaluations adds what a controller may note: one that has waited for as long as the timeout, and one
-// that has not waited at all.
+// addEvaluations adds the notes that a controller may propose: one that has just been created, and one that
+// has observed the same state for longer than the timeout.
 func (m *model) addEvaluations(t *transitions, k int) {
-	for _, waited := range []bool{true, false} {
+	for _, fresh := range []bool{true, false} {
 		c := NewController()
-		if c.wasRolling = true; !waited {
+		if c.wasRolling = true; !fresh {
 			c.Reconcile(0, m.plan, m.statuses())
 		}
 		p, changed := c.Reconcile(time.Hour, m.plan, m.statuses())
 		if !changed {
 			continue
 		}
-		event := fmt.Sprintf("controller %d notes: %s", k, p.Progress())
+		event := fmt.Sprintf("controller %d proposes: %s", k, p.Progress())
 		t.add(m, event, m.remaining.evaluations, func(next *model) {
 			next.remaining.evaluations--
 			next.controllers[k] = modelController{true, m.noteRevision, p}
@@ -138,16 +138,16 @@
 	}
 }
 
-// addNoteOutcomes adds that a controller's note is committed, or lost.
-func (m *model) addNoteOutcomes(t *transitions, k int) {
+// addCommitOutcomes adds the commit and the loss of a controller's note.
+func (m *model) addCommitOutcomes(t *transitions, k int) {
 	note := m.controllers[k]
-	t.add(m, fmt.Sprintf("the note of %d is committed", k), 1, func(next *model) {
-		if next.controllers[k].noting = false; note.noteRevision == next.noteRevision {
+	t.add(m, fmt.Sprintf("the note of controller %d is committed", k), 1, func(next *model) {
+		if next.controllers[k].pending = false; note.noteRevision == next.noteRevision {
 			next.commit(note.plan)
 		}
 	})
-	t.add(m, fmt.Sprintf("the note of %d is lost", k), 1, func(next *model) {
-		next.controllers[k].noting = false
+	t.add(m, fmt.Sprintf("the note of controller %d is lost", k), 1, func(next *model) {
+		next.controllers[k].pending = false
 	})
 }
 
@@ -156,17 +156,17 @@
 	if !x.Up {
 		t.add(m, name+" is started", 1, func(next *model) {
 			next.lastIncarnation++
-			// From its own disk it knows the plan that it had read.
+			// It has stored the plan that it has read on its disk.
 			next.instances[k] = modelInstance{Incarnation: next.lastIncarnation,
-				Session: next.lastIncarnation, Up: true, Exits: x.Exits, Read: x.Read}
+				Session: next.lastIncarnation, Up: true, Exits: x.Exits, ReadRevision: x.ReadRevision}
 		})
 		t.add(m, name+"'s session expires", int(min(x.Session, 1)), func(next *model) {
 			next.instances[k].Session = 0
 		})
 		return
 	}
-	// One that lags reads the next plan, and not yet the one after it.
-	if x.Read < m.noteRevision {
+	// An instance that lags reads the plans one after another.
+	if x.ReadRevision < m.noteRevision {
 		t.add(m, name+" reads the next plan", 1, func(next *model) { next.readPlan(k) })
 	}
 	t.add(m, name+" dies", m.remaining.deaths, func(next *model) {
@@ -177,17 +177,17 @@
 
 func (m *model) readPlan(k int) {
 	x := &m.instances[k]
-	if x.Read++; m.notes[x.Read].MustRestart(uint64(k+1), x.Incarnation) {
+	if x.ReadRevision++; m.committed[x.ReadRevision].MustRestart(uint64(k+1), x.Incarnation) {
 		x.Up, x.Restarting, x.Exits = false, true, x.Exits+1
 	}
 }
 
 func (m *model) commit(p Plan) {
-	m.notes = append(slices.Clip(m.notes), p)
+	m.committed = append(slices.Clip(m.committed), p)
 	m.plan, m.noteRevision = p, m.noteRevision+1
 }
 
-// check records what is wrong in this state.
+// check records a violation if there is one in this state.
 func (m *model) check() {
 	restarting, maxExits := 0, 1
 	if m.plan.Undo {
@@ -202,13 +202,14 @@
 			m.violation = fmt.Sprintf("n%d exited %d times", k+1, x.Exits)
 		}
 		if done && x.Incarnation == uint64(k+1) {
-			m.violation = fmt.Sprintf("done, and n%d is the process that it was", k+1)
+			m.violation = fmt.Sprintf("the plan is done, but n%d has not been restarted", k+1)
 		}
 	}
 	if restarting > m.plan.MaxUnavailable || m.plan.count(Restarting) > m.plan.MaxUnavailable {
-		m.violation = fmt.Sprintf("%d are out, and %d to go", restarting, m.plan.count(Restarting))
+		m.violation = fmt.Sprintf("more restarts at once than allowed: %d instances, %d steps of the plan",
+			restarting, m.plan.count(Restarting))
 	}
 	if done && m.plan.count(Restarted) < len(m.instances) {
-		m.violation = "done, and not all are back: " + m.plan.Progress()
+		m.violation = "the plan is done, but not all instances are back: " + m.plan.Progress()
 	}
 }
--- a/internal/cluster/rollingrestart/modelcheck_test.go
+++ b/internal/cluster/rollingrestart/modelcheck_test.go
@@ -10,10 +10,10 @@
 	"moorstack/internal/verify/modelcheck"
 )
 
-var maxStates = flag.Int64("states", 200_000, "visit at most so many states of the model")
+var maxStates = flag.Int64("states", 200_000, "maximum `number` of states of the model to visit")
 
-// Whatever the order of events: no more instances than the stated number are out, none exits twice, and the
-// plan is done when all are back.
+// In any order of events, no more instances are restarting at once than the plan allows, no instance exits
+// again for the same restart, and the plan is done only when all instances are back.
 func TestPlanHoldsInEveryState(t *testing.T) {
 	for name, l := range map[string]limits{
 		"a rolling restart":          {controllers: 1, evaluations: 7},
@@ -35,7 +35,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m.notes = []Plan{m.plan}
+			m.committed = []Plan{m.plan}
 			r := modelcheck.Check(m, *maxStates)
 			t.Logf("%d states, complete: %v", r.States, r.Complete)
 			if r.Violation != "" {
--- a/internal/cluster/rollingrestart/operations.go
+++ b/internal/cluster/rollingrestart/operations.go
@@ -14,7 +14,7 @@
 	maxTimeout = 24 * time.Hour
 )
 
-// Member is a member of the group when a rolling restart starts.
+// Member is a member of the group at the start of a rolling restart.
 type Member struct {
 	ID    uint64
 	Name  string
@@ -22,7 +22,7 @@
 	Voter bool
 }
 
-// Options are an operator's options of a rolling restart.
+// Options are an operator's options for a rolling restart.
 type Options struct {
 	Author          string
 	MaxUnavailable  int
@@ -31,12 +31,11 @@
 	Instances       []string // names; empty: all
 }
 
-// Start returns a new plan for the members, or why it can't be carried out. It returns the current plan with
-// the error.
+// Start returns a new plan for the members, or an error if it can't be carried out.
 func Start(current Plan, o Options, members []Member) (Plan, error) {
 	if current.Active() && (current.Status != Stopped || current.count(Restarting) > 0) {
-		return current, fmt.Errorf("a rolling restart by %s is %s; undo or finish that first", current.Author,
-			current.Progress())
+		return current, fmt.Errorf("the rolling restart by %s is not finished (%s): finish or undo it first",
+			current.Author, current.Progress())
 	}
 	if err := o.check(members); err != nil {
 		return current, err
@@ -53,16 +52,16 @@
 		p.Steps = append(p.Steps, Step{Member: m.ID, Name: m.Name, Zone: m.Zone})
 	}
 	slices.SortFunc(p.Steps, func(a, b Step) int { return strings.Compare(a.Name, b.Name) })
-	return p, p.checkLongest()
+	return p, p.checkMaxSize()
 }
 
-// check returns what is wrong with the options for a group.
+// check returns an error if the options are not valid for a group.
 func (o Options) check(members []Member) error {
 	if o.MaxUnavailable < 1 {
-		return fmt.Errorf("%d at once is none: 1 or more are wanted", o.MaxUnavailable)
+		return fmt.Errorf("--out must be at least 1, got %d", o.MaxUnavailable)
 	}
 	if o.Timeout < minTimeout || o.Timeout > maxTimeout {
-		return fmt.Errorf("%v is not a time from 1s to 24h in which an instance has to be back", o.Timeout)
+		return fmt.Errorf("--within must be between 1s and 24h, got %v", o.Timeout)
 	}
 	var names []string
 	for _, m := range members {
@@ -71,13 +70,14 @@
 	slices.Sort(names)
 	for _, n := range o.Instances {
 		if !slices.Contains(names, n) {
-			return fmt.Errorf("the group has no instance %q; %s are", n, strings.Join(names, ", "))
+			return fmt.Errorf("the group has no instance %q; its instances are %s", n,
+				strings.Join(names, ", "))
 		}
 	}
 	return nil
 }
 
-// checkMember returns why a member can't be restarted.
+// checkMember returns an error if a member can't be restarted.
 func (o Options) checkMember(m Member, members []Member) error {
 	voters, zones := 0, map[string]int{}
 	for _, x := range members {
@@ -87,18 +87,19 @@
 		zones[x.Zone]++
 	}
 	if m.Voter && voters-1 < majority(voters) {
-		return fmt.Errorf("without %s there is no majority of %d voters: add instances first", m.Name, voters)
+		return fmt.Errorf("without %s there is no majority of the %d voters: add instances first", m.Name,
+			voters)
 	}
 	if !o.AllowLastInZone && len(zones) > 1 && zones[m.Zone] == 1 {
-		return fmt.Errorf("%s is the only instance of zone %s: leave it out, or say that this may be "+
-			"(--alone)", m.Name, m.Zone)
+		return fmt.Errorf("%s is the only instance of zone %s: leave it out with --only, or allow its "+
+			"restart with --alone", m.Name, m.Zone)
 	}
 	return nil
 }
 
-// checkLongest returns an error if the plan may become too long for a note. Hazard: a plan grows while it is
-// carried out, and must fit in every phase.
-func (p Plan) checkLongest() error {
+// checkMaxSize returns an error if the plan may become too long for a note. A plan grows while it is carried
+// out, and must fit into the note in every phase.
+func (p Plan) checkMaxSize() error {
 	p.Steps = slices.Clone(p.Steps)
 	for i := range p.Steps {
 		s := &p.Steps[i]
@@ -111,29 +112,30 @@
 
 func majority(voters int) int { return voters/2 + 1 }
 
-// Stop returns the plan with no other instance to be restarted. Those that are restarting are awaited.
+// Stop returns the plan as a stopped one: no further instance is restarted, and those that are restarting are
+// awaited.
 func Stop(p Plan) (Plan, error) {
 	if p.Status != Rolling && p.Status != Halted {
-		return p, fmt.Errorf("nothing is to be stopped: %s", p.Progress())
+		return p, fmt.Errorf("nothing to stop: %s", p.Progress())
 	}
 	p.Status, p.HaltReason = Stopped, ""
 	return p, nil
 }
 
-// Resume returns a plan that was stopped or halted as one that continues.
+// Resume returns a stopped or halted plan as one that continues.
 func Resume(p Plan) (Plan, error) {
 	if p.Status != Stopped && p.Status != Halted {
-		return p, fmt.Errorf("nothing is to be resumed: %s", p.Progress())
+		return p, fmt.Errorf("nothing to resume: %s", p.Progress())
 	}
 	p.Status, p.HaltReason = Rolling, ""
 	return p, nil
 }
 
-// Undo returns the plan that restarts the instances that were restarted once more, the last one first, so
-// that whoever starts them can start the program that they had before. The others are skipped.
+// Undo returns a plan that restarts once more the instances that were already restarted, the last one first,
+// so that whoever starts them can start the program that they had before. The other instances are skipped.
 func Undo(p Plan) (Plan, error) {
 	if p.Status == "" || p.Undo {
-		return p, fmt.Errorf("nothing is to be undone: %s", p.Progress())
+		return p, fmt.Errorf("nothing to undo: %s", p.Progress())
 	}
 	p.Undo, p.Status, p.HaltReason = true, Rolling, ""
 	p.Steps = slices.Clone(p.Steps)
@@ -143,7 +145,7 @@
 		case Waiting:
 			s.Phase = Skipped
 		case Restarting:
-			s.RestartAgain = true // Hazard: nobody knows whether its process has exited yet
+			s.RestartAgain = true // it is not known whether its process has exited yet
 		case Restarted:
 			s.Phase, s.Incarnation = Waiting, 0
 		}
--- a/internal/cluster/rollingrestart/operations_test.go
+++ b/internal/cluster/rollingrestart/operations_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// startWith starts with options of which one is changed.
+	// startWith returns a call of Start with changed options.
 	startWith := func(change func(*Options)) func() (Plan, error) {
 		return func() (Plan, error) {
 			o := options
@@ -28,24 +28,25 @@
 	}
 	for want, operate := range map[string]func() (Plan, error){
 		"is the only instance of zone b": startWith(func(o *Options) { o.AllowLastInZone = false }),
-		"without n1 there is no majority of 2": func() (Plan, error) {
+		"without n1 there is no majority of the 2": func() (Plan, error) {
 			return Start(Plan{}, options, members[:2])
 		},
-		`no instance "n9"; n1, n2, n3 are`: startWith(func(o *Options) { o.Instances = []string{"n9"} }),
-		"0 at once is none":                startWith(func(o *Options) { o.MaxUnavailable = 0 }),
-		"not a time from 1s to 24h":        startWith(func(o *Options) { o.Timeout = 0 }),
-		"is rolling: 0 back, 0 out, 3 to go": func() (Plan, error) {
+		`no instance "n9"; its instances are n1, n2, n3`: startWith(
+			func(o *Options) { o.Instances = []string{"n9"} }),
+		"--out must be at least 1, got 0":             startWith(func(o *Options) { o.MaxUnavailable = 0 }),
+		"--within must be between 1s and 24h, got 0s": startWith(func(o *Options) { o.Timeout = 0 }),
+		"is not finished (rolling: 0 restarted, 0 restarting, 3 waiting)": func() (Plan, error) {
 			return Start(active, options, members)
 		},
-		"nothing is to be resumed":                 func() (Plan, error) { return Resume(active) },
-		"nothing is to be stopped: nothing is und": func() (Plan, error) { return Stop(Plan{}) },
-		"nothing is to be undone":                  func() (Plan, error) { return Undo(Plan{}) },
+		"nothing to resume: rolling":          func() (Plan, error) { return Resume(active) },
+		"nothing to stop: no rolling restart": func() (Plan, error) { return Stop(Plan{}) },
+		"nothing to undo: no rolling restart": func() (Plan, error) { return Undo(Plan{}) },
 		"name fewer": func() (Plan, error) {
 			return Start(Plan{}, options, many)
 		},
 	} {
 		if _, err := operate(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("got the error %v, want %q", err, want)
 		}
 	}
 }
--- a/internal/cluster/rollingrestart/plan.go
+++ b/internal/cluster/rollingrestart/plan.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	// maxPlanBytes is the size of the longest encoded plan: that of a leased task's note.
+	// maxPlanBytes is the maximum size of an encoded plan: that of a leased task's note.
 	maxPlanBytes = 4096
-	// maxReasonBytes is how much of a reason is kept.
+	// maxReasonBytes is the size to which halt reasons are truncated.
 	maxReasonBytes = 200
 )
 
-// Phase is how far an instance's restart is. Its numbers stand in the encoded plan.
+// Phase is the progress of an instance's restart. Its values are stored in the encoded plan.
 type Phase uint8
 
 // The phases of an instance.
 const (
 	Waiting    Phase = iota
-	Restarting       // its process is to exit, and another is to start
-	Restarted        // another process has a session, and is healthy
-	Removed          // it is no longer a member of the group
-	Skipped          // it is not restarted: the rolling restart was undone before
+	Restarting       // its process must exit, and another one start
+	Restarted        // another process has a session and is healthy
+	Removed          // the instance is no longer a member of the group
+	Skipped          // it is not restarted, because the rolling restart was undone before
 )
 
 // String returns the phase as operators see it.
 func (p Phase) String() string {
-	return [...]string{"waits", "out", "back", "no member any more",
-		"left as it is"}[min(int(p), int(Skipped))]
+	return [...]string{"waiting", "restarting", "restarted", "removed",
+		"skipped"}[min(int(p), int(Skipped))]
 }
 
-// Step is one instance of a plan.
+// Step is the part of a plan for one instance.
 type Step struct {
 	Member      uint64 `json:"m"`
 	Name        string `json:"n"`
 	Zone        string `json:"z,omitempty"`
 	Phase       Phase  `json:"p,omitempty"`
-	Incarnation uint64 `json:"l,omitempty"` // of the process that is to exit
-	// RestartAgain: the instance is to be restarted once more when it is back, for the rolling restart was
-	// undone meanwhile.
+	Incarnation uint64 `json:"l,omitempty"` // of the process that must exit
+	// RestartAgain: the instance must be restarted once more when it is back, because the rolling restart was
+	// undone while it was restarting.
 	RestartAgain bool `json:"a,omitempty"`
 }
 
-// Status is the status of a plan. Its values stand in the encoded plan.
+// Status is the status of a plan. Its values are stored in the encoded plan.
 type Status string
 
 // The statuses of a plan.
 const (
 	Rolling Status = "rolling"
-	Stopped Status = "stopped" // by an operator: no other instance is restarted
+	Stopped Status = "stopped" // by an operator: no further instance is restarted
 	Halted  Status = "halted"  // by the controller, for Plan.HaltReason
 	Done    Status = "done"
 )
 
-// Plan is a rolling restart. The zero Plan is none.
+// Plan is a rolling restart. The zero Plan means that there is none.
 type Plan struct {
 	Author          string        `json:"by,omitempty"`
-	MaxUnavailable  int           `json:"out"`             // instances that are restarted at once, at most
-	Timeout         time.Duration `json:"within"`          // for a restarting instance to be back
+	MaxUnavailable  int           `json:"out"`             // maximum number of unavailable instances
+	Timeout         time.Duration `json:"within"`          // within which a restarting instance must be back
 	AllowLastInZone bool          `json:"alone,omitempty"` // also restart the only instance of a zone
 	Undo            bool          `json:"undo,omitempty"`
 	Status          Status        `json:"standing,omitempty"`
@@ -88,10 +88,10 @@
 	return b, err
 }
 
-// Active reports whether anything remains to be done.
+// Active reports whether there is a plan that is not done.
 func (p Plan) Active() bool { return p.Status != "" && p.Status != Done }
 
-// MustRestart reports whether a process is to exit: it is the incarnation that a member's step is for.
+// MustRestart reports whether a process must exit, because a member's step is for its incarnation.
 func (p Plan) MustRestart(member, incarnation uint64) bool {
 	return slices.ContainsFunc(p.Steps, func(s Step) bool {
 		return s.Member == member && s.Phase == Restarting && s.Incarnation == incarnation &&
@@ -99,7 +99,7 @@
 	})
 }
 
-// count returns how many instances are in a phase.
+// count returns the number of instances in a phase.
 func (p Plan) count(phase Phase) (n int) {
 	for _, s := range p.Steps {
 		if s.Phase == phase {
@@ -116,16 +116,16 @@
 	})
 }
 
-// Progress describes to operators how far the plan has come.
+// Progress describes the plan's progress to operators.
 func (p Plan) Progress() string {
 	if p.Status == "" {
-		return "nothing is under way"
+		return "no rolling restart"
 	}
 	text := string(p.Status)
 	if p.Undo {
 		text += " (undo)"
 	}
-	text += fmt.Sprintf(": %d back, %d out, %d to go", p.count(Restarted), p.count(Restarting),
+	text += fmt.Sprintf(": %d restarted, %d restarting, %d waiting", p.count(Restarted), p.count(Restarting),
 		p.count(Waiting))
 	if p.HaltReason != "" {
 		text += "; " + p.HaltReason
