--- a/internal/cluster/placement/outlier.go
+++ b/internal/cluster/placement/outlier.go
@@ -9,45 +9,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Thresholds of outlier reports, and bounds of what is kept of them.
+// Thresholds of outlier reports, and bounds of the data kept for them.
 const (
-	// minFailures is how many attempts must have failed within observationWindow: consecutive ones, or half
-	// of all. The balancer itself soon sends little to a worker that fails, so there is not much to observe.
+	// minFailures is how many attempts must have failed within observationWindow: consecutive ones, or at
+	// least half of all. The balancer itself soon sends few jobs to a worker that fails, so there are few
+	// attempts to observe.
 	minFailures       = 2
 	observationWindow = 10 * time.Second
 	// reportLifetime is how long a report counts unless it is renewed.
 	reportLifetime = 3 * time.Second
 	// reportQuorum is how many instances must report a worker before it is ejected.
 	reportQuorum = 2
-	// ejectedDivisor bounds ejection: at most one in so many of the listed workers is ejected by reports.
+	// ejectedDivisor bounds ejection: reports eject at most 1/ejectedDivisor of the listed workers.
 	ejectedDivisor = 3
 	// recoverySuccesses is how many consecutive attempts must have succeeded at the instance that tests an
 	// ejected worker before it stops reporting that worker.
 	recoverySuccesses = 2
-	// maxOutcomes bounds the attempts that are kept for each worker, maxReports the reports that are accepted
-	// from one instance.
+	// maxOutcomes bounds the attempts that are kept for each worker, and maxReports the reports that are
+	// accepted from one instance.
 	maxOutcomes = 64
 	maxReports  = 256
 )
 
-// OutlierReport is one instance's report of a worker: how many of its latest attempts there have failed.
+// OutlierReport is one instance's report of a worker: how many of its latest attempts at the worker failed.
 type OutlierReport struct {
 	Worker   string
 	Failed   int
 	Attempts int
 }
 
-// OutlierQuorum decides which workers an instance ejects, from its own attempts and from the reports of the
-// others. No report makes an instance use a worker that is not listed, and the reports of a single instance
-// eject nothing. Times are on the clock of this instance.
+// OutlierQuorum decides which workers an instance ejects, based on its own attempts and on the reports of the
+// other instances. Reports never make an instance use a worker that is not listed, and the reports of a
+// single instance eject nothing. Times are on this instance's clock.
 type OutlierQuorum struct {
 	observations map[string]*observation              // own attempts, by worker
-	received     map[uint64]map[string]receivedReport // by member that reported, and worker
+	received     map[uint64]map[string]receivedReport // by reporting member and worker
 	table        *Table
 	own          Session
 }
 
-// observation is what this instance's own attempts at a worker have shown.
+// observation holds the results of this instance's own attempts at a worker.
 type observation struct {
 	outcomes                                  []outcome // oldest first
 	consecutiveSuccesses, consecutiveFailures int
@@ -69,7 +70,7 @@
 		received: map[uint64]map[string]receivedReport{}}
 }
 
-// SetView takes over the owners of a view: it decides whose reports count, and which instance tests an
+// SetView replaces the table of owners, which determines whose reports count, and which instance tests an
 // ejected worker.
 func (q *OutlierQuorum) SetView(t *Table, own Session) {
 	q.table, q.own = t, own
@@ -78,7 +79,7 @@
 	})
 }
 
-// ObserveAttempt records how an attempt of this instance at a worker ended.
+// ObserveAttempt records the outcome of an attempt of this instance at a worker.
 func (q *OutlierQuorum) ObserveAttempt(now time.Duration, worker string, failed bool) {
 	o := q.observations[worker]
 	if o == nil {
@@ -96,9 +97,9 @@
 	}
 }
 
-// Reports returns what this instance is to report to the others, sorted by worker: the workers at which most
-// of its latest attempts have failed. An instance that tests an ejected worker and finds it healthy no longer
-// reports it.
+// Reports returns the reports of this instance to the others, sorted by worker: one for each worker at which
+// enough of its latest attempts have failed. An instance that tests an ejected worker and finds it healthy no
+// longer reports it.
 func (q *OutlierQuorum) Reports(now time.Duration) (reports []OutlierReport) {
 	for name, o := range q.observations {
 		o.outcomes = slices.DeleteFunc(o.outcomes, func(x outcome) bool {
@@ -116,7 +117,8 @@
 	return reports
 }
 
-// outlier reports whether the kept outcomes make the worker an outlier, and which failures show it.
+// outlier reports whether the kept outcomes make the worker an outlier, with the number of failures and
+// attempts that show it.
 func (o *observation) outlier() (failed, attempts int, ok bool) {
 	for _, x := range o.outcomes {
 		if x.failed {
@@ -134,9 +136,9 @@
 	return 0, 0, false
 }
 
-// ObserveReports takes another instance's reports, which replace all earlier ones of that instance. Hazard:
-// an instance that is wrong or malicious may report anything: it counts once for each worker, however often
-// it reports it.
+// ObserveReports records another instance's reports, which replace all earlier ones of that instance. A
+// faulty or malicious instance may report anything, so an instance counts once for each worker, no matter how
+// often it reports the worker.
 func (q *OutlierQuorum) ObserveReports(now time.Duration, member uint64, reports []OutlierReport) {
 	if member == q.own.Member {
 		return
@@ -150,9 +152,9 @@
 	q.received[member] = accepted
 }
 
-// Ejected returns the workers, of those that are listed, that this instance gives no jobs to because a quorum
-// of instances reports them: those with the most reports first, and at most a fraction of all. An instance
-// does not eject a worker that it is the one to test: somebody must find out that it has recovered.
+// Ejected returns which of the listed workers receive no jobs from this instance because a quorum of
+// instances reports them: those with the most reports first, and at most 1/ejectedDivisor of all. An instance
+// does not eject a worker that it tests itself: otherwise nobody would detect that the worker has recovered.
 func (q *OutlierQuorum) Ejected(now time.Duration, listed []string) map[string]bool {
 	count := q.reportCounts(now)
 	var outliers []string
@@ -167,14 +169,14 @@
 	})
 	ejected := map[string]bool{}
 	for _, name := range outliers[:min(len(outliers), len(listed)/ejectedDivisor)] {
-		if !q.tests(name) {
+		if !q.isTester(name) {
 			ejected[name] = true
 		}
 	}
 	return ejected
 }
 
-// reportCounts returns how many instances report each worker, this one included.
+// reportCounts returns how many instances, including this one, report each worker.
 func (q *OutlierQuorum) reportCounts(now time.Duration) map[string]int {
 	count := map[string]int{}
 	for _, r := range q.Reports(now) {
@@ -190,8 +192,8 @@
 	return count
 }
 
-// tests reports whether this instance is the one that goes on using a worker that the others eject.
-func (q *OutlierQuorum) tests(worker string) bool {
+// isTester reports whether this instance is the one that keeps using a worker that the others eject.
+func (q *OutlierQuorum) isTester(worker string) bool {
 	m, ok := q.table.Owner(ShardOf("worker/" + worker))
 	return ok && m.Session == q.own
 }
--- a/internal/cluster/placement/outlier_test.go
+++ b/internal/cluster/placement/outlier_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// maxEjectedFraction is the fraction of the listed workers that reports may eject, as its reciprocal. It is
-// stated here once more so that a change of the bound is noticed.
-const maxEjectedFraction = 3
+// maxEjectedDivisor bounds ejection: at most 1/maxEjectedDivisor of the listed workers is ejected. It repeats
+// ejectedDivisor, so that the test fails if that changes.
+const maxEjectedDivisor = 3
 
-// outlierGroup is instances that observe workers fail and exchange reports.
+// outlierGroup is a group of instances that observe failures of workers and exchange reports.
 type outlierGroup struct {
 	view    View
 	quorums []*OutlierQuorum // by index in view.Members
@@ -31,7 +31,7 @@
 	return g
 }
 
-// exchangeReports has every instance report to every other.
+// exchangeReports delivers the reports of every instance to every other one.
 func (g *outlierGroup) exchangeReports(now time.Duration) {
 	for a, from := range g.quorums {
 		for b, to := range g.quorums {
@@ -42,8 +42,8 @@
 	}
 }
 
-// ejecting returns how many instances eject a worker.
-func (g *outlierGroup) ejecting(now time.Duration, worker string) (n int) {
+// countEjecting returns how many instances eject a worker.
+func (g *outlierGroup) countEjecting(now time.Duration, worker string) (n int) {
 	for _, q := range g.quorums {
 		if q.Ejected(now, g.workers)[worker] {
 			n++
@@ -52,8 +52,8 @@
 	return n
 }
 
-// fail has instances, by index, observe just enough failures at a worker to report it.
-func (g *outlierGroup) fail(now time.Duration, worker string, instances ...int) {
+// observeFailures makes instances, given by index, observe just enough failures at a worker to report it.
+func (g *outlierGroup) observeFailures(now time.Duration, worker string, instances ...int) {
 	for _, n := range instances {
 		for range minFailures {
 			g.quorums[n].ObserveAttempt(now, worker, true)
@@ -61,7 +61,8 @@
 	}
 }
 
-// One instance that is wrong or malicious ejects no worker, however often and however many it reports.
+// A single faulty or malicious instance ejects no worker, no matter how many workers it reports and how
+// often.
 func TestReportsOfOneInstanceEjectNothing(t *testing.T) {
 	g := newOutlierGroup(5, 12)
 	var reports []OutlierReport
@@ -75,7 +76,7 @@
 				q.ObserveAttempt(now, name, false)
 			}
 			if ejected := q.Ejected(now, g.workers); len(ejected) > 0 {
-				t.Fatalf("instance %d ejects %v by the reports of one", n+2, ejected)
+				t.Fatalf("instance %d ejects %v because of the reports of a single instance", n+2, ejected)
 			}
 		}
 	}
@@ -86,10 +87,10 @@
 func TestQuorumEjectsWorkerUntilItRecovers(t *testing.T) {
 	g := newOutlierGroup(5, 12)
 	now := time.Second
-	g.fail(now, "w3", 0, 1)
+	g.observeFailures(now, "w3", 0, 1)
 	g.exchangeReports(now)
-	if n := g.ejecting(now, "w3"); n != 4 {
-		t.Fatalf("%d of 5 eject a worker that two report; all but one should", n)
+	if n := g.countEjecting(now, "w3"); n != 4 {
+		t.Fatalf("%d of 5 instances eject a worker that two instances report, want 4", n)
 	}
 	// The instance that tests it finds it healthy; the others' observations expire.
 	for now < 14*time.Second {
@@ -101,8 +102,8 @@
 		now += 100 * time.Millisecond
 		g.exchangeReports(now)
 	}
-	if n := g.ejecting(now, "w3"); n != 0 {
-		t.Errorf("%d eject a worker that has long been healthy", n)
+	if n := g.countEjecting(now, "w3"); n != 0 {
+		t.Errorf("%d instances eject a worker that has long been healthy", n)
 	}
 }
 
@@ -111,32 +112,32 @@
 	g := newOutlierGroup(5, 12)
 	now := 14 * time.Second
 	for _, name := range g.workers {
-		g.fail(now, name, 0, 1, 2)
+		g.observeFailures(now, name, 0, 1, 2)
 	}
 	g.exchangeReports(now)
 	for n, q := range g.quorums {
 		ejected := len(q.Ejected(now, g.workers))
-		if ejected > len(g.workers)/maxEjectedFraction {
+		if ejected > len(g.workers)/maxEjectedDivisor {
 			t.Errorf("instance %d ejects %d of %d workers", n+1, ejected, len(g.workers))
 		}
 		if ejected == 0 {
-			t.Errorf("instance %d ejects nothing, and three instances report all workers", n+1)
+			t.Errorf("instance %d ejects nothing although three instances report all workers", n+1)
 		}
 	}
 	now += reportLifetime + observationWindow
 	for _, name := range g.workers {
-		if n := g.ejecting(now, name); n != 0 {
-			t.Errorf("%d eject %s by expired reports", n, name)
+		if n := g.countEjecting(now, name); n != 0 {
+			t.Errorf("%d instances eject %s because of expired reports", n, name)
 		}
 	}
 }
 
-// outlierSimulation is a group with workers that fail and recover, and reports that are lost.
+// outlierSimulation is a group whose workers fail and recover, and whose reports may be lost.
 type outlierSimulation struct {
 	*outlierGroup
-	rng     *rand.Rand
-	failing map[string]bool
-	ejected int // how often a worker was ejected, over all instances and steps
+	rng       *rand.Rand
+	failing   map[string]bool
+	ejections int // number of ejected workers, summed over all instances and steps
 }
 
 const (
@@ -145,7 +146,7 @@
 	simulatedEnd         = 45 * time.Second
 )
 
-// step has faults come and go until simulatedFaultsEnd, and every instance use the workers.
+// step makes workers fail and recover until simulatedFaultsEnd, and every instance use the workers.
 func (s *outlierSimulation) step(t *testing.T, now time.Duration) {
 	t.Helper()
 	if now < simulatedFaultsEnd && s.rng.IntN(10) == 0 {
@@ -156,8 +157,8 @@
 	}
 	for _, q := range s.quorums {
 		ejected := q.Ejected(now, s.workers)
-		s.ejected += len(ejected)
-		if len(ejected) > len(s.workers)/maxEjectedFraction {
+		s.ejections += len(ejected)
+		if len(ejected) > len(s.workers)/maxEjectedDivisor {
 			t.Fatalf("%d of %d workers are ejected", len(ejected), len(s.workers))
 		}
 		for range 5 {
@@ -168,22 +169,23 @@
 	}
 }
 
-// check fails if all instances eject a worker, or any instance ejects one that has long been healthy.
+// check fails the test if all instances eject a worker, or any instance ejects one that has long been
+// healthy.
 func (s *outlierSimulation) check(t *testing.T, now time.Duration) {
 	t.Helper()
 	for _, name := range s.workers {
-		n := s.ejecting(now, name)
+		n := s.countEjecting(now, name)
 		if n == len(s.quorums) {
-			t.Fatalf("at %v: nobody tests %s", now, name)
+			t.Fatalf("at %v: all instances eject %s", now, name)
 		}
 		if n > 0 && now > simulatedRecoveredAt {
-			t.Fatalf("at %v: %d eject %s, which has long been healthy", now, n, name)
+			t.Fatalf("at %v: %d instances eject %s, which has long been healthy", now, n, name)
 		}
 	}
 }
 
-// While workers fail and recover, instances restart and reports are lost, at most a third of the workers is
-// ejected, no worker is ejected by all instances, and in the end no healthy worker is.
+// While workers fail and recover and reports are lost, at most a third of the workers is ejected, no worker
+// is ejected by all instances, and in the end no healthy worker is ejected.
 func TestOutlierQuorumUnderRandomFaults(t *testing.T) {
 	ejected := 0
 	for seed := range uint64(30) {
@@ -199,10 +201,10 @@
 				}
 				s.check(t, now)
 			}
-			ejected += s.ejected
+			ejected += s.ejections
 		})
 	}
 	if ejected == 0 {
-		t.Error("nothing was ever ejected")
+		t.Error("no worker was ejected in any run")
 	}
 }
--- a/internal/cluster/placement/partitioning.go
+++ b/internal/cluster/placement/partitioning.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// Partitioning determines for an instance which partition of a shared budget is its own: one of as many equal
+// Partitioning determines which partition of a shared budget an instance may use: one of as many equal
 // partitions as the view has members. At any time the partitions in use by all instances add up to at most
-// the whole budget, whichever instances join, leave or stall.
+// the whole budget, even while instances join, leave or stall.
 //
-// Hazard: instances learn of a view at different times. An instance that learns that there are more members
-// uses its smaller partition at once. One that is new, or learns that there are fewer members, has no
-// partition for as long as others may still use the larger partitions of an earlier view, or a partition
-// with the same index.
+// Instances learn of a view at different times. An instance that learns of a view stops using its partition
+// of the earlier view at once. It has no partition for as long as others may still use the larger partitions
+// of an earlier view, or a partition with the same index.
 type Partitioning struct {
 	index, count int
 	viewNumber   uint64
 	validFrom    time.Duration
 }
 
-// SetView takes over a view at the time now, on this instance's clock. The argument wait is the time for
-// which others may still act by an earlier view, on the same clock.
+// SetView replaces the view at the time now, on this instance's clock. The argument wait is how long others
+// may still act on an earlier view, on the same clock.
 func (p *Partitioning) SetView(now time.Duration, v View, own Session, wait time.Duration) {
 	if v.Number == p.viewNumber {
 		return
--- a/internal/cluster/placement/partitioning_test.go
+++ b/internal/cluster/placement/partitioning_test.go
@@ -8,30 +8,31 @@
 
 const (
 	simulatedLease = 500 * time.Millisecond
-	// simulatedWait is when a lease has surely expired.
+	// simulatedWait is the time after which a lease has certainly expired.
 	simulatedWait = 2 * simulatedLease
 	simulatedStep = 10 * time.Millisecond
 )
 
-// simulatedInstance learns of views late, and stalls.
+// simulatedInstance is an instance that learns of views late, and stalls.
 type simulatedInstance struct {
 	id             uint64
 	partitioning   Partitioning
 	viewsSeen      int
 	leaseExpiresAt time.Duration
-	// grantExpiresAt is the lease that counts once viewsNeeded views have been seen.
+	// grantExpiresAt is the expiry of the newest granted lease, which counts once viewsNeeded views have been
+	// seen.
 	grantExpiresAt time.Duration
 	viewsNeeded    int
 	stalledUntil   time.Duration
 }
 
-// partitioningSimulation is a group whose instances join, leave, stall and learn late.
+// partitioningSimulation is a group whose instances join, leave, stall, and learn of views late.
 type partitioningSimulation struct {
 	rng       *rand.Rand
 	now       time.Duration
 	instances []*simulatedInstance
 	open      map[uint64]bool
-	expiresAt map[uint64]time.Duration // when the lease of an open session has surely expired
+	expiresAt map[uint64]time.Duration // when the lease of an open session has certainly expired
 	views     []View
 }
 
@@ -44,7 +45,7 @@
 	return s
 }
 
-// addView makes the view of the sessions that are open now.
+// addView adds the view of the sessions that are open now.
 func (s *partitioningSimulation) addView() {
 	v := View{Number: uint64(len(s.views) + 1)}
 	for _, x := range s.instances {
@@ -55,8 +56,8 @@
 	s.views = append(s.views, v)
 }
 
-// disturb now and then stalls an instance, or has one that has no session start.
-func (s *partitioningSimulation) disturb() {
+// injectFault occasionally stalls an instance, or starts one that has no session.
+func (s *partitioningSimulation) injectFault() {
 	if s.rng.IntN(60) != 0 {
 		return
 	}
@@ -69,8 +70,8 @@
 	}
 }
 
-// step closes the instance's session if its lease has expired; otherwise the instance renews its lease and
-// learns of views by chance, unless it is stalled.
+// step closes the instance's session if its lease has expired. Otherwise, unless the instance is stalled, it
+// renews its lease and learns of views at random.
 func (s *partitioningSimulation) step(x *simulatedInstance) {
 	if s.open[x.id] && s.now > s.expiresAt[x.id] {
 		s.open[x.id] = false
@@ -92,7 +93,7 @@
 	}
 }
 
-// budgetInUse returns the sum of all partitions in use, and fails if two instances use the same one.
+// budgetInUse returns the sum of all partitions in use, and fails the test if two instances use the same one.
 func (s *partitioningSimulation) budgetInUse(t *testing.T) (sum float64) {
 	t.Helper()
 	type partition struct{ index, count int }
@@ -104,28 +105,30 @@
 		}
 		sum += 1 / float64(count)
 		if other, taken := users[partition{index, count}]; taken {
-			t.Fatalf("at %v: %d and %d both use partition %d of %d", s.now, other, x.id, index, count)
+			t.Fatalf("at %v: instances %d and %d both use partition %d of %d", s.now, other, x.id, index,
+				count)
 		}
 		users[partition{index, count}] = x.id
 	}
 	return sum
 }
 
-// Whatever the order in which instances learn of views, the partitions in use never add up to more than the
-// budget, and no two instances use the same partition.
+// In any order in which instances learn of views, the partitions in use never add up to more than the budget,
+// and no two instances use the same partition.
 func TestPartitionsNeverExceedTheBudget(t *testing.T) {
 	const tolerance = 1e-9
 	fullyUsed := 0
 	for seed := range uint64(300) {
 		s := newPartitioningSimulation(seed, 6)
 		for s.now = time.Millisecond; s.now < 20*time.Second; s.now += simulatedStep {
-			s.disturb()
+			s.injectFault()
 			for _, x := range s.instances {
 				s.step(x)
 			}
 			sum := s.budgetInUse(t)
 			if sum > 1+tolerance {
-				t.Fatalf("seed %d, at %v: the partitions add up to %.3f", seed, s.now, sum)
+				t.Fatalf("seed %d, at %v: the partitions in use add up to %.3f of the budget", seed, s.now,
+					sum)
 			}
 			if sum > 1-tolerance {
 				fullyUsed++
--- a/internal/cluster/placement/policy.go
+++ b/internal/cluster/placement/policy.go
@@ -7,10 +7,10 @@
 	"strconv"
 )
 
-// Section is the name of the section of the agreed document that defines how instances share workers.
+// Section is the section of the agreed document that configures how instances share workers.
 const Section = "workers"
 
-// Bounds of the key subset, in workers.
+// Bounds of the value of the key "subset", in workers.
 const (
 	minSubsetSize = 2
 	maxSubsetSize = 100_000
@@ -18,18 +18,19 @@
 
 // Policy is the decoded section.
 type Policy struct {
-	SubsetSize int // number of workers that each instance uses; 0: all
-	// OutlierReports: a worker that several instances report as an outlier is ejected by all but one.
+	SubsetSize int // number of workers that each instance uses; 0: all workers
+	// OutlierReports: a worker that several instances report as an outlier is ejected by all instances but
+	// one.
 	OutlierReports bool
 	// SlowStartPartitions: the slow-start budget of a worker is split into as many partitions as the view has
-	// members, rather than by the platform file.
+	// members, instead of as many as the platform file says.
 	SlowStartPartitions bool
 }
 
 // ParsePolicy decodes the section's values. It returns one problem for each key that is unknown or has an
 // invalid value.
 //
-// Hazard: the problems are part of the replicated state, so their texts must not change.
+// The problems are part of the replicated state, so their texts must not change.
 func ParsePolicy(values map[string]string) (p Policy, problems []string) {
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		text := values[key]
--- a/internal/cluster/placement/subset.go
+++ b/internal/cluster/placement/subset.go
@@ -8,24 +8,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Worker is a worker of the endpoint list, as subsetting sees it.
+// Worker is a worker of the endpoint list, as Subset needs it.
 type Worker struct {
 	Name string
 	Zone string
 }
 
-// Subset returns the names of the size workers that an instance uses, in each zone a fraction as large as the
-// zone's fraction of all workers. Each worker is used by as many instances as any other worker of its zone,
-// give or take one, and a change of the instances or workers moves little. It returns all workers if size is
-// 0 or not less than their number, or if own is not among the members.
+// Subset returns the names of the workers that an instance uses: size workers, split over the zones in
+// proportion to each zone's number of workers. Each worker is used by as many instances as any other worker
+// of its zone, give or take one, and a change of the instances or workers changes few of these pairs. Subset
+// returns all workers if size is 0 or not less than their number, or if own is not among the members.
 //
 // Subset is a pure function of the members and the workers; while instances' endpoint lists differ, subsets
 // are uneven.
 //
-// All pairs of an instance and a worker are ranked by a hash and taken best first, while the instance wants
-// more workers and the worker has capacity for more instances. Rendezvous hashing alone is uneven; the rounds
-// of "deterministic subsetting" (SRE book) are even, but nearly all pairs move when an instance in the middle
-// leaves.
+// All pairs of an instance and a worker are ranked by a hash and accepted in that order, while the instance
+// needs more workers and the worker has capacity for more instances. Rendezvous hashing alone is uneven; the
+// rounds of "deterministic subsetting" (SRE book) are even, but nearly all pairs move when an instance in the
+// middle leaves.
 func Subset(members []Member, own Session, workers []Worker, size int) map[string]bool {
 	subset := map[string]bool{}
 	ownIndex := slices.IndexFunc(members, func(m Member) bool { return m.Session == own })
@@ -49,7 +49,7 @@
 	return subset
 }
 
-// splitByZone splits the subset's size over zones in proportion to their workers, by largest remainder.
+// splitByZone splits the subset's size over the zones in proportion to their workers, by largest remainder.
 func splitByZone(zones map[string][]Worker, workerCount, size int) map[string]int {
 	type zone struct {
 		name      string
@@ -71,13 +71,13 @@
 	return sizes
 }
 
-// rankedPair is a pair of an instance and a worker with its hash; both are indices.
+// rankedPair is a pair of an instance and a worker, both given as indices, with its hash.
 type rankedPair struct {
 	score          uint64
 	member, worker int
 }
 
-// rankPairs returns all pairs of an instance and a worker, best first.
+// rankPairs returns all pairs of an instance and a worker, highest hash first.
 func rankPairs(members []Member, workers []Worker) []rankedPair {
 	pairs := make([]rankedPair, 0, len(members)*len(workers))
 	for m := range members {
@@ -97,7 +97,7 @@
 	return pairs
 }
 
-// assignment is which instance uses which worker, while it is being computed.
+// assignment records which instance uses which worker while this is being computed.
 type assignment struct {
 	uses     [][]bool // by index of the member and of the worker
 	capacity []int    // how many more instances may use each worker
@@ -134,8 +134,8 @@
 	return lists
 }
 
-// workerCapacities returns how many instances may use each worker, adding up to total. Which workers take
-// one more than the others depends on the hash of their names.
+// workerCapacities returns how many instances may use each worker. The capacities add up to total; the hashes
+// of the names determine which workers have a capacity that is greater by one.
 func workerCapacities(total int, workers []Worker) []int {
 	capacity := make([]int, len(workers))
 	order := make([]int, len(workers))
@@ -152,8 +152,9 @@
 	return capacity
 }
 
-// addBySwap gives a member one more worker. Where the member already uses all workers that have capacity,
-// another member hands one of its workers over and takes one of those instead.
+// addBySwap assigns one more worker to a member. If the member already uses all workers that have capacity,
+// it gets a worker from another member, which uses one of those with capacity instead. It returns false if
+// that is not possible.
 func (a *assignment) addBySwap(member int) bool {
 	for spare := range a.capacity {
 		if a.capacity[spare] == 0 {
--- a/internal/cluster/placement/subset_test.go
+++ b/internal/cluster/placement/subset_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// workersInZones returns n workers spread over zones.
+// workersInZones returns n workers, spread over zones.
 func workersInZones(n, zones int) []Worker {
 	var workers []Worker
 	for i := range n {
@@ -18,7 +18,7 @@
 	return workers
 }
 
-// usersOfWorkers returns which instances use each worker, and checks the sizes of their subsets.
+// usersOfWorkers returns which instances use each worker, and checks the sizes of the subsets.
 func usersOfWorkers(t *rapid.T, v View, workers []Worker, size int) map[string]map[uint64]bool {
 	t.Helper()
 	users := map[string]map[uint64]bool{}
@@ -28,7 +28,7 @@
 	for _, m := range v.Members {
 		subset := Subset(v.Members, m.Session, workers, size)
 		if want := min(size, len(workers)); size > 0 && len(subset) != want {
-			t.Errorf("an instance uses %d of %d workers, %d are wanted", len(subset), len(workers), want)
+			t.Errorf("an instance uses %d of %d workers, want %d", len(subset), len(workers), want)
 		}
 		for name := range subset {
 			users[name][m.Member] = true
@@ -37,8 +37,8 @@
 	return users
 }
 
-// Each worker is used by as many instances as any other of its zone, give or take one, whatever the numbers
-// are.
+// Each worker is used by as many instances as any other of its zone, give or take one, for any numbers of
+// instances, workers and zones.
 func TestSubsetsUseWorkersEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := viewOf(memberNumbers(rapid.IntRange(1, 30).Draw(t, "instances"))...)
@@ -63,7 +63,7 @@
 	})
 }
 
-// assignedPair is an instance that uses a worker.
+// assignedPair is a pair of an instance and a worker that the instance uses.
 type assignedPair struct {
 	worker string
 	member uint64
@@ -80,8 +80,8 @@
 	return pairs
 }
 
-// An instance or worker that joins or leaves moves little more than it must: its own subset, or the instances
-// that used the worker.
+// An instance or worker that joins or leaves changes few pairs beyond those that must change: its own subset,
+// or the instances that used the worker.
 func TestSubsetsMoveLittle(t *testing.T) {
 	for _, c := range []struct{ instances, workers, size int }{
 		{5, 40, 10}, {15, 200, 20}, {50, 200, 20}, {100, 1000, 30},
--- a/internal/cluster/placement/table.go
+++ b/internal/cluster/placement/table.go
@@ -10,16 +10,16 @@
 // ShardCount is the number of shards. All instances of a group must use the same number.
 const ShardCount = 4096
 
-// maxOverload is the fraction by which an instance may own more shards than its even share.
+// maxOverload is the fraction by which the shards of an instance may exceed its even share.
 const maxOverload = 0.08
 
-// Table maps each shard to its owner in one view. It does not change once it has been made.
+// Table maps each shard to its owner in one view. It is immutable.
 type Table struct {
 	View   View
 	owners [ShardCount]int // index into View.Members, by shard
 }
 
-// NewTable computes the owners of all shards in a view. It costs ShardCount hashes for each member.
+// NewTable computes the owners of all shards in a view. It computes ShardCount hashes for each member.
 func NewTable(v View) *Table {
 	t := &Table{View: v}
 	if len(v.Members) == 0 {
@@ -61,7 +61,7 @@
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:8], m.Member)
 	binary.BigEndian.PutUint64(b[8:], shard)
-	// 53 bits, above 0 and below 1.
+	// A number above 0 and below 1, from 53 bits of the hash.
 	u := (float64(xxhash.Sum64(b[:])>>11) + 0.5) / (1 << 53)
 	return -m.weight() / math.Log(u)
 }
@@ -80,7 +80,7 @@
 	return fractions
 }
 
-// MovedFraction returns the fraction of all shards that have another owner in the other table.
+// MovedFraction returns the fraction of all shards that have different owners in the two tables.
 func (t *Table) MovedFraction(other *Table) (fraction float64) {
 	for shard := range ShardCount {
 		from, _ := t.Owner(shard)
--- a/internal/cluster/placement/table_test.go
+++ b/internal/cluster/placement/table_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// viewOf is a view of the members, each with its own number as the epoch of its session.
+// viewOf returns a view with the given member numbers. Each number is also the epoch of the member's session.
 func viewOf(members ...uint64) View {
 	v := View{Number: 1}
 	for _, m := range members {
@@ -25,8 +25,8 @@
 	return numbers
 }
 
-// No instance owns more than its even share and the allowed overload, and an instance that joins or leaves
-// moves little more than what must move.
+// No instance owns more than its even share plus the allowed overload, and an instance that joins or leaves
+// moves few shards beyond those that must move.
 func TestShardsAreEvenAndMoveLittle(t *testing.T) {
 	for _, n := range []int{3, 5, 15, 40, 100, 400} {
 		t.Run(fmt.Sprint(n, " instances"), func(t *testing.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// The order of the members and their sessions change nothing.
+// Owners do not depend on the order of the members or on their sessions.
 func TestOwnerDependsOnTheSetOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		numbers := rapid.SliceOfNDistinct(rapid.Uint64Min(1), 1, 12, rapid.ID[uint64]).Draw(t, "numbers")
@@ -73,7 +73,8 @@
 			x, _ := tableA.Owner(shard)
 			y, _ := tableB.Owner(shard)
 			if x.Member != y.Member {
-				t.Fatalf("shard %d: %d and %d", shard, x.Member, y.Member)
+				t.Fatalf("shard %d is owned by member %d, and by %d with another order and other sessions",
+					shard, x.Member, y.Member)
 			}
 		}
 	})
@@ -89,11 +90,13 @@
 		}
 	}
 	if fraction := float64(owned) / ShardCount; fraction < 0.45 || fraction > 0.53 {
-		t.Errorf("a member with half of all weight owns %.2f", fraction)
+		t.Errorf("a member with half of the total weight owns a fraction of %.2f, want 0.45 to 0.53",
+			fraction)
 	}
 }
 
-// The number of a view grows whatever becomes of sessions: they open under growing epochs, and close.
+// The number of a view grows with every change: sessions open with growing epochs, replace earlier ones, and
+// close.
 func TestViewNumberGrowsWithEveryChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		epoch, open, last := uint64(0), 0, uint64(0)
@@ -109,7 +112,7 @@
 			}
 			n := ViewNumber(epoch, open)
 			if n <= last {
-				t.Fatalf("%d after %d", n, last)
+				t.Fatalf("view number %d follows %d, want a higher one", n, last)
 			}
 			last = n
 		}
--- a/internal/cluster/placement/view.go
+++ b/internal/cluster/placement/view.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Session identifies an instance's session: its member number and the session's epoch. The zero Session is
-// none.
+// Session identifies an instance's session: its member number and the session's epoch. The zero value means
+// no session.
 //
 // The field names are part of the stored format: schedule.Item encodes a Session as JSON without tags.
 type Session struct {
@@ -30,8 +30,9 @@
 	// Number grows with every change of the set. Numbers are not consecutive.
 	Number  uint64
 	Members []Member // sorted by member number
-	// Expired are the sessions that were removed from the set by this view and have surely ended: their lease
-	// has expired, or their process has exited. Any other removed session may act until its lease expires.
+	// Expired contains the sessions that this view removed from the set and that have certainly ended: their
+	// lease has expired, or their process has exited. Any other removed session may act until its lease
+	// expires.
 	Expired []Session
 }
 
@@ -41,9 +42,9 @@
 // ViewNumber returns the number of the view of a group whose newest session has the given epoch and that has
 // the given count of open sessions.
 //
-// Hazard: a number of its own would be one more value to agree on and to carry through snapshots. It is
-// derived instead: a new session has a new epoch, which only grows; while the epoch stays the same sessions
-// can only close, so the count only shrinks.
+// A separate number would be one more value to agree on and to carry through snapshots, so the number is
+// derived. It grows with every change: a new session has a new epoch, which only grows, and while the epoch
+// stays the same sessions can only close, so that the count only shrinks.
 func ViewNumber(epoch uint64, open int) uint64 {
 	return epoch<<epochShift | uint64(math.MaxUint16-min(open, math.MaxUint16))
 }
--- a/internal/cluster/weights/weights.go
+++ b/internal/cluster/weights/weights.go
@@ -1,10 +1,10 @@
-// Package weights has a group agree on how much of what is owned by placement each instance owns,
-// relative to the others: accounts' rates and triggers. A larger machine may own more of them, one
-// that is to be spared fewer.
+// Package weights replicates the weights of the instances of a group. They determine how much of everything
+// that is owned by placement (accounts' rates and triggers) each instance owns, relative to the others. A
+// larger machine may own more, and one that must be spared may own less.
 //
-// A change of the weights changes the placement view, as a change of the open sessions does: owners
-// transfer what they own by the same rules. So the state counts the changes, and the view's number
-// includes that count.
+// A change of the weights changes the placement view, as a change of the open sessions does: owners transfer
+// what they own by the same rules. So the state counts the changes, and the view's number includes that
+// count.
 package weights
 
 import (
@@ -20,24 +20,24 @@
 	"moorstack/internal/schema"
 )
 
-// Section is the section of the document that sets weights.
+// Section is the section of the agreed document that sets weights.
 const Section = "placement"
 
 const (
-	keyPrefix     = "weight." // of the section's keys, before an instance's name
+	keyPrefix     = "weight." // of the section's keys, before the instance's name
 	snapshotField = "weights"
-	firstFormat   = 6 // of the group's log, that knows weights
+	firstFormat   = 6 // first format of the group's log that supports weights
 )
 
-// The bounds of a weight. An instance without a key has 1.
+// The bounds of a weight, and the weight of an instance without a key.
 const (
 	minWeight     = 0.1
 	maxWeight     = 10
 	defaultWeight = 1
 )
 
-// Parse reads the section into weights by instance name, without those of 1, and returns what is
-// wrong with it. The problems are part of the replicated state, and so never reworded.
+// Parse decodes the section into weights by instance name, without those of 1. It returns one problem for
+// each invalid key or value. The problems are part of the replicated state, so their texts must not change.
 func Parse(values map[string]string) (byInstance map[string]float64, problems []string) {
 	byInstance = map[string]float64{}
 	for _, key := range slices.Sorted(maps.Keys(values)) {
@@ -48,7 +48,7 @@
 			continue
 		}
 		w, err := strconv.ParseFloat(values[key], 64)
-		if err != nil || !valid(w) {
+		if err != nil || !validWeight(w) {
 			problems = append(problems,
 				fmt.Sprintf("%s: %q is not a number from %v to %v; who has no line has 1",
 					key, values[key], minWeight, maxWeight))
@@ -61,11 +61,10 @@
 	return byInstance, problems
 }
 
-// valid is false for NaN too.
-func valid(w float64) bool { return w >= minWeight && w <= maxWeight }
+// validWeight reports whether a weight is within the bounds; NaN is not.
+func validWeight(w float64) bool { return w >= minWeight && w <= maxWeight }
 
-// Type is the type of the weights' state machine. There are no commands: only the document sets
-// weights.
+// Type is the type of the state machine of weights. It has no commands: only the document sets weights.
 type Type struct{}
 
 var _ replicated.StateMachineType = Type{}
@@ -88,12 +87,12 @@
 // NewStateMachine implements replicated.StateMachineType.
 func (Type) NewStateMachine(uint64) replicated.StateMachine { return &StateMachine{} }
 
-// NewParticipant implements replicated.StateMachineType: there is none.
+// NewParticipant implements replicated.StateMachineType: weights need none.
 func (Type) NewParticipant(replicated.LocalInfo) replicated.Participant { return nil }
 
-// StateMachine is the weights in force.
+// StateMachine holds the weights in force.
 type StateMachine struct {
-	ByInstance  map[string]float64 `json:"by,omitempty"` // by name; an instance that isn't there has 1
+	ByInstance  map[string]float64 `json:"by,omitempty"` // by name; an instance that is missing has 1
 	ChangeCount uint64             `json:"changes"`
 }
 
@@ -140,8 +139,9 @@
 func (s *StateMachine) Restore(read func(field string, into any) (bool, error)) error {
 	_, err := read(snapshotField, s)
 	for _, w := range s.ByInstance {
-		if !valid(w) {
-			err = errors.Join(err, fmt.Errorf("a weight of %v", w))
+		if !validWeight(w) {
+			err = errors.Join(err, fmt.Errorf("the snapshot has a weight of %v, must be between 0.1 and 10",
+				w))
 		}
 	}
 	return err
--- a/internal/cluster/weights/weights_test.go
+++ b/internal/cluster/weights/weights_test.go
@@ -24,10 +24,11 @@
 		got, problems := Parse(map[string]string{c.key: c.value})
 		if c.want == nil {
 			if len(problems) != 1 || !strings.Contains(problems[0], c.key) {
-				t.Errorf("%s = %q: %q", c.key, c.value, problems)
+				t.Errorf("%s = %q: got the problems %q, want one that names the key", c.key, c.value,
+					problems)
 			}
 		} else if len(problems) > 0 || !maps.Equal(got, c.want) {
-			t.Errorf("%s = %q: %v, %q", c.key, c.value, got, problems)
+			t.Errorf("%s = %q: got %v and the problems %q, want no problem", c.key, c.value, got, problems)
 		}
 	}
 }
