--- a/internal/cluster/leasedtask/state.go
+++ b/internal/cluster/leasedtask/state.go
@@ -34,7 +34,7 @@
 }
 
 // HeldBy returns the tasks that a session holds, sorted by name, as leases that expire at expiresAt on the
-// holder's clock. Epoch 0 means that there is no session, and returns no leases.
+// holder's clock. It returns none if the session's epoch is 0, as there is no such session.
 func (s *State) HeldBy(session Session, expiresAt time.Duration) []Lease {
 	if session.Epoch == 0 {
 		return nil
--- a/internal/cluster/leasedtask/task.go
+++ b/internal/cluster/leasedtask/task.go
@@ -51,7 +51,7 @@
 	Task          string
 	FencingToken  uint64
 	ExpiresAt     time.Duration // on the holder's clock
-	ReleaseReason string        // why the holder must finish its step and release the task; empty: none
+	ReleaseReason string        // why the holder must finish its step and release the task, if it must
 	Note          []byte
 	NoteRevision  uint64
 }
--- a/internal/cluster/rollingrestart/controller.go
+++ b/internal/cluster/rollingrestart/controller.go
@@ -16,7 +16,7 @@
 	Incarnation uint64 // of the process that has the open session; 0: none is open
 	Healthy     bool   // it responds, runs the configuration in force, and admits jobs
 	Reason      string // why it is not healthy
-	RestartLast bool   // it leads or runs the controller: it is last, as that must be transferred
+	RestartLast bool   // it leads or runs the controller, which must be transferred first
 }
 
 // Controller decides, during one lease of the task, what to record next.
--- a/internal/cluster/rollingrestart/model_test.go
+++ b/internal/cluster/rollingrestart/model_test.go
@@ -156,7 +156,7 @@
 	if !x.Up {
 		t.add(m, name+" is started", 1, func(next *model) {
 			next.lastIncarnation++
-			// It has stored the plan that it has read on its disk.
+			// Its disk has the plan that it had read.
 			next.instances[k] = modelInstance{Incarnation: next.lastIncarnation,
 				Session: next.lastIncarnation, Up: true, Exits: x.Exits, ReadRevision: x.ReadRevision}
 		})
