--- a/cmd/moorstack/rate_limits_test.go
+++ b/cmd/moorstack/rate_limits_test.go
@@ -134,7 +134,8 @@
 	within(t, time.Minute, "a dry run prints what accounts may send and what changes owners", func() bool {
 		out, _ := g.run("config", "propose", "even.toml", "--dry-run", "--config", "n3.toml")
 		for _, want := range []string{"of them change hands",
-			"account desk-4: 20 a second and 40 at once over all instances; of that 4 a second and 8 at",
+			"account desk-4: 20 jobs/s with a burst of 40 across all instances; of that, 4 jobs/s with a " +
+				"burst of 8 are",
 			"weight.n9: no instance of that name"} {
 			if !strings.Contains(out, want) {
 				return false
--- a/internal/cluster/ratelimit/accounting_test.go
+++ b/internal/cluster/ratelimit/accounting_test.go
@@ -7,18 +7,18 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// trueBucket is the bucket from which every admission takes a token.
-type trueBucket struct {
+// referenceBucket is an exact token bucket, from which every admission of any front takes a token.
+type referenceBucket struct {
 	level      float64
 	refilledAt time.Duration
 }
 
-func (s *simulation) trueBucketOf(k Key) *trueBucket {
+func (s *simulation) referenceBucketOf(k Key) *referenceBucket {
 	limit, _ := s.policy.LimitOf(k)
-	b := s.trueBuckets[k]
+	b := s.referenceBuckets[k]
 	if b == nil {
-		b = &trueBucket{level: limit.Burst}
-		s.trueBuckets[k] = b
+		b = &referenceBucket{level: limit.Burst}
+		s.referenceBuckets[k] = b
 	}
 	elapsed := (s.now - b.refilledAt).Seconds()
 	b.level = min(limit.Burst, b.level+limit.Rate*s.fastestClock*elapsed)
@@ -26,31 +26,31 @@
 	return b
 }
 
-// checkLevels finds a bucket of which an owner and the fronts have more than there is. It finds also what no
-// client happens to use.
+// checkLevels checks that an owner and all fronts together hold no more tokens of a bucket than its reference
+// bucket has. Unlike a check of admissions, it also finds excess tokens that no client happens to use.
 func (n *simNode) checkLevels(granted map[placement.Session][]Grant) {
-	s, onTheirWay := n.sim, map[Key]float64{}
+	s, inTransit := n.sim, map[Key]float64{}
 	for _, grants := range granted {
 		for _, g := range grants {
-			onTheirWay[g.Key] += float64(g.Tokens)
+			inTransit[g.Key] += float64(g.Tokens)
 		}
 	}
 	for k, l := range n.authority.ledgers {
-		sum := onTheirWay[k]
+		sum := inTransit[k]
 		if n.clock() >= n.authority.lendableFrom(l.shard) {
 			sum += max(l.level, 0)
 		}
 		for _, front := range s.nodes {
 			sum += front.usableTokens(k)
 		}
-		if has := s.trueBucketOf(k).level; sum > has+1e-6 && s.violation == "" {
-			s.violation = fmt.Sprintf("%v: at %v instance %d and the fronts have %.3f of %.3f", k, s.now,
-				n.id, sum, has)
+		if available := s.referenceBucketOf(k).level; sum > available+1e-6 && s.violation == "" {
+			s.violation = fmt.Sprintf("bucket %v: at %v instance %d and the fronts hold %.3f tokens, but it "+
+				"has %.3f", k, s.now, n.id, sum, available)
 		}
 	}
 }
 
-// usableTokens is how many lent tokens of a bucket a front could use now.
+// usableTokens returns how many lent tokens of a bucket a front could use now.
 func (n *simNode) usableTokens(k Key) (sum float64) {
 	b := n.limiter.buckets[k]
 	if b == nil || !n.alive || n.clock() >= n.leaseUntil {
--- a/internal/cluster/ratelimit/authority.go
+++ b/internal/cluster/ratelimit/authority.go
@@ -8,32 +8,32 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// ownershipTerm is what an authority knows of a shard.
-type ownershipTerm struct {
+// shardOwnership records whether an authority owns a shard, and what determines when it may lend from it.
+type shardOwnership struct {
 	owned bool // by this session
-	// previousLeaseEnds is until when an earlier owner may lend yet, as far as is known.
+	// previousLeaseEnds is when the leases of all known earlier owners have definitely expired.
 	previousLeaseEnds time.Duration
-	// Of an owned shard: the view by which it came, and who owned it in the view before.
+	// For an owned shard: the view in which it was acquired, and its owner in the view before that.
 	sinceView     uint64
 	previousOwner placement.Session
-	// settled is that what earlier owners lent is known. Then buckets without a ledger have been filling
-	// from empty since settledAt.
-	settled   bool
-	settledAt time.Duration
+	// outstandingKnown is set when the authority knows what earlier owners lent. From then on, buckets
+	// without a ledger count as filling from empty since fillingSince.
+	outstandingKnown bool
+	fillingSince     time.Duration
 }
 
 // Authority lends tokens of the buckets that this instance owns by placement.
 //
-// The invariant, at every moment: the level of a bucket, the outstanding tokens and all floors together are
-// at most the burst. Used tokens count as outstanding until their front has reported that; so in every window
-// the admissions of all fronts together are at most the rate times the window and the burst, by this
-// instance's clock.
+// Invariant: the level of a bucket, its outstanding tokens and all floors together never exceed the burst.
+// Used tokens count as outstanding until their front has reported their use. Therefore, in every time window,
+// all fronts together admit at most the rate times the length of the window, plus the burst, as measured by
+// this instance's clock.
 type Authority struct {
 	policy       Policy
-	configuredAt time.Duration // with this policy
+	configuredAt time.Duration // when the policy was set
 	session      placement.Session
-	longestLease time.Duration // of any session so far
-	shards       []ownershipTerm
+	longestLease time.Duration // longest lease duration of any view so far
+	shards       []shardOwnership
 	revocation   revocation
 
 	table     *placement.Table
@@ -42,19 +42,17 @@
 	grantSeq  uint64
 }
 
-// NewAuthority makes an authority that owns nothing yet.
+// NewAuthority returns an authority that owns no shards.
 func NewAuthority() *Authority {
 	return &Authority{
 		ledgers:    map[Key]*ledger{},
 		revocation: newRevocation(),
-		shards:     make([]ownershipTerm, placement.ShardCount),
+		shards:     make([]shardOwnership, placement.ShardCount),
 	}
 }
 
-// Configure takes over a policy.
-//
-// Hazard: grants under another policy are void at every front that runs this one, so nothing is outstanding;
-// but what was spent is spent.
+// Configure sets the policy. Fronts that apply this policy ignore grants made under any other, so no tokens
+// are outstanding any longer. Tokens that were lent stay deducted, since they may have been used.
 func (a *Authority) Configure(now time.Duration, p Policy) {
 	if p.Version == a.policy.Version {
 		return
@@ -70,28 +68,28 @@
 		l.level, l.limit = min(l.level, burst), limit
 		clear(l.borrowers)
 	}
-	// Hazard: a bucket without a ledger had another limit, or none, and may have been used up a moment ago.
-	// It fills from empty from here on.
+	// A bucket without a ledger had another limit, or none, and may have been emptied just now. It counts as
+	// filling from empty from now on.
 	a.configuredAt, a.policy = now, p
 }
 
-// SetView takes over a view of the group and this instance's own session in it; none if it has no session.
-// Every view must be passed, in order; skipped is that some were not. Lease is the longest for which an
-// earlier owner may act by an older view.
+// SetView sets the view of the group and this instance's own session in it; self is zero if it has none.
+// Every view must be passed, in order; skipped reports whether views before this one were missed. lease is
+// the longest time for which an earlier owner may act on an older view.
 //
-// Hazard: an earlier owner may have lent the whole bucket a moment before it lost the shard, and may go on
-// until its lease has surely expired. So a new owner lends only when the last such grant has surely expired,
-// whatever the rates of the clocks. An owner that is known to have ended has no lease to wait for.
-func (a *Authority) SetView(now time.Duration, t *placement.Table, own placement.Session, lease time.Duration,
-	skipped bool) {
-	sameSession := own == a.session && !skipped
+// An earlier owner may have lent the whole bucket just before it lost the shard, and may continue to lend
+// until its lease has definitely expired. So a new owner lends only once the last such grant has definitely
+// expired. An owner that is known to have ended has no lease to wait for.
+func (a *Authority) SetView(now time.Duration, t *placement.Table, self placement.Session,
+	lease time.Duration, skipped bool) {
+	sameSession := self == a.session && !skipped
 	a.transfers = nil
 	if !skipped {
 		a.prepareTransfers(now, t)
 	}
 	previous := a.table
-	// Hazard: the configuration may name a shorter lease now than when an earlier owner's was granted.
-	a.session, a.table, a.longestLease = own, t, max(a.longestLease, lease)
+	// An earlier owner's lease may have been granted under a configuration with a longer lease.
+	a.session, a.table, a.longestLease = self, t, max(a.longestLease, lease)
 	leaseEnds := now + rollout.ExpiryWait(a.longestLease)
 	a.revocation.setView(t, previous, leaseEnds, skipped)
 	for shard := range a.shards {
@@ -102,51 +100,52 @@
 			delete(a.ledgers, k)
 		}
 	}
-	a.settleRevoked(now)
+	a.activateConfirmedShards(now)
 }
 
-// updateShard takes over who owns a shard by the view that was set.
+// updateShard updates a shard's ownership to the view that was just set.
 func (a *Authority) updateShard(now time.Duration, shard int, previous *placement.Table,
 	leaseEnds time.Duration, sameSession, skipped bool) {
-	term := &a.shards[shard]
+	ownership := &a.shards[shard]
 	owner, ok := a.table.Owner(shard)
-	before, had := previous.Owner(shard)
+	previousOwner, hadOwner := previous.Owner(shard)
 	switch {
-	case skipped || !had:
-		term.previousLeaseEnds = leaseEnds
-	case before.Session == owner.Session && ok:
-		// The owner is the same.
-	case slices.Contains(a.table.View.Expired, before.Session):
-		term.previousLeaseEnds = max(term.previousLeaseEnds, now)
+	case skipped || !hadOwner:
+		ownership.previousLeaseEnds = leaseEnds
+	case previousOwner.Session == owner.Session && ok:
+		// The owner has not changed.
+	case slices.Contains(a.table.View.Expired, previousOwner.Session):
+		ownership.previousLeaseEnds = max(ownership.previousLeaseEnds, now)
 	default:
-		term.previousLeaseEnds = max(term.previousLeaseEnds, leaseEnds)
+		ownership.previousLeaseEnds = max(ownership.previousLeaseEnds, leaseEnds)
 	}
 	owned := ok && a.session.Epoch != 0 && owner.Session == a.session
-	if owned && !(sameSession && term.owned) {
-		term.settled, term.sinceView = false, a.table.View.Number
-		term.previousOwner = placement.Session{}
-		// Hazard: where views were skipped, the owner in the last one seen was not the last owner.
-		if had && !skipped {
-			term.previousOwner = before.Session
+	if owned && !(sameSession && ownership.owned) {
+		ownership.outstandingKnown, ownership.sinceView = false, a.table.View.Number
+		ownership.previousOwner = placement.Session{}
+		// If views were skipped, the owner in the last view seen may not be the previous owner.
+		if hadOwner && !skipped {
+			ownership.previousOwner = previousOwner.Session
 		}
 	}
-	term.owned = owned
+	ownership.owned = owned
 }
 
-// lendableFrom is from when on tokens of a shard may be lent: once the last grant of an earlier owner, which
-// it may have given at the very end of its lease, has surely expired.
+// lendableFrom returns the time from which tokens of a shard may be lent. Unless the outstanding tokens are
+// known, that is when the last grant of an earlier owner has definitely expired. It may have been made at the
+// very end of that owner's lease.
 func (a *Authority) lendableFrom(shard int) time.Duration {
-	term := &a.shards[shard]
-	if term.settled {
-		return max(term.settledAt, a.configuredAt)
+	ownership := &a.shards[shard]
+	if ownership.outstandingKnown {
+		return max(ownership.fillingSince, a.configuredAt)
 	}
-	return max(term.previousLeaseEnds+a.policy.grantExpiryWait(), a.configuredAt)
+	return max(ownership.previousLeaseEnds+a.policy.grantExpiryWait(), a.configuredAt)
 }
 
-// ledgerFor returns a bucket's ledger, or makes it; nil: the key has no limit.
+// ledgerFor returns a bucket's ledger, creating it if necessary. It returns nil if the key has no limit.
 //
-// Hazard: a bucket without a ledger may have been used up by grants of an earlier owner. It has what has
-// come in since the shard may be lent from, as if it had been empty then.
+// Grants of an earlier owner may have emptied a bucket that has no ledger. So the new ledger contains only
+// the tokens that accrued since the shard became lendable, as if the bucket had been empty then.
 func (a *Authority) ledgerFor(now time.Duration, k Key) *ledger {
 	if l := a.ledgers[k]; l != nil {
 		return l
@@ -157,7 +156,7 @@
 	}
 	shard := placement.ShardOf(k.Account)
 	l := &ledger{shard: shard, limit: limit, borrowers: map[placement.Session]*borrower{}}
-	l.fillFor(now, max(now-a.lendableFrom(shard), 0), &a.policy)
+	l.resetLevel(now, max(now-a.lendableFrom(shard), 0), &a.policy)
 	a.ledgers[k] = l
 	return l
 }
@@ -166,7 +165,8 @@
 	l.refill(now, a.lendableFrom(l.shard), &a.policy)
 }
 
-// ReceiveRequest takes a front's request. One for a bucket that this instance does not own is dropped.
+// ReceiveRequest processes a front's request. It ignores a request for a bucket that this instance does not
+// own.
 func (a *Authority) ReceiveRequest(now time.Duration, from placement.Session, r TokenRequest) {
 	if !a.shards[placement.ShardOf(r.Account)].owned {
 		return
@@ -175,8 +175,9 @@
 	if l == nil {
 		return
 	}
-	// Hazard: up to now all outstanding tokens could be used at once, and so the bucket held no more than
-	// the rest. This also drops silent borrowers: one that was found before would be lost with its request.
+	// Refill before the request reduces the outstanding tokens: until now all of them could have been used at
+	// once, so the level must not have exceeded the rest of the burst. Refilling also removes silent
+	// borrowers. If this one were looked up before, it could be removed here and its request lost.
 	a.refill(now, l)
 	b := l.borrowers[from]
 	if b == nil {
@@ -184,31 +185,31 @@
 		l.borrowers[from] = b
 	}
 	if r.Seq <= b.requestSeq {
-		return // older than the newest, or a duplicate
+		return // a duplicate, or older than the newest request
 	}
 	_, burst := a.policy.lendable(l.limit)
-	l.settle(b, r, burst)
+	l.applyRequest(b, r, burst)
 	a.refill(now, l)
 	b.wanted, b.requestSentAt, b.waiting = r.Wanted, r.SentAt, true
 }
 
-// Tick returns the grants for the fronts that have sent requests since the last one. It must be called in
-// the turn of the event loop in which the instance has checked its lease, and only while that is valid.
+// Tick returns the grants for the fronts that have sent requests since the last tick. It must be called in
+// the event loop turn in which the instance has checked its lease, and only while the lease is valid.
 func (a *Authority) Tick(now time.Duration) map[placement.Session][]Grant {
 	grants := map[placement.Session][]Grant{}
-	a.settleRevoked(now)
+	a.activateConfirmedShards(now)
 	for k, l := range a.ledgers {
 		a.refill(now, l)
 		waiting := l.waiting()
 		lendableFrom := a.lendableFrom(l.shard)
 		if len(waiting) == 0 {
 			if l.idle(&a.policy) && now-lendableFrom > l.timeToFill(&a.policy) {
-				delete(a.ledgers, k) // made again, it would be full
+				delete(a.ledgers, k) // a new ledger would be full, too
 			}
 			continue
 		}
 		if now >= lendableFrom {
-			shareMaxMin(int(l.level), waiting)
+			allocateMaxMin(int(l.level), waiting)
 		} else {
 			for _, b := range waiting {
 				b.wanted = 0
@@ -223,7 +224,8 @@
 	return grants
 }
 
-// lend gives a borrower its share, and renews what it has. It returns false if there is neither.
+// lend grants a borrower the tokens allocated to it and renews those it holds. It returns false if there are
+// neither.
 func (a *Authority) lend(now time.Duration, k Key, l *ledger, b *borrower) (Grant, bool) {
 	b.waiting = false
 	if b.wanted > 0 {
--- a/internal/cluster/ratelimit/bucket.go
+++ b/internal/cluster/ratelimit/bucket.go
@@ -7,51 +7,52 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// localBucket is what a front has of one bucket: tokens of the current owner, of the one before, and a floor.
+// localBucket holds a front's tokens of one bucket: those lent by the current owner, those lent by the
+// previous owner, and the front's floor.
 type localBucket struct {
 	limit             Limit
-	owner             placement.Session // zero: none has been sent a request
+	owner             placement.Session // zero: no request has been sent to an owner
 	tokens            int
 	expiresAt         time.Duration
 	ackedGrant        uint64
-	previousTokens    int // of the owner before
+	previousTokens    int // lent by the previous owner
 	previousExpiresAt time.Duration
-	// minRequestSeq is that of the newest request before this bucket and owner: answers up to it are void.
-	minRequestSeq uint64
+	// staleRequestSeq is the number of the last request before the bucket was created or its owner changed.
+	// Grants that answer requests up to this number are ignored.
+	staleRequestSeq uint64
 
 	floorTokens     float64
 	floorRefilledAt time.Duration
 
-	calls    int     // since the last tick
-	demand   float64 // calls a tick, smoothed
-	reported bool    // the last request was not empty
+	calls               int     // since the last tick
+	demand              float64 // calls per tick, smoothed
+	lastRequestNonEmpty bool    // the last request had Remaining or Wanted above 0
 }
 
-// minDemand is the smoothed demand, in calls a tick, below which a bucket without calls requests nothing.
+// minDemand is the smoothed demand, in calls per tick, up to which a bucket without calls requests nothing.
 const minDemand = 0.1
 
-// demandTicks is for how many ticks of demand a front requests tokens: until the request after the next one
-// is answered.
+// demandTicks is the number of ticks whose demand a request covers. Tokens must last until the request after
+// the next one is answered.
 const demandTicks = 3
 
-// changeOwner keeps the tokens as the earlier owner's, which has answered the requests up to a number.
+// changeOwner sets a new owner and keeps the current tokens as those of the previous owner. Grants that
+// answer requests up to requestSeq will be ignored.
 func (b *localBucket) changeOwner(owner placement.Session, requestSeq uint64) {
 	if b.tokens > 0 {
-		// The tokens of the owner before that are given up: they expire sooner.
+		// Tokens of the owner before that one are discarded, since they expire sooner.
 		b.previousTokens, b.previousExpiresAt = b.tokens, b.expiresAt
 	}
-	b.tokens, b.ackedGrant, b.owner, b.minRequestSeq = 0, 0, owner, requestSeq
+	b.tokens, b.ackedGrant, b.owner, b.staleRequestSeq = 0, 0, owner, requestSeq
 }
 
-// dropTokens drops all tokens but the floor's, and the owner.
+// dropTokens discards all tokens except the floor's, and resets the owner.
 func (b *localBucket) dropTokens(requestSeq uint64) {
 	b.tokens, b.previousTokens = 0, 0
 	b.changeOwner(placement.Session{}, requestSeq)
 }
 
-// expire drops tokens that have expired.
-//
-// Hazard: tokens that have expired here may have been lent to another front.
+// expire discards expired tokens. The authority may already have lent them to another front.
 func (b *localBucket) expire(now time.Duration) {
 	if now >= b.expiresAt {
 		b.tokens = 0
@@ -61,14 +62,15 @@
 	}
 }
 
-// refillFloor adds what has come in; without floors there is none.
+// refillFloor adds the floor tokens that accrued since the last refill. It empties the floor if floors are
+// not active or the limit has none.
 func (b *localBucket) refillFloor(now time.Duration, p *Policy, active bool) {
 	if !active || b.limit.FloorShare <= 0 {
 		b.floorTokens = 0
 		return
 	}
-	more := p.floorRate(b.limit) * (now - b.floorRefilledAt).Seconds()
-	b.floorTokens = min(p.floorBurst(b.limit), b.floorTokens+more)
+	added := p.floorRate(b.limit) * (now - b.floorRefilledAt).Seconds()
+	b.floorTokens = min(p.floorBurst(b.limit), b.floorTokens+added)
 	b.floorRefilledAt = now
 }
 
@@ -76,7 +78,7 @@
 	return b.floorTokens >= 1 || b.previousTokens > 0 || b.tokens > 0
 }
 
-// spend takes one token, first of those that can't be returned.
+// spend takes one token. It prefers floor tokens and those of the previous owner, which can't be returned.
 func (b *localBucket) spend() {
 	switch {
 	case b.floorTokens >= 1:
@@ -88,7 +90,7 @@
 	}
 }
 
-// endTick takes the calls since the last tick, and returns how many tokens the bucket needs.
+// endTick updates the demand with the calls since the last tick and returns how many tokens the bucket needs.
 func (b *localBucket) endTick() (needed int) {
 	calls := float64(b.calls)
 	b.demand += (calls - b.demand) / 2
@@ -99,21 +101,22 @@
 	return needed
 }
 
-// unused is that the bucket is as one that was never made.
+// unused reports whether the bucket can be deleted without effect: one created in its place would hold the
+// same tokens. It assumes that the bucket has no tokens of its current owner.
 func (b *localBucket) unused(p *Policy) bool {
 	return b.previousTokens == 0 && (b.limit.FloorShare == 0 || b.floorTokens >= p.floorBurst(b.limit))
 }
 
-// request fills in what is requested, and gives back what is far more than needed. It returns false if there
-// is nothing to send.
-func (b *localBucket) request(r *TokenRequest, needed int) bool {
+// fillRequest fills in the token counts of a request, and returns tokens in excess of twice the need. It
+// returns false if there is nothing to send.
+func (b *localBucket) fillRequest(r *TokenRequest, needed int) bool {
 	r.AckedGrant = b.ackedGrant
 	r.Returned = max(0, b.tokens-2*needed)
 	b.tokens -= r.Returned
 	r.Remaining, r.Wanted = b.tokens, max(0, needed-b.tokens)
-	if r.Remaining == 0 && r.Wanted == 0 && r.Returned == 0 && !b.reported {
+	if r.Remaining == 0 && r.Wanted == 0 && r.Returned == 0 && !b.lastRequestNonEmpty {
 		return false
 	}
-	b.reported = r.Remaining > 0 || r.Wanted > 0
+	b.lastRequestNonEmpty = r.Remaining > 0 || r.Wanted > 0
 	return true
 }
--- a/internal/cluster/ratelimit/doc.go
+++ b/internal/cluster/ratelimit/doc.go
@@ -1,18 +1,22 @@
-// Package ratelimit keeps one rate for an account over all fronts of a group.
+// Package ratelimit enforces an account's rate limit across all fronts of a group.
 //
-// It has three parts without I/O, clock or goroutine; the caller passes in the time, and calls each part from
-// one goroutine. Policy is the section of the agreed configuration. Authority is the side of the instance
-// that owns an account by placement: it lends tokens of the account's bucket for a limited time, as in
-// Google's Doorman. Limiter is the side of an instance that receives calls: it admits from the tokens that
-// it has, at once, and requests those that it is likely to need each tick.
+// It has three parts that do no I/O, read no clock and start no goroutines: the caller passes in the time and
+// calls each part from a single goroutine. Policy is the rate limit section of the agreed configuration.
+// Authority runs on the instance that owns an account by placement; it lends tokens of the account's bucket
+// for a limited time, like Google's Doorman. Limiter runs on each instance that receives calls; it admits
+// jobs immediately from the tokens that it holds, and on each tick requests the tokens that it is likely to
+// need.
 //
-// The promise: for each bucket and every window of time, the admissions at all fronts together are at most
-// the rate times the window and the burst, by the clocks of the bucket's owners. It holds whatever messages
-// are lost, duplicated or late, and whichever instances stall, die, are cut off or take another's place. It
-// rests on three rules: tokens count as outstanding until their front has reported that they were used, or
-// they have surely expired; a grant lasts, at its front, from the moment before it was requested; and a new
-// owner lends nothing until it knows what earlier owners lent, or all of that has surely expired.
+// Guarantee: for each bucket and every time window, all fronts together admit at most the rate times the
+// length of the window, plus the burst, as measured by the clocks of the bucket's owners. The guarantee holds
+// when messages are lost, duplicated or delayed, and when instances stall, crash, are partitioned or are
+// replaced. It relies on three rules:
+//   - Tokens count as outstanding until their front has reported them as used or they have definitely
+//     expired. Definitely expired means expired at any clock rates within the bounds of package rollout.
+//   - The front counts the lifetime of a grant from before it sent the request for it.
+//   - A new owner lends nothing until it knows what earlier owners lent, or until all of that has definitely
+//     expired.
 //
-// Not promised: that all of a rate can be used. Tokens in a lost message are lost until they expire, and an
-// owner that dies costs its accounts the time until another may lend.
+// Not guaranteed: that the whole rate can be used. Tokens in a lost message are unavailable until they
+// expire, and when an owner crashes, its accounts are lent no tokens until another instance may lend.
 package ratelimit
--- a/internal/cluster/ratelimit/faults_test.go
+++ b/internal/cluster/ratelimit/faults_test.go
@@ -8,7 +8,7 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// injectFault draws a fault of an instance, which ends after a time.
+// injectFault injects a random fault of random duration into a random instance.
 func (s *simulation) injectFault() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	duration := time.Duration(s.rng.Int64N(int64(3 * time.Second)))
@@ -22,7 +22,7 @@
 	case 1:
 		s.kill(n, duration/3)
 	case 2:
-		s.cutOff(n, duration)
+		s.partition(n, duration)
 	case 3, 5:
 		s.setAside(n, duration)
 	case 4:
@@ -30,17 +30,18 @@
 	case 6:
 		s.changeWeight(n)
 	case 7:
-		s.mute(n, duration)
+		s.blockOutbound(n, duration)
 	}
 }
 
-// expireLater removes an instance from the view when its lease has surely expired, unless it renews that.
+// expireLater removes an instance from the view when its lease has definitely expired, unless the instance
+// has become reachable or renewed the lease by then.
 func (s *simulation) expireLater(n *simNode) {
 	session, wait := n.session, rollout.ExpiryWait(s.lease)
 	s.after(wait, func() {
 		inView := slices.ContainsFunc(s.view.Members,
 			func(m placement.Member) bool { return m.Session == session })
-		unreachable := n.cut || n.muted || !n.alive || n.stalledUntil > s.now
+		unreachable := n.partitioned || n.outboundBlocked || !n.alive || n.stalledUntil > s.now
 		if inView && unreachable && s.now-n.renewedAt >= wait {
 			s.closeSession(n, session)
 		}
@@ -55,7 +56,7 @@
 	}
 }
 
-// kill ends a process, and starts it again, perhaps sooner than its lease ends.
+// kill ends a process and starts it again, possibly before its lease expires.
 func (s *simulation) kill(n *simNode, duration time.Duration) {
 	if !n.alive {
 		return
@@ -64,36 +65,37 @@
 	s.expireLater(n)
 	s.after(duration, func() {
 		if !n.alive {
-			n.cut = false
+			n.partitioned = false
 			n.start()
 			s.openSession(n)
 		}
 	})
 }
 
-func (s *simulation) cutOff(n *simNode, duration time.Duration) {
-	if !n.alive || n.cut {
+func (s *simulation) partition(n *simNode, duration time.Duration) {
+	if !n.alive || n.partitioned {
 		return
 	}
-	n.cut = true
+	n.partitioned = true
 	s.expireLater(n)
 	s.after(duration, func() {
-		n.cut = false
+		n.partitioned = false
 		s.reopenSession(n)
 	})
 }
 
 // setAside closes a session whose lease is still valid.
 func (s *simulation) setAside(n *simNode, duration time.Duration) {
-	if n.alive && !n.cut && len(s.view.Members) > 1 {
+	if n.alive && !n.partitioned && len(s.view.Members) > 1 {
 		s.closeSession(n)
 		s.after(duration, func() { s.reopenSession(n) })
 	}
 }
 
-// delayLog has an instance's log lag, and so its lease end, while it is connected with the others.
+// delayLog stops an instance from applying log entries, so that its lease expires while it is still connected
+// to the others.
 func (s *simulation) delayLog(n *simNode, duration time.Duration) {
-	n.lagsUntil = max(n.lagsUntil, s.now+duration)
+	n.logDelayedUntil = max(n.logDelayedUntil, s.now+duration)
 	if s.rng.IntN(2) == 0 {
 		s.setAside(n, duration)
 	}
@@ -109,26 +111,27 @@
 	s.setView(members)
 }
 
-// mute has an instance receive messages, while its own are held back until all of them arrive at once.
-func (s *simulation) mute(n *simNode, duration time.Duration) {
-	if !n.alive || n.cut || n.muted {
+// blockOutbound holds back the messages that an instance sends, while it still receives those of others. When
+// the fault ends, all held messages arrive at once.
+func (s *simulation) blockOutbound(n *simNode, duration time.Duration) {
+	if !n.alive || n.partitioned || n.outboundBlocked {
 		return
 	}
-	n.muted = true
+	n.outboundBlocked = true
 	s.expireLater(n)
 	s.after(duration, func() {
-		n.muted = false
-		for _, deliver := range n.heldBack {
+		n.outboundBlocked = false
+		for _, deliver := range n.blockedMessages {
 			deliver()
 		}
-		n.heldBack = nil
+		n.blockedMessages = nil
 		s.reopenSession(n)
 	})
 }
 
-// reopenSession gives an instance that is connected and in no view a new session.
+// reopenSession gives an instance a new session if it is connected but not in the newest view.
 func (s *simulation) reopenSession(n *simNode) {
-	if !n.alive || n.cut || s.inView(n) {
+	if !n.alive || n.partitioned || s.inView(n) {
 		return
 	}
 	s.epoch++
--- a/internal/cluster/ratelimit/ledger.go
+++ b/internal/cluster/ratelimit/ledger.go
@@ -8,57 +8,59 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// unackedGrant is a grant that its front has not acknowledged.
+// unackedGrant is a grant that its front has not acknowledged yet.
 type unackedGrant struct {
 	seq    uint64
 	tokens int
 }
 
-// borrower is a front as the ledger of a bucket has it.
+// borrower is a bucket's record of the tokens lent to one front.
 type borrower struct {
 	session       placement.Session
 	requestSeq    uint64
-	outstanding   int // the most tokens that it may have
+	outstanding   int // the most tokens that the front may hold
 	unacked       []unackedGrant
-	answeredAt    time.Duration // when it was last sent a grant
-	wanted        int
-	requestSentAt time.Duration // on its own clock
-	waiting       bool          // its newest request is not answered
-	grantedAt     time.Duration // when it was last given new tokens
+	answeredAt    time.Duration // when a grant was last sent to it, or it was added
+	wanted        int           // requested tokens; Tick reduces them to those allocated
+	requestSentAt time.Duration // on the front's clock
+	waiting       bool          // its newest request has not been answered
+	grantedAt     time.Duration // when it was last lent new tokens
 }
 
-// ledger is the account of a bucket at its authority.
+// ledger is an authority's record of a bucket: the tokens left to lend and those lent to each front.
 type ledger struct {
 	shard      int
 	limit      Limit
-	level      float64 // tokens that may be lent; below 0: tokens are owed
+	level      float64 // tokens that may be lent; if negative, as many must accrue first
 	refilledAt time.Duration
 	borrowers  map[placement.Session]*borrower
-	// inherited is what earlier owners have lent, until it has surely expired.
+	// inherited is the number of tokens lent by earlier owners that may be outstanding. All of them have
+	// definitely expired after inheritedUntil.
 	inherited      int
 	inheritedUntil time.Duration
 }
 
-// fillFor sets the level to that of a bucket that has been filling from empty for a time.
-func (l *ledger) fillFor(now, filling time.Duration, p *Policy) {
+// resetLevel sets the level to that of a bucket that has been filling from empty for fillTime.
+func (l *ledger) resetLevel(now, fillTime time.Duration, p *Policy) {
 	rate, burst := p.lendable(l.limit)
-	l.level, l.refilledAt = min(burst, rate*filling.Seconds()), now
+	l.level, l.refilledAt = min(burst, rate*fillTime.Seconds()), now
 }
 
-// inherit takes over what an earlier owner has lent, as of now.
+// inherit records the tokens that an earlier owner has lent and that may be outstanding now.
 func (l *ledger) inherit(now time.Duration, outstanding int, p *Policy) {
 	l.inherited, l.inheritedUntil = outstanding, now+p.grantExpiryWait()
 }
 
-// refill adds what has come in at the rate, up to where all outstanding tokens could still be returned.
+// refill adds the tokens that accrued at the rate, up to the level at which all outstanding tokens could
+// still be returned.
 func (l *ledger) refill(now, lendableFrom time.Duration, p *Policy) {
 	rate, burst := p.lendable(l.limit)
 	if now > l.inheritedUntil {
 		l.inherited = 0
 	}
 	for session, b := range l.borrowers {
-		// Hazards: a silent front may use what it has until that has surely expired; and it may have used
-		// it, so that what expires does not return to the bucket, which fills at its rate only.
+		// A silent front may use its tokens until they have definitely expired. It may also have used them
+		// already, so expired tokens do not return to the bucket, which refills only at its rate.
 		if now-b.answeredAt > p.grantExpiryWait() {
 			if b.outstanding > 0 {
 				b.outstanding, b.unacked = 0, nil
@@ -68,13 +70,13 @@
 			}
 		}
 	}
-	// Hazard: until the shard may be lent from, what comes in may be lent by an earlier owner.
+	// Tokens that accrue before the shard is lendable may be lent by an earlier owner, so they don't count.
 	since := max(l.refilledAt, lendableFrom)
 	l.level = min(l.level+rate*max(now-since, 0).Seconds(), burst-float64(l.outstanding()))
 	l.refilledAt = now
 }
 
-// outstanding is the most tokens that all fronts together may have.
+// outstanding returns the most tokens that all fronts together may hold.
 func (l *ledger) outstanding() int {
 	sum := l.inherited
 	for _, b := range l.borrowers {
@@ -83,29 +85,30 @@
 	return sum
 }
 
-// settle takes over what a borrower has by its newest request.
-func (l *ledger) settle(b *borrower, r TokenRequest, burst float64) {
+// applyRequest updates a borrower's outstanding tokens, and the bucket's level, from its newest request.
+func (l *ledger) applyRequest(b *borrower, r TokenRequest, burst float64) {
 	b.requestSeq = r.Seq
 	b.unacked = slices.DeleteFunc(b.unacked, func(g unackedGrant) bool { return g.seq <= r.AckedGrant })
-	// Hazard: a grant on its way to the front can be used by it, though it did not know of it yet.
+	// The front did not know of grants in transit when it sent the request, but can use them on arrival.
 	outstanding := r.Remaining
 	for _, g := range b.unacked {
 		outstanding += g.tokens
 	}
-	// Returned tokens are in the bucket again; the rest of what is not outstanding any more was used.
+	// Returned tokens go back to the bucket; the other tokens that are no longer outstanding were used.
 	//
-	// Hazard: a late request may arrive when its tokens have expired here, and with it a later one that
-	// returns them. What was not known to be outstanding is taken from the bucket, or it would return to it.
-	settled := b.outstanding - outstanding
-	if settled >= r.Returned {
+	// A late request may arrive after its tokens have expired here, followed by one that returns them. Tokens
+	// that did not count as outstanding are therefore deducted from the bucket first. Otherwise, returning
+	// them would add tokens to the bucket that had already expired.
+	decrease := b.outstanding - outstanding
+	if decrease >= r.Returned {
 		l.level += float64(r.Returned)
-	} else if settled < 0 {
-		l.level = max(l.level+float64(settled), min(l.level, -burst))
+	} else if decrease < 0 {
+		l.level = max(l.level+float64(decrease), min(l.level, -burst))
 	}
 	b.outstanding = outstanding
 }
 
-// waiting lists the borrowers whose newest request is not answered.
+// waiting returns the borrowers whose newest request has not been answered.
 func (l *ledger) waiting() []*borrower {
 	list := make([]*borrower, 0, len(l.borrowers))
 	for _, b := range l.borrowers {
@@ -116,24 +119,25 @@
 	return list
 }
 
-// idle is that the bucket is full, and nothing of it is outstanding.
+// idle reports whether the bucket is full, with no borrowers and no outstanding tokens.
 func (l *ledger) idle(p *Policy) bool {
 	_, burst := p.lendable(l.limit)
 	return len(l.borrowers) == 0 && l.level >= burst && l.inherited == 0
 }
 
-// minLendableRate stands for a rate of nothing, where all of it goes to floors, in tokens a second.
+// minLendableRate, in tokens per second, replaces a lendable rate of zero: floors may take the whole rate.
 const minLendableRate = 1e-12
 
-// timeToFill is how long an empty bucket takes to be full.
+// timeToFill returns how long an empty bucket takes to fill.
 func (l *ledger) timeToFill(p *Policy) time.Duration {
 	_, burst := p.lendable(l.limit)
 	return time.Duration(burst / max(l.limit.Rate*(1-l.limit.FloorShare), minLendableRate) * 1e9)
 }
 
-// shareMaxMin cuts what the borrowers want to the available tokens, by max-min fairness: nobody gets more
-// while another that wants tokens has fewer. What remains of whole tokens goes to who has waited longest.
-func shareMaxMin(available int, borrowers []*borrower) {
+// allocateMaxMin reduces the borrowers' wanted tokens to the available ones by max-min fairness: no borrower
+// gets more tokens while another that wants some has fewer. Tokens left over after the equal division go to
+// the borrowers that have waited longest for new tokens.
+func allocateMaxMin(available int, borrowers []*borrower) {
 	wanted := 0
 	for _, b := range borrowers {
 		wanted += b.wanted
@@ -145,33 +149,34 @@
 	slices.SortFunc(borrowers, func(x, y *borrower) int {
 		return cmp.Or(cmp.Compare(x.grantedAt, y.grantedAt), cmp.Compare(x.session.Member, y.session.Member))
 	})
-	rest := available - neededFor(level, borrowers)
+	remainder := available - tokensToReach(level, borrowers)
 	for _, b := range borrowers {
-		most := b.wanted
-		b.wanted = min(max(level-b.outstanding, 0), most)
-		if rest > 0 && b.wanted < most && b.outstanding+b.wanted <= level {
+		requested := b.wanted
+		b.wanted = min(max(level-b.outstanding, 0), requested)
+		if remainder > 0 && b.wanted < requested && b.outstanding+b.wanted <= level {
 			b.wanted++
-			rest--
+			remainder--
 		}
 	}
 }
 
-// neededFor is how many tokens bring each borrower to a level, or to what it wants if that is less.
-func neededFor(level int, borrowers []*borrower) (sum int) {
+// tokensToReach returns how many tokens it takes to raise each borrower's outstanding tokens to a level, or
+// to what it wants if that is less.
+func tokensToReach(level int, borrowers []*borrower) (sum int) {
 	for _, b := range borrowers {
 		sum += min(max(level-b.outstanding, 0), b.wanted)
 	}
 	return sum
 }
 
-// fairLevel is the greatest level to which the available tokens bring all borrowers.
+// fairLevel returns the highest level to which the available tokens can raise all borrowers.
 func fairLevel(available int, borrowers []*borrower) int {
-	low, high := 0, 1 // low can be reached, and high not
-	for neededFor(high, borrowers) <= available {
+	low, high := 0, 1 // bounds of the search: low is reachable, and high is not after the first loop
+	for tokensToReach(high, borrowers) <= available {
 		low, high = high, 2*high
 	}
 	for high-low > 1 {
-		if middle := (low + high) / 2; neededFor(middle, borrowers) <= available {
+		if middle := (low + high) / 2; tokensToReach(middle, borrowers) <= available {
 			low = middle
 		} else {
 			high = middle
--- a/internal/cluster/ratelimit/limiter_test.go
+++ b/internal/cluster/ratelimit/limiter_test.go
@@ -11,7 +11,7 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// A decision costs the same however many accounts there are.
+// The cost of Admit does not depend on the number of accounts.
 func BenchmarkAdmit(b *testing.B) {
 	for _, accounts := range []int{10, 100_000} {
 		b.Run(fmt.Sprint(accounts, " accounts"), func(b *testing.B) {
@@ -19,8 +19,8 @@
 				"parts": "1", "account": "X"}, nil)
 			limiter := NewLimiter(0)
 			limiter.Configure(0, p)
-			own := placement.Session{Member: 1, Epoch: 1}
-			limiter.SetView(0, tableOf(1, own), own)
+			self := placement.Session{Member: 1, Epoch: 1}
+			limiter.SetView(0, tableOf(1, self), self)
 			names := make([]string, accounts)
 			for i := range names {
 				names[i] = fmt.Sprint("account-", i)
@@ -37,7 +37,7 @@
 	}
 }
 
-// A decision makes no garbage.
+// Admit runs for every call, so it must not allocate memory.
 func TestAdmitDoesNotAllocate(t *testing.T) {
 	p, _ := ParsePolicy(map[string]string{"default": "5/s burst=5 floor=equal", "parts": "1", "account": "X",
 		"account.a@c": "1/s"}, []string{"c"})
@@ -50,11 +50,11 @@
 		limiter.Admit(now, "a", "c")
 	}
 	if n := testing.AllocsPerRun(100, admit); n > 0 {
-		t.Errorf("%v allocations a decision", n)
+		t.Errorf("Admit made %v allocations per call, want 0", n)
 	}
 }
 
-// Each invalid value is reported with its key and what to do.
+// Each invalid value is reported as a problem that says what is expected.
 func TestParsePolicyReportsInvalidValues(t *testing.T) {
 	for want, values := range map[string]map[string]string{
 		"no rate above 0":                {"account.a": "0/s"},
@@ -74,20 +74,21 @@
 	} {
 		_, problems := ParsePolicy(values, []string{"c"})
 		if !slices.ContainsFunc(problems, func(s string) bool { return strings.Contains(s, want) }) {
-			t.Errorf("%v: %q, want %q", values, problems, want)
+			t.Errorf("ParsePolicy(%v): got problems %q, want one that contains %q", values, problems, want)
 		}
 	}
 	p, problems := ParsePolicy(map[string]string{"account.a": "90/m burst=3 floor=0.5", "parts": "3"}, nil)
 	if len(problems) > 0 || p.AccountLimits["a"] != (Limit{1.5, 3, 0.5}) {
-		t.Errorf("%+v, %v", p.AccountLimits, problems)
+		t.Errorf("got limits %+v and problems %v, want 1.5 jobs/s, burst 3, floor share 0.5",
+			p.AccountLimits, problems)
 	}
 }
 
-// availableTokens is what a front has of its buckets, floors included.
-func availableTokens(f *Limiter, now time.Duration) map[Key]int {
+// availableTokens returns how many tokens a front has in each of its buckets, including its floor.
+func availableTokens(limiter *Limiter, now time.Duration) map[Key]int {
 	tokens := map[Key]int{}
-	for k, b := range f.buckets {
-		f.refresh(now, b)
+	for k, b := range limiter.buckets {
+		limiter.refresh(now, b)
 		tokens[k] = b.tokens + b.previousTokens + int(b.floorTokens)
 	}
 	return tokens
--- a/internal/cluster/ratelimit/messages.go
+++ b/internal/cluster/ratelimit/messages.go
@@ -6,67 +6,70 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// TokenRequest is what a front sends to the authority of a bucket.
+// TokenRequest is sent by a front to the authority of a bucket. It requests tokens, and reports and returns
+// those that the front holds.
 type TokenRequest struct {
 	Key
 	Seq        uint64        // increases with every request of this front
 	AckedGrant uint64        // Seq of the newest grant that the front has received
 	Remaining  int           // unused tokens of all grants that the front has received
-	Returned   int           // tokens that are given back with this request
-	Wanted     int           // tokens beyond Remaining
-	SentAt     time.Duration // on the front's clock; comes back with the grant
+	Returned   int           // tokens that are returned with this request
+	Wanted     int           // tokens needed in addition to Remaining
+	SentAt     time.Duration // on the front's clock; the grant repeats it
 }
 
-// Grant is an authority's answer to a TokenRequest. It renews all tokens that the front has of the bucket:
-// they and the new ones last for Policy.GrantDuration from RequestSentAt.
+// Grant is an authority's response to a TokenRequest. It renews all tokens that the front holds of the
+// bucket: they and the new ones last for Policy.GrantDuration from RequestSentAt.
 type Grant struct {
 	Key
 	RequestSeq    uint64
 	Seq           uint64 // increases with every grant of this authority
-	Tokens        int    // new ones
+	Tokens        int    // newly lent
 	RequestSentAt time.Duration
-	View          uint64 // the authority's; 0: from an older program, which does not send it
+	View          uint64 // the authority's; 0: sent by an older version of the program that does not set it
 }
 
-// BucketState is a bucket that an owner hands over, or what a front has of it.
+// BucketState describes a bucket in a Transfer, or a front's tokens of a bucket in a DrainConfirmation.
 type BucketState struct {
 	Key
-	Level       int // tokens in the bucket, not below 0; a front has none
-	Outstanding int // the most tokens that fronts may have
+	Level       int // tokens in the bucket, at least 0; always 0 in a DrainConfirmation
+	Outstanding int // the most tokens that fronts may hold
 }
 
-// Transfer is what the previous owner of some shards sends to the next one: it lends from these shards no
-// more, and this is their state. Without it the next owner waits until all that may be outstanding has surely
-// expired.
+// Transfer is sent by the previous owner of some shards to the next one. It states that the sender no longer
+// lends from these shards, and contains their state. Without it the next owner waits until all tokens that
+// may be outstanding have definitely expired.
 type Transfer struct {
-	View           uint64                   // by which the shards went to another owner
+	View           uint64                   // in which the shards moved to the next owner
 	Shards         map[int]TransferredShard // by shard
-	Buckets        []BucketState            // all buckets of the shards that the previous owner knows
+	Buckets        []BucketState            // all buckets of the shards that have a ledger
 	From           placement.Session        // the previous owner
 	to             placement.Session        // the next owner
 	remainingSends int
 }
 
-// TransferredShard is the state of the buckets that a Transfer does not name.
+// TransferredShard is the state of those buckets of a shard that the Transfer does not list.
 type TransferredShard struct {
-	FilledFor time.Duration // for how long they have been filling from empty
+	FilledFor time.Duration // how long they have been filling from empty
 }
 
-// DrainConfirmation is what a front sends to each owner of a view: from this view on it takes no grant of
-// earlier owners, and this is what it still has of theirs. With the confirmations of all fronts of the view
-// an owner knows all that is outstanding, and need not wait until that has surely expired.
+// DrainConfirmation is sent by a front to each owner in a view. It states that from this view on the front
+// accepts no grants of earlier owners, and lists the tokens of theirs that it still holds. With the
+// confirmations of all fronts in the view, an owner knows all outstanding tokens and need not wait until they
+// have definitely expired.
 type DrainConfirmation struct {
 	View    uint64
-	Total   int           // buckets, over all messages of this confirmation
-	Buckets []BucketState // those of this message
+	Total   int           // number of buckets in all messages of this confirmation
+	Buckets []BucketState // those in this message
 }
 
-// Limits of what is sent.
+// Limits on transfers and drain confirmations.
 const (
-	transferSends = 3 // a transfer may be lost, or arrive before its view does
-	// maxTransferBuckets bounds a transfer. Shards beyond it are not transferred, and waited for.
+	transferSends = 3 // a transfer may be lost, or arrive before the receiver has its view
+	// maxTransferBuckets is the maximum number of buckets in a transfer. Shards that exceed it are left out,
+	// and the next owner waits until their tokens have definitely expired.
 	maxTransferBuckets = 2000
 
-	confirmationSends      = 5    // a confirmation may be lost, or arrive before its view does
-	maxConfirmationBuckets = 2000 // in one message of a confirmation
+	confirmationSends      = 5    // a confirmation may be lost, or arrive before the receiver has its view
+	maxConfirmationBuckets = 2000 // per message of a confirmation
 )
--- a/internal/cluster/ratelimit/model_test.go
+++ b/internal/cluster/ratelimit/model_test.go
@@ -17,12 +17,12 @@
 	"moorstack/internal/verify/modelcheck"
 )
 
-// model is a group of two or three instances, one account of four jobs a second and two at once, grants that
-// last a second and leases that do. At any time an instance may apply the next view, renew its lease (with a
-// leader that has applied all views, where it has, too), tick once a step, admit a job, die and be started
-// again, be set aside, expire once its lease surely has, and have a new session. Its messages arrive in order
-// at each other instance, or are lost, late or duplicated; time passes in steps of a quarter of a second. The
-// account's owner is the first instance, without that the second.
+// model is a group of two or three instances with one account, limited to four jobs per second with a burst
+// of two. Grants and leases last one second. Time advances in steps of 250 ms. At any time an instance may
+// apply the next view, renew its lease (if it has applied all views, as its leader has), tick once per step,
+// admit a job, crash and restart, be set aside, expire once its lease has definitely expired, and get a new
+// session. Messages between two instances arrive in order unless they are lost, late or duplicated. The first
+// instance owns the account, or the second if the first is not in the view.
 type model struct {
 	budget     modelBudget
 	now        time.Duration
@@ -30,7 +30,7 @@
 	views      []placement.View
 	messages   []modelMessage
 	epoch      uint64
-	level      int // of the bucket from which all admissions are taken
+	level      int // of the reference bucket, from which every admission takes a token
 	refilledAt time.Duration
 	violation  string
 }
@@ -51,19 +51,19 @@
 	text     string
 }
 
-// modelBudget is how often each event may still happen.
+// modelBudget limits how often each event may still happen.
 type modelBudget struct {
-	instances                                                                            int
-	steps, deaths, setAsides, expiries, reopens, lost, late, duplicates, calls, renewals int
-	// Faults befall the instances up to this one.
-	faulty int
+	instances                                                                             int
+	steps, crashes, setAsides, expiries, reopens, lost, late, duplicates, calls, renewals int
+	// lastFaulty is the index of the last instance that may have faults.
+	lastFaulty int
 }
 
-const modelAccount = "m2232" // the first instance owns it, and without that the second
+const modelAccount = "m2232" // owned by the first instance, or by the second if the first is not in the view
 
 var modelSeed, modelTables = maphash.MakeSeed(), sync.Map{}
 
-// modelAuthority has the first few shards only: the account's is one of them.
+// modelAuthority returns an authority with only the shards up to the account's, so that copies are small.
 func modelAuthority() *Authority {
 	a := NewAuthority()
 	a.shards = slices.Clone(a.shards[:placement.ShardOf(modelAccount)+1])
@@ -112,15 +112,15 @@
 		n.authority.SetView(0, modelTable(m.views[0]), n.session, modelLease, false)
 		n.appliedViews, n.limiter.confirmationsRemaining = 1, 0
 	}
-	if x, _ := modelTable(m.views[0]).Owner(placement.ShardOf(modelAccount)); x.Member != 1 {
-		t.Fatalf("instance %d owns the account", x.Member)
+	if owner, _ := modelTable(m.views[0]).Owner(placement.ShardOf(modelAccount)); owner.Member != 1 {
+		t.Fatalf("instance %d owns the account, want 1", owner.Member)
 	}
 	return m
 }
 
 const (
 	modelLease = time.Second
-	modelStep  = 250 * time.Millisecond // in which the bucket gets one job
+	modelStep  = 250 * time.Millisecond // the time in which the bucket gains one token
 )
 
 func (m *model) addView(members []placement.Member, expired ...placement.Session) {
@@ -128,44 +128,45 @@
 	m.views = append(m.views, placement.View{Number: number, Members: members, Expired: expired})
 }
 
-// copyNode gives a copy of the model an instance of its own, so that it can be changed.
+// copyNode replaces an instance in a copy of the model by a deep copy, which can be changed without affecting
+// the original.
 func (m *model) copyNode(k int) *modelNode {
 	n := &m.nodes[k]
-	f, a := *n.limiter, *n.authority
-	f.buckets = map[Key]*localBucket{}
+	limiter, authority := *n.limiter, *n.authority
+	limiter.buckets = map[Key]*localBucket{}
 	for key, b := range n.limiter.buckets {
 		bucket := *b
-		f.buckets[key] = &bucket
+		limiter.buckets[key] = &bucket
 	}
-	a.ledgers, a.transfers = map[Key]*ledger{}, nil
+	authority.ledgers, authority.transfers = map[Key]*ledger{}, nil
 	for key, l := range n.authority.ledgers {
-		a.ledgers[key] = copyLedger(l)
+		authority.ledgers[key] = copyLedger(l)
 	}
 	for _, tr := range n.authority.transfers {
 		transfer := *tr
-		a.transfers = append(a.transfers, &transfer)
+		authority.transfers = append(authority.transfers, &transfer)
 	}
-	a.shards = slices.Clone(a.shards)
-	a.revocation.complete = maps.Clone(a.revocation.complete)
-	a.revocation.partial = maps.Clone(a.revocation.partial)
-	n.limiter, n.authority = &f, &a
+	authority.shards = slices.Clone(authority.shards)
+	authority.revocation.complete = maps.Clone(authority.revocation.complete)
+	authority.revocation.partial = maps.Clone(authority.revocation.partial)
+	n.limiter, n.authority = &limiter, &authority
 	return n
 }
 
 func copyLedger(l *ledger) *ledger {
-	out := *l
-	out.borrowers = map[placement.Session]*borrower{}
+	result := *l
+	result.borrowers = map[placement.Session]*borrower{}
 	for session, b := range l.borrowers {
 		front := *b
 		front.unacked = slices.Clone(b.unacked)
-		out.borrowers[session] = &front
+		result.borrowers[session] = &front
 	}
-	return &out
+	return &result
 }
 
 func (m *model) Violation() string { return m.violation }
 
-// Key identifies a state by all that what follows depends on.
+// Key returns a hash of everything that later transitions depend on.
 func (m *model) Key() uint64 {
 	var h maphash.Hash
 	h.SetSeed(modelSeed)
@@ -176,7 +177,7 @@
 	for _, v := range m.views {
 		fmt.Fprint(&h, v)
 	}
-	// Messages between two instances keep their order; between pairs there is none.
+	// Only the order of messages from one instance to another matters.
 	messages := slices.Clone(m.messages)
 	slices.SortStableFunc(messages, func(a, b modelMessage) int {
 		return cmp.Or(cmp.Compare(a.from.Member, b.from.Member), cmp.Compare(a.to.Member, b.to.Member))
@@ -188,31 +189,31 @@
 }
 
 func (n *modelNode) hash(h *maphash.Hash) {
-	f, a := n.limiter, n.authority
-	fmt.Fprint(h, ";", n.session, n.appliedViews, n.leaseUntil, n.renewedAt, n.ticked, f.requestSeq,
-		f.confirmationsRemaining, a.grantSeq, a.shards[placement.ShardOf(modelAccount)],
-		a.revocation.unsafeUntil)
-	for _, b := range f.buckets {
+	limiter, authority := n.limiter, n.authority
+	fmt.Fprint(h, ";", n.session, n.appliedViews, n.leaseUntil, n.renewedAt, n.ticked, limiter.requestSeq,
+		limiter.confirmationsRemaining, authority.grantSeq, authority.shards[placement.ShardOf(modelAccount)],
+		authority.revocation.departedLeaseEnds)
+	for _, b := range limiter.buckets {
 		fmt.Fprint(h, *b)
 	}
-	for _, l := range a.ledgers {
+	for _, l := range authority.ledgers {
 		fmt.Fprint(h, l.level, l.refilledAt, l.inherited, l.inheritedUntil)
 		for _, session := range sortedSessions(l.borrowers) {
 			fmt.Fprint(h, *l.borrowers[session])
 		}
 	}
-	for _, confirmations := range []map[placement.Session]confirmation{a.revocation.complete,
-		a.revocation.partial} {
+	for _, confirmations := range []map[placement.Session]confirmation{authority.revocation.complete,
+		authority.revocation.partial} {
 		for _, session := range sortedSessions(confirmations) {
 			fmt.Fprint(h, session, confirmations[session])
 		}
 	}
-	for _, tr := range a.transfers {
+	for _, tr := range authority.transfers {
 		fmt.Fprint(h, *tr)
 	}
 }
 
-// describeMessage is a message's text: messages with the same content have the same.
+// describeMessage returns a text that is equal for messages with equal content.
 func describeMessage(from, to placement.Session, body any) string {
 	if tr, ok := body.(*Transfer); ok {
 		body = *tr
@@ -220,20 +221,20 @@
 	return fmt.Sprintf("%d.%d to %d.%d: %T %v", from.Member, from.Epoch, to.Member, to.Epoch, body, body)
 }
 
-// modelEvents collects what may happen next to a model.
+// modelEvents collects the transitions from a state of the model.
 type modelEvents struct {
 	model       *model
 	transitions []modelcheck.Transition[*model]
 }
 
-// add adds an event, if there is budget left for it. It happens to a copy of the model.
-func (e *modelEvents) add(name string, budget int, happen func(c *model)) {
+// add adds an event, applied to a copy of the model, if there is budget left for it.
+func (e *modelEvents) add(name string, budget int, apply func(c *model)) {
 	if budget <= 0 {
 		return
 	}
 	c := *e.model
 	c.nodes, c.views, c.messages = slices.Clone(c.nodes), slices.Clip(c.views), slices.Clone(c.messages)
-	happen(&c)
+	apply(&c)
 	e.transitions = append(e.transitions, modelcheck.Transition[*model]{Event: name, State: &c})
 }
 
@@ -244,7 +245,7 @@
 	for k := range m.nodes {
 		m.addNodeEvents(e, k)
 	}
-	// Time passes last: what is searched deeply should be what may happen before.
+	// The passing of time comes last, so that the search first goes deep into events within a step.
 	e.add("time passes", m.budget.steps, func(c *model) {
 		c.budget.steps--
 		c.now += modelStep
@@ -255,7 +256,7 @@
 	return e.transitions
 }
 
-// memberPair is a direction between two instances.
+// memberPair is a sender and a receiver.
 type memberPair struct{ from, to uint64 }
 
 func (m *model) addMessageEvents(e *modelEvents) {
@@ -277,7 +278,7 @@
 			drop(c)
 			deliver(c)
 		})
-		e.add(message.text+" arrives, and will again", m.budget.duplicates, func(c *model) {
+		e.add(message.text+" arrives and is duplicated", m.budget.duplicates, func(c *model) {
 			c.budget.duplicates--
 			deliver(c)
 		})
@@ -303,13 +304,13 @@
 	if !n.ticked {
 		e.add(name+" ticks", 1, func(c *model) { c.tick(k) })
 	}
-	// One rejected call is enough for tokens of the account to be requested.
+	// A call that would be rejected is tried only once per tick: one is enough for tokens to be requested.
 	b := n.limiter.buckets[Key{Account: modelAccount}]
 	if m.now < n.leaseUntil && (k > 0 || len(m.nodes) == 2) &&
 		(b == nil || b.calls == 0 || b.previousTokens+b.tokens > 0) {
-		e.add(name+" has a call", m.budget.calls, func(c *model) { c.call(k) })
+		e.add(name+" receives a call", m.budget.calls, func(c *model) { c.call(k) })
 	}
-	if k <= m.budget.faulty {
+	if k <= m.budget.lastFaulty {
 		m.addFaultEvents(e, k, name, inView)
 	}
 }
@@ -331,19 +332,19 @@
 		}
 	}
 	if !inView {
-		e.add(name+" has a session again", m.budget.reopens, func(c *model) {
+		e.add(name+" opens a new session", m.budget.reopens, func(c *model) {
 			c.budget.reopens--
 			c.openSession(k, others)
 		})
 	}
-	e.add(name+" dies and is started", m.budget.deaths, func(c *model) {
-		c.budget.deaths--
-		started := &c.nodes[k]
-		p := started.limiter.policy
-		started.limiter, started.authority = NewLimiter(c.now), modelAuthority()
-		started.appliedViews = len(c.views)
-		started.limiter.Configure(c.now, p)
-		started.authority.Configure(c.now, p)
+	e.add(name+" crashes and restarts", m.budget.crashes, func(c *model) {
+		c.budget.crashes--
+		restarted := &c.nodes[k]
+		p := restarted.limiter.policy
+		restarted.limiter, restarted.authority = NewLimiter(c.now), modelAuthority()
+		restarted.appliedViews = len(c.views)
+		restarted.limiter.Configure(c.now, p)
+		restarted.authority.Configure(c.now, p)
 		var expired []placement.Session
 		if inView {
 			expired = append(expired, n.session)
@@ -356,7 +357,7 @@
 	m.epoch++
 	n := &m.nodes[k]
 	n.session, n.leaseUntil = placement.Session{Member: uint64(k + 1), Epoch: m.epoch}, 0
-	n.renewedAt = m.now // as the leader counts: it may request a lease at once
+	n.renewedAt = m.now // the leader must assume that the session requests a lease at once
 	members := append(slices.Clone(others), placement.Member{Session: n.session})
 	slices.SortFunc(members, func(a, b placement.Member) int { return cmp.Compare(a.Member, b.Member) })
 	m.addView(members, expired...)
@@ -366,14 +367,15 @@
 	n := m.copyNode(k)
 	v := m.views[n.appliedViews]
 	n.appliedViews++
-	own := placement.Session{}
+	self := placement.Session{}
 	if slices.Contains(v.Members, placement.Member{Session: n.session}) {
-		own = n.session
+		self = n.session
 	}
-	n.limiter.SetView(m.now, modelTable(v), own)
-	// Messages may be lost; but each is sent only once, or there would be too many states.
+	n.limiter.SetView(m.now, modelTable(v), self)
+	// Confirmations and transfers are sent only once, although they may be lost: repeats would add too many
+	// states.
 	n.limiter.confirmationsRemaining = min(n.limiter.confirmationsRemaining, 1)
-	n.authority.SetView(m.now, modelTable(v), own, modelLease, n.authority.table == nil)
+	n.authority.SetView(m.now, modelTable(v), self, modelLease, n.authority.table == nil)
 	for _, tr := range n.authority.transfers {
 		tr.remainingSends = min(tr.remainingSends, 1)
 		maps.DeleteFunc(tr.Shards, func(shard int, _ TransferredShard) bool {
@@ -404,7 +406,7 @@
 	}
 }
 
-// send queues a message; one to the instance itself arrives at once.
+// send queues a message. A message to the sender itself is delivered at once.
 func (m *model) send(n *modelNode, to placement.Session, body any) {
 	if to == n.session {
 		m.deliver(modelMessage{from: to, to: to, body: body})
@@ -413,7 +415,7 @@
 	m.messages = append(m.messages, modelMessage{n.session, to, body, describeMessage(n.session, to, body)})
 }
 
-// deliver has a message received, if it is for the instance's present session.
+// deliver passes a message to its receiver if it is addressed to the receiver's current session.
 func (m *model) deliver(message modelMessage) {
 	k := int(message.to.Member - 1)
 	if m.nodes[k].session != message.to {
@@ -446,21 +448,22 @@
 	}
 }
 
-var states = flag.Int64("states", 20_000, "how many states of each small model are visited")
+var maxStates = flag.Int64("states", 20_000, "maximum number of states to visit in each small model")
 
-// In every order of events no more is admitted than the rate and the burst allow.
+// In every order of events around an owner change, admissions stay within the rate and the burst. Each case
+// is a small model with a budget of faults, searched exhaustively or up to the -states flag.
 func TestEveryOrderOfAnOwnerChange(t *testing.T) {
 	for name, b := range map[string]modelBudget{
-		"a death of two":   {instances: 2, steps: 3, deaths: 1, calls: 4},
-		"a death":          {instances: 3, steps: 2, deaths: 1, calls: 3},
-		"an expiry of two": {instances: 2, steps: 11, expiries: 1, calls: 4, renewals: 1},
-		"aside of two":     {instances: 2, steps: 1, setAsides: 1, calls: 5},
-		"aside":            {instances: 3, steps: 1, setAsides: 1, calls: 3, late: 1},
-		"and back of two":  {instances: 2, steps: 2, setAsides: 1, reopens: 1, calls: 4},
-		"twice, or lost":   {instances: 2, steps: 1, deaths: 1, calls: 4, duplicates: 1, lost: 1},
-		"one, then two":    {instances: 3, steps: 1, setAsides: 1, deaths: 1, calls: 3, faulty: 1},
+		"crash, 2 instances":     {instances: 2, steps: 3, crashes: 1, calls: 4},
+		"crash, 3 instances":     {instances: 3, steps: 2, crashes: 1, calls: 3},
+		"expiry, 2 instances":    {instances: 2, steps: 11, expiries: 1, calls: 4, renewals: 1},
+		"set aside, 2 instances": {instances: 2, steps: 1, setAsides: 1, calls: 5},
+		"set aside, 3 instances": {instances: 3, steps: 1, setAsides: 1, calls: 3, late: 1},
+		"set aside and back":     {instances: 2, steps: 2, setAsides: 1, reopens: 1, calls: 4},
+		"duplicated or lost":     {instances: 2, steps: 1, crashes: 1, calls: 4, duplicates: 1, lost: 1},
+		"2 faults, 3 instances":  {instances: 3, steps: 1, setAsides: 1, crashes: 1, calls: 3, lastFaulty: 1},
 	} {
-		r := modelcheck.Check(newModel(t, b), *states)
+		r := modelcheck.Check(newModel(t, b), *maxStates)
 		t.Logf("%s: %d states, complete: %v", name, r.States, r.Complete)
 		if r.Violation != "" {
 			t.Errorf("%s: %s:\n%s", name, r.Violation, strings.Join(r.Trace, "\n"))
--- a/internal/cluster/ratelimit/parse.go
+++ b/internal/cluster/ratelimit/parse.go
@@ -15,40 +15,41 @@
 	"moorstack/internal/cluster/replicated"
 )
 
-// The values of keys that the section leaves out.
+// Defaults of keys that the section omits.
 const (
 	defaultTickInterval  = 100 * time.Millisecond
 	defaultGrantDuration = time.Second
 	defaultMaxFronts     = 5
 )
 
-// The bounds of the section's values.
+// Bounds of the section's values.
 const (
 	minTickInterval  = 10 * time.Millisecond
 	maxTickInterval  = 10 * time.Second
 	minGrantDuration = 50 * time.Millisecond
 	maxGrantDuration = 10 * time.Minute
-	minGrantTicks    = 5 // a grant's duration in ticks: else it would expire between two requests
+	minGrantTicks    = 5 // a shorter grant would expire between two requests
 	maxFronts        = 1000
-	maxRate          = 1e9  // jobs a second
+	maxRate          = 1e9  // jobs per second
 	maxBurst         = 1e12 // jobs
 )
 
-// noLimit is the default that limits no account.
+// noLimit is the value of the key "default" that sets no default limit.
 const noLimit = "none"
 
-// policyParser collects a policy, and what is wrong with it.
+// policyParser accumulates a policy and the problems found in the section.
 //
-// Hazard: the problems are part of what a group agrees on. Their texts and their order must be the same at
-// every instance and in every program of the group.
+// The problems become part of the group's agreed state. Their texts and their order must be the same on every
+// instance and in every version of the program that the group runs.
 type policyParser struct {
 	policy   Policy
-	classes  []string // of the document
+	classes  []string // classes of the document
 	problems []string
 }
 
-// ParsePolicy reads the section's values; classes are the names of the document's. Problems are for the
-// operator who proposed the values; it is empty if they are valid. Without values nothing is limited.
+// ParsePolicy parses the section's values; classes are the names of the document's classes. The problems tell
+// the operator who proposed the values what is invalid; there are none if all values are valid. Without any
+// values, nothing is limited.
 func ParsePolicy(values map[string]string, classes []string) (p Policy, problems []string) {
 	parser := policyParser{classes: classes, policy: Policy{
 		AccountHeader: AccountIsTenant,
@@ -73,18 +74,18 @@
 	}
 	parser.checkGrantDuration()
 	parser.policy.Version = max(hash.Sum64(), 1)
-	// Limits come last: their floors depend on the number of fronts.
+	// Limits are parsed last, since their floors depend on the number of fronts.
 	for _, key := range slices.Sorted(maps.Keys(limits)) {
 		parser.parseLimit(key, limits[key])
 	}
 	return parser.policy, parser.problems
 }
 
-func (p *policyParser) problem(format string, args ...any) {
+func (p *policyParser) addProblem(format string, args ...any) {
 	p.problems = append(p.problems, fmt.Sprintf(format, args...))
 }
 
-// parseValue takes over a value that is no limit.
+// parseValue parses the value of a key that is not a limit.
 func (p *policyParser) parseValue(key, text string) {
 	switch key {
 	case "tick":
@@ -94,67 +95,69 @@
 	case "account":
 		p.policy.AccountHeader = text
 		if text == "" || strings.ContainsAny(text, " :\t\r\n") {
-			p.problem("account: %q is neither %q nor the name of a header, as in \"X-Account\"", text,
+			p.addProblem("account: %q is neither %q nor the name of a header, as in \"X-Account\"", text,
 				AccountIsTenant)
 		}
 	case "parts":
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 || n > maxFronts {
-			p.problem("parts: %q is not a number from 1 to %d: as many fronts as there may be", text,
+			p.addProblem("parts: %q is not a number from 1 to %d: as many fronts as there may be", text,
 				maxFronts)
 			return
 		}
 		p.policy.MaxFronts = n
 	default:
-		p.problem("%q is no key of this section; account, tick, term, parts, default, \"account.NAME\" and "+
-			"\"account.NAME@CLASS\" are", key)
+		p.addProblem(
+			"%q is no key of this section; account, tick, term, parts, default, \"account.NAME\" and "+
+				"\"account.NAME@CLASS\" are", key)
 	}
 }
 
-func (p *policyParser) parseDuration(key, text string, into *time.Duration, least, most time.Duration) {
+func (p *policyParser) parseDuration(key, text string, target *time.Duration,
+	minimum, maximum time.Duration) {
 	d, err := time.ParseDuration(text)
-	if err != nil || d < least || d > most {
-		p.problem("%s: %q is not a time from %v to %v, as in \"200ms\"", key, text, least, most)
+	if err != nil || d < minimum || d > maximum {
+		p.addProblem("%s: %q is not a time from %v to %v, as in \"200ms\"", key, text, minimum, maximum)
 		return
 	}
-	*into = d
+	*target = d
 }
 
 func (p *policyParser) checkGrantDuration() {
 	if len(p.problems) == 0 && p.policy.GrantDuration < minGrantTicks*p.policy.TickInterval {
-		p.problem("term: %v is less than %d ticks of %v: slices would run out between two words on them; "+
+		p.addProblem("term: %v is less than %d ticks of %v: slices would run out between two words on them; "+
 			"name a longer term or a shorter tick", p.policy.GrantDuration, minGrantTicks,
 			p.policy.TickInterval)
 	}
 }
 
-// parseLimit takes over the limit of a key: "default", "account.NAME" or "account.NAME@CLASS".
+// parseLimit parses the limit of a key: "default", "account.NAME" or "account.NAME@CLASS".
 func (p *policyParser) parseLimit(key, text string) {
 	limit, err := p.policy.parseLimit(text)
 	if err != nil {
-		p.problem("%s: %q: %v", key, text, err)
+		p.addProblem("%s: %q: %v", key, text, err)
 		return
 	}
-	account, class, ofClass := strings.Cut(strings.TrimPrefix(key, "account."), "@")
+	account, class, hasClass := strings.Cut(strings.TrimPrefix(key, "account."), "@")
 	switch {
 	case key == "default":
 		if text != noLimit {
 			p.policy.DefaultLimit = &limit
 		}
 	case text == noLimit:
-		p.problem("%s: \"none\" is for the default; leave the line out", key)
+		p.addProblem("%s: \"none\" is for the default; leave the line out", key)
 	case account == "" || strings.TrimSpace(account) != account:
-		p.problem("%s: the account has no name, or blanks around it", key)
-	case ofClass && !slices.Contains(p.classes, class):
-		p.problem("%s: there is no class %q; there are %v", key, class, p.classes)
-	case ofClass:
+		p.addProblem("%s: the account has no name, or blanks around it", key)
+	case hasClass && !slices.Contains(p.classes, class):
+		p.addProblem("%s: there is no class %q; there are %v", key, class, p.classes)
+	case hasClass:
 		p.policy.ClassLimits[Key{account, class}] = limit
 	default:
 		p.policy.AccountLimits[account] = limit
 	}
 }
 
-// parseLimit reads "RATE/UNIT [burst=N] [floor=SHARE|equal|none]", or "none".
+// parseLimit parses "RATE/UNIT [burst=N] [floor=SHARE|equal|none]" or "none".
 func (p *Policy) parseLimit(text string) (l Limit, err error) {
 	if text == noLimit {
 		return l, nil
@@ -172,15 +175,15 @@
 			return l, err
 		}
 	}
-	if need := float64(p.MaxFronts) * p.floorBurst(l); need > l.Burst {
+	if required := float64(p.MaxFronts) * p.floorBurst(l); required > l.Burst {
 		return l, fmt.Errorf("the floors of %d parts are a job each at the least, %.0f in all, and the "+
 			"burst is %.0f; name burst=%.0f or more, floor=none, or fewer parts",
-			p.MaxFronts, need, l.Burst, need)
+			p.MaxFronts, required, l.Burst, required)
 	}
 	return l, nil
 }
 
-// parseRate reads "NUMBER/UNIT" as jobs a second.
+// parseRate parses "NUMBER/UNIT" and returns the rate in jobs per second.
 func parseRate(text string) (float64, error) {
 	number, unit, _ := strings.Cut(text, "/")
 	seconds := map[string]float64{"s": 1, "m": 60, "h": 3600}[unit]
@@ -191,7 +194,7 @@
 	return rate / seconds, nil
 }
 
-// parseOption takes over "burst=N" or "floor=SHARE".
+// parseOption sets the limit's field from "burst=N" or "floor=SHARE".
 func (l *Limit) parseOption(text string) (err error) {
 	name, value, _ := strings.Cut(text, "=")
 	switch {
@@ -215,7 +218,7 @@
 	return nil
 }
 
-// Validate returns what is wrong with the section of a document, the same at every instance.
+// Validate returns the problems of a document's section. The result is the same on every instance.
 func Validate(c replicated.Config) []string {
 	p, problems := ParsePolicy(c.Values, c.ClassNames())
 	if len(problems) > 0 || p.AccountHeader != AccountIsTenant {
--- a/internal/cluster/ratelimit/policy.go
+++ b/internal/cluster/ratelimit/policy.go
@@ -8,40 +8,41 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// Section is the section of the agreed document that limits what accounts may send.
+// Section is the name of the section of the agreed document that configures rate limits.
 const Section = "ratelimit"
 
-// AccountIsTenant is the value of Policy.AccountHeader by which a job's account is its tenant.
+// AccountIsTenant is the value of Policy.AccountHeader that makes each job's tenant its account.
 const AccountIsTenant = "tenant"
 
-// Limit is what an account, or one class of its jobs, may send over all fronts: in every window at most Rate
-// times its length, and Burst more.
+// Limit bounds the jobs of an account, or of one class of its jobs, across all fronts: in every time window,
+// at most Rate times the length of the window, plus Burst, are admitted.
 type Limit struct {
-	Rate  float64 // jobs a second
-	Burst float64 // jobs, a whole number
-	// FloorShare is the share of both, from 0 to 1, that fronts have in equal parts whatever else fails.
+	Rate  float64 // jobs per second
+	Burst float64 // jobs; a whole number
+	// FloorShare is the fraction of Rate and Burst, from 0 to 1, that is divided equally among the fronts as
+	// their floors. A front can use its floor without reaching the authority.
 	FloorShare float64
 }
 
-// Policy is the section of the configuration.
+// Policy is the parsed rate limit section of the configuration.
 type Policy struct {
-	Version       uint64 // a hash of the section's text; 0: there is none, and nothing is limited
-	AccountHeader string // the header that names a job's account, or AccountIsTenant
+	Version       uint64 // hash of the section's text; 0: there is no section, and nothing is limited
+	AccountHeader string // header that contains a job's account, or AccountIsTenant
 	TickInterval  time.Duration
-	GrantDuration time.Duration // how long the tokens of a grant last
-	MaxFronts     int           // how many fronts there may be: floors are divided by it
-	DefaultLimit  *Limit        // of accounts that are not named; nil: they are not limited
+	GrantDuration time.Duration // how long granted tokens last
+	MaxFronts     int           // maximum number of fronts, among which floors are divided
+	DefaultLimit  *Limit        // of accounts that have no limit of their own; nil: they are not limited
 	AccountLimits map[string]Limit
 	ClassLimits   map[Key]Limit
 }
 
-// Key names a bucket: that of an account, or of one class of its jobs.
+// Key identifies a bucket, either that of an account or that of one class of its jobs.
 type Key struct {
 	Account string
 	Class   string // empty: all classes
 }
 
-// String is the key as the section spells it.
+// String returns the key as the section writes it: ACCOUNT or ACCOUNT@CLASS.
 func (k Key) String() string {
 	if k.Class == "" {
 		return k.Account
@@ -49,7 +50,7 @@
 	return k.Account + "@" + k.Class
 }
 
-// LimitOf returns the limit of a key, if it has one.
+// LimitOf returns the limit of a key, and false if the key has none.
 func (p *Policy) LimitOf(k Key) (Limit, bool) {
 	if k.Class != "" {
 		l, ok := p.ClassLimits[k]
@@ -62,7 +63,7 @@
 	return l, ok
 }
 
-// floorBurst is how many tokens each front may have in its floor.
+// floorBurst returns the maximum number of tokens in each front's floor.
 func (p *Policy) floorBurst(l Limit) float64 {
 	if l.FloorShare <= 0 {
 		return 0
@@ -70,24 +71,25 @@
 	return max(1, math.Floor(l.Burst*l.FloorShare/float64(p.MaxFronts)))
 }
 
-// floorRate is how many tokens each front's floor gets a second.
+// floorRate returns the rate at which each front's floor fills, in tokens per second.
 func (p *Policy) floorRate(l Limit) float64 { return l.Rate * l.FloorShare / float64(p.MaxFronts) }
 
-// lendable is what remains, above all floors, to be lent: tokens a second, and tokens.
+// lendable returns the rate, in tokens per second, and the burst, in tokens, that remain for lending after
+// all floors are deducted.
 func (p *Policy) lendable(l Limit) (rate, burst float64) {
 	return l.Rate * (1 - l.FloorShare), l.Burst - float64(p.MaxFronts)*p.floorBurst(l)
 }
 
-// grantExpiryWait is how long after a grant was sent its tokens have surely expired, whatever the rates of
-// the two clocks are.
+// grantExpiryWait returns how long after a grant was sent its tokens have definitely expired, at any rates of
+// the authority's and the front's clocks within the bounds of package rollout.
 func (p *Policy) grantExpiryWait() time.Duration { return rollout.ExpiryWait(p.GrantDuration) }
 
-// Describe explains a limit to operators, in one line.
+// Describe explains a limit to operators in one line.
 func (p *Policy) Describe(l Limit) string {
-	text := fmt.Sprintf("%.4g a second and %.4g at once over all instances", l.Rate, l.Burst)
+	text := fmt.Sprintf("%.4g jobs/s with a burst of %.4g across all instances", l.Rate, l.Burst)
 	if l.FloorShare <= 0 {
-		return text + "; nothing at one that is cut off, and a first call is told to come back"
+		return text + "; none at an instance that is cut off, and a first call is rejected with a retry time"
 	}
-	return text + fmt.Sprintf("; of that %.3g a second and %.4g at once at each of %d, also when it is "+
-		"cut off", p.floorRate(l), p.floorBurst(l), p.MaxFronts)
+	return text + fmt.Sprintf("; of that, %.3g jobs/s with a burst of %.4g are reserved for each of %d "+
+		"instances, even when it is cut off", p.floorRate(l), p.floorBurst(l), p.MaxFronts)
 }
--- a/internal/cluster/ratelimit/revocation.go
+++ b/internal/cluster/ratelimit/revocation.go
@@ -7,32 +7,33 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// drainConfirmations returns what is to be sent to the owners of the view, for some ticks after it was set.
-// It must be called after the requests of the tick: from then on no grant of earlier owners is taken.
-func (f *Limiter) drainConfirmations(now time.Duration) map[placement.Session][]DrainConfirmation {
-	if f.confirmationsRemaining == 0 || f.session.Epoch == 0 || f.table == nil {
+// drainConfirmations returns the confirmations to send to the owners in the view, for some ticks after the
+// view or the policy was set. It must be called after the tick's requests are built: from then on no grants
+// of earlier owners are accepted.
+func (l *Limiter) drainConfirmations(now time.Duration) map[placement.Session][]DrainConfirmation {
+	if l.confirmationsRemaining == 0 || l.session.Epoch == 0 || l.table == nil {
 		return nil
 	}
-	f.confirmationsRemaining--
+	l.confirmationsRemaining--
 	buckets := map[placement.Session][]BucketState{}
-	for k, b := range f.buckets {
+	for k, b := range l.buckets {
 		b.expire(now)
-		// Hazard: an owner that lost the account and regained it between two ticks of this front has the same
-		// session, and does not know what it has lent before.
-		owner, ok := f.table.Owner(placement.ShardOf(k.Account))
+		// Tokens of the current owner are confirmed, too: an owner that lost the account and regained it
+		// between two ticks of this front has the same session, but no longer knows what it lent before.
+		owner, ok := l.table.Owner(placement.ShardOf(k.Account))
 		if outstanding := b.previousTokens + b.tokens; ok && outstanding > 0 {
 			buckets[owner.Session] = append(buckets[owner.Session],
 				BucketState{Key: k, Outstanding: outstanding})
 		}
 	}
-	out := map[placement.Session][]DrainConfirmation{}
-	for _, m := range f.table.View.Members {
-		out[m.Session] = splitConfirmation(f.table.View.Number, buckets[m.Session])
+	confirmations := map[placement.Session][]DrainConfirmation{}
+	for _, m := range l.table.View.Members {
+		confirmations[m.Session] = splitConfirmation(l.table.View.Number, buckets[m.Session])
 	}
-	return out
+	return confirmations
 }
 
-// splitConfirmation makes the messages of one confirmation: at least one, also where there are no buckets.
+// splitConfirmation splits a confirmation into messages. It returns at least one, even without any buckets.
 func splitConfirmation(view uint64, buckets []BucketState) (messages []DrainConfirmation) {
 	if len(buckets) == 0 {
 		return []DrainConfirmation{{View: view}}
@@ -43,7 +44,7 @@
 	return messages
 }
 
-// confirmation is what a front has confirmed, as far as its messages have arrived.
+// confirmation is the part of a front's drain confirmation that has arrived so far.
 type confirmation struct {
 	view      uint64
 	total     int
@@ -53,10 +54,11 @@
 // revocation collects the fronts' drain confirmations at an authority.
 type revocation struct {
 	members  []placement.Member
-	complete map[placement.Session]confirmation // the newest of each front of which all messages arrived
+	complete map[placement.Session]confirmation // each front's newest of which all messages arrived
 	partial  map[placement.Session]confirmation
-	// unsafeUntil is until when a member that left the view, and may not have ended, may still act.
-	unsafeUntil time.Duration
+	// departedLeaseEnds is when the leases of all members that left the view, and may still be running, have
+	// definitely expired.
+	departedLeaseEnds time.Duration
 }
 
 func newRevocation() revocation {
@@ -66,32 +68,32 @@
 	}
 }
 
-// setView takes over a view.
-//
-// Hazard: a member that left the view without having surely ended may act until its lease ends, and need not
-// confirm anything.
+// setView sets the view. A member that left the view and is not known to have ended may act until its lease
+// expires, and no confirmation is expected from it.
 func (r *revocation) setView(t, previous *placement.Table, leaseEnds time.Duration, skipped bool) {
 	sessions := map[placement.Session]bool{}
 	for _, m := range t.View.Members {
 		sessions[m.Session] = true
 	}
-	unsafe := skipped || previous == nil
+	departedMayAct := skipped || previous == nil
 	if previous != nil {
 		for _, m := range previous.View.Members {
-			unsafe = unsafe || !sessions[m.Session] && !slices.Contains(t.View.Expired, m.Session)
+			departedMayAct = departedMayAct ||
+				!sessions[m.Session] && !slices.Contains(t.View.Expired, m.Session)
 		}
 	}
-	if unsafe {
-		r.unsafeUntil = max(r.unsafeUntil, leaseEnds)
+	if departedMayAct {
+		r.departedLeaseEnds = max(r.departedLeaseEnds, leaseEnds)
 	}
 	r.members = t.View.Members
-	forgetOthers(r.complete, sessions)
-	forgetOthers(r.partial, sessions)
+	pruneConfirmations(r.complete, sessions)
+	pruneConfirmations(r.partial, sessions)
 }
 
-// forgetOthers deletes the confirmations of sessions that are not in the view, once there are many: one may
-// arrive before the view does that its session is in.
-func forgetOthers(confirmations map[placement.Session]confirmation, sessions map[placement.Session]bool) {
+// pruneConfirmations deletes the confirmations of sessions outside the view, but only once there are many: a
+// confirmation may arrive before the view that contains its session.
+func pruneConfirmations(confirmations map[placement.Session]confirmation,
+	sessions map[placement.Session]bool) {
 	if len(confirmations) <= 4*len(sessions)+16 {
 		return
 	}
@@ -102,9 +104,8 @@
 	}
 }
 
-// receive takes a message of a front's confirmation.
-//
-// Hazard: only a confirmation that is complete, in however many messages, names all that is outstanding.
+// receive processes one message of a front's drain confirmation. A confirmation is used only when all of its
+// messages have arrived, since only then does it list all outstanding tokens.
 func (r *revocation) receive(from placement.Session, m DrainConfirmation) {
 	if m.View <= r.complete[from].view {
 		return
@@ -126,7 +127,8 @@
 	r.partial[from] = c
 }
 
-// confirmedView is the newest view that all fronts of the current view have confirmed, or a later one.
+// confirmedView returns the newest view that every front in the current view has confirmed. A confirmation of
+// a later view counts for earlier ones, too.
 func (r *revocation) confirmedView() uint64 {
 	oldest := ^uint64(0)
 	for _, m := range r.members {
@@ -135,7 +137,7 @@
 	return oldest
 }
 
-// outstanding is what all fronts of the current view together have of earlier owners.
+// outstanding returns how many tokens of earlier owners the fronts in the current view hold together.
 func (r *revocation) outstanding() map[Key]int {
 	sum := map[Key]int{}
 	for _, m := range r.members {
@@ -146,35 +148,36 @@
 	return sum
 }
 
-// ReceiveDrainConfirmation takes a message of a front's confirmation.
+// ReceiveDrainConfirmation processes one message of a front's drain confirmation.
 func (a *Authority) ReceiveDrainConfirmation(now time.Duration, from placement.Session, m DrainConfirmation) {
 	a.revocation.receive(from, m)
-	a.settleRevoked(now)
+	a.activateConfirmedShards(now)
 }
 
-// settleRevoked begins to lend from the shards of which all outstanding tokens are known.
+// activateConfirmedShards starts lending from the shards whose outstanding tokens have all been confirmed.
 //
-// Hazard: an earlier owner may lend until its lease ends, and a front that has not confirmed the view may
-// take that. So all fronts must have confirmed the view by which the shard came here, or a later one; the
-// earlier owner is among them, or has ended.
-func (a *Authority) settleRevoked(now time.Duration) {
-	if now < a.revocation.unsafeUntil || len(a.revocation.members) == 0 || a.session.Epoch == 0 {
+// An earlier owner may lend until its lease expires, and a front that has not confirmed the view may accept
+// those grants. So all fronts must have confirmed the view in which this instance acquired the shard, or a
+// later one. The earlier owner is one of these fronts, or has ended.
+func (a *Authority) activateConfirmedShards(now time.Duration) {
+	if now < a.revocation.departedLeaseEnds || len(a.revocation.members) == 0 || a.session.Epoch == 0 {
 		return
 	}
 	confirmed := a.revocation.confirmedView()
-	settled := map[int]bool{}
+	activated := map[int]bool{}
 	for shard := range a.shards {
-		term := &a.shards[shard]
-		if term.owned && !term.settled && term.sinceView <= confirmed && now < a.lendableFrom(shard) {
-			term.settled, term.settledAt = true, now
-			settled[shard] = true
+		ownership := &a.shards[shard]
+		if ownership.owned && !ownership.outstandingKnown && ownership.sinceView <= confirmed &&
+			now < a.lendableFrom(shard) {
+			ownership.outstandingKnown, ownership.fillingSince = true, now
+			activated[shard] = true
 		}
 	}
-	if len(settled) == 0 {
+	if len(activated) == 0 {
 		return
 	}
 	for k, tokens := range a.revocation.outstanding() {
-		if !settled[placement.ShardOf(k.Account)] {
+		if !activated[placement.ShardOf(k.Account)] {
 			continue
 		}
 		if l := a.ledgerFor(now, k); l != nil {
--- a/internal/cluster/ratelimit/simulation_test.go
+++ b/internal/cluster/ratelimit/simulation_test.go
@@ -14,28 +14,28 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// simulation runs instances in virtual time, each with a limiter and an authority. Their messages are lost,
-// duplicated, late and out of order; their clocks run at rates of their own; they stall, die, are started
-// again, and learn of views late. It has what package consensus promises of leases and views, and no more.
+// simulation runs instances in virtual time, each with a limiter and an authority. Messages are lost,
+// duplicated, delayed and reordered; clocks run at different rates; instances stall, crash, restart and apply
+// views late. It provides the guarantees of package consensus on leases and views, and no others.
 type simulation struct {
-	t               testing.TB
-	rng             *rand.Rand
-	now             time.Duration
-	lease           time.Duration
-	events          []event // to run, by time
-	nodes           []*simNode
-	epoch           uint64
-	view            placement.View // as agreed last
-	log             []placement.View
-	policy          Policy
-	admissions      map[Key][]time.Duration
-	trueBuckets     map[Key]*trueBucket
-	fastestClock    float64 // rate of the fastest clock
-	violation       string
-	lossy           bool
-	pausing         bool // each account has no calls now and then
-	onlyViewChanges bool // no other faults
-	admitted        int
+	t                 testing.TB
+	rng               *rand.Rand
+	now               time.Duration
+	lease             time.Duration
+	events            []event // pending, by time
+	nodes             []*simNode
+	epoch             uint64
+	view              placement.View // the newest agreed view
+	log               []placement.View
+	policy            Policy
+	admissions        map[Key][]time.Duration
+	referenceBuckets  map[Key]*referenceBucket
+	fastestClock      float64 // rate of the fastest clock
+	violation         string
+	lossy             bool
+	intermittentCalls bool // each account has pauses without calls
+	onlyViewChanges   bool // inject no other faults
+	admitted          int
 }
 
 type event struct {
@@ -44,23 +44,23 @@
 }
 
 type simNode struct {
-	sim          *simulation
-	id           uint64
-	starts       int
-	session      placement.Session
-	alive        bool
-	stalledUntil time.Duration
-	clockRate    float64
-	clockStart   time.Duration
-	limiter      *Limiter
-	authority    *Authority
-	appliedViews int
-	leaseUntil   time.Duration
-	renewedAt    time.Duration // on the simulation's clock
-	cut          bool
-	muted        bool          // its messages are held back
-	heldBack     []func()      // in the order in which they were sent
-	lagsUntil    time.Duration // until then it gets no entry of the log, though it is connected
+	sim             *simulation
+	id              uint64
+	startCount      int
+	session         placement.Session
+	alive           bool
+	stalledUntil    time.Duration
+	clockRate       float64
+	clockStart      time.Duration
+	limiter         *Limiter
+	authority       *Authority
+	appliedViews    int
+	leaseUntil      time.Duration
+	renewedAt       time.Duration // on the simulation's clock
+	partitioned     bool
+	outboundBlocked bool          // messages that it sends are held back
+	blockedMessages []func()      // held deliveries, in the order in which they were sent
+	logDelayedUntil time.Duration // until then it receives no log entries, although it is connected
 }
 
 func (s *simulation) after(d time.Duration, f func()) {
@@ -74,11 +74,12 @@
 	s.events = slices.Insert(s.events, i, e)
 }
 
-// after runs something at an instance after a time, once that is not stalled, if its process is the same.
+// after runs a function at an instance after a time, or when a stall ends later. The function is dropped if
+// the process has ended by then.
 func (n *simNode) after(d time.Duration, f func()) {
-	starts := n.starts
+	startCount := n.startCount
 	n.sim.after(d, func() {
-		if n.starts != starts || !n.alive {
+		if n.startCount != startCount || !n.alive {
 			return
 		}
 		if n.stalledUntil > n.sim.now {
@@ -94,7 +95,7 @@
 }
 
 func (n *simNode) start() {
-	n.starts++
+	n.startCount++
 	n.alive, n.stalledUntil, n.leaseUntil = true, 0, 0
 	n.clockStart = n.sim.now - time.Duration(n.sim.rng.Int64N(int64(time.Second)))
 	n.sim.epoch++
@@ -102,7 +103,7 @@
 	n.limiter, n.authority = NewLimiter(n.clock()), NewAuthority()
 	n.limiter.Configure(n.clock(), n.sim.policy)
 	n.authority.Configure(n.clock(), n.sim.policy)
-	n.appliedViews = max(len(n.sim.log)-1, 0) // a snapshot: earlier views are not seen
+	n.appliedViews = max(len(n.sim.log)-1, 0) // it starts from a snapshot, so earlier views are skipped
 	n.tick()
 }
 
@@ -150,14 +151,14 @@
 	}
 }
 
-// sortedSessions returns the keys in an order that does not depend on the run.
+// sortedSessions returns the keys of a map in sorted order, so that runs are reproducible.
 func sortedSessions[V any](m map[placement.Session]V) []placement.Session {
 	return slices.SortedFunc(maps.Keys(m), func(a, b placement.Session) int {
 		return cmp.Or(cmp.Compare(a.Member, b.Member), cmp.Compare(a.Epoch, b.Epoch))
 	})
 }
 
-// send delivers a message to a session, if that is still its instance's when the message arrives.
+// send delivers a message if its session is still the receiver's current one when the message arrives.
 func (n *simNode) send(session placement.Session, receive func(to *simNode, from placement.Session)) {
 	s, from := n.sim, n.session
 	for _, to := range s.nodes {
@@ -178,11 +179,11 @@
 			if s.lossy && s.rng.IntN(10) == 0 {
 				delay = time.Duration(s.rng.Int64N(int64(4 * time.Second)))
 			}
-			if (n.cut || to.cut) && to != n {
+			if (n.partitioned || to.partitioned) && to != n {
 				continue
 			}
-			if n.muted && to != n {
-				n.heldBack = append(n.heldBack, func() { to.after(0, deliver) })
+			if n.outboundBlocked && to != n {
+				n.blockedMessages = append(n.blockedMessages, func() { to.after(0, deliver) })
 				continue
 			}
 			to.after(delay, deliver)
@@ -190,45 +191,47 @@
 	}
 }
 
-// applyViews has an instance apply views, and renew its lease with a leader that has applied all of them.
+// applyViews applies pending views at an instance. If it has then applied all of them, as its leader has, it
+// renews its lease.
 func (n *simNode) applyViews() {
 	s := n.sim
-	if n.cut {
+	if n.partitioned {
 		return
 	}
 	upTo := len(s.log)
-	if s.now < n.lagsUntil {
+	if s.now < n.logDelayedUntil {
 		return
 	}
 	if s.lossy && s.rng.IntN(4) == 0 && n.appliedViews < upTo {
-		upTo = n.appliedViews + s.rng.IntN(upTo-n.appliedViews) // it lags
+		upTo = n.appliedViews + s.rng.IntN(upTo-n.appliedViews) // it applies only some of them
 	}
 	for ; n.appliedViews < upTo; n.appliedViews++ {
 		v := s.log[n.appliedViews]
-		own := placement.Session{}
+		self := placement.Session{}
 		for _, m := range v.Members {
 			if m.Session == n.session {
-				own = m.Session
+				self = m.Session
 			}
 		}
 		t := placement.NewTable(v)
-		n.limiter.SetView(n.clock(), t, own)
-		n.authority.SetView(n.clock(), t, own, s.lease, false)
+		n.limiter.SetView(n.clock(), t, self)
+		n.authority.SetView(n.clock(), t, self, s.lease, false)
 	}
-	if n.appliedViews == len(s.log) && s.inView(n) && !n.muted {
+	if n.appliedViews == len(s.log) && s.inView(n) && !n.outboundBlocked {
 		n.renewedAt = s.now
-		n.leaseUntil = n.clock() + s.lease // requested now, of a leader that had applied as much
+		n.leaseUntil = n.clock() + s.lease // requested now, from a leader that has applied the same views
 	}
 }
 
-// setView agrees on a new view.
+// setView adds a newly agreed view to the log.
 func (s *simulation) setView(members []placement.Member, expired ...placement.Session) {
 	s.view = placement.View{Number: uint64(len(s.log) + 1), Members: members, Expired: expired}
 	slices.SortFunc(s.view.Members, func(a, b placement.Member) int { return int(a.Member) - int(b.Member) })
 	s.log = append(s.log, s.view)
 }
 
-// openSession adds an instance to the view. An earlier session of it has surely expired: its process ended.
+// openSession adds an instance to the view. Any earlier session of the instance is marked as expired, since
+// its process has ended.
 func (s *simulation) openSession(n *simNode) {
 	var expired []placement.Session
 	for _, m := range s.view.Members {
@@ -240,11 +243,11 @@
 }
 
 func (s *simulation) others(n *simNode) []placement.Member {
-	is := func(m placement.Member) bool { return m.Member == n.id }
-	return slices.DeleteFunc(slices.Clone(s.view.Members), is)
+	isNode := func(m placement.Member) bool { return m.Member == n.id }
+	return slices.DeleteFunc(slices.Clone(s.view.Members), isNode)
 }
 
-// inView is whether an instance's session is in the newest view.
+// inView reports whether an instance's session is in the newest view.
 func (s *simulation) inView(n *simNode) bool {
 	return slices.ContainsFunc(s.view.Members,
 		func(m placement.Member) bool { return m.Session == n.session })
@@ -254,7 +257,8 @@
 	s.setView(s.others(n), expired...)
 }
 
-// call is a client's call at a front, which admits only under a valid lease, as admission control does.
+// call makes a client's call at a front and reports whether it is admitted. Like admission control, the front
+// admits only while its lease is valid.
 func (n *simNode) call(account, class string) bool {
 	s, now := n.sim, n.clock()
 	if !n.alive || n.stalledUntil > s.now || now >= n.leaseUntil {
@@ -266,15 +270,15 @@
 		for _, k := range []Key{{Account: account}, {account, class}} {
 			if _, limited := s.policy.LimitOf(k); limited {
 				s.admissions[k] = append(s.admissions[k], s.now)
-				s.trueBucketOf(k).level--
+				s.referenceBucketOf(k).level--
 			}
 		}
 	}
 	return ok
 }
 
-// audit describes a window in which more was admitted than the limit allows, by owners' clocks that run at
-// most so fast; empty: there is none.
+// audit describes the first admission that exceeds a limit if owners' clocks run at up to clockRate. It
+// returns an empty string if there is none.
 func (s *simulation) audit(clockRate float64) string {
 	for k, times := range s.admissions {
 		l, _ := s.policy.LimitOf(k)
@@ -282,8 +286,8 @@
 		for i, at := range times {
 			level = min(l.Burst, level+l.Rate*clockRate*(at-last).Seconds()) - 1
 			if last = at; level < -1e-6 {
-				return fmt.Sprintf("%v: admission %d at %v is beyond %v a second and %v at once", k, i, at,
-					l.Rate, l.Burst)
+				return fmt.Sprintf("bucket %v: admission %d at %v exceeds %v jobs/s with a burst of %v", k, i,
+					at, l.Rate, l.Burst)
 			}
 		}
 	}
@@ -299,14 +303,14 @@
 	values := maps.Clone(testSection)
 	values["parts"] = fmt.Sprint(nodes)
 	if seed%4 > 1 {
-		values["term"] = "2s" // grants outlive the lease of the owner that gave them
+		values["term"] = "2s" // grants last longer than the lease of the owner that made them
 	}
 	p, problems := ParsePolicy(values, []string{"x", "y"})
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
 	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), lease: 500 * time.Millisecond, policy: p,
-		admissions: map[Key][]time.Duration{}, trueBuckets: map[Key]*trueBucket{}, fastestClock: 1}
+		admissions: map[Key][]time.Duration{}, referenceBuckets: map[Key]*referenceBucket{}, fastestClock: 1}
 	for i := range nodes {
 		n := &simNode{sim: s, id: uint64(i + 1), clockRate: 1}
 		s.nodes = append(s.nodes, n)
@@ -327,13 +331,14 @@
 	s.now = until
 }
 
-// startCalls has clients call: each account mostly at one front, which changes, and now and then at any.
-func (s *simulation) startCalls(every time.Duration) {
-	var again func()
-	again = func() {
+// startCalls starts clients' calls. Most calls of an account arrive at one front, which changes over time.
+// The others arrive at random fronts.
+func (s *simulation) startCalls(interval time.Duration) {
+	var callAll func()
+	callAll = func() {
 		for i, account := range []string{"a", "b", "c", "d", "e", "f"} {
-			// Each has no calls now and then, with the tokens that it has.
-			if s.pausing && (s.now/(300*time.Millisecond)+3*time.Duration(i))%7 > 3 {
+			// An account pauses while fronts still hold tokens for it.
+			if s.intermittentCalls && (s.now/(300*time.Millisecond)+3*time.Duration(i))%7 > 3 {
 				continue
 			}
 			n := s.nodes[(int(s.now/(700*time.Millisecond))+i)%len(s.nodes)]
@@ -342,23 +347,24 @@
 			}
 			n.call(account, []string{"x", "y"}[s.rng.IntN(2)])
 		}
-		s.after(time.Duration(s.rng.Int64N(int64(2*every))), again)
+		s.after(time.Duration(s.rng.Int64N(int64(2*interval))), callAll)
 	}
-	again()
+	callAll()
 }
 
-// runScenario simulates 22 s with faults, and returns a violation of a limit, and the count of admissions.
-func runScenario(t testing.TB, seed uint64, nodes int, clockRates bool) (violation string, admitted int) {
+// runScenario simulates 22 s with faults. It returns a violation of a limit, if there is one, and the number
+// of admissions.
+func runScenario(t testing.TB, seed uint64, nodes int, varyClockRates bool) (violation string, admitted int) {
 	t.Helper()
 	s := newSimulation(t, seed, nodes, true)
 	fastest := 1.0
-	if clockRates {
+	if varyClockRates {
 		for _, n := range s.nodes {
 			n.clockRate = 0.6 + 0.8*s.rng.Float64()
 			fastest = max(fastest, n.clockRate)
 		}
 	}
-	s.pausing, s.onlyViewChanges = seed%3 == 0, seed%5 < 2
+	s.intermittentCalls, s.onlyViewChanges = seed%3 == 0, seed%5 < 2
 	s.startCalls(3 * time.Millisecond)
 	for at := 2 * time.Second; at < 20*time.Second; {
 		s.after(at, s.injectFault)
@@ -372,12 +378,12 @@
 	return cmp.Or(s.violation, s.audit(fastest)), s.admitted
 }
 
-// In no window more is admitted at all fronts together than the rate and the burst allow, whatever messages
-// are lost, late or duplicated, and whichever instances stall, die or come back.
+// In every time window, all fronts together admit no more than the rate and the burst allow, even if messages
+// are lost, delayed or duplicated, and instances stall, crash or return.
 func TestAdmissionsKeepToLimitsUnderFaults(t *testing.T) {
 	seeds := 60
 	if v, err := strconv.Atoi(os.Getenv("STORIES")); err == nil {
-		seeds = v // for a longer search than a test run has time for
+		seeds = v // for a longer search than a normal test run allows
 	}
 	if testing.Short() {
 		seeds = 10
@@ -390,35 +396,35 @@
 		}
 	}
 	if total < 500*seeds {
-		t.Errorf("%d admissions in %d scenarios: too few to show anything", total, seeds)
+		t.Errorf("%d admissions in %d scenarios, want at least 500 per scenario", total, seeds)
 	}
 }
 
-// An owner lends nothing before the last grant of the owner before has expired at its front, whatever the
-// rates of the three clocks are within the promised bounds.
+// An owner lends nothing before the last grant of the previous owner has expired at its front, at any rates
+// of the three clocks within the bounds of package rollout.
 func TestExpiryWaitCoversClockRates(t *testing.T) {
 	const lease = 500 * time.Millisecond
 	p, _ := ParsePolicy(testSection, []string{"x"})
 	rates := []float64{0.6, 1, 1.4}
-	real := func(d time.Duration, rate float64) time.Duration { return time.Duration(float64(d) / rate) }
+	realTime := func(d time.Duration, rate float64) time.Duration { return time.Duration(float64(d) / rate) }
 	for _, before := range rates {
 		for _, front := range rates {
 			for _, after := range rates {
-				// The lease was requested just before the shard changed its owner, the last grant at its end.
-				end := real(lease, before) + real(p.GrantDuration, front)
-				a, own := NewAuthority(), placement.Session{Member: 1, Epoch: 1}
+				// The lease was requested just before the shard changed owners, the last grant at its end.
+				expiresAt := realTime(lease, before) + realTime(p.GrantDuration, front)
+				a, self := NewAuthority(), placement.Session{Member: 1, Epoch: 1}
 				a.Configure(0, p)
-				a.SetView(0, tableOf(1, own), own, lease, false)
-				if from := real(a.lendableFrom(placement.ShardOf("a")), after); from < end {
-					t.Errorf("clock rates %v, %v, %v: lent from %v on, the last grant expires at %v", before,
-						front, after, from, end)
+				a.SetView(0, tableOf(1, self), self, lease, false)
+				if start := realTime(a.lendableFrom(placement.ShardOf("a")), after); start < expiresAt {
+					t.Errorf("clock rates %v, %v, %v: lending starts at %v, and the last grant expires at %v",
+						before, front, after, start, expiresAt)
 				}
 			}
 		}
 	}
 }
 
-// tableOf is the table of a view of the given sessions.
+// tableOf returns the table of a view with the given sessions as members.
 func tableOf(view uint64, sessions ...placement.Session) *placement.Table {
 	var members []placement.Member
 	for _, session := range sessions {
--- a/internal/cluster/ratelimit/transfer.go
+++ b/internal/cluster/ratelimit/transfer.go
@@ -6,11 +6,11 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// prepareTransfers makes the transfers of the shards that go to others by a view. It must be called before
-// the view is taken over.
+// prepareTransfers creates the transfers of the shards that a view gives to other members. It must be called
+// before the view is set.
 //
-// Hazard: a shard of which only some buckets are named would be taken for unused but for those. It is
-// transferred with all of its buckets, or not at all.
+// A shard is transferred with all of its buckets or not at all, because the next owner treats buckets that
+// the transfer does not list as unused.
 func (a *Authority) prepareTransfers(now time.Duration, t *placement.Table) {
 	buckets := a.bucketsByShard(now)
 	byOwner := map[placement.Session]*Transfer{}
@@ -49,8 +49,8 @@
 	return buckets
 }
 
-// PendingTransfers returns what is to be sent now to the next owners of this instance's former shards, by
-// their session. It must be called once a tick.
+// PendingTransfers returns the transfers to send now to the next owners of this instance's former shards, by
+// the owners' sessions. It must be called once per tick.
 func (a *Authority) PendingTransfers() map[placement.Session]*Transfer {
 	pending := map[placement.Session]*Transfer{}
 	for _, tr := range a.transfers {
@@ -62,25 +62,26 @@
 	return pending
 }
 
-// ReceiveTransfer takes over shards from their previous owner. Shards that do not count are deleted from the
-// transfer.
+// ReceiveTransfer applies the state of shards received from their previous owner. It deletes shards that it
+// does not accept from the transfer: those transferred in another view or by a session that was not the
+// previous owner, and those from which this instance already lends.
 //
-// Hazards: a transfer by another view, or of a session that was not the owner before, or one that arrives
-// when this instance lends already; and tokens that the previous owner has lent, which last for a grant's
-// duration from now on at the most.
+// Tokens that the previous owner lent count as outstanding for one grant duration from now, since they can't
+// last longer.
 func (a *Authority) ReceiveTransfer(now time.Duration, tr *Transfer) {
 	for shard, state := range tr.Shards {
 		if !a.accepts(now, tr, shard, state) {
 			delete(tr.Shards, shard)
 			continue
 		}
-		term := &a.shards[shard]
-		term.settledAt, term.settled = now-state.FilledFor, true
+		ownership := &a.shards[shard]
+		ownership.fillingSince, ownership.outstandingKnown = now-state.FilledFor, true
 	}
-	// Buckets that fronts have requested tokens of already are, unless they are named, as if made now.
+	// Buckets that fronts have already requested tokens from get the level of a new ledger. Those that the
+	// transfer lists are set below.
 	for _, l := range a.ledgers {
 		if state, ok := tr.Shards[l.shard]; ok {
-			l.fillFor(now, state.FilledFor, &a.policy)
+			l.resetLevel(now, state.FilledFor, &a.policy)
 		}
 	}
 	for _, bucket := range tr.Buckets {
@@ -97,11 +98,11 @@
 	}
 }
 
-// accepts is whether a transfer settles a shard.
+// accepts reports whether the transferred state of a shard can be applied.
 func (a *Authority) accepts(now time.Duration, tr *Transfer, shard int, state TransferredShard) bool {
 	if shard < 0 || shard >= len(a.shards) || state.FilledFor < 0 || now >= a.lendableFrom(shard) {
 		return false
 	}
-	term := &a.shards[shard]
-	return term.owned && term.sinceView == tr.View && term.previousOwner == tr.From
+	ownership := &a.shards[shard]
+	return ownership.owned && ownership.sinceView == tr.View && ownership.previousOwner == tr.From
 }
--- a/internal/cluster/ratelimit/utilisation_test.go
+++ b/internal/cluster/ratelimit/utilisation_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// The measured time of a run, and its calls: twice as many as the rate.
+// Calls start at callsFrom and arrive at twice the rate; admissions from measureFrom to measureUntil count.
 const (
-	measureFrom   = 10 * time.Second
-	measureUntil  = 50 * time.Second
-	callsFrom     = 4 * time.Second
-	callInterval  = 5 * time.Millisecond
-	measuredRate  = 100.0 // jobs a second, and the burst
-	moving        = "moving each second"
-	evenlyAtAll   = "at all alike"
-	maxOfRate     = measuredRate * float64((measureUntil-measureFrom)/time.Second)
-	nineTenthsGap = 111 * time.Millisecond // in which ten jobs are admitted at nine tenths of the rate
+	measureFrom    = 10 * time.Second
+	measureUntil   = 50 * time.Second
+	callsFrom      = 4 * time.Second
+	callInterval   = 5 * time.Millisecond
+	measuredRate   = 100.0 // jobs per second; also the burst
+	movingCalls    = "moving every second"
+	randomCalls    = "at random fronts"
+	maxAdmitted    = measuredRate * float64((measureUntil-measureFrom)/time.Second)
+	tenJobInterval = 111 * time.Millisecond // time to admit ten jobs at nine tenths of the rate
 )
 
-// callPattern is how clients' calls come in: which front the next one comes to.
+// callPattern determines the front that receives the call at a given time.
 type callPattern struct {
 	name    string
 	frontAt func(now time.Duration, rng *rand.Rand, fronts int) int
@@ -29,14 +29,14 @@
 
 var callPatterns = []callPattern{
 	{"at one front", func(time.Duration, *rand.Rand, int) int { return 0 }},
-	{evenlyAtAll, func(_ time.Duration, rng *rand.Rand, fronts int) int { return rng.IntN(fronts) }},
-	{moving, func(now time.Duration, _ *rand.Rand, fronts int) int {
+	{randomCalls, func(_ time.Duration, rng *rand.Rand, fronts int) int { return rng.IntN(fronts) }},
+	{movingCalls, func(now time.Duration, _ *rand.Rand, fronts int) int {
 		return int(now/time.Second) % fronts
 	}},
 }
 
-// measureLimiter returns the share of the rate that is admitted, and how many ticks calls that have moved to
-// another front take until they have nine tenths of the rate there.
+// measureLimiter returns the fraction of the rate that is admitted. For moving calls it also returns, for
+// each move to another front, the number of ticks until nine tenths of the rate are admitted there.
 func measureLimiter(t *testing.T, pattern callPattern, fronts int) (share float64, ticks []float64) {
 	t.Helper()
 	s := newSimulation(t, 7, fronts, false)
@@ -64,19 +64,19 @@
 	if violation := s.audit(1); violation != "" {
 		t.Error(violation)
 	}
-	if pattern.name == moving {
+	if pattern.name == movingCalls {
 		ticks = ticksAfterMoves(admitted, p.TickInterval)
 	}
-	return float64(len(admitted)) / maxOfRate, ticks
+	return float64(len(admitted)) / maxAdmitted, ticks
 }
 
-// ticksAfterMoves is how many ticks after each full second the first of ten jobs in a row was admitted that
-// came at nine tenths of the rate.
+// ticksAfterMoves returns, for each full second, how many ticks later the first run of ten intervals between
+// admissions starts that has at least nine tenths of the rate.
 func ticksAfterMoves(admitted []time.Duration, tick time.Duration) (ticks []float64) {
 	for moved := measureFrom + time.Second; moved < measureUntil-time.Second; moved += time.Second {
 		first, _ := slices.BinarySearch(admitted, moved)
 		for ; first+10 < len(admitted); first++ {
-			if admitted[first+10]-admitted[first] <= nineTenthsGap {
+			if admitted[first+10]-admitted[first] <= tenJobInterval {
 				ticks = append(ticks, float64(admitted[first]-moved)/float64(tick))
 				break
 			}
@@ -85,8 +85,9 @@
 	return ticks
 }
 
-// measureStaticSplit returns the share of the rate that is admitted where each front has a bucket with its
-// part of the rate. With one front that is a central bucket, but for the cost of asking it.
+// measureStaticSplit returns the fraction of the rate that is admitted if each front has its own bucket with
+// an equal part of the rate. With one front, this models a central bucket, but without the cost of its round
+// trips.
 func measureStaticSplit(pattern callPattern, fronts int) float64 {
 	rng := rand.New(rand.NewPCG(7, 1))
 	level, refilledAt, admitted := make([]float64, fronts), make([]time.Duration, fronts), 0
@@ -101,11 +102,11 @@
 			}
 		}
 	}
-	return float64(admitted) / maxOfRate
+	return float64(admitted) / maxAdmitted
 }
 
-// Lent tokens use a rate wherever the calls are, where a static split leaves most of it unused. A central
-// bucket uses all of it, and would cost each call a round trip.
+// Lent tokens must make most of a rate usable at whatever fronts the calls arrive, also where a static split
+// leaves most of it unused. A central bucket makes all of it usable, but would cost each call a round trip.
 func TestRateUtilisationComparedWithStaticSplitAndCentralBucket(t *testing.T) {
 	for _, fronts := range []int{5, 15} {
 		for _, pattern := range callPatterns {
@@ -114,13 +115,13 @@
 			slices.Sort(ticks)
 			afterMoves := ""
 			if len(ticks) > 0 {
-				afterMoves = fmt.Sprintf("; moved calls have the rate after %.1f ticks p50, %.1f p99",
+				afterMoves = fmt.Sprintf("; moved calls reach 0.9 of the rate after %.1f ticks p50, %.1f p99",
 					ticks[len(ticks)/2], ticks[len(ticks)*99/100])
 			}
-			t.Logf("%2d fronts, %-18s: lent tokens %.3f, static split %.3f, central %.3f%s", fronts,
+			t.Logf("%2d fronts, %-19s: lent tokens %.3f, static split %.3f, central bucket %.3f%s", fronts,
 				pattern.name,
 				share, split, central, afterMoves)
-			if share > 1.03 || share < 0.7 || pattern.name != evenlyAtAll && share < 2*split {
+			if share > 1.03 || share < 0.7 || pattern.name != randomCalls && share < 2*split {
 				t.Errorf("%d fronts, %s: lent tokens use %.3f of the rate, a static split %.3f", fronts,
 					pattern.name, share, split)
 			}
