--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,38 +1,38 @@
 package balancer
 
-// Decisions: whether a request is worth its wait, or is rejected.
+// Decisions: admission. A request is rejected if it would wait too long.
 
 import (
 	"math"
 	"time"
 )
 
-// worthWaiting decides whether q joins the queue at w or is rejected, by the wait to be expected there.
+// admits reports whether q may join the queue at w; if not, it is rejected. The expected wait there decides.
 //
-// Hazard: load above capacity, which the paper leaves out: every response is late and work is wasted. A class
-// waits up to the least latency objective of the classes that earn more, times the square of its rank among
-// them: those that earn more keep capacity. A request that is late already has the rank of what it may still
-// earn.
-func (b *Balancer) worthWaiting(now time.Duration, q *request, w *worker) bool {
+// The paper does not cover load above capacity. Without admission control every response would then be late
+// and the work on it wasted. A class may wait up to the least wait slack of the classes with a higher value
+// for each unit of work, times the square of its own rank by value. Capacity thus remains for the classes
+// with the highest value. A request that is already late is ranked by the value of a late response.
+func (b *Balancer) admits(now time.Duration, q *request, w *worker) bool {
 	wait := b.expectedWait(now, w)
 	if q.overQuota && b.waitingShare > slowWeight {
-		return false // hazard: requests over quota fill every gap, and others wait or are rejected
+		return false // otherwise they fill every gap, and requests within quota wait or are rejected
 	}
-	if recent := b.fadedRecentWait(now); (now - w.lastWaitAt).Seconds() > recent {
-		// Hazard: one of many dispatchers meets each worker too seldom to know its queue.
+	if recent := b.decayedRecentWait(now); (now - w.lastWaitAt).Seconds() > recent {
+		// A dispatcher among many sends to each worker too rarely to know its queue.
 		wait = max(wait, recent)
 	}
 	slack := b.waitSlack(now, q.Class, w)
 	limit := slack - (now - q.arrivedAt).Seconds()
-	rates := b.classRates()
+	rates := b.classValueRates()
 	rate, notAbove := rates[q.Class], 1.0
 	if limit < 0 && wait+b.expectedRunTime(q)*b.relativeRunTime(now, w) < (q.deadline-now).Seconds() {
-		// Hazard: what a failing worker loses is late by then, and failing it earns nothing. It counts for
-		// what a late response earns, and so gives way to all others.
+		// A request that a failing worker has lost is late by then, and failing it has no value. It is ranked
+		// by the value of a late response, and so yields to all requests that are not late.
 		limit, rate = slack, rate*q.class.LateShare
 	}
 	if q.overQuota {
-		// Hazard: what one tenant sends beyond its share takes the capacity of all others.
+		// Otherwise a tenant's requests beyond its quota would use the capacity of all others.
 		rate, notAbove = rate*b.settings.OverQuotaWeight, 0
 	}
 	for i, r := range rates {
@@ -47,13 +47,13 @@
 	return wait <= limit*rank*rank
 }
 
-// chargeQuota spends a token for a request of its tenant's bucket, or marks the request as over quota. A
-// dispatcher's part of a quota is an equal one, or the part of theirs that the other tenants use here, if
-// that is more.
+// chargeQuota spends a token of the tenant's bucket for a request, or marks the request as over quota. This
+// dispatcher's fraction of the quota is an equal share, or the fraction of their own quotas that the other
+// tenants use here, if that is larger.
 func (b *Balancer) chargeQuota(now time.Duration, q *request) {
 	if q.Tenant < 0 || q.Tenant >= len(b.quotas) || b.settings.OverQuotaWeight >= 1 ||
 		b.settings.Tenants[q.Tenant].QuotaPerSecond <= 0 {
-		return // not limited
+		return // no quota
 	}
 	offered, allowed := 0.0, 0.0
 	for i, other := range b.quotas {
@@ -74,27 +74,27 @@
 	}
 }
 
-// waitSlack is the wait at w, in seconds, that leaves a usual request of the class within its latency
-// objective.
+// waitSlack returns the wait at w, in seconds, with which a usual request of the class still meets its
+// latency objective.
 func (b *Balancer) waitSlack(now time.Duration, class int, w *worker) float64 {
 	c := &b.settings.Classes[class]
 	return max(0, c.LatencyObjective.Seconds()+
 		(c.ObjectiveStretch-b.relativeRunTime(now, w))*b.classRunTimes[class]/2)
 }
 
-// expectedWait is the wait to be expected at w, in seconds, by the requests in flight there.
+// expectedWait returns the expected wait at w, in seconds, from the requests in flight there.
 func (b *Balancer) expectedWait(now time.Duration, w *worker) float64 {
 	slots := b.slotsOf(w)
 	if b.settings.ReportsStart && b.kindSlots[w.Kind] < 1 {
-		// Hazard: slots that are never reported read as one, and all requests are rejected.
+		// Slots that are never reported count as one, and with that all requests would be rejected.
 		return b.observedWait(now, w)
 	}
 	return max(0, b.slotsInUse(now, w)+1-slots) / slots * b.meanRunTime * b.relativeRunTime(now, w)
 }
 
-// classRates gives, by class, what serving it adds to the goal for each unit of work. The result is valid
-// until the next call.
-func (b *Balancer) classRates() []float64 {
+// classValueRates returns, by class, what serving it adds to the goal for each unit of work. The result is
+// valid until the next call.
+func (b *Balancer) classValueRates() []float64 {
 	total, worst := 0.0, math.Inf(1)
 	for i, t := range b.classTallies {
 		total += t.offered * b.settings.Classes[i].PriorityWeight
@@ -108,15 +108,16 @@
 		if !b.settings.WeightByWork {
 			rate /= max(b.classRunTimes[i], epsilon)
 		}
-		b.rateBuffer[i] = rate
+		b.valueRateBuffer[i] = rate
 	}
-	return b.rateBuffer
+	return b.valueRateBuffer
 }
 
-// servedShare is the share of what was offered that was served in time, near one while little was offered.
+// servedShare returns the share of the offered load that was served in time. It is near one while little was
+// offered.
 func (t tally) servedShare() float64 { return (t.served + 1) / (t.offered + 1) }
 
-// goalUnits is what a request counts for in the goal.
+// goalUnits returns a request's weight in the goal.
 func (b *Balancer) goalUnits(q *request) float64 {
 	if !b.settings.WeightByWork {
 		return 1
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -253,7 +253,7 @@
 			r.submit(testRequest(100+i, idempotentClass))
 			r.endAttempt(r.lastSend(), WorkerFull)
 		}
-		if got := r.balancer.fadedRecentWait(r.now) > 0; got != reported {
+		if got := r.balancer.decayedRecentWait(r.now) > 0; got != reported {
 			t.Errorf("starts reported %v: a recent wait %v", reported, got)
 		}
 	}
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// mayAttempt reports whether the rules let q go to w now. Every attempt passes it.
+// mayAttempt reports whether the rules allow an attempt of q at w now. It is checked before every attempt.
 func (b *Balancer) mayAttempt(now time.Duration, q *request, w *worker) bool {
 	c := q.class
-	// Hazards: a client gets two responses; the attempts or the time are used up.
+	// A client must not get two responses, and the limits on attempts and time must hold.
 	if q.responded || now >= q.deadline || len(q.attempts) >= b.maxAttempts(q) {
 		return false
 	}
-	// Hazard: a draining worker gets new requests.
+	// A draining worker must not get new requests.
 	if w.State != Ready || c.WorkerKind >= 0 && c.WorkerKind != w.Kind || !q.onRoute(w) {
 		return false
 	}
-	// Hazard: two attempts in flight at once.
+	// Two attempts must not be in flight at once unless hedged requests are enabled.
 	if q.inFlight > 0 && !b.settings.Limits.HedgedRequests {
 		return false
 	}
@@ -28,12 +28,12 @@
 	for i := range q.attempts {
 		a := &q.attempts[i]
 		if a.worker == w {
-			return false // it has just failed this request, or has it
+			return false // it has failed this request or is running it
 		}
 		if !a.mayHaveRun() {
 			continue
 		}
-		// Hazard: this attempt may have run, or runs: its effect could happen twice.
+		// This attempt may have run or may be running, so its effect could happen twice.
 		if c.Idempotency == NonIdempotent ||
 			c.Idempotency == IdempotentByKey && (!a.inKeyWindow(now, c) || !sameKeyGroup(c, a.worker, w)) {
 			return false
@@ -42,19 +42,21 @@
 	return b.withinSlowStart(now, w, b.hintedWork(q))
 }
 
-// inKeyWindow reports whether repeats of an attempt that may have run are still dropped by the workers that
-// share its worker's key memory.
+// inKeyWindow reports whether the workers that share idempotency keys with the attempt's worker still drop
+// repeats of it.
 //
-// Hazard: the process is stalled between reading its clock and writing the repeat.
+// The window is shortened by maxStall, because the process can be suspended between reading its clock and
+// writing the repeat.
 func (a *attempt) inKeyWindow(now time.Duration, c *Class) bool {
 	return now-a.sentAt+maxStall < c.KeyWindow
 }
 
-// StillAllowed reports whether an attempt that was started, and has not been written to its worker yet, may
-// still be.
+// MayStillSend reports whether an attempt that has started, but has not been written to its worker yet, may
+// still be written.
 //
-// Hazard: a connection that comes up late carries a repeat after the key window of the attempt before it.
-func (b *Balancer) StillAllowed(now time.Duration, id RequestID, attempt int) bool {
+// Without this check, a connection that is established late could carry a repeat after the key window of the
+// previous attempt.
+func (b *Balancer) MayStillSend(now time.Duration, id RequestID, attempt int) bool {
 	q, _ := b.findAttempt(id, attempt)
 	if q == nil || q.responded {
 		return false
@@ -69,10 +71,10 @@
 	return true
 }
 
-// mayRetry reports whether the retry budget has room for one more.
+// mayRetry reports whether the retry budget allows one more retry.
 //
-// Hazard: where many attempts fail, each retry makes the overload larger. A time at the window's edge counts
-// against the budget: a retry there is still within the window, a request is not.
+// Without a budget, retries would amplify the overload when many attempts fail. Times at the edge of the
+// window are counted against the budget: a retry there is still within the window, a request is not.
 func (b *Balancer) mayRetry(now time.Duration) bool {
 	rules := &b.settings.Rules
 	if rules.RetryBudgetWindow <= 0 {
@@ -83,7 +85,7 @@
 	return float64(retries+1) <= rules.RetryBudgetBase+rules.RetryBudgetShare*float64(requests)
 }
 
-// send is the one place that starts an attempt.
+// send starts an attempt. Every attempt is started here.
 func (b *Balancer) send(now time.Duration, q *request, w *worker) {
 	if len(q.attempts) > 0 {
 		b.retryTimes.countAfter(now - b.settings.Rules.RetryBudgetWindow - 1)
@@ -92,12 +94,12 @@
 	q.attempts = append(q.attempts, attempt{worker: w, sentAt: now})
 	q.inFlight++
 	w.inFlight += q.slotsNeeded()
-	if w.owedRequest {
-		w.owedRequest = false
-		b.owedWorkers--
+	if w.needsTrialRequest {
+		w.needsTrialRequest = false
+		b.workersNeedingTrial--
 	}
 	if b.warmUpFactor(now, w) < 1 {
-		// As far back as the longest cycle of time slots reaches.
+		// Entries are kept for as long as the longest cycle of time slots.
 		oldest := now - b.settings.Rules.OverloadWindow*time.Duration(b.maxWindows())
 		w.slowStartSent = append(filter(w.slowStartSent, func(s sentWork) bool { return s.at > oldest }),
 			sentWork{now, b.hintedWork(q)})
@@ -105,16 +107,17 @@
 	b.actions.Send(q.ID, w.ID)
 }
 
-// provesNeverRan reports whether an attempt's end proves that the request never ran. Hazard: a worker may
-// also reject what it had begun.
+// provesNeverRan reports whether an attempt's end proves that the request never ran. With
+// Rules.FullMayHaveRun, a worker may also reject a request that it has begun.
 func (b *Balancer) provesNeverRan(r Result) bool {
 	return r.NeverRan() && !(r == WorkerFull && b.settings.Rules.FullMayHaveRun)
 }
 
-// cancelInFlight cancels the attempts in flight of a request that has its response, where that is possible.
+// cancelInFlight cancels the attempts in flight of a request that has its response, if cancelling is
+// possible.
 //
-// Hazard: requests whose clients have disconnected, and the slower of two hedged attempts, take capacity of
-// others.
+// Otherwise requests whose clients have disconnected, and the slower one of two hedged attempts, would use
+// the capacity of other requests.
 func (b *Balancer) cancelInFlight(q *request) {
 	for i := range q.attempts {
 		if !q.attempts[i].ended && b.settings.Limits.CanCancel {
@@ -123,7 +126,7 @@
 	}
 }
 
-// rejectable reports whether a rejection, which promises that a retry is harmless, would be true.
+// rejectable reports whether q may be rejected: a rejection promises that a retry is harmless.
 func (b *Balancer) rejectable(q *request) bool {
 	c := q.class
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
@@ -132,10 +135,10 @@
 	return !slices.ContainsFunc(q.attempts, attempt.mayHaveRun)
 }
 
-// hedge starts a second attempt of requests that are idempotent and in flight at an unresponsive worker.
+// hedge starts a second attempt of idempotent requests that are in flight at an unresponsive worker.
 //
-// Hazard: a second attempt of a request that only waits takes capacity of others, and both run if cancelling
-// stops nothing.
+// Requests that only wait are not hedged: a second attempt would use the capacity of others, and if
+// cancelling has no effect, both would run.
 func (b *Balancer) hedge(now time.Duration) {
 	for _, q := range b.requests {
 		if !q.responded && q.inFlight == 1 && q.class.Idempotency != NonIdempotent &&
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -262,8 +262,8 @@
 			t.Errorf("%v from one stall before the window's end: %d sends, want %d", c.after, len(r.sends),
 				c.sends)
 		}
-		if c.sends == 2 && (!r.balancer.StillAllowed(r.now, q.ID, 1) ||
-			r.balancer.StillAllowed(r.now+maxStall, q.ID, 1)) {
+		if c.sends == 2 && (!r.balancer.MayStillSend(r.now, q.ID, 1) ||
+			r.balancer.MayStillSend(r.now+maxStall, q.ID, 1)) {
 			t.Error("a retry that is not written yet is allowed after the window, or not within it")
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -5,78 +5,84 @@
 	"time"
 )
 
-// The constants of the decisions. Those without a source were chosen by runs of the simulator and of the
-// model world; docs/measurements.md has the figures.
+// The constants of the decisions. Where the comment gives no reason, the value follows from simulation runs;
+// docs/measurements.md has the figures.
 const (
-	// fastWeight is the weight of a new success, failure or health check in its average. slowWeight is that
-	// of what varies far more, a running time or the load report of a response; a quarter of it that of a
-	// worker's own running times.
+	// fastWeight is the weight of a new success, failure or health check in its moving average. slowWeight is
+	// the weight of values with a far larger variance: running times and load reports in responses. A quarter
+	// of slowWeight is the weight in a worker's own and its kind's run-time factors.
 	fastWeight, slowWeight = 0.3, 0.08
-	// fullPriorSeconds: so many seconds of full workers count as much as all that was observed of a kind.
+	// fullPriorSeconds is the weight of a kind's average rate relative to what its full workers have
+	// finished, in seconds of full workers; see kindRate.
 	fullPriorSeconds = 4
-	// nearlyFullShare of its slots may be free at a worker that counts as full.
+	// nearlyFullShare is the share of its slots that may be free at a worker that counts as full.
 	nearlyFullShare = 0.25
-	// maxRunTimeFactor is how many usual running times a single one may count for.
+	// maxRunTimeFactor caps a single running time, as a multiple of the expected one.
 	maxRunTimeFactor = 4
-	// ejectionScore is the failure score from which a worker is ejected. For a non-idempotent request, which
-	// a failure loses, half of it is enough.
+	// ejectionScore is the failure score from which a worker is ejected. Half of it is enough for
+	// non-idempotent requests, because a failure loses them.
 	ejectionScore = 0.25
-	// waitDrainRate is how many seconds an observed wait shortens by each second. Scores are flat from 2 to
-	// 8.
+	// waitDrainRate is the number of seconds by which an observed wait shrinks each second. Scores of
+	// simulations are flat from 2 to 8.
 	waitDrainRate = 2
-	// earlyWaitShare of a usual running time is the least wait that counts as one.
-	earlyWaitShare = 0.25
-	// silentIntervals: a worker that has missed so many progress reports is unresponsive.
-	silentIntervals = 3
-	// homeStepLoad is how many requests each worker between a dispatcher's home and a worker counts for.
-	homeStepLoad = 0.25
-	// crossZoneLoad is how much load another zone counts for, as a multiple of its cost.
+	// minWaitShare is the least wait that counts as one, as a share of the mean running time.
+	minWaitShare = 0.25
+	// unresponsiveIntervals is the number of progress reports that a worker misses before it is unresponsive.
+	unresponsiveIntervals = 3
+	// ringStepLoad is the load, in requests, that each step on the ring between a dispatcher and a worker
+	// counts for.
+	ringStepLoad = 0.25
+	// crossZoneLoad is the load that being in another zone counts for, as a multiple of its cost.
 	crossZoneLoad = 10
-	// maxCrossZoneLoad bounds that: a worker of this zone that is half full is no better than an idle remote
-	// one.
+	// maxCrossZoneLoad bounds that load: a half-full worker of this zone is no better than an idle one of
+	// another zone.
 	maxCrossZoneLoad = 0.5
 	// minQuotaBurst is the least number of requests that a tenant's token bucket holds.
 	minQuotaBurst = 5
-	// checkedChoices is how many workers of a draw get a health check.
-	checkedChoices = 3
-	// checkWaitDivisor: a request waits this part of its latency objective for the load reports.
+	// checksPerDraw is the number of workers of a draw that get a health check.
+	checksPerDraw = 3
+	// checkWaitDivisor limits how long a request waits for load reports: its latency objective divided by
+	// this.
 	checkWaitDivisor = 16
-	// manyDispatchers is how many must not request the list at the same time.
-	manyDispatchers = 8
-	// firstListSpread: many dispatchers spread their first calls for the list over this part of the least
-	// timeout.
-	firstListSpread = 16
-	// firstListDivisor: requests wait for the first list for this part of the least timeout, and of their
-	// own.
-	firstListDivisor = 2
-	// maxListBackoff is the longest wait before the list is requested again. Hazard: when its service is back
-	// after a long outage, all that it has to report counts as reported 6 s later.
+	// listSpreadThreshold is the number of dispatchers from which their calls for the list are spread over
+	// time.
+	listSpreadThreshold = 8
+	// firstListSpreadDivisor sets the period over which first calls for the list are spread: the least
+	// timeout of a class divided by this.
+	firstListSpreadDivisor = 16
+	// firstListWaitDivisor limits how long requests wait for the first list: the least timeout of a class,
+	// and the request's own, divided by this.
+	firstListWaitDivisor = 2
+	// maxListBackoff is the longest wait before the list is requested again. A state that discovery reports
+	// after a long outage counts as known 6 s after the outage ends, so the list must be requested before
+	// that.
 	maxListBackoff = 4 * time.Second
-	// staleTimeouts: load reports older than so many of the least timeouts are no measure of a queue.
-	staleTimeouts = 2
-	// epsilon keeps divisors off zero.
+	// staleReportTimeouts is the age, in least timeouts of a class, from which load reports are too old to
+	// estimate a queue.
+	staleReportTimeouts = 2
+	// epsilon prevents division by zero.
 	epsilon = 1e-9
-	// maxStall is how long a process may be stalled between reading its clock and writing to a socket.
+	// maxStall is how long the process may be suspended between reading its clock and writing to a socket.
 	maxStall = 150 * time.Millisecond
 )
 
-// place gives a request without an attempt in flight its next one, maybe after waiting for load reports, or
-// its final response.
-func (b *Balancer) place(now time.Duration, q *request) {
+// dispatch starts the next attempt of a request that has none in flight, possibly after waiting for load
+// reports, or sends its final response.
+func (b *Balancer) dispatch(now time.Duration, q *request) {
 	if !b.awaitWorkerState(now, q) && !b.startAttempt(now, q) {
 		b.rejectOrFail(q)
 	}
 }
 
-// startAttempt starts an attempt if a worker is eligible and the wait there acceptable, and reports whether
-// it has.
+// startAttempt starts an attempt if a worker is eligible and the wait there is acceptable, and reports
+// whether it did.
 //
-// Where the request's route has tiers, the first one with such a worker is used, as far as the route lets the
-// request spill over. Ejected workers come after all tiers.
+// If the request's route has tiers, the first tier with such a worker is used, as long as the route lets the
+// request spill over. Ejected workers are tried after all tiers.
 func (b *Balancer) startAttempt(now time.Duration, q *request) bool {
 	for q.startRoute(); ; {
 		w := b.pickWorker(now, q)
-		if w != nil && (w.owedRequest && len(q.attempts) == 0 || b.worthWaiting(now, q, w)) {
+		if w != nil && (w.needsTrialRequest && len(q.attempts) == 0 || b.admits(now, q, w)) {
 			b.send(now, q, w)
 			return true
 		}
@@ -86,19 +92,20 @@
 	}
 }
 
-// sweepInterval is the time between sweeps: an overdue response must fall into the response slack.
+// sweepInterval is the time between sweeps. It is at most half of the response slack, so that an overdue
+// request is responded to within the slack.
 func (b *Balancer) sweepInterval() time.Duration {
 	return max(b.settings.Rules.ResponseSlack/2, b.settings.MinEventInterval, time.Millisecond)
 }
 
-// sweep does what no event calls for.
+// sweep does the periodic work that no event triggers.
 func (b *Balancer) sweep(now time.Duration) {
 	if b.settings.ReportsStart {
 		b.updateUnstartedWaits(now)
 	}
 	b.hedge(now)
 	for i := len(b.requests) - 1; i >= 0; i-- {
-		// Hazard: an attempt's end is never reported, and the client's time runs out without a response.
+		// If the end of an attempt is never reported, its client still needs a response in time.
 		if q := b.requests[i]; !q.responded && now >= q.deadline {
 			b.rejectOrFail(q)
 		}
@@ -111,7 +118,7 @@
 	}
 }
 
-// updateUnstartedWaits updates how long workers have left attempts unstarted.
+// updateUnstartedWaits updates how long each worker has left the oldest attempt unstarted.
 func (b *Balancer) updateUnstartedWaits(now time.Duration) {
 	for _, q := range b.requests {
 		for i := range q.attempts {
@@ -122,9 +129,11 @@
 	}
 }
 
-// updateAverages fades the averages, which go back one slow-start window, and adds the time that has passed.
+// updateAverages decays the averages, which cover about one slow-start window, and adds the time since the
+// last update.
 //
-// Hazard: each sweep would visit every worker of many; so this runs 64 times in a window.
+// It runs 64 times in a window, because visiting every worker in each sweep would cost too much where there
+// are many.
 func (b *Balancer) updateAverages(now time.Duration) {
 	window := max(b.settings.Rules.SlowStartWindow, time.Second)
 	if now < b.averagedAt+window/64 {
@@ -132,7 +141,7 @@
 	}
 	dt := (now - b.averagedAt).Seconds()
 	b.averagedAt = now
-	b.fadeAverages(math.Exp(-dt / window.Seconds()))
+	b.decayAverages(math.Exp(-dt / window.Seconds()))
 	b.observedSeconds += dt
 	for _, w := range b.workers {
 		if w.State == Ready && b.warmUpFactor(now, w) == 1 {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -166,7 +166,7 @@
 // Rule 1: the host never reports the end of the attempt.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	r := newRecorder(t, testSettings())
-	r.losesEnds = true
+	r.dropsAttemptEnds = true
 	r.updateWorkers(ListFull, readyWorkers(2)...)
 	for class := range 3 {
 		r.submit(testRequest(class, class))
@@ -198,8 +198,8 @@
 
 func TestNewNamesTheBadSetting(t *testing.T) {
 	for _, c := range []struct {
-		want string
-		do   func(*Settings)
+		want       string
+		invalidate func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"Classes[1].Timeout", func(s *Settings) { s.Classes[1].Timeout = 0 }},
@@ -210,7 +210,7 @@
 		{"Zone", func(s *Settings) { s.ZoneCount, s.Zone = 2, 2 }},
 	} {
 		set := testSettings()
-		c.do(&set)
+		c.invalidate(&set)
 		if _, err := New(set, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("New: %v, want it to name %s", err, c.want)
 		}
@@ -389,12 +389,12 @@
 	if b.requestByID["old"].class.PriorityWeight != 1 || b.requestByID["new"].class.PriorityWeight != 7 {
 		t.Error("a request does not have the class that it came with")
 	}
-	for _, spoil := range []func(*Class){
+	for _, invalidate := range []func(*Class){
 		func(c *Class) { c.Idempotency = NonIdempotent }, func(c *Class) { c.Name = "d" },
 		func(c *Class) { c.KeyWindow = time.Hour }, func(c *Class) { c.Timeout = -1 }} {
 		bad := set
 		bad.Classes = append([]Class(nil), set.Classes...)
-		spoil(&bad.Classes[0])
+		invalidate(&bad.Classes[0])
 		if b.CanConfigure(bad) == nil {
 			t.Errorf("accepted while requests are open: %+v", bad.Classes[0])
 		}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// idleHost is a host that only remembers where the request went.
-type idleHost struct{ to WorkerID }
+// stubHost is a host that only remembers where the request went.
+type stubHost struct{ to WorkerID }
 
-func (h *idleHost) Send(_ RequestID, w WorkerID)  { h.to = w }
-func (*idleHost) Reject(RequestID, time.Duration) {}
-func (*idleHost) Fail(RequestID)                  {}
-func (*idleHost) Cancel(RequestID, int)           {}
-func (*idleHost) CheckHealth(WorkerID)            {}
-func (*idleHost) WatchList(bool)                  {}
-func (*idleHost) SetTimer(time.Duration, uint64)  {}
-func (*idleHost) SendPeer(int, []byte)            {}
-func (*idleHost) Log(string)                      {}
+func (h *stubHost) Send(_ RequestID, w WorkerID)  { h.to = w }
+func (*stubHost) Reject(RequestID, time.Duration) {}
+func (*stubHost) Fail(RequestID)                  {}
+func (*stubHost) Cancel(RequestID, int)           {}
+func (*stubHost) CheckHealth(WorkerID)            {}
+func (*stubHost) WatchList(bool)                  {}
+func (*stubHost) SetTimer(time.Duration, uint64)  {}
+func (*stubHost) SendPeer(int, []byte)            {}
+func (*stubHost) Log(string)                      {}
 
 // BenchmarkRequest is one request and its outcome: one class, one zone, no faults.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			host := &idleHost{}
+			host := &stubHost{}
 			bal, err := New(Settings{WorkerKinds: 1, ZoneCount: 1, DispatcherCount: 1,
 				Limits: Limits{MaxAttempts: 5},
 				Classes: []Class{{Name: "c", LatencyObjective: time.Second, Timeout: 5 * time.Second,
--- a/balancer/configure.go
+++ b/balancer/configure.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// New makes the balancer of one dispatcher. The same seed and events give the same actions. It returns an
-// error that names the setting that is out of range.
+// New returns the balancer of one dispatcher. The same seed and events always give the same actions. It
+// returns an error that names the setting that is out of range.
 func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if err := validate(&settings, actions); err != nil {
 		return nil, fmt.Errorf("balancer: %w", err)
@@ -20,7 +20,7 @@
 		workerByID: map[WorkerID]*worker{}, requestByID: map[RequestID]*request{},
 		kindLoads: make([]kindLoad, kinds), kindSlots: make([]float64, kinds),
 		classRunTimes: make([]float64, classes), classTallies: make([]tally, classes),
-		rateBuffer: make([]float64, classes), hintRatio: 1,
+		valueRateBuffer: make([]float64, classes), hintRatio: 1,
 		quotas:     make([]quotaBucket, len(settings.Tenants)),
 		minTimeout: minTimeout(settings.Classes),
 	}
@@ -30,7 +30,7 @@
 	return b, nil
 }
 
-// minTimeout is the least timeout of the classes.
+// minTimeout returns the least timeout of the classes.
 func minTimeout(classes []Class) time.Duration {
 	least := classes[0].Timeout
 	for i := range classes {
@@ -40,50 +40,52 @@
 }
 
 // CanConfigure returns an error if Configure must not be called with the settings. They must have the same
-// classes and tenants, under the same names, and the same idempotency for each class.
+// classes and tenants, with the same names, and the same idempotency for each class.
 func (b *Balancer) CanConfigure(settings Settings) error {
 	if err := validate(&settings, b.actions); err != nil {
 		return err
 	}
 	if len(settings.Classes) != len(b.settings.Classes) || len(settings.Tenants) != len(b.settings.Tenants) {
-		return errors.New("classes and tenants can't come or go while the dispatcher runs")
+		return errors.New("classes and tenants can't be added or removed while the dispatcher runs")
 	}
 	for i := range settings.Classes {
-		if current := &b.settings.Classes[i]; !settings.Classes[i].sameContract(current) {
-			return fmt.Errorf("class %q: name, effect, scope, window, kind and stream can't change",
-				current.Name)
+		if current := &b.settings.Classes[i]; !settings.Classes[i].sameGuarantees(current) {
+			return fmt.Errorf("class %q: name, effect, scope, window, kind and stream can't change "+
+				"while the dispatcher runs", current.Name)
 		}
 	}
 	for i, t := range settings.Tenants {
 		if t.Name != b.settings.Tenants[i].Name {
-			return fmt.Errorf("tenant %q: its name can't change", b.settings.Tenants[i].Name)
+			return fmt.Errorf("tenant %q: the name can't change while the dispatcher runs",
+				b.settings.Tenants[i].Name)
 		}
 	}
 	return nil
 }
 
-// sameContract reports whether two classes are the same in what may run twice, and where.
-func (c *Class) sameContract(o *Class) bool {
+// sameGuarantees reports whether two classes make the same promises about repeated execution.
+func (c *Class) sameGuarantees(o *Class) bool {
 	return c.Name == o.Name && c.Idempotency == o.Idempotency && c.KeyScope == o.KeyScope &&
 		c.KeyWindow == o.KeyWindow && c.WorkerKind == o.WorkerKind && c.Streaming == o.Streaming
 }
 
 // Configure applies the classes and tenants of settings that CanConfigure accepts. Open requests keep the
-// class that they came with: what a client was promised when its request was accepted must hold to the end.
+// class with which they arrived, because what was promised when a request was accepted must hold until it
+// ends.
 func (b *Balancer) Configure(settings Settings) {
 	b.settings.Classes = slices.Clone(settings.Classes)
 	b.settings.Tenants = slices.Clone(settings.Tenants)
-	// The number of dispatchers that agree with each other changes, and their parts of budgets with it.
+	// The dispatchers divide budgets among themselves, so their number is updated too.
 	b.settings.DispatcherIndex = settings.DispatcherIndex
 	b.settings.DispatcherCount = max(settings.DispatcherCount, 1)
 	b.settings.Rules.OverloadFactor = settings.Rules.OverloadFactor
 	b.minTimeout = minTimeout(b.settings.Classes)
 }
 
-// validate returns an error that names a setting that is out of range, and fills in what may be absent.
+// validate returns an error that names a setting that is out of range, and sets defaults for optional ones.
 func validate(s *Settings, actions Actions) error {
 	if actions == nil {
-		return errors.New("no actions")
+		return errors.New("actions must not be nil")
 	}
 	if err := validateClasses(s); err != nil {
 		return err
@@ -110,7 +112,7 @@
 		{"WorkerKinds", s.WorkerKinds < 0},
 	} {
 		if v.bad {
-			return fmt.Errorf("%s: out of range", v.name)
+			return fmt.Errorf("%s is out of range", v.name)
 		}
 	}
 	s.DispatcherCount = max(s.DispatcherCount, 1)
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// outOfRange reports whether an index is none below count, where there is one.
+// outOfRange reports whether an index is negative or, if count is positive, not below count.
 func outOfRange(index, count int) bool { return index < 0 || count > 0 && index >= count }
 
 func validateClasses(s *Settings) error {
@@ -128,15 +130,16 @@
 	}
 	for i, c := range s.Classes {
 		if c.Timeout <= 0 {
-			return fmt.Errorf("settings: Classes[%d].Timeout: %v is not positive", i, c.Timeout)
+			return fmt.Errorf("settings: Classes[%d].Timeout is %v, must be positive", i, c.Timeout)
 		}
 		if c.LatencyObjective < 0 || c.ObjectiveStretch < 0 || c.PriorityWeight < 0 || c.KeyWindow < 0 ||
 			c.Idempotency > NonIdempotent || c.KeyScope > ScopeCell || c.MaxAttempts < 0 {
-			return fmt.Errorf("settings: Classes[%d]: a value is out of range", i)
+			return fmt.Errorf("settings: Classes[%d]: LatencyObjective, ObjectiveStretch, PriorityWeight, "+
+				"KeyWindow, Idempotency, KeyScope or MaxAttempts is out of range", i)
 		}
 		if c.WorkerKind < -1 || c.WorkerKind >= s.WorkerKinds && c.WorkerKind > 0 {
-			return fmt.Errorf("settings: Classes[%d].WorkerKind: %d is not one of %d kinds", i, c.WorkerKind,
-				s.WorkerKinds)
+			return fmt.Errorf("settings: Classes[%d].WorkerKind is %d, must be -1 or a kind below %d", i,
+				c.WorkerKind, s.WorkerKinds)
 		}
 	}
 	return nil
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -1,22 +1,22 @@
 package balancer
 
-// Decisions: which worker a request goes to: the draw of d(N) workers, and the load that it compares.
+// Decisions: the choice of a worker by a draw of d(N) workers, and the load that is compared.
 
 import (
 	"math"
 	"time"
 )
 
-// pickWorker is the mechanism: draw d distinct eligible workers, and take the one with the least load, ties
-// at random. It returns nil if no worker is eligible. Where load reports were requested first, the workers
-// that have sent theirs are the draw.
+// pickWorker draws d distinct eligible workers and returns the least loaded one, with ties broken at random.
+// It returns nil if no worker is eligible. If load reports were requested first, the draw consists of the
+// workers that have reported.
 func (b *Balancer) pickWorker(now time.Duration, q *request) *worker {
-	if w := b.owedWorker(now, q); w != nil {
+	if w := b.workerNeedingTrial(now, q); w != nil {
 		return w
 	}
 	var drawn []*worker
-	if q.answered > 0 {
-		drawn = b.eligible(now, q, q.checked[:q.answered])
+	if q.reportsReceived > 0 {
+		drawn = b.eligible(now, q, q.checked[:q.reportsReceived])
 	}
 	if len(drawn) == 0 {
 		if drawn = b.drawWorkers(now, q); len(drawn) == 0 {
@@ -26,16 +26,18 @@
 	return b.leastLoaded(now, q, drawn)
 }
 
-// owedWorker is a worker that is to have one of the next requests after its maintenance, if q may be that.
+// workerNeedingTrial returns a worker that must get one of the next requests after its maintenance, if q can
+// be that request.
 //
-// Hazard: such a worker is warming up, and by its run times loses every draw for longer than operators wait
-// to see it in use. One request, within its slow-start budget, shows that it works; then draws decide.
-func (b *Balancer) owedWorker(now time.Duration, q *request) *worker {
-	if b.owedWorkers == 0 || len(q.attempts) > 0 {
+// Such a worker is warming up, and because of its run times it would lose every draw for longer than
+// operators wait to see it in use. One request within its slow-start budget shows that it works; after that,
+// draws decide.
+func (b *Balancer) workerNeedingTrial(now time.Duration, q *request) *worker {
+	if b.workersNeedingTrial == 0 || len(q.attempts) > 0 {
 		return nil
 	}
 	for _, w := range b.workers {
-		if w.owedRequest && b.healthy(now, q, w) && b.mayAttempt(now, q, w) {
+		if w.needsTrialRequest && b.healthy(now, q, w) && b.mayAttempt(now, q, w) {
 			return w
 		}
 	}
@@ -53,8 +55,8 @@
 	return draw[:d]
 }
 
-// leastLoaded moves the worker of the least load to the front. The draw's order is random, and so is the
-// choice among equals.
+// leastLoaded moves the least loaded worker to the front of the draw and returns it. The draw is in random
+// order, so ties are broken at random.
 func (b *Balancer) leastLoaded(now time.Duration, q *request, draw []*worker) *worker {
 	best, least := 0, math.Inf(1)
 	for i, w := range draw {
@@ -66,8 +68,8 @@
 	return draw[0]
 }
 
-// eligible are the workers that q may go to: the healthy ones, or all if none is healthy and q may go to
-// ejected ones.
+// eligible returns the workers that q may be sent to: the healthy ones, or all if none is healthy and q may
+// be sent to ejected ones.
 func (b *Balancer) eligible(now time.Duration, q *request, from []*worker) []*worker {
 	draw, healthy := b.drawBuffer[:0], 0
 	for _, w := range from {
@@ -88,11 +90,11 @@
 	return draw
 }
 
-// loadOf is the load that draws compare: the slots in use at w with q there, for each slot it has, weighted
-// by how slowly it runs requests. Unlike the paper's servers, workers differ, and other dispatchers' requests
-// are not seen.
+// loadOf returns the load that draws compare: the slots in use at w, with q added, relative to its number of
+// slots, and weighted by its relative run time. This differs from the paper, where all servers are equal and
+// every request is visible; here the requests of other dispatchers are not.
 func (b *Balancer) loadOf(now time.Duration, w *worker, q *request) float64 {
-	n := (b.slotsInUse(now, w) + q.slotsNeeded()*b.relativeRunTime(now, w) + homeStepLoad*w.homeDistance) /
+	n := (b.slotsInUse(now, w) + q.slotsNeeded()*b.relativeRunTime(now, w) + ringStepLoad*w.ringDistance) /
 		b.slotsOf(w)
 	if w.Zone != b.settings.Zone {
 		n += min(crossZoneLoad*b.settings.Costs.CrossZone, maxCrossZoneLoad)
@@ -100,53 +102,55 @@
 	return n
 }
 
-// updateHomeDistances lays each zone's workers round a ring by size, and counts them from this dispatcher's
-// point on.
+// updateRingDistances places each zone's workers on a ring by size, and sets their distance from this
+// dispatcher's position on it.
 //
-// Hazard: with many dispatchers each has a request or two in flight, all its counts are zero, and what it
-// observed of a worker is outdated. Near its home it meets the same few workers again.
-func (b *Balancer) updateHomeDistances() {
-	// Multiples of the golden ratio spread any run of indices evenly.
+// With many dispatchers, each has only a request or two in flight: all its counts are zero, and what it has
+// observed of a worker is outdated. Preferring the workers near its position makes a dispatcher send to the
+// same few workers repeatedly.
+func (b *Balancer) updateRingDistances() {
+	// Multiples of the golden ratio distribute consecutive indices evenly.
 	_, point := math.Modf(float64(b.settings.DispatcherIndex) * math.Phi)
 	total, end, number := map[int]float64{}, map[int]float64{}, map[int]float64{}
 	for _, w := range b.workers {
 		total[w.Zone] += w.Size
 		number[w.Zone]++
 	}
-	unseen := 1 - 1/float64(b.settings.DispatcherCount) // a dispatcher alone sees all load and needs no home
+	unseenShare := 1 - 1/float64(b.settings.DispatcherCount) // 0 for a single dispatcher: it sees all load
 	for _, w := range b.workers {
 		end[w.Zone] += w.Size
 		_, distance := math.Modf(1 + end[w.Zone]/max(total[w.Zone], epsilon) - point)
-		w.homeDistance = distance * number[w.Zone] * unseen
+		w.ringDistance = distance * number[w.Zone] * unseenShare
 	}
 }
 
-// slotsInUse is how many slots requests in flight take at w, those of this dispatcher and of others, or as
-// many as the wait that this dispatcher's requests have met there takes.
+// slotsInUse returns how many slots of w are occupied by requests in flight, from this dispatcher and from
+// others. If requests have waited there, it is at least the number that explains their wait.
 func (b *Balancer) slotsInUse(now time.Duration, w *worker) float64 {
-	n := w.inFlight + w.otherProcessInFlight + max(0, w.othersInFlight)
+	n := w.inFlight + w.predecessorInFlight + max(0, w.othersInFlight)
 	if wait := b.observedWait(now, w); wait > 0 && b.meanRunTime > 0 {
 		n = max(n, b.slotsOf(w)*(1+wait/b.meanRunTime/b.relativeRunTime(now, w)))
 	}
 	return n
 }
 
-// observedWait is the last wait observed at w, which shortens with time, or that of the oldest unstarted
-// request, in seconds.
+// observedWait returns, in seconds, the larger of two waits at w: the last one observed, which shrinks over
+// time, and that of the oldest unstarted request.
 func (b *Balancer) observedWait(now time.Duration, w *worker) float64 {
 	return max(w.lastWait-(now-w.lastWaitAt).Seconds()*waitDrainRate, w.unstartedWait)
 }
 
-// slotsOf is how many requests w runs at once, as far as load reports of its kind have shown.
+// slotsOf returns how many requests w runs at once, as shown by load reports from workers of its kind.
 func (b *Balancer) slotsOf(w *worker) float64 { return max(1, math.Round(b.kindSlots[w.Kind])) }
 
-// relativeRunTime is w's running time, relative to the usual one: by its kind's record, its own relative to
-// that, and its warm-up.
+// relativeRunTime returns w's running time relative to the usual one: the factor of its kind, its own factor
+// within the kind, and its warm-up.
 func (b *Balancer) relativeRunTime(now time.Duration, w *worker) float64 {
 	return b.kindRunTimeFactors[w.Kind] * w.runTimeFactor / b.warmUpFactor(now, w)
 }
 
-// drawSize is d(N) = min(N, max(2, ceil(sqrt(N) ln N))), just above the growth that the paper asks for.
+// drawSize returns d(N) = min(N, max(2, ceil(sqrt(N) ln N))), which grows slightly faster than the paper
+// requires.
 func drawSize(n int) int {
 	return min(n, max(2, int(math.Ceil(math.Sqrt(float64(n))*math.Log(float64(n))))))
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// UpdateWorkers applies an update of the list of workers. The first one starts the balancer's timers.
+// UpdateWorkers applies an update of the list of workers. The first call starts the balancer's timers.
 func (b *Balancer) UpdateWorkers(now time.Duration, kind ListUpdateKind, list []Worker) {
 	if !b.started {
 		b.start(now)
@@ -28,13 +28,13 @@
 		b.updateWorker(e)
 	}
 	b.pruneRemoved()
-	b.updateHomeDistances()
+	b.updateRingDistances()
 	if kind != ListCached {
 		b.releaseWaiting(now)
 	}
 }
 
-// start begins the sweeps, and requests the list where that is needed.
+// start schedules the first sweep, and requests the list if updates come only on request.
 func (b *Balancer) start(now time.Duration) {
 	b.started, b.startedAt, b.averagedAt = true, now, now
 	b.actions.SetTimer(b.sweepInterval(), sweepTimer)
@@ -46,8 +46,8 @@
 	}
 }
 
-// Submit takes a new request and sends, rejects or fails it, or has it wait for load reports or the first
-// list. A request whose ID is open already is ignored.
+// Submit accepts a new request and sends, rejects or fails it, or lets it wait for load reports or for the
+// first list. A request is ignored if one with its ID is open.
 func (b *Balancer) Submit(now time.Duration, r Request) {
 	if q := b.addRequest(now, r); q != nil {
 		b.requestTimes.countAfter(now - b.settings.Rules.RetryBudgetWindow)
@@ -56,13 +56,13 @@
 		b.arrivals++
 		b.arrivedWork += b.hintedWork(q)
 		b.chargeQuota(now, q)
-		if b.place(now, q); !b.loadsStale {
+		if b.dispatch(now, q); !b.loadsStale {
 			b.checkStalest(now)
 		}
 	}
 }
 
-// AttemptEnded takes the end of an attempt. Attempts that are not known, or have ended before, are ignored.
+// AttemptEnded handles the end of an attempt. Attempts that are unknown or have already ended are ignored.
 func (b *Balancer) AttemptEnded(now time.Duration, o AttemptOutcome) {
 	q, a := b.findAttempt(o.ID, o.Attempt)
 	if a == nil || a.ended {
@@ -74,27 +74,27 @@
 		a.worker.running--
 	}
 	if o.Result == OK || o.Result == ServerError || o.Result == WorkerFull {
-		a.worker.progressAt = now // the other results do not come from the worker
+		a.worker.progressAt = now // the other results don't come from the worker
 	}
 	q.inFlight--
-	b.learn(now, q, a, &o)
+	b.learnFromOutcome(now, q, a, &o)
 	a.worker.inFlight -= q.slotsNeeded()
 	if o.Responded && !q.responded {
 		q.responded = true
 		b.cancelInFlight(q)
 	}
 	if q.responded || q.inFlight > 0 {
-		b.forget(q)
+		b.removeIfDone(q)
 		return
 	}
 	if o.Result == Unprocessable {
 		b.fail(q)
 		return
 	}
-	b.place(now, q)
+	b.dispatch(now, q)
 }
 
-// AttemptProgressed takes a worker's progress report on an attempt in flight.
+// AttemptProgressed handles a worker's progress report on an attempt in flight.
 func (b *Balancer) AttemptProgressed(now time.Duration, p AttemptProgress) {
 	_, a := b.findAttempt(p.ID, p.Attempt)
 	if a == nil || a.ended {
@@ -110,7 +110,7 @@
 	b.observeWait(now, a.worker.lastWait)
 }
 
-// HealthChecked takes the end of a health check.
+// HealthChecked handles the end of a health check.
 func (b *Balancer) HealthChecked(now time.Duration, id WorkerID, res Result, r LoadReport) {
 	switch w := b.workerByID[id]; {
 	case w == nil:
@@ -122,14 +122,14 @@
 	}
 }
 
-// loadReported counts a worker's load report for the requests that wait for it, and places those that have
-// all of theirs.
+// loadReported records a worker's load report for the requests that wait for it, and dispatches those that
+// have all their reports.
 func (b *Balancer) loadReported(now time.Duration, from *worker) {
 	for _, q := range b.waiting {
-		for i := q.answered; i < len(q.checked); i++ {
+		for i := q.reportsReceived; i < len(q.checked); i++ {
 			if q.checked[i] == from {
-				q.checked[i], q.checked[q.answered] = q.checked[q.answered], q.checked[i]
-				q.answered++
+				q.checked[i], q.checked[q.reportsReceived] = q.checked[q.reportsReceived], q.checked[i]
+				q.reportsReceived++
 				break
 			}
 		}
@@ -137,7 +137,8 @@
 	b.releaseWaiting(now)
 }
 
-// ReceivePeer takes a message from another dispatcher: the worker that has just failed a request of its.
+// ReceivePeer handles a message from another dispatcher: the ID of a worker that has just failed one of its
+// requests.
 func (b *Balancer) ReceivePeer(now time.Duration, data []byte) {
 	if len(data) != 4 {
 		return
@@ -147,7 +148,7 @@
 	}
 }
 
-// TimerFired takes the end of a timer that Actions.SetTimer has set.
+// TimerFired handles the expiry of a timer set by Actions.SetTimer.
 func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	switch token {
 	case sweepTimer:
@@ -158,12 +159,12 @@
 	}
 }
 
-// StreamStarted takes the start of a streamed response. The client owns the attempt from now on, and the
-// request needs no final response any more.
+// StreamStarted handles the start of a streamed response. From then on the client owns the attempt, and the
+// request needs no final response.
 func (b *Balancer) StreamStarted(id RequestID) {
 	if q := b.requestByID[id]; q != nil {
 		q.responded = true
-		b.forget(q)
+		b.removeIfDone(q)
 	}
 }
 
@@ -172,20 +173,20 @@
 	if q := b.requestByID[id]; q != nil && !q.responded {
 		q.responded = true
 		b.cancelInFlight(q)
-		b.forget(q)
+		b.removeIfDone(q)
 	}
 }
 
-// EndMaintenance is called when operators have put a worker back into service. It was restarted meanwhile:
-// what was learned of its earlier process is dropped, and it gets one of the next requests.
+// EndMaintenance must be called when operators have returned a worker to service. The worker was restarted
+// during its maintenance, so its failure score and waits are reset, and it gets one of the next requests.
 func (b *Balancer) EndMaintenance(id WorkerID) {
 	w := b.workerByID[id]
 	if w == nil {
 		return
 	}
 	w.failureScore, w.lastWait, w.unstartedWait, w.othersInFlight = 0, 0, 0, 0
-	if !w.owedRequest {
-		w.owedRequest = true
-		b.owedWorkers++
+	if !w.needsTrialRequest {
+		w.needsTrialRequest = true
+		b.workersNeedingTrial++
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,23 +7,23 @@
 	"moorstack/balancer"
 )
 
-// printer is a host that only prints its actions.
-type printer struct{ sent balancer.WorkerID }
+// printingHost is a host that only prints its actions.
+type printingHost struct{ sent balancer.WorkerID }
 
-func (p *printer) Send(id balancer.RequestID, w balancer.WorkerID) {
+func (p *printingHost) Send(id balancer.RequestID, w balancer.WorkerID) {
 	p.sent = w
 	fmt.Printf("send %s to worker %d\n", id, w)
 }
-func (p *printer) Reject(id balancer.RequestID, after time.Duration) {
+func (p *printingHost) Reject(id balancer.RequestID, after time.Duration) {
 	fmt.Println("reject", id, after > 0)
 }
-func (p *printer) Fail(id balancer.RequestID)             { fmt.Println("fail", id) }
-func (p *printer) Cancel(id balancer.RequestID, n int)    {}
-func (p *printer) CheckHealth(w balancer.WorkerID)        {}
-func (p *printer) WatchList(on bool)                      {}
-func (p *printer) SetTimer(d time.Duration, token uint64) {}
-func (p *printer) SendPeer(peer int, data []byte)         {}
-func (p *printer) Log(text string)                        {}
+func (p *printingHost) Fail(id balancer.RequestID)             { fmt.Println("fail", id) }
+func (p *printingHost) Cancel(id balancer.RequestID, n int)    {}
+func (p *printingHost) CheckHealth(w balancer.WorkerID)        {}
+func (p *printingHost) WatchList(on bool)                      {}
+func (p *printingHost) SetTimer(d time.Duration, token uint64) {}
+func (p *printingHost) SendPeer(peer int, data []byte)         {}
+func (p *printingHost) Log(text string)                        {}
 
 // A dispatcher passes events to the balancer and carries out its actions.
 func Example() {
@@ -36,7 +36,7 @@
 		Limits: balancer.Limits{MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second},
 		Goal:   balancer.Goal{Overall: 1},
 	}
-	host := &printer{}
+	host := &printingHost{}
 	b, err := balancer.New(settings, 1, host)
 	if err != nil {
 		fmt.Println(err)
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// EjectedCount is how many ready workers are ejected as outliers. Where all are, none counts: then all are
-// drawn.
+// EjectedCount returns how many ready workers are ejected as outliers. If all are, it returns 0, because then
+// draws ignore ejection.
 func (b *Balancer) EjectedCount(now time.Duration) int {
 	ready, ejected := 0, 0
 	for _, w := range b.workers {
 		if w.State == Ready {
-			if ready++; b.fadedFailureScore(now, w) >= ejectionScore {
+			if ready++; b.decayedFailureScore(now, w) >= ejectionScore {
 				ejected++
 			}
 		}
@@ -23,8 +23,8 @@
 	return ejected
 }
 
-// summary is the log line for the people on call, and resets its counts. The operators' page on being on call
-// quotes its words.
+// summary returns the line that is logged for operators, and resets its counts. The wording is fixed, because
+// the on-call documentation quotes it.
 func (b *Balancer) summary(now time.Duration) string {
 	ready, warmingUp, ejected := 0, 0, 0
 	for _, w := range b.workers {
@@ -35,7 +35,7 @@
 		if b.warmUpFactor(now, w) < 1 {
 			warmingUp++
 		}
-		if b.fadedFailureScore(now, w) >= ejectionScore {
+		if b.decayedFailureScore(now, w) >= ejectionScore {
 			ejected++
 		}
 	}
@@ -45,31 +45,31 @@
 	return line
 }
 
-// Verdict is whether a worker is eligible for a request.
-type Verdict struct {
+// Eligibility says whether a worker is eligible for a request.
+type Eligibility struct {
 	Worker Worker
-	Reason string // why the request may not go there now; empty: it may
+	Reason string // why it is not eligible now; empty: it is
 }
 
-// Explain gives, for each worker by ID, whether it is eligible for a request that came now, at a tier of the
-// request's route, and if not, why. It changes nothing that decisions depend on. Its reasons are part of the
-// answer to an operator's call, and so keep their words.
-func (b *Balancer) Explain(now time.Duration, r Request, tier int) []Verdict {
+// Explain returns, for each worker in order of ID, whether it is eligible for a request that arrived now, at
+// a tier of the request's route, and if not, why. It does not affect later decisions. The reasons are part of
+// the reply to an operator's call, so their wording is fixed.
+func (b *Balancer) Explain(now time.Duration, r Request, tier int) []Eligibility {
 	r.Class = min(max(r.Class, 0), len(b.settings.Classes)-1)
 	q := &request{Request: r, class: &b.settings.Classes[r.Class], tier: tier, allowEjected: true,
 		deadline: now + r.Timeout, arrivedAt: now}
 	anyHealthy := slices.ContainsFunc(b.workers, func(w *worker) bool {
 		return b.mayAttempt(now, q, w) && b.healthy(now, q, w)
 	})
-	list := make([]Verdict, 0, len(b.workers))
+	list := make([]Eligibility, 0, len(b.workers))
 	for _, w := range b.workers {
-		list = append(list, Verdict{w.Worker, b.ineligible(now, q, w, anyHealthy)})
+		list = append(list, Eligibility{w.Worker, b.ineligibleReason(now, q, w, anyHealthy)})
 	}
 	return list
 }
 
-// ineligible is why q may not go to w now; empty: it may.
-func (b *Balancer) ineligible(now time.Duration, q *request, w *worker, anyHealthy bool) string {
+// ineligibleReason returns why q may not be sent to w now; empty: it may.
+func (b *Balancer) ineligibleReason(now time.Duration, q *request, w *worker, anyHealthy bool) string {
 	switch {
 	case w.State == Draining:
 		return "it drains"
--- a/balancer/health_checks.go
+++ b/balancer/health_checks.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// awaitWorkerState has q wait for the first list, or for load reports of the least loaded workers of its
-// draw, if that is of use. It reports whether q waits.
+// awaitWorkerState makes q wait for the first list, or for load reports from the least loaded workers of its
+// draw, if either is useful. It reports whether q waits.
 //
-// Hazard: where many dispatchers share workers, each one's counts are zero and what it knows of a queue is
-// outdated. A report that does not come soon shows a worker that is removed or busy.
+// If many dispatchers share the workers, each one's own counts are zero and what it knows of the queues is
+// outdated. A worker whose report does not arrive soon has been removed or is busy.
 func (b *Balancer) awaitWorkerState(now time.Duration, q *request) bool {
-	q.checked, q.answered, q.waitingSince = q.checked[:0], 0, now
+	q.checked, q.reportsReceived, q.waitingSince = q.checked[:0], 0, now
 	q.startRoute()
 	if q.waiting = b.awaitsFirstList(now, q); q.waiting {
 		b.waiting = append(b.waiting, q)
 		return true
 	}
 	b.loadsStale = b.settings.LoadReportsByCheck && b.settings.Limits.HealthChecks &&
-		float64(len(b.workers))*b.observedSeconds > b.arrivals*b.minTimeout.Seconds()*staleTimeouts
+		float64(len(b.workers))*b.observedSeconds > b.arrivals*b.minTimeout.Seconds()*staleReportTimeouts
 	if !b.loadsStale {
 		return false
 	}
 	draw := b.drawWorkers(now, q)
-	for i := range min(checkedChoices, len(draw)) {
+	for i := range min(checksPerDraw, len(draw)) {
 		w := b.leastLoaded(now, q, draw[i:])
 		q.checked = append(q.checked, w)
 		w.checkedAt = now
@@ -36,17 +36,17 @@
 	return q.waiting
 }
 
-// releaseWaiting places the requests that have all load reports that they wait for, or have waited long
-// enough.
+// releaseWaiting dispatches the requests that have all the load reports that they wait for, or have waited
+// long enough.
 func (b *Balancer) releaseWaiting(now time.Duration) {
 	b.waiting = filter(b.waiting, func(q *request) bool {
 		wait := q.class.LatencyObjective / checkWaitDivisor
 		if !q.responded &&
-			(b.awaitsFirstList(now, q) || q.answered < len(q.checked) && now-q.waitingSince < wait) {
+			(b.awaitsFirstList(now, q) || q.reportsReceived < len(q.checked) && now-q.waitingSince < wait) {
 			return true
 		}
 		if q.waiting = false; q.responded {
-			b.forget(q)
+			b.removeIfDone(q)
 		} else if !b.startAttempt(now, q) {
 			b.rejectOrFail(q)
 		}
@@ -54,8 +54,8 @@
 	})
 }
 
-// checkStalest requests the load report of the worker whose last one is oldest, where reports come no other
-// way: one for each request.
+// checkStalest requests the load report of the worker whose report was requested longest ago, if load reports
+// come only with health checks. It is called once for each request.
 func (b *Balancer) checkStalest(now time.Duration) {
 	if !b.settings.LoadReportsByCheck || !b.settings.Limits.HealthChecks {
 		return
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -7,32 +7,34 @@
 	"time"
 )
 
-// learn takes what the end of an attempt shows of its worker.
-func (b *Balancer) learn(now time.Duration, q *request, a *attempt, o *AttemptOutcome) {
+// learnFromOutcome updates what is known of a worker from the end of an attempt.
+func (b *Balancer) learnFromOutcome(now time.Duration, q *request, a *attempt, o *AttemptOutcome) {
 	w := a.worker
 	b.applyLoadReport(w, &o.Report)
 	switch o.Result {
 	case ServerError, ConnectionReset, ConnectFailed:
 		b.observeFailure(now, w)
-		// Hazard: each of many dispatchers would lose non-idempotent requests to w before it knows. A broken
-		// connection may be this dispatcher's alone.
+		// Peers are notified, because otherwise each of many dispatchers would lose non-idempotent requests
+		// to w before it had seen a failure. Connection errors are not sent, because they may affect this
+		// dispatcher only.
 		if o.Result == ServerError && b.settings.Limits.PeerMessages {
 			b.actions.SendPeer(AllPeers, w.peerMessage())
 		}
 	case WorkerFull:
-		// Its queue is full: the wait there is a running time at least.
+		// Its queue is full, so the wait there is at least one running time.
 		w.lastWait, w.lastWaitAt = max(b.observedWait(now, w), b.meanRunTime*b.relativeRunTime(now, w)), now
-		// Hazard: without reports of starts no request is observed to meet no wait, and only long ones count.
+		// Without reports of starts, requests that start without a wait are not seen, and only long waits
+		// would be counted.
 		if b.settings.ReportsStart {
 			b.observeWait(now, w.lastWait)
 		}
 	case OK:
-		w.failureScore = b.fadedFailureScore(now, w) * (1 - fastWeight)
+		w.failureScore = b.decayedFailureScore(now, w) * (1 - fastWeight)
 		b.learnRunTime(now, q, a)
 	}
 }
 
-// learnRunTime takes the running time of a request that was served.
+// learnRunTime updates the averages with the running time of a request that was served.
 func (b *Balancer) learnRunTime(now time.Duration, q *request, a *attempt) {
 	w := a.worker
 	if b.warmUpFactor(now, w) == 1 {
@@ -47,8 +49,8 @@
 	expected := max(b.expectedRunTime(q), epsilon)
 	ran = min(ran, maxRunTimeFactor*expected)
 	sample := ran / expected * b.warmUpFactor(now, w)
-	// Hazards: each of many workers is met too seldom to know it by itself; running times of nothing would
-	// leave a factor of zero.
+	// Each kind has a factor of its own, because a dispatcher sends to each of many workers too rarely to
+	// learn it worker by worker. The lower bound keeps running times of zero from making a factor zero.
 	kind := &b.kindRunTimeFactors[w.Kind]
 	*kind = max(slowWeight, *kind+slowWeight/4*(sample/w.runTimeFactor-*kind))
 	w.runTimeFactor = max(slowWeight, w.runTimeFactor+slowWeight/4*(sample / *kind - w.runTimeFactor))
@@ -60,11 +62,12 @@
 	}
 }
 
-// applyLoadReport takes a load report, if there is one. It is delayed and noisy, and so is averaged.
+// applyLoadReport updates the estimate of other dispatchers' requests from a load report, if there is one.
+// Reports are delayed and noisy, so they are averaged.
 //
-// Hazard: reports in responses come only from where requests go, so that all dispatchers follow the same
-// outdated reports, reject by them, and get no others: they count little. Health checks reach every worker
-// alike, and their reports count more.
+// Reports in responses come only from workers that get requests. If they counted much, all dispatchers would
+// follow the same outdated reports, reject requests because of them, and so get no newer ones. Health checks
+// reach all workers equally, so their reports count more.
 func (b *Balancer) applyLoadReport(w *worker, r *LoadReport) {
 	if !r.Received || r.FreeSlots < 0 {
 		return
@@ -79,20 +82,19 @@
 	if b.loadsStale {
 		weight = 1 // what was known before is outdated
 	}
-	w.othersInFlight += weight * (inUse - w.inFlight - w.otherProcessInFlight - w.othersInFlight)
+	w.othersInFlight += weight * (inUse - w.inFlight - w.predecessorInFlight - w.othersInFlight)
 }
 
-// fadedRecentWait is the wait that requests have met lately, at any worker, in seconds. It shortens with
-// time.
-func (b *Balancer) fadedRecentWait(now time.Duration) float64 {
+// decayedRecentWait returns the recent wait of requests at any worker, in seconds. It shrinks over time.
+func (b *Balancer) decayedRecentWait(now time.Duration) float64 {
 	return max(0, b.recentWait-(now-b.recentWaitAt).Seconds())
 }
 
-// observeWait takes a wait that a request has met, in seconds.
+// observeWait updates the averages with the wait of a request, in seconds.
 func (b *Balancer) observeWait(now time.Duration, wait float64) {
-	recent := b.fadedRecentWait(now)
+	recent := b.decayedRecentWait(now)
 	b.recentWait, b.recentWaitAt = recent+fastWeight*(wait-recent), now
-	if b.waitingShare *= 1 - slowWeight; wait > earlyWaitShare*b.meanRunTime {
+	if b.waitingShare *= 1 - slowWeight; wait > minWaitShare*b.meanRunTime {
 		b.waitingShare += slowWeight
 	}
 }
--- a/balancer/learn_test.go
+++ b/balancer/learn_test.go
@@ -10,7 +10,7 @@
 func TestLoadReportsShowOtherDispatchers(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
-	busy := 0
+	sentToBusy := 0
 	for i := range 200 {
 		r.submit(testRequest(i, idempotentClass))
 		s := r.lastSend()
@@ -18,12 +18,12 @@
 		rep := freeSlots(4)
 		if s.worker == 100 && i > 10 {
 			rep = freeSlots(0)
-			busy++
+			sentToBusy++
 		}
 		r.endAttemptWith(s, OK, rep)
 	}
-	if busy > 40 {
-		t.Errorf("%d of 190 requests went to the worker whose slots others use", busy)
+	if sentToBusy > 40 {
+		t.Errorf("%d of 190 requests went to the worker whose slots others use", sentToBusy)
 	}
 }
 
@@ -31,28 +31,28 @@
 // responses come only from where requests go and count little.
 func TestHealthCheckReportsCountMore(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		probed bool
-		most   int
+		name      string
+		byCheck   bool
+		maxToBusy int
 	}{{"health checks", true, 0}, {"in responses", false, 3}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.LoadReportsByCheck = c.probed
+			set.LoadReportsByCheck = c.byCheck
 			r := newRecorder(t, set)
 			r.updateWorkers(ListFull, readyWorkers(2)...)
 			for _, free := range []float64{8, 0, 0, 0} {
 				r.balancer.HealthChecked(r.now, 100, OK, freeSlots(free))
 			}
-			there := 0
+			sentToBusy := 0
 			for i := range 5 {
 				r.submit(testRequest(i, idempotentClass))
 				if r.lastSend().worker == 100 {
-					there++
+					sentToBusy++
 				}
 			}
-			if there > c.most || c.most > 0 && there == 0 {
-				t.Errorf("%d of 5 requests went to the worker that others fill, want at most %d", there,
-					c.most)
+			if sentToBusy > c.maxToBusy || c.maxToBusy > 0 && sentToBusy == 0 {
+				t.Errorf("%d of 5 requests went to the worker that others fill, want at most %d", sentToBusy,
+					c.maxToBusy)
 			}
 		})
 	}
@@ -60,13 +60,13 @@
 
 func TestChecksHealthWhereReportsComeNoOtherWay(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		probed, allowed bool
-		want            int
+		name             string
+		byCheck, allowed bool
+		want             int
 	}{{"health checks", true, true, 6}, {"in responses", false, true, 0}, {"forbidden", true, false, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.LoadReportsByCheck, set.Limits.HealthChecks = c.probed, c.allowed
+			set.LoadReportsByCheck, set.Limits.HealthChecks = c.byCheck, c.allowed
 			r := newRecorder(t, set)
 			r.updateWorkers(ListFull, readyWorkers(3)...)
 			for i := range 6 {
@@ -109,7 +109,7 @@
 			r.updateWorkers(ListFull, readyWorkers(40)...)
 			for i := range 30 { // rare requests: each worker is met twice a minute
 				r.submit(testRequest(i, idempotentClass))
-				for _, w := range r.checked[len(r.checked)-min(checkedChoices, len(r.checked)):] {
+				for _, w := range r.checked[len(r.checked)-min(checksPerDraw, len(r.checked)):] {
 					r.balancer.HealthChecked(r.now, w, OK, freeSlots(4))
 				}
 				r.advance(time.Second)
@@ -117,9 +117,9 @@
 			}
 			sent, before := len(r.sends), len(r.checked)
 			r.submit(testRequest(100, idempotentClass))
-			if n := len(r.checked) - before; n != checkedChoices || len(r.sends) != sent {
+			if n := len(r.checked) - before; n != checksPerDraw || len(r.sends) != sent {
 				t.Fatalf("%d workers checked and %d sends, want %d and none yet", n, len(r.sends)-sent,
-					checkedChoices)
+					checksPerDraw)
 			}
 			for i, w := range r.checked[before : before+c.reports] {
 				r.balancer.HealthChecked(r.now, w, OK, freeSlots(float64(2*i)))
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -3,11 +3,11 @@
 import "time"
 
 // LearnedState is what a balancer has learned, for the process that replaces its own in a hot restart. It
-// holds no request. Its encoded form is JSON under the names of the tags, with pairs as arrays: processes of
-// other versions read and write it. Times are of the sender's clock.
+// contains no requests. It is encoded as JSON with the names of the tags and with pairs as arrays; processes
+// of other versions read and write it. Times are by the sender's clock.
 type LearnedState struct {
 	KindLoads          [][2]float64              `json:"Loads"`   // by worker kind: work, seconds
-	FullKindLoads      [][2]float64              `json:"Full"`    // likewise, at full workers; old: none
+	FullKindLoads      [][2]float64              `json:"Full"`    // at full workers; old versions: none
 	ClassTallies       [][2]float64              `json:"Tallies"` // by class: offered, served in time
 	KindSlots          []float64                 `json:"Slots"`
 	KindRunTimeFactors []float64                 `json:"Paces"`
@@ -15,7 +15,7 @@
 	MeanRunTime        float64                   `json:"Mean"`  // seconds
 	HintRatio          float64                   `json:"Ratio"`
 	Arrivals           float64                   `json:"Arrived"`
-	ArrivedWork        float64                   `json:"Efforts"` // of the arrivals; old: none
+	ArrivedWork        float64                   `json:"Efforts"` // of Arrivals; old versions: none
 	ObservedSeconds    float64                   `json:"Watched"`
 	RecentWait         float64                   `json:"Wait"`  // seconds
 	WaitingShare       float64                   `json:"Crowd"` // 0 to 1
@@ -34,25 +34,25 @@
 
 // WorkerRecord is what a balancer has learned of one worker.
 type WorkerRecord struct {
-	OthersInFlight float64       `json:"Others"`
-	RunTimeFactor  float64       `json:"Pace"`
-	LastWait       float64       `json:"Wait"` // seconds
-	FailureScore   float64       `json:"Ill"`  // 0 to 1
-	LastWaitAt     time.Duration `json:"WaitT"`
-	FailureScoreAt time.Duration `json:"IllT"`
-	StartedAt      time.Duration `json:"Since"` // of the process that SlowStartSent was sent to
-	SlowStartSent  []SentWork    `json:"Sent"`
-	OwedRequest    bool          `json:"Owed"`
+	OthersInFlight    float64       `json:"Others"`
+	RunTimeFactor     float64       `json:"Pace"`
+	LastWait          float64       `json:"Wait"` // seconds
+	FailureScore      float64       `json:"Ill"`  // 0 to 1
+	LastWaitAt        time.Duration `json:"WaitT"`
+	FailureScoreAt    time.Duration `json:"IllT"`
+	StartedAt         time.Duration `json:"Since"` // of the process that SlowStartSent was sent to
+	SlowStartSent     []SentWork    `json:"Sent"`
+	NeedsTrialRequest bool          `json:"Owed"`
 }
 
-// SentWork is one request's work that a worker was sent while it was warming up, in slot seconds.
+// SentWork is the work of one request that was sent to a worker while it was warming up, in slot seconds.
 type SentWork struct {
 	At   time.Duration `json:"At"`
 	Work float64       `json:"Work"`
 }
 
-// Learned gives what the balancer has learned. Its requests in flight are not in it: they end one by one, and
-// the process that restores this is notified of them by SetOtherInFlight.
+// Learned returns what the balancer has learned. Its requests in flight are not included: they end one by
+// one, and the process that restores this state is notified of their number by SetPredecessorInFlight.
 func (b *Balancer) Learned() LearnedState {
 	s := LearnedState{
 		KindSlots: b.kindSlots, KindRunTimeFactors: b.kindRunTimeFactors, ClassRunTimes: b.classRunTimes,
@@ -80,25 +80,25 @@
 func (w *worker) record() WorkerRecord {
 	r := WorkerRecord{OthersInFlight: w.othersInFlight, RunTimeFactor: w.runTimeFactor, LastWait: w.lastWait,
 		FailureScore: w.failureScore, LastWaitAt: w.lastWaitAt, FailureScoreAt: w.failureScoreAt,
-		StartedAt: w.StartedAt, OwedRequest: w.owedRequest}
+		StartedAt: w.StartedAt, NeedsTrialRequest: w.needsTrialRequest}
 	for _, s := range w.slowStartSent {
 		r.SlowStartSent = append(r.SlowStartSent, SentWork{s.at, s.work})
 	}
 	return r
 }
 
-// RestoreLearned takes over what another process of this dispatcher has learned, after the first
-// UpdateWorkers and before any request. What does not fit the settings is left out.
+// RestoreLearned applies what another process of this dispatcher has learned. It must be called after the
+// first UpdateWorkers and before any request. Parts that don't match the settings are ignored.
 //
-// Hazard: a dispatcher that starts with nothing does not know what was just sent to workers that warm up, nor
-// which workers fail. Another process's clock may be ahead of this one's, and what is to fade with time would
-// grow.
+// Without this state, a new process would not know what was just sent to workers that are warming up, nor
+// which workers fail. Times are capped at now: the other process's clock may be ahead, and values that are to
+// decay would grow instead.
 func (b *Balancer) RestoreLearned(now time.Duration, s LearnedState) {
-	unit := 1.0 // of the work of KindLoads and SlowStartSent
+	workScale := 1.0 // converts the work of KindLoads and SlowStartSent to the unit of hints
 	if len(s.FullKindLoads) != len(s.KindLoads) && s.HintRatio > 0 {
-		unit = 1 / s.HintRatio // hazard: an old version counts it by running times, not by hints
+		workScale = 1 / s.HintRatio // old versions measure work by running times, not by hints
 	}
-	b.restoreKinds(s, unit)
+	b.restoreKinds(s, workScale)
 	b.restoreClasses(now, s)
 	if len(s.Quotas) == len(b.quotas) {
 		for i, q := range s.Quotas {
@@ -107,18 +107,18 @@
 	}
 	for _, w := range b.workers {
 		if r, ok := s.Workers[w.ID]; ok && r.RunTimeFactor > 0 {
-			b.restoreWorker(now, w, r, unit)
+			b.restoreWorker(now, w, r, workScale)
 		}
 	}
 }
 
-func (b *Balancer) restoreKinds(s LearnedState, unit float64) {
+func (b *Balancer) restoreKinds(s LearnedState, workScale float64) {
 	if len(s.KindLoads) != len(b.kindLoads) || len(s.KindSlots) != len(b.kindSlots) ||
 		len(s.KindRunTimeFactors) != len(b.kindRunTimeFactors) {
 		return
 	}
 	for i, l := range s.KindLoads {
-		b.kindLoads[i] = kindLoad{work: l[0] * unit, seconds: l[1]}
+		b.kindLoads[i] = kindLoad{work: l[0] * workScale, seconds: l[1]}
 		if len(s.FullKindLoads) == len(s.KindLoads) {
 			b.kindLoads[i].fullWork, b.kindLoads[i].fullSeconds = s.FullKindLoads[i][0], s.FullKindLoads[i][1]
 		}
@@ -142,21 +142,21 @@
 	b.waitingShare, b.averagedAt = s.WaitingShare, min(s.AveragedAt, now)
 }
 
-func (b *Balancer) restoreWorker(now time.Duration, w *worker, r WorkerRecord, unit float64) {
+func (b *Balancer) restoreWorker(now time.Duration, w *worker, r WorkerRecord, workScale float64) {
 	w.othersInFlight, w.runTimeFactor = r.OthersInFlight, r.RunTimeFactor
 	w.lastWait, w.lastWaitAt = r.LastWait, min(r.LastWaitAt, now)
 	w.failureScore, w.failureScoreAt = r.FailureScore, min(r.FailureScoreAt, now)
-	if r.OwedRequest {
+	if r.NeedsTrialRequest {
 		b.EndMaintenance(w.ID)
 	}
 	if w.StartedAt == r.StartedAt {
 		for _, s := range r.SlowStartSent {
-			w.slowStartSent = append(w.slowStartSent, sentWork{min(s.At, now), s.Work * unit})
+			w.slowStartSent = append(w.slowStartSent, sentWork{min(s.At, now), s.Work * workScale})
 		}
 	}
 }
 
-// InFlight gives, by worker, how many slots this dispatcher's requests in flight take there.
+// InFlight returns, by worker, how many slots this dispatcher's requests in flight occupy there.
 func (b *Balancer) InFlight() map[WorkerID]float64 {
 	inFlight := map[WorkerID]float64{}
 	for _, w := range b.workers {
@@ -167,12 +167,13 @@
 	return inFlight
 }
 
-// SetOtherInFlight sets how many slots the requests of the process that this one replaces take at a worker.
+// SetPredecessorInFlight sets how many slots the requests of the process that this one replaces occupy at a
+// worker.
 //
-// Hazard: counted as requests of other dispatchers they would fade only as load reports come, while this
-// process's own rise in their place: workers would look full, and requests would be rejected.
-func (b *Balancer) SetOtherInFlight(id WorkerID, inFlight float64) {
+// If they were counted as requests of other dispatchers, they would fade only as load reports arrive, while
+// this process's own requests replace them: workers would look full, and requests would be rejected.
+func (b *Balancer) SetPredecessorInFlight(id WorkerID, inFlight float64) {
 	if w := b.workerByID[id]; w != nil {
-		w.otherProcessInFlight = inFlight
+		w.predecessorInFlight = inFlight
 	}
 }
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -68,7 +68,7 @@
 
 // failureScore is a receiver's of the failing worker.
 func (f *learnedFixture) failureScore(r *recorder) float64 {
-	return r.balancer.fadedFailureScore(r.now, r.balancer.workerByID[f.failing.ID])
+	return r.balancer.decayedFailureScore(r.now, r.balancer.workerByID[f.failing.ID])
 }
 
 // A process that replaces another one knows what that one sent to a warming worker, and which workers fail.
@@ -93,14 +93,14 @@
 	r := f.receiver(0, f.state)
 	inUse := 0.0
 	for id, n := range f.sender.balancer.InFlight() {
-		r.balancer.SetOtherInFlight(id, n)
+		r.balancer.SetPredecessorInFlight(id, n)
 		inUse += r.balancer.slotsInUse(r.now, r.balancer.workerByID[id])
 	}
 	if inUse != 1 {
 		t.Errorf("%v slots are in use, want 1", inUse)
 	}
 	for id := range f.sender.balancer.InFlight() {
-		r.balancer.SetOtherInFlight(id, 0)
+		r.balancer.SetPredecessorInFlight(id, 0)
 		if n := r.balancer.slotsInUse(r.now, r.balancer.workerByID[id]); n != 0 {
 			t.Errorf("%v slots are in use of a process that has no requests", n)
 		}
--- a/balancer/list_updates.go
+++ b/balancer/list_updates.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// firstListDelay is the wait before the list is requested at the start. Hazard: after a release most of many
-// dispatchers start at once. The list's service takes calls in turn, also those that it has rejected
-// meanwhile, and so falls behind for as long as they come back soon. Each dispatcher has its own time, by its
-// index.
+// firstListDelay returns the wait before the list is requested at the start. After a release, most
+// dispatchers start at once. Discovery serves calls in order, including those that it has rejected in the
+// meantime, so it falls further behind for as long as the callers retry soon. The delay depends on the
+// dispatcher's index, so that no two call at the same time.
 func (b *Balancer) firstListDelay() time.Duration {
-	if b.settings.DispatcherCount < manyDispatchers {
+	if b.settings.DispatcherCount < listSpreadThreshold {
 		return 0
 	}
-	return b.minTimeout / firstListSpread * time.Duration(b.settings.DispatcherIndex) /
+	return b.minTimeout / firstListSpreadDivisor * time.Duration(b.settings.DispatcherIndex) /
 		time.Duration(b.settings.DispatcherCount)
 }
 
-// listBackoff is the wait before the list is requested again, longer after each failure. Hazards: without a
-// subscription no drain is noticed; if all dispatchers call at once, the list's service stays down.
+// listBackoff returns the wait before the list is requested again, which grows with each failure. Without a
+// subscription no drain is noticed, so the wait is bounded; with many dispatchers it is randomized, because
+// discovery would stay down if all called at once.
 func (b *Balancer) listBackoff() time.Duration {
 	wait := b.jitter(b.minTimeout/16) << min(b.failedListCalls, 4)
-	if b.settings.DispatcherCount >= manyDispatchers {
+	if b.settings.DispatcherCount >= listSpreadThreshold {
 		wait += time.Duration(b.rng.Int64N(int64(b.minTimeout)))
 	}
 	if wait > maxListBackoff {
@@ -33,9 +34,9 @@
 
 // awaitsFirstList reports whether q waits for the first list of a dispatcher that has just started.
 //
-// Hazard: a process that comes back within seconds has clients that did not notice its restart. Their
-// requests come before the list does, and would all be rejected.
+// After a restart within seconds, clients have not noticed it and their requests arrive before the list.
+// Without this wait all of them would be rejected.
 func (b *Balancer) awaitsFirstList(now time.Duration, q *request) bool {
-	return b.started && !b.listReceived && now < b.startedAt+b.minTimeout/firstListDivisor &&
-		now < q.arrivedAt+(q.deadline-q.arrivedAt)/firstListDivisor
+	return b.started && !b.listReceived && now < b.startedAt+b.minTimeout/firstListWaitDivisor &&
+		now < q.arrivedAt+(q.deadline-q.arrivedAt)/firstListWaitDivisor
 }
--- a/balancer/list_updates_test.go
+++ b/balancer/list_updates_test.go
@@ -60,8 +60,8 @@
 // After a release most of many dispatchers start at once: each requests the list at a time
 // of its own; few dispatchers don't wait.
 func TestManyDispatchersSpreadFirstListCalls(t *testing.T) {
-	longest := testSettings().Classes[0].Timeout / firstListSpread
-	for _, dispatchers := range []int{1, manyDispatchers - 1, manyDispatchers, 48} {
+	longest := testSettings().Classes[0].Timeout / firstListSpreadDivisor
+	for _, dispatchers := range []int{1, listSpreadThreshold - 1, listSpreadThreshold, 48} {
 		calledAt := map[time.Duration]int{}
 		var last time.Duration
 		for me := range dispatchers {
@@ -76,11 +76,11 @@
 			calledAt[r.now-began]++
 			last = max(last, r.now-began)
 		}
-		if dispatchers < manyDispatchers && last > 0 {
+		if dispatchers < listSpreadThreshold && last > 0 {
 			t.Errorf("of %d dispatchers one waits for %v", dispatchers, last)
 		}
 		for at, n := range calledAt {
-			if dispatchers >= manyDispatchers && (n > 1 || at > longest) {
+			if dispatchers >= listSpreadThreshold && (n > 1 || at > longest) {
 				t.Errorf("%d of %d dispatchers request it after %v", n, dispatchers, at)
 			}
 		}
@@ -109,7 +109,7 @@
 	late := testRequest(0, 0)
 	late.Timeout = time.Second
 	r.submit(late)
-	r.advance(late.Timeout/firstListDivisor + 100*time.Millisecond)
+	r.advance(late.Timeout/firstListWaitDivisor + 100*time.Millisecond)
 	if got := r.requests[late.ID].final; got != "rejected" {
 		t.Errorf("after half of its time without a list: %q", got)
 	}
@@ -127,7 +127,7 @@
 // However long the list's service was down, the list is requested soon enough that nothing is missed that
 // it has to report when it is back: that counts as reported 6 s later.
 func TestListIsRequestedSoonAfterLongOutage(t *testing.T) {
-	for _, dispatchers := range []int{1, manyDispatchers, 300} {
+	for _, dispatchers := range []int{1, listSpreadThreshold, 300} {
 		set := testSettings()
 		set.ListOnRequest, set.DispatcherCount = true, dispatchers
 		r := newRecorder(t, set)
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -7,36 +7,37 @@
 	"time"
 )
 
-// healthy reports whether w is not ejected for q. If no worker is healthy, all are drawn (the panic mode).
+// healthy reports whether w is not ejected for q. If no worker is healthy, all are drawn (panic mode).
 //
-// Hazard: a worker that responds with an error at once, or can't be reached, keeps a low count of requests in
-// flight and would win every draw.
+// Without ejection, a worker that responds with errors at once or can't be reached would win every draw,
+// because it has few requests in flight.
 func (b *Balancer) healthy(now time.Duration, q *request, w *worker) bool {
 	if q.class.Idempotency == NonIdempotent {
-		return b.fadedFailureScore(now, w) < ejectionScore/2
+		return b.decayedFailureScore(now, w) < ejectionScore/2
 	}
-	return b.fadedFailureScore(now, w) < ejectionScore
+	return b.decayedFailureScore(now, w) < ejectionScore
 }
 
-// fadedFailureScore is w's failure score, which halves every half of the least timeout.
-func (b *Balancer) fadedFailureScore(now time.Duration, w *worker) float64 {
+// decayedFailureScore returns w's failure score, whose half-life is half of the least timeout. It is 1 for an
+// unresponsive worker.
+func (b *Balancer) decayedFailureScore(now time.Duration, w *worker) float64 {
 	if b.unresponsive(now, w) {
 		return 1
 	}
-	if w.failureScore > 0 { // else the power is computed for every healthy worker
+	if w.failureScore > 0 { // skips computing the power for healthy workers
 		w.failureScore *= math.Exp2(-float64(now-w.failureScoreAt) / float64(b.minTimeout/2))
 	}
 	w.failureScoreAt = now
 	return w.failureScore
 }
 
-// observeFailure takes a failure at w that this dispatcher has met, or another one has reported.
+// observeFailure records a failure at w, seen by this dispatcher or reported by another.
 func (b *Balancer) observeFailure(now time.Duration, w *worker) {
-	w.failureScore = b.fadedFailureScore(now, w) + fastWeight*(1-w.failureScore)
+	w.failureScore = b.decayedFailureScore(now, w) + fastWeight*(1-w.failureScore)
 }
 
 // unresponsive reports whether w runs a request of this dispatcher and has missed several progress reports.
 func (b *Balancer) unresponsive(now time.Duration, w *worker) bool {
 	return w.running > 0 && b.settings.ProgressInterval > 0 &&
-		now-w.progressAt > silentIntervals*b.settings.ProgressInterval
+		now-w.progressAt > unresponsiveIntervals*b.settings.ProgressInterval
 }
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -9,20 +9,20 @@
 func TestFailingWorkerIsEjected(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(4)...)
-	bad := 0
+	sentToFailing := 0
 	for i := range 200 {
 		r.submit(testRequest(i, nonIdempotentClass))
 		s := r.lastSend()
 		res := OK
 		if s.worker == 100 {
-			bad++
+			sentToFailing++
 			res = ServerError
 		}
 		r.advance(5 * time.Millisecond)
 		r.endAttempt(s, res)
 	}
-	if bad > 5 {
-		t.Errorf("the failing worker got %d of 200 non-idempotent requests", bad)
+	if sentToFailing > 5 {
+		t.Errorf("the failing worker got %d of 200 non-idempotent requests", sentToFailing)
 	}
 	r.advance(time.Minute)
 	for i := 200; i < 240; i++ {
@@ -57,12 +57,12 @@
 	r := newRecorder(t, set)
 	r.updateWorkers(ListFull, readyWorkers(4)...)
 	r.submit(testRequest(0, idempotentClass))
-	silent := r.lastSend().worker
+	unresponsive := r.lastSend().worker
 	r.reportStart(r.lastSend())
 	r.advance(time.Second)
 	for i := 1; i < 20; i++ {
 		r.submit(testRequest(i, idempotentClass))
-		if r.lastSend().worker == silent {
+		if r.lastSend().worker == unresponsive {
 			t.Fatal("a request went to an unresponsive worker")
 		}
 	}
@@ -72,11 +72,11 @@
 func TestFailureIsSentToPeers(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
-	bad := r.workers[100].ID
-	r.balancer.ReceivePeer(r.now, []byte{0, 0, 0, byte(bad)})
+	failing := r.workers[100].ID
+	r.balancer.ReceivePeer(r.now, []byte{0, 0, 0, byte(failing)})
 	for i := range 20 {
 		r.submit(testRequest(i, nonIdempotentClass))
-		if s := r.lastSend(); s.worker == bad {
+		if s := r.lastSend(); s.worker == failing {
 			t.Fatal("a non-idempotent request went to a worker that had just failed another dispatcher's")
 		}
 	}
@@ -94,7 +94,7 @@
 
 // A warming worker gets a request soon after its maintenance, and no more than its budget.
 func TestWorkerAfterMaintenanceGetsARequest(t *testing.T) {
-	for _, owed := range []bool{true, false} {
+	for _, endsMaintenance := range []bool{true, false} {
 		set := testSettings()
 		set.Rules.SlowStartWindow, set.Rules.SlowStartMinShare = 20*time.Second, 0.12
 		set.Rules.OverloadFactor, set.Rules.OverloadWindow = 3, time.Second
@@ -117,13 +117,13 @@
 		back := list[0]
 		back.StartedAt = r.now
 		r.updateWorkers(ListDelta, back)
-		if owed {
+		if endsMaintenance {
 			r.balancer.EndMaintenance(back.ID)
 		}
-		if got := run(1000, 1); (got == 1) != owed {
-			t.Errorf("maintenance %v: the first request went there %d times", owed, got)
+		if got := run(1000, 1); (got == 1) != endsMaintenance {
+			t.Errorf("maintenance %v: the first request went there %d times", endsMaintenance, got)
 		}
-		if r.balancer.owedWorkers != 0 {
+		if r.balancer.workersNeedingTrial != 0 {
 			t.Error("it gets more than one of the next requests")
 		}
 	}
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -10,21 +10,21 @@
 // it has passed to the balancer alone: (1) one response in time, (2) idempotency, (3) no draining workers,
 // (4) slow start.
 type recorder struct {
-	t            *testing.T
-	balancer     *Balancer
-	settings     Settings
-	now          time.Duration
-	requests     map[RequestID]*recordedRequest
-	workers      map[WorkerID]*recordedWorker
-	sends        []recordedSend // in order, those in flight and those that have ended
-	timers       []recordedTimer
-	watchCalls   int
-	checked      []WorkerID
-	retryAfters  []time.Duration // of rejections
-	logs         []string
-	cancels      []string // attempts, as ID/number
-	peerMessages [][]byte // sent to peers
-	losesEnds    bool     // no attempt's end is reported
+	t                *testing.T
+	balancer         *Balancer
+	settings         Settings
+	now              time.Duration
+	requests         map[RequestID]*recordedRequest
+	workers          map[WorkerID]*recordedWorker
+	sends            []recordedSend // in order, those in flight and those that have ended
+	timers           []recordedTimer
+	watchCalls       int
+	checked          []WorkerID
+	retryAfters      []time.Duration // of rejections
+	logs             []string
+	cancels          []string // attempts, as ID/number
+	peerMessages     [][]byte // sent to peers
+	dropsAttemptEnds bool     // no attempt's end is reported
 
 	submitted, retries []time.Duration // times of requests, and of attempts after a request's first
 }
@@ -80,7 +80,7 @@
 	return r
 }
 
-func (r *recorder) violated(rule string) {
+func (r *recorder) reportViolation(rule string) {
 	r.t.Helper()
 	r.t.Fatalf("at %v: rule broken: %s", r.now, rule)
 }
@@ -199,7 +199,7 @@
 
 func (r *recorder) endTimedOut() {
 	for i := range r.sends {
-		if s := &r.sends[i]; !r.losesEnds && !s.ended && r.now >= r.requests[s.id].deadline {
+		if s := &r.sends[i]; !r.dropsAttemptEnds && !s.ended && r.now >= r.requests[s.id].deadline {
 			r.endAttempt(s, TimedOut)
 		}
 	}
@@ -210,7 +210,7 @@
 	r.t.Helper()
 	for _, q := range r.requests {
 		if q.final == "" && r.now > q.deadline+r.settings.Rules.ResponseSlack {
-			r.violated("no response in time for " + string(q.ID))
+			r.reportViolation("no response in time for " + string(q.ID))
 		}
 	}
 }
@@ -224,10 +224,10 @@
 	}
 	c := r.settings.Classes[q.Class]
 	if q.final != "" {
-		r.violated("sent after the final response")
+		r.reportViolation("sent after the final response")
 	}
 	if len(q.sends) >= r.settings.Limits.MaxAttempts {
-		r.violated("more attempts than the limit")
+		r.reportViolation("more attempts than the limit")
 	}
 	if len(q.sends) > 0 {
 		r.retries = append(r.retries, r.now)
@@ -236,21 +236,21 @@
 	for _, i := range q.sends {
 		s := r.sends[i]
 		if !s.ended && !r.settings.Limits.HedgedRequests {
-			r.violated("two attempts in flight at once")
+			r.reportViolation("two attempts in flight at once")
 		}
 		if r.provenNotRun(s) {
 			continue
 		}
 		if c.Idempotency == NonIdempotent {
-			r.violated("a non-idempotent request that may have run was retried")
+			r.reportViolation("a non-idempotent request that may have run was retried")
 		}
 		if c.Idempotency == IdempotentByKey &&
 			(r.now-s.at >= c.KeyWindow || !r.sameKeyGroup(c, s.worker, to)) {
-			r.violated("a keyed request that may have run was retried outside its scope or window")
+			r.reportViolation("a keyed request that may have run was retried outside its scope or window")
 		}
 	}
 	if w.unavailableSince >= 0 && r.now > w.unavailableSince+r.settings.Rules.DrainGrace {
-		r.violated("sent to a worker that is draining or removed")
+		r.reportViolation("sent to a worker that is draining or removed")
 	}
 	r.checkSlowStart(w, q)
 	q.sends = append(q.sends, len(r.sends))
@@ -278,7 +278,7 @@
 		return n
 	}
 	if within(r.retries) > ru.RetryBudgetBase+ru.RetryBudgetShare*within(r.submitted) {
-		r.violated("a retry beyond the budget")
+		r.reportViolation("a retry beyond the budget")
 	}
 }
 
@@ -312,20 +312,20 @@
 	share := ru.SlowStartMinShare + (1-ru.SlowStartMinShare)*float64(age)/float64(ru.SlowStartWindow)
 	capacity := share * w.capacity / float64(max(r.settings.DispatcherCount, 1))
 	if sum > ru.OverloadFactor*capacity*ru.OverloadWindow.Seconds() {
-		r.violated("a warming worker was overloaded")
+		r.reportViolation("a warming worker was overloaded")
 	}
 }
 
-func (r *recorder) recordResponse(id RequestID, how string) *recordedRequest {
+func (r *recorder) recordResponse(id RequestID, response string) *recordedRequest {
 	r.t.Helper()
 	q := r.requests[id]
 	if q == nil {
-		r.t.Fatalf("%s(%s): not submitted", how, id)
+		r.t.Fatalf("%s(%s): not submitted", response, id)
 	}
 	if q.final != "" {
-		r.violated("two final responses")
+		r.reportViolation("two final responses")
 	}
-	q.final = how
+	q.final = response
 	return q
 }
 
@@ -341,7 +341,7 @@
 			c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
 			continue
 		}
-		r.violated("a request that may have run was rejected, which says that a retry is harmless")
+		r.reportViolation("a request that may have run was rejected, which says that a retry is harmless")
 	}
 }
 
--- a/balancer/rejections.go
+++ b/balancer/rejections.go
@@ -1,12 +1,12 @@
 package balancer
 
-// Decisions: final responses that no worker gives.
+// Decisions: final responses that don't come from a worker.
 
 import (
 	"time"
 )
 
-// rejectOrFail gives the final response to a request that no worker serves: a rejection, if a retry is
+// rejectOrFail sends the final response to a request that no worker serves: a rejection if a retry is
 // harmless, or else a failure.
 func (b *Balancer) rejectOrFail(q *request) {
 	if !b.rejectable(q) {
@@ -16,19 +16,20 @@
 	q.responded = true
 	b.rejectedCount++
 	b.actions.Reject(q.ID, b.jitter(b.settings.Limits.MaxRetryAfter/8))
-	b.forget(q)
+	b.removeIfDone(q)
 }
 
-// fail gives the final response that promises nothing. Hazard: a request that workers can't read is otherwise
-// sent to one after the other, all of which then count as failing, and its client is made to retry.
+// fail sends a final response that does not promise that a retry is harmless. For an unprocessable request
+// this avoids sending it to one worker after another, all of which would then count as failing, and a retry
+// by its client.
 func (b *Balancer) fail(q *request) {
 	q.responded = true
 	b.failedCount++
 	b.actions.Fail(q.ID)
-	b.forget(q)
+	b.removeIfDone(q)
 }
 
-// jitter is d to 2d at random, so that those who wait don't come back at the same time.
+// jitter returns a random duration from d to 2d, so that waiting callers don't return at the same time.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(b.rng.Int64N(int64(d)+1))
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// findAttempt finds an attempt of an open request; nil: it is not known.
+// findAttempt returns an attempt of an open request, or nil if it is unknown.
 func (b *Balancer) findAttempt(id RequestID, number int) (*request, *attempt) {
 	q := b.requestByID[id]
 	if q == nil || number < 0 || number >= len(q.attempts) {
@@ -13,8 +13,8 @@
 	return q, &q.attempts[number]
 }
 
-// maxAttempts is how many attempts a request may have: the least of what the deployment, its class and its
-// route allow.
+// maxAttempts returns how many attempts a request may have: the least of the limits of the deployment, its
+// class and its route.
 func (b *Balancer) maxAttempts(q *request) int {
 	n := b.settings.Limits.MaxAttempts
 	for _, limit := range [...]int{q.class.MaxAttempts, q.MaxAttempts} {
@@ -25,18 +25,18 @@
 	return n
 }
 
-// onRoute reports whether w is in the tier at which q is tried.
+// onRoute reports whether w is in the tier of its route that q currently uses.
 func (q *request) onRoute(w *worker) bool { return q.Route == nil || q.Route.Tier(&w.Worker) == q.tier }
 
-// startRoute has q be tried at the first tier of its route.
+// startRoute resets q to the first tier of its route.
 func (q *request) startRoute() { q.tier, q.allowEjected = 0, q.Route == nil }
 
-// nextTier has q be tried at the next tier of its route, if there is one and the route lets it spill over.
-// After the last tier it begins again, this time with ejected workers, too. It reports whether there is
+// nextTier moves q to the next tier of its route, if there is one and the route lets it spill over. After the
+// last tier it starts again at the first, this time including ejected workers. It reports whether there is
 // anything left to try.
 //
-// Hazard: the only worker of the first tier can't be reached, and every request is tried there before it goes
-// to a healthy one of the next.
+// Ejected workers come last. Otherwise, if the only worker of the first tier can't be reached, every request
+// would be tried there before it is sent to a healthy worker of the next tier.
 func (q *request) nextTier(busy bool) bool {
 	if q.Route == nil {
 		return false
@@ -52,7 +52,7 @@
 	return true
 }
 
-// addRequest enters a new request; nil: its ID is open already.
+// addRequest registers a new request. It returns nil if a request with its ID is open.
 func (b *Balancer) addRequest(now time.Duration, r Request) *request {
 	if b.requestByID[r.ID] != nil {
 		return nil
@@ -66,7 +66,7 @@
 	return q
 }
 
-// newRequest reuses a request that is forgotten, or makes one.
+// newRequest returns a request from the free list, or allocates one.
 func (b *Balancer) newRequest() *request {
 	n := len(b.freeRequests)
 	if n == 0 {
@@ -78,8 +78,8 @@
 	return q
 }
 
-// forget drops a request that has its response and no attempt in flight.
-func (b *Balancer) forget(q *request) {
+// removeIfDone removes a request that has its response, has no attempt in flight and is not waiting.
+func (b *Balancer) removeIfDone(q *request) {
 	if !q.responded || q.inFlight > 0 || q.waiting {
 		return
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Idempotency is what running a request twice does.
+// Idempotency says whether a request may run twice.
 type Idempotency uint8
 
-// The idempotency that a class can have.
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // running it again is harmless
-	IdempotentByKey                    // workers that share a key memory drop its repeats for a while
+	IdempotentByKey                    // workers in its key scope drop repeats of it within the key window
 	NonIdempotent                      // it must never run twice
 )
 
-// KeyScope is which workers share the memory of idempotency keys.
+// KeyScope says which workers share idempotency keys.
 type KeyScope uint8
 
 // The scopes of idempotency keys.
@@ -22,88 +22,88 @@
 	ScopeCell
 )
 
-// SizeMeaning is what the sizes of workers in the list mean.
+// SizeMeaning is the meaning of the sizes of workers in the list.
 type SizeMeaning uint8
 
-// What a worker's Size can mean.
+// The meanings of Worker.Size.
 const (
-	SizeNone        SizeMeaning = iota // nothing
+	SizeNone        SizeMeaning = iota // none
 	SizeNominal                        // the registered capacity
-	SizeApproximate                    // about the capacity
-	SizeLive                           // the capacity over one more than the requests a core, delayed
+	SizeApproximate                    // approximately the capacity
+	SizeLive                           // the capacity divided by one more than the requests per core, delayed
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Name string
-	// LatencyObjective is the time within which a response earns the whole priority weight.
+	// LatencyObjective is the time within which a response has its full priority weight.
 	LatencyObjective time.Duration
-	// ObjectiveStretch: the objective grows by this many times the request's own running time.
+	// ObjectiveStretch extends the objective by this multiple of the request's own running time.
 	ObjectiveStretch float64
 	// Timeout is how long a client waits, over all attempts of its request.
 	Timeout        time.Duration
 	PriorityWeight float64
-	// LateShare is the share of PriorityWeight that a response after the objective still earns. The balancer
-	// rejects what would be late.
+	// LateShare is the share of PriorityWeight that a response still has after the objective. Requests that
+	// are expected to be late are rejected.
 	LateShare   float64
 	Idempotency Idempotency
-	KeyScope    KeyScope      // of IdempotentByKey
-	KeyWindow   time.Duration // of IdempotentByKey: for how long repeats are dropped
+	KeyScope    KeyScope      // for IdempotentByKey
+	KeyWindow   time.Duration // for IdempotentByKey: how long repeats are dropped
 	Streaming   bool          // responses are streamed; see Balancer.StreamStarted
-	WorkerKind  int           // the kind of worker that it needs; -1: any
+	WorkerKind  int           // the kind of worker that it requires; -1: any
 	Priority    int           // not used by decisions
-	MaxAttempts int           // for each request, within Limits.MaxAttempts; 0: as many as those
+	MaxAttempts int           // limit for each request, below Limits.MaxAttempts; 0: none
 }
 
-// Tenant is one of the customers that share the workers.
+// Tenant is a customer that shares the workers with others.
 type Tenant struct {
 	Name           string
-	CapacityShare  float64 // of the workers, 0 to 1
-	QuotaPerSecond float64 // requests within its share, over all dispatchers; 0: not limited
+	CapacityShare  float64 // of all workers, 0 to 1
+	QuotaPerSecond float64 // requests within its share, over all dispatchers; 0: unlimited
 }
 
-// Limits is what the deployment lets a dispatcher do.
+// Limits says what the deployment allows a dispatcher to do.
 type Limits struct {
-	MaxAttempts    int  // of each request
+	MaxAttempts    int  // for each request
 	CanCancel      bool // attempts in flight can be cancelled
 	HealthChecks   bool // load reports can be requested
 	PeerMessages   bool // dispatchers can send each other messages
-	RetryAfter     bool // rejections can name a time
-	HedgedRequests bool // two attempts of a request may be in flight at once
+	RetryAfter     bool // rejections can include a time
+	HedgedRequests bool // a request may have two attempts in flight at once
 	ConnectTimeout time.Duration
 	IdleTimeout    time.Duration // of connections
 	MaxRetryAfter  time.Duration
 }
 
-// Rules are the limits that a dispatcher is judged by.
+// Rules are the limits that a dispatcher must keep.
 type Rules struct {
-	ResponseSlack     time.Duration // a final response may come so long after the deadline
-	ListPollInterval  time.Duration // where the list must be requested: at least so often
-	DrainGrace        time.Duration // a draining worker may get requests for so long
-	SlowStartMinShare float64       // a worker starts with this share of its capacity
-	SlowStartWindow   time.Duration // and has warmed up after this
-	OverloadFactor    float64       // a worker that gets more than this many times its capacity fails
-	OverloadWindow    time.Duration // if it gets that over this time while it warms up
-	RetryBudgetWindow time.Duration // retries are limited in any window of this length; 0: they are not
-	RetryBudgetBase   float64       // to this many
-	RetryBudgetShare  float64       // and this many more for each request submitted in the window
+	ResponseSlack     time.Duration // how long after the deadline a final response may still be sent
+	ListPollInterval  time.Duration // the longest time between calls for the list, if it must be requested
+	DrainGrace        time.Duration // how long a draining worker may still get requests
+	SlowStartMinShare float64       // the share of its capacity that a worker has at its start
+	SlowStartWindow   time.Duration // the time after which it has its full capacity
+	OverloadFactor    float64       // a warming worker fails above this multiple of its capacity
+	OverloadWindow    time.Duration // the time over which that load is measured
+	RetryBudgetWindow time.Duration // the window of the retry budget; 0: retries are unlimited
+	RetryBudgetBase   float64       // retries allowed in any window
+	RetryBudgetShare  float64       // further retries allowed for each request submitted in the window
 	FullMayHaveRun    bool          // WorkerFull does not prove that the request never ran
 }
 
-// Goal weighs the parts of the score that decisions aim at.
+// Goal weights the parts of the score that decisions maximize.
 type Goal struct {
 	Overall     float64
 	WorstWindow float64
 	WorstClass  float64
 	WorstTenant float64
-	OnTime      float64 // by class and 5 s, in full while few responses miss the latency objective
-	// AllowedMissShare is no weight, but the share of responses that may miss the objective.
+	OnTime      float64 // by class and 5 s; in full if few responses miss the latency objective
+	// AllowedMissShare is not a weight but the share of responses that may miss the objective.
 	AllowedMissShare float64
 }
 
-// Costs are what one unit of each takes off the score.
+// Costs are deducted from the score for one unit of each item.
 type Costs struct {
-	CrossZone   float64 // an attempt at a worker of another zone
+	CrossZone   float64 // an attempt at a worker in another zone
 	WastedWork  float64
 	Connection  float64
 	Handshake   float64
@@ -112,22 +112,22 @@
 	LateFailure float64
 }
 
-// Settings are a dispatcher's configuration.
+// Settings are the configuration of a dispatcher.
 type Settings struct {
-	DispatcherIndex int // this dispatcher's, from 0
+	DispatcherIndex int // of this dispatcher, from 0
 	DispatcherCount int
-	Zone            int // this dispatcher's
+	Zone            int // of this dispatcher
 	ZoneCount       int
-	WorkerKinds     int // how many there are
+	WorkerKinds     int // number of kinds
 	Classes         []Class
 	Tenants         []Tenant
 
 	SizeMeaning        SizeMeaning
 	ListOnRequest      bool          // the list changes only after Actions.WatchList
-	WeightByWork       bool          // priority weights count for each unit of work, not for each request
-	OverQuotaWeight    float64       // factor on the priority weight of requests over their tenant's quota
+	WeightByWork       bool          // priority weights apply to each unit of work instead of each request
+	OverQuotaWeight    float64       // factor on the priority weight of requests over quota
 	ReportsStart       bool          // workers report when a request starts running
-	ProgressInterval   time.Duration // and how far it is, this often; 0: never
+	ProgressInterval   time.Duration // interval of progress reports on running requests; 0: none
 	MinEventInterval   time.Duration // the least time between two events
 	LoadReportsByCheck bool          // load reports come only with health checks
 
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -1,13 +1,14 @@
 package balancer
 
-// Decisions: how much a worker that has just started is sent (slow start).
+// Decisions: how much is sent to a worker that has just started (slow start).
 
 import (
 	"math"
 	"time"
 )
 
-// warmUpFactor is the least share of its capacity that w has, by its age: 1 after the slow-start window.
+// warmUpFactor returns the least share of its capacity that w has at its age. It is 1 after the slow-start
+// window.
 func (b *Balancer) warmUpFactor(now time.Duration, w *worker) float64 {
 	r := &b.settings.Rules
 	if w.StartedAt <= 0 || now-w.StartedAt >= r.SlowStartWindow {
@@ -17,20 +18,20 @@
 	return max(r.SlowStartMinShare+(1-r.SlowStartMinShare)*age, epsilon)
 }
 
-// withinSlowStart reports whether the slow-start budget of a worker has room for work. A warm worker always
-// has.
+// withinSlowStart reports whether the slow-start budget of a worker has room for more work. For a warm worker
+// it always has.
 //
-// Hazard: a worker that warms up has no requests in flight by any dispatcher's count, and is overloaded. What
-// it can take now is estimated as its share, by age, of the load from this dispatcher that warm workers of
-// its kind finish; all dispatchers together keep to the whole. Without anything to estimate by, the budget is
-// nothing.
+// Without a budget, a worker that is warming up would be overloaded, because every dispatcher sees no
+// requests in flight there. Its capacity is estimated as a share, by its age, of the load from this
+// dispatcher that warm workers of its kind finish; the budgets of all dispatchers add up to the whole.
+// Without any observed load, the budget is zero.
 func (b *Balancer) withinSlowStart(now time.Duration, w *worker, work float64) bool {
 	rules, warmUp := &b.settings.Rules, b.warmUpFactor(now, w)
 	if warmUp == 1 || rules.OverloadFactor <= 0 || rules.OverloadWindow <= 0 {
 		return true
 	}
-	// Hazard: such a worker takes so many usual requests, and so much work. Where most requests are far
-	// smaller than the mean, a budget in work alone would let several times that number through.
+	// The budget limits both the number of usual requests and their work. If most requests are far smaller
+	// than the mean, a budget in work alone would allow several times that number.
 	mean := b.meanHintedWork()
 	budget := b.slowStartBudget(w, warmUp, mean)
 	slot, ok := b.timeSlotFor(budget, mean, max(work, mean))
@@ -47,65 +48,68 @@
 	return max(sum, number*mean) <= budget*slot.usedShare*float64(slot.windows)
 }
 
-// slowStartBudget is this dispatcher's part of the work that a worker takes in one overload window while it
-// warms up, with half of the rule's margin for chance.
+// slowStartBudget returns this dispatcher's part of the work that a warming worker may get in one overload
+// window. It includes half of the rule's statistical margin.
 func (b *Balancer) slowStartBudget(w *worker, warmUp, mean float64) float64 {
 	rules := &b.settings.Rules
 	budget := rules.OverloadFactor * warmUp * b.warmRate(w.Kind) * rules.OverloadWindow.Seconds()
 	requests := budget * float64(b.settings.DispatcherCount) / max(mean, epsilon)
 	if mean > 0 && requests > 0 {
-		budget *= 1 + chanceMargin(requests)/2/requests
+		budget *= 1 + statisticalMargin(requests)/2/requests
 	}
 	return budget
 }
 
-// chanceMargin is how many requests the overload rule allows in a window beyond those that it is stated for.
-func chanceMargin(requests float64) float64 {
+// statisticalMargin returns how many requests the overload rule allows in a window beyond its nominal number.
+func statisticalMargin(requests float64) float64 {
 	if requests < 30 {
 		return 3*math.Sqrt(requests) + 3
 	}
 	return 2*math.Sqrt(requests) + 2
 }
 
-// timeSlot is how a dispatcher spends its part of a worker's slow-start budget: one overload window in so
-// many is its own, and of all that its part comes to over them it may spend a share.
+// timeSlot says how a dispatcher uses its part of a worker's slow-start budget: one in this many overload
+// windows is its own, and in it the dispatcher may use the given share of its budget for all of them.
 type timeSlot struct {
 	windows   int
 	usedShare float64
 }
 
-// timeSlotFor is the shortest cycle of time slots in which a dispatcher's budget is enough for a request, if
-// there is one.
+// timeSlotFor returns the shortest cycle of time slots in which a dispatcher's budget is large enough for a
+// request, if there is one.
 //
-// Hazard: the budget of one of many dispatchers is less than a request, and all leave the worker idle; or
-// they save their budgets up, and all send at once when other workers are removed. Such a request needs as
-// many windows as make the budget large enough, and goes only in this dispatcher's time slot among as many.
+// With many dispatchers, each one's budget can be smaller than a request. Without time slots, all of them
+// would leave the worker idle, or would accumulate their budgets and all send at once when other workers are
+// removed. Such a request is sent only in this dispatcher's time slot of a cycle, which has as many windows
+// as make the budget large enough.
 func (b *Balancer) timeSlotFor(budget, mean, need float64) (timeSlot, bool) {
 	if budget <= 0 {
 		return timeSlot{}, false
 	}
-	// Any window can meet two time slots, beside what all others spend without slots. A dispatcher whose
-	// budget is never enough without slots has only them, and two may take the whole of what it has.
+	// Any window can overlap two time slots, in addition to what all other dispatchers use without slots. A
+	// dispatcher whose budget is never large enough without slots uses only them, and two slots may use its
+	// entire budget.
 	n := float64(b.settings.DispatcherCount)
-	steady := (1 + 1/max(n, 2)) / 2
-	inSlot := (1 - steady*(n-2)/n) / 2
-	if budget*steady < mean {
-		inSlot = max(inSlot, 0.5)
+	unslottedShare := (1 + 1/max(n, 2)) / 2
+	slottedShare := (1 - unslottedShare*(n-2)/n) / 2
+	if budget*unslottedShare < mean {
+		slottedShare = max(slottedShare, 0.5)
 	}
-	slot := timeSlot{1, steady}
+	slot := timeSlot{1, unslottedShare}
 	for budget*slot.usedShare*float64(slot.windows) < need {
 		if slot.windows >= b.maxWindows() {
 			return timeSlot{}, false
 		}
-		slot = timeSlot{min(nextWindows(slot.windows), b.maxWindows()), inSlot}
+		slot = timeSlot{min(nextWindows(slot.windows), b.maxWindows()), slottedShare}
 	}
 	return slot, true
 }
 
-// maxWindows is the longest cycle of time slots, in windows. A dispatcher alone has no slots.
+// maxWindows returns the longest cycle of time slots, in windows. It is 1 for a single dispatcher, which
+// needs no slots.
 func (b *Balancer) maxWindows() int { return 2*b.settings.DispatcherCount - 1 }
 
-// nextWindows is the next length of a cycle: 1, 2, 3, 4, 6, 8, 12 and so on.
+// nextWindows returns the next length of a cycle: 1, 2, 3, 4, 6, 8, 12 and so on.
 func nextWindows(windows int) int {
 	if powerOfTwo := windows&(windows-1) == 0; !powerOfTwo {
 		return windows * 4 / 3
@@ -113,18 +117,19 @@
 	return max(windows*3/2, windows+1)
 }
 
-// inTimeSlot reports whether this dispatcher's time slot at w is now, by the worker's age, which all
-// dispatchers know alike.
+// inTimeSlot reports whether it is this dispatcher's time slot at w. Slots depend on the worker's age, which
+// is the same for all dispatchers.
 func (b *Balancer) inTimeSlot(now time.Duration, w *worker, windows int) bool {
 	window := int((now - w.StartedAt) / b.settings.Rules.OverloadWindow)
 	return (window+int(w.ID)+b.settings.DispatcherIndex)%windows == 0
 }
 
-// warmRate is the work from this dispatcher that a warm worker of a kind finishes, in slot seconds a second.
+// warmRate returns the work from this dispatcher that a warm worker of a kind finishes, in slot seconds per
+// second.
 //
-// Hazard: a release replaces every worker of a kind, and a dispatcher that starts then has no record of that
-// kind, nor a warm worker to make one: all of them would stay idle until warm. The kind that takes least
-// stands in for it.
+// For a kind without observations, the lowest rate of any other kind is used. Otherwise, after a release that
+// replaces every worker of a kind, a dispatcher that has just started would have no observations of the kind
+// and no warm worker to observe, and all these workers would stay idle until they are warm.
 func (b *Balancer) warmRate(kind int) float64 {
 	if r := b.kindRate(kind); r > 0 {
 		return r
@@ -135,38 +140,39 @@
 			least = r
 		}
 	}
-	return least // hazard: where no kind was observed, nothing
+	return least // zero if no kind was observed
 }
 
-// kindRate is what this dispatcher has observed of one kind alone.
+// kindRate returns the rate that this dispatcher has observed for one kind.
 //
-// Hazard: where warm workers are not full, what they take is less than what they can take, and workers that
-// warm up stand idle while warm ones queue. What the full ones took counts more, the longer some were full;
-// all dispatchers' parts of it add up to what they can take. Reported slots don't: there may be more slots
-// than cores.
+// Warm workers that are not full finish less than they could. With their average rate alone, warming workers
+// would be idle while warm ones have queues. So the rate of full workers has a weight that grows with the
+// time that workers were full. Over all dispatchers these rates add up to the capacity. Reported slots can't
+// be used for that, because there may be more slots than cores.
 func (b *Balancer) kindRate(kind int) float64 {
 	l := &b.kindLoads[kind]
 	rate := l.work / max(l.seconds, epsilon)
 	return max(rate, (rate*fullPriorSeconds+l.fullWork)/(fullPriorSeconds+l.fullSeconds))
 }
 
-// expectedWork is the work that a request is expected to be, in slot seconds.
+// expectedWork returns the expected work of a request, in slot seconds.
 func (b *Balancer) expectedWork(q *request) float64 { return b.expectedRunTime(q) * q.slotsNeeded() }
 
-// hintedWork is expectedWork by the hints' own measure. Hazard: running times have waits in them, and so
-// requests during overload seem to be more work than the same requests after it: a budget from then would be
-// too large.
+// hintedWork returns expectedWork in the unit of the hints. Running times include waits, so measured by them
+// requests during an overload would seem to be more work than the same requests after it, and a budget from
+// that time would be too large.
 func (b *Balancer) hintedWork(q *request) float64 {
 	return b.expectedWork(q) / max(b.hintRatio, epsilon)
 }
 
-// meanHintedWork is the mean of recent requests, in slot seconds.
+// meanHintedWork returns the mean work of recent requests, in slot seconds.
 func (b *Balancer) meanHintedWork() float64 { return b.arrivedWork / max(b.arrivals, epsilon) }
 
-// slotsNeeded is what q takes of a worker: its slots, or its memory where that is more.
+// slotsNeeded returns how many slots q occupies at a worker, or its units of memory if those are more.
 func (q *request) slotsNeeded() float64 { return max(q.Slots, q.Memory, 1) }
 
-// expectedRunTime is how many seconds q is expected to run at a usual worker: by its hint, else by its class.
+// expectedRunTime returns how many seconds q is expected to run at a usual worker: by its hint if it has one,
+// or else by its class.
 func (b *Balancer) expectedRunTime(q *request) float64 {
 	if q.ExpectedWork > 0 && b.hintRatio > 0 {
 		return q.ExpectedWork.Seconds() * b.hintRatio
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -38,9 +38,9 @@
 	}
 	r.updateWorkers(ListFull, warm...)
 	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport)
-	news := []Worker{{ID: 10, State: Ready, StartedAt: r.now, Size: 1},
+	newWorkers := []Worker{{ID: 10, State: Ready, StartedAt: r.now, Size: 1},
 		{ID: 11, State: Ready, StartedAt: r.now, Size: 1}}
-	r.updateWorkers(ListFull, append(warm[:2:2], news...)...) // two of kind 0, never seen, take two places
+	r.updateWorkers(ListFull, append(warm[:2:2], newWorkers...)...) // two of kind 0, never seen, take two places
 	r.workers[10].capacity, r.workers[11].capacity = 1, 1
 	// Five seconds: half of the slow-start window, so that no worker of kind 0 is warm meanwhile.
 	if got := submitSteadily(r, 400, 160, 31*time.Millisecond, NoLoadReport); got[10]+got[11] == 0 {
@@ -88,8 +88,8 @@
 		}
 		return n
 	}
-	if calm, overload := allowed(1), allowed(3); calm == 0 || overload != calm {
-		t.Errorf("%d requests by a record without overload, %d by one with", calm, overload)
+	if normal, overload := allowed(1), allowed(3); normal == 0 || overload != normal {
+		t.Errorf("%d requests by a record without overload, %d by one with", normal, overload)
 	}
 }
 
@@ -119,15 +119,15 @@
 // window does it get more requests of mean work than N + 2 root N + 2 (N under 30: 3 root N + 3). And the
 // worker is not left idle: over its warm-up it gets a good part of N, however many dispatchers share it.
 func TestWarmingWorkerWithGreedyDispatchers(t *testing.T) {
-	for _, size := range []int{1, 2, 3, 8, 32, 150, 300, 900} {
+	for _, dispatchers := range []int{1, 2, 3, 8, 32, 150, 300, 900} {
 		// Requests a window, of a warm worker, and the part of N that is to be used at least.
 		for allowed, least := range map[float64]float64{3: 1.2, 12: 0.6, 60: 0.45} {
 			for _, uneven := range []bool{false, true} {
-				most, used := simulateGreedyDispatchers(t, size, allowed, uneven)
-				if most > 0.9 || used < least {
+				fullestWindow, usedPart := simulateGreedyDispatchers(t, dispatchers, allowed, uneven)
+				if fullestWindow > 0.9 || usedPart < least {
 					t.Errorf("%d dispatchers, N up to %v, uneven %v: %.2f of what the rule allows in the "+
-						"fullest window, want at most 0.9; %.2f of N in all, want at least %.2f", size,
-						allowed, uneven, most, used, least)
+						"fullest window, want at most 0.9; %.2f of N in all, want at least %.2f", dispatchers,
+						allowed, uneven, fullestWindow, usedPart, least)
 				}
 			}
 		}
@@ -136,38 +136,38 @@
 
 // simulateGreedyDispatchers gives the fullest window, as a part of what the rule allows, and the part of N
 // that was sent over the whole warm-up.
-func simulateGreedyDispatchers(t *testing.T, size int, allowed float64, uneven bool) (most, used float64) {
+func simulateGreedyDispatchers(t *testing.T, dispatchers int, allowed float64, uneven bool) (fullestWindow, usedPart float64) {
 	set := testSettings()
-	set.DispatcherCount = size
+	set.DispatcherCount = dispatchers
 	window := set.Rules.OverloadWindow
 	warming := Worker{ID: 200, State: Ready, Size: 1}
-	var all []*recorder
-	whole, shares := 0.0, make([]float64, size)
+	var recorders []*recorder
+	shareSum, shares := 0.0, make([]float64, dispatchers)
 	for i := range shares {
 		shares[i] = 1
 		if uneven {
 			shares[i] = 1 + float64(i*7%5)
 		}
-		whole += shares[i]
+		shareSum += shares[i]
 	}
-	for i := range size {
+	for i := range dispatchers {
 		set.DispatcherIndex = i
 		r := newRecorder(t, set)
 		warming.StartedAt = r.now
 		r.updateWorkers(ListFull, append(readyWorkers(4), warming)...)
-		rate := allowed / window.Seconds() / set.Rules.OverloadFactor * shares[i] / whole
+		rate := allowed / window.Seconds() / set.Rules.OverloadFactor * shares[i] / shareSum
 		r.balancer.kindLoads[0].add(rate*100, 100, false) // a usual request is one unit of work
 		r.balancer.arrivals, r.balancer.arrivedWork = 100, 100
-		all = append(all, r)
+		recorders = append(recorders, r)
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
 	const steps = 50 // in a window
 	var sent []time.Duration
 	total, possible := 0.0, 0.0
-	first := all[0]
+	first := recorders[0]
 	for now := warming.StartedAt; now < warming.StartedAt+set.Rules.SlowStartWindow; now += window / steps {
-		for _, i := range rng.Perm(size) {
-			b := all[i].balancer
+		for _, i := range rng.Perm(dispatchers) {
+			b := recorders[i].balancer
 			w := b.workerByID[warming.ID]
 			for b.withinSlowStart(now, w, 1) {
 				w.slowStartSent = append(w.slowStartSent, sentWork{now, 1})
@@ -183,10 +183,10 @@
 		if n < 30 {
 			limit = n + 3*math.Sqrt(n) + 3
 		}
-		most = max(most, float64(len(sent))/limit)
+		fullestWindow = max(fullestWindow, float64(len(sent))/limit)
 		possible += n / steps
 	}
-	return most, total / possible
+	return fullestWindow, total / possible
 }
 
 // Without any load observed, a warming worker's budget is nothing.
@@ -209,13 +209,13 @@
 // requests saves nothing up, so that when all other workers are removed the dispatchers don't all send at
 // once; and yet the worker gets requests.
 func TestSlowStartTimeSlots(t *testing.T) {
-	const many = 40
-	var ru Rules
+	const dispatchers = 40
+	var rules Rules
 	var at []time.Duration // the sends to the warming worker, by its age
-	for index := range many {
+	for index := range dispatchers {
 		set := testSettings()
-		set.DispatcherIndex, set.DispatcherCount, set.Rules.ResponseSlack = index, many, 200*time.Millisecond
-		ru = set.Rules
+		set.DispatcherIndex, set.DispatcherCount, set.Rules.ResponseSlack = index, dispatchers, 200*time.Millisecond
+		rules = set.Rules
 		r := newSeeded(t, set, uint64(index))
 		r.updateWorkers(ListFull, readyWorkers(4)...)
 		for i := range 40 { // each takes a fortieth of four warm workers' load of 0.8
@@ -237,18 +237,18 @@
 		}
 	}
 	if len(at) < 10 {
-		t.Errorf("the warming worker got %d requests from %d dispatchers", len(at), many)
+		t.Errorf("the warming worker got %d requests from %d dispatchers", len(at), dispatchers)
 	}
 	slices.Sort(at)
 	for i, from := range at {
 		n := 0
 		for _, a := range at[i:] {
-			if a-from < ru.OverloadWindow {
+			if a-from < rules.OverloadWindow {
 				n++
 			}
 		}
-		share := ru.SlowStartMinShare + (1-ru.SlowStartMinShare)*float64(from)/float64(ru.SlowStartWindow)
-		if limit := ru.OverloadFactor * share * ru.OverloadWindow.Seconds() / 0.1; float64(n) > limit {
+		share := rules.SlowStartMinShare + (1-rules.SlowStartMinShare)*float64(from)/float64(rules.SlowStartWindow)
+		if limit := rules.OverloadFactor * share * rules.OverloadWindow.Seconds() / 0.1; float64(n) > limit {
 			t.Fatalf("%d requests in a window from age %v, want at most %.0f", n, from, limit)
 		}
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -8,129 +8,129 @@
 	"time"
 )
 
-// The tokens of timers.
+// The tokens of the timers.
 const (
-	sweepTimer = iota // the one repeated timer
+	sweepTimer = iota // the only periodic timer
 	listTimer         // requests the list again
 )
 
-// Balancer decides for one dispatcher. New makes one.
+// Balancer makes the decisions of one dispatcher. Use New to create one.
 type Balancer struct {
 	settings Settings
 	actions  Actions
 	rng      *rand.Rand
 
-	workers            []*worker // by ID
-	workerByID         map[WorkerID]*worker
-	owedWorkers        int // how many get one of the next requests
-	drawBuffer         []*worker
-	kindLoads          []kindLoad
-	kindSlots          []float64 // by kind: the most free slots that a worker has reported
-	kindRunTimeFactors []float64 // by kind: running times, relative to those of all kinds
+	workers             []*worker // in order of ID
+	workerByID          map[WorkerID]*worker
+	workersNeedingTrial int // how many must get one of the next requests
+	drawBuffer          []*worker
+	kindLoads           []kindLoad
+	kindSlots           []float64 // by kind: the most free slots that any worker has reported
+	kindRunTimeFactors  []float64 // by kind: running time, relative to that of all kinds
 
-	requests     []*request // the open ones, in an order that repeats
+	requests     []*request // open requests, in a deterministic order
 	requestByID  map[RequestID]*request
 	freeRequests []*request
-	waiting      []*request // those that wait for load reports or for the first list
-	requestTimes timeQueue  // of Submit, for the retry budget
-	retryTimes   timeQueue  // of attempts after a request's first, for the same
+	waiting      []*request // requests that wait for load reports or for the first list
+	requestTimes timeQueue  // when requests were submitted, for the retry budget
+	retryTimes   timeQueue  // when retries were sent, for the retry budget
 
-	// The averages fade over one slow-start window.
-	averagedAt      time.Duration // when they were updated
+	// The averages decay over one slow-start window.
+	averagedAt      time.Duration // when they were last updated
 	arrivals        float64       // requests
-	arrivedWork     float64       // and their work, as hinted
-	observedSeconds float64       // over which these and quotas' offered requests were counted, faded alike
+	arrivedWork     float64       // work of these requests, in the unit of the hints
+	observedSeconds float64       // time over which these and quotas' offered requests were counted, decayed
 	classTallies    []tally
 	quotas          []quotaBucket // by tenant
-	rateBuffer      []float64
+	valueRateBuffer []float64
 
-	classRunTimes []float64     // by class: the usual running time, seconds
-	meanRunTime   float64       // over all classes, seconds
-	hintRatio     float64       // the usual running time over the hinted one
-	recentWait    float64       // seconds that requests have waited lately
-	recentWaitAt  time.Duration // when that was updated
+	classRunTimes []float64     // by class: the usual running time, in seconds
+	meanRunTime   float64       // over all classes, in seconds
+	hintRatio     float64       // the usual ratio of running time to hint
+	recentWait    float64       // moving average of waits, in seconds
+	recentWaitAt  time.Duration // when recentWait was last updated
 	waitingShare  float64       // share of recent requests that had to wait, 0 to 1
-	loadsStale    bool          // load reports are too old to decide by
+	loadsStale    bool          // load reports are too old to base decisions on
 
 	minTimeout      time.Duration // the least timeout of a class
 	started         bool
 	startedAt       time.Duration
 	listReceived    bool
-	failedListCalls int // in a row
+	failedListCalls int // consecutive
 
 	rejectedCount int // since the last log line
-	failedCount   int // likewise
+	failedCount   int // since the last log line
 	loggedAt      time.Duration
 }
 
-// worker is what this dispatcher knows of one worker.
+// worker is the state that this dispatcher keeps of a worker.
 type worker struct {
 	Worker
 
-	inFlight             float64       // slots that this dispatcher's requests take there
-	otherProcessInFlight float64       // those of the process that this one replaces
-	othersInFlight       float64       // those of other dispatchers, estimated from load reports
-	owedRequest          bool          // operators have put it back, and it has had no request since
-	slowStartSent        []sentWork    // recent requests to it while it was warming up
-	checkedAt            time.Duration // when its load report was last requested
-	lastReportFull       bool          // its last load report showed next to no free slots
-	homeDistance         float64       // from this dispatcher's home, in workers
-
-	runTimeFactor float64       // its running times, relative to those of its kind
-	lastWait      float64       // seconds that the last request to start there had waited
-	lastWaitAt    time.Duration // when that was
-	unstartedWait float64       // seconds that this dispatcher's oldest unstarted request has waited
-	running       int           // requests of this dispatcher that it has reported to run
+	inFlight            float64       // slots of this dispatcher's requests
+	predecessorInFlight float64       // slots of requests of the process that this one replaces
+	othersInFlight      float64       // slots of other dispatchers' requests, estimated from load reports
+	needsTrialRequest   bool          // maintenance has ended, and no request was sent to it since
+	slowStartSent       []sentWork    // recent requests sent to it while it was warming up
+	checkedAt           time.Duration // when its load report was last requested
+	lastReportFull      bool          // its last load report showed few free slots or none
+	ringDistance        float64       // from this dispatcher's position on the ring, in workers
+
+	runTimeFactor float64       // its running time, relative to that of its kind
+	lastWait      float64       // how many seconds the last request to start there had waited
+	lastWaitAt    time.Duration // when lastWait was observed
+	unstartedWait float64       // how many seconds this dispatcher's oldest unstarted request has waited
+	running       int           // requests of this dispatcher that it has reported as running
 	progressAt    time.Duration // when it last reported on a request of this dispatcher
 
-	failureScore   float64       // its recent failures, 0 to 1
-	failureScoreAt time.Duration // when that was last faded
+	failureScore   float64       // moving average of its failures, 0 to 1
+	failureScoreAt time.Duration // when the score was last decayed
 }
 
-// sentWork is one request's work that a worker was sent.
+// sentWork is the work of one request that was sent to a worker.
 type sentWork struct {
 	at   time.Duration
-	work float64 // slot seconds, as hinted
+	work float64 // in slot seconds, by the unit of the hints
 }
 
 // attempt is one Send of a request.
 type attempt struct {
 	worker    *worker
 	sentAt    time.Duration
-	startedAt time.Duration // when the worker reported that it runs; 0: it has not
+	startedAt time.Duration // when the worker reported its start; 0: not started
 	ended     bool
 	neverRan  bool // proven
 }
 
-// mayHaveRun reports whether nothing proves that the request never ran.
+// mayHaveRun reports whether the request may have run in this attempt.
 func (a attempt) mayHaveRun() bool { return !a.neverRan }
 
-// request is an open request: until it has its final response and its attempts have ended.
+// request is an open request: it has no final response yet, or has attempts in flight.
 type request struct {
 	Request
 
-	class     *Class // as it was when the request came
+	class     *Class // as configured when the request arrived
 	arrivedAt time.Duration
 	deadline  time.Duration
 	attempts  []attempt
-	inFlight  int  // attempts that have not ended
-	overQuota bool // beyond its tenant's quota
+	inFlight  int  // number of attempts in flight
+	overQuota bool // exceeds its tenant's quota
 	responded bool // it has its final response; nothing more may be sent
 	index     int  // in Balancer.requests
 
-	tier         int  // of its route, at which it is tried
-	allowEjected bool // where all workers are ejected, they are drawn all the same
+	tier         int  // the tier of its route that it currently uses
+	allowEjected bool // ejected workers may be drawn if no worker is healthy
 
-	waiting      bool          // for load reports or for the first list
-	waitingSince time.Duration // for load reports
-	checked      []*worker     // whose load reports it waits for, those that have come first
-	answered     int           // how many have come
+	waiting         bool          // for load reports or for the first list
+	waitingSince    time.Duration // when the wait for load reports began
+	checked         []*worker     // workers whose load reports it waits for; first those that have reported
+	reportsReceived int           // how many of them have reported
 }
 
-// timeQueue keeps recent times, oldest first.
+// timeQueue holds recent times in ascending order.
 type timeQueue []time.Duration
 
-// countAfter drops the times up to and including t, and counts the rest.
+// countAfter removes the times up to and including t, and returns the number of the others.
 func (q *timeQueue) countAfter(t time.Duration) int {
 	n := 0
 	for n < len(*q) && (*q)[n] <= t {
@@ -140,21 +140,22 @@
 	return len(*q)
 }
 
-// tally is how much of a class was offered lately, and how much of that was served in time, in goal units.
+// tally counts, in goal units, how much of a class was offered recently and how much of that was served in
+// time.
 type tally struct{ offered, served float64 }
 
 // quotaBucket is a tenant's token bucket at this dispatcher.
 type quotaBucket struct {
 	tokens    float64 // requests
 	updatedAt time.Duration
-	offered   float64 // requests lately
+	offered   float64 // recent requests
 }
 
-// kindLoad is the load that warm workers of one kind are observed to take: over all the time that they are
-// there, and over the part of it in which they were full.
+// kindLoad is the observed load of warm workers of one kind: over all their time, and over the time in which
+// they were full.
 type kindLoad struct{ work, seconds, fullWork, fullSeconds float64 }
 
-// add counts work that was finished, or seconds of a worker that was there.
+// add adds finished work, or seconds for which a worker was available.
 func (l *kindLoad) add(work, seconds float64, full bool) {
 	l.work += work
 	l.seconds += seconds
@@ -164,16 +165,16 @@
 	}
 }
 
-// peerMessage names the worker to other dispatchers; see ReceivePeer.
+// peerMessage returns the message that reports a failure of w to other dispatchers; see ReceivePeer.
 func (w *worker) peerMessage() []byte { return binary.BigEndian.AppendUint32(nil, uint32(w.ID)) }
 
-// pruneRemoved forgets the workers that are removed and have no request of this dispatcher, and orders the
-// rest.
+// pruneRemoved deletes the removed workers that have no request of this dispatcher in flight, and sorts the
+// others by ID.
 func (b *Balancer) pruneRemoved() {
 	b.workers = filter(b.workers, func(w *worker) bool {
 		if w.State == Removed && w.inFlight == 0 {
-			if delete(b.workerByID, w.ID); w.owedRequest {
-				b.owedWorkers--
+			if delete(b.workerByID, w.ID); w.needsTrialRequest {
+				b.workersNeedingTrial--
 			}
 			return false
 		}
@@ -196,11 +197,11 @@
 	w.Worker = e
 	w.Kind = min(max(w.Kind, 0), b.settings.WorkerKinds-1)
 	if b.settings.SizeMeaning == SizeNone || b.settings.SizeMeaning == SizeLive || w.Size <= 0 {
-		w.Size = 1 // it is no measure of the machine
+		w.Size = 1 // the reported size does not measure its capacity
 	}
 }
 
-// sameKeyGroup reports whether two workers share their memory of a class's idempotency keys.
+// sameKeyGroup reports whether two workers share the idempotency keys of a class.
 func sameKeyGroup(c *Class, v, w *worker) bool {
 	switch c.KeyScope {
 	case ScopeZone:
@@ -211,23 +212,24 @@
 	return true
 }
 
-// fadeAverages multiplies all averages over time, so that what is to come counts for more.
-func (b *Balancer) fadeAverages(by float64) {
+// decayAverages multiplies all averages over time by a factor, so that newer values weigh more.
+func (b *Balancer) decayAverages(decay float64) {
 	for i, l := range b.kindLoads {
-		b.kindLoads[i] = kindLoad{l.work * by, l.seconds * by, l.fullWork * by, l.fullSeconds * by}
+		b.kindLoads[i] = kindLoad{l.work * decay, l.seconds * decay,
+			l.fullWork * decay, l.fullSeconds * decay}
 	}
 	for i, t := range b.classTallies {
-		b.classTallies[i] = tally{t.offered * by, t.served * by}
+		b.classTallies[i] = tally{t.offered * decay, t.served * decay}
 	}
 	for i := range b.quotas {
-		b.quotas[i].offered *= by
+		b.quotas[i].offered *= decay
 	}
-	b.arrivals *= by
-	b.arrivedWork *= by
-	b.observedSeconds *= by
+	b.arrivals *= decay
+	b.arrivedWork *= decay
+	b.observedSeconds *= decay
 }
 
-// filter drops the elements of s that ok rejects, in place.
+// filter keeps the elements of s that satisfy ok, in place.
 func filter[T any](s []T, ok func(T) bool) []T {
 	kept := s[:0]
 	for _, x := range s {
--- a/internal/frozen/hotrestart_test.go
+++ b/internal/frozen/hotrestart_test.go
@@ -151,9 +151,9 @@
 			Workers: map[balancer.WorkerID]balancer.WorkerRecord{
 				1: {OthersInFlight: 1, RunTimeFactor: 0.9, LastWait: 0.3, FailureScore: 0.25,
 					LastWaitAt: 53 * time.Minute, FailureScoreAt: 54 * time.Minute,
-					StartedAt:     55 * time.Minute,
-					SlowStartSent: []balancer.SentWork{{At: 56 * time.Minute, Work: 0.75}},
-					OwedRequest:   true},
+					StartedAt:         55 * time.Minute,
+					SlowStartSent:     []balancer.SentWork{{At: 56 * time.Minute, Work: 0.75}},
+					NeedsTrialRequest: true},
 				2: {RunTimeFactor: 1},
 			},
 		}}
--- a/internal/frozen/trace_actions_test.go
+++ b/internal/frozen/trace_actions_test.go
@@ -44,7 +44,7 @@
 	if n > 0 || tr.rng.IntN(20) == 0 {
 		tr.after(
 			took/3,
-			func() { tr.act("still allowed %s %d %t", id, n, tr.bal.StillAllowed(tr.now, id, n)) },
+			func() { tr.act("still allowed %s %d %t", id, n, tr.bal.MayStillSend(tr.now, id, n)) },
 		)
 	}
 	tr.after(took, func() { tr.end(id, n, a, result) })
--- a/internal/frozen/trace_test.go
+++ b/internal/frozen/trace_test.go
@@ -244,7 +244,7 @@
 		id := tr.list[k].ID
 		tr.bal.ReceivePeer(tr.now, []byte{byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)})
 	case 8:
-		tr.bal.SetOtherInFlight(tr.list[k].ID, float64(tr.rng.IntN(3)))
+		tr.bal.SetPredecessorInFlight(tr.list[k].ID, float64(tr.rng.IntN(3)))
 		tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil)
 	}
 	tr.act("excluded %d", tr.bal.EjectedCount(tr.now))
@@ -276,7 +276,7 @@
 	next.RestoreLearned(tr.now, m)
 	for _, w := range tr.list {
 		if inFlight[w.ID] > 0 {
-			next.SetOtherInFlight(w.ID, inFlight[w.ID])
+			next.SetPredecessorInFlight(w.ID, inFlight[w.ID])
 		}
 	}
 }
--- a/internal/proxy/broker/attempt.go
+++ b/internal/proxy/broker/attempt.go
@@ -44,7 +44,7 @@
 	}
 	// Within the balancer's own call it has only just decided.
 	if !b.inDeferred &&
-		!b.balancer.StillAllowed(b.clock.Now(), balancer.RequestID(a.request.ID), a.number) {
+		!b.balancer.MayStillSend(b.clock.Now(), balancer.RequestID(a.request.ID), a.number) {
 		return false
 	}
 	return b.clientWaits(a.request) && !a.ended
--- a/internal/proxy/broker/process_state.go
+++ b/internal/proxy/broker/process_state.go
@@ -57,7 +57,7 @@
 func (b *Broker) SetOtherInFlight(inFlight map[string]float64) {
 	b.run(func() {
 		for id, e := range b.endpoints {
-			b.balancer.SetOtherInFlight(id, inFlight[e.name])
+			b.balancer.SetPredecessorInFlight(id, inFlight[e.name])
 		}
 	})
 }
--- a/internal/proxy/broker/request.go
+++ b/internal/proxy/broker/request.go
@@ -121,8 +121,8 @@
 
 // Explain gives, by endpoint name, whether the balancer would consider that endpoint for a request that came
 // now, at a tier of its route, and if not, why. It changes nothing.
-func (b *Broker) Explain(r Request, tier int) map[string]balancer.Verdict {
-	out := map[string]balancer.Verdict{}
+func (b *Broker) Explain(r Request, tier int) map[string]balancer.Eligibility {
+	out := map[string]balancer.Eligibility{}
 	for _, v := range b.balancer.Explain(b.clock.Now(), r.forBalancer(), tier) {
 		if e := b.endpoints[v.Worker.ID]; e != nil {
 			out[e.name] = v
