--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// Hazard: load above capacity. Requests that would be late are rejected, those of the least weight first.
+// Under load above capacity, requests that would be late are rejected, and those of the lowest weight first.
 func TestOverloadIsRejectedLeastWeightFirst(t *testing.T) {
 	set := testSettings()
 	set.ReportsStart = true
@@ -30,32 +30,33 @@
 	r := newRecorder(t, set)
 	r.updateWorkers(ListFull, readyWorkers(1)...)
 	n := 0
-	for range 20 { // it runs requests of 200 ms
+	for range 20 { // the worker serves requests of 200 ms
 		for class := range 3 {
 			r.serveEach(n, 1, class, 200*time.Millisecond, NoLoadReport)
 			n++
 		}
 	}
-	r.submit(testRequest(n, idempotentClass)) // it waits
+	r.submit(testRequest(n, idempotentClass)) // this one waits
 	r.advance(50 * time.Millisecond)
 	heavy, light := testRequest(n+1, idempotentClass), testRequest(n+2, nonIdempotentClass)
 	r.submit(light)
 	r.submit(heavy)
 	if got := r.requests[light.ID].final; got != "rejected" {
-		t.Errorf("the request of less weight behind a wait: %q, want rejected", got)
+		t.Errorf("request with the lower weight: final response %q, want rejected", got)
 	}
 	if got := r.requests[heavy.ID].final; got != "" {
-		t.Errorf("the request of more weight behind the same wait: %q, want it sent", got)
+		t.Errorf("request with the higher weight: final response %q, want it sent", got)
 	}
 	r.advance(400 * time.Millisecond)
 	late := testRequest(n+3, idempotentClass)
 	r.submit(late)
 	if got := r.requests[late.ID].final; got != "rejected" {
-		t.Errorf("a request that would be late: %q, want rejected", got)
+		t.Errorf("request that would be late: final response %q, want rejected", got)
 	}
 }
 
-// Hazard: a dispatcher counts only its own requests. Where one of them waits, there must be others' requests.
+// A dispatcher counts only its own requests in flight, so a wait of one of them must count as the load of
+// others.
 func TestObservedWaitsCountAsLoad(t *testing.T) {
 	r := newRecorderWithStartReports(t, 2)
 	r.serveEach(0, 20, idempotentClass, 50*time.Millisecond, NoLoadReport)
@@ -65,17 +66,17 @@
 	for i := 21; i < 24; i++ {
 		r.submit(testRequest(i, idempotentClass))
 		if s := r.lastSend(); s.worker == slow {
-			t.Error("a request joined the queue where another waits, though the other worker is free")
+			t.Error("a request was sent to the worker with a queue, although the other worker is free")
 		} else {
 			r.reportStart(s)
 		}
 	}
 }
 
-// Hazard: where no load report shows the slots of workers, one each is too few to decide by.
+// If no load report has shown how many slots workers have, the default of one slot must not cause rejections.
 func TestNoRejectionsWithoutLoadReportsOrWaits(t *testing.T) {
 	r := newRecorderWithStartReports(t, 2)
-	for i := range 200 { // four at a time on each, all start at once
+	for i := range 200 { // four in flight at each worker, all of which start at once
 		r.submit(testRequest(i, i%3))
 		r.reportStart(r.lastSend())
 		r.advance(50 * time.Millisecond)
@@ -84,11 +85,11 @@
 		}
 	}
 	if len(r.retryAfters) > 0 {
-		t.Errorf("%d requests were rejected though none ever waited", len(r.retryAfters))
+		t.Errorf("%d requests were rejected although none waited", len(r.retryAfters))
 	}
 }
 
-// Hazard: a wait is remembered too long. One request waited; a while later its worker must count as free.
+// A worker where a request has waited must count as free again after a while.
 func TestObservedWaitFades(t *testing.T) {
 	r := newRecorderWithStartReports(t, 1)
 	r.serveEach(0, 20, nonIdempotentClass, 100*time.Millisecond, freeSlots(1))
@@ -100,11 +101,12 @@
 	r.advance(100 * time.Millisecond)
 	r.submit(testRequest(21, nonIdempotentClass))
 	if got := r.requests["r21"].final; got != "" {
-		t.Errorf("%s for a wait of 200 ms ago at a worker that is free", got)
+		t.Errorf("final response %q because of a wait 200 ms ago at a worker that is free, want it sent", got)
 	}
 }
 
-// Hazard: overload, where each of many workers is met too seldom to know its queue.
+// With many workers, a dispatcher sends to each one too rarely to know its queue, so under overload waits at
+// other workers must count.
 func TestWaitsAtOtherWorkersCount(t *testing.T) {
 	r := newRecorderWithStartReports(t, 40)
 	for i := range 10 {
@@ -119,18 +121,18 @@
 	n := len(r.sends)
 	r.submit(testRequest(100, idempotentClass))
 	if len(r.sends) > n {
-		t.Error("a request went to a worker never met right after ten had waited 1.5 s at others")
+		t.Error("a request was sent to an unused worker right after ten waited 1.5 s at others")
 	}
 	r.advance(3 * time.Second)
 	n = len(r.sends)
 	r.submit(testRequest(101, idempotentClass))
 	if len(r.sends) == n {
-		t.Error("a request was rejected for waits met 3 s before")
+		t.Error("a request was rejected because of waits 3 s before")
 	}
 }
 
-// Where a tenant sends far beyond its quota and requests wait, those over its quota are rejected and the
-// others' requests go on; while nothing waits nothing is rejected.
+// If a tenant sends far beyond its quota and requests wait, its requests over quota are rejected and those of
+// other tenants are served. Nothing is rejected while no request waits.
 func TestRequestsOverQuotaRankLast(t *testing.T) {
 	set := testSettings()
 	set.ReportsStart, set.OverQuotaWeight, set.Classes = true, 0.05, set.Classes[:1]
@@ -145,10 +147,10 @@
 		r.submit(q)
 		return r.requests[q.ID].final
 	}
-	for range 200 { // the first sends five times its quota, the second half of its own
+	for range 200 { // the first tenant sends five times its quota, the second half of its own
 		for i := range 10 {
 			if got := send(i / 9); got != "" {
-				t.Fatalf("%q without a wait", got)
+				t.Fatalf("final response %q although nothing waits, want it sent", got)
 			}
 			s := r.lastSend()
 			r.reportStart(s)
@@ -163,42 +165,42 @@
 	for i := range 2 {
 		r.reportStart(&r.sends[len(r.sends)-2+i])
 	}
-	send(0) // the last that its quota has room for
+	send(0) // the last request within its quota
 	if got := send(0); got != "rejected" {
-		t.Errorf("a request over quota is %q while others wait, want rejected", got)
+		t.Errorf("request over quota while others wait: final response %q, want rejected", got)
 	}
 	if got := send(1); got != "" {
-		t.Errorf("a tenant within its quota is %q", got)
+		t.Errorf("request within quota: final response %q, want it sent", got)
 	}
 }
 
-// A request that is lost after its latency objective is retried where there is capacity, and gives way where
-// there is none: a late response earns less than others' requests, but more than a failure.
+// A request that is lost after its latency objective is retried if there is capacity, and fails if there is
+// none: a late response is worth less than other requests, but more than a failure.
 func TestLateRequestIsRetriedWhereThereIsCapacity(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		set := testSettings()
 		set.Limits.MaxAttempts = 5
 		r := newRecorder(t, set)
-		r.updateWorkers(ListFull, readyWorkers(2)...) // of one cell
+		r.updateWorkers(ListFull, readyWorkers(2)...) // both in one cell
 		r.serveEach(0, 20, keyedClass, 100*time.Millisecond, NoLoadReport)
 		r.submit(testRequest(100, keyedClass))
 		lost := len(r.sends) - 1
-		r.advance(1500 * time.Millisecond) // the latency objective is 0.2 s and twice the running time
+		r.advance(1500 * time.Millisecond) // the latency objective is 0.2 s plus twice the running time
 		if busy {
 			for _, w := range r.balancer.workers {
 				w.othersInFlight = 10
 			}
 		}
 		r.endAttempt(&r.sends[lost], ConnectionReset)
-		again := len(r.sends) == lost+2
-		if final := r.requests["r100"].final; again == busy || busy != (final == "failed") {
-			t.Errorf("busy %v: retried %v, final response %q", busy, again, final)
+		retried := len(r.sends) == lost+2
+		if final := r.requests["r100"].final; retried == busy || busy != (final == "failed") {
+			t.Errorf("busy %v: retried %v, final response %q", busy, retried, final)
 		}
 	}
 }
 
-// Where requests had to wait lately, those over quota are rejected though the worker drawn looks free: they
-// would take the next gap from the others.
+// If requests had to wait recently, those over quota are rejected even if the worker drawn looks free.
+// Otherwise they would take the next free slot from the others.
 func TestRequestsOverQuotaAreRejectedWhileOthersWait(t *testing.T) {
 	set := testSettings()
 	set.OverQuotaWeight, set.Classes, set.ReportsStart = 0.05, set.Classes[:1], true
@@ -222,7 +224,7 @@
 		r.endAttempt(s, OK)
 	}
 	if send(50, 0) == nil {
-		t.Fatal("a request over quota was rejected though none has waited")
+		t.Fatal("a request over quota was rejected although none waited")
 	}
 	r.endAttempt(r.lastSend(), OK)
 	for i := range 5 {
@@ -233,14 +235,14 @@
 	}
 	r.advance(3 * time.Second)
 	for i := range 10 {
-		if send(200+i, 0) != nil && i >= minQuotaBurst { // its burst is within the quota
+		if send(200+i, 0) != nil && i >= minQuotaBurst { // the burst is within the quota
 			t.Fatal("a request over quota was sent soon after workers were full")
 		}
 	}
 }
 
-// A full worker makes requests be rejected elsewhere only where starts are reported, which also show requests
-// that met no wait.
+// A rejection by a full worker counts as a wait, which can cause rejections elsewhere, only if workers report
+// starts. Without these reports, requests that start without a wait are not seen.
 func TestFullWorkerCountsAsWaitOnlyWithStartReports(t *testing.T) {
 	for _, reported := range []bool{false, true} {
 		set := testSettings()
@@ -254,12 +256,12 @@
 			r.endAttempt(r.lastSend(), WorkerFull)
 		}
 		if got := r.balancer.decayedRecentWait(r.now) > 0; got != reported {
-			t.Errorf("starts reported %v: a recent wait %v", reported, got)
+			t.Errorf("starts reported %v: recent wait %v, want the same", reported, got)
 		}
 	}
 }
 
-// A tenant without a quota is not limited, whatever it sends.
+// The requests of a tenant without a quota are never over quota.
 func TestTenantWithoutQuotaIsNotLimited(t *testing.T) {
 	set := testSettings()
 	set.OverQuotaWeight, set.Tenants = 0.05, []Tenant{{CapacityShare: 1}}
@@ -268,7 +270,7 @@
 	for i := range 20 {
 		r.submit(testRequest(i, idempotentClass))
 		if r.balancer.requestByID[testRequest(i, idempotentClass).ID].overQuota {
-			t.Fatal("a request of a tenant that is not limited is over quota")
+			t.Fatal("a request of a tenant without a quota is over quota")
 		}
 		r.advance(50 * time.Millisecond)
 		r.endAttempt(r.lastSend(), OK)
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Rule 2, by class and result: what follows the end of the first attempt.
+// The idempotency of the class and the result of the first attempt determine whether the request is retried.
 func TestRetryAfterFailureByIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		class    int
 		res      Result
 		sends    int
-		cell     bool // the second send stays in the cell
+		cell     bool // the second attempt stays in the cell
 		response string
 	}{
 		{"idempotent after an error is retried", idempotentClass, ServerError, 2, false, ""},
@@ -35,13 +35,13 @@
 					c.sends, c.response)
 			}
 			if second := r.lastSend().worker; c.sends > 1 && second == first {
-				t.Error("retried at the worker that had failed it")
+				t.Error("retried at the worker of the first attempt")
 			}
 		})
 	}
 }
 
-// A keyed request is retried only while the workers of its scope remember the first attempt.
+// A keyed request is retried only within the key window of its first attempt.
 func TestNoRetryAfterKeyWindow(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(8)...)
@@ -49,7 +49,7 @@
 	r.advance(r.settings.Classes[keyedClass].KeyWindow)
 	r.endAttempt(r.lastSend(), ServerError)
 	if len(r.sends) != 1 || r.requests["r0"].final != "failed" {
-		t.Errorf("%d sends, response %q; want one, failed", len(r.sends), r.requests["r0"].final)
+		t.Errorf("%d sends and response %q, want 1 and failed", len(r.sends), r.requests["r0"].final)
 	}
 }
 
@@ -65,8 +65,9 @@
 	}
 }
 
-// Hazard: a worker becomes unresponsive with a request, whose end is never reported. A worker that goes on
-// sending progress reports is responsive, however long other requests wait at it.
+// If a worker becomes unresponsive, the ends of its attempts are never reported, and idempotent requests are
+// hedged. A worker that keeps sending progress reports is responsive, however long other requests wait
+// there.
 func TestHedgesAtUnresponsiveWorker(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
@@ -110,8 +111,8 @@
 	}
 }
 
-// Hazard: where cancelling stops nothing, hedging requests that only wait makes every wait longer, and every
-// longer wait makes more hedged attempts.
+// If requests that only wait were hedged where cancelling has no effect, every wait would become longer, and
+// longer waits would cause more hedged attempts.
 func TestDoesNotHedgeQueuedRequests(t *testing.T) {
 	set := testSettings()
 	set.ReportsStart, set.Limits.HedgedRequests, set.ProgressInterval = true, true, 200*time.Millisecond
@@ -131,12 +132,12 @@
 		}
 	}
 	if len(r.sends) != sent {
-		t.Errorf("%d hedged attempts of requests that wait in a queue", len(r.sends)-sent)
+		t.Errorf("%d hedged attempts of queued requests, want 0", len(r.sends)-sent)
 	}
 }
 
-// Where WorkerFull is no proof, a request that a full worker rejected may have run: non-idempotent ones fail,
-// keyed ones stay within their scope.
+// If WorkerFull does not prove that a request never ran, non-idempotent requests fail after it and keyed ones
+// are retried within their scope only.
 func TestFullWorkerMayHaveRunTheRequest(t *testing.T) {
 	for class, want := range []struct {
 		sends int
@@ -155,8 +156,7 @@
 	}
 }
 
-// When all attempts fail, retries stay within the budget of every window, and those that it has room for are
-// made.
+// When all attempts fail, retries stay within the budget of every window, and the budget is used.
 func TestRetryBudget(t *testing.T) {
 	set := testSettings()
 	set.Rules.RetryBudgetWindow, set.Rules.RetryBudgetBase, set.Rules.RetryBudgetShare = 2*time.Second, 4, 0.1
@@ -169,16 +169,16 @@
 		}
 		r.advance(time.Duration(5+i%7) * time.Millisecond)
 		if i == 200 {
-			r.advance(1900 * time.Millisecond) // few requests are in the window, and the retries still are
+			r.advance(1900 * time.Millisecond) // few requests are in the window, but the retries still are
 		}
 	}
 	if n := len(r.retries); n < 25 || n > 60 {
-		t.Errorf("%d retries for 400 requests in some five seconds, want 4 each two and a tenth", n)
+		t.Errorf("%d retries for 400 requests in about 5 s, want 25 to 60: 4 per 2 s and a tenth", n)
 	}
 }
 
-// Nobody waits for the request of a client that has disconnected, nor for a hedged attempt of one that has
-// its response: both are cancelled, once, where the deployment allows it.
+// The attempts of a client that has disconnected, and a hedged attempt that is still in flight after the
+// response, are cancelled once, if the deployment allows it.
 func TestCancelsAttemptsNobodyWaitsFor(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		set := testSettings()
@@ -207,7 +207,7 @@
 	}
 }
 
-// A request that a worker can't read goes to no other, and the worker is as healthy as before.
+// An unprocessable request is not sent to other workers, and does not count as a failure of the worker.
 func TestUnprocessableRequestFailsAtOnce(t *testing.T) {
 	for class := range testSettings().Classes {
 		r := newRecorder(t, testSettings())
@@ -226,7 +226,8 @@
 	}
 }
 
-// A request that ends while it waits for load reports is forgotten, and its memory is not reused too early.
+// A request that ends while it waits for load reports is removed, and its memory is not reused before the
+// wait ends.
 func TestClientDisconnectsWhileLoadReportsAreAwaited(t *testing.T) {
 	set := testSettings()
 	set.LoadReportsByCheck, set.DispatcherCount = true, 100
@@ -239,12 +240,12 @@
 	r.submit(testRequest(1, idempotentClass))
 	r.advance(time.Second)
 	if len(r.sends) != 1 || r.lastSend().id != "r1" || len(r.balancer.waiting) != 0 {
-		t.Errorf("sends %v, %d still waiting; want r1 alone", r.sends, len(r.balancer.waiting))
+		t.Errorf("sends %v and %d requests waiting, want only r1 and none", r.sends, len(r.balancer.waiting))
 	}
 }
 
-// Retries of a keyed request that may have run end one stall before the key window does, and one that was
-// started and is not written yet ends with the window.
+// Retries of a keyed request that may have run end maxStall before its key window does. A retry that has
+// started but is not written yet may be written until the window ends.
 func TestRetriesEndAStallBeforeKeyWindow(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -259,12 +260,12 @@
 		r.advance(window - maxStall + c.after)
 		r.endAttempt(&r.sends[0], ConnectionReset)
 		if len(r.sends) != c.sends {
-			t.Errorf("%v from one stall before the window's end: %d sends, want %d", c.after, len(r.sends),
-				c.sends)
+			t.Errorf("%v after maxStall before the end of the key window: %d sends, want %d", c.after,
+				len(r.sends), c.sends)
 		}
 		if c.sends == 2 && (!r.balancer.MayStillSend(r.now, q.ID, 1) ||
 			r.balancer.MayStillSend(r.now+maxStall, q.ID, 1)) {
-			t.Error("a retry that is not written yet is allowed after the window, or not within it")
+			t.Error("an unwritten retry is allowed after the key window, or not within it")
 		}
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -15,7 +15,8 @@
 	nonIdempotentClass
 )
 
-// testSettings is a deployment that allows everything and has one class of each idempotency.
+// testSettings returns the settings of a deployment that allows everything and has one class of each
+// idempotency.
 func testSettings() Settings {
 	class := func(e Idempotency, sc KeyScope) Class {
 		return Class{LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Timeout: 5 * time.Second,
@@ -36,7 +37,7 @@
 	}
 }
 
-// readyWorkers is n ready workers in cells of two.
+// readyWorkers returns n ready workers, two in each cell.
 func readyWorkers(n int) []Worker {
 	list := make([]Worker, n)
 	for i := range list {
@@ -49,14 +50,14 @@
 	return Request{ID: RequestID(fmt.Sprintf("r%d", i)), Class: class, Timeout: 5 * time.Second}
 }
 
-// requestWithHint is an idempotent request with a hint of a tenth of a second's work.
+// requestWithHint returns an idempotent request with a hint of 100 ms of work.
 func requestWithHint(i int) Request {
 	q := testRequest(i, idempotentClass)
 	q.ExpectedWork = 100 * time.Millisecond
 	return q
 }
 
-// newRecorderWithStartReports is a recorder with n ready workers that report when a request starts.
+// newRecorderWithStartReports returns a recorder with n ready workers that report when a request starts.
 func newRecorderWithStartReports(t *testing.T, n int) *recorder {
 	t.Helper()
 	set := testSettings()
@@ -66,7 +67,7 @@
 	return r
 }
 
-// freeSlots is a load report of nothing else.
+// freeSlots returns a load report of n free slots and nothing else.
 func freeSlots(n float64) LoadReport {
 	rep := NoLoadReport
 	rep.Received, rep.FreeSlots = true, n
@@ -81,7 +82,7 @@
 	}
 }
 
-// With all slots known and nothing waiting, requests go where the fewest are in flight.
+// If nothing waits, requests are sent to the worker with the fewest in flight.
 func TestLeastLoadedWorkerWins(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
@@ -93,7 +94,7 @@
 		count[s.worker]++
 	}
 	if count[100] != 4 || count[101] != 4 {
-		t.Errorf("8 requests on two workers went %v, want 4 each", count)
+		t.Errorf("8 requests on two workers: %v, want 4 each", count)
 	}
 }
 
@@ -140,7 +141,7 @@
 	}
 }
 
-// Rejections are logged in a line now and then, not one each; without any nothing is logged.
+// Rejections are summarized in occasional log lines, and without any nothing is logged.
 func TestSummaryLogLine(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	list := readyWorkers(3)
@@ -148,7 +149,7 @@
 	r.updateWorkers(ListFull, list...)
 	r.advance(20 * time.Second)
 	if len(r.logs) > 0 {
-		t.Errorf("logged %q without a rejection", r.logs)
+		t.Errorf("logged %q without a rejection, want nothing", r.logs)
 	}
 	r.updateWorkers(ListFull)
 	for i := range 300 {
@@ -156,14 +157,14 @@
 		r.advance(100 * time.Millisecond)
 	}
 	if n := len(r.logs); n < 2 || n > 7 {
-		t.Fatalf("%d lines in half a minute of rejections with 5 s to a line: %q", n, r.logs)
+		t.Fatalf("%d lines in 30 s of rejections, want one every 5 s: %q", n, r.logs)
 	}
 	if want := "refused 1, failed 0; workers: 0 ready, 0 of them cold, 0 suspect"; r.logs[0] != want {
 		t.Errorf("the first line is %q, want %q", r.logs[0], want)
 	}
 }
 
-// Rule 1: the host never reports the end of the attempt.
+// A request gets a response in time even if the end of its attempt is never reported.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.dropsAttemptEnds = true
@@ -174,13 +175,13 @@
 	r.advance(6 * time.Second)
 	for id, q := range r.requests {
 		if q.final == "" {
-			t.Errorf("%s was never answered", id)
+			t.Errorf("request %s got no final response", id)
 		}
 	}
 }
 
-// submitSteadily submits n requests with hints at intervals of gap, numbered from from on, ends each attempt
-// after 90 ms with rep, and counts the requests that each worker got.
+// submitSteadily submits n requests with hints, one each gap, with numbers starting at from. It ends each
+// attempt after 90 ms with the report rep, and returns how many requests each worker got.
 func submitSteadily(r *recorder, from, n int, gap time.Duration, rep LoadReport) map[WorkerID]int {
 	got := map[WorkerID]int{}
 	for i := range n {
@@ -212,15 +213,15 @@
 		set := testSettings()
 		c.invalidate(&set)
 		if _, err := New(set, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("New: %v, want it to name %s", err, c.want)
+			t.Errorf("New: error %v, want it to name %s", err, c.want)
 		}
 	}
 	if _, err := New(testSettings(), 1, nil); err == nil {
-		t.Error("New without actions gave no error")
+		t.Error("New without actions returned no error")
 	}
 }
 
-// Unknown and repeated events change no count and break no rule.
+// Unknown and repeated events change no count and violate no rule.
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
@@ -236,7 +237,7 @@
 	b.HealthChecked(r.now, 9999, OK, NoLoadReport)
 	b.TimerFired(r.now, 12345)
 	b.ClientDisconnected("nobody")
-	// The end that counts, the same attempt's once more, and a request without any time.
+	// The first end of the attempt, a second one, and a request without any time left.
 	r.endAttempt(s, OK)
 	b.AttemptEnded(r.now, AttemptOutcome{ID: s.id, Worker: s.worker, Result: ServerError})
 	r.submit(Request{ID: "late", Class: nonIdempotentClass})
@@ -250,7 +251,7 @@
 	}
 }
 
-// fuzzRun plays the events that data encodes, expected and unexpected ones, against the recorder.
+// fuzzRun passes the events that data encodes, expected and unexpected ones, to the balancer.
 func fuzzRun(t *testing.T, data []byte) {
 	set := testSettings()
 	if len(data) > 0 {
@@ -291,11 +292,11 @@
 	}
 	r.advance(6 * time.Second)
 	if len(r.balancer.requestByID) != 0 {
-		t.Fatalf("%d requests are open after all deadlines", len(r.balancer.requestByID))
+		t.Fatalf("%d requests are open after all deadlines, want 0", len(r.balancer.requestByID))
 	}
 	for _, w := range r.balancer.workers {
 		if w.inFlight != 0 {
-			t.Fatalf("worker %d has %v in flight after all ended", w.ID, w.inFlight)
+			t.Fatalf("worker %d has %v in flight after all attempts ended, want 0", w.ID, w.inFlight)
 		}
 	}
 }
@@ -331,11 +332,12 @@
 	}
 }
 
-// Hazard: with many dispatchers all counts are zero, and each dispatcher meets every worker seldom.
+// With many dispatchers, each sees counts of zero and would send to every worker too rarely. Each must prefer
+// a few workers of its own, and these must differ between dispatchers.
 func TestHomesSpreadDispatchers(t *testing.T) {
-	met := func(me int) map[WorkerID]int {
+	countByWorker := func(index int) map[WorkerID]int {
 		set := testSettings()
-		set.DispatcherIndex, set.DispatcherCount = me, 16
+		set.DispatcherIndex, set.DispatcherCount = index, 16
 		r := newRecorder(t, set)
 		r.updateWorkers(ListFull, readyWorkers(16)...)
 		got := map[WorkerID]int{}
@@ -346,25 +348,26 @@
 		}
 		return got
 	}
-	homes := map[WorkerID]bool{}
-	for me := range 16 {
-		home, most := WorkerID(0), 0
-		for w, n := range met(me) {
+	preferred := map[WorkerID]bool{}
+	for index := range 16 {
+		busiest, most := WorkerID(0), 0
+		for w, n := range countByWorker(index) {
 			if n > most {
-				home, most = w, n
+				busiest, most = w, n
 			}
 		}
 		if most < 100 {
-			t.Errorf("dispatcher %d sent at most %d of 200 requests to one worker, want half", me, most)
+			t.Errorf("dispatcher %d sent at most %d of 200 requests to one worker, want at least 100", index,
+				most)
 		}
-		homes[home] = true
+		preferred[busiest] = true
 	}
-	if len(homes) < 12 {
-		t.Errorf("16 dispatchers have %d homes on 16 workers", len(homes))
+	if len(preferred) < 12 {
+		t.Errorf("16 dispatchers prefer %d of 16 workers, want at least 12", len(preferred))
 	}
 }
 
-// A change of the classes under load: open requests keep their class, later ones have the new.
+// When classes change under load, open requests keep their class and later ones get the new one.
 func TestConfigureKeepsClassOfOpenRequests(t *testing.T) {
 	r := newRecorder(t, Settings{Classes: []Class{{Name: "c", Timeout: 10 * time.Second,
 		LatencyObjective: time.Second, PriorityWeight: 1, MaxAttempts: 2, WorkerKind: -1}},
@@ -381,13 +384,13 @@
 	b.Configure(set)
 	r.submit(Request{ID: "new", Timeout: 10 * time.Second})
 	if got := b.maxAttempts(b.requestByID["old"]); got != 2 {
-		t.Errorf("an open request may have %d attempts, came with 2", got)
+		t.Errorf("an open request may have %d attempts, want 2 as at its arrival", got)
 	}
 	if got := b.maxAttempts(b.requestByID["new"]); got != 5 {
-		t.Errorf("a new request may have %d attempts, not the 5 of the limits", got)
+		t.Errorf("a new request may have %d attempts, want the 5 of the limits", got)
 	}
 	if b.requestByID["old"].class.PriorityWeight != 1 || b.requestByID["new"].class.PriorityWeight != 7 {
-		t.Error("a request does not have the class that it came with")
+		t.Error("a request does not have the class with which it arrived")
 	}
 	for _, invalidate := range []func(*Class){
 		func(c *Class) { c.Idempotency = NonIdempotent }, func(c *Class) { c.Name = "d" },
@@ -396,7 +399,7 @@
 		bad.Classes = append([]Class(nil), set.Classes...)
 		invalidate(&bad.Classes[0])
 		if b.CanConfigure(bad) == nil {
-			t.Errorf("accepted while requests are open: %+v", bad.Classes[0])
+			t.Errorf("CanConfigure accepted %+v while requests are open", bad.Classes[0])
 		}
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// stubHost is a host that only remembers where the request went.
+// stubHost is a host that only records which worker a request was sent to.
 type stubHost struct{ to WorkerID }
 
 func (h *stubHost) Send(_ RequestID, w WorkerID)  { h.to = w }
@@ -19,7 +19,7 @@
 func (*stubHost) SendPeer(int, []byte)            {}
 func (*stubHost) Log(string)                      {}
 
-// BenchmarkRequest is one request and its outcome: one class, one zone, no faults.
+// BenchmarkRequest measures one request and its response, with one class, one zone and no failures.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"moorstack/balancer"
 )
 
-// printingHost is a host that only prints its actions.
+// printingHost is a host that prints the actions.
 type printingHost struct{ sent balancer.WorkerID }
 
 func (p *printingHost) Send(id balancer.RequestID, w balancer.WorkerID) {
@@ -25,7 +25,7 @@
 func (p *printingHost) SendPeer(peer int, data []byte)         {}
 func (p *printingHost) Log(text string)                        {}
 
-// A dispatcher passes events to the balancer and carries out its actions.
+// A dispatcher passes events to the balancer and carries out the actions that it requests.
 func Example() {
 	settings := balancer.Settings{
 		Classes: []balancer.Class{{
--- a/balancer/learn_test.go
+++ b/balancer/learn_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Reports of free slots make a busy worker count as busy.
+// A worker whose load reports show no free slots counts as busy.
 func TestLoadReportsShowOtherDispatchers(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
@@ -23,12 +23,13 @@
 		r.endAttemptWith(s, OK, rep)
 	}
 	if sentToBusy > 40 {
-		t.Errorf("%d of 190 requests went to the worker whose slots others use", sentToBusy)
+		t.Errorf("%d of 190 requests were sent to the worker whose slots others use, want at most 40",
+			sentToBusy)
 	}
 }
 
-// Few load reports by health checks are enough to keep requests from a worker that others fill; those in
-// responses come only from where requests go and count little.
+// A few load reports from health checks suffice to keep requests from a worker that other dispatchers fill.
+// Reports in responses count little, because they come only from workers that get requests.
 func TestHealthCheckReportsCountMore(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -51,8 +52,8 @@
 				}
 			}
 			if sentToBusy > c.maxToBusy || c.maxToBusy > 0 && sentToBusy == 0 {
-				t.Errorf("%d of 5 requests went to the worker that others fill, want at most %d", sentToBusy,
-					c.maxToBusy)
+				t.Errorf("%d of 5 requests were sent to the worker that others fill, want at most %d",
+					sentToBusy, c.maxToBusy)
 			}
 		})
 	}
@@ -77,26 +78,26 @@
 				t.Errorf("%d health checks, want %d", len(r.checked), c.want)
 			}
 			if c.want > 0 && len(slices.Compact(slices.Sorted(slices.Values(r.checked)))) != 3 {
-				t.Errorf("checked %v, want all three in turn", r.checked)
+				t.Errorf("checked %v, want all three workers", r.checked)
 			}
 		})
 	}
 }
 
-// Hazard: requests shorter than the clock's tick have no running time, and a run-time factor of zero is
-// divided by.
+// Requests shorter than the clock's resolution have a running time of zero, which must not make a run-time
+// factor, by which the balancer divides, zero.
 func TestRunningTimesOfZero(t *testing.T) {
 	r := newRecorderWithStartReports(t, 1)
 	r.serveEach(0, 20, idempotentClass, 50*time.Millisecond, freeSlots(1))
 	r.serveEach(100, 300, idempotentClass, 0, freeSlots(1))
 	own, kind := r.balancer.workerByID[100].runTimeFactor, r.balancer.kindRunTimeFactors[0]
 	if own < slowWeight || kind < slowWeight {
-		t.Errorf("run-time factors of %v and %v after requests that took no time", own, kind)
+		t.Errorf("run-time factors are %v and %v after requests that took no time", own, kind)
 	}
 }
 
-// One of many dispatchers, whose load reports are outdated, requests some before it sends: the request goes
-// to the least loaded of the workers that report, and soon goes on without those that don't.
+// If load reports are outdated, as with many dispatchers, some are requested before a request is sent. It
+// goes to the least loaded worker that reports, and does not wait long for the others.
 func TestRequestWaitsForLoadReports(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -107,7 +108,7 @@
 			set.LoadReportsByCheck, set.DispatcherCount = true, 100
 			r := newRecorder(t, set)
 			r.updateWorkers(ListFull, readyWorkers(40)...)
-			for i := range 30 { // rare requests: each worker is met twice a minute
+			for i := range 30 { // at this rate, each worker gets a request twice a minute
 				r.submit(testRequest(i, idempotentClass))
 				for _, w := range r.checked[len(r.checked)-min(checksPerDraw, len(r.checked)):] {
 					r.balancer.HealthChecked(r.now, w, OK, freeSlots(4))
@@ -118,7 +119,7 @@
 			sent, before := len(r.sends), len(r.checked)
 			r.submit(testRequest(100, idempotentClass))
 			if n := len(r.checked) - before; n != checksPerDraw || len(r.sends) != sent {
-				t.Fatalf("%d workers checked and %d sends, want %d and none yet", n, len(r.sends)-sent,
+				t.Fatalf("%d workers checked and %d sends, want %d and 0", n, len(r.sends)-sent,
 					checksPerDraw)
 			}
 			for i, w := range r.checked[before : before+c.reports] {
@@ -127,11 +128,11 @@
 			wait := set.Classes[idempotentClass].LatencyObjective / checkWaitDivisor
 			r.advance(wait + r.balancer.sweepInterval())
 			if len(r.sends) != sent+1 {
-				t.Fatalf("%d sends, want one", len(r.sends)-sent)
+				t.Fatalf("%d sends, want 1", len(r.sends)-sent)
 			}
 			if c.reports > 0 && r.lastSend().worker != r.checked[before+c.reports-1] {
-				t.Errorf("sent to %d, want the least loaded that reported, of %v", r.lastSend().worker,
-					r.checked[before:])
+				t.Errorf("sent to worker %d, want the least loaded of those that reported, of %v",
+					r.lastSend().worker, r.checked[before:])
 			}
 		})
 	}
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -8,7 +8,7 @@
 )
 
 // learnedFixture is a balancer with a failing, a healthy and a warming worker and one request in flight, and
-// what it has learned, as another process reads it.
+// its learned state as another process decodes it.
 type learnedFixture struct {
 	t                         *testing.T
 	sender                    *recorder
@@ -43,7 +43,7 @@
 	return f
 }
 
-// read gives what a balancer has learned, by way of its encoded form.
+// read returns a balancer's learned state, encoded and decoded again.
 func (f *learnedFixture) read(b *Balancer) (s LearnedState) {
 	f.t.Helper()
 	raw, err := json.Marshal(b.Learned())
@@ -56,7 +56,7 @@
 	return s
 }
 
-// receiver is a balancer whose clock is ahead of the sender's by so much, and that has restored a state.
+// receiver returns a balancer that has restored a state and whose clock is ahead of the sender's.
 func (f *learnedFixture) receiver(ahead time.Duration, s LearnedState) *recorder {
 	f.t.Helper()
 	r := newSeeded(f.t, testSettings(), 2)
@@ -66,28 +66,28 @@
 	return r
 }
 
-// failureScore is a receiver's of the failing worker.
+// failureScore returns the failure score of the failing worker at a receiver.
 func (f *learnedFixture) failureScore(r *recorder) float64 {
 	return r.balancer.decayedFailureScore(r.now, r.balancer.workerByID[f.failing.ID])
 }
 
-// A process that replaces another one knows what that one sent to a warming worker, and which workers fail.
+// A process that replaces another one knows what was sent to a warming worker, and which workers fail.
 func TestLearnedStateIsRestored(t *testing.T) {
 	f := newLearnedFixture(t)
 	r := f.receiver(0, f.state)
 	if sent := r.balancer.workerByID[f.warming.ID].slowStartSent; len(sent) != 1 || sent[0].work != 7 {
-		t.Errorf("what was sent to the warming worker: %v", sent)
+		t.Errorf("restored sends to the warming worker: %v, want one of work 7", sent)
 	}
 	if f.failureScore(r) < ejectionScore {
 		t.Error("the failing worker is not ejected")
 	}
 	if got, want := r.balancer, f.sender.balancer; got.meanRunTime != want.meanRunTime ||
 		got.hintRatio != want.hintRatio {
-		t.Errorf("the usual running time is %v, was %v", got.meanRunTime, want.meanRunTime)
+		t.Errorf("mean running time is %v, want %v", got.meanRunTime, want.meanRunTime)
 	}
 }
 
-// The requests in flight of the process before count as slots in use, until they have ended.
+// The requests in flight of the previous process count as slots in use until they have ended.
 func TestInFlightOfOtherProcessCounts(t *testing.T) {
 	f := newLearnedFixture(t)
 	r := f.receiver(0, f.state)
@@ -102,16 +102,16 @@
 	for id := range f.sender.balancer.InFlight() {
 		r.balancer.SetPredecessorInFlight(id, 0)
 		if n := r.balancer.slotsInUse(r.now, r.balancer.workerByID[id]); n != 0 {
-			t.Errorf("%v slots are in use of a process that has no requests", n)
+			t.Errorf("%v slots are in use by a process without requests, want 0", n)
 		}
 	}
 }
 
-// Hazard: the other process's clock is ahead, and a failure score grows with time.
+// If the sender's clock is ahead, failure scores must not grow by being decayed over a negative time.
 func TestLearnedStateOfALaterClock(t *testing.T) {
 	f := newLearnedFixture(t)
 	if score := f.failureScore(f.receiver(-time.Minute, f.state)); score > 1 {
-		t.Errorf("by a clock that is behind a worker has a failure score of %v", score)
+		t.Errorf("failure score is %v by a clock that is behind, want at most 1", score)
 	}
 }
 
@@ -121,17 +121,17 @@
 	before := f.read(r.balancer)
 	r.balancer.RestoreLearned(r.now, LearnedState{HintRatio: 1, ClassRunTimes: []float64{1}})
 	if after := f.read(r.balancer); !reflect.DeepEqual(after, before) {
-		t.Errorf("it is\n%+v, was\n%+v", after, before)
+		t.Errorf("state changed to\n%+v, want\n%+v", after, before)
 	}
 }
 
-// An old process reports no full workers, and counts work by running times, not by hints.
+// Processes of older versions report no full workers, and measure work by running times instead of hints.
 func TestLearnedStateOfAnOldProcess(t *testing.T) {
 	f := newLearnedFixture(t)
 	f.state.FullKindLoads, f.state.KindLoads[0], f.state.HintRatio = nil, [2]float64{8, 4}, 2
 	b := f.receiver(0, f.state).balancer
 	rate, sent := b.warmRate(0), b.workerByID[f.warming.ID].slowStartSent[0].work
 	if rate != 1 || sent != 3.5 {
-		t.Errorf("from an old process a warm worker takes %v, want 1; 7 sent are %v, want 3.5", rate, sent)
+		t.Errorf("from an old process: rate of warm workers %v, want 1; work sent %v, want 3.5", rate, sent)
 	}
 }
--- a/balancer/list_updates_test.go
+++ b/balancer/list_updates_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Rule 3: nothing is sent to a worker that the list has as draining or removed, or does not have.
+// Nothing is sent to a worker that is draining, removed or absent in the list.
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -24,7 +24,7 @@
 				r.submit(testRequest(i, idempotentClass))
 			}
 			if len(r.sends) == 0 {
-				t.Fatal("nothing went to the other worker")
+				t.Fatal("nothing was sent to the other worker")
 			}
 			for _, s := range r.sends {
 				if s.worker == 100 {
@@ -53,20 +53,20 @@
 		calls = append(calls, r.now-began)
 	}
 	if calls[0] >= set.Rules.ListPollInterval || calls[3] <= calls[0] {
-		t.Errorf("waits after failures: %v; want short, then longer", calls)
+		t.Errorf("waits after failures: %v, want them short at first, then longer", calls)
 	}
 }
 
-// After a release most of many dispatchers start at once: each requests the list at a time
-// of its own; few dispatchers don't wait.
+// After a release most dispatchers start at once. If there are many, each requests the list at a different
+// time; if there are few, they don't wait.
 func TestManyDispatchersSpreadFirstListCalls(t *testing.T) {
 	longest := testSettings().Classes[0].Timeout / firstListSpreadDivisor
 	for _, dispatchers := range []int{1, listSpreadThreshold - 1, listSpreadThreshold, 48} {
 		calledAt := map[time.Duration]int{}
 		var last time.Duration
-		for me := range dispatchers {
+		for index := range dispatchers {
 			set := testSettings()
-			set.ListOnRequest, set.DispatcherCount, set.DispatcherIndex = true, dispatchers, me
+			set.ListOnRequest, set.DispatcherCount, set.DispatcherIndex = true, dispatchers, index
 			r := newRecorder(t, set)
 			began := r.now
 			r.updateWorkers(ListCached)
@@ -77,17 +77,17 @@
 			last = max(last, r.now-began)
 		}
 		if dispatchers < listSpreadThreshold && last > 0 {
-			t.Errorf("of %d dispatchers one waits for %v", dispatchers, last)
+			t.Errorf("one of %d dispatchers waits for %v, want no wait", dispatchers, last)
 		}
 		for at, n := range calledAt {
 			if dispatchers >= listSpreadThreshold && (n > 1 || at > longest) {
-				t.Errorf("%d of %d dispatchers request it after %v", n, dispatchers, at)
+				t.Errorf("%d of %d dispatchers request the list after %v", n, dispatchers, at)
 			}
 		}
 	}
 }
 
-// Requests that come before the first list wait for it, but only for a part of their time.
+// Requests that arrive before the first list wait for it, but only for a part of their timeout.
 func TestRequestsWaitForTheFirstList(t *testing.T) {
 	set := testSettings()
 	set.ListOnRequest = true
@@ -97,11 +97,11 @@
 	r.submit(early)
 	r.advance(100 * time.Millisecond)
 	if got := r.requests[early.ID].final; got != "" || len(r.sends) != 0 {
-		t.Fatalf("before the list: %q, %d sends", got, len(r.sends))
+		t.Fatalf("before the list: final response %q and %d sends, want none", got, len(r.sends))
 	}
 	r.updateWorkers(ListFull, readyWorkers(3)...)
 	if len(r.sends) != 1 {
-		t.Fatalf("%d sends with the list there", len(r.sends))
+		t.Fatalf("%d sends after the list, want 1", len(r.sends))
 	}
 
 	r = newRecorder(t, set)
@@ -111,7 +111,7 @@
 	r.submit(late)
 	r.advance(late.Timeout/firstListWaitDivisor + 100*time.Millisecond)
 	if got := r.requests[late.ID].final; got != "rejected" {
-		t.Errorf("after half of its time without a list: %q", got)
+		t.Errorf("after half of its timeout without a list: final response %q, want rejected", got)
 	}
 	disconnected := testRequest(1, 0)
 	r = newRecorder(t, set)
@@ -120,12 +120,12 @@
 	r.balancer.ClientDisconnected(disconnected.ID)
 	r.updateWorkers(ListFull, readyWorkers(3)...)
 	if len(r.sends) != 0 {
-		t.Error("a request whose client has disconnected is sent once the list is there")
+		t.Error("a request whose client has disconnected was sent after the list")
 	}
 }
 
-// However long the list's service was down, the list is requested soon enough that nothing is missed that
-// it has to report when it is back: that counts as reported 6 s later.
+// After an outage of discovery of any length, the list is requested within 6 s, because states that discovery
+// reports afterwards count as known from then on.
 func TestListIsRequestedSoonAfterLongOutage(t *testing.T) {
 	for _, dispatchers := range []int{1, listSpreadThreshold, 300} {
 		set := testSettings()
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Hazard: a worker that responds with errors at once has nothing in flight and wins every draw.
+// A worker that responds with errors at once has nothing in flight, and without ejection would win every
+// draw.
 func TestFailingWorkerIsEjected(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(4)...)
@@ -22,7 +23,7 @@
 		r.endAttempt(s, res)
 	}
 	if sentToFailing > 5 {
-		t.Errorf("the failing worker got %d of 200 non-idempotent requests", sentToFailing)
+		t.Errorf("the failing worker got %d of 200 non-idempotent requests, want at most 5", sentToFailing)
 	}
 	r.advance(time.Minute)
 	for i := 200; i < 240; i++ {
@@ -32,7 +33,7 @@
 		}
 		r.endAttempt(r.lastSend(), OK)
 	}
-	t.Error("a worker that failed a minute ago never gets a request again")
+	t.Error("a worker that failed a minute ago got none of 40 requests")
 }
 
 // If all workers fail, requests are still sent.
@@ -46,11 +47,11 @@
 	before := len(r.sends)
 	r.submit(testRequest(60, nonIdempotentClass))
 	if len(r.sends) != before+1 {
-		t.Error("nothing was sent when all workers had failed")
+		t.Error("nothing was sent after all workers had failed")
 	}
 }
 
-// Hazard: an unresponsive worker keeps its count and wins draws until its first attempt times out.
+// An unresponsive worker must not win draws until its first attempt times out.
 func TestUnresponsiveWorkerIsEjected(t *testing.T) {
 	set := testSettings()
 	set.ReportsStart, set.ProgressInterval = true, 200*time.Millisecond
@@ -63,12 +64,13 @@
 	for i := 1; i < 20; i++ {
 		r.submit(testRequest(i, idempotentClass))
 		if r.lastSend().worker == unresponsive {
-			t.Fatal("a request went to an unresponsive worker")
+			t.Fatal("a request was sent to an unresponsive worker")
 		}
 	}
 }
 
-// Hazard: each of many dispatchers loses some requests to a failing worker before it knows.
+// Without messages to peers, each of many dispatchers would lose requests to a failing worker before it is
+// ejected.
 func TestFailureIsSentToPeers(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(2)...)
@@ -77,22 +79,22 @@
 	for i := range 20 {
 		r.submit(testRequest(i, nonIdempotentClass))
 		if s := r.lastSend(); s.worker == failing {
-			t.Fatal("a non-idempotent request went to a worker that had just failed another dispatcher's")
+			t.Fatal("a non-idempotent request was sent to a worker that a peer had reported as failing")
 		}
 	}
 	r.endAttempt(r.lastSend(), ServerError)
 	if len(r.peerMessages) != 1 || string(r.peerMessages[0]) != "\x00\x00\x00\x65" {
 		t.Errorf("sent %q to peers after a failure, want the worker's ID", r.peerMessages)
 	}
-	r.balancer.ReceivePeer(r.now, []byte("?")) // unknown: ignored
+	r.balancer.ReceivePeer(r.now, []byte("?")) // malformed messages are ignored
 	r.submit(testRequest(100, idempotentClass))
 	r.endAttempt(r.lastSend(), ConnectFailed)
 	if len(r.peerMessages) != 1 {
-		t.Error("a failed connection was sent to peers; the fault may be this dispatcher's alone")
+		t.Error("a failed connection was sent to peers, but it may affect this dispatcher only")
 	}
 }
 
-// A warming worker gets a request soon after its maintenance, and no more than its budget.
+// A warming worker gets a request soon after its maintenance, within its slow-start budget.
 func TestWorkerAfterMaintenanceGetsARequest(t *testing.T) {
 	for _, endsMaintenance := range []bool{true, false} {
 		set := testSettings()
@@ -121,10 +123,10 @@
 			r.balancer.EndMaintenance(back.ID)
 		}
 		if got := run(1000, 1); (got == 1) != endsMaintenance {
-			t.Errorf("maintenance %v: the first request went there %d times", endsMaintenance, got)
+			t.Errorf("maintenance ended %v: the worker got %d of 1 requests", endsMaintenance, got)
 		}
 		if r.balancer.workersNeedingTrial != 0 {
-			t.Error("it gets more than one of the next requests")
+			t.Error("the worker needs another trial request after its first")
 		}
 	}
 }
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// recorder is the host of a balancer in tests. It checks the four rules on every action, from the events that
-// it has passed to the balancer alone: (1) one response in time, (2) idempotency, (3) no draining workers,
-// (4) slow start.
+// recorder is the host of a balancer in tests. On every action it checks four rules, using only the events
+// that it has passed to the balancer: (1) one response in time, (2) idempotency, (3) nothing to draining
+// workers, (4) slow start.
 type recorder struct {
 	t                *testing.T
 	balancer         *Balancer
@@ -16,7 +16,7 @@
 	now              time.Duration
 	requests         map[RequestID]*recordedRequest
 	workers          map[WorkerID]*recordedWorker
-	sends            []recordedSend // in order, those in flight and those that have ended
+	sends            []recordedSend // in order, including those that have ended
 	timers           []recordedTimer
 	watchCalls       int
 	checked          []WorkerID
@@ -26,21 +26,21 @@
 	peerMessages     [][]byte // sent to peers
 	dropsAttemptEnds bool     // no attempt's end is reported
 
-	submitted, retries []time.Duration // times of requests, and of attempts after a request's first
+	submitted, retries []time.Duration // times of requests and of retries
 }
 
 type recordedRequest struct {
 	Request
 	deadline time.Duration
 	final    string
-	sends    []int // indices into recorder.sends
+	sends    []int // indices in recorder.sends
 }
 
 type recordedWorker struct {
 	Worker
-	unavailableSince time.Duration // when the balancer learned that it is not ready; -1: it is
+	unavailableSince time.Duration // when the balancer learned that it is not ready; -1: it is ready
 	slowStartSent    []recordedWork
-	capacity         float64 // for the slow-start rule, in slot seconds a second; 0: not checked
+	capacity         float64 // for the slow-start rule, in slot seconds per second; 0: not checked
 }
 
 type recordedWork struct {
@@ -62,7 +62,7 @@
 	token uint64
 }
 
-// newRecorder makes a balancer with a recorder as its host.
+// newRecorder returns a recorder that is the host of a new balancer.
 func newRecorder(t *testing.T, set Settings) *recorder {
 	t.Helper()
 	return newSeeded(t, set, 1)
@@ -82,7 +82,7 @@
 
 func (r *recorder) reportViolation(rule string) {
 	r.t.Helper()
-	r.t.Fatalf("at %v: rule broken: %s", r.now, rule)
+	r.t.Fatalf("at %v: rule violated: %s", r.now, rule)
 }
 
 // updateWorkers passes an update of the list to the balancer.
@@ -117,7 +117,7 @@
 	r.balancer.UpdateWorkers(r.now, kind, list)
 }
 
-// submit submits a request.
+// submit records a request and submits it.
 func (r *recorder) submit(q Request) {
 	r.t.Helper()
 	r.requests[q.ID] = &recordedRequest{Request: q, deadline: r.now + q.Timeout}
@@ -125,7 +125,7 @@
 	r.balancer.Submit(r.now, q)
 }
 
-// lastSend is the latest send.
+// lastSend returns the latest send.
 func (r *recorder) lastSend() *recordedSend {
 	r.t.Helper()
 	if len(r.sends) == 0 {
@@ -134,7 +134,7 @@
 	return &r.sends[len(r.sends)-1]
 }
 
-// endAttempt ends a send.
+// endAttempt ends an attempt without a load report.
 func (r *recorder) endAttempt(s *recordedSend, res Result) { r.endAttemptWith(s, res, NoLoadReport) }
 
 func (r *recorder) endAttemptWith(s *recordedSend, res Result, rep LoadReport) {
@@ -148,14 +148,14 @@
 		Took: r.now - s.at, Responded: q.final != "", Report: rep})
 }
 
-// reportStart reports that a send's request runs.
+// reportStart reports that the request of a send has started.
 func (r *recorder) reportStart(s *recordedSend) {
 	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: s.attempt, Worker: s.worker,
 		Started: true})
 }
 
-// serveEach has n requests of a class, numbered from first on, start at once and be served, one after
-// another.
+// serveEach submits n requests of a class one after another, with numbers starting at first. Each starts at
+// once and is served.
 func (r *recorder) serveEach(first, n, class int, took time.Duration, rep LoadReport) {
 	r.t.Helper()
 	for i := range n {
@@ -166,12 +166,12 @@
 	}
 }
 
-// reportProgress reports that a worker still runs an attempt.
+// reportProgress reports that a worker is still running an attempt.
 func (r *recorder) reportProgress(s *recordedSend) {
 	r.balancer.AttemptProgressed(r.now, AttemptProgress{ID: s.id, Attempt: s.attempt, Worker: s.worker})
 }
 
-// advance moves the time on, fires the timers that are due, and times attempts out at their deadlines.
+// advance advances the clock, fires the timers that are due, and times attempts out at their deadlines.
 func (r *recorder) advance(d time.Duration) {
 	r.t.Helper()
 	until := r.now + d
@@ -205,22 +205,22 @@
 	}
 }
 
-// checkOverdue checks rule 1: a response by the deadline and the slack.
+// checkOverdue checks rule 1: a response by the deadline plus the slack.
 func (r *recorder) checkOverdue() {
 	r.t.Helper()
 	for _, q := range r.requests {
 		if q.final == "" && r.now > q.deadline+r.settings.Rules.ResponseSlack {
-			r.reportViolation("no response in time for " + string(q.ID))
+			r.reportViolation("no response in time for request " + string(q.ID))
 		}
 	}
 }
 
-// Send implements Actions, and checks rules 1 to 4.
+// Send implements Actions and checks rules 1 to 4.
 func (r *recorder) Send(id RequestID, to WorkerID) {
 	r.t.Helper()
 	q, w := r.requests[id], r.workers[to]
 	if q == nil || w == nil {
-		r.t.Fatalf("Send(%s, %d): unknown", id, to)
+		r.t.Fatalf("Send(%s, %d): unknown request or worker", id, to)
 	}
 	c := r.settings.Classes[q.Class]
 	if q.final != "" {
@@ -257,7 +257,7 @@
 	r.sends = append(r.sends, recordedSend{id: id, worker: to, at: r.now, attempt: len(q.sends) - 1})
 }
 
-// provenNotRun reports whether a send's end proves that its request never ran.
+// provenNotRun reports whether the result of a send proves that its request never ran.
 func (r *recorder) provenNotRun(s recordedSend) bool {
 	return s.ended && s.result.NeverRan() && !(s.result == WorkerFull && r.settings.Rules.FullMayHaveRun)
 }
@@ -278,7 +278,7 @@
 		return n
 	}
 	if within(r.retries) > ru.RetryBudgetBase+ru.RetryBudgetShare*within(r.submitted) {
-		r.reportViolation("a retry beyond the budget")
+		r.reportViolation("retry beyond the budget")
 	}
 }
 
@@ -293,8 +293,8 @@
 	return true
 }
 
-// checkSlowStart checks rule 4 on a worker whose capacity the test knows: this dispatcher's part of the
-// budget of any window.
+// checkSlowStart checks rule 4 for a worker whose capacity the test sets: what this dispatcher sends in any
+// window stays within its part of the budget.
 func (r *recorder) checkSlowStart(w *recordedWorker, q *recordedRequest) {
 	r.t.Helper()
 	ru := r.settings.Rules
@@ -312,7 +312,7 @@
 	share := ru.SlowStartMinShare + (1-ru.SlowStartMinShare)*float64(age)/float64(ru.SlowStartWindow)
 	capacity := share * w.capacity / float64(max(r.settings.DispatcherCount, 1))
 	if sum > ru.OverloadFactor*capacity*ru.OverloadWindow.Seconds() {
-		r.reportViolation("a warming worker was overloaded")
+		r.reportViolation("warming worker overloaded")
 	}
 }
 
@@ -329,7 +329,7 @@
 	return q
 }
 
-// Reject implements Actions, and checks rules 1 and 2.
+// Reject implements Actions and checks rules 1 and 2.
 func (r *recorder) Reject(id RequestID, retryAfter time.Duration) {
 	r.t.Helper()
 	q := r.recordResponse(id, "rejected")
@@ -341,14 +341,14 @@
 			c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
 			continue
 		}
-		r.reportViolation("a request that may have run was rejected, which says that a retry is harmless")
+		r.reportViolation("rejected a request that may have run, which declares a retry harmless")
 	}
 }
 
-// Fail implements Actions, and checks rule 1.
+// Fail implements Actions and checks rule 1.
 func (r *recorder) Fail(id RequestID) { r.recordResponse(id, "failed") }
 
-// Cancel implements Actions, and checks that the attempt exists.
+// Cancel implements Actions and checks that the attempt exists.
 func (r *recorder) Cancel(id RequestID, attempt int) {
 	r.t.Helper()
 	q := r.requests[id]
@@ -358,7 +358,7 @@
 	r.cancels = append(r.cancels, fmt.Sprint(id, "/", attempt))
 }
 
-// CheckHealth implements Actions, and checks that health checks are allowed.
+// CheckHealth implements Actions and checks that health checks are allowed.
 func (r *recorder) CheckHealth(w WorkerID) {
 	r.t.Helper()
 	if !r.settings.Limits.HealthChecks || r.workers[w] == nil {
@@ -374,12 +374,12 @@
 func (r *recorder) SetTimer(d time.Duration, token uint64) {
 	r.t.Helper()
 	if d <= 0 {
-		r.t.Fatalf("SetTimer(%v): a timer without a wait never ends", d)
+		r.t.Fatalf("SetTimer(%v): the wait must be positive, or advance never ends", d)
 	}
 	r.timers = append(r.timers, recordedTimer{r.now + d, token})
 }
 
-// SendPeer implements Actions, and checks that messages are allowed.
+// SendPeer implements Actions and checks that messages are allowed.
 func (r *recorder) SendPeer(peer int, data []byte) {
 	r.t.Helper()
 	if !r.settings.Limits.PeerMessages || len(data) > 256 {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -33,7 +33,7 @@
 	SizeLive                           // the capacity divided by one more than the requests per core, delayed
 )
 
-// Class describes one class of requests.
+// Class is the configuration of a class of requests.
 type Class struct {
 	Name string
 	// LatencyObjective is the time within which a response has its full priority weight.
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -8,26 +8,28 @@
 	"time"
 )
 
-// Rule 4: many requests meet a worker that has just started, at a dispatcher that knows what warm ones take.
+// Many requests arrive while a worker that has just started warms up, at a dispatcher that has observed warm
+// workers.
 func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
 	set := testSettings()
 	r := newRecorder(t, set)
 	r.updateWorkers(ListFull, readyWorkers(4)...)
-	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport) // four warm ones of capacity 1 take 0.8 each
+	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport) // four of capacity 1 get 0.8 each
 	r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now})
 	r.workers[200].capacity = 1
 	if submitSteadily(r, 400, 400, 25*time.Millisecond, NoLoadReport)[200] == 0 {
-		t.Error("the new worker never got a request while it warmed up")
+		t.Error("the new worker got no request while it warmed up")
 	}
-	// Hazard: the list of what was sent to it is walked at each request, and must not grow with its age.
+	// The list of recent sends is scanned for each request, so its length must not grow with the worker's
+	// age.
 	sent := r.balancer.workerByID[200].slowStartSent
 	if from, to := sent[0].at, sent[len(sent)-1].at; to-from >= set.Rules.OverloadWindow {
-		t.Errorf("sends over %v are kept, want under a window", to-from)
+		t.Errorf("sends over %v are kept, want less than a window", to-from)
 	}
 }
 
-// Rule 4 and the release that replaces a whole kind: a dispatcher that has seen only warm workers of
-// another kind gives the new ones work within what the rule allows, not nothing until they are warm.
+// A release may replace all workers of a kind. A dispatcher that has observed only warm workers of another
+// kind must send some requests to the new ones, within the rule, before they are warm.
 func TestWarmingKindWithoutRecordUsesLeastOther(t *testing.T) {
 	set := testSettings()
 	set.WorkerKinds = 2
@@ -40,34 +42,34 @@
 	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport)
 	newWorkers := []Worker{{ID: 10, State: Ready, StartedAt: r.now, Size: 1},
 		{ID: 11, State: Ready, StartedAt: r.now, Size: 1}}
-	r.updateWorkers(ListFull, append(warm[:2:2], newWorkers...)...) // two of kind 0, never seen, take two places
+	r.updateWorkers(ListFull, append(warm[:2:2], newWorkers...)...) // two of kind 0, never seen, replace two
 	r.workers[10].capacity, r.workers[11].capacity = 1, 1
-	// Five seconds: half of the slow-start window, so that no worker of kind 0 is warm meanwhile.
+	// 5 s is half of the slow-start window, so no worker of kind 0 becomes warm in that time.
 	if got := submitSteadily(r, 400, 160, 31*time.Millisecond, NoLoadReport); got[10]+got[11] == 0 {
-		t.Error("no worker of the kind without a record got a request while it warmed up")
+		t.Error("no worker of the unobserved kind got a request while it warmed up")
 	}
 }
 
-// Rule 4 where warm workers are far from full on the whole: a warming worker's budget is what warm ones
-// took while they were nearly full, and not only the little that they take on average; it is kept.
+// If warm workers are rarely full, a warming worker's budget follows from what warm ones finished while
+// nearly full, and not only from the little that they finish on average. The budget is kept.
 func TestSlowStartBudgetByFullWorkers(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(4)...)
-	submitSteadily(r, 0, 100, 250*time.Millisecond, freeSlots(4)) // four slots each; a tenth of one is taken
+	submitSteadily(r, 0, 100, 250*time.Millisecond, freeSlots(4)) // four slots each, a tenth of one in use
 	full := submitSteadily(r, 100, 400, 8*time.Millisecond, freeSlots(0))
 	if full[100] == 0 {
 		t.Fatal("the warm workers were never full")
 	}
 	r.updateWorkers(ListDelta, Worker{ID: 200, State: Ready, StartedAt: r.now, Size: 1})
-	r.workers[200].capacity = 4 // slot-seconds a second, when warm: what the recorder holds it to
+	r.workers[200].capacity = 4 // slot seconds per second when warm; the recorder checks the budget by it
 	got := submitSteadily(r, 500, 200, 5*time.Millisecond, freeSlots(4))[200]
 	if got < 16 {
 		t.Errorf("the warming worker got %d requests while warm ones were busy; want 16 or more", got)
 	}
 }
 
-// Rule 4 after overload: how long requests ran while they waited must not make the budget larger. Recorded
-// while every request took three times its hint, it allows as many requests afterwards as one without
+// Waits during an overload lengthen running times, and must not enlarge the budget. A budget learned while
+// all requests took three times their hint allows as many requests afterwards as one learned without
 // overload.
 func TestSlowStartBudgetIgnoresWaitsOfOverload(t *testing.T) {
 	allowed := func(hintRatio float64) (n int) {
@@ -89,12 +91,13 @@
 		return n
 	}
 	if normal, overload := allowed(1), allowed(3); normal == 0 || overload != normal {
-		t.Errorf("%d requests by a record without overload, %d by one with", normal, overload)
+		t.Errorf("budget of %d requests learned without overload, %d learned during overload; want the same",
+			normal, overload)
 	}
 }
 
-// Rule 4 counts requests: a warming worker's budget for requests far smaller than the mean is no more of them
-// than of usual ones, and for one far larger than the mean it is in its work.
+// For requests far smaller than the mean, a warming worker's budget allows no more of them than of usual
+// ones. For requests far larger than the mean, it limits their work.
 func TestSlowStartBudgetCountsRequests(t *testing.T) {
 	allowed := func(work float64) (n int) {
 		r := newRecorder(t, testSettings())
@@ -111,16 +114,17 @@
 	}
 	small, usual, large := allowed(0.02), allowed(1), allowed(3)
 	if usual == 0 || small != usual || large*3 > usual {
-		t.Errorf("%d small ones, %d usual ones, %d of three times the mean", small, usual, large)
+		t.Errorf("budget of %d small requests, %d usual ones, %d of three times the mean", small, usual,
+			large)
 	}
 }
 
-// Rule 4 over all dispatchers, each of which sends a warming worker all that it may, at every moment: in no
-// window does it get more requests of mean work than N + 2 root N + 2 (N under 30: 3 root N + 3). And the
-// worker is not left idle: over its warm-up it gets a good part of N, however many dispatchers share it.
+// If every dispatcher always sends a warming worker all that its budget allows, no window has more requests
+// of mean work than N + 2 root N + 2 (for N under 30, 3 root N + 3). The worker still gets a good part of N
+// over its warm-up, however many dispatchers share it.
 func TestWarmingWorkerWithGreedyDispatchers(t *testing.T) {
 	for _, dispatchers := range []int{1, 2, 3, 8, 32, 150, 300, 900} {
-		// Requests a window, of a warm worker, and the part of N that is to be used at least.
+		// Requests per window of a warm worker, and the least part of N that must be used.
 		for allowed, least := range map[float64]float64{3: 1.2, 12: 0.6, 60: 0.45} {
 			for _, uneven := range []bool{false, true} {
 				fullestWindow, usedPart := simulateGreedyDispatchers(t, dispatchers, allowed, uneven)
@@ -134,9 +138,10 @@
 	}
 }
 
-// simulateGreedyDispatchers gives the fullest window, as a part of what the rule allows, and the part of N
-// that was sent over the whole warm-up.
-func simulateGreedyDispatchers(t *testing.T, dispatchers int, allowed float64, uneven bool) (fullestWindow, usedPart float64) {
+// simulateGreedyDispatchers returns the load of the fullest window, as a part of what the rule allows, and
+// the part of N that was sent over the whole warm-up.
+func simulateGreedyDispatchers(t *testing.T, dispatchers int, allowed float64,
+	uneven bool) (fullestWindow, usedPart float64) {
 	set := testSettings()
 	set.DispatcherCount = dispatchers
 	window := set.Rules.OverloadWindow
@@ -161,7 +166,7 @@
 		recorders = append(recorders, r)
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
-	const steps = 50 // in a window
+	const steps = 50 // per window
 	var sent []time.Duration
 	total, possible := 0.0, 0.0
 	first := recorders[0]
@@ -189,7 +194,7 @@
 	return fullestWindow, total / possible
 }
 
-// Without any load observed, a warming worker's budget is nothing.
+// Without any observed load, a warming worker's budget is zero.
 func TestWarmingWorkerGetsNothingWithoutRecord(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	list := readyWorkers(2)
@@ -200,25 +205,26 @@
 	}
 	for _, s := range r.sends {
 		if s.worker == list[0].ID {
-			t.Fatal("a warming worker got a request from a dispatcher without any record")
+			t.Fatal("a warming worker got a request from a dispatcher that has observed no load")
 		}
 	}
 }
 
-// Rule 4, where a dispatcher's part of a warming worker's budget is less than a request: a long time without
-// requests saves nothing up, so that when all other workers are removed the dispatchers don't all send at
-// once; and yet the worker gets requests.
+// If a dispatcher's part of the budget is smaller than a request, a long time without requests must not
+// accumulate budget: when all other workers are removed, the dispatchers must not all send at once. The
+// worker still gets requests.
 func TestSlowStartTimeSlots(t *testing.T) {
 	const dispatchers = 40
 	var rules Rules
-	var at []time.Duration // the sends to the warming worker, by its age
+	var at []time.Duration // times of sends to the warming worker, by its age
 	for index := range dispatchers {
 		set := testSettings()
-		set.DispatcherIndex, set.DispatcherCount, set.Rules.ResponseSlack = index, dispatchers, 200*time.Millisecond
+		set.DispatcherIndex, set.DispatcherCount, set.Rules.ResponseSlack = index, dispatchers,
+			200*time.Millisecond
 		rules = set.Rules
 		r := newSeeded(t, set, uint64(index))
 		r.updateWorkers(ListFull, readyWorkers(4)...)
-		for i := range 40 { // each takes a fortieth of four warm workers' load of 0.8
+		for i := range 40 { // each gets a fortieth of the load of 0.8 of four warm workers
 			r.submit(requestWithHint(i))
 			r.advance(100 * time.Millisecond)
 			r.endAttempt(r.lastSend(), OK)
@@ -237,7 +243,8 @@
 		}
 	}
 	if len(at) < 10 {
-		t.Errorf("the warming worker got %d requests from %d dispatchers", len(at), dispatchers)
+		t.Errorf("the warming worker got %d requests from %d dispatchers, want at least 10", len(at),
+			dispatchers)
 	}
 	slices.Sort(at)
 	for i, from := range at {
@@ -247,7 +254,8 @@
 				n++
 			}
 		}
-		share := rules.SlowStartMinShare + (1-rules.SlowStartMinShare)*float64(from)/float64(rules.SlowStartWindow)
+		share := rules.SlowStartMinShare +
+			(1-rules.SlowStartMinShare)*float64(from)/float64(rules.SlowStartWindow)
 		if limit := rules.OverloadFactor * share * rules.OverloadWindow.Seconds() / 0.1; float64(n) > limit {
 			t.Fatalf("%d requests in a window from age %v, want at most %.0f", n, from, limit)
 		}
