--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -16,7 +16,7 @@
 func (b *Balancer) admits(now time.Duration, q *request, w *worker) bool {
 	wait := b.expectedWait(now, w)
 	if q.overQuota && b.waitingShare > slowWeight {
-		return false // otherwise they fill every gap, and requests within quota wait or are rejected
+		return false // requests over quota would fill every gap, and others would wait or be rejected
 	}
 	if recent := b.decayedRecentWait(now); (now - w.lastWaitAt).Seconds() > recent {
 		// A dispatcher among many sends to each worker too rarely to know its queue.
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -170,7 +170,7 @@
 // SetPredecessorInFlight sets how many slots the requests of the process that this one replaces occupy at a
 // worker.
 //
-// If they were counted as requests of other dispatchers, they would fade only as load reports arrive, while
+// If they were counted as requests of other dispatchers, they would decay only as load reports arrive, while
 // this process's own requests replace them: workers would look full, and requests would be rejected.
 func (b *Balancer) SetPredecessorInFlight(id WorkerID, inFlight float64) {
 	if w := b.workerByID[id]; w != nil {
--- a/balancer/rejections.go
+++ b/balancer/rejections.go
@@ -19,9 +19,9 @@
 	b.removeIfDone(q)
 }
 
-// fail sends a final response that does not promise that a retry is harmless. For an unprocessable request
-// this avoids sending it to one worker after another, all of which would then count as failing, and a retry
-// by its client.
+// fail sends a final response that does not promise that a retry is harmless. An unprocessable request must
+// fail at once: otherwise it would be sent to one worker after another, all of which would count as failing,
+// and its client would be made to retry.
 func (b *Balancer) fail(q *request) {
 	q.responded = true
 	b.failedCount++
