--- a/internal/cluster/calendar/localtime.go
+++ b/internal/cluster/calendar/localtime.go
@@ -4,21 +4,23 @@
 
 const secondsPerDay = 24 * 60 * 60
 
-// LocalTime identifies an occurrence: the local date and time that the expression gives, which need not
-// exist, and whether it is the second of two. It is a number, so that thousands of them are short in a log.
-// Its encoding is stored; 0 is no local time.
+// LocalTime identifies an occurrence: the local date and time that the expression specifies, which need not
+// exist, and whether it is the second of two identical local times. It is a number, so that thousands of them
+// take little space in a log. The encoding is stored and must not change; 0 means no local time.
 type LocalTime uint64
 
-// newLocalTime encodes a date, the second of the day, and the fold: 1 for the second of two, else 0.
+// newLocalTime encodes a date, the second of the day, and the fold: 1 for the second of two identical local
+// times, otherwise 0.
 func newLocalTime(d date, secondOfDay int, fold uint64) LocalTime {
 	days := (uint64(d.year)*16+uint64(d.month))*32 + uint64(d.day)
 	return LocalTime(days*secondsPerDay*2 + uint64(secondOfDay)*2 + fold)
 }
 
-// InSecondFold reports whether the local time comes twice and this is the second.
+// InSecondFold reports whether this is the second of two identical local times.
 func (t LocalTime) InSecondFold() bool { return t&1 == 1 }
 
-// String formats the local time as in 2026-03-29T02:30, with ~2 for the second of two.
+// String formats the local time as in 2026-03-29T02:30, with the suffix ~2 for the second of two identical
+// local times.
 func (t LocalTime) String() string {
 	secs, days := int(t/2%secondsPerDay), t/2/secondsPerDay
 	s := fmt.Sprintf("%04d-%02d-%02dT%02d:%02d", days/512, days/32%16, days%32, secs/3600, secs/60%60)
@@ -31,10 +33,10 @@
 	return s
 }
 
-// date is a date of the Gregorian calendar. Its day may be one that the month does not have.
+// date is a date in the Gregorian calendar. Its day may be one that the month does not have.
 type date struct{ year, month, day int }
 
-// daysInMonth is the number of days of the date's month.
+// daysInMonth returns the number of days in the date's month.
 func (d date) daysInMonth() int {
 	switch d.month {
 	case 2:
@@ -48,7 +50,7 @@
 	return 31
 }
 
-// previousMonth is the first day of the month before.
+// previousMonth returns the first day of the previous month.
 func (d date) previousMonth() date {
 	if d.month == 1 {
 		return date{d.year - 1, 12, 1}
@@ -56,7 +58,7 @@
 	return date{d.year, d.month - 1, 1}
 }
 
-// nextMonth is the first day of the month after.
+// nextMonth returns the first day of the next month.
 func (d date) nextMonth() date {
 	if d.month == 12 {
 		return date{d.year + 1, 1, 1}
@@ -64,11 +66,11 @@
 	return date{d.year, d.month + 1, 1}
 }
 
-// weekday is 0 on a Sunday.
+// weekday returns the day of the week, from 0 for Sunday to 6 for Saturday.
 func (d date) weekday() int { return int((d.daysSinceEpoch()%7 + 11) % 7) }
 
-// daysSinceEpoch is the number of days from 1970-01-01 (Hinnant, "chrono-compatible low-level date
-// algorithms", days_from_civil).
+// daysSinceEpoch returns the number of days since 1970-01-01 (days_from_civil in Hinnant, "chrono-compatible
+// low-level date algorithms").
 func (d date) daysSinceEpoch() int64 {
 	y := d.year
 	if d.month <= 2 {
@@ -80,7 +82,7 @@
 	return era*146097 + yearOfEra*365 + yearOfEra/4 - yearOfEra/100 + dayOfYear - 719468
 }
 
-// dateOfDay is the date that is a number of days after 1970-01-01 (Hinnant, civil_from_days).
+// dateOfDay returns the date that is the given number of days after 1970-01-01 (Hinnant's civil_from_days).
 func dateOfDay(days int64) date {
 	days += 719468
 	era := floorDiv(days, 146097)
@@ -104,7 +106,7 @@
 	return days, int(seconds - days*secondsPerDay)
 }
 
-// floorDiv is a/b rounded down.
+// floorDiv returns a/b rounded down, for positive b.
 func floorDiv(a, b int64) int64 {
 	q := a / b
 	if a%b < 0 {
--- a/internal/cluster/calendar/next.go
+++ b/internal/cluster/calendar/next.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// Next returns the first occurrence after an instant, in Unix seconds; false: there is none within the search
-// horizon.
+// Next returns the first occurrence after an instant, which is given in Unix seconds; false: there is none
+// within the search horizon.
 func (r *Recurrence) Next(after int64) (Occurrence, bool) {
 	if r.intervalSeconds > 0 && !r.rules.WallClockIntervals {
 		at := (floorDiv(after, r.intervalSeconds) + 1) * r.intervalSeconds
@@ -26,8 +26,8 @@
 	return Occurrence{}, false
 }
 
-// nextExisting returns the first occurrence in a period at or after an instant whose local time exists as the
-// expression gives it.
+// nextExisting returns the first occurrence in a period, at or after an instant, whose time of day exists as
+// the expression specifies it.
 func (r *Recurrence) nextExisting(i int, from, horizon int64) (Occurrence, bool) {
 	period := r.zone.periods[i]
 	civil := from + period.offset
@@ -42,15 +42,15 @@
 			o.Adjustment = AdjustedMissingDay
 		}
 		fold := uint64(0)
-		if firstEnd, repeated := r.repeatedFromBefore(i, match.civil); repeated {
+		if overlapEnd, repeated := r.existsInPreviousPeriod(i, match.civil); repeated {
 			if r.rules.Fold == FirstFold {
-				civil = firstEnd
+				civil = overlapEnd
 				continue
 			}
 			fold, o.Adjustment = 1, SecondOccurrence
 		}
-		if fold == 0 && r.rules.Fold == SecondFold && r.repeatedAfter(i, match.civil) {
-			// So is everything that follows in this period.
+		if fold == 0 && r.rules.Fold == SecondFold && r.existsInNextPeriod(i, match.civil) {
+			// All later local times of this period are repeated, too.
 			return Occurrence{}, false
 		}
 		o.LocalTime = match.localTime(fold)
@@ -58,45 +58,46 @@
 	}
 }
 
-// repeatedFromBefore reports whether a local time of a period existed in the period before, too, as the
-// clocks were set back in between; firstEnd is the first local time that did not.
-func (r *Recurrence) repeatedFromBefore(i int, civil int64) (firstEnd int64, repeated bool) {
+// existsInPreviousPeriod reports whether a local time of a period also existed in the previous period,
+// because the clocks were set back in between. overlapEnd is the first local time that did not exist in the
+// previous period.
+func (r *Recurrence) existsInPreviousPeriod(i int, civil int64) (overlapEnd int64, repeated bool) {
 	if i == 0 {
 		return 0, false
 	}
-	before, period := r.zone.periods[i-1], r.zone.periods[i]
-	return period.start + before.offset,
-		before.offset > period.offset && civil-before.offset < period.start
+	previous, period := r.zone.periods[i-1], r.zone.periods[i]
+	return period.start + previous.offset,
+		previous.offset > period.offset && civil-previous.offset < period.start
 }
 
-// repeatedAfter reports whether a local time of a period exists in the period after, too.
-func (r *Recurrence) repeatedAfter(i int, civil int64) bool {
+// existsInNextPeriod reports whether a local time of a period exists in the next period, too.
+func (r *Recurrence) existsInNextPeriod(i int, civil int64) bool {
 	if i+1 == len(r.zone.periods) {
 		return false
 	}
-	period, after := r.zone.periods[i], r.zone.periods[i+1]
-	return after.offset < period.offset && civil-after.offset >= period.end
+	period, next := r.zone.periods[i], r.zone.periods[i+1]
+	return next.offset < period.offset && civil-next.offset >= period.end
 }
 
-// nextInGap returns the first occurrence in a period, at or after an instant, whose local time is in the gap
-// at the period's start. One that would be at the instant of another occurrence is that other one.
+// nextInGap returns the first occurrence in a period, at or after an instant, whose specified local time is
+// in the gap at the period's start. It omits occurrences at the same instant as a regular one.
 func (r *Recurrence) nextInGap(i int, from int64) (Occurrence, bool) {
 	if i == 0 || r.rules.Gap == SkipGap {
 		return Occurrence{}, false
 	}
-	before, period := r.zone.periods[i-1], r.zone.periods[i]
-	gapStart, gapEnd := period.start+before.offset, period.start+period.offset
+	previous, period := r.zone.periods[i-1], r.zone.periods[i]
+	gapStart, gapEnd := period.start+previous.offset, period.start+period.offset
 	if gapStart >= gapEnd || from > period.start && r.rules.Gap == AfterGap ||
 		from >= period.start+(gapEnd-gapStart) {
 		return Occurrence{}, false
 	}
 	civil := gapStart
 	if r.rules.Gap == ShiftGap {
-		civil = max(civil, from+before.offset)
+		civil = max(civil, from+previous.offset)
 	}
 	for {
 		match, ok := r.nextCivil(civil, gapEnd)
-		at := match.civil - before.offset
+		at := match.civil - previous.offset
 		if r.rules.Gap == AfterGap {
 			at = period.start
 		}
@@ -115,13 +116,14 @@
 	}
 }
 
-// civilMatch is a local time at which the recurrence occurs if local time is continuous.
+// civilMatch is a local time at which the recurrence occurs, without regard to gaps and folds.
 type civilMatch struct {
 	civil int64 // seconds since 1970 in local time
 	matchedDate
 }
 
-// matchedDate is a date as the expression gives it, which a rule may have adjusted to another day.
+// matchedDate is a date as the expression specifies it. If adjusted is set, the month does not have that day
+// and a rule moves the occurrence to another one.
 type matchedDate struct {
 	date
 	adjusted bool
@@ -132,7 +134,7 @@
 	return newLocalTime(m.date, secondOfDay, fold)
 }
 
-// nextCivil returns the first match at or after a local time, and before the limit.
+// nextCivil returns the first match at or after a local time and before the limit.
 func (r *Recurrence) nextCivil(civil, limit int64) (civilMatch, bool) {
 	days, secondOfDay := splitDay(civil)
 	d := dateOfDay(days)
@@ -155,7 +157,7 @@
 	return civilMatch{}, false
 }
 
-// monthMayMatch reports whether the recurrence may occur on some day of a date's month.
+// monthMayMatch reports whether the recurrence may occur on any day of a date's month.
 func (r *Recurrence) monthMayMatch(d date) bool {
 	if r.intervalSeconds > 0 || r.months.has(d.month) {
 		return true
@@ -164,8 +166,8 @@
 		(r.rules.LeapDay == NextDay || r.rules.ShortMonth == NextDay)
 }
 
-// matchDay reports whether the recurrence occurs on a date, and returns the date as the expression gives it:
-// the date itself, or the day that its month, or the one before, does not have.
+// matchDay reports whether the recurrence occurs on a date and returns the date as the expression specifies
+// it: the date itself, or a day that its month or the previous month does not have.
 func (r *Recurrence) matchDay(d date) (matchedDate, bool) {
 	if r.intervalSeconds > 0 {
 		return matchedDate{date: d}, true
@@ -181,28 +183,28 @@
 		}
 	}
 	if d.day == 1 {
-		if before := d.previousMonth(); r.months.has(before.month) {
-			if missing := r.firstMissingDay(before, NextDay); missing > 0 {
-				return matchedDate{date{before.year, before.month, missing}, true}, true
+		if previous := d.previousMonth(); r.months.has(previous.month) {
+			if missing := r.firstMissingDay(previous, NextDay); missing > 0 {
+				return matchedDate{date{previous.year, previous.month, missing}, true}, true
 			}
 		}
 	}
 	return matchedDate{}, false
 }
 
-// matchExistingDay reports whether a date of a month that matches is given by the expression.
+// matchExistingDay reports whether the expression specifies a date. The date's month must match already.
 func (r *Recurrence) matchExistingDay(d date) bool {
 	dayOfMonth := r.daysOfMonth.has(d.day) || r.includesLastDay && d.day == d.daysInMonth()
 	dayOfWeek := r.daysOfWeek.has(d.weekday())
-	// As cron has it: if both are restricted, either will do.
+	// As in cron, if both fields are restricted, it is enough that one of them matches.
 	if r.daysOfMonth.unrestricted() || r.daysOfWeek.unrestricted() {
 		return dayOfMonth && dayOfWeek
 	}
 	return dayOfMonth || dayOfWeek
 }
 
-// firstMissingDay returns the first day that the expression gives and a date's month does not have, if the
-// rule for that day is the given one; else 0.
+// firstMissingDay returns the first day that the expression specifies, that a date's month does not have and
+// to which the given rule applies; 0: there is none.
 func (r *Recurrence) firstMissingDay(d date, rule MissingDayRule) int {
 	if r.daysOfMonth.unrestricted() {
 		return 0
@@ -219,8 +221,8 @@
 	return 0
 }
 
-// nextTimeOfDay returns the first second of a day, at or after the given one, at which the recurrence occurs;
-// -1: none.
+// nextTimeOfDay returns the first second of the day, at or after the given one, at which the recurrence
+// occurs, or -1.
 func (r *Recurrence) nextTimeOfDay(secondOfDay int) int {
 	if r.intervalSeconds > 0 {
 		next := (int64(secondOfDay) + r.intervalSeconds - 1) / r.intervalSeconds * r.intervalSeconds
@@ -252,17 +254,17 @@
 	return hour*3600 + r.minutes.next(0)*60 + r.seconds.next(0)
 }
 
-// cronField is a field of a cron expression: a bit for each value, and unrestrictedBit.
+// cronField is a field of a cron expression: one bit for each value, and unrestrictedBit.
 type cronField uint64
 
-// unrestrictedBit is set by package cron in a field that is "*" or "?".
+// unrestrictedBit is the bit that package cron sets in a field that is "*" or "?".
 const unrestrictedBit cronField = 1 << 63
 
 func (f cronField) unrestricted() bool { return f&unrestrictedBit != 0 }
 
 func (f cronField) has(value int) bool { return f>>uint(value)&1 == 1 }
 
-// next returns the first value that is set at or above the given one, or -1.
+// next returns the smallest value in the field that is at least the given one, or -1.
 func (f cronField) next(value int) int {
 	if rest := f &^ unrestrictedBit >> uint(value) << uint(value); rest != 0 {
 		return bits.TrailingZeros64(uint64(rest))
--- a/internal/cluster/calendar/recurrence.go
+++ b/internal/cluster/calendar/recurrence.go
@@ -15,29 +15,30 @@
 	maxWallClockInterval = secondsPerDay
 )
 
-// searchHorizonSeconds is how far a search for the next occurrence goes: from 1896 to 1904, and from 2096 to
-// 2104, there are eight years between two 29ths of February, and one that falls into a gap may be skipped.
+// searchHorizonSeconds limits the search for the next occurrence. 17 years are enough: there are at most
+// eight years between two 29ths of February (1896 to 1904, 2096 to 2104), and one of them may be skipped
+// because it falls into a gap.
 const searchHorizonSeconds = 17 * 366 * secondsPerDay
 
-// Recurrence is a parsed expression in a zone, with rules. It is immutable.
+// Recurrence is a parsed expression with a time zone and rules. It is immutable.
 type Recurrence struct {
-	// The fields of the expression, a bit for each value, as package cron has them.
+	// The fields of the expression, in the representation of package cron.
 	seconds, minutes, hours, daysOfMonth, months, daysOfWeek cronField
 
-	includesLastDay bool  // the month's last day is among the days
-	intervalSeconds int64 // 0: the fields count
+	includesLastDay bool  // the days include the month's last day
+	intervalSeconds int64 // 0: the fields apply
 	zone            *Zone
 	rules           Rules
 }
 
-// Parse parses an expression: five fields as cron has them, six with seconds before them, L for the month's
-// last day, or @daily and the like, or "@every 90m".
+// Parse parses an expression: the five fields of cron, optionally preceded by a field for seconds, with L for
+// the month's last day; a descriptor such as @daily; or an interval such as "@every 90m".
 //
-// Hazard: the texts of its errors are part of what a group replicates, as schedule.ParsePolicy returns them:
-// instances of all versions must give the same.
+// The error texts are part of what a group replicates, since schedule.ParsePolicy returns them. They must be
+// the same in all versions of the program.
 func Parse(expression string, zone *Zone, rules Rules) (*Recurrence, error) {
 	r := &Recurrence{zone: zone, rules: rules}
-	// Hazard: the cron parser would accept a zone of its own here.
+	// The cron parser would accept a time zone in the expression, in addition to the recurrence's.
 	if strings.Contains(expression, "TZ=") {
 		return nil, errors.New("the zone is given by zone=, not within the expression")
 	}
@@ -79,8 +80,8 @@
 	return r, nil
 }
 
-// extractLastDay removes L, which the cron parser does not know, from the field of the day of the month, and
-// reports whether it was the only day there.
+// extractLastDay removes L, which the cron parser does not support, from the day-of-month field and reports
+// whether it was the only day in that field.
 func (r *Recurrence) extractLastDay(fields []string) (only bool) {
 	dayField := len(fields) - 3
 	var others []string
@@ -92,7 +93,7 @@
 		}
 	}
 	if fields[dayField] = strings.Join(others, ","); r.includesLastDay && len(others) == 0 {
-		fields[dayField], only = "1", true // any day: Parse drops it
+		fields[dayField], only = "1", true // a placeholder, which Parse ignores
 	}
 	return only
 }
@@ -100,28 +101,28 @@
 // Zone returns the recurrence's time zone.
 func (r *Recurrence) Zone() *Zone { return r.zone }
 
-// Adjustment is what the rules did to an occurrence.
+// Adjustment describes how the rules adjusted an occurrence.
 type Adjustment uint8
 
 // The adjustments.
 const (
 	Unadjusted         Adjustment = iota
-	AdjustedMissingDay            // the month does not have its day
-	AdjustedGap                   // its local time is in a gap
-	SecondOccurrence              // it is the second of two
+	AdjustedMissingDay            // the month does not have the specified day
+	AdjustedGap                   // the specified local time is in a gap
+	SecondOccurrence              // the second of two identical local times
 )
 
-// adjustmentNames are the adjustments as operators read them.
-var adjustmentNames = [...]string{"", "the month lacks its day", "its local time is left out",
+// adjustmentNames describe the adjustments in previews, indexed by Adjustment.
+var adjustmentNames = [...]string{"", "the month lacks its day", "its local time does not exist",
 	"the second of two"}
 
-// String names the adjustment as operators read it.
+// String returns the adjustment's description in previews.
 func (a Adjustment) String() string { return adjustmentNames[min(int(a), len(adjustmentNames)-1)] }
 
 // Occurrence is one occurrence of a recurrence.
 type Occurrence struct {
 	At         int64 // Unix seconds
-	WallClock  int64 // shown by local clocks then, as seconds since 1970 there
+	WallClock  int64 // the local time at that instant, as seconds since 1970 in local time
 	LocalTime  LocalTime
 	Adjustment Adjustment
 }
--- a/internal/cluster/calendar/rules.go
+++ b/internal/cluster/calendar/rules.go
@@ -1,26 +1,27 @@
 package calendar
 
-// MissingDayRule determines what to do about a day that a month does not have.
+// MissingDayRule determines when an occurrence takes place whose day does not exist in a month.
 type MissingDayRule uint8
 
 // The rules for missing days.
 const (
-	SkipDay MissingDayRule = iota // there is no occurrence in that month
-	LastDay                       // it is on the month's last day
-	NextDay                       // it is on the first day of the next month
+	SkipDay MissingDayRule = iota // not in that month
+	LastDay                       // on the month's last day
+	NextDay                       // on the first day of the next month
 )
 
-// GapRule determines what to do about a local time that is skipped when the clocks are set forward.
+// GapRule determines when an occurrence takes place whose local time is skipped because the clocks are set
+// forward.
 type GapRule uint8
 
 // The rules for gaps.
 const (
-	AfterGap GapRule = iota // everything in the gap occurs once, at the first instant after it
-	ShiftGap                // each occurrence is later by as much as the clocks were set forward
-	SkipGap                 // there is no occurrence
+	AfterGap GapRule = iota // at the first instant after the gap, once for all occurrences in it
+	ShiftGap                // later by the length of the gap
+	SkipGap                 // never
 )
 
-// FoldRule determines which of two is meant if a local time comes twice because the clocks are set back.
+// FoldRule determines which of two identical local times an occurrence uses when the clocks are set back.
 type FoldRule uint8
 
 // The rules for folds.
@@ -30,13 +31,13 @@
 	BothFolds
 )
 
-// Rules determine what an expression leaves open. The zero value is the default.
+// Rules resolve cases that an expression does not define. The zero value is the default.
 type Rules struct {
-	LeapDay    MissingDayRule // for 29 February in a year that has none
+	LeapDay    MissingDayRule // for 29 February in a common year
 	ShortMonth MissingDayRule // for other days that a month does not have
 	Gap        GapRule
 	Fold       FoldRule
-	// WallClockIntervals counts intervals from each local midnight, and not in elapsed time.
+	// WallClockIntervals measures intervals from each local midnight instead of in elapsed time.
 	WallClockIntervals bool
 }
 
--- a/internal/cluster/schedule/command.go
+++ b/internal/cluster/schedule/command.go
@@ -10,56 +10,57 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// CommandKind is the kind of a command. Its numbers are in the log.
+// CommandKind is the kind of a command. The log stores its numeric value.
 type CommandKind uint8
 
-// The kinds of command.
+// The kinds of command, with the member that proposes each.
 const (
 	NoCommand      CommandKind = iota
 	DeclarePolicy              // by the leader: the policy in force takes effect at ClusterTime
-	IntendFirings              // by an owner: advances its shards and intends what is due in them
-	RecordResults              // by a session: the results of its firings
-	ResolveOrphans             // by an owner: adopts orphaned firings of its shards, or finishes them
+	IntendFirings              // by a shard owner: advances its shards and intends what is due in them
+	RecordResults              // by a session: records the results of its firings
+	ResolveOrphans             // by a shard owner: adopts or finishes orphaned firings of its shards
 )
 
 // ShardAdvance is a shard that an IntendFirings command advances.
 type ShardAdvance struct {
 	Shard       int
-	FromVersion uint64 // the shard's version before
+	FromVersion uint64 // the version that the shard must have
 }
 
 // DueOccurrence is an occurrence that an IntendFirings command intends.
 type DueOccurrence struct {
-	Trigger   int // its index in the policy
+	Trigger   int // index in the policy
 	LocalTime calendar.LocalTime
 	At        int64 // Unix seconds
-	WallClock int64 // shown by local clocks then, as seconds since 1970 there
-	// Missed is how many occurrences of the trigger before this one were missed. Without LocalTime, that is
-	// all there is: nothing is fired.
+	WallClock int64 // the local time at that instant, as seconds since 1970 in local time
+	// Missed is how many occurrences of the trigger before this one were missed. If LocalTime is 0, only
+	// Missed is recorded and nothing is fired.
 	Missed int
 }
 
-// Command is an entry of the replicated log. Which fields are used depends on the kind.
+// Command is an entry of the replicated log. Its kind determines which fields are used.
 type Command struct {
 	Kind             CommandKind
-	Term             uint64 // of the leader that declares
+	Term             uint64 // of the leader, for DeclarePolicy
 	Session          Session
 	PolicyVersion    uint64
 	ClusterTime      int64 // Unix seconds
 	ZoneRulesVersion uint64
-	ExcludedMembers  map[uint64]string // that may own no shard, with the reason
+	ExcludedMembers  map[uint64]string // reason by member: these members may not own shards
 	ExpiredSessions  []Session         // whose leases have run out
 	Advances         []ShardAdvance
 	Occurrences      []DueOccurrence
-	Numbers          []uint64 // of firings
-	// Results belong to Numbers. In ResolveOrphans, Succeeded means that the firing is adopted.
+	Numbers          []uint64 // of firings, for RecordResults and ResolveOrphans
+	// Results has one result for each of Numbers. In ResolveOrphans, Succeeded means that the firing is
+	// adopted.
 	Results []Result
 }
 
-// Apply applies a command. An error means that the command has no effect: the state is unchanged.
+// Apply applies a command. If it returns an error, the state is unchanged.
 //
-// Hazard: the texts of these errors, as those of ParsePolicy, are part of what a group replicates: instances
-// of all versions must give the same.
+// The error texts, like those of ParsePolicy, are part of what a group replicates. They must be the same in
+// all versions of the program.
 func (s *State) Apply(c Command) error {
 	switch c.Kind {
 	case DeclarePolicy:
@@ -90,8 +91,8 @@
 	return nil
 }
 
-// activateTriggers begins triggers that are new or were changed, and forgets those that are no more. What
-// was intended before is not affected.
+// activateTriggers activates new and changed triggers as of now and discards the state of removed ones.
+// Firings that were intended before are not affected.
 func (s *State) activateTriggers(now int64) {
 	hashes := map[string]uint64{}
 	for i := range s.policy.Triggers {
@@ -111,7 +112,8 @@
 	if c.PolicyVersion != s.policy.Version || c.PolicyVersion != s.PolicyVersion {
 		return errors.New("it goes by another configuration")
 	}
-	// Hazard: with other rules, what was fired under one name comes again under another.
+	// With other zone rules, an occurrence that was fired under one local time could be fired again under
+	// another.
 	if c.ZoneRulesVersion != s.ZoneRulesVersion {
 		return errors.New("it goes by other zone rules")
 	}
@@ -138,8 +140,8 @@
 	return nil
 }
 
-// advanceShards advances those of the command's shards that its sender owns and nobody else has advanced,
-// and returns their watermarks before.
+// advanceShards advances those of the command's shards that its sender owns and whose version is still the
+// expected one. It returns their previous watermarks by shard.
 func (s *State) advanceShards(c Command) map[int]int64 {
 	watermarks := map[int]int64{}
 	for _, a := range c.Advances {
@@ -153,15 +155,16 @@
 	return watermarks
 }
 
-// intendFiring intends an occurrence of a trigger whose shard has been advanced from the given watermark.
+// intendFiring adds a firing for an occurrence of a trigger, unless the occurrence is not between the shard's
+// given former watermark and the new one, precedes the trigger's activation, or may repeat an earlier one.
 func (s *State) intendFiring(c Command, t *Trigger, d DueOccurrence, watermark int64) {
-	// Hazard: an earlier command may have intended it, or it may be from before the trigger was active.
+	// An earlier command may have intended the occurrence, or it may precede the trigger's activation.
 	fireAt := d.At + t.jitterSeconds()
 	if d.LocalTime == 0 || fireAt <= watermark || fireAt > c.ClusterTime || d.At <= s.ActiveSince[t.Name] {
 		return
 	}
-	// Hazard: with new zone rules, what was fired may come again an hour later. What local clocks showed at
-	// an earlier firing has passed, unless the rules set the clocks back.
+	// With new zone rules, an occurrence that was already fired could be fired again an hour later. A local
+	// time at or before that of the last firing is therefore ignored, unless the rules set the clocks back.
 	if !d.LocalTime.InSecondFold() {
 		if last, ok := s.LastWallClock[t.Name]; ok && d.WallClock <= last {
 			return
@@ -179,7 +182,7 @@
 
 func (s *State) applyRecordResults(c Command) {
 	for k, n := range c.Numbers {
-		// Hazard: a session that has ended reports results of firings that others have adopted since.
+		// A session that has ended may still report results of firings that another session has adopted.
 		f := s.open[n]
 		switch {
 		case f == nil || f.Session != c.Session:
--- a/internal/cluster/schedule/command_codec.go
+++ b/internal/cluster/schedule/command_codec.go
@@ -6,11 +6,11 @@
 	"moorstack/internal/schema"
 )
 
-// commandFormat is the log format that has schedule commands.
+// commandFormat is the log format that introduced schedule commands.
 const commandFormat = 5
 
-// EncodeCommand encodes a command as a log entry. Lists that may be long are packed: numbers as differences
-// from the one before, instants as differences from the cluster time.
+// EncodeCommand encodes a command as a log entry. To keep long lists short, numbers are encoded as
+// differences from the previous one and instants as differences from the cluster time.
 func EncodeCommand(c Command) *schema.Change {
 	m := &schema.ScheduleCommand{Kind: uint32(c.Kind), Term: c.Term, Member: c.Session.Member,
 		Epoch: c.Session.Epoch, Version: c.PolicyVersion, Now: c.ClusterTime, Zones: c.ZoneRulesVersion,
@@ -36,7 +36,7 @@
 	return &schema.Change{Format: commandFormat, Schedule: m}
 }
 
-// decodeCommand decodes a log entry. Of lists of different lengths the surplus is ignored.
+// decodeCommand decodes a log entry. If parallel lists differ in length, surplus elements are ignored.
 func decodeCommand(m *schema.ScheduleCommand) Command {
 	c := Command{Kind: CommandKind(m.Kind), Term: m.Term, PolicyVersion: m.Version, ClusterTime: m.Now,
 		Session: Session{Member: m.Member, Epoch: m.Epoch}, ZoneRulesVersion: m.Zones, ExcludedMembers: m.Off}
--- a/internal/cluster/schedule/leader.go
+++ b/internal/cluster/schedule/leader.go
@@ -11,61 +11,64 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// Reasons for which a member is excluded from owning shards. They stand in the log and in the status that
-// operators read. Hazard: instances of other versions recognise an excluded clock by clockSkewPrefix.
+// Reasons for excluding a member from owning shards. They are stored in the log and shown in the status.
+// Instances of other versions recognise a member that is excluded for its clock by clockSkewPrefix.
 const (
 	departingReason = "it is about to end"
 	clockSkewPrefix = "its clock is "
 )
 
-// minClocksToJudge is the number of clocks from which on it is clear which one is wrong.
-const minClocksToJudge = 3
+// minClocksForSkewCheck is the least number of clocks of which one can be found to be wrong: of two that
+// differ, either may be wrong.
+const minClocksForSkewCheck = 3
 
-// ClockReading is what an instance reports about its clock and its time zone rules.
+// ClockReading is an instance's report of its clock and its time zone rules.
 type ClockReading struct {
 	WallClock        int64  // Unix nanoseconds
-	PolicyVersion    uint64 // of the policy that ZoneRulesVersion is for
+	PolicyVersion    uint64 // of the policy whose zones ZoneRulesVersion covers
 	ZoneRulesVersion uint64
 }
 
+// receivedReading is a ClockReading with the time at which the leader received it.
 type receivedReading struct {
 	ClockReading
 	receivedAt time.Duration // on the leader's monotonic clock
 }
 
-// Leader keeps the cluster time and decides who may own no shard, for one term. It is used by one goroutine.
+// Leader computes the cluster time and excludes members from owning shards, for one term of leadership. It
+// must be used by one goroutine at a time.
 type Leader struct {
 	term             uint64
 	readings         map[uint64]receivedReading // by member
-	clusterTimeFloor int64                      // Unix nanoseconds: the cluster time never goes back
+	clusterTimeFloor int64                      // Unix nanoseconds: the cluster time never goes below it
 	skewed           map[uint64]bool            // members whose clocks were found to be wrong
 	lastProposed     time.Duration
 }
 
-// NewLeader begins a term.
+// NewLeader returns the Leader of a new term.
 func NewLeader(term uint64) *Leader {
 	return &Leader{term: term, readings: map[uint64]receivedReading{}, skewed: map[uint64]bool{}}
 }
 
-// Group is the group that a leader decides for.
+// Group is the leader's view of its group.
 type Group struct {
 	Members         []placement.Member // with open sessions
-	Size            int                // including those without
+	Size            int                // number of members, including those without an open session
 	LeaseDuration   time.Duration
 	ExpiredSessions []Session // whose leases have certainly run out
-	// Departing reports whether a member is about to end, and so owns nothing; nil: none is.
+	// Departing reports whether a member is shutting down and so may not own shards; nil: no member is.
 	Departing func(member uint64) bool
 }
 
-// ObserveReading takes an instance's report.
+// ObserveReading records an instance's report.
 func (l *Leader) ObserveReading(now time.Duration, member uint64, r ClockReading) {
 	if r.WallClock != 0 {
 		l.readings[member] = receivedReading{r, now}
 	}
 }
 
-// Evaluate returns the command that declares the policy in force and the excluded members, if the state
-// differs from what it should be.
+// Evaluate returns a command that declares the policy in force and the excluded members, or false if the
+// state is up to date, a command was proposed recently, or the cluster time or zone rules are not known.
 func (l *Leader) Evaluate(now time.Duration, s *State, g Group) (Command, bool) {
 	p := s.Policy()
 	if p.Version == 0 && s.PolicyVersion == 0 ||
@@ -88,7 +91,7 @@
 	return c, true
 }
 
-// exclusions returns the members that may own no shard, with the reason.
+// exclusions returns the members that may not own shards, with the reasons.
 func (l *Leader) exclusions(now time.Duration, s *State, g Group, zoneRules uint64) map[uint64]string {
 	p, excluded := s.Policy(), map[uint64]string{}
 	clocks := l.recentClocks(now, g.Members, g.LeaseDuration, func(uint64) bool { return true })
@@ -106,7 +109,7 @@
 	return excluded
 }
 
-// sessionsToOrphan returns the expired sessions that have firings which are not marked as orphaned.
+// sessionsToOrphan returns the expired sessions that still have firings not marked as orphaned.
 func sessionsToOrphan(s *State, g Group) (list []Session) {
 	for _, session := range g.ExpiredSessions {
 		for _, f := range s.open {
@@ -123,9 +126,10 @@
 	return slices.Equal(slices.Sorted(maps.Keys(a)), slices.Sorted(maps.Keys(b)))
 }
 
-// electZoneRules returns the version of the time zone rules to use: the policy's, or that of most of the
-// members; 0: no more than half of them have reported theirs. Of two versions with as many members the lower
-// number is taken, whichever was in use, so that all leaders choose the same.
+// electZoneRules returns the version of the time zone rules to use: the one that the policy sets, or else the
+// one that most members report; 0: no more than half of the members have reported theirs. If two versions
+// have equally many members, the lower number wins even if the other was in use, so that all leaders elect
+// the same version.
 func (l *Leader) electZoneRules(p *Policy, members []placement.Member) uint64 {
 	if p.ZoneRulesVersion != 0 || p.Version == 0 {
 		return max(p.ZoneRulesVersion, 1)
@@ -146,16 +150,17 @@
 	})
 }
 
-// ClusterTime returns the cluster time in Unix nanoseconds: the median of the clocks, and of two in the
-// middle the slower. It never goes back, also over a change of leader. 0: no more than half of the group has
-// reported lately.
+// ClusterTime returns the cluster time in Unix nanoseconds: the median of the members' clocks, or the slower
+// of the two middle clocks. It never goes backwards, not even when the leader changes. 0: no more than half
+// of the group has reported recently.
 //
-// Hazard: if some members don't report, one wrong clock may be half of those that do. One that was found to
-// be wrong among three or more does not count before it was found to be right again.
+// If some members don't report, one wrong clock may be half of those that do. A clock that was found to be
+// wrong among three or more is therefore ignored until it is found to be right again.
 func (l *Leader) ClusterTime(now time.Duration, s *State, g Group) int64 {
 	all := l.recentClocks(now, g.Members, g.LeaseDuration, func(uint64) bool { return true })
 	trusted := l.recentClocks(now, g.Members, g.LeaseDuration, func(m uint64) bool {
-		// Hazard: a member that is excluded for its zone rules may have the only clock that is right.
+		// Only exclusion for the clock matters here: a member that is excluded for its zone rules may have
+		// the only correct clock.
 		return !strings.HasPrefix(s.ExcludedMembers[m], clockSkewPrefix) && !l.skewed[m]
 	})
 	if 2*len(all) <= g.Size || len(trusted) == 0 {
@@ -165,19 +170,20 @@
 	return l.clusterTimeFloor
 }
 
-// clockNow returns what a member's clock shows now, by its last report; false: that is too old.
+// clockNow returns the present time of a member's clock, extrapolated from its last report; false: there is
+// no report, or it is too old.
 func (l *Leader) clockNow(now time.Duration, member uint64, lease time.Duration) (int64, bool) {
 	r, ok := l.readings[member]
 	return r.WallClock + int64(now-r.receivedAt), ok && now-r.receivedAt <= 2*lease
 }
 
-// recentClocks returns what the clocks of members show now, the slowest first, of those that have reported
-// lately and that count.
+// recentClocks returns the present times of the members' clocks, the slowest first. It omits members without
+// a recent report and those for which include returns false.
 func (l *Leader) recentClocks(now time.Duration, members []placement.Member, lease time.Duration,
-	counts func(member uint64) bool) []int64 {
+	include func(member uint64) bool) []int64 {
 	var list []int64
 	for _, m := range members {
-		if clock, ok := l.clockNow(now, m.Member, lease); ok && counts(m.Member) {
+		if clock, ok := l.clockNow(now, m.Member, lease); ok && include(m.Member) {
 			list = append(list, clock)
 		}
 	}
@@ -185,10 +191,11 @@
 	return list
 }
 
-// lowerMedian returns the median of a sorted list, and of two values in the middle the lower.
+// lowerMedian returns the median of a sorted list, or the lower of the two middle values.
 func lowerMedian(sorted []int64) int64 { return sorted[(len(sorted)-1)/2] }
 
-// skewReason states by how much a member's clock differs from the others'; empty: by no more than is allowed.
+// skewReason returns why a member is to be excluded for its clock: by how much it differs from the median;
+// empty: the member is not to be excluded. If there are too few clocks to judge, the previous reason remains.
 func (l *Leader) skewReason(now time.Duration, s *State, member uint64, clocks []int64,
 	lease time.Duration) string {
 	previous := s.ExcludedMembers[member]
@@ -196,13 +203,13 @@
 		previous = ""
 	}
 	clock, ok := l.clockNow(now, member, lease)
-	if !ok || len(clocks) < minClocksToJudge {
+	if !ok || len(clocks) < minClocksForSkewCheck {
 		l.skewed[member] = previous != ""
 		return previous
 	}
 	skew, limit := time.Duration(clock-lowerMedian(clocks)), s.Policy().MaxClockSkew
 	if previous != "" {
-		limit /= 2 // hysteresis: it must be well within the limit before it counts again
+		limit /= 2 // hysteresis: the clock must be well within the limit before it is trusted again
 	}
 	if l.skewed[member] = skew.Abs() > limit; !l.skewed[member] {
 		return ""
@@ -210,7 +217,7 @@
 	return fmt.Sprintf("%s%v from the fleet's", clockSkewPrefix, roundForDisplay(skew))
 }
 
-// roundForDisplay rounds a clock's skew: people read it, and it must not change with each reading.
+// roundForDisplay rounds a clock's skew for operators, so that the reason does not change with each reading.
 func roundForDisplay(d time.Duration) time.Duration {
 	if d.Abs() > 10*time.Second {
 		return d.Round(10 * time.Second)
--- a/internal/cluster/schedule/participant.go
+++ b/internal/cluster/schedule/participant.go
@@ -8,13 +8,13 @@
 	"moorstack/internal/schema"
 )
 
-// ClusterClock is the cluster time at a moment of an instance's monotonic clock.
+// ClusterClock is a cluster time and the time of the instance's monotonic clock at which it was received.
 type ClusterClock struct {
-	ClusterTime int64 // Unix nanoseconds; 0: not known
+	ClusterTime int64 // Unix nanoseconds; 0: unknown
 	ObservedAt  time.Duration
 }
 
-// TimeAt returns the cluster time, in Unix nanoseconds, at another moment; 0: not known.
+// TimeAt extrapolates the cluster time, in Unix nanoseconds, to a time of the monotonic clock; 0: unknown.
 func (c ClusterClock) TimeAt(now time.Duration) int64 {
 	if c.ClusterTime == 0 {
 		return 0
@@ -22,25 +22,25 @@
 	return c.ClusterTime + int64(now-c.ObservedAt)
 }
 
-// participant runs an instance's Scheduler and, while the instance leads, its Leader.
+// participant runs an instance's Scheduler and, while the instance is the group's leader, a Leader.
 type participant struct {
 	local            replicated.LocalInfo
 	scheduler        *Scheduler
-	leader           *Leader // nil: this instance does not lead
-	resendAll        bool    // a snapshot was installed: the node is to be notified of all its firings again
+	leader           *Leader // nil: this instance is not the leader
+	resendAll        bool    // a snapshot was installed: notify the node of all its firings again
 	clock            ClusterClock
-	clockRequestedAt time.Duration // when the lease was requested that granted the clock
-	publishedClock   ClusterClock  // that the node was last notified of
+	clockRequestedAt time.Duration // when the request was sent whose grant set clock
+	publishedClock   ClusterClock  // the clock that the node was last notified of
 }
 
-// BecomeLeader implements replicated.Participant.
+// BecomeLeader implements replicated.Participant. Term 0 means that the instance is no longer the leader.
 func (p *participant) BecomeLeader(_ time.Duration, term uint64) {
 	if p.leader = nil; term != 0 {
 		p.leader = NewLeader(term)
 	}
 }
 
-// configureScheduler sets the scheduler's policy to the one in force.
+// configureScheduler sets the scheduler's policy to the one in force and creates the scheduler if needed.
 func (p *participant) configureScheduler(s *StateMachine) {
 	if p.scheduler == nil {
 		zones := p.local.TimeZones
@@ -52,7 +52,7 @@
 	p.scheduler.Configure(s.Policy())
 }
 
-// FillReport implements replicated.Participant: it reports this instance's clock and its zone rules.
+// FillReport implements replicated.Participant. It adds this instance's clock and zone rules version.
 func (p *participant) FillReport(v replicated.InstanceView, r *schema.SessionReport) {
 	if p.local.WallClock == nil {
 		return
@@ -71,13 +71,14 @@
 	}
 }
 
-// leaderGroup is the group as the leader needs it.
+// leaderGroup converts an instance's view of the group for the Leader.
 func leaderGroup(v replicated.InstanceView) Group {
 	return Group{Members: v.Group.EligibleOwners(), Size: v.Group.Size(), LeaseDuration: v.LeaseDuration,
 		ExpiredSessions: v.Group.ExpiredSessions(), Departing: v.Group.Departing}
 }
 
-// FillGrant implements replicated.Participant: it grants the cluster time, if it is needed and known.
+// FillGrant implements replicated.Participant. It adds the cluster time if there are triggers and the time is
+// known.
 func (p *participant) FillGrant(v replicated.InstanceView, _ uint64, g *schema.SessionGrant) {
 	if s := v.StateMachine.(*StateMachine); p.leader != nil && s.Policy().Version != 0 {
 		g.FleetNs = p.leader.ClusterTime(v.Now, s.State, leaderGroup(v))
@@ -86,15 +87,16 @@
 
 // ObserveGrant implements replicated.Participant.
 //
-// Hazard: a grant that was delayed would put the cluster time back, and a later one must not be taken for
-// an earlier one.
+// Grants are ordered by the time of their requests: a delayed grant would otherwise set the cluster time
+// back.
 func (p *participant) ObserveGrant(now time.Duration, g *schema.SessionGrant, _ uint64) {
 	if requestedAt := time.Duration(g.AskedNs); g.FleetNs != 0 && requestedAt > p.clockRequestedAt {
 		p.clock, p.clockRequestedAt = ClusterClock{g.FleetNs, now}, requestedAt
 	}
 }
 
-// LeaderCommands implements replicated.Participant: it declares the policy and who may own no shard.
+// LeaderCommands implements replicated.Participant. It declares the policy and the members that may not own
+// shards.
 func (p *participant) LeaderCommands(v replicated.InstanceView) []*schema.Change {
 	s := v.StateMachine.(*StateMachine)
 	if s.Policy().Version == 0 && s.PolicyVersion == 0 {
@@ -106,8 +108,8 @@
 	return nil
 }
 
-// Advance implements replicated.Participant: it proposes what is due in the shards that this instance owns.
-// Its notifications are a ClusterClock, []Event and []Firing, in this order.
+// Advance implements replicated.Participant. It proposes the commands for the shards that this instance owns.
+// Its notifications are a ClusterClock, an []Event and a []Firing, in this order; each may be missing.
 func (p *participant) Advance(v replicated.InstanceView) (notifications []any, commands []*schema.Change) {
 	s := v.StateMachine.(*StateMachine)
 	if s.Policy().Version == 0 && s.PolicyVersion == 0 {
@@ -120,7 +122,8 @@
 	}
 	notifications = p.notifications(s, session)
 	in := Input{Now: v.Now, LeaseDuration: v.LeaseDuration, Retryable: s.retryable}
-	// Hazard: an instance that was partitioned has an outdated log, and by that log owns what is another's.
+	// An instance that was partitioned has an outdated log, which may still assign it shards that another
+	// instance owns. It may therefore act only until its ownership expires.
 	if session.Epoch != 0 && !v.Departing && v.Now < v.OwnershipExpiresAt && p.clock.ClusterTime != 0 {
 		in.Session, in.ClusterTime = session, p.clock.TimeAt(v.Now)/int64(time.Second)
 	}
@@ -130,6 +133,7 @@
 	return notifications, commands
 }
 
+// notifications returns what the node has not been notified of yet.
 func (p *participant) notifications(s *StateMachine, session Session) (list []any) {
 	if p.clock != p.publishedClock {
 		p.publishedClock = p.clock
@@ -149,7 +153,7 @@
 // SnapshotInstalled implements replicated.Participant.
 func (p *participant) SnapshotInstalled() { p.resendAll = true }
 
-// Receive implements replicated.Participant: it takes a []FiringResult from the node.
+// Receive implements replicated.Participant. The node's message is a []FiringResult.
 func (p *participant) Receive(v replicated.InstanceView, message any) {
 	results, _ := message.([]FiringResult)
 	p.configureScheduler(v.StateMachine.(*StateMachine))
@@ -161,16 +165,17 @@
 // Status is the state of the triggers as one instance sees it.
 type Status struct {
 	Triggers         int
-	Owned            int // triggers that this instance fires
-	Open             int // firings without result
+	Owned            int // number of triggers that this instance fires
+	Open             int // number of firings without result
 	ZoneRulesVersion uint64
-	ClusterTime      int64             // Unix nanoseconds; 0: not known
-	ExcludedMembers  map[uint64]string // that may own no shard, with the reason
-	ResultTotals     map[string]uint64 // by the name of the result
-	Failures         []Failure         // the newest, in the order in which they were recorded
+	ClusterTime      int64             // Unix nanoseconds; 0: unknown
+	ExcludedMembers  map[uint64]string // reason by member: these members may not own shards
+	ResultTotals     map[string]uint64 // by the result's name
+	Failures         []Failure         // the newest ones, oldest first
 }
 
-// Status implements replicated.Participant: it returns a *Status, or nil if there have been no triggers.
+// Status implements replicated.Participant. It returns a *Status, or nil if there are no triggers and nothing
+// was ever fired.
 func (p *participant) Status(v replicated.InstanceView) any {
 	s := v.StateMachine.(*StateMachine)
 	if s.Policy().Version == 0 && s.LastNumber == 0 {
--- a/internal/cluster/schedule/policy.go
+++ b/internal/cluster/schedule/policy.go
@@ -13,10 +13,10 @@
 	"moorstack/internal/cluster/calendar"
 )
 
-// Section is the section of the replicated document that declares the triggers.
+// Section is the name of the section of the replicated document that declares the triggers.
 const Section = "schedule"
 
-// triggerKeyPrefix begins the section's keys that declare a trigger; the trigger's name follows.
+// triggerKeyPrefix precedes the trigger's name in a key that declares a trigger.
 const triggerKeyPrefix = "trigger."
 
 // Limits and defaults of a policy.
@@ -27,28 +27,30 @@
 	maxMaxClockSkew     = time.Hour
 )
 
-// Policy is the content of the section.
+// Policy is the parsed content of the section.
 type Policy struct {
-	// Version is a hash of the section's text, and so differs between policies; 0: there are no triggers.
+	// Version is a hash of the section's text, which identifies the policy; 0: there are no triggers.
 	Version uint64
 	// Triggers are sorted by name: the log refers to a trigger by its index here.
 	Triggers []Trigger
-	// ZoneRulesVersion is the version of the time zone rules to use; 0: that of most instances.
+	// ZoneRulesVersion is the required version of the time zone rules; 0: the version that most instances
+	// have.
 	ZoneRulesVersion uint64
-	// MaxClockSkew is how far an instance's clock may be from the cluster time.
+	// MaxClockSkew is how far an instance's clock may differ from the median of the clocks.
 	MaxClockSkew time.Duration
 }
 
-// KnownNames are the names that a policy may refer to.
+// KnownNames are the classes and tenants that a policy may refer to.
 type KnownNames struct {
 	Classes []string
 	Tenants []string
 }
 
-// ParsePolicy reads the section and returns everything that is wrong with it.
+// ParsePolicy parses the section and returns all problems found in it.
 //
-// Hazard: it must come to the same result at every instance, whatever time zone rules that instance has; so
-// it looks up no zone. The texts are part of what a group replicates, and must be the same in all versions.
+// The result must be the same at every instance, and instances may have different time zone rules. It
+// therefore looks up no zone. The problems' texts are part of what a group replicates and must be the same in
+// all versions of the program.
 func ParsePolicy(values map[string]string, names KnownNames) (p Policy, problems []string) {
 	p.MaxClockSkew = defaultMaxClockSkew
 	keys := slices.Sorted(maps.Keys(values))
@@ -86,10 +88,10 @@
 	return p, problems
 }
 
-// setOption reads a key of the section that declares no trigger.
+// setOption sets the option of a key that does not declare a trigger.
 func (p *Policy) setOption(key, value string) (err error) {
 	switch key {
-	case "zone": // the triggers' default, which parseTrigger takes
+	case "zone": // the default zone: ParsePolicy passes it to parseTrigger
 	case "zones":
 		p.ZoneRulesVersion, err = strconv.ParseUint(value, 16, 64)
 		if err != nil || len(value) != 16 || p.ZoneRulesVersion == 0 {
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// indexOf returns a trigger's index in the list, or -1.
+// indexOf returns a trigger's index in Triggers, or -1.
 func (p *Policy) indexOf(name string) int {
 	n, ok := slices.BinarySearchFunc(p.Triggers, name, func(t Trigger, name string) int {
 		return strings.Compare(t.Name, name)
@@ -118,7 +120,7 @@
 	return n
 }
 
-// ZoneNames lists the time zones that the triggers use, each once.
+// ZoneNames returns the sorted names of the time zones that the triggers use.
 func (p *Policy) ZoneNames() []string {
 	seen := map[string]bool{}
 	for i := range p.Triggers {
@@ -127,8 +129,8 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// Recurrences parses the triggers' expressions with this instance's time zone rules. The result has the
-// indexes of Triggers. The error names the first trigger whose zone is unknown here.
+// Recurrences parses the triggers' expressions with this instance's time zone rules. The result is indexed
+// like Triggers. The error names the first trigger whose zone is unknown to this instance.
 func (p *Policy) Recurrences(zones *calendar.ZoneDB) ([]*calendar.Recurrence, error) {
 	list := make([]*calendar.Recurrence, len(p.Triggers))
 	for i := range p.Triggers {
--- a/internal/cluster/schedule/scheduler.go
+++ b/internal/cluster/schedule/scheduler.go
@@ -8,41 +8,42 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// Scheduler proposes the commands for the shards that an instance owns. It is used by one goroutine.
+// Scheduler proposes the commands for the shards that an instance owns. It must be used by one goroutine at a
+// time.
 type Scheduler struct {
 	zones            *calendar.ZoneDB
 	policy           *Policy
-	recurrences      []*calendar.Recurrence // by index in the policy; nil: see policyErr
-	zoneRulesVersion uint64                 // of this instance's rules for the zones of the policy
+	recurrences      []*calendar.Recurrence // by index in the policy; nil if policyErr is set
+	zoneRulesVersion uint64                 // of this instance's rules for the policy's zones
 	policyErr        error
 
-	ownership *placement.Table // that the queue was built for
-	session   Session          // that the queue was built for
-	queue     firingQueue      // the next firing of each trigger that is owned
-	stale     bool             // the queue is to be rebuilt
-	inFlight  map[int]inFlightAdvance
-	// lastClusterTime is the cluster time at the last evaluation, which was at lastEvaluated; 0: there was
-	// none, or it proposed nothing.
+	ownership *placement.Table        // the ownership that the queue was built for
+	session   Session                 // the session that the queue was built for
+	queue     firingQueue             // the next firing of each owned trigger
+	stale     bool                    // the queue must be rebuilt
+	inFlight  map[int]inFlightAdvance // by shard
+	// lastClusterTime is the cluster time of the last evaluation, and lastEvaluated the monotonic time.
+	// lastEvaluated is 0 if there was none or the instance was not allowed to schedule then.
 	lastClusterTime int64
 	lastEvaluated   time.Duration
-	pendingResults  map[uint64]pendingResult // by number of the firing
-	resolveSentAt   map[uint64]time.Duration // of orphaned firings with a ResolveOrphans in flight
-	orphanSeenAt    map[uint64]time.Duration // when this instance first found a firing orphaned
+	pendingResults  map[uint64]pendingResult // by firing number
+	resolveSentAt   map[uint64]time.Duration // by firing number: when ResolveOrphans was last proposed
+	orphanSeenAt    map[uint64]time.Duration // by firing number: when this instance first saw it orphaned
 }
 
-// Input is what a Scheduler's evaluation depends on besides the replicated state.
+// Input is what Scheduler.Evaluate needs besides the replicated state.
 type Input struct {
 	Now         time.Duration // on a monotonic clock
-	ClusterTime int64         // Unix seconds; 0: not known
-	// Session is the instance's, if it may act on what it owns; zero: it may not.
+	ClusterTime int64         // Unix seconds; 0: unknown
+	// Session is the instance's session; zero: the instance may not act on the shards that it owns.
 	Session       Session
 	LeaseDuration time.Duration
-	// Retryable reports whether a trigger's job that was intended so long ago may be sent once more under its
-	// idempotency key.
-	Retryable func(t *Trigger, ago time.Duration) bool
+	// Retryable reports whether a trigger's job may be sent again under its idempotency key. Age is the time
+	// since the intent.
+	Retryable func(t *Trigger, age time.Duration) bool
 }
 
-// NewScheduler returns a scheduler that uses this instance's time zone rules.
+// NewScheduler returns a scheduler with this instance's time zone rules.
 func NewScheduler(zones *calendar.ZoneDB) *Scheduler {
 	return &Scheduler{zones: zones, policy: &Policy{}, inFlight: map[int]inFlightAdvance{},
 		pendingResults: map[uint64]pendingResult{}, resolveSentAt: map[uint64]time.Duration{},
@@ -59,10 +60,10 @@
 	sc.zoneRulesVersion = sc.zones.RulesVersion(p.ZoneNames())
 }
 
-// OwnedTriggers is the number of triggers that this instance fires, as of the last evaluation.
+// OwnedTriggers returns the number of triggers that this instance fires, as of the last evaluation.
 func (sc *Scheduler) OwnedTriggers() int { return len(sc.queue) }
 
-// ZoneRulesVersion is the version of this instance's time zone rules.
+// ZoneRulesVersion returns the version of this instance's time zone rules for the policy's zones.
 func (sc *Scheduler) ZoneRulesVersion() uint64 { return sc.zoneRulesVersion }
 
 // Evaluate returns the commands to propose now.
@@ -81,8 +82,8 @@
 	return out
 }
 
-// maySchedule reports whether this instance may intend firings: it has a session, knows the time, and has
-// the policy and the zone rules that are in force.
+// maySchedule reports whether this instance may intend firings: it has a session and is not excluded, knows
+// the cluster time, and has the policy and the zone rules in force.
 func (sc *Scheduler) maySchedule(s *State, in Input) bool {
 	return sc.policy.Version != 0 && sc.policyErr == nil &&
 		in.ClusterTime != 0 && in.Session != (Session{}) &&
@@ -90,7 +91,7 @@
 		s.ExcludedMembers[in.Session.Member] == ""
 }
 
-// rebuildQueue fills the queue from the watermarks of the shards that the session owns.
+// rebuildQueue rebuilds the queue from the watermarks of the shards that the session owns.
 func (sc *Scheduler) rebuildQueue(s *State, session Session) {
 	sc.ownership, sc.session, sc.stale = s.ownershipTable(), session, false
 	sc.queue = sc.queue[:0]
@@ -107,21 +108,21 @@
 	heap.Init(&sc.queue)
 }
 
-// nextFiring returns a trigger's first firing whose occurrence is after an instant.
+// nextFiring returns a trigger's firing for its first occurrence after an instant.
 func (sc *Scheduler) nextFiring(trigger int, after int64) (queuedFiring, bool) {
 	occurrence, ok := sc.recurrences[trigger].Next(after)
 	fireAt := occurrence.At + sc.policy.Triggers[trigger].jitterSeconds()
 	return queuedFiring{fireAt, trigger, occurrence}, ok
 }
 
-// queuedFiring is a trigger and its next firing.
+// queuedFiring is the next firing of a trigger.
 type queuedFiring struct {
 	fireAt     int64 // Unix seconds
-	trigger    int   // its index in the policy
+	trigger    int   // index in the policy
 	occurrence calendar.Occurrence
 }
 
-// firingQueue is a heap (container/heap) by fireAt.
+// firingQueue implements heap.Interface, ordered by fireAt.
 type firingQueue []queuedFiring
 
 func (q firingQueue) Len() int           { return len(q) }
--- a/internal/cluster/schedule/scheduler_intents.go
+++ b/internal/cluster/schedule/scheduler_intents.go
@@ -9,26 +9,27 @@
 
 // Limits of one evaluation.
 const (
-	// maxOccurrencesPerCommand is roughly how many occurrences a command intends: a shard is never split.
+	// maxOccurrencesPerCommand is the number of occurrences from which on a command is full. A command may
+	// exceed it, since a shard is never split between commands.
 	maxOccurrencesPerCommand    = 500
 	maxOccurrencesPerEvaluation = 20_000
-	// maxCatchUpSeconds bounds the time span that one evaluation catches up on.
+	// maxCatchUpSeconds limits the time span that one evaluation catches up on.
 	maxCatchUpSeconds = 6 * 60 * 60
-	// maxCountedMissed is how many missed occurrences of a trigger are counted; of more, this many are.
+	// maxCountedMissed limits the count of missed occurrences of a trigger; the rest is not counted.
 	maxCountedMissed = 10_000
 )
 
-// inFlightAdvance is an advance of a shard that was proposed and has not been seen to take effect.
+// inFlightAdvance is a proposed advance of a shard that is not known to have taken effect.
 type inFlightAdvance struct {
 	fromVersion uint64
 	watermark   int64
 	sentAt      time.Duration
 }
 
-// intendFirings proposes the occurrences that are due.
+// intendFirings proposes intents for the occurrences that are due.
 func (sc *Scheduler) intendFirings(s *State, in Input) []Command {
 	if sc.advanceLost(s, in) {
-		// What was taken off the queue must be on it again.
+		// The firings of the lost advance were removed from the queue and must be queued again.
 		sc.rebuildQueue(s, in.Session)
 		return nil
 	}
@@ -37,7 +38,7 @@
 	due := map[int][]DueOccurrence{} // by shard
 	for _, x := range ready {
 		t := &sc.policy.Triggers[x.trigger]
-		// Hazard: an advance that was believed lost may have moved the shard since the queue was built.
+		// An advance that was believed lost may have advanced the shard after the queue was built.
 		if through := s.intendedThrough(t); x.occurrence.At <= through {
 			var ok bool
 			if x, ok = sc.nextFiring(x.trigger, through); !ok {
@@ -60,12 +61,13 @@
 	return sc.proposeAdvances(s, in, due, upTo)
 }
 
-// advanceLost forgets the advances in flight that have taken effect, and reports whether one was lost or
+// advanceLost removes the advances in flight that have taken effect and reports whether any was lost or
 // rejected.
 func (sc *Scheduler) advanceLost(s *State, in Input) bool {
 	for shard, a := range sc.inFlight {
 		switch progress := s.Shards[shard]; {
-		// Hazard: an earlier advance that was believed lost may have moved the shard, and less far.
+		// Both fields are compared: an earlier advance that was believed lost may have advanced the shard to
+		// the same version but to a lower watermark.
 		case progress == ShardProgress{a.fromVersion + 1, a.watermark}:
 			delete(sc.inFlight, shard)
 		case progress.Version != a.fromVersion || in.Now-a.sentAt > in.LeaseDuration:
@@ -75,11 +77,11 @@
 	return false
 }
 
-// popDue takes the firings that are due off the queue, except those of shards with an advance in flight:
-// they are deferred.
+// popDue removes the due firings from the queue. Firings of shards with an advance in flight are returned as
+// deferred, the others as ready.
 func (sc *Scheduler) popDue(clusterTime int64) (ready, deferred []queuedFiring) {
 	for len(sc.queue) > 0 && sc.queue[0].fireAt <= clusterTime {
-		// An evaluation ends between two instants, since the watermark is an instant.
+		// The watermark is an instant, so firings at the same instant must not be split between evaluations.
 		if n := len(ready); n >= maxOccurrencesPerEvaluation && sc.queue[0].fireAt > ready[n-1].fireAt {
 			break
 		}
@@ -94,7 +96,7 @@
 	return ready, deferred
 }
 
-// evaluationEnd is the watermark to advance to.
+// evaluationEnd returns the watermark to which this evaluation advances the shards.
 func (sc *Scheduler) evaluationEnd(ready []queuedFiring, clusterTime int64) int64 {
 	upTo, n := clusterTime, len(ready)
 	if n >= maxOccurrencesPerEvaluation && len(sc.queue) > 0 && sc.queue[0].fireAt <= clusterTime {
@@ -106,18 +108,18 @@
 	return upTo
 }
 
-// dueOccurrences returns the occurrences of a trigger that are due, from the given firing up to an instant of
-// firing.
+// dueOccurrences returns a trigger's due occurrences, from the given firing up to the firing time upTo.
+// Missed occurrences are only counted.
 func (sc *Scheduler) dueOccurrences(x queuedFiring, upTo int64, in Input) []DueOccurrence {
 	t := &sc.policy.Triggers[x.trigger]
 	jitter := t.jitterSeconds()
-	// Hazard: if the cluster time jumps forward, what it jumps over could not have been fired earlier, and
-	// so is not late.
-	onTime := in.ClusterTime
+	// If the cluster time jumps forward, the occurrences in between could not have been fired earlier, and
+	// so are not late.
+	lateThrough := in.ClusterTime
 	if sc.lastEvaluated > 0 && in.Now-sc.lastEvaluated < in.LeaseDuration {
-		onTime = sc.lastClusterTime
+		lateThrough = sc.lastClusterTime
 	}
-	deadline := min(in.ClusterTime-int64(t.StartingDeadline/time.Second), onTime)
+	cutoff := min(in.ClusterTime-int64(t.StartingDeadline/time.Second), lateThrough)
 	missed := 0
 	var due []DueOccurrence
 	next := x.occurrence
@@ -125,12 +127,12 @@
 		d := DueOccurrence{Trigger: x.trigger, LocalTime: next.LocalTime, At: next.At,
 			WallClock: next.WallClock}
 		switch {
-		case next.At+jitter < deadline:
+		case next.At+jitter < cutoff:
 			missed++
 			if missed >= maxCountedMissed {
-				next.At = max(next.At, deadline-jitter-1)
+				next.At = max(next.At, cutoff-jitter-1)
 			}
-		case t.Coalesce && len(due) > 0 && next.At+jitter <= onTime:
+		case t.Coalesce && len(due) > 0 && next.At+jitter <= lateThrough:
 			missed++
 			due[0] = d
 		default:
@@ -146,7 +148,7 @@
 	return due
 }
 
-// proposeAdvances makes commands of the due occurrences, by shard.
+// proposeAdvances groups the due occurrences, which are given by shard, into commands.
 func (sc *Scheduler) proposeAdvances(s *State, in Input, due map[int][]DueOccurrence,
 	upTo int64) (out []Command) {
 	empty := Command{Kind: IntendFirings, Session: in.Session, PolicyVersion: sc.policy.Version,
--- a/internal/cluster/schedule/scheduler_results.go
+++ b/internal/cluster/schedule/scheduler_results.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// orphanGraceLeases is how many leases an orphaned firing whose job may not be sent again waits for its
-	// former session to report its result.
+	// orphanGraceLeases is how long, in leases, the scheduler waits for the former session's result of an
+	// orphaned firing whose job may not be sent again.
 	orphanGraceLeases = 10
-	// maxResultsPerCommand is how many results a command records.
+	// maxResultsPerCommand is the largest number of results in a command.
 	maxResultsPerCommand = 2000
 )
 
 // pendingResult is a result that is not known to be in the replicated state.
 type pendingResult struct {
-	session Session // that had the firing
+	session Session // the session that reports the result
 	result  Result
 	sentAt  time.Duration
 	sent    bool
 }
 
-// RecordResult takes the result of a firing that this instance had under a session. It is proposed until the
-// replicated state has it.
+// RecordResult adds the result of a firing that belongs to one of this instance's sessions. The result is
+// proposed repeatedly until the replicated state contains it.
 func (sc *Scheduler) RecordResult(number uint64, session Session, r Result) {
 	if _, known := sc.pendingResults[number]; !known {
 		sc.pendingResults[number] = pendingResult{session: session, result: r}
 	}
 }
 
-// recordResults proposes the pending results, also those of a session that has ended as long as no other
+// recordResults proposes the pending results. Results of a session that has ended are included unless another
 // session has adopted the firing.
 func (sc *Scheduler) recordResults(s *State, in Input) (out []Command) {
 	bySession := map[Session]*Command{}
@@ -60,8 +60,7 @@
 	return out
 }
 
-// resolveOrphans proposes to adopt the orphaned firings of the shards that this instance owns, or to finish
-// them.
+// resolveOrphans proposes to adopt or to finish the orphaned firings of the shards that this instance owns.
 func (sc *Scheduler) resolveOrphans(s *State, in Input) []Command {
 	c := Command{Kind: ResolveOrphans, Session: in.Session}
 	for n, f := range s.open {
@@ -71,7 +70,8 @@
 		if at, sent := sc.resolveSentAt[n]; sent && in.Now-at < in.LeaseDuration {
 			continue
 		}
-		// Its former session's process may be alive, and report the result or that the job never started.
+		// The former session's process may still be alive and report the result, or that it never started the
+		// job.
 		if _, known := sc.orphanSeenAt[n]; !known {
 			sc.orphanSeenAt[n] = in.Now
 		}
@@ -91,12 +91,12 @@
 	return []Command{c}
 }
 
-// orphanResult is Succeeded if an orphaned firing may be adopted, else Unknown.
+// orphanResult returns Succeeded if an orphaned firing may be adopted, otherwise Unknown.
 func (sc *Scheduler) orphanResult(f *Firing, in Input) Result {
 	k := sc.policy.indexOf(f.Trigger)
-	// Both times are whole seconds, so one more may have passed.
-	ago := time.Duration(in.ClusterTime-f.IntendedAt+1) * time.Second
-	if f.NeverStarted || k >= 0 && in.Retryable(&sc.policy.Triggers[k], ago) {
+	// Both times are whole seconds, so up to one more second may have passed.
+	age := time.Duration(in.ClusterTime-f.IntendedAt+1) * time.Second
+	if f.NeverStarted || k >= 0 && in.Retryable(&sc.policy.Triggers[k], age) {
 		return Succeeded
 	}
 	return Unknown
--- a/internal/cluster/schedule/state.go
+++ b/internal/cluster/schedule/state.go
@@ -9,54 +9,53 @@
 )
 
 const (
-	// maxFailures is how many of the newest failures are kept.
+	// maxFailures is the number of failures that are kept; older ones are dropped.
 	maxFailures = 200
-	// maxBufferedEvents bounds the events that nobody has taken.
+	// maxBufferedEvents limits the events buffered for PopEvents.
 	maxBufferedEvents = 1 << 16
 )
 
-// ShardProgress is how far the triggers of a shard have been processed.
+// ShardProgress records how far the triggers of a shard have been processed.
 type ShardProgress struct {
 	Version uint64 `json:"v"` // the number of advances so far
-	// Watermark is the instant of firing, in Unix seconds, up to which everything due has been intended or
-	// missed.
+	// Watermark is a firing time in Unix seconds. All firings up to it have been intended or were missed.
 	Watermark int64 `json:"m"`
 }
 
 // Snapshot is the replicated state in its stored form.
 type Snapshot struct {
-	PolicyVersion    uint64                `json:"version"` // of the policy that was declared last
+	PolicyVersion    uint64                `json:"version"` // of the last declared policy
 	ZoneRulesVersion uint64                `json:"zones"`
-	ClusterTime      int64                 `json:"now"`              // the latest in the log, Unix seconds
-	ExcludedMembers  map[uint64]string     `json:"off,omitempty"`    // that may own no shard, with the reason
+	ClusterTime      int64                 `json:"now"`              // the latest in the log, in Unix seconds
+	ExcludedMembers  map[uint64]string     `json:"off,omitempty"`    // reason by member; they own no shards
 	Shards           map[int]ShardProgress `json:"shards,omitempty"` // by shard
-	// The following three are by trigger name.
+	// The following three maps are by trigger name.
 	DefinitionHashes map[string]uint64   `json:"texts,omitempty"`
-	ActiveSince      map[string]int64    `json:"since,omitempty"` // Unix seconds: nothing earlier is due
-	LastWallClock    map[string]int64    `json:"last,omitempty"`  // of the last occurrence
-	LastNumber       uint64              `json:"number"`          // of the newest firing
-	Firings          []Firing            `json:"items,omitempty"` // without result, by number
+	ActiveSince      map[string]int64    `json:"since,omitempty"` // Unix seconds; earlier ones are not due
+	LastWallClock    map[string]int64    `json:"last,omitempty"`  // of the last firing, as in DueOccurrence
+	LastNumber       uint64              `json:"number"`          // number of the newest firing
+	Firings          []Firing            `json:"items,omitempty"` // those without result, by number
 	ResultCounts     [resultCount]uint64 `json:"counts"`          // by Result
 	Failures         []Failure           `json:"troubles,omitempty"`
 }
 
-// State is the replicated state: the same commands in the same order make the same state at every instance.
-// Its Snapshot's Firings are nil; the open firings are kept by number instead. One goroutine may use it at a
-// time.
+// State is the replicated state: the same commands in the same order give the same state at every instance.
+// The embedded Snapshot's Firings field is nil; open firings are kept in a map by number instead. State must
+// be used by one goroutine at a time.
 type State struct {
 	Snapshot
 	open       map[uint64]*Firing
 	policy     *Policy
 	eligible   []placement.Member // members that may own shards
-	ownership  *placement.Table   // nil: to be computed on demand, since few groups have triggers
-	newFirings []uint64           // intended or adopted since PopNewFirings
-	events     []Event            // since PopEvents
+	ownership  *placement.Table   // nil: not computed yet; computed on demand, since few groups have triggers
+	newFirings []uint64           // numbers, intended or adopted since the last PopNewFirings
+	events     []Event            // since the last PopEvents
 }
 
 // NewState returns the state of a group without triggers.
 func NewState() *State { return NewStateFromSnapshot(Snapshot{}) }
 
-// NewStateFromSnapshot returns the state that a snapshot was taken of.
+// NewStateFromSnapshot restores the state from a snapshot.
 func NewStateFromSnapshot(snapshot Snapshot) *State {
 	s := &State{Snapshot: snapshot, open: map[uint64]*Firing{}, policy: &Policy{}}
 	for _, m := range []*map[string]int64{&s.ActiveSince, &s.LastWallClock} {
@@ -75,7 +74,7 @@
 	return s
 }
 
-// TakeSnapshot returns the state in its stored form; nil if there is nothing to store.
+// TakeSnapshot returns the state in its stored form, or nil if there is nothing to store.
 func (s *State) TakeSnapshot() *Snapshot {
 	if s.PolicyVersion == 0 && s.LastNumber == 0 {
 		return nil
@@ -93,7 +92,7 @@
 // Policy returns the policy in force. It must not be changed.
 func (s *State) Policy() *Policy { return s.policy }
 
-// SetOwners sets the members with open sessions; those of them that are not excluded may own shards.
+// SetOwners sets the members with open sessions. Those that are not excluded may own shards.
 func (s *State) SetOwners(members []placement.Member) {
 	var list []placement.Member
 	for _, m := range members {
@@ -106,6 +105,7 @@
 	}
 }
 
+// ownershipTable returns the owners of the shards among the eligible members.
 func (s *State) ownershipTable() *placement.Table {
 	if s.ownership == nil {
 		s.ownership = placement.NewTable(placement.View{Members: s.eligible})
@@ -113,13 +113,13 @@
 	return s.ownership
 }
 
-// Owner returns the session that owns a shard; false: none may.
+// Owner returns the session that owns a shard; false: no member may own shards.
 func (s *State) Owner(shard int) (Session, bool) {
 	m, ok := s.ownershipTable().Owner(shard)
 	return m.Session, ok
 }
 
-// ownsTrigger reports whether a session owns the shard of a trigger.
+// ownsTrigger reports whether a session owns a trigger's shard.
 func (s *State) ownsTrigger(session Session, trigger string) bool {
 	owner, ok := s.Owner(placement.ShardOf(trigger))
 	return ok && owner == session
@@ -137,7 +137,7 @@
 // OpenCount returns the number of firings without result.
 func (s *State) OpenCount() int { return len(s.open) }
 
-// OpenFirings lists the firings without result, the oldest first.
+// OpenFirings returns the firings without result, the oldest first.
 func (s *State) OpenFirings() []Firing {
 	list := make([]Firing, 0, len(s.open))
 	for _, f := range s.open {
@@ -158,8 +158,8 @@
 	return totals
 }
 
-// PopNewFirings returns the firings that were assigned to a session since the last call; with all set, as
-// after a snapshot, every open firing of the session.
+// PopNewFirings returns the firings that were assigned to a session since the last call. If all is set, as
+// after the installation of a snapshot, it returns all open firings of the session.
 func (s *State) PopNewFirings(session Session, all bool) (list []Firing) {
 	if all {
 		for _, f := range s.OpenFirings() {
@@ -185,13 +185,14 @@
 	return list
 }
 
+// recordEvent buffers an event for PopEvents.
 func (s *State) recordEvent(e Event) {
-	if len(s.events) < maxBufferedEvents { // nobody takes them if there are so many
+	if len(s.events) < maxBufferedEvents { // if the buffer is full, nothing calls PopEvents
 		s.events = append(s.events, e)
 	}
 }
 
-// OrphanFirings marks the firings of sessions that have certainly ended.
+// OrphanFirings marks the firings of sessions that have certainly ended as orphaned.
 func (s *State) OrphanFirings(ended func(Session) bool) {
 	for _, f := range s.open {
 		if ended(f.Session) {
@@ -200,9 +201,8 @@
 	}
 }
 
-// intendedThrough returns the instant after which occurrences of a trigger are still to be intended, in Unix
-// seconds. A shard's watermark is an instant of firing, which for a trigger with jitter is later than the
-// occurrence.
+// intendedThrough returns the Unix time up to which a trigger's occurrences have been processed. A shard's
+// watermark is a firing time, which for a trigger with jitter is later than the occurrence.
 func (s *State) intendedThrough(t *Trigger) int64 {
 	return max(s.Shards[placement.ShardOf(t.Name)].Watermark-t.jitterSeconds(), s.ActiveSince[t.Name])
 }
--- a/internal/cluster/schedule/statemachine.go
+++ b/internal/cluster/schedule/statemachine.go
@@ -11,10 +11,10 @@
 // sinceFormat is the first log format with triggers.
 const sinceFormat = 5
 
-// snapshotField is the name of the triggers' field in the group's snapshots.
+// snapshotField is the name of the field that contains the triggers' state in a group's snapshots.
 const snapshotField = "schedule"
 
-// Type is the type of the triggers' state machine, for the list of what a group replicates.
+// Type describes the triggers' state machine to the package that replicates it.
 type Type struct{}
 
 var _ replicated.StateMachineType = Type{}
@@ -42,12 +42,13 @@
 	return &participant{local: local}
 }
 
+// policyOf parses the policy from a document's section.
 func policyOf(c replicated.Config) (Policy, []string) {
 	return ParsePolicy(c.Values, KnownNames{Classes: c.ClassNames(), Tenants: c.Tenants})
 }
 
-// StateMachine adapts a State to replicated.StateMachine: it decodes what the group's document, log and
-// snapshots have of it.
+// StateMachine adapts a State to replicated.StateMachine. It decodes the parts of the group's document, log
+// and snapshots that belong to the triggers.
 type StateMachine struct {
 	*State
 	classes []replicated.Class
@@ -90,9 +91,9 @@
 		Apply: func(func(placement.Session) bool) error { return m.Apply(c) }}, true
 }
 
-// retryable reports whether a trigger's job that was intended so long ago may be sent once more under its
-// idempotency key.
-func (m *StateMachine) retryable(t *Trigger, ago time.Duration) bool {
+// retryable reports whether a trigger's job may be sent again under its idempotency key. Age is the time
+// since the intent.
+func (m *StateMachine) retryable(t *Trigger, age time.Duration) bool {
 	for _, c := range m.classes {
 		if c.Name != t.Class {
 			continue
@@ -101,10 +102,10 @@
 		case "retryable":
 			return true
 		case "dedup":
-			// Hazard: workers remember a key for a time only, and in some classes only the workers of the
-			// first attempt's scope do, which nobody knows any more.
+			// Workers remember a key for a limited time only. In classes with a narrower scope, only the
+			// workers in the first attempt's scope do, and that scope is no longer known.
 			everywhere := c.KeyScope == "" || c.KeyScope == "all"
-			return everywhere && ago+c.Timeout < c.KeyWindow
+			return everywhere && age+c.Timeout < c.KeyWindow
 		}
 	}
 	return false
--- a/internal/cluster/schedule/trigger.go
+++ b/internal/cluster/schedule/trigger.go
@@ -23,29 +23,31 @@
 // Trigger is a job that is fired on a recurring schedule.
 type Trigger struct {
 	Name       string
-	Expression string // as package calendar reads it
-	Zone       string // of the tz database
+	Expression string // in the syntax of calendar.Parse
+	Zone       string // name in the tz database
 	Rules      calendar.Rules
 	Class      string
 	Tenant     string
-	// Account is the account whose rate limit the jobs count against; empty: none.
+	// Account is the account whose rate limit applies to the jobs; empty: none.
 	Account string
 	Path    string // the request target of the jobs
 	Body    string
-	// ExpectedWork is how long a job is expected to take; 0: not stated.
+	// ExpectedWork is the expected duration of a job; 0: not configured.
 	ExpectedWork time.Duration
-	// StartingDeadline is how late an occurrence may still be fired. A later one counts as missed.
+	// StartingDeadline is the largest delay after which an occurrence is still fired. After it, the
+	// occurrence counts as missed.
 	StartingDeadline time.Duration
-	// Coalesce fires only the last of several occurrences that could not be fired in time.
+	// Coalesce means that of several occurrences that could not be fired in time only the last is fired.
 	Coalesce bool
-	// MaxJitter bounds by how much firing is delayed. The delay is a function of the trigger's name.
+	// MaxJitter limits the delay of firings after their occurrences. The delay is a function of the trigger's
+	// name.
 	MaxJitter time.Duration
 	Paused    bool
 
-	definitionHash uint64 // of the default zone and the trigger's text: differs if it was changed
+	definitionHash uint64 // hash of the default zone and the trigger's text, to detect changes
 }
 
-// jitterSeconds is how long after each occurrence the trigger is fired.
+// jitterSeconds returns the delay from each occurrence to its firing.
 func (t *Trigger) jitterSeconds() int64 {
 	if t.MaxJitter < time.Second {
 		return 0
@@ -53,13 +55,13 @@
 	return int64(xxhash.Sum64String(t.Name) % uint64(t.MaxJitter/time.Second))
 }
 
-// parseTrigger reads the text of a trigger: its expression and its options, of which the body is the last.
+// parseTrigger parses the text of a trigger: its expression and its options. The body, if any, comes last.
 func parseTrigger(name, text, defaultZone string, names KnownNames) (Trigger, error) {
 	t := Trigger{Name: name, Zone: defaultZone, StartingDeadline: defaultStartingDeadline, Path: "/"}
 	if name == "" || len(name) > maxTriggerNameBytes || strings.ContainsAny(name, "@~") {
 		return t, fmt.Errorf("a trigger's name has 1 to %d bytes, without @ and ~", maxTriggerNameBytes)
 	}
-	// A body may contain blanks, so everything after its key belongs to it.
+	// A body may contain spaces, so it extends to the end of the text.
 	text, t.Body, _ = strings.Cut(text, " body=")
 	var expression []string
 	for _, field := range strings.Fields(text) {
@@ -85,7 +87,7 @@
 	return t, nil
 }
 
-// setOption reads one option of a trigger, as in class=once.
+// setOption sets one option of a trigger, as in class=once.
 func (t *Trigger) setOption(key, value string, names KnownNames) error {
 	if option, ok := durationOptions[key]; ok {
 		return option.set(t, key, value)
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// durationOption is an option whose value is a duration within limits.
+// durationOption is a trigger's option whose value is a duration within limits.
 type durationOption struct {
 	field    func(*Trigger) *time.Duration
 	min, max time.Duration
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// choiceOption is an option whose value is one of a list of names.
+// choiceOption is a trigger's option whose value is one of a list of names.
 type choiceOption struct {
 	names  []string
 	choose func(t *Trigger, index uint8)
