--- a/internal/cluster/calendar/recurrence_test.go
+++ b/internal/cluster/calendar/recurrence_test.go
@@ -23,47 +23,51 @@
 	return t.Unix()
 }
 
-// occurrenceCases are nights, or days, that have caused errors: what comes after an instant, in order.
+// occurrenceCases give the occurrences after an instant, in order, around clock changes and missing days that
+// have caused errors.
 var occurrenceCases = []struct {
 	name, zone, expression string
 	rules                  Rules
-	after                  string   // an instant
-	want                   []string // instant and local time
+	after                  string
+	want                   []string // instant and local time of each
 }{
 	{"clocks go forward", "Europe/Berlin", "30 2 * * *", Rules{}, "2026-03-28T12:00Z",
 		[]string{"2026-03-29T01:00Z 2026-03-29T02:30", "2026-03-30T00:30Z 2026-03-30T02:30"}},
-	{"shifted by as much", "Europe/Berlin", "30 2 * * *", Rules{Gap: ShiftGap},
+	{"occurrence shifted by the length of the gap", "Europe/Berlin", "30 2 * * *", Rules{Gap: ShiftGap},
 		"2026-03-28T12:00Z",
 		[]string{"2026-03-29T01:30Z 2026-03-29T02:30"}},
-	{"skipped", "Europe/Berlin", "30 2 * * *", Rules{Gap: SkipGap}, "2026-03-28T12:00Z",
+	{"occurrence in the gap skipped", "Europe/Berlin", "30 2 * * *", Rules{Gap: SkipGap}, "2026-03-28T12:00Z",
 		[]string{"2026-03-30T00:30Z 2026-03-30T02:30"}},
-	{"a shifted occurrence yields to another", "Europe/Berlin", "*/30 * * * *", Rules{Gap: ShiftGap},
+	{"shifted occurrence coincides with a regular one", "Europe/Berlin", "*/30 * * * *", Rules{Gap: ShiftGap},
 		"2026-03-29T00:29Z",
 		[]string{"2026-03-29T00:30Z 2026-03-29T01:30", "2026-03-29T01:00Z 2026-03-29T03:00",
 			"2026-03-29T01:30Z 2026-03-29T03:30"}},
-	{"the first of two", "Europe/Berlin", "30 2 * * *", Rules{}, "2026-10-24T12:00Z",
+	{"first of two identical local times", "Europe/Berlin", "30 2 * * *", Rules{}, "2026-10-24T12:00Z",
 		[]string{"2026-10-25T00:30Z 2026-10-25T02:30", "2026-10-26T01:30Z 2026-10-26T02:30"}},
-	{"the second of two", "Europe/Berlin", "30 2 * * *", Rules{Fold: SecondFold}, "2026-10-24T12:00Z",
+	{"second of two identical local times", "Europe/Berlin", "30 2 * * *", Rules{Fold: SecondFold},
+		"2026-10-24T12:00Z",
 		[]string{"2026-10-25T01:30Z 2026-10-25T02:30~2"}},
-	{"both", "Europe/Berlin", "0,30 2 * * *", Rules{Fold: BothFolds}, "2026-10-24T12:00Z",
+	{"both identical local times", "Europe/Berlin", "0,30 2 * * *", Rules{Fold: BothFolds},
+		"2026-10-24T12:00Z",
 		[]string{"2026-10-25T00:00Z 2026-10-25T02:00", "2026-10-25T00:30Z 2026-10-25T02:30",
 			"2026-10-25T01:00Z 2026-10-25T02:00~2", "2026-10-25T01:30Z 2026-10-25T02:30~2"}},
-	{"a shift of half an hour", "Australia/Lord_Howe", "45 1 * * *", Rules{Fold: BothFolds},
+	{"clock change of half an hour", "Australia/Lord_Howe", "45 1 * * *", Rules{Fold: BothFolds},
 		"2026-04-04T00:00Z", []string{"2026-04-04T14:45Z 2026-04-05T01:45",
 			"2026-04-04T15:15Z 2026-04-05T01:45~2"}},
-	{"a shift at midnight", "Africa/Cairo", "0 0 * * *", Rules{}, "2026-04-23T12:00Z",
+	{"clock change at midnight", "Africa/Cairo", "0 0 * * *", Rules{}, "2026-04-23T12:00Z",
 		[]string{"2026-04-23T22:00Z 2026-04-24T00:00", "2026-04-24T21:00Z 2026-04-25T00:00"}},
-	{"a shift at midnight", "Asia/Beirut", "15 0 * * *", Rules{Gap: ShiftGap}, "2026-03-28T12:00Z",
+	{"clock change at midnight", "Asia/Beirut", "15 0 * * *", Rules{Gap: ShiftGap}, "2026-03-28T12:00Z",
 		[]string{"2026-03-28T22:15Z 2026-03-29T00:15"}},
-	{"a day skipped", "Pacific/Apia", "0 9 * * *", Rules{}, "2011-12-29T12:00Z",
+	{"skipped day", "Pacific/Apia", "0 9 * * *", Rules{}, "2011-12-29T12:00Z",
 		[]string{"2011-12-29T19:00Z 2011-12-29T09:00", "2011-12-30T10:00Z 2011-12-30T09:00",
 			"2011-12-30T19:00Z 2011-12-31T09:00"}},
-	{"a day skipped", "Pacific/Apia", "0 9 30 12 *", Rules{Gap: SkipGap}, "2011-01-01T12:00Z",
+	{"skipped day", "Pacific/Apia", "0 9 30 12 *", Rules{Gap: SkipGap}, "2011-01-01T12:00Z",
 		[]string{"2012-12-29T19:00Z 2012-12-30T09:00"}},
-	{"summer time that is negative", "Europe/Dublin", "30 1 * * *", Rules{Fold: BothFolds},
+	{"negative daylight-saving time", "Europe/Dublin", "30 1 * * *", Rules{Fold: BothFolds},
 		"2026-10-24T12:00Z", []string{"2026-10-25T00:30Z 2026-10-25T01:30",
 			"2026-10-25T01:30Z 2026-10-25T01:30~2"}},
-	{"Ramadan", "Africa/Casablanca", "30 2 * * *", Rules{}, "2026-02-14T12:00Z",
+	{"suspension of daylight-saving time in Ramadan", "Africa/Casablanca", "30 2 * * *", Rules{},
+		"2026-02-14T12:00Z",
 		[]string{"2026-02-15T01:30Z 2026-02-15T02:30", "2026-02-16T02:30Z 2026-02-16T02:30"}},
 	{"29 February", "Asia/Muscat", "0 6 29 2 *", Rules{}, "2026-01-01T00:00Z",
 		[]string{"2028-02-29T02:00Z 2028-02-29T06:00", "2032-02-29T02:00Z 2032-02-29T06:00"}},
@@ -72,22 +76,23 @@
 			"2028-02-29T02:00Z 2028-02-29T06:00"}},
 	{"29 February", "Asia/Muscat", "0 6 29 2 *", Rules{LeapDay: NextDay}, "2027-01-01T00:00Z",
 		[]string{"2027-03-01T02:00Z 2027-02-29T06:00", "2028-02-29T02:00Z 2028-02-29T06:00"}},
-	{"a year of a hundred", "UTC", "0 6 29 2 *", Rules{}, "2096-03-01T00:00Z",
+	{"century year without leap day", "UTC", "0 6 29 2 *", Rules{}, "2096-03-01T00:00Z",
 		[]string{"2104-02-29T06:00Z 2104-02-29T06:00"}},
-	{"a year of four hundred", "UTC", "0 6 29 2 *", Rules{}, "1999-03-01T00:00Z",
+	{"century year with leap day", "UTC", "0 6 29 2 *", Rules{}, "1999-03-01T00:00Z",
 		[]string{"2000-02-29T06:00Z 2000-02-29T06:00"}},
-	{"days that a month does not have", "UTC", "0 6 30,31 * *", Rules{ShortMonth: LastDay},
+	{"missing days of short months", "UTC", "0 6 30,31 * *", Rules{ShortMonth: LastDay},
 		"2026-01-31T12:00Z",
 		[]string{"2026-02-28T06:00Z 2026-02-30T06:00", "2026-03-30T06:00Z 2026-03-30T06:00",
 			"2026-03-31T06:00Z 2026-03-31T06:00", "2026-04-30T06:00Z 2026-04-30T06:00"}},
-	{"the last day", "UTC", "0 6 L * *", Rules{}, "2027-12-31T12:00Z",
+	{"last day of the month", "UTC", "0 6 L * *", Rules{}, "2027-12-31T12:00Z",
 		[]string{"2028-01-31T06:00Z 2028-01-31T06:00", "2028-02-29T06:00Z 2028-02-29T06:00",
 			"2028-03-31T06:00Z 2028-03-31T06:00", "2028-04-30T06:00Z 2028-04-30T06:00"}},
-	{"the first, and the last", "UTC", "0 6 1,L 2 *", Rules{}, "2027-01-01T12:00Z",
+	{"first and last day of the month", "UTC", "0 6 1,L 2 *", Rules{}, "2027-01-01T12:00Z",
 		[]string{"2027-02-01T06:00Z 2027-02-01T06:00", "2027-02-28T06:00Z 2027-02-28T06:00"}},
-	{"in elapsed time", "Europe/Berlin", "@every 90m", Rules{}, "2026-03-29T00:00Z",
+	{"interval in elapsed time", "Europe/Berlin", "@every 90m", Rules{}, "2026-03-29T00:00Z",
 		[]string{"2026-03-29T01:30Z 2026-03-29T01:30", "2026-03-29T03:00Z 2026-03-29T03:00"}},
-	{"on the wall clock", "Europe/Berlin", "@every 90m", Rules{WallClockIntervals: true}, "2026-03-29T00:00Z",
+	{"interval on the wall clock", "Europe/Berlin", "@every 90m", Rules{WallClockIntervals: true},
+		"2026-03-29T00:00Z",
 		[]string{"2026-03-29T00:30Z 2026-03-29T01:30", "2026-03-29T01:00Z 2026-03-29T03:00",
 			"2026-03-29T02:30Z 2026-03-29T04:30"}},
 	{"with seconds", "UTC", "*/20 * * * * *", Rules{}, "2026-03-29T00:00Z",
@@ -106,10 +111,10 @@
 				o, ok := r.Next(after)
 				got := time.Unix(o.At, 0).UTC().Format("2006-01-02T15:04Z ") + o.LocalTime.String()
 				if !ok || got != want {
-					t.Errorf("%s: %s, %v; wanted %s", c.expression, got, ok, want)
+					t.Errorf("%s: got %s, %v, want %s", c.expression, got, ok, want)
 				}
 				if wall := r.Zone().WallClock(o.At); wall != o.WallClock && r.intervalSeconds == 0 {
-					t.Errorf("local clocks show %d, not %d", wall, o.WallClock)
+					t.Errorf("Zone.WallClock is %d, but Occurrence.WallClock is %d", wall, o.WallClock)
 				}
 				after = o.At
 			}
@@ -130,26 +135,26 @@
 		"0 6 * * MON-":           "failed to parse",
 	} {
 		if _, err := Parse(expression, UTC(), Rules{}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v; wanted %q", expression, err, want)
+			t.Errorf("%q: got error %v, want one with %q", expression, err, want)
 		}
 	}
-	// With a rule for the day it comes.
+	// With a rule for missing days, the expression has occurrences.
 	if _, err := Parse("0 6 30 2 *", UTC(), Rules{ShortMonth: LastDay}); err != nil {
 		t.Error(err)
 	}
 	for _, name := range []string{"", "Local", "Mars/Olympus", "../etc/passwd"} {
 		if _, err := NewZoneDB().Lookup(name); err == nil {
-			t.Errorf("%q is taken for a zone", name)
+			t.Errorf("zone name %q was accepted", name)
 		}
 	}
 }
 
-// Equal rules have equal versions, and other rules have others.
+// Equal rules have equal versions, and different rules have different versions.
 func TestRulesVersionDependsOnTheRulesOnly(t *testing.T) {
 	a, b := NewZoneDB(), NewZoneDB()
 	names := []string{"Europe/Berlin", "Asia/Muscat"}
 	if a.RulesVersion(names) != b.RulesVersion([]string{"Asia/Muscat", "Europe/Berlin"}) {
-		t.Error("the same rules have two versions")
+		t.Error("the version depends on the order of the zone names")
 	}
 	other := NewZoneDBWithLoader(func(name string) (*time.Location, error) {
 		if name == "Asia/Muscat" {
@@ -158,6 +163,6 @@
 		return time.LoadLocation(name)
 	})
 	if a.RulesVersion(names) == other.RulesVersion(names) {
-		t.Error("other rules have the same version")
+		t.Error("different rules have the same version")
 	}
 }
--- a/internal/cluster/schedule/command_codec_test.go
+++ b/internal/cluster/schedule/command_codec_test.go
@@ -33,7 +33,7 @@
 	return decodeCommand(m.Schedule)
 }
 
-// A command is decoded as it was encoded.
+// Decoding an encoded command returns an equal command.
 func TestCommandIsDecodedAsEncoded(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		c := Command{Kind: CommandKind(rapid.IntRange(1, 4).Draw(r, "kind")),
@@ -59,13 +59,13 @@
 			c.Results = append(c.Results, Result(rapid.IntRange(0, 4).Draw(r, "result")))
 		}
 		if got := unmarshalCommand(t, marshalCommand(t, c)); !reflect.DeepEqual(got, c) {
-			r.Fatalf("%+v\n%+v", got, c)
+			r.Fatalf("got  %+v\nwant %+v", got, c)
 		}
 	})
 }
 
-// crowd is a group whose instances fire many triggers.
-type crowd struct {
+// manyTriggerGroup is a group of instances that fire many triggers, for measurements of the log's size.
+type manyTriggerGroup struct {
 	t          testing.TB
 	members    []placement.Member
 	states     []*State
@@ -75,14 +75,14 @@
 	firings    int
 }
 
-func newCrowd(t testing.TB, triggers, instances int, clusterTime int64) *crowd {
+func newManyTriggerGroup(t testing.TB, triggers, instances int, clusterTime int64) *manyTriggerGroup {
 	t.Helper()
 	values := map[string]string{"zone": "Asia/Muscat"}
 	for n := range triggers {
 		values[fmt.Sprintf("trigger.standing-%06d", n)] = "* * * * * class=c"
 	}
 	p := mustParsePolicy(t, values, KnownNames{Classes: []string{"c"}})
-	c := &crowd{t: t, now: time.Second}
+	c := &manyTriggerGroup{t: t, now: time.Second}
 	for n := range uint64(instances) {
 		c.members = append(c.members, placement.Member{Session: Session{Member: n + 1, Epoch: n + 1}})
 	}
@@ -100,8 +100,8 @@
 	return c
 }
 
-// appendCommand appends a command to the log, and has all instances apply it.
-func (c *crowd) appendCommand(command Command) {
+// appendCommand appends a command to the log and applies it at all instances.
+func (c *manyTriggerGroup) appendCommand(command Command) {
 	b := marshalCommand(c.t, command)
 	c.logBytes += len(b)
 	for _, s := range c.states {
@@ -109,9 +109,9 @@
 	}
 }
 
-// evaluate has all instances propose and fire what is due, and returns how long that took.
-func (c *crowd) evaluate(clusterTime int64) time.Duration {
-	began := time.Now()
+// evaluate lets all instances propose and fire what is due and returns the elapsed time.
+func (c *manyTriggerGroup) evaluate(clusterTime int64) time.Duration {
+	start := time.Now()
 	for n, scheduler := range c.schedulers {
 		c.now += time.Millisecond
 		session := c.members[n].Session
@@ -124,30 +124,31 @@
 			scheduler.RecordResult(f.Number, session, Succeeded)
 		}
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// A firing, its intent and its result together, costs few bytes of the log however many there are.
+// The log grows by at most 64 bytes for each firing, intent and result together, also with many triggers.
 func TestBytesOfAFiring(t *testing.T) {
 	triggers, instances := 3000, 5
 	if os.Getenv("CROWD") != "" {
 		triggers = 100_000
 	}
 	start := time.Date(2026, 3, 1, 0, 0, 30, 0, time.UTC).Unix()
-	c := newCrowd(t, triggers, instances, start)
-	var took time.Duration // of the second minute
+	c := newManyTriggerGroup(t, triggers, instances, start)
+	var elapsed time.Duration // for the second minute
 	for minute := range int64(2) {
-		took = c.evaluate(start + 60*minute + 31)
-		took += c.evaluate(start + 60*minute + 32)
+		elapsed = c.evaluate(start + 60*minute + 31)
+		elapsed += c.evaluate(start + 60*minute + 32)
 	}
 	if c.firings != 2*triggers || c.states[0].OpenCount() != 0 ||
 		c.states[0].ResultCounts[Succeeded] != uint64(c.firings) {
-		t.Errorf("%d firings of %d triggers, %d open", c.firings, triggers, c.states[0].OpenCount())
+		t.Errorf("%d firings of %d triggers, %d of them open; want two firings of each trigger, none open",
+			c.firings, triggers, c.states[0].OpenCount())
 	}
 	bytes := float64(c.logBytes) / float64(c.firings)
-	t.Logf("%d triggers of a minute at %d instances: %.1f bytes of the log a firing, %v of a processor each",
-		triggers, instances, bytes, took/time.Duration(instances))
+	t.Logf("%d triggers each minute at %d instances: %.1f log bytes per firing, %v per instance",
+		triggers, instances, bytes, elapsed/time.Duration(instances))
 	if bytes > 64 {
-		t.Errorf("%.1f bytes of the log a firing", bytes)
+		t.Errorf("%.1f log bytes per firing, want at most 64", bytes)
 	}
 }
--- a/internal/cluster/schedule/modelcheck_test.go
+++ b/internal/cluster/schedule/modelcheck_test.go
@@ -15,39 +15,41 @@
 	"moorstack/internal/verify/modelcheck"
 )
 
-// The model has two instances, one trigger with up to two occurrences, and the log. At any time an instance
-// may apply the next entry, lose its lease, renew it (from a leader that has applied everything, if it has,
-// too), crash, and get a new session; may propose what follows from its state, however old that is and
-// whether or not it has a lease; and start a job that is its own by its state, with a lease only. A command
-// may be lost, delayed or doubled.
+// The model consists of two instances, one trigger with up to two occurrences, and the log. At any time an
+// instance may apply the next entry, lose its lease, renew it (only if it has applied the whole log, as the
+// leader has), crash, or get a new session. It may propose the commands that follow from its state, even if
+// the state is outdated or it has no lease. Only with a lease may it start a job that belongs to it according
+// to its state. A command may be lost, delayed or duplicated.
 
-// modelEntry is an entry of the model's log: a command, the opening of a session, or its end.
+// modelEntry is an entry of the model's log: a command, or the opening or the end of a session.
 type modelEntry struct {
 	command Command
 	opened  Session
 	ended   Session
 }
 
+// modelInstance is an instance of the model. Its process may crash; the state and the position in the log
+// survive.
 type modelInstance struct {
 	state    *State
-	sessions [3]uint64 // epochs by member, by its state
-	applied  int
-	epoch    uint64 // of its process's session; 0: none
+	sessions [3]uint64 // epoch of the open session by member, according to state; 0: none
+	applied  int       // number of log entries
+	epoch    uint64    // of the process's session; 0: none
 	lease    bool
-	started  [4]bool // by number of the firing, by this process
-	finished [4]bool
+	started  [4]bool // by firing number: the process has started the job
+	finished [4]bool // by firing number: the job has ended
 }
 
-// modelCounts are how often something has happened, or may.
+// modelCounts counts events of each kind, or limits their number.
 type modelCounts struct {
-	crashes, opens, expiries, doubles, commands int
+	crashes, opens, expiries, duplicates, commands int
 }
 
 type modelLimits struct {
 	modelCounts
-	once    bool // the job's class may not be repeated
-	minutes int64
-	// startsWithoutLease breaks the rule that a job is started with a lease only.
+	atMostOnce bool // the job may not be sent again
+	minutes    int64
+	// startsWithoutLease breaks the rule that a job is started only with a lease.
 	startsWithoutLease bool
 }
 
@@ -57,10 +59,10 @@
 	recurrence *calendar.Recurrence
 	log        []modelEntry
 	inFlight   []Command
-	instances  [3]modelInstance // 0: a replica that has applied everything
+	instances  [3]modelInstance // 0: a replica that has always applied the whole log
 	epochs     uint64
 	now        int64
-	starts     [4]int // by number of the firing, by all processes
+	starts     [4]int // by firing number, of all processes
 	intents    map[string]int
 	violation  string
 	counts     modelCounts
@@ -76,7 +78,7 @@
 func newModel(t testing.TB, limits modelLimits) *model {
 	t.Helper()
 	class := "any"
-	if limits.once {
+	if limits.atMostOnce {
 		class = "once"
 	}
 	p := mustParsePolicy(t, map[string]string{"zone": "UTC",
@@ -130,16 +132,16 @@
 	return &c
 }
 
-// modelKey collects what distinguishes two states.
+// modelKey encodes everything that distinguishes two states of the model.
 type modelKey []byte
 
-func (b *modelKey) numbers(list ...uint64) {
+func (b *modelKey) appendNumbers(list ...uint64) {
 	for _, n := range list {
 		*b = binary.AppendUvarint(*b, n)
 	}
 }
 
-func (b *modelKey) flags(list ...bool) {
+func (b *modelKey) appendFlags(list ...bool) {
 	for _, x := range list {
 		if x {
 			*b = append(*b, 1)
@@ -149,51 +151,51 @@
 	}
 }
 
-func (b *modelKey) command(c Command) {
-	b.numbers(uint64(c.Kind), c.Session.Member, c.Session.Epoch, uint64(c.ClusterTime-modelStart),
+func (b *modelKey) appendCommand(c Command) {
+	b.appendNumbers(uint64(c.Kind), c.Session.Member, c.Session.Epoch, uint64(c.ClusterTime-modelStart),
 		uint64(len(c.Occurrences)))
 	for _, a := range c.Advances {
-		b.numbers(a.FromVersion)
+		b.appendNumbers(a.FromVersion)
 	}
-	b.numbers(c.Numbers...)
+	b.appendNumbers(c.Numbers...)
 }
 
-func (b *modelKey) instance(n *modelInstance, logLength int) {
-	b.numbers(uint64(logLength-n.applied), n.epoch)
-	b.numbers(n.sessions[:]...)
-	b.flags(n.lease)
-	b.flags(n.started[:]...)
-	b.flags(n.finished[:]...)
-	b.numbers(uint64(len(n.state.open)))
+func (b *modelKey) appendInstance(n *modelInstance, logLength int) {
+	b.appendNumbers(uint64(logLength-n.applied), n.epoch)
+	b.appendNumbers(n.sessions[:]...)
+	b.appendFlags(n.lease)
+	b.appendFlags(n.started[:]...)
+	b.appendFlags(n.finished[:]...)
+	b.appendNumbers(uint64(len(n.state.open)))
 	for number := range uint64(5) {
 		if f := n.state.open[number]; f != nil {
-			b.numbers(number, f.Session.Member, f.Session.Epoch)
-			b.flags(f.Orphaned, f.Redelivered)
+			b.appendNumbers(number, f.Session.Member, f.Session.Epoch)
+			b.appendFlags(f.Orphaned, f.Redelivered)
 		}
 	}
 	x := n.state.Shards[modelShard]
-	b.numbers(x.Version, uint64(max(x.Watermark-modelStart, 0)))
+	b.appendNumbers(x.Version, uint64(max(x.Watermark-modelStart, 0)))
 }
 
 // Key implements modelcheck.State.
 func (m *model) Key() uint64 {
 	b := make(modelKey, 0, 512)
-	b.numbers(uint64(m.now-modelStart), uint64(m.counts.crashes), uint64(m.counts.opens),
-		uint64(m.counts.expiries), uint64(m.counts.doubles), uint64(m.counts.commands), m.epochs)
+	b.appendNumbers(uint64(m.now-modelStart), uint64(m.counts.crashes), uint64(m.counts.opens),
+		uint64(m.counts.expiries), uint64(m.counts.duplicates), uint64(m.counts.commands), m.epochs)
 	for _, n := range m.starts {
-		b.numbers(uint64(n))
+		b.appendNumbers(uint64(n))
 	}
 	for k := range m.instances {
-		b.instance(&m.instances[k], len(m.log))
+		b.appendInstance(&m.instances[k], len(m.log))
 	}
 	for _, c := range m.inFlight {
 		b = append(b, '+')
-		b.command(c)
+		b.appendCommand(c)
 	}
 	for _, e := range m.log[min(m.instances[1].applied, m.instances[2].applied):] {
 		b = append(b, '!')
-		b.command(e.command)
-		b.numbers(e.opened.Member, e.opened.Epoch, e.ended.Member, e.ended.Epoch)
+		b.appendCommand(e.command)
+		b.appendNumbers(e.opened.Member, e.opened.Epoch, e.ended.Member, e.ended.Epoch)
 	}
 	return maphash.Bytes(modelSeed, b)
 }
@@ -206,7 +208,7 @@
 	m.apply(0)
 }
 
-// apply has an instance apply the next entry.
+// apply applies the next log entry at an instance.
 func (m *model) apply(k int) {
 	n := &m.instances[k]
 	e := m.log[n.applied]
@@ -238,6 +240,7 @@
 	}
 }
 
+// audit checks the events that the replica at index 0 has recorded.
 func (m *model) audit(events []Event) {
 	for _, e := range events {
 		if e.Kind == EventIntended {
@@ -246,22 +249,22 @@
 			}
 		}
 		if e.Kind == EventFinished && e.Result == Succeeded && m.starts[e.Number] == 0 {
-			m.violation = e.Key + " has ended as done, and nobody started it"
+			m.violation = e.Key + " has succeeded but was never started"
 		}
 	}
 }
 
-// proposals are the commands that an instance may propose by its state.
+// proposals returns the commands that an instance may propose according to its state.
 func (m *model) proposals(k int) (out []Command) {
 	n := &m.instances[k]
 	session := Session{Member: uint64(k), Epoch: n.epoch}
 	firings := n.state.OpenFirings()
 	if owner, ok := n.state.Owner(modelShard); ok && owner == session {
-		if c := m.intent(n.state, session); len(c.Occurrences) > 0 {
+		if c := m.intendCommand(n.state, session); len(c.Occurrences) > 0 {
 			out = append(out, c)
 		}
 		result := Succeeded
-		if m.limits.once {
+		if m.limits.atMostOnce {
 			result = Unknown
 		}
 		for _, f := range firings {
@@ -280,7 +283,8 @@
 	return out
 }
 
-func (m *model) intent(s *State, session Session) Command {
+// intendCommand returns the command that intends all due occurrences, according to a state.
+func (m *model) intendCommand(s *State, session Session) Command {
 	c := Command{Kind: IntendFirings, Session: session, PolicyVersion: m.policy.Version, ZoneRulesVersion: 1,
 		ClusterTime: m.now, Advances: []ShardAdvance{{modelShard, s.Shards[modelShard].Version}}}
 	o, _ := m.recurrence.Next(s.intendedThrough(&m.policy.Triggers[0]))
@@ -293,7 +297,7 @@
 
 type modelTransitions []modelcheck.Transition[*model]
 
-// add adds the state after a change of a model.
+// add adds a transition to the state that results from applying a change to a clone of m.
 func (x *modelTransitions) add(m *model, event string, change func(*model)) {
 	c := m.clone()
 	change(c)
@@ -304,7 +308,7 @@
 func (m *model) Transitions() []modelcheck.Transition[*model] {
 	var out modelTransitions
 	if m.now < modelStart+60*m.limits.minutes {
-		out.add(m, "a minute passes", func(c *model) { c.now += 60 })
+		out.add(m, "time advances by a minute", func(c *model) { c.now += 60 })
 	}
 	for k := 1; k <= 2; k++ {
 		m.addSessionTransitions(&out, k)
@@ -325,9 +329,9 @@
 			c.appendEntry(modelEntry{command: command})
 		})
 		out.add(m, "a command is lost", remove)
-		if m.counts.doubles < m.limits.doubles {
-			out.add(m, "a command is appended, and comes again", func(c *model) {
-				c.counts.doubles++
+		if m.counts.duplicates < m.limits.duplicates {
+			out.add(m, "a command is appended and remains in flight", func(c *model) {
+				c.counts.duplicates++
 				c.appendEntry(modelEntry{command: command})
 			})
 		}
@@ -338,10 +342,10 @@
 // addSessionTransitions adds what may happen to an instance's process, session and lease.
 func (m *model) addSessionTransitions(out *modelTransitions, k int) {
 	n := &m.instances[k]
-	session := m.instances[0].sessions[k] // by the log
+	session := m.instances[0].sessions[k] // according to the whole log
 	caughtUp := n.applied == len(m.log)
 	if !caughtUp {
-		out.add(m, fmt.Sprint(k, " applies"), func(c *model) { c.apply(k) })
+		out.add(m, fmt.Sprint(k, " applies an entry"), func(c *model) { c.apply(k) })
 	}
 	if n.lease {
 		out.add(m, fmt.Sprint(k, "'s lease ends"), func(c *model) { c.instances[k].lease = false })
@@ -361,7 +365,7 @@
 			x.epoch, x.lease, x.started, x.finished = 0, false, [4]bool{}, [4]bool{}
 		})
 	}
-	// A process without a session, or one whose session has ended, gets a new one.
+	// A process that has no session, or whose session has ended, gets a new one.
 	if (n.epoch == 0 || session != n.epoch) && caughtUp && m.counts.opens < m.limits.opens {
 		out.add(m, fmt.Sprint(k, " gets a session"), func(c *model) {
 			c.counts.opens++
@@ -372,19 +376,19 @@
 	}
 }
 
-// addJobTransitions adds the starts and ends of an instance's jobs.
+// addJobTransitions adds the starts and ends of jobs at an instance.
 func (m *model) addJobTransitions(out *modelTransitions, k int) {
 	n := &m.instances[k]
 	for _, f := range n.state.OpenFirings() {
-		own := f.Session == (Session{Member: uint64(k), Epoch: n.epoch}) && !f.Orphaned
-		if own && !n.started[f.Number] && (n.lease || m.limits.startsWithoutLease) {
+		ownsFiring := f.Session == (Session{Member: uint64(k), Epoch: n.epoch}) && !f.Orphaned
+		if ownsFiring && !n.started[f.Number] && (n.lease || m.limits.startsWithoutLease) {
 			out.add(m, fmt.Sprint(k, " starts ", f.Number), func(c *model) {
 				c.instances[k].started[f.Number] = true
-				if c.starts[f.Number]++; c.limits.once && c.starts[f.Number] > 1 {
-					c.violation = "started twice, and may not be repeated"
+				if c.starts[f.Number]++; c.limits.atMostOnce && c.starts[f.Number] > 1 {
+					c.violation = "a job that may not be sent again was started twice"
 				}
 				if c.starts[f.Number] > 1 && !f.Redelivered {
-					c.violation = "started by two, and nobody has adopted it"
+					c.violation = "a job was started twice, and its firing was not adopted in between"
 				}
 			})
 		}
@@ -395,16 +399,18 @@
 	}
 }
 
-var maxStates = flag.Int64("states", 15_000, "how many states the model checker visits at the most")
+var maxStates = flag.Int64("states", 15_000, "maximum number of states that the model checker visits")
 
-// In no order of events is an occurrence intended twice, started twice where it may not be, or started by a
-// session that it was taken from.
+// In no order of events is an occurrence intended twice, a job started twice that may not be sent again, or a
+// job started again without the adoption of its firing.
 func TestNoOrderOfEventsFiresTwice(t *testing.T) {
 	for _, limits := range []modelLimits{
-		{minutes: 1, modelCounts: modelCounts{crashes: 1, opens: 1, expiries: 1, commands: 3}, once: true},
+		{minutes: 1, modelCounts: modelCounts{crashes: 1, opens: 1, expiries: 1, commands: 3},
+			atMostOnce: true},
 		{minutes: 1, modelCounts: modelCounts{crashes: 1, opens: 1, expiries: 1, commands: 3}},
-		{minutes: 1, modelCounts: modelCounts{opens: 1, expiries: 1, doubles: 1, commands: 3}, once: true},
-		{minutes: 2, modelCounts: modelCounts{expiries: 1, commands: 4}, once: true},
+		{minutes: 1, modelCounts: modelCounts{opens: 1, expiries: 1, duplicates: 1, commands: 3},
+			atMostOnce: true},
+		{minutes: 2, modelCounts: modelCounts{expiries: 1, commands: 4}, atMostOnce: true},
 	} {
 		r := modelcheck.Check(newModel(t, limits), *maxStates)
 		t.Logf("%+v: %d states, complete %v", limits, r.States, r.Complete)
@@ -414,13 +420,13 @@
 	}
 }
 
-// Starting a job without a lease is found: it is started by two.
+// If jobs may be started without a lease, the model checker finds a job that two sessions start.
 func TestModelCheckerFindsAStartWithoutLease(t *testing.T) {
 	limits := modelLimits{minutes: 1, modelCounts: modelCounts{expiries: 1, commands: 3},
 		startsWithoutLease: true}
 	r := modelcheck.Check(newModel(t, limits), *maxStates)
 	if r.Violation == "" {
-		t.Errorf("%d states, complete %v, no violation", r.States, r.Complete)
+		t.Errorf("no violation was found in %d states, complete %v", r.States, r.Complete)
 	}
-	t.Logf("%s, by %d events", r.Violation, len(r.Trace))
+	t.Logf("%s, after %d events", r.Violation, len(r.Trace))
 }
--- a/internal/cluster/schedule/policy_test.go
+++ b/internal/cluster/schedule/policy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var testNames = KnownNames{Classes: []string{"trip-book", "once"}, Tenants: []string{"muscat"}}
+var testKnownNames = KnownNames{Classes: []string{"trip-book", "once"}, Tenants: []string{"muscat"}}
 
 func mustParsePolicy(t testing.TB, values map[string]string, names KnownNames) Policy {
 	t.Helper()
@@ -16,7 +16,7 @@
 	return p
 }
 
-// An invalid trigger is rejected with its key and with what to do.
+// The problem reported for an invalid trigger contains its key and what is expected.
 func TestInvalidTriggerIsRejectedWithItsKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"30 6 * * MON class=trip-book":                          "its zone is not given",
@@ -31,21 +31,21 @@
 		"30 6 * * * zone=Asia/Muscat class=once colour=red":     "colour= is no word of a trigger",
 		"30 6 * * * zone=Asia/Muscat class=once interval=solar": "elapsed, wall are possible",
 	} {
-		_, problems := ParsePolicy(map[string]string{"trigger.a": text}, testNames)
+		_, problems := ParsePolicy(map[string]string{"trigger.a": text}, testKnownNames)
 		if len(problems) != 1 || !strings.HasPrefix(problems[0], "trigger.a: ") ||
 			!strings.Contains(problems[0], want) {
-			t.Errorf("%q: %v; wanted %q", text, problems, want)
+			t.Errorf("%q: got problems %v, want one with %q", text, problems, want)
 		}
 	}
 	for _, values := range []map[string]string{{"zones": "x"}, {"bound": "1ms"}, {"tigger.a": "x"},
 		{"trigger.a@b": "0 0 * * * zone=UTC class=once"}} {
-		if _, problems := ParsePolicy(values, testNames); len(problems) != 1 {
-			t.Errorf("%v: %v", values, problems)
+		if _, problems := ParsePolicy(values, testKnownNames); len(problems) != 1 {
+			t.Errorf("%v: got problems %v, want one", values, problems)
 		}
 	}
 	p := mustParsePolicy(t, map[string]string{"zone": "UTC",
-		"trigger.a": "0 6 * * * class=once body={\"to\": 1 }"}, testNames)
+		"trigger.a": "0 6 * * * class=once body={\"to\": 1 }"}, testKnownNames)
 	if p.Triggers[0].Body != "{\"to\": 1 }" || p.Triggers[0].Expression != "0 6 * * *" {
-		t.Errorf("%+v", p)
+		t.Errorf("body or expression of the trigger is wrong: %+v", p)
 	}
 }
--- a/internal/cluster/schedule/scheduler_test.go
+++ b/internal/cluster/schedule/scheduler_test.go
@@ -10,28 +10,28 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// soleOwner is a group whose only instance owns all shards.
-type soleOwner struct {
+// singleInstanceGroup is a group with a single instance, which owns all shards.
+type singleInstanceGroup struct {
 	*State
 	scheduler *Scheduler
 	session   Session
 	now       time.Duration
 }
 
-func newSoleOwner(t *testing.T, zones *calendar.ZoneDB, values map[string]string,
-	clusterTime int64) *soleOwner {
+func newSingleInstanceGroup(t *testing.T, zones *calendar.ZoneDB, values map[string]string,
+	clusterTime int64) *singleInstanceGroup {
 	t.Helper()
-	o := &soleOwner{State: NewState(), scheduler: NewScheduler(zones),
+	o := &singleInstanceGroup{State: NewState(), scheduler: NewScheduler(zones),
 		session: Session{Member: 1, Epoch: 1}}
 	o.SetOwners([]placement.Member{{Session: o.session, Name: "n1"}})
 	o.setPolicy(t, values, clusterTime)
 	return o
 }
 
-// setPolicy has the leader declare a policy.
-func (o *soleOwner) setPolicy(t *testing.T, values map[string]string, clusterTime int64) {
+// setPolicy applies a policy and the command that declares it.
+func (o *singleInstanceGroup) setPolicy(t *testing.T, values map[string]string, clusterTime int64) {
 	t.Helper()
-	p := mustParsePolicy(t, values, testNames)
+	p := mustParsePolicy(t, values, testKnownNames)
 	o.Configure(&p)
 	o.scheduler.Configure(&p)
 	err := o.Apply(Command{Kind: DeclarePolicy, PolicyVersion: p.Version,
@@ -41,8 +41,9 @@
 	}
 }
 
-// evaluate applies what the scheduler proposes at a time, and returns the keys of the new firings.
-func (o *soleOwner) evaluate(clusterTime int64) (keys []string) {
+// evaluate applies the commands that the scheduler proposes at a cluster time and returns the keys of the new
+// firings.
+func (o *singleInstanceGroup) evaluate(clusterTime int64) (keys []string) {
 	o.now += time.Second / 2
 	in := Input{Now: o.now, ClusterTime: clusterTime, Session: o.session, LeaseDuration: time.Second,
 		Retryable: func(*Trigger, time.Duration) bool { return true }}
@@ -63,24 +64,24 @@
 	return t.Unix()
 }
 
-// fixedZones are zone rules by which every zone has the same offset.
+// fixedZones returns zone rules in which every zone has the same offset.
 func fixedZones(offset time.Duration) *calendar.ZoneDB {
 	return calendar.NewZoneDBWithLoader(func(name string) (*time.Location, error) {
 		return time.FixedZone(name, int(offset/time.Second)), nil
 	})
 }
 
-// A place sets its clocks back for good: what is not yet due moves, and what was fired does not come again an
-// hour later.
+// When new zone rules set the clocks back for good, occurrences that are not due yet move, and those that
+// were fired are not fired again an hour later.
 func TestNewZoneRulesRepeatNothing(t *testing.T) {
 	values := map[string]string{"zone": "Asia/Muscat", "trigger.a": "30 6 * * * class=once late=1h",
 		"trigger.b": "0 7 * * * class=once", "trigger.c": "30 7 * * * class=once"}
-	o := newSoleOwner(t, fixedZones(4*time.Hour), values, unix("2026-06-01T00:00Z"))
-	got := fmt.Sprint(o.evaluate(unix("2026-06-01T03:10Z"))) // it is 07:10 there
+	o := newSingleInstanceGroup(t, fixedZones(4*time.Hour), values, unix("2026-06-01T00:00Z"))
+	got := fmt.Sprint(o.evaluate(unix("2026-06-01T03:10Z"))) // 07:10 in local time
 	if !strings.Contains(got, "a@2026-06-01T06:30") || !strings.Contains(got, "b@2026-06-01T07:00") {
 		t.Fatal(got)
 	}
-	// The program is restarted with rules by which it is 06:10.
+	// The program is restarted with rules that make the local time 06:10.
 	o.scheduler = NewScheduler(fixedZones(3 * time.Hour))
 	o.setPolicy(t, values, unix("2026-06-01T03:10Z"))
 	for _, c := range []struct{ at, want string }{
@@ -89,19 +90,19 @@
 		{"2026-06-01T04:35Z", "[c@2026-06-01T07:30]"},
 	} {
 		if got := fmt.Sprint(o.evaluate(unix(c.at))); got != c.want {
-			t.Errorf("by the new rules, at %s: %s; wanted %s", c.at, got, c.want)
+			t.Errorf("with the new rules, at %s: got %s, want %s", c.at, got, c.want)
 		}
 	}
 	if o.LastNumber != 3 {
-		t.Errorf("%d were intended, the day has three", o.LastNumber)
+		t.Errorf("%d occurrences were intended, want 3", o.LastNumber)
 	}
 }
 
-// A trigger that is changed begins again with the change; one that is paused leaves out what comes meanwhile;
-// one that is added, or comes back, does not catch up.
+// A changed trigger fires only occurrences after the change, and a paused one fires none. A trigger that is
+// added or resumed does not catch up.
 func TestChangedTriggerBeginsWithTheChange(t *testing.T) {
 	values := map[string]string{"zone": "UTC", "trigger.a": "0 * * * * class=once"}
-	o := newSoleOwner(t, calendar.NewZoneDB(), values, unix("2026-06-01T00:30Z"))
+	o := newSingleInstanceGroup(t, calendar.NewZoneDB(), values, unix("2026-06-01T00:30Z"))
 	if got := fmt.Sprint(o.evaluate(unix("2026-06-01T01:00Z"))); got != "[a@2026-06-01T01:00]" {
 		t.Fatal(got)
 	}
@@ -115,56 +116,56 @@
 		t.Fatal(got)
 	}
 	if len(o.OpenFirings()) != 3 {
-		t.Error("what was intended goes on, whatever becomes of its trigger")
+		t.Error("want 3 open firings: changes of a trigger must not affect what was intended before")
 	}
 }
 
-// Missed occurrences are fired late within the trigger's deadline for starting, or only the last of them; a
-// cluster time that jumps forward makes nothing late.
+// Occurrences that could not be fired in time are fired later within the trigger's starting deadline; with
+// missed=last, only the last of them is. A forward jump of the cluster time makes no occurrence late.
 func TestMissedOccurrencesAreFiredWithinTheStartingDeadline(t *testing.T) {
 	values := map[string]string{"zone": "UTC", "trigger.a": "*/10 * * * * class=once late=30m",
 		"trigger.b": "*/10 * * * * class=once late=1h missed=last",
 		"trigger.c": "*/10 * * * * class=once late=1s"}
-	o := newSoleOwner(t, calendar.NewZoneDB(), values, unix("2026-06-01T00:05Z"))
+	o := newSingleInstanceGroup(t, calendar.NewZoneDB(), values, unix("2026-06-01T00:05Z"))
 	got := fmt.Sprint(o.evaluate(unix("2026-06-01T01:05Z")))
 	want := "a@2026-06-01T00:40 a@2026-06-01T00:50 a@2026-06-01T01:00"
 	if !strings.Contains(got, want) || !strings.Contains(got, "b@2026-06-01T01:00") || len(got) != 4*19+2-1 {
-		t.Errorf("after an hour: %s; wanted %s and b's last", got, want)
+		t.Errorf("after an hour: got %s, want %s and the last of b", got, want)
 	}
 	if o.ResultCounts[Missed] != 3+5+6 {
-		t.Errorf("%d were missed", o.ResultCounts[Missed])
+		t.Errorf("%d occurrences were missed, want 14", o.ResultCounts[Missed])
 	}
 	if got := o.evaluate(unix("2026-06-01T01:25Z")); len(got) != 6 {
-		t.Errorf("after a jump of 20 minutes: %v", got)
+		t.Errorf("after a jump of 20 minutes: got %v, want 6 firings", got)
 	}
 }
 
-// Only the session that has a firing releases it: a late command of a session that had it before would have
-// another fire what is in flight.
+// Only the session that a firing belongs to can release it. If a late command of its former session could,
+// the job would be sent again while it is in flight.
 func TestOnlyTheFiringSessionReleases(t *testing.T) {
 	values := map[string]string{"zone": "UTC", "trigger.a": "0 * * * * class=once"}
-	o := newSoleOwner(t, calendar.NewZoneDB(), values, unix("2026-06-01T00:30Z"))
+	o := newSingleInstanceGroup(t, calendar.NewZoneDB(), values, unix("2026-06-01T00:30Z"))
 	o.evaluate(unix("2026-06-01T01:00Z"))
 	first := o.session
 	number := o.OpenFirings()[0].Number
-	// Its session ends, and the next one adopts the firing.
+	// The session ends, and the instance's next session adopts the firing.
 	o.OrphanFirings(func(s Session) bool { return s == first })
 	o.session = Session{Member: first.Member, Epoch: first.Epoch + 1}
 	o.SetOwners([]placement.Member{{Session: o.session}})
 	o.evaluate(unix("2026-06-01T01:01Z"))
 	if f, ok := o.OpenFiring(number); !ok || f.Session != o.session || f.Orphaned {
-		t.Fatalf("%+v is not adopted", f)
+		t.Fatalf("firing was not adopted: %+v", f)
 	}
 	for _, result := range []Result{Released, Succeeded, Failed} {
 		_ = o.Apply(Command{Kind: RecordResults, Session: first, Numbers: []uint64{number},
 			Results: []Result{result}})
 		if f, ok := o.OpenFiring(number); !ok || f.Orphaned {
-			t.Errorf("the result of the session that had it before, %v, counts: %+v", result, f)
+			t.Errorf("the former session's result %v took effect: %+v", result, f)
 		}
 	}
 	_ = o.Apply(Command{Kind: RecordResults, Session: o.session, Numbers: []uint64{number},
 		Results: []Result{Released}})
 	if f, _ := o.OpenFiring(number); !f.Orphaned || !f.NeverStarted {
-		t.Errorf("its session does not release it: %+v", f)
+		t.Errorf("its own session could not release the firing: %+v", f)
 	}
 }
--- a/internal/cluster/schedule/simulation_faults_test.go
+++ b/internal/cluster/schedule/simulation_faults_test.go
@@ -6,7 +6,7 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// injectFault injects a drawn fault once in 60 steps on average.
+// injectFault injects a random fault, in one of 60 steps on average.
 func (s *simulation) injectFault() {
 	if s.rng.IntN(60) != 0 {
 		return
@@ -28,7 +28,7 @@
 			s.crash(n, s.now)
 		}
 	case 6:
-		// One clock is wrong, of three or more.
+		// Only the first instance's clock may be wrong, and only in a group of three or more.
 		if n = s.instances[0]; s.group(nil).Size > 2 {
 			n.clockSkew = []time.Duration{0, 5 * time.Minute, -time.Hour, time.Hour}[s.rng.IntN(4)]
 		}
@@ -44,7 +44,7 @@
 	}
 }
 
-// healAll ends all faults, except that clocks that have stepped forward stay ahead.
+// healAll ends all faults. Clocks that have stepped forward stay ahead.
 func (s *simulation) healAll() {
 	for _, n := range s.instances {
 		n.departed, n.partitionedUntil, n.laggingUntil = false, 0, 0
@@ -54,7 +54,7 @@
 	s.clockStep = max(s.clockStep, 0)
 }
 
-// crash ends an instance's process: it loses everything but the log.
+// crash ends an instance's process, which loses everything except its replicated state.
 func (s *simulation) crash(n *instance, until time.Duration) {
 	n.downUntil, n.firings, n.sent = until, nil, nil
 	n.leaseEnd, n.grantedEnd, n.clusterTime = 0, 0, 0
@@ -67,18 +67,18 @@
 	n.state.newFirings = nil
 	for k := range s.jobs {
 		if s.jobs[k].instance == n {
-			s.jobs[k].awaited = false
+			s.jobs[k].processAlive = false
 		}
 	}
 	if n.epoch != 0 {
-		// Nobody was notified: its session ends with its lease, or when it returns.
+		// The crash is not reported: the session ends when its lease expires or the instance returns.
 		n.expiresAt = max(n.expiresAt, s.now)
 		n.grantIndex = -1
 	}
 }
 
-// tickLeader ends and opens sessions, grants leases, evaluates the schedule, and appends the commands that
-// have arrived.
+// tickLeader ends and opens sessions, grants leases, evaluates the Leader, and appends the commands that have
+// arrived.
 func (s *simulation) tickLeader() {
 	members := s.updateSessions()
 	for _, n := range s.instances {
@@ -92,8 +92,8 @@
 	}
 }
 
-// updateSessions ends sessions whose leases have run out and opens those of instances that have none, and
-// returns the members with open ones.
+// updateSessions ends the sessions whose leases have expired and opens sessions for instances that have none.
+// It returns the members with open sessions.
 func (s *simulation) updateSessions() (members []placement.Member) {
 	for _, n := range s.instances {
 		if n.epoch != 0 && s.now > n.expiresAt {
@@ -102,7 +102,7 @@
 			s.appendEntry(logEntry{kind: sessionsEntry, ended: []Session{ended}})
 		}
 		if n.up(s.now) && s.now >= n.partitionedUntil && (n.epoch == 0 || n.grantIndex < 0) {
-			// A new process, or one whose session has ended.
+			// The process is new, or its session has ended.
 			ended := n.session()
 			s.epoch++
 			n.epoch, n.grantIndex, n.leaseEnd, n.grantedEnd = s.epoch, 0, 0, 0
@@ -116,7 +116,7 @@
 	return members
 }
 
-// grantLease takes an instance's report and renews its lease.
+// grantLease processes an instance's report and renews its lease.
 func (s *simulation) grantLease(n *instance, members []placement.Member) {
 	if !n.up(s.now) || s.now < n.partitionedUntil {
 		return
@@ -136,7 +136,8 @@
 	}
 }
 
-// deliverCommands appends an instance's commands that have arrived: some are lost, some late, some doubled.
+// deliverCommands appends those of an instance's commands that have arrived. Some are lost or
+// duplicated; their delays were drawn when they were sent.
 func (s *simulation) deliverCommands(n *instance) {
 	for k := range n.sent {
 		x := &n.sent[k]
@@ -155,6 +156,7 @@
 	}
 }
 
+// group returns the group as the Leader needs it, with the given members.
 func (s *simulation) group(members []placement.Member) Group {
 	g := Group{Members: members, LeaseDuration: simulationLease}
 	for _, n := range s.instances {
--- a/internal/cluster/schedule/simulation_test.go
+++ b/internal/cluster/schedule/simulation_test.go
@@ -12,31 +12,32 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// simulation runs a group in virtual time: a log that all instances apply, each at its own pace, sessions and
-// leases as package rollout keeps them, and faults: instances that stall, crash, are partitioned, join and
-// depart, clocks that step. An audit of what all of them did follows. A seed determines the run.
+// simulation runs a group in virtual time. All instances apply the same log, each at its own pace, with
+// sessions and leases as in package rollout. The faults are instances that stall, crash, lag, are
+// partitioned, join and depart, wrong or stepping clocks, lost, late and duplicated commands, and policy
+// changes. Afterwards the run is audited. The seed determines the run.
 type simulation struct {
 	t         testing.TB
 	rng       *rand.Rand
 	seed      uint64
 	now       time.Duration // of the monotonic clock
-	startUnix int64         // true time of day at the start, Unix seconds
-	speed     int64         // seconds of the time of day in one of the monotonic clock's
+	startUnix int64         // true time of day at the start, in Unix seconds
+	speed     int64         // seconds of the time of day per second of the monotonic clock
 	log       []logEntry
-	replica   replica // with all of the log applied
+	replica   replica // has always applied the whole log
 	leader    *Leader
 	instances []*instance
 	epoch     uint64 // of the newest session
 	jobs      []runningJob
 	zones     *calendar.ZoneDB
-	// otherZones are zone rules that one instance may have instead.
+	// otherZones are the zone rules that one instance may have instead.
 	otherZones *calendar.ZoneDB
 	policy     Policy
 	starts     map[string][]jobStart // by idempotency key
 	faults     int
 	clockStep  time.Duration // of all clocks
-	// steppedForward is set once all clocks have stepped forward: the cluster time is then ahead of the true
-	// time for good.
+	// steppedForward is set once all clocks have stepped forward. From then on the cluster time is ahead of
+	// the true time.
 	steppedForward bool
 	endedSessions  map[Session]bool
 }
@@ -54,15 +55,15 @@
 	kind     entryKind
 	command  Command
 	policy   Policy
-	sessions []placement.Member // that are open
+	sessions []placement.Member // the members with open sessions
 	ended    []Session
 }
 
-// replica is a State as its host keeps it.
+// replica is a State, the members with open sessions, and the position up to which the log is applied.
 type replica struct {
 	state   *State
 	members []placement.Member // with open sessions
-	applied int                // entries
+	applied int                // number of log entries
 }
 
 func (r *replica) apply(e logEntry) {
@@ -96,19 +97,21 @@
 	epoch     uint64 // of its session; 0: none
 	firings   []Firing
 
-	// Until when it applies nothing, does nothing, is down, and is partitioned from the others.
+	// The times until which the instance applies nothing, does nothing, is down, or is partitioned from the
+	// others.
 	laggingUntil, stalledUntil, downUntil, partitionedUntil time.Duration
-	departed                                                bool // from the group, for now
+	departed                                                bool // it is not in the group at present
 	clockSkew                                               time.Duration
 	hasOtherZones                                           bool
 
-	// Its lease as it counts it: it may act until leaseEnd. A grant that would end at grantedEnd counts once
-	// grantIndex entries are applied; grantIndex 0: there is none; below 0: the session's process is no more.
+	// The lease as the instance knows it: it may act until leaseEnd. A grant extends the lease to grantedEnd
+	// once grantIndex entries are applied. grantIndex 0: no grant is pending; negative: the session's process
+	// has crashed.
 	leaseEnd, grantedEnd time.Duration
 	grantIndex           int
-	clusterTime          int64 // Unix nanoseconds, as granted last, at clusterTimeAt; 0: not known
+	clusterTime          int64 // Unix nanoseconds, as granted at clusterTimeAt; 0: unknown
 	clusterTimeAt        time.Duration
-	// expiresAt is when its lease has certainly run out, as the leader counts it.
+	// expiresAt is the time after which the leader treats the lease as expired.
 	expiresAt  time.Duration
 	reportedAt time.Duration
 	sent       []sentCommand
@@ -134,22 +137,22 @@
 	instance *instance
 	firing   Firing
 	session  Session
-	// awaited is set as long as the process runs that waits for the job.
-	awaited bool
-	endsAt  time.Duration
-	result  Result
+	// processAlive is set while the process that started the job is alive.
+	processAlive bool
+	endsAt       time.Duration
+	result       Result
 }
 
 const (
 	simulationStep  = 10 * time.Millisecond
 	simulationTick  = 50 * time.Millisecond
 	simulationLease = 500 * time.Millisecond
-	// calmPeriod is how long a run goes on without faults: an orphaned firing that may not be sent again is
-	// given up after ten leases, 5 s.
-	calmPeriod = 10 * time.Second
+	// faultFreePeriod is the time without faults at the end of a run. It must exceed ten leases (5 s), after
+	// which an orphaned firing that may not be sent again is finished.
+	faultFreePeriod = 10 * time.Second
 )
 
-// trueTime is the true time of day, Unix nanoseconds.
+// trueTime returns the true time of day in Unix nanoseconds.
 func (s *simulation) trueTime() int64 { return s.startUnix*1e9 + int64(s.now)*s.speed }
 
 func (n *instance) session() Session { return Session{Member: n.id, Epoch: n.epoch} }
@@ -166,7 +169,7 @@
 	s := &simulation{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 31)), zones: calendar.NewZoneDB(),
 		starts: map[string][]jobStart{}, endedSessions: map[Session]bool{},
 		replica: replica{state: NewState()}, leader: NewLeader(1)}
-	// Some begin on a night in which the clocks change, or before a leap day.
+	// Some runs start in a night in which the clocks change, or before or on a leap day.
 	starts := []string{"2026-03-29T00:59Z", "2026-10-25T00:29Z", "2028-02-28T23:59Z", "2026-06-01T03:59Z",
 		"2028-02-29T23:59Z", "2026-10-25T00:59Z"}
 	s.startUnix = unix(starts[s.rng.IntN(len(starts))]) + int64(s.rng.IntN(50))
@@ -187,30 +190,32 @@
 	return s
 }
 
-// policyVariants is how many policies policyVariant has.
+// policyVariants is the number of policies that policyVariant can return.
 const policyVariants = 4
 
-// policyVariant is a policy: one trigger differs between variants, another is in some only.
+// policyVariant returns one of several policies. Trigger c differs between variants, and trigger A is
+// only in some.
 func (s *simulation) policyVariant(variant int) Policy {
-	often := "*/5 * * * * *"
+	frequent := "*/5 * * * * *"
 	if s.speed > 1 {
-		often = "* * * * *"
+		frequent = "* * * * *"
 	}
 	values := map[string]string{"zone": "Europe/Berlin", "bound": "1h",
-		"trigger.a": often + " class=any fold=both late=24h",
-		"trigger.b": often + " class=once gap=shift fold=both late=24h",
+		"trigger.a": frequent + " class=any fold=both late=24h",
+		"trigger.b": frequent + " class=once gap=shift fold=both late=24h",
 		"trigger.c": fmt.Sprintf("*/2 * * * * class=key fold=both late=24h path=/%d", variant/2),
 		"trigger.d": "0 * 28,29 * * class=once fold=both leap=last late=24h spread=90s"}
 	if s.speed == 1 {
 		values["bound"] = "1s"
 	}
 	if variant%2 == 1 {
-		values["trigger.A"] = often + " class=any late=24h fold=both"
+		values["trigger.A"] = frequent + " class=any late=24h fold=both"
 	}
 	return mustParsePolicy(s.t, values, KnownNames{Classes: []string{"any", "once", "key"}})
 }
 
-// appendEntry appends an entry to the log: the group has agreed on it.
+// appendEntry appends an agreed entry to the log. It checks that the entry takes no firing from a session
+// that has not ended.
 func (s *simulation) appendEntry(e logEntry) {
 	if e.kind == sessionsEntry {
 		for _, n := range s.instances {
@@ -227,20 +232,21 @@
 	s.replica.apply(e)
 	for _, f := range before {
 		now, open := s.replica.state.OpenFiring(f.Number)
-		taken := open && now.Session != f.Session || !open && e.command.Kind == ResolveOrphans
-		if taken && !s.endedSessions[f.Session] {
+		reassigned := open && now.Session != f.Session || !open && e.command.Kind == ResolveOrphans
+		if reassigned && !s.endedSessions[f.Session] {
 			s.t.Errorf("seed %d: %s was taken from a session that had not ended", s.seed, f.IdempotencyKey())
 		}
 	}
 	s.replica.state.PopNewFirings(Session{}, false)
 }
 
+// run simulates a time span, the last part of it without faults.
 func (s *simulation) run(length time.Duration) {
-	calmFrom := length - calmPeriod
+	faultsEnd := length - faultFreePeriod
 	for s.now = simulationTick; s.now < length; s.now += simulationStep {
-		if s.now < calmFrom {
+		if s.now < faultsEnd {
 			s.injectFault()
-		} else if s.now-simulationStep < calmFrom {
+		} else if s.now-simulationStep < faultsEnd {
 			s.healAll()
 		}
 		for _, n := range s.instances {
@@ -256,7 +262,7 @@
 	}
 }
 
-// replicate has an instance apply the entries that it does not have.
+// replicate applies the entries at an instance that it has not applied yet.
 func (s *simulation) replicate(n *instance) {
 	if !n.up(s.now) || s.now < n.laggingUntil || s.now < n.partitionedUntil {
 		return
@@ -269,6 +275,7 @@
 	}
 }
 
+// tickInstance lets an instance propose commands and start the jobs of its firings.
 func (s *simulation) tickInstance(n *instance) {
 	if !n.up(s.now) {
 		return
@@ -287,14 +294,14 @@
 	for _, c := range n.scheduler.Evaluate(n.state, in) {
 		n.sent = append(n.sent, sentCommand{c, s.now + time.Duration(s.rng.IntN(100))*time.Millisecond})
 	}
-	// A firing's job is started in the turn in which the clock was read.
+	// A firing's job is started in the step in which the lease was checked.
 	waiting := n.firings[:0]
 	for _, f := range n.firings {
 		now, ok := n.state.OpenFiring(f.Number)
 		switch {
 		case !ok || now.Session != f.Session:
 		case f.Session.Epoch != n.epoch:
-			n.scheduler.RecordResult(f.Number, f.Session, Released) // it runs, and has not started it
+			n.scheduler.RecordResult(f.Number, f.Session, Released) // never started
 		case s.now >= n.leaseEnd:
 			waiting = append(waiting, f)
 		default:
@@ -304,32 +311,34 @@
 	n.firings = waiting
 }
 
+// startJob records the start of a firing's job and checks that it is not early.
 func (s *simulation) startJob(n *instance, f Firing) {
-	// The allowed skew is a second, and readings are up to a lease old.
+	// The allowed clock skew is 1 s, and clock readings are up to a lease old.
 	if !s.steppedForward && s.speed == 1 && f.At*1e9 > s.trueTime()+int64(2*time.Second) {
 		s.t.Errorf("seed %d: %s was fired %v early", s.seed, f.IdempotencyKey(),
 			time.Duration(f.At*1e9-s.trueTime()))
 	}
 	s.starts[f.IdempotencyKey()] = append(s.starts[f.IdempotencyKey()], jobStart{n.id, n.epoch, s.now,
 		f.Number, f.Redelivered})
-	took := time.Duration(s.rng.IntN(300)) * time.Millisecond
-	s.jobs = append(s.jobs, runningJob{n, f, n.session(), true, s.now + took, Succeeded})
+	duration := time.Duration(s.rng.IntN(300)) * time.Millisecond
+	s.jobs = append(s.jobs, runningJob{n, f, n.session(), true, s.now + duration, Succeeded})
 }
 
+// finishJobs ends the jobs that are due and reports the results of those whose process is alive.
 func (s *simulation) finishJobs() {
 	running := s.jobs[:0]
 	for _, j := range s.jobs {
 		switch {
-		case s.now < j.endsAt || !j.instance.up(s.now) && j.awaited:
+		case s.now < j.endsAt || !j.instance.up(s.now) && j.processAlive:
 			running = append(running, j)
-		case j.awaited:
+		case j.processAlive:
 			j.instance.scheduler.RecordResult(j.firing.Number, j.session, j.result)
 		}
 	}
 	s.jobs = running
 }
 
-// simulationRuns is how many seeds are run: 20, or as many as the environment sets.
+// simulationRuns returns the number of seeds to run: 20, unless the environment variable STORIES is set.
 func simulationRuns() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("STORIES"), 10, 32); err == nil {
 		return n
@@ -337,8 +346,8 @@
 	return 20
 }
 
-// Under no sequence of faults is an occurrence intended twice, omitted, started twice where it may not be,
-// or started early.
+// Under random faults, no occurrence is intended twice, omitted or fired early, and no job is started twice
+// that may not be sent again.
 func TestFiringsAreExactlyOnceUnderRandomFaults(t *testing.T) {
 	intended, faults := 0, 0
 	for seed := range simulationRuns() {
@@ -352,6 +361,6 @@
 	}
 	t.Logf("%d occurrences, %d faults", intended, faults)
 	if intended < 1000 {
-		t.Error("there was next to nothing to audit")
+		t.Error("too few occurrences to audit, want at least 1000")
 	}
 }
