--- a/internal/cluster/calendar/zone.go
+++ b/internal/cluster/calendar/zone.go
@@ -109,8 +109,8 @@
 	return &ZoneDB{cache: map[string]*Zone{}, load: load}
 }
 
-// Lookup returns the zone with a name, such as "Asia/Muscat". Its errors are stored when they are the reason
-// for the withdrawal of a change.
+// Lookup returns the zone with a name, such as "Asia/Muscat". Its errors may be stored as the reason for
+// withdrawing a change.
 func (db *ZoneDB) Lookup(name string) (*Zone, error) {
 	db.mu.Lock()
 	defer db.mu.Unlock()
--- a/internal/cluster/schedule/command.go
+++ b/internal/cluster/schedule/command.go
@@ -13,7 +13,7 @@
 // CommandKind is the kind of a command. The log stores its numeric value.
 type CommandKind uint8
 
-// The kinds of command, with the member that proposes each.
+// The kinds of command, with the proposer of each.
 const (
 	NoCommand      CommandKind = iota
 	DeclarePolicy              // by the leader: the policy in force takes effect at ClusterTime
@@ -155,8 +155,9 @@
 	return watermarks
 }
 
-// intendFiring adds a firing for an occurrence of a trigger, unless the occurrence is not between the shard's
-// given former watermark and the new one, precedes the trigger's activation, or may repeat an earlier one.
+// intendFiring adds a firing for an occurrence of a trigger. It ignores an occurrence whose firing time is
+// not between the shard's former watermark, which is given, and the new one, and one that may have been fired
+// before.
 func (s *State) intendFiring(c Command, t *Trigger, d DueOccurrence, watermark int64) {
 	// An earlier command may have intended the occurrence, or it may precede the trigger's activation.
 	fireAt := d.At + t.jitterSeconds()
@@ -164,7 +165,7 @@
 		return
 	}
 	// With new zone rules, an occurrence that was already fired could be fired again an hour later. A local
-	// time at or before that of the last firing is therefore ignored, unless the rules set the clocks back.
+	// time at or before that of the last firing is therefore ignored, unless it is the second of two.
 	if !d.LocalTime.InSecondFold() {
 		if last, ok := s.LastWallClock[t.Name]; ok && d.WallClock <= last {
 			return
--- a/internal/cluster/schedule/leader.go
+++ b/internal/cluster/schedule/leader.go
@@ -36,7 +36,7 @@
 }
 
 // Leader computes the cluster time and excludes members from owning shards, for one term of leadership. It
-// must be used by one goroutine at a time.
+// is not safe for concurrent use.
 type Leader struct {
 	term             uint64
 	readings         map[uint64]receivedReading // by member
--- a/internal/cluster/schedule/participant.go
+++ b/internal/cluster/schedule/participant.go
@@ -87,8 +87,7 @@
 
 // ObserveGrant implements replicated.Participant.
 //
-// Grants are ordered by the time of their requests: a delayed grant would otherwise set the cluster time
-// back.
+// It ignores a grant whose request is not the latest so far: a delayed grant would set the cluster time back.
 func (p *participant) ObserveGrant(now time.Duration, g *schema.SessionGrant, _ uint64) {
 	if requestedAt := time.Duration(g.AskedNs); g.FleetNs != 0 && requestedAt > p.clockRequestedAt {
 		p.clock, p.clockRequestedAt = ClusterClock{g.FleetNs, now}, requestedAt
--- a/internal/cluster/schedule/scheduler.go
+++ b/internal/cluster/schedule/scheduler.go
@@ -8,8 +8,7 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// Scheduler proposes the commands for the shards that an instance owns. It must be used by one goroutine at a
-// time.
+// Scheduler proposes the commands for the shards that an instance owns. It is not safe for concurrent use.
 type Scheduler struct {
 	zones            *calendar.ZoneDB
 	policy           *Policy
--- a/internal/cluster/schedule/state.go
+++ b/internal/cluster/schedule/state.go
@@ -40,8 +40,8 @@
 }
 
 // State is the replicated state: the same commands in the same order give the same state at every instance.
-// The embedded Snapshot's Firings field is nil; open firings are kept in a map by number instead. State must
-// be used by one goroutine at a time.
+// The embedded Snapshot's Firings field is nil; open firings are kept in a map by number instead. A State is
+// not safe for concurrent use.
 type State struct {
 	Snapshot
 	open       map[uint64]*Firing
