--- a/internal/cluster/discovery/discovery.go
+++ b/internal/cluster/discovery/discovery.go
@@ -1,11 +1,12 @@
-// Package discovery decides how the list of workers is kept fresh: how often discovery is polled, when a
-// silent watch is restarted, and whether a list that arrives is accepted. It has no clock and no socket; its
-// values belong to the caller's goroutine.
+// Package discovery holds the rules that keep the endpoint list up to date: how often discovery is polled,
+// when a silent watch is restarted, and whether a received list is accepted. It uses no clock and no network,
+// and its types are not safe for concurrent use.
 //
-// How old a list may get follows from the settings alone. Where an agent on the node's own machine has the
-// list, it answers at once and at no cost, and the node is held to what the agent has: so it is polled,
-// beside the watch, several times within the grace period of a drain. Elsewhere each poll costs discovery
-// work, and the node is held to what it was sent: it watches, and restarts a silent watch.
+// The maximum age of a list is determined by the settings. If an agent on the node's machine has the list, a
+// poll is answered immediately and at no cost, and the node is expected to act on every list that the agent
+// has. The agent is therefore polled, in addition to the watch, several times within the grace period of a
+// drain. Without an agent, each poll is work for discovery, and the node is expected to act only on the lists
+// that it was sent. It then only watches, and restarts a silent watch.
 package discovery
 
 import (
@@ -13,67 +14,69 @@
 	"time"
 )
 
-// watchHeartbeat is how often a watch sends something at least, by discovery's protocol.
+// watchHeartbeat is the longest time between two messages of a watch in discovery's protocol.
 const watchHeartbeat = 2 * time.Second
 
-// A silent watch is restarted between these times, without a local agent. What it has missed counts as known
-// 6 s after the silence began, by discovery's protocol, and a poll takes its time too; a single heartbeat
-// that is late is no silence.
+// The bounds of the watch timeout without a local agent. By discovery's protocol, a node is expected to know
+// an update that a silent watch has missed 6 s after the silence began. The upper bound leaves time for a
+// poll within that. The lower bound tolerates a single late heartbeat.
 const (
 	minWatchTimeout = 3 * time.Second
 	maxWatchTimeout = 4500 * time.Millisecond
 )
 
-// pollsPerGrace is how often a local agent is polled within the grace period of a drain: two polls in a row
-// may be lost, and the third still brings the drain in time.
-const pollsPerGrace = 4
+// pollsPerDrainGrace is the number of polls of a local agent within the grace period of a drain. Two polls in
+// a row may be lost, and the third still reports the drain in time.
+const pollsPerDrainGrace = 4
 
-// The bounds of the time between two polls of a local agent.
+// The bounds of the interval between two polls of a local agent.
 const (
 	minPollInterval = 50 * time.Millisecond
 	maxPollInterval = time.Second
 )
 
-// RefreshPolicy is how lists arrive, by the settings.
+// RefreshPolicy holds the settings that determine how a node refreshes its endpoint list.
 type RefreshPolicy struct {
-	// LocalAgent is that an agent on the node's machine has the list, and what it has counts as known.
+	// LocalAgent is true if an agent on the node's machine has the list, and the node is expected to know
+	// every list that the agent has.
 	LocalAgent bool
-	// DrainGrace is how long new jobs may go to a worker that is known to be draining.
+	// DrainGrace is how long new jobs may still be sent to a worker that is known to be draining.
 	DrainGrace time.Duration
-	NodeIndex  int // of this node, from 0
-	FleetSize  int // nodes
+	NodeIndex  int // index of this node, from 0
+	FleetSize  int // number of nodes
 }
 
-// WatchTimeout is how long a watch may be silent before it is restarted.
+// WatchTimeout returns how long a watch may be silent before it is restarted.
 //
-// Hazard: if all watches became silent at one moment, all nodes would call at one moment. Each node has its
-// own timeout, by its index.
+// Without a local agent, the timeout differs by node index. With equal timeouts, all nodes would call
+// discovery at the same time after all watches became silent at once.
 func (p RefreshPolicy) WatchTimeout() time.Duration {
 	if p.LocalAgent {
-		return watchHeartbeat + p.PollInterval() // a restart costs nothing
+		return watchHeartbeat + p.PollInterval() // restarting a watch of a local agent costs nothing
 	}
 	spread := maxWatchTimeout - minWatchTimeout
 	return minWatchTimeout + spread*time.Duration(p.NodeIndex)/time.Duration(max(p.FleetSize, 1))
 }
 
-// PollInterval is the time between two polls of the complete list, beside the watch; 0: there are none.
+// PollInterval returns the time between two polls of the complete list in addition to the watch, or 0 if the
+// list is only watched.
 func (p RefreshPolicy) PollInterval() time.Duration {
 	if !p.LocalAgent {
 		return 0
 	}
-	return min(max(p.DrainGrace/pollsPerGrace, minPollInterval), maxPollInterval)
+	return min(max(p.DrainGrace/pollsPerDrainGrace, minPollInterval), maxPollInterval)
 }
 
-// PollTimeout is how long a poll may take. Polls do not wait for each other, so that the answer of a slow
-// agent is still received.
+// PollTimeout returns how long a poll may take. Polls may overlap, so that the answer of a slow agent is
+// still received.
 func (p RefreshPolicy) PollTimeout() time.Duration {
 	if p.LocalAgent {
-		return pollsPerGrace * p.PollInterval()
+		return pollsPerDrainGrace * p.PollInterval()
 	}
 	return maxWatchTimeout
 }
 
-// StaleListError is that a list is of an older generation than one that was accepted before.
+// StaleListError reports a list with an older generation than the list accepted last.
 type StaleListError struct{ Generation, Newest int64 }
 
 // Error implements error.
@@ -81,22 +84,23 @@
 	return fmt.Sprintf("stale endpoint list: generation %d, the newest is %d", e.Generation, e.Newest)
 }
 
-// GenerationTracker decides which lists are accepted, by their generations.
+// GenerationTracker decides by their generations which lists are accepted.
 type GenerationTracker struct {
-	Generation int64 // of the list that was accepted last
-	// rejectedOlder is that an older list was rejected, at rejectedAt, and none as new has arrived since.
+	Generation int64 // generation of the list accepted last
+	// rejectedOlder is true if an older list was rejected, at rejectedAt, and no list was accepted since.
 	rejectedOlder bool
 	rejectedAt    time.Duration
 }
 
-// Accept takes a list's generation, and when its call began. It returns a *StaleListError if the list must be
-// dropped.
+// Accept decides whether a list of the given generation, returned by a call that started at startedAt, is
+// accepted. It returns a *StaleListError if the list must be dropped.
 //
-// Hazard: several calls are open, and a slow one may answer that a worker serves which is draining by now. So
-// an older list is rejected. But discovery itself may have been restored, from a backup for instance: a call
-// that began after an older list was rejected, and returns an older one too, is accepted.
-func (t *GenerationTracker) Accept(now, began time.Duration, generation int64) error {
-	if generation >= t.Generation || t.rejectedOlder && began > t.rejectedAt {
+// Calls overlap, and a slow one may return a list that shows a worker as serving although it is draining by
+// now. Older lists are therefore rejected. However, discovery may have been restored, for example from a
+// backup, and then counts from a lower generation. So an older list is accepted if its call started after
+// another older list was rejected.
+func (t *GenerationTracker) Accept(now, startedAt time.Duration, generation int64) error {
+	if generation >= t.Generation || t.rejectedOlder && startedAt > t.rejectedAt {
 		t.Generation, t.rejectedOlder = generation, false
 		return nil
 	}
@@ -106,5 +110,7 @@
 	return &StaleListError{Generation: generation, Newest: t.Generation}
 }
 
-// Reset is that discovery is at another address from now on, which counts its own generations.
+// Reset makes the next list acceptable regardless of its generation, if its call starts at or after now. It
+// must be called when the address of discovery changes, because each discovery service counts its own
+// generations.
 func (t *GenerationTracker) Reset(now time.Duration) { t.rejectedOlder, t.rejectedAt = true, now-1 }
--- a/internal/cluster/listrelay/listrelay.go
+++ b/internal/cluster/listrelay/listrelay.go
@@ -1,9 +1,9 @@
-// Package listrelay has one instance of a group watch discovery, and relay the endpoint list to the others.
-// Which instance that is goes by a leased task, whose fencing token comes with each update. What crosses is
-// discovery's own encoding: a complete list, or a change of one.
+// Package listrelay relays the endpoint list from the one instance of a group that watches discovery to the
+// others. A leased task selects that instance, and its fencing token is part of each update. The payload of
+// an update is a complete list or a change of a list, in discovery's own encoding.
 //
-// It holds the rules only, without I/O, clock or goroutine: Publisher at the instance that watches,
-// Subscriber at each other. Both must be called by one goroutine at a time.
+// The package holds only the rules: Publisher for the instance that watches discovery, Subscriber for each
+// other one. They do no I/O, read no clock, start no goroutine and are not safe for concurrent use.
 package listrelay
 
 import (
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// HeartbeatInterval is how often a publisher sends an update while nothing has changed.
+// HeartbeatInterval is the interval between a publisher's updates while the list does not change.
 const HeartbeatInterval = 500 * time.Millisecond
 
-// SilenceTimeout is how long after the last update a subscriber polls discovery itself. A random time of up
-// to as much again is added, so that not all subscribers do so at once.
+// SilenceTimeout is how long after the last update a subscriber polls discovery itself. A
+// random delay of up to SilenceTimeout is added, so that subscribers don't all start at once.
 const SilenceTimeout = 2 * time.Second
 
-// EndpointListUpdate is what a publisher sends to subscribers.
+// EndpointListUpdate is an update that a publisher sends to its subscribers.
 type EndpointListUpdate struct {
-	FencingToken       uint64 // of the lease under which the publisher relays the list
-	Generation         int64  // of the list, as discovery counts
-	PreviousGeneration int64  // of the list that a change applies to
-	Complete           bool   // Payload is the complete list, and no change
-	Payload            []byte // in discovery's encoding; empty: a heartbeat, nothing has changed
+	FencingToken       uint64 // fencing token of the publisher's lease
+	Generation         int64  // generation of the list, assigned by discovery
+	PreviousGeneration int64  // generation of the list that a change applies to
+	Complete           bool   // Payload is a complete list, not a change
+	Payload            []byte // in discovery's encoding; empty: a heartbeat, the list is unchanged
 }
 
-// Publisher makes the updates at the instance that watches discovery. The zero value has published nothing.
+// Publisher creates the updates at the instance that watches discovery. The zero value is ready to use.
 type Publisher struct {
 	generation int64
 	published  bool
 }
 
-// Publish returns the update for what discovery has sent: a complete list or a change, of a generation. The
-// caller fills in the fencing token.
+// Publish returns the update for a payload received from discovery: a complete list, or a change that results
+// in the given generation. The first update is always marked complete. The caller sets the fencing token.
 func (p *Publisher) Publish(generation int64, complete bool, payload []byte) EndpointListUpdate {
 	update := EndpointListUpdate{
 		Generation:         generation,
@@ -46,48 +46,49 @@
 	return update
 }
 
-// Subscriber decides at every other instance which updates are applied.
+// Subscriber decides which updates are applied at an instance that does not watch discovery.
 type Subscriber struct {
-	fencingToken uint64 // the newest known
+	fencingToken uint64 // the greatest known
 	generation   int64
-	synced       bool // a complete list was received, and nothing was missed since
+	synced       bool // a complete list and every update since were received
 	lastUpdate   time.Duration
 	jitter       time.Duration
 }
 
-// NewSubscriber makes a subscriber without a list. Random is a number from 0 to 1 that decides how much
-// later than SilenceTimeout it polls.
-func NewSubscriber(now time.Duration, random float64) *Subscriber {
-	return &Subscriber{lastUpdate: now, jitter: time.Duration(random * float64(SilenceTimeout))}
+// NewSubscriber returns a subscriber without a list. jitterFraction is a random number from 0 to 1, the
+// fraction of SilenceTimeout that is added to it.
+func NewSubscriber(now time.Duration, jitterFraction float64) *Subscriber {
+	return &Subscriber{lastUpdate: now, jitter: time.Duration(jitterFraction * float64(SilenceTimeout))}
 }
 
-// ObserveFencingToken takes over the task's fencing token by the agreed state as this instance knows it.
+// ObserveFencingToken records the fencing token that the task has in this instance's replicated state.
 func (s *Subscriber) ObserveFencingToken(token uint64) { s.fencingToken = max(s.fencingToken, token) }
 
-// GapError is that an update follows on a list that this subscriber does not have.
+// GapError reports an update that does not follow the list that the subscriber has.
 type GapError struct{ Current, Previous int64 }
 
 // Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("gap in the endpoint list's updates: the update follows generation %d, have %d",
+	return fmt.Sprintf("gap in endpoint list updates: update follows generation %d, have generation %d",
 		e.Previous, e.Current)
 }
 
-// StaleError is that the publisher's lease has ended: another one has been granted since.
-type StaleError struct{ FencingToken, Newest uint64 }
+// StalePublisherError reports a publisher whose lease has ended: a later lease has been granted since.
+type StalePublisherError struct{ FencingToken, Newest uint64 }
 
 // Error implements error.
-func (e *StaleError) Error() string {
-	return fmt.Sprintf("stale publisher of the endpoint list: fencing token %d, the newest is %d",
+func (e *StalePublisherError) Error() string {
+	return fmt.Sprintf("stale endpoint list publisher: fencing token %d, the newest is %d",
 		e.FencingToken, e.Newest)
 }
 
-// Receive returns whether an update's payload must be applied. After an error, a *GapError or a *StaleError,
-// the stream must be closed: a new one begins with a complete list.
+// Receive reports whether an update's payload must be applied. After an error, a *GapError or a
+// *StalePublisherError, the stream must be closed; a new stream starts with a complete list.
 func (s *Subscriber) Receive(now time.Duration, u EndpointListUpdate) (apply bool, err error) {
-	// Hazard: a publisher that was stalled resumes with updates in its buffers, on a stream that is open.
+	// A publisher that was stalled may resume sending buffered updates on an open stream after another
+	// instance has taken over. Without this check, they would be applied.
 	if u.FencingToken < s.fencingToken {
-		return false, &StaleError{u.FencingToken, s.fencingToken}
+		return false, &StalePublisherError{u.FencingToken, s.fencingToken}
 	}
 	s.fencingToken = u.FencingToken
 	heartbeat := len(u.Payload) == 0
@@ -105,10 +106,10 @@
 	return apply, nil
 }
 
-// ShouldPoll is whether this instance should poll discovery itself now.
+// ShouldPoll reports whether this instance should poll discovery itself now.
 func (s *Subscriber) ShouldPoll(now time.Duration) bool {
 	return !s.synced || now-s.lastUpdate > SilenceTimeout+s.jitter
 }
 
-// Invalidate drops the list: another complete one must be received before updates count.
+// Invalidate drops the list. Updates are accepted again once another complete list has been received.
 func (s *Subscriber) Invalidate() { s.synced = false }
--- a/internal/cluster/membership/convergence_test.go
+++ b/internal/cluster/membership/convergence_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// seedCount is how many seeds a test simulates: the given number, or $STORIES, and a quarter with -short.
+// seedCount returns the number of seeds that a test simulates: n, or the value of $STORIES if that is set.
+// With -short it is a quarter of that.
 func seedCount(t *testing.T, n int) uint64 {
 	t.Helper()
 	if v, err := strconv.Atoi(os.Getenv("STORIES")); err == nil {
-		n = v // for a longer search than a test run has time for
+		n = v // allows a longer search than a normal test run has time for
 	}
 	if testing.Short() {
 		n /= 4
@@ -19,14 +20,15 @@
 	return uint64(n)
 }
 
-// A live member is never called failed while nobody stalls for longer than the stated pause, however many
-// stall: it learns of the suspicion and refutes it.
+// No live member may be declared failed while each stall is shorter than maxPause, no matter how many members
+// stall: a stalled member learns of the suspicion and refutes it in time.
 func TestShortPausesFailNoLiveMember(t *testing.T) {
 	for seed := range seedCount(t, 20) {
 		n := []int{5, 10, 30}[seed%3]
 		s := newSimulation(seed, n, simulationPolicy())
 		s.onFalseFailure = func(observer, observed *simMember) {
-			t.Errorf("seed %d: at %v %d calls %d failed", seed, s.now, observer.id, observed.id)
+			t.Errorf("seed %d: at %v member %d declared live member %d failed", seed, s.now, observer.id,
+				observed.id)
 		}
 		for at := 5 * time.Second; at < 100*time.Second; at += 5 * time.Second {
 			s.after(at, func() {
@@ -44,8 +46,8 @@
 	}
 }
 
-// A member that others reach is not even suspected when the link between it and one other is cut, in one
-// direction or both.
+// A cut link between two members, in one direction or both, must not make either of them suspect while other
+// members still reach both.
 func TestCutLinkBetweenTwoMembersSuspectsNobody(t *testing.T) {
 	for seed := range seedCount(t, 20) {
 		s := newSimulation(seed, 6, simulationPolicy())
@@ -58,34 +60,37 @@
 			unreachable += countUnreachable(t, s, seed)
 		}
 		if unreachable == 0 {
-			t.Errorf("seed %d: nobody has noticed the cut", seed)
+			t.Errorf("seed %d: no member reported the cut link as unreachable", seed)
 		}
 		clear(s.cut)
 		s.run(s.now + 20*time.Second)
 		for _, observer := range s.members {
 			for _, m := range observer.detector.Members() {
 				if !m.Reachable {
-					t.Errorf("seed %d: the link is back, and %d does not reach %d", seed, observer.id, m.ID)
+					t.Errorf("seed %d: the link is restored, but member %d still reports %d as unreachable",
+						seed, observer.id, m.ID)
 				}
 			}
 		}
 	}
 }
 
-// countUnreachable counts the pairs that do not reach each other. Only 1 and 2 may, and nobody may be
-// suspected.
+// countUnreachable counts the members that others report as unreachable. It fails the test if a pair other
+// than members 1 and 2 is affected, or if any member is not alive.
 func countUnreachable(t *testing.T, s *simulation, seed uint64) (count int) {
 	t.Helper()
 	for _, observer := range s.members {
 		for _, m := range observer.detector.Members() {
 			if m.State != Alive {
-				t.Fatalf("seed %d: %d takes %d for %v", seed, observer.id, m.ID, m.State)
+				t.Fatalf("seed %d: member %d reports member %d as %v, want alive", seed, observer.id, m.ID,
+					m.State)
 			}
 			if m.Reachable {
 				continue
 			}
 			if count++; observer.id > 2 || m.ID > 2 {
-				t.Fatalf("seed %d: %d can't reach %d", seed, observer.id, m.ID)
+				t.Fatalf("seed %d: member %d can't reach member %d, though their link is not cut", seed,
+					observer.id, m.ID)
 			}
 		}
 	}
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// memberRecord is what a detector knows of another member.
+// memberRecord is the detector's state for another member.
 type memberRecord struct {
 	id          ID
 	state       State
 	incarnation uint64
 	changedAt   time.Duration
-	// Of a suspect: who has come to the suspicion, when it becomes a failure, and for how long this process
-	// has been stalled meanwhile.
+	// Only for a suspect: the members that raised or confirmed the suspicion, the time at which the member
+	// is declared failed, and how long this process has been stalled since the suspicion began.
 	suspectedBy    map[ID]bool
 	suspicionEnds  time.Duration
 	stalledFor     time.Duration
-	reachable      bool // this member's own pings are answered
+	reachable      bool // whether it answers this member's own pings
 	reachableSince time.Duration
 }
 
-// Detector is one member's side of the protocol.
+// Detector runs the protocol for one member.
 type Detector struct {
 	self        ID
 	incarnation uint64
@@ -30,18 +30,18 @@
 	rng         *rand.Rand
 
 	members    map[ID]*memberRecord
-	notAlive   map[ID]*memberRecord // those of members that are suspect, failed or departed
-	probeOrder []ID                 // of this round
-	probeIndex int                  // in probeOrder, of the next probe
-	liveCount  int                  // members that are alive or suspect, this one among them
+	notAlive   map[ID]*memberRecord // the records in members that are suspect, failed or departed
+	probeOrder []ID                 // of the current round
+	probeIndex int                  // index in probeOrder of the next member to probe
+	liveCount  int                  // number of alive and suspect members, including this one
 
-	seq          uint64 // of the newest ping
+	seq          uint64 // sequence number of the latest ping
 	probe        probe
-	relayedPings map[uint64]relayedPing // by the sequence number of this member's own ping
+	relayedPings map[uint64]relayedPing // keyed by the sequence number of the ping that this member sent
 	nextProbe    time.Duration
 	nextSync     time.Duration
 	nextGossip   time.Duration
-	expectedTick time.Duration // what NextTick returned when the detector last ran
+	expectedTick time.Duration // result of NextTick after the latest call of Tick or Receive
 	health       health
 	queue        updateQueue
 	events       []MemberState
@@ -49,9 +49,9 @@
 	counters     Counters
 }
 
-// New makes the detector of a process that has just started. Its incarnation should be above that of every
-// earlier process of this member, if that is known: where it is not, the detector refutes what is known of
-// an earlier one. The seed decides all random choices.
+// New returns the detector of a process that has just started. The incarnation should be greater than that of
+// every earlier process of this member. If those are not known, the detector refutes the updates about an
+// earlier process as it receives them. The seed determines all random choices.
 func New(now time.Duration, self ID, incarnation, seed uint64, p Policy) *Detector {
 	d := &Detector{
 		self:         self,
@@ -66,7 +66,7 @@
 		liveCount:    1,
 	}
 	d.nextProbe = now + time.Duration(d.rng.Int64N(int64(p.ProbeInterval)))
-	d.nextSync = now // at once
+	d.nextSync = now // sync on the first tick
 	d.probe.done = true
 	if incarnation > 0 {
 		d.queue.add(Update{ID: self, State: Alive, Incarnation: incarnation})
@@ -75,8 +75,8 @@
 	return d
 }
 
-// AddMembers adds members of the agreed configuration, or contact points that may be members. Those that
-// are known already keep their state.
+// AddMembers adds members of the replicated configuration, or contact points that may be members. Members
+// that are already known keep their state.
 func (d *Detector) AddMembers(now time.Duration, ids ...ID) {
 	for _, id := range ids {
 		if id != d.self && d.members[id] == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// RemoveMember forgets a member that the agreed configuration does not hold any more.
+// RemoveMember drops a member that is no longer in the replicated configuration.
 func (d *Detector) RemoveMember(id ID) {
 	r := d.members[id]
 	if r == nil {
@@ -100,7 +100,7 @@
 	d.probeIndex = min(d.probeIndex, len(d.probeOrder))
 }
 
-// addMember adds a member as alive, at a random place of the rest of this round.
+// addMember adds a member as alive, at a random position in the rest of the current round.
 func (d *Detector) addMember(now time.Duration, id ID) *memberRecord {
 	r := &memberRecord{id: id, changedAt: now, reachable: true, reachableSince: now}
 	d.members[id] = r
@@ -111,32 +111,34 @@
 	return r
 }
 
-func (d *Detector) countLive(s State, change int) {
+func (d *Detector) countLive(s State, delta int) {
 	if s == Alive || s == Suspect {
-		d.liveCount += change
+		d.liveCount += delta
 	}
 }
 
-// Incarnation is this member's own. A later process of it should begin above it.
+// Incarnation returns this member's own incarnation. A later process of the member should start with a
+// greater one.
 func (d *Detector) Incarnation() uint64 { return d.incarnation }
 
-// Counters are what has happened so far.
+// Counters returns the event counts so far.
 func (d *Detector) Counters() Counters { return d.counters }
 
-// HealthScore is Lifeguard's local health: 0 is healthy, and the probe's times are stretched by 1 + score.
+// HealthScore returns Lifeguard's local health score: 0 is healthy. Probe times are multiplied by 1 + score.
 func (d *Detector) HealthScore() int { return d.health.score }
 
-// PopEvents returns the members whose state has changed since the last call, as they were after the change.
+// PopEvents returns the state changes since the last call. Each entry is a member's state right after the
+// change.
 func (d *Detector) PopEvents() []MemberState {
 	events := d.events
 	d.events = nil
 	return events
 }
 
-// Version increases whenever the result of Members may have changed.
+// Version returns a number that increases whenever the result of Members may have changed.
 func (d *Detector) Version() uint64 { return d.version }
 
-// Members returns the state of all known members but this one, by ID.
+// Members returns the state of all known members except this one, sorted by ID.
 func (d *Detector) Members() []MemberState {
 	list := make([]MemberState, 0, len(d.members))
 	for _, r := range d.members {
@@ -164,7 +166,7 @@
 	return s
 }
 
-// NextTick is when Tick must be called at the latest. Each call of Tick and of Receive may change it.
+// NextTick returns the time by which Tick must be called. Each call of Tick or Receive may change it.
 func (d *Detector) NextTick() time.Duration {
 	next := min(d.nextProbe, d.nextSync)
 	if d.queue.len() > 0 {
@@ -187,7 +189,7 @@
 	return next
 }
 
-// Tick does what is due, and returns the messages to send.
+// Tick runs the timers that have expired and returns the messages to send.
 func (d *Detector) Tick(now time.Duration) (out []Outbound) {
 	d.detectStall(now)
 	defer func() { d.expectedTick = d.NextTick() }()
@@ -206,7 +208,8 @@
 	return out
 }
 
-// expireMembers turns suspicions that have timed out into failures, and forgets members that failed long ago.
+// expireMembers declares suspects failed whose suspicion has timed out, and drops members that failed or
+// departed longer than FailedRetention ago.
 func (d *Detector) expireMembers(now time.Duration) {
 	for _, id := range d.sortedNotAlive() {
 		r := d.members[id]
@@ -219,7 +222,8 @@
 	}
 }
 
-// sortedNotAlive returns the members that are not alive by ID: the order of a map differs between runs.
+// sortedNotAlive returns the members that are not alive, sorted by ID. Map iteration order would differ
+// between runs, and the detector must be deterministic.
 func (d *Detector) sortedNotAlive() (list []ID) {
 	for id := range d.notAlive {
 		list = append(list, id)
@@ -228,11 +232,11 @@
 	return list
 }
 
-// detectStall notices that this process did not run for a while.
+// detectStall detects that this process did not run for longer than a probe interval.
 //
-// Hazard: messages that others sent meanwhile are queued behind this call. So it takes itself for unhealthy
-// first: no member is suspected for a ping that was sent before the stall, and the time that a suspicion
-// lasts does not pass during it.
+// Messages that others sent during the stall are still queued behind this call, so missing answers are this
+// member's fault first: its health score worsens, no member is suspected because of a ping sent before the
+// stall, and the stall does not count towards the duration of suspicions.
 func (d *Detector) detectStall(now time.Duration) {
 	stall := now - d.expectedTick
 	if stall <= d.policy.ProbeInterval {
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// updateQueue holds the updates that are being spread: the newest on each member.
+// updateQueue holds the updates to disseminate: the latest one about each member.
 type updateQueue map[ID]*queuedUpdate
 
 type queuedUpdate struct {
 	Update
-	sent int // how often
+	sent int // number of times it has been sent
 }
 
-// add has an update spread, in the place of an older one on the same member.
+// add queues an update, replacing an older one about the same member.
 func (q updateQueue) add(u Update) { q[u.ID] = &queuedUpdate{Update: u} }
 
 func (q updateQueue) remove(id ID) { delete(q, id) }
 
 func (q updateQueue) len() int { return len(q) }
 
-// pick returns at most count updates for a message to a member, those that were sent least often first. An
-// update that has been sent so many times in all is dropped.
-func (q updateQueue) pick(to ID, count, retransmits int) []Update {
+// pick returns at most limit updates to put into a message to the given member, those sent least often first.
+// An update that has been sent retransmitLimit times is removed from the queue.
+func (q updateQueue) pick(to ID, limit, retransmitLimit int) []Update {
 	list := make([]*queuedUpdate, 0, len(q))
 	for _, u := range q {
 		list = append(list, u)
 	}
 	slices.SortFunc(list, func(a, b *queuedUpdate) int {
-		// What the receiver can refute comes first.
+		// Updates that the receiver can refute come first.
 		return cmp.Or(compareTrueFirst(a.refutableBy(to), b.refutableBy(to)),
 			cmp.Compare(a.sent, b.sent), cmp.Compare(a.ID, b.ID))
 	})
 	var updates []Update
-	for _, u := range list[:min(len(list), count)] {
+	for _, u := range list[:min(len(list), limit)] {
 		updates = append(updates, u.Update)
-		if u.sent++; u.sent >= retransmits {
+		if u.sent++; u.sent >= retransmitLimit {
 			delete(q, u.ID)
 		}
 	}
@@ -55,19 +55,20 @@
 	return 1
 }
 
-// newMessage completes a message with updates to piggyback, unless it has its own.
+// newMessage addresses a message and piggybacks updates on it, unless it already carries updates.
 func (d *Detector) newMessage(to ID, m Message) Outbound {
 	d.counters.Messages++
 	if m.Updates == nil {
-		m.Updates = d.queue.pick(to, d.policy.MaxPiggyback, d.policy.retransmits(d.liveCount))
+		m.Updates = d.queue.pick(to, d.policy.MaxPiggyback, d.policy.retransmitLimit(d.liveCount))
 	}
 	return Outbound{To: to, Message: m}
 }
 
-// sendGossip sends updates to some members.
+// sendGossip sends updates to randomly picked members.
 //
-// Hazard: a member that this one suspects by its own probe is sent the suspicion each time, while it may
-// still be refuted: by random choice alone it would learn of it too late.
+// A member that this one suspects because of its own probe is sent the suspicion in every round, as long as
+// the suspicion can still be refuted. If it were only picked at random, it would learn of the suspicion too
+// late.
 func (d *Detector) sendGossip(now time.Duration) (out []Outbound) {
 	d.nextGossip = now + d.policy.GossipInterval
 	receivers := d.pickMembers(d.policy.IndirectProbes, 0, Suspect)
@@ -82,13 +83,13 @@
 		out = append(out, d.newMessage(id, Message{Kind: Gossip}))
 	}
 	if len(d.probeOrder) == 0 {
-		clear(d.queue) // there is no other member
+		clear(d.queue) // no other member to send to
 	}
 	return out
 }
 
-// startSync begins a full exchange of states with one member. It may be one that has failed: a partition may
-// have healed.
+// startSync starts a full state sync with a random member. Failed members are included, because a partition
+// may have healed.
 func (d *Detector) startSync(now time.Duration) []Outbound {
 	d.nextSync = now + d.policy.SyncInterval/2 + time.Duration(d.rng.Int64N(int64(d.policy.SyncInterval)))
 	if len(d.probeOrder) == 0 {
@@ -98,7 +99,7 @@
 	return []Outbound{{To: id, Message: Message{Kind: SyncRequest, Updates: d.fullState()}}}
 }
 
-// fullState is what a full exchange carries: the state of all known members, this one among them.
+// fullState returns the contents of a full state sync: the state of all known members, including this one.
 func (d *Detector) fullState() []Update {
 	updates := []Update{{ID: d.self, State: Alive, Incarnation: d.incarnation}}
 	for _, s := range d.Members() {
--- a/internal/cluster/membership/health.go
+++ b/internal/cluster/membership/health.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// health is Lifeguard's local health multiplier: how slow this member takes itself to be.
+// health is Lifeguard's local health multiplier: this member's estimate of how slow it is itself.
 type health struct {
-	score int // 0: healthy
+	score int // from 0 (healthy) to limit
 	limit int
 }
 
-// adjust worsens the score by a positive change, and improves it by a negative one.
-func (h *health) adjust(change int) { h.score = max(0, min(h.limit, h.score+change)) }
+// adjust adds delta to the score, within its bounds. A positive delta means worse health.
+func (h *health) adjust(delta int) { h.score = max(0, min(h.limit, h.score+delta)) }
 
-// scale stretches a time of the probe by the score.
+// scale multiplies a probe time by 1 + score.
 func (h *health) scale(d time.Duration) time.Duration { return d * time.Duration(h.score+1) }
--- a/internal/cluster/membership/health_test.go
+++ b/internal/cluster/membership/health_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// newProbingDetector returns one of three members with a probe under way, and when that began.
+// newProbingDetector returns the detector of one of three members with a probe in progress, and the time of
+// its next tick.
 func newProbingDetector(t *testing.T) (d *Detector, now time.Duration) {
 	t.Helper()
 	d = New(0, 1, 0, 1, DefaultPolicy())
@@ -26,17 +27,19 @@
 	return count
 }
 
-// After a stall a member suspects nobody for pings that were sent before, and its health score worsens.
+// After a stall a member must not suspect others because of pings sent before the stall, and its health score
+// worsens.
 func TestStalledMemberSuspectsNobody(t *testing.T) {
 	d, now := newProbingDetector(t)
 	d.Tick(now + 30*time.Second)
 	if countNotAlive(d) > 0 || d.HealthScore() == 0 || d.Counters().Stalls != 1 {
-		t.Errorf("it suspects %d, health score %d, %+v", countNotAlive(d), d.HealthScore(), d.Counters())
+		t.Errorf("%d members not alive, want 0; health score %d, want above 0; counters %+v, want Stalls 1",
+			countNotAlive(d), d.HealthScore(), d.Counters())
 	}
 }
 
-// A member that receives nothing, not even from helpers, stretches its times; and it sends its suspicion to
-// the suspect each time.
+// A member that receives nothing, not even from helpers, lengthens its probe times. It also sends its
+// suspicion to the suspect in every gossip round, so that the suspect can refute it.
 func TestIsolatedMemberSlowsDownAndGossipsToItsSuspect(t *testing.T) {
 	d, now := newProbingDetector(t)
 	for countNotAlive(d) == 0 {
@@ -44,8 +47,8 @@
 		now = d.NextTick()
 	}
 	if d.HealthScore() == 0 || d.nextProbe-now < d.policy.ProbeInterval {
-		t.Errorf("it receives nothing, health score %d, the next probe in %v", d.HealthScore(),
-			d.nextProbe-now)
+		t.Errorf("isolated member: health score %d, want above 0; next probe in %v, want at least 1s",
+			d.HealthScore(), d.nextProbe-now)
 	}
 	var suspect ID
 	for _, m := range d.Members() {
@@ -59,7 +62,7 @@
 		if !slices.ContainsFunc(out, func(o Outbound) bool {
 			return o.To == suspect && slices.ContainsFunc(o.Updates, isSuspicion)
 		}) {
-			t.Fatalf("%d is suspected, and not sent that: %+v", suspect, out)
+			t.Fatalf("suspect %d was not sent its suspicion: %+v", suspect, out)
 		}
 	}
 }
--- a/internal/cluster/membership/measurement_test.go
+++ b/internal/cluster/membership/measurement_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// measure returns a row of the table in docs/membership.md: messages at rest, one death, and how many
-// members are called failed wrongly while a tenth pauses for twice the stated pause.
+// measure returns a row of the table in docs/membership.md: the detection times of one crash, their bound,
+// the messages per member and second of an idle group, and the number of false failures while a tenth of the
+// members pause for twice maxPause.
 func measure(n int, seed uint64, p Policy) string {
 	s := newSimulation(seed, n, p)
 	s.run(20 * time.Second)
@@ -21,29 +22,31 @@
 		detectionBound(p, n).Seconds(), messages, falseFailures)
 }
 
-// measureDetection kills the first member, and measures when the first other and when all know of it.
+// measureDetection kills the first member and measures the time until one other member, and until all others,
+// have declared it failed.
 func measureDetection(s *simulation, n int) (first, all time.Duration) {
 	s.members[0].alive = false
 	died := s.now
 	for all == 0 && s.now < died+10*detectionBound(s.policy, n) {
 		s.run(s.now + 100*time.Millisecond)
-		know := 0
+		detected := 0
 		for _, m := range s.members[1:] {
 			if m.detector.members[1].state == Failed {
-				know++
+				detected++
 			}
 		}
-		if know > 0 && first == 0 {
+		if detected > 0 && first == 0 {
 			first = s.now - died
 		}
-		if know == n-1 {
+		if detected == n-1 {
 			all = s.now - died
 		}
 	}
 	return first, all
 }
 
-// countFalseFailures has a tenth of the members stall for twice the stated pause, each ten seconds.
+// countFalseFailures counts false failures while about a tenth of the members, picked again every ten
+// seconds, stall for twice maxPause.
 func countFalseFailures(s *simulation) (count int) {
 	s.onFalseFailure = func(_, _ *simMember) { count++ }
 	began := s.now
@@ -62,10 +65,10 @@
 	return count
 }
 
-// FIGURES=1 prints the table of docs/membership.md, which is not judged.
+// With FIGURES=1 this prints the table of docs/membership.md. It checks nothing.
 func TestPrintMeasurements(t *testing.T) {
 	if os.Getenv("FIGURES") == "" {
-		t.Skip("FIGURES=1 prints them")
+		t.Skip("set FIGURES=1 to print the measurements")
 	}
 	for _, n := range []int{5, 50, 300, 1000} {
 		for seed := range uint64(2) {
@@ -74,13 +77,14 @@
 	}
 }
 
-// WITHOUT=1 prints what is measured without each extension of the protocol, which is not judged.
+// With WITHOUT=1 this prints the same measurements with one protocol extension disabled at a time. It checks
+// nothing.
 func TestPrintMeasurementsWithoutExtensions(t *testing.T) {
 	if os.Getenv("WITHOUT") == "" {
-		t.Skip("WITHOUT=1 prints them")
+		t.Skip("set WITHOUT=1 to print the measurements")
 	}
 	for name, change := range map[string]func(*Policy){
-		"as it is":               func(*Policy) {},
+		"all extensions":         func(*Policy) {},
 		"without local health":   func(p *Policy) { p.MaxHealthScore = 0 },
 		"without indirect pings": func(p *Policy) { p.IndirectProbes = 0 },
 		"constant suspicion":     func(p *Policy) { p.SuspicionMaxMult = 1 },
--- a/internal/cluster/membership/policy.go
+++ b/internal/cluster/membership/policy.go
@@ -10,36 +10,37 @@
 	"moorstack/internal/cluster/replicated"
 )
 
-// Section is the section of the agreed document that has instances probe each other.
+// Section is the name of the configuration document's section that makes instances probe each other.
 const Section = "membership"
 
-// The bounds of the section's key probe.
+// The bounds of the section's "probe" key.
 const (
 	minProbeInterval = 50 * time.Millisecond
 	maxProbeInterval = time.Minute
 )
 
-// Policy holds the detector's times and multipliers, named as in hashicorp/memberlist where that has them.
+// Policy holds the detector's intervals and multipliers. Those that hashicorp/memberlist also has are named
+// as they are there.
 type Policy struct {
-	ProbeInterval  time.Duration // one member is probed in each
-	ProbeTimeout   time.Duration // for a ping's answer, before indirect pings are requested
-	IndirectProbes int           // members that get each request for an indirect ping, or a round of gossip
-	// A suspicion lasts SuspicionMult log10(members) probe intervals at the least, where IndirectProbes
-	// members have come to it independently, and SuspicionMaxMult times that where nobody else has.
+	ProbeInterval  time.Duration // time between two probes, each of a single member
+	ProbeTimeout   time.Duration // time to wait for an Ack before requesting indirect pings
+	IndirectProbes int           // number of members that receive an indirect ping request or a gossip round
+	// The minimum duration of a suspicion is SuspicionMult * max(1, log10(members)) probe intervals. It
+	// applies when IndirectProbes other members have confirmed the suspicion; without any confirmation,
+	// the duration is SuspicionMaxMult times the minimum.
 	SuspicionMult, SuspicionMaxMult float64
-	MaxHealthScore                  int // the probe's times are stretched by at most 1 + MaxHealthScore
-	RetransmitMult                  int // an update is sent RetransmitMult log2(members+1) times
-	MaxPiggyback                    int // updates in a message, but for a full exchange
-	// GossipInterval is the time between two Gossip messages while there are updates to send.
-	//
-	// Hazard: on probes alone, updates would spread as slowly as the members whose health score is high
-	// probe.
+	MaxHealthScore                  int // probe times are multiplied by at most 1 + MaxHealthScore
+	RetransmitMult                  int // an update is sent RetransmitMult * ceil(log2(members+1)) times
+	MaxPiggyback                    int // maximum number of updates in a message other than a full state sync
+	// GossipInterval is the time between two Gossip messages while there are updates to send. If updates
+	// were only piggybacked on probes, members with a high health score, which probe slowly, would also
+	// spread updates slowly.
 	GossipInterval  time.Duration
-	SyncInterval    time.Duration // the mean time between two full exchanges of state
-	FailedRetention time.Duration // how long a failed or departed member is remembered
+	SyncInterval    time.Duration // mean time between two full state syncs
+	FailedRetention time.Duration // how long failed and departed members are kept
 }
 
-// DefaultPolicy has Lifeguard's constants, and a probe interval of a second.
+// DefaultPolicy returns a policy with Lifeguard's constants and a probe interval of one second.
 func DefaultPolicy() Policy {
 	return Policy{
 		ProbeInterval:    time.Second,
@@ -56,9 +57,10 @@
 	}
 }
 
-// ParsePolicy reads the section's values. On is whether members probe each other: without a probe interval
-// they do not. Problems are for the operator who proposed the values; it is empty if they are valid.
-func ParsePolicy(values map[string]string) (p Policy, on bool, problems []string) {
+// ParsePolicy parses the section's values. enabled reports whether members probe each other, which they do
+// only if a probe interval is configured. problems describes the invalid values to the operator who proposed
+// them; it is empty if all are valid.
+func ParsePolicy(values map[string]string) (p Policy, enabled bool, problems []string) {
 	p = DefaultPolicy()
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		text := values[key]
@@ -70,21 +72,23 @@
 					fmt.Sprintf("probe: %q is not a time from 50ms to 1m, as in \"1s\"", text))
 				continue
 			}
-			p, on = p.scaledTo(interval), true
+			p, enabled = p.scaledTo(interval), true
 		default:
 			problems = append(problems, fmt.Sprintf("%q is no key of this section; probe is", key))
 		}
 	}
-	return p, on, problems
+	return p, enabled, problems
 }
 
-// Validate returns what is wrong with the section of a document, the same at every instance.
+// Validate returns the problems of a document's section. The result depends only on the section, so that
+// every instance returns the same.
 func Validate(c replicated.Config) []string {
 	_, _, problems := ParsePolicy(c.Values)
 	return problems
 }
 
-// scaledTo returns the policy with another probe interval, and the times that go with it in proportion.
+// scaledTo returns the policy with the given probe interval, and scales ProbeTimeout, GossipInterval and
+// SyncInterval in proportion.
 func (p Policy) scaledTo(interval time.Duration) Policy {
 	for _, d := range []*time.Duration{&p.ProbeTimeout, &p.GossipInterval, &p.SyncInterval} {
 		*d = time.Duration(float64(*d) * float64(interval) / float64(p.ProbeInterval))
@@ -93,17 +97,17 @@
 	return p
 }
 
-// suspicionTimeout is how long a suspicion lasts among so many members, when so many others confirm it.
-// It is Lifeguard's formula.
+// suspicionTimeout returns how long a suspicion lasts in a group with the given number of members after the
+// given number of independent confirmations, by Lifeguard's formula.
 func (p Policy) suspicionTimeout(members, confirmations int) time.Duration {
-	least := p.SuspicionMult * max(1, math.Log10(float64(max(members, 1)))) * float64(p.ProbeInterval)
-	most := p.SuspicionMaxMult * least
-	expected := float64(max(min(p.IndirectProbes, members-2), 1))
-	progress := math.Log(float64(confirmations)+1) / math.Log(expected+1)
-	return time.Duration(max(least, most-(most-least)*progress))
+	minTimeout := p.SuspicionMult * max(1, math.Log10(float64(max(members, 1)))) * float64(p.ProbeInterval)
+	maxTimeout := p.SuspicionMaxMult * minTimeout
+	expectedConfirmations := float64(max(min(p.IndirectProbes, members-2), 1))
+	progress := math.Log(float64(confirmations)+1) / math.Log(expectedConfirmations+1)
+	return time.Duration(max(minTimeout, maxTimeout-(maxTimeout-minTimeout)*progress))
 }
 
-// retransmits is how often an update is sent among so many members.
-func (p Policy) retransmits(members int) int {
+// retransmitLimit returns how many times an update is sent in a group with the given number of members.
+func (p Policy) retransmitLimit(members int) int {
 	return p.RetransmitMult * int(math.Ceil(math.Log2(float64(members+1))))
 }
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// probe is the probe that is under way: a ping, then indirect pings by helpers.
+// probe is the current probe: a ping, followed by indirect pings through helpers.
 type probe struct {
-	seq         uint64
-	target      ID
-	indirectAt  time.Duration // when indirect pings are requested
-	deadline    time.Duration
-	helpers     int // that an indirect ping was requested of
-	nacks       int // helpers that have answered, with or without an answer of the target
-	done        bool
-	indirectAck bool // a helper has reached the target
+	seq           uint64
+	target        ID
+	indirectAt    time.Duration // time at which indirect pings are requested
+	deadline      time.Duration
+	helpers       int // number of members asked for an indirect ping
+	helperReplies int // number of helpers that have replied, whether the target answered them or not
+	done          bool
+	indirectAck   bool // whether a helper has reached the target
 }
 
-// relayedPing is a ping that this member sends for another.
+// relayedPing is a ping that this member sends on behalf of another.
 type relayedPing struct {
 	requester    ID
 	requesterSeq uint64 // sequence number of the requester's own ping
@@ -22,7 +22,7 @@
 	nackAt       time.Duration
 }
 
-// startProbe pings the next member of the round.
+// startProbe pings the next member of the round, unless the previous probe is still in progress.
 func (d *Detector) startProbe(now time.Duration) []Outbound {
 	d.nextProbe = now + d.health.scale(d.policy.ProbeInterval)
 	if !d.probe.done {
@@ -55,7 +55,7 @@
 	})
 }
 
-// advanceProbe takes the next step of the probe that is under way, if that is due.
+// advanceProbe requests indirect pings for the current probe or ends it, if its timer has expired.
 func (d *Detector) advanceProbe(now time.Duration) []Outbound {
 	if d.probe.done {
 		return nil
@@ -72,16 +72,16 @@
 	return nil
 }
 
-// endProbe ends a probe whose target has not answered in time, and suspects the target unless others have
-// reached it.
+// endProbe ends a probe whose target has not answered in time, and marks the target as suspect unless a
+// helper has reached it.
 func (d *Detector) endProbe(now time.Duration, target *memberRecord) {
 	d.probe.done = true
 	d.setReachable(now, target, false)
 	if d.probe.indirectAck {
 		return
 	}
-	// Helpers that have sent no answer at all are a sign that this member is not reached itself.
-	d.health.adjust(d.probe.helpers - d.probe.nacks)
+	// Helpers that sent neither an Ack nor a Nack suggest that messages to this member are lost or late.
+	d.health.adjust(d.probe.helpers - d.probe.helperReplies)
 	if d.probe.helpers == 0 {
 		d.health.adjust(1)
 	}
@@ -102,20 +102,21 @@
 		out = append(out, d.newMessage(id, Message{Kind: IndirectPing, Seq: p.seq, Target: p.target}))
 	}
 	if p.helpers == 0 {
-		p.indirectAt = p.deadline // there is no helper
+		p.indirectAt = p.deadline // no helper is available
 	}
 	return out
 }
 
-// pickMembers picks at most n reachable members whose state is no worse than the given one, at random.
-func (d *Detector) pickMembers(n int, except ID, worst State) (list []ID) {
+// pickMembers returns at most n reachable members with a state of at most worstState. They follow each other
+// in the probe order, from a random start.
+func (d *Detector) pickMembers(n int, exclude ID, worstState State) (list []ID) {
 	if len(d.probeOrder) == 0 {
 		return nil
 	}
 	first := d.rng.IntN(len(d.probeOrder))
 	for k := range len(d.probeOrder) {
 		id := d.probeOrder[(first+k)%len(d.probeOrder)]
-		if r := d.members[id]; r.state <= worst && id != except && r.reachable {
+		if r := d.members[id]; r.state <= worstState && id != exclude && r.reachable {
 			if list = append(list, id); len(list) == n {
 				break
 			}
@@ -131,7 +132,7 @@
 	}
 }
 
-// expireRelayedPings reports pings for others that were not answered in time.
+// expireRelayedPings sends a Nack for each relayed ping that was not answered in time.
 func (d *Detector) expireRelayedPings(now time.Duration) (out []Outbound) {
 	for seq, p := range d.relayedPings {
 		if now >= p.nackAt {
@@ -143,7 +144,7 @@
 	return out
 }
 
-// handleIndirectPing pings a member for another one.
+// handleIndirectPing pings the target on behalf of the sender.
 func (d *Detector) handleIndirectPing(now time.Duration, from ID, m Message) []Outbound {
 	if d.members[m.Target] == nil || m.Target == from {
 		return nil
@@ -158,7 +159,7 @@
 	return []Outbound{d.newMessage(m.Target, Message{Kind: Ping, Seq: d.seq})}
 }
 
-// handleAck takes the answer to this member's own ping, to a relayed one, or to an indirect ping.
+// handleAck handles the answer to this member's own ping, to a relayed ping, or to an indirect ping request.
 func (d *Detector) handleAck(now time.Duration, from ID, m Message) []Outbound {
 	if p, ok := d.relayedPings[m.Seq]; ok && p.target == from {
 		delete(d.relayedPings, m.Seq)
@@ -167,7 +168,7 @@
 	}
 	p := &d.probe
 	if p.done || p.seq != m.Seq {
-		return nil // late
+		return nil // the probe has ended
 	}
 	switch {
 	case from == p.target:
@@ -176,16 +177,16 @@
 		d.setReachable(now, d.members[from], true)
 	case m.Target == p.target && !p.indirectAck:
 		p.indirectAck = true
-		p.nacks++ // this helper has answered
+		p.helperReplies++ // an Ack is a reply too
 		d.health.adjust(-1)
 	}
 	return nil
 }
 
-// handleNack counts a helper that could not reach the target, but has answered itself.
+// handleNack counts the reply of a helper that could not reach the target.
 func (d *Detector) handleNack(m Message) {
 	p := &d.probe
 	if !p.done && p.seq == m.Seq && p.target == m.Target {
-		p.nacks = min(p.nacks+1, p.helpers)
+		p.helperReplies = min(p.helperReplies+1, p.helpers)
 	}
 }
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Bounds of what is received. Whatever exceeds them is rejected as invalid.
+// Bounds on received messages. Messages and updates that exceed them are rejected as invalid.
 const (
-	maxUpdates         = 20_000  // in a message
-	maxIncarnationJump = 1 << 20 // from the incarnation that is known
+	maxUpdates         = 20_000  // per message
+	maxIncarnationJump = 1 << 20 // above the known incarnation of the member
 )
 
-// Receive takes a message, and returns the messages to send. From is the sender as its certificate names it.
-// Invalid messages and updates are counted and change nothing.
+// Receive processes a message and returns the messages to send. from is the sender according to its
+// certificate. Invalid messages and updates are counted in Counters.Rejected and are otherwise ignored.
 func (d *Detector) Receive(now time.Duration, from ID, m Message) []Outbound {
 	d.detectStall(now)
 	defer func() { d.expectedTick = d.NextTick() }()
@@ -23,14 +23,14 @@
 	for _, u := range m.Updates {
 		d.applyUpdate(now, u)
 	}
-	// The sender is alive: it is sent what is known against it, so that it can refute that.
+	// The sender is alive. If it is recorded as suspect or failed, it is sent that update to refute it.
 	if r := d.members[from]; r != nil && (r.state == Suspect || r.state == Failed) {
 		d.queue.add(Update{ID: from, State: r.state, Incarnation: r.incarnation, ReportedBy: d.self})
 	}
 	return d.handle(now, from, m)
 }
 
-// handle answers a valid message by its kind.
+// handle dispatches a valid message by its kind.
 func (d *Detector) handle(now time.Duration, from ID, m Message) []Outbound {
 	switch m.Kind {
 	case Ping:
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// applyUpdate takes over an update, and spreads it if it brings anything new.
+// applyUpdate applies an update, and queues it for dissemination if it is new.
 func (d *Detector) applyUpdate(now time.Duration, u Update) {
 	if u.State > Departed || u.ID == 0 {
 		d.counters.Rejected++
@@ -59,8 +59,8 @@
 	}
 	r := d.members[u.ID]
 	if r == nil {
-		// Hazard: a late update on a member that was removed must not add it again. Nothing need be known of
-		// members that have failed.
+		// A late update about a member that was removed must not add it again. Failed and departed members
+		// need not be known, so such an update is ignored.
 		if u.State >= Failed {
 			return
 		}
@@ -73,7 +73,7 @@
 	}
 	switch {
 	case u.Incarnation < r.incarnation || u.Incarnation == r.incarnation && u.State < r.state:
-		// It is older than what is known.
+		// The update is older than the recorded state.
 	case u.Incarnation == r.incarnation && u.State == r.state:
 		if u.State == Suspect && !r.suspectedBy[u.ReportedBy] &&
 			len(r.suspectedBy) <= d.policy.IndirectProbes {
@@ -84,10 +84,11 @@
 	}
 }
 
-// refute answers an update on this member itself with a greater incarnation, unless the update is correct.
+// refute handles an update about this member. Unless the update is correct or outdated, it is refuted with a
+// greater incarnation.
 //
-// Hazard: the update may be on an earlier process of this member, with a greater incarnation than this one's.
-// Only an incarnation above that refutes it.
+// The update may be about an earlier process of this member whose incarnation is greater than the current
+// one. Only an incarnation above that of the update refutes it.
 func (d *Detector) refute(u Update) {
 	if u.Incarnation > d.incarnation+maxIncarnationJump {
 		d.counters.Rejected++
@@ -99,12 +100,13 @@
 	d.incarnation = u.Incarnation + 1
 	d.counters.Refutations++
 	if u.State == Suspect {
-		d.health.adjust(1) // a suspicion has its reason
+		d.health.adjust(1) // another member missed an answer: this one may be slow
 	}
 	d.queue.add(Update{ID: d.self, State: Alive, Incarnation: d.incarnation})
 }
 
-// setState changes a member's state, or adds a confirmation to its suspicion, and spreads the update.
+// setState changes a member's state, or adds a confirmation to its suspicion, and queues the update for
+// dissemination.
 func (d *Detector) setState(now time.Duration, r *memberRecord, u Update) {
 	d.version++
 	changed := u.State != r.state
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Invalid messages are rejected and counted, and change nothing.
+// Invalid messages and updates are counted as rejected and change no member's state.
 func TestInvalidMessagesAreRejected(t *testing.T) {
 	d := New(0, 1, 7, 1, DefaultPolicy())
 	d.AddMembers(0, 2, 3)
@@ -22,21 +22,21 @@
 		rejected := d.Counters().Rejected
 		d.Receive(0, 2, m)
 		if d.Counters().Rejected == rejected {
-			t.Errorf("%s: it is accepted", name)
+			t.Errorf("%s: accepted, want rejected", name)
 		}
 	}
 	if out := d.Receive(0, 1, Message{Kind: Ping}); out != nil {
-		t.Error("it answers itself")
+		t.Error("the detector answered a ping from its own ID")
 	}
 	for i, m := range d.Members() {
 		if m.State != before[i].State || m.Incarnation != before[i].Incarnation || d.Incarnation() != 7 {
-			t.Errorf("%+v was %+v", m, before[i])
+			t.Errorf("member state changed to %+v, want %+v and the own incarnation 7", m, before[i])
 		}
 	}
 }
 
-// An old update does not bring back a failed member. One that returns with an older incarnation is taken for
-// alive once it has refuted.
+// An outdated update must not revive a failed member. A member that restarts with an older incarnation is
+// alive again only after it has refuted its failure with a greater one.
 func TestReturningMemberRefutesWithAGreaterIncarnation(t *testing.T) {
 	d := New(0, 1, 1, 1, DefaultPolicy())
 	d.AddMembers(0, 2, 3)
@@ -45,35 +45,35 @@
 	d.Receive(0, 3, Message{Kind: Ping,
 		Updates: []Update{{ID: 2, State: Alive, Incarnation: 5}, {ID: 2, State: Suspect, Incarnation: 5}}})
 	if m := d.Members()[0]; m.State != Failed {
-		t.Fatalf("%d is %v", m.ID, m.State)
+		t.Fatalf("member %d is %v after an outdated update, want failed", m.ID, m.State)
 	}
 	returned := New(0, 2, 1, 1, DefaultPolicy())
 	for _, o := range d.Receive(0, 2, Message{Kind: Ping, Seq: 1}) {
 		returned.Receive(0, 1, o.Message)
 	}
 	if returned.Incarnation() != 6 {
-		t.Fatalf("it has the incarnation %d", returned.Incarnation())
+		t.Fatalf("restarted member has incarnation %d, want 6", returned.Incarnation())
 	}
 	returned.AddMembers(0, 1)
 	for _, o := range returned.Receive(0, 1, Message{Kind: Ping, Seq: 2}) {
 		d.Receive(0, 2, o.Message)
 	}
 	if m := d.Members()[0]; m.State != Alive || m.Incarnation != 6 {
-		t.Errorf("%+v", m)
+		t.Errorf("restarted member is %+v, want alive with incarnation 6", m)
 	}
 }
 
-// An update on a failed member that is not known does not add it.
+// An update about an unknown failed or departed member must not add it: it may have been removed.
 func TestUnknownFailedMembersAreNotAdded(t *testing.T) {
 	d := New(0, 1, 0, 1, DefaultPolicy())
 	d.Receive(0, 2, Message{Kind: Ping,
 		Updates: []Update{{ID: 9, State: Failed, Incarnation: 3}, {ID: 8, State: Departed}}})
 	if len(d.Members()) != 1 {
-		t.Errorf("it knows %+v", d.Members())
+		t.Errorf("members are %+v, want only the sender", d.Members())
 	}
 }
 
-// Whatever is received, the detector goes on, and keeps to its bounds.
+// Arbitrary messages must not crash the detector or break its invariants.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -86,7 +86,7 @@
 					ReportedBy: ID(raw[2] % 8)}}}
 			for _, o := range append(d.Receive(now, ID(raw[3]%6), m), d.Tick(now)...) {
 				if o.To == 1 || len(o.Updates) > maxUpdates {
-					t.Fatalf("it sends %+v", o)
+					t.Fatalf("invalid outbound message %+v", o)
 				}
 			}
 			if d.liveCount < 1 || d.health.score < 0 || d.health.score > d.policy.MaxHealthScore ||
--- a/internal/cluster/membership/simulation_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -9,60 +9,60 @@
 	"time"
 )
 
-// simulation runs members in virtual time. Their messages take some milliseconds, and are lost, duplicated
-// and cut off; members stall, die and are started again.
+// simulation runs a group of members in virtual time. Messages take 1 to 9 ms and may be lost, duplicated or
+// blocked by a cut link; members may stall, crash and restart.
 type simulation struct {
 	rng      *rand.Rand
 	now      time.Duration
 	queue    eventQueue
-	sequence int // of the newest event: those of one time run in the order in which they were added
+	sequence int // number of the newest event; events due at the same time run in the order of their numbers
 	policy   Policy
 	members  []*simMember
 	loss     float64
 	cut      map[link]bool
-	sent     int // messages
-	// onFalseFailure is called when one member calls another failed that is alive.
+	sent     int // number of messages sent
+	// onFalseFailure is called when a member declares another one failed that is alive.
 	onFalseFailure func(observer, observed *simMember)
 }
 
-// link is one direction between two members.
+// link is one direction of the connection between two members.
 type link struct{ from, to ID }
 
 type simMember struct {
 	id           ID
 	detector     *Detector
-	starts       int // how often it was started: events of an earlier process are dropped
+	starts       int // number of processes started; events of earlier processes are dropped
 	alive        bool
 	stalledUntil time.Duration
 	nextTick     time.Duration
 }
 
-type event struct {
+type scheduledEvent struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
-type eventQueue []event
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// maxPause is how long members may stall without being called failed: half of the shortest suspicion, so
-// that there is as long again to learn of the suspicion and to refute it.
+// maxPause is the longest stall that must not get a member declared failed: half of the shortest suspicion,
+// which leaves the other half to learn of the suspicion and refute it.
 func maxPause(p Policy) time.Duration { return p.suspicionTimeout(1, 1<<20) / 2 }
 
-// detectionBound is the time within which all of n members know of a failure, but with a small chance: two
-// rounds of probes in the worst order, the longest suspicion, and the spread of the update.
+// detectionBound is the time within which, with high probability, all of n members learn of a failure: two
+// probe rounds in the worst order, the longest suspicion, and the dissemination of the update.
 func detectionBound(p Policy, n int) time.Duration {
 	rounds := time.Duration(2*n) * p.ProbeInterval
 	spread := 2 * time.Duration(math.Ceil(math.Log2(float64(n+1)))) * p.ProbeInterval
@@ -83,13 +83,13 @@
 	return s
 }
 
-// after runs something after a time, whatever happens to the members.
+// after runs f after a delay, regardless of the state of any member.
 func (s *simulation) after(d time.Duration, f func()) {
 	s.sequence++
-	heap.Push(&s.queue, event{s.now + d, s.sequence, f})
+	heap.Push(&s.queue, scheduledEvent{s.now + d, s.sequence, f})
 }
 
-// start starts a member's process.
+// start starts a new process of a member.
 func (s *simulation) start(m *simMember, incarnation uint64) {
 	m.starts++
 	m.alive, m.stalledUntil = true, 0
@@ -97,7 +97,7 @@
 	s.scheduleTick(m)
 }
 
-// afterAt runs something at a member after a time, once that is not stalled, if its process is the same.
+// afterAt runs f on a member after a delay. A stall of the member postpones f; a crash or restart cancels it.
 func (s *simulation) afterAt(m *simMember, d time.Duration, f func()) {
 	starts := m.starts
 	s.after(d, func() {
@@ -119,7 +119,7 @@
 	due := m.nextTick
 	s.afterAt(m, d, func() {
 		if m.nextTick != due {
-			return // an earlier tick has taken its place
+			return // superseded by an earlier tick
 		}
 		s.send(m, m.detector.Tick(s.now))
 		m.nextTick = 0
@@ -161,14 +161,15 @@
 
 func (s *simulation) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
-		e := heap.Pop(&s.queue).(event)
+		e := heap.Pop(&s.queue).(scheduledEvent)
 		s.now = e.at
 		e.run()
 	}
 	s.now = until
 }
 
-// disagreement describes a member whose state of another is not what that is; empty: there is none.
+// disagreement describes the first pair of members where one's estimate of the other is wrong. It returns ""
+// if all estimates are right.
 func (s *simulation) disagreement() string {
 	for _, observer := range s.members {
 		if !observer.alive {
@@ -182,16 +183,16 @@
 			state, known := states[observed.id]
 			if observed != observer &&
 				(!known || observed.alive && state != Alive || !observed.alive && state < Failed) {
-				return fmt.Sprintf("%d takes %d for %v (known: %v), alive: %v", observer.id, observed.id,
-					state, known, observed.alive)
+				return fmt.Sprintf("member %d reports member %d as %v (known: %v), actually alive: %v",
+					observer.id, observed.id, state, known, observed.alive)
 			}
 		}
 	}
 	return ""
 }
 
-// injectFault draws a fault: a stall, a death, a cut of one direction or both, a third cut off, or lost
-// messages. Each ends.
+// injectFault injects a random fault of limited duration: a stall, a crash, a cut link in one or both
+// directions, a third of the members partitioned from the others, or message loss.
 func (s *simulation) injectFault(longestStall time.Duration) {
 	m := s.members[s.rng.IntN(len(s.members))]
 	other := s.members[s.rng.IntN(len(s.members))]
@@ -226,7 +227,7 @@
 	}
 }
 
-// kill ends a member's process, and starts it again with two contact points.
+// kill crashes a member's process and restarts it after the duration with two contact points.
 func (s *simulation) kill(m, contact *simMember, duration time.Duration) {
 	if !m.alive {
 		return
@@ -234,7 +235,7 @@
 	m.alive = false
 	incarnation := m.detector.Incarnation()
 	s.after(duration, func() {
-		// Its directory may have been wiped: then it starts with an older incarnation.
+		// The member's directory may have been wiped: it then restarts with an older incarnation.
 		if s.rng.IntN(3) == 0 {
 			incarnation = 0
 		}
@@ -243,14 +244,14 @@
 	})
 }
 
-// simulationPolicy has full exchanges more often than the default, so that simulations are shorter.
+// simulationPolicy is the default policy with more frequent full state syncs, which keeps simulations short.
 func simulationPolicy() Policy {
 	p := DefaultPolicy()
 	p.SyncInterval = 10 * time.Second
 	return p
 }
 
-// Some time after the last fault all members agree on who is alive.
+// After the last fault all members must agree on which members are alive, within a bounded time.
 func TestMembersConvergeAfterFaults(t *testing.T) {
 	for seed := range seedCount(t, 40) {
 		n := 3 + int(seed%10)
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -18,18 +18,18 @@
 	"moorstack/internal/schema"
 )
 
-// Bounds on what waits for one peer.
+// Bounds on the queue of messages to one peer.
 const (
-	maxQueued      = 512
-	maxQueuedBytes = 8 << 20
+	maxQueuedMessages = 512
+	maxQueuedBytes    = 8 << 20
 )
 
 const (
 	snapshotTimeout = 30 * time.Second
-	retryDelay      = 100 * time.Millisecond // after a message could not be sent
+	retryDelay      = 100 * time.Millisecond // pause after a failed send
 )
 
-// outgoing is what waits for a peer: a Raft message or a session message.
+// outgoing is a queued message to a peer: either a Raft message or a session message.
 type outgoing struct {
 	message *pb.Message
 	session *schema.SessionMessage
@@ -43,35 +43,36 @@
 	return int64(proto.Size(o.session))
 }
 
-// link is the connection to one address, with the queue of what is to be sent there. One goroutine, run,
-// sends what is queued, until close.
+// link is the connection to one peer address and the queue of messages to send there. A single goroutine,
+// run, sends the queued messages until close is called.
 type link struct {
 	network *Network
 	to      clusterstate.Member
 	queue   chan outgoing
-	bytes   atomic.Int64 // queued
+	bytes   atomic.Int64 // total size of the queued messages
 	conn    *grpc.ClientConn
-	stop    context.CancelFunc
+	cancel  context.CancelFunc
 
-	stream      peerStream // of the goroutine run; nil: none is open
-	unreachable bool       // likewise: the last message could not be sent
+	stream      peerStream // used only by run; nil if no stream is open
+	unreachable bool       // used only by run; whether the last send failed
 }
 
 type peerStream = grpc.ClientStreamingClient[schema.Envelope, schema.Delivered]
 
-func newLink(n *Network, to clusterstate.Member, conn *grpc.ClientConn) *link {
-	ctx, stop := context.WithCancel(context.Background())
-	l := &link{network: n, to: to, queue: make(chan outgoing, maxQueued), conn: conn, stop: stop}
+func newLink(network *Network, to clusterstate.Member, conn *grpc.ClientConn) *link {
+	ctx, cancel := context.WithCancel(context.Background())
+	l := &link{network: network, to: to, queue: make(chan outgoing, maxQueuedMessages), conn: conn,
+		cancel: cancel}
 	go l.run(ctx)
 	return l
 }
 
 func (l *link) close() {
-	l.stop()
+	l.cancel()
 	l.conn.Close()
 }
 
-// enqueue queues a message, or drops it where the queue is full.
+// enqueue queues a message, or drops it if the queue is full.
 func (l *link) enqueue(o outgoing) {
 	size := o.size()
 	if l.bytes.Add(size) > maxQueuedBytes {
@@ -90,7 +91,7 @@
 	l.network.dropped.Add(1)
 }
 
-// run sends what is queued, in order, over one stream at a time.
+// run sends the queued messages in order over a single stream, which it reopens after an error.
 func (l *link) run(ctx context.Context) {
 	for {
 		select {
@@ -98,7 +99,7 @@
 			return
 		case o := <-l.queue:
 			l.bytes.Add(-o.size())
-			if err := l.send(ctx, o); err != nil && !l.failed(ctx, o, err) {
+			if err := l.send(ctx, o); err != nil && !l.handleSendError(ctx, o, err) {
 				return
 			}
 		}
@@ -111,12 +112,12 @@
 			return err
 		}
 	}
-	e, err := l.network.envelope(o)
+	e, err := l.network.newEnvelope(o)
 	if err != nil {
 		return err
 	}
 	if err = l.stream.Send(e); errors.Is(err, io.EOF) {
-		_, err = l.stream.CloseAndRecv() // why the other side has ended it
+		_, err = l.stream.CloseAndRecv() // returns the status with which the peer ended the stream
 	}
 	if err != nil {
 		return err
@@ -129,8 +130,9 @@
 	return nil
 }
 
-// failed handles a message that could not be sent, and pauses. It is false once the link is closed.
-func (l *link) failed(ctx context.Context, o outgoing, err error) bool {
+// handleSendError counts a message that could not be sent as dropped, reports the peer as unreachable and
+// waits for retryDelay. It returns false if the link is closed.
+func (l *link) handleSendError(ctx context.Context, o outgoing, err error) bool {
 	l.stream = nil
 	l.network.dropped.Add(1)
 	if ctx.Err() != nil {
@@ -144,7 +146,7 @@
 		l.unreachable = true
 		l.network.log.WithError(err).WithField("instance", l.to.Name).Warn("peer unreachable")
 	}
-	// Hazard: without a pause a peer that is down costs an attempt for each message.
+	// Without this pause, every message to a peer that is down would cause a connection attempt.
 	select {
 	case <-ctx.Done():
 		return false
@@ -153,11 +155,11 @@
 	}
 }
 
-// sendSnapshot sends a large message by itself, so that heartbeats don't wait behind it.
+// sendSnapshot sends a snapshot in a call of its own, so that heartbeats don't wait behind it.
 func (l *link) sendSnapshot(m *pb.Message) {
-	ctx, stop := context.WithTimeout(context.Background(), snapshotTimeout)
-	defer stop()
-	e, err := l.network.envelope(outgoing{message: m, to: m.GetTo()})
+	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
+	defer cancel()
+	e, err := l.network.newEnvelope(outgoing{message: m, to: m.GetTo()})
 	if err == nil {
 		_, err = schema.NewPeersClient(l.conn).Snapshot(ctx, e)
 	}
--- a/internal/cluster/transport/network.go
+++ b/internal/cluster/transport/network.go
@@ -1,7 +1,7 @@
-// Package transport carries messages between the instances of a group: gRPC under mutual TLS.
+// Package transport carries messages between the instances of a group, over gRPC with mutual TLS.
 //
-// A peer that is slow, silent or down costs the others nothing: each has a bounded queue of its own, and what
-// doesn't fit is dropped and counted. Raft sends again.
+// A slow, silent or failed peer does not delay messages to other peers: each peer has its own bounded queue.
+// Messages that don't fit into the queue are dropped and counted, and Raft sends its messages again.
 package transport
 
 import (
@@ -26,21 +26,21 @@
 	"moorstack/internal/schema"
 )
 
-// maxMessageBytes bounds a message in both directions: a snapshot is the largest.
+// maxMessageBytes bounds the size of sent and received messages. Snapshots are the largest.
 const maxMessageBytes = 64 << 20
 
-// Timing of connections to peers.
+// Timing of outgoing connections.
 const (
-	minConnectTimeout = 2 * time.Second
-	minBackoff        = 100 * time.Millisecond
-	maxBackoff        = time.Second
-	backoffMultiplier = 1.6
-	backoffJitter     = 0.2
-	keepaliveInterval = 10 * time.Second
-	clientKeepalive   = 2 * time.Second // without a response to a ping, until a connection is closed
+	minConnectTimeout      = 2 * time.Second
+	minBackoff             = 100 * time.Millisecond
+	maxBackoff             = time.Second
+	backoffMultiplier      = 1.6
+	backoffJitter          = 0.2
+	keepaliveInterval      = 10 * time.Second
+	clientKeepaliveTimeout = 2 * time.Second // closes a connection that leaves a ping unanswered
 )
 
-// Runner is the instance that messages are for and from: a consensus.Runner.
+// Runner is the local instance whose messages the network carries. consensus.Runner implements it.
 type Runner interface {
 	Status() consensus.Status
 	View(context.Context, func(*clusterstate.State)) error
@@ -50,36 +50,36 @@
 	ReportUnreachable(id uint64)
 	ReportRemoved()
 	Join(ctx context.Context, cluster string) error
-	Operate(ctx context.Context, op *schema.Operation, number uint64) error
+	Operate(ctx context.Context, op *schema.Operation, memberID uint64) error
 }
 
-// Network is this instance's side of the network between instances. Its methods may be called from any
-// goroutine, but for AttachRunner and the Handle methods, which come before Serve.
+// Network exchanges this instance's messages with its peers. Its methods may be called concurrently, except
+// AttachRunner and the Handle methods, which must be called before the server starts.
 type Network struct {
-	keys    *keys.Reloader
-	log     logrus.FieldLogger
-	self    clusterstate.Member // its name and address; the number and the group come from the runner
-	program string
-	source  string // the address that it connects from; empty: any
+	keys           *keys.Reloader
+	log            logrus.FieldLogger
+	self           clusterstate.Member // name and address only; the ID and the group come from the runner
+	programVersion string
+	sourceAddress  string // local address of outgoing connections; empty: any
 
 	runner   Runner
 	handlers handlers
 
 	mu       sync.Mutex
-	links    map[string]*link // by address
+	links    map[string]*link // keyed by address
 	closed   bool
 	dropped  atomic.Uint64
 	sent     atomic.Uint64
 	rejected atomic.Uint64
 }
 
-// handlers take what is not the runner's. A nil one ignores its messages.
+// handlers handle the messages that are not for the runner. Messages without a handler are ignored.
 type handlers struct {
-	rates      func(from uint64, m *schema.RateMessage)
-	outliers   func(from uint64, m *schema.WitnessMessage)
-	membership func(from uint64, m *schema.MembershipMessage)
-	lists      func(context.Context, func(*schema.ListNews) error) error
-	describe   func(*schema.Description)
+	rates              func(from uint64, m *schema.RateMessage)
+	outliers           func(from uint64, m *schema.WitnessMessage)
+	membership         func(from uint64, m *schema.MembershipMessage)
+	watchEndpointLists func(context.Context, func(*schema.ListNews) error) error
+	describe           func(*schema.Description)
 }
 
 var (
@@ -87,70 +87,75 @@
 	_ Runner              = (*consensus.Runner)(nil)
 )
 
-// New makes the network of an instance of that name, which others reach at the address. source is the address
-// that it connects from; empty: any. program is the version that it gives in a Description.
-func New(k *keys.Reloader, name, address, source, program string, log logrus.FieldLogger) *Network {
+// New returns the network of the instance with the given name, which peers reach at the given address.
+// sourceAddress is the local address of outgoing connections; if it is empty, any is used. programVersion is
+// reported in a Description.
+func New(
+	k *keys.Reloader, name, address, sourceAddress, programVersion string, log logrus.FieldLogger,
+) *Network {
 	return &Network{keys: k, log: log, self: clusterstate.Member{Name: name, Address: address},
-		program: program, source: source, links: map[string]*link{}}
+		programVersion: programVersion, sourceAddress: sourceAddress, links: map[string]*link{}}
 }
 
-// AttachRunner sets whose messages the network carries. It must be called before Serve.
+// AttachRunner sets the runner whose messages the network carries. It must be called before the server
+// starts.
 func (n *Network) AttachRunner(r Runner) { n.runner = r }
 
-// HandleOutlierReports sets what takes the outlier reports of other instances. It must be called before
-// Serve.
+// HandleOutlierReports sets the handler of other instances' outlier reports. It must be called before the
+// server starts.
 func (n *Network) HandleOutlierReports(handle func(from uint64, m *schema.WitnessMessage)) {
 	n.handlers.outliers = handle
 }
 
-// HandleMembershipMessages sets what takes the membership gossip of other instances. It must be called before
-// Serve.
+// HandleMembershipMessages sets the handler of other instances' failure detector messages. It must be called
+// before the server starts.
 func (n *Network) HandleMembershipMessages(handle func(from uint64, m *schema.MembershipMessage)) {
 	n.handlers.membership = handle
 }
 
-// HandleRateMessages sets what takes the rate-limit messages of other instances. It must be called before
-// Serve.
+// HandleRateMessages sets the handler of other instances' rate-limit messages. It must be called before the
+// server starts.
 func (n *Network) HandleRateMessages(handle func(from uint64, m *schema.RateMessage)) {
 	n.handlers.rates = handle
 }
 
-// HandleWatchEndpointLists sets what streams the endpoint lists of discovery to a caller, until its context
-// ends or send fails. It must be called before Serve.
+// HandleWatchEndpointLists sets the function that streams discovery's endpoint lists to a caller. It must
+// return when the context ends or send fails. HandleWatchEndpointLists must be called before the server
+// starts.
 func (n *Network) HandleWatchEndpointLists(
 	stream func(ctx context.Context, send func(*schema.ListNews) error) error,
 ) {
-	n.handlers.lists = stream
+	n.handlers.watchEndpointLists = stream
 }
 
-// HandleDescribe sets what fills in a Description of this instance's fronts: where they are, which revision
-// they run, and why they admit nothing. It must be called before Serve.
+// HandleDescribe sets the function that adds this instance's fronts to a Description: their addresses, the
+// revision that they run, and why they admit no requests. It must be called before the server starts.
 func (n *Network) HandleDescribe(fill func(*schema.Description)) { n.handlers.describe = fill }
 
-// Counters are the messages that were sent, dropped and rejected, by the names of the metrics.
+// Counters returns the numbers of messages sent, dropped and rejected, keyed by metric name.
 func (n *Network) Counters() map[string]uint64 {
 	return map[string]uint64{"messages_sent": n.sent.Load(), "messages_dropped_outbound": n.dropped.Load(),
 		"foreign_refused": n.rejected.Load()}
 }
 
-// Send queues a Raft message, or drops it. It never blocks.
+// Send queues a Raft message, or drops it if the queue is full or the network closed. It never blocks.
 func (n *Network) Send(to clusterstate.Member, m *pb.Message) {
-	l, err := n.link(to)
+	l, err := n.linkTo(to)
 	if err != nil {
 		n.dropped.Add(1)
 		return
 	}
 	if m.GetType() == pb.MsgSnap {
-		// Raft has one at a time under way to each. It ends by itself, with snapshotTimeout.
+		// Raft sends at most one snapshot at a time to each peer, and snapshotTimeout ends the goroutine.
 		go l.sendSnapshot(m)
 		return
 	}
 	l.enqueue(outgoing{message: m, to: m.GetTo()})
 }
 
-// SendSession queues a session message, or drops it. It never blocks.
+// SendSession queues a session message, or drops it like Send. It never blocks.
 func (n *Network) SendSession(to clusterstate.Member, m *schema.SessionMessage) {
-	l, err := n.link(to)
+	l, err := n.linkTo(to)
 	if err != nil {
 		n.dropped.Add(1)
 		return
@@ -158,18 +163,19 @@
 	l.enqueue(outgoing{session: m, to: to.ID})
 }
 
-// Describe requests another instance's Description, over the connection that is open: a rolling restart does
-// so ten times a second.
+// Describe requests another instance's Description. It uses the existing connection, because a rolling
+// restart calls it ten times a second.
 func (n *Network) Describe(ctx context.Context, to clusterstate.Member) (*schema.Description, error) {
-	l, err := n.link(to)
+	l, err := n.linkTo(to)
 	if err != nil {
 		return nil, err
 	}
 	return schema.NewPeersClient(l.conn).Describe(ctx, &schema.DescribeRequest{})
 }
 
-// WatchEndpointLists watches the endpoint lists that an instance has of discovery, and calls receive with
-// each update until the context ends, the other side does, or receive returns an error.
+// WatchEndpointLists streams the endpoint lists that another instance receives from discovery, and calls
+// receive for each update. It returns when the context ends, the other instance ends the stream, or receive
+// returns an error.
 func (n *Network) WatchEndpointLists(
 	ctx context.Context, of clusterstate.Member, receive func(*schema.ListNews) error,
 ) error {
@@ -189,7 +195,7 @@
 	return err
 }
 
-// Close ends all connections to peers, and with them the goroutines that send. It does not wait for those.
+// Close closes all connections to peers, which ends the sending goroutines. It does not wait for them.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -204,8 +210,8 @@
 		"passthrough:///"+to.Address,
 		grpc.WithContextDialer(func(ctx context.Context, address string) (stdnet.Conn, error) {
 			d := stdnet.Dialer{}
-			if n.source != "" {
-				d.LocalAddr = &stdnet.TCPAddr{IP: stdnet.ParseIP(n.source)}
+			if n.sourceAddress != "" {
+				d.LocalAddr = &stdnet.TCPAddr{IP: stdnet.ParseIP(n.sourceAddress)}
 			}
 			return d.DialContext(ctx, "tcp", address)
 		}),
@@ -214,18 +220,18 @@
 			Backoff: backoff.Config{BaseDelay: minBackoff, Multiplier: backoffMultiplier,
 				Jitter: backoffJitter, MaxDelay: maxBackoff}}),
 		grpc.WithKeepaliveParams(
-			keepalive.ClientParameters{Time: keepaliveInterval, Timeout: clientKeepalive},
+			keepalive.ClientParameters{Time: keepaliveInterval, Timeout: clientKeepaliveTimeout},
 		),
 		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(maxMessageBytes),
 			grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 	)
 }
 
-// errClosed is why a closed network has no link.
+// errClosed is returned for any use of a closed network.
 var errClosed = errors.New("the network is closed")
 
-// link gives the link to a member, which it makes where there is none.
-func (n *Network) link(to clusterstate.Member) (*link, error) {
+// linkTo returns the link to a member, and creates it if there is none.
+func (n *Network) linkTo(to clusterstate.Member) (*link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -246,8 +252,8 @@
 	return l, nil
 }
 
-// envelope wraps a message with who sends it and to whom.
-func (n *Network) envelope(o outgoing) (*schema.Envelope, error) {
+// newEnvelope wraps a message in an envelope with its sender, its recipient and the group.
+func (n *Network) newEnvelope(o outgoing) (*schema.Envelope, error) {
 	st := n.runner.Status()
 	e := &schema.Envelope{Cluster: st.Cluster, From: st.ID, To: o.to, Session: o.session,
 		FromName: n.self.Name, FromAddress: n.self.Address, Format: clusterstate.LatestFormat}
--- a/internal/cluster/transport/operations.go
+++ b/internal/cluster/transport/operations.go
@@ -21,24 +21,24 @@
 	inviteTimeout  = 5 * time.Second
 )
 
-// Operate carries out an operator's operation on the group: here, or at the leader. Its errors are gRPC
-// statuses.
+// Operate runs an operator's operation on the group, forwarding it to the leader if this instance doesn't
+// lead. Its errors are gRPC statuses.
 func (n *Network) Operate(ctx context.Context, op *schema.Operation) (*schema.Operated, error) {
 	return n.operate(ctx, op, true)
 }
 
 func (n *Network) operate(ctx context.Context, op *schema.Operation, forward bool) (*schema.Operated, error) {
-	ctx, stop := context.WithTimeout(ctx, operateTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, operateTimeout)
+	defer cancel()
 	st := n.runner.Status()
-	var number uint64
+	var memberID uint64
 	var err error
 	if st.Role == consensus.RoleLeader && op.Kind == schema.Operation_ADD {
-		if number, err = n.invite(ctx, st, op); err != nil {
+		if memberID, err = n.invite(ctx, st, op); err != nil {
 			return nil, err
 		}
 	}
-	err = n.runner.Operate(ctx, op, number)
+	err = n.runner.Operate(ctx, op, memberID)
 	var notLeader *consensus.NotLeaderError
 	var rejected *consensus.RejectedError
 	switch {
@@ -68,13 +68,13 @@
 	return schema.NewPeersClient(conn).Operate(ctx, op)
 }
 
-// invite has a new instance join this group and gives its number.
+// invite makes a new instance join this group and returns its member ID.
 func (n *Network) invite(ctx context.Context, st consensus.Status, op *schema.Operation) (uint64, error) {
 	if err := keys.ValidateName(op.Name); err != nil {
 		return 0, status.Error(codes.FailedPrecondition, err.Error())
 	}
-	ctx, stop := context.WithTimeout(ctx, inviteTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, inviteTimeout)
+	defer cancel()
 	conn, err := n.dial(clusterstate.Member{Name: op.Name, Address: op.Address})
 	if err != nil {
 		return 0, status.Error(codes.FailedPrecondition, err.Error())
@@ -86,7 +86,7 @@
 		return 0, status.Errorf(codes.FailedPrecondition, "%s is not reached at %s: %s", op.Name, op.Address,
 			status.Convert(err).Message())
 	}
-	if err := checkInvited(d, st, op); err != nil {
+	if err := checkCanJoin(d, st, op); err != nil {
 		return 0, err
 	}
 	if d, err = c.Invite(ctx, &schema.Invitation{Cluster: st.Cluster, Name: op.Name}); err != nil {
@@ -96,13 +96,13 @@
 	return d.Id, nil
 }
 
-// checkInvited checks whether an instance may join, by its own Description.
-func checkInvited(d *schema.Description, st consensus.Status, op *schema.Operation) error {
+// checkCanJoin checks an invited instance's Description and returns an error if it must not join the group.
+func checkCanJoin(d *schema.Description, st consensus.Status, op *schema.Operation) error {
 	if d.Cluster != "" && d.Cluster != st.Cluster {
 		return status.Errorf(codes.FailedPrecondition, "%s belongs to another group, %s", op.Name, d.Cluster)
 	}
-	// One that can't read the log would belong to the group and never follow. Programs that give no format
-	// read the first.
+	// An instance that can't read the group's log format would become a member but never catch up. Programs
+	// that report no format read format 1.
 	if format := max(int(d.Format), 1); format < st.Rollout.Format {
 		return status.Errorf(codes.FailedPrecondition,
 			"%s runs an older program (%s) that reads format %d, and the group's log has %d; renew it first",
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// operationResult is what an operator is shown after an operation.
+// operationResult returns the text that an operator is shown after a successful operation.
 func operationResult(op *schema.Operation) string {
 	switch op.Kind {
 	case schema.Operation_ADD:
--- a/internal/cluster/transport/receive.go
+++ b/internal/cluster/transport/receive.go
@@ -13,14 +13,14 @@
 	"moorstack/internal/schema"
 )
 
-// removedMessage is the text of the status with which a message of a removed instance is rejected. The sender
-// recognises it, also one of an older program.
+// removedMessage is the status text with which messages from a removed instance are rejected. Senders compare
+// it, including those that run older programs, so it must not change.
 const removedMessage = "this instance has been removed from the group"
 
-// receive checks an envelope and dispatches its message.
+// receive verifies an envelope and dispatches its message.
 func (s *server) receive(ctx context.Context, e *schema.Envelope) error {
 	st := s.network.runner.Status()
-	m, err := s.check(ctx, e, st)
+	m, err := s.verifyEnvelope(ctx, e, st)
 	if err != nil {
 		s.network.rejected.Add(1)
 		s.network.log.WithError(err).WithField("instance", callerName(ctx)).Debug("message rejected")
@@ -30,9 +30,11 @@
 	return nil
 }
 
-// check checks an envelope, and gives the Raft message in it; nil: it holds a session message.
-func (s *server) check(ctx context.Context, e *schema.Envelope, st consensus.Status) (*pb.Message, error) {
-	if err := checkAddress(callerName(ctx), e, st); err != nil {
+// verifyEnvelope verifies an envelope and returns its Raft message, or nil if it holds a session message.
+func (s *server) verifyEnvelope(
+	ctx context.Context, e *schema.Envelope, st consensus.Status,
+) (*pb.Message, error) {
+	if err := verifyAddressing(callerName(ctx), e, st); err != nil {
 		return nil, err
 	}
 	var m *pb.Message
@@ -47,7 +49,8 @@
 	}
 	removed := false
 	if st.Revision > 0 && !isMember(st, e.From) {
-		// Only for those that the status doesn't name, which is rare: it waits for the runner.
+		// View waits for the runner, so it is only called for senders that the status doesn't list, which
+		// is rare.
 		_ = s.network.runner.View(ctx, func(a *clusterstate.State) { removed = a.WasRemoved(e.From) })
 	}
 	if removed {
@@ -56,8 +59,9 @@
 	return m, nil
 }
 
-// checkAddress checks from whom and for whom an envelope is.
-func checkAddress(caller string, e *schema.Envelope, st consensus.Status) error {
+// verifyAddressing checks that an envelope's sender has the name in the caller's certificate and not the ID
+// of a member with another name, and that the envelope is addressed to this instance and its group.
+func verifyAddressing(caller string, e *schema.Envelope, st consensus.Status) error {
 	switch {
 	case e.FromName != caller:
 		return status.Errorf(codes.PermissionDenied, "the certificate is of %q, the message of %q", caller,
@@ -87,19 +91,20 @@
 	return false
 }
 
-// dispatch gives a message to the runner, or to the handler of its kind.
+// dispatch passes a message to the handler of its kind, or to the runner.
 func (s *server) dispatch(e *schema.Envelope, m *pb.Message, st consensus.Status) {
 	h := s.network.handlers
 	switch session := e.Session; {
 	case session.GetRate() != nil:
-		call(h.rates, e.From, session.Rate)
+		callHandler(h.rates, e.From, session.Rate)
 	case session.GetWitness() != nil:
-		call(h.outliers, e.From, session.Witness)
+		callHandler(h.outliers, e.From, session.Witness)
 	case session.GetMembership() != nil:
-		call(h.membership, e.From, session.Membership)
+		callHandler(h.membership, e.From, session.Membership)
 	default:
 		from := clusterstate.Member{ID: e.From, Name: e.FromName, Address: e.FromAddress}
-		// A session message of nil still reports which format the sender reads.
+		// Until the group's log has the latest format, a nil session message is delivered as well: it
+		// reports which format the sender reads.
 		if session != nil || st.Rollout.Format < clusterstate.LatestFormat {
 			s.network.runner.DeliverSession(from, session, e.Format)
 		}
@@ -109,7 +114,7 @@
 	}
 }
 
-func call[M any](handle func(uint64, M), from uint64, m M) {
+func callHandler[M any](handle func(uint64, M), from uint64, m M) {
 	if handle != nil {
 		handle(from, m)
 	}
--- a/internal/cluster/transport/receive_test.go
+++ b/internal/cluster/transport/receive_test.go
@@ -22,7 +22,7 @@
 	"moorstack/internal/schema"
 )
 
-// fakeRunner records what it gets.
+// fakeRunner records the messages delivered to it.
 type fakeRunner struct {
 	status       consensus.Status
 	operateError error
@@ -54,7 +54,7 @@
 	r.got = append(r.got, fmt.Sprint(kind, " ", value))
 }
 
-// newServer is the server of instance n1, whose handlers record what they get at the runner.
+// newServer returns the server of instance n1 and its runner, which also records the calls of all handlers.
 func newServer(st consensus.Status) (*server, *fakeRunner) {
 	r := &fakeRunner{status: st}
 	n := newNetwork()
@@ -67,7 +67,7 @@
 	return &server{network: n}, r
 }
 
-// callContext is the context of a call by the holder of a certificate.
+// callContext returns the context of a call by a peer with a certificate for the given name.
 func callContext(t *testing.T, name string) context.Context {
 	t.Helper()
 	certificate := &x509.Certificate{Subject: pkix.Name{CommonName: name}}
@@ -87,7 +87,7 @@
 func TestMessagesGoToTheirHandlers(t *testing.T) {
 	for name, c := range map[string]struct {
 		session *schema.SessionMessage
-		format  int // of the group's log
+		format  int // format of the group's log
 		want    []string
 	}{
 		"raft":                     {nil, clusterstate.LatestFormat, []string{"raft 2"}},
@@ -101,7 +101,7 @@
 		"membership": {&schema.SessionMessage{Membership: &schema.MembershipMessage{}},
 			clusterstate.LatestFormat, []string{"membership 2"}},
 	} {
-		st := group()
+		st := groupStatus()
 		st.Rollout.Format = c.format
 		s, r := newServer(st)
 		e := &schema.Envelope{Cluster: "g", From: 2, FromName: "n2", To: 1, Session: c.session, Format: 6}
@@ -112,7 +112,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if !slices.Equal(r.got, c.want) {
-			t.Errorf("%s: %v, want %v", name, r.got, c.want)
+			t.Errorf("%s: delivered %v, want %v", name, r.got, c.want)
 		}
 	}
 }
@@ -123,14 +123,14 @@
 		"of another sender":  raftMessage(t, 3, 1),
 		"for another member": raftMessage(t, 2, 3),
 	} {
-		s, r := newServer(group())
+		s, r := newServer(groupStatus())
 		err := s.receive(callContext(t, "n2"),
 			&schema.Envelope{Cluster: "g", From: 2, FromName: "n2", To: 1, Message: message})
 		if status.Code(err) != codes.InvalidArgument || len(r.got) > 0 {
-			t.Errorf("%s: %v, delivered %v", name, err, r.got)
+			t.Errorf("%s: error %v, want InvalidArgument; delivered %v, want nothing", name, err, r.got)
 		}
 		if rejected := s.network.Counters()["foreign_refused"]; rejected != 1 {
-			t.Errorf("%s: %d count as rejected", name, rejected)
+			t.Errorf("%s: foreign_refused is %d, want 1", name, rejected)
 		}
 	}
 }
@@ -138,14 +138,14 @@
 func TestInvitationIsForItsInstanceOnly(t *testing.T) {
 	s, r := newServer(consensus.Status{ID: 1, Name: "n1"})
 	if _, err := s.Invite(t.Context(), &schema.Invitation{Cluster: "g", Name: "n9"}); err == nil {
-		t.Error("an invitation of n9 is accepted by n1")
+		t.Error("n1 accepted an invitation addressed to n9")
 	}
 	d, err := s.Invite(t.Context(), &schema.Invitation{Cluster: "g", Name: "n1"})
 	if err != nil || d.Id != 1 || d.Name != "n1" || d.Program != "test" {
-		t.Errorf("%v: %v", d, err)
+		t.Errorf("description %v, error %v; want ID 1, name n1, program test and no error", d, err)
 	}
 	if !slices.Equal(r.joined, []string{"g"}) {
-		t.Errorf("it joins %v", r.joined)
+		t.Errorf("joined groups %v, want [g]", r.joined)
 	}
 }
 
@@ -160,15 +160,15 @@
 		"timed out":       {fmt.Errorf("waiting: %w", context.DeadlineExceeded), codes.DeadlineExceeded},
 		"no leader":       {consensus.ErrNoLeader, codes.Unavailable},
 		"another error":   {errors.New("x"), codes.Unavailable},
-		// The server doesn't forward what was forwarded to it.
+		// The server must not forward an operation that was already forwarded to it.
 		"not the leader": {&consensus.NotLeaderError{Leader: clusterstate.Member{Name: "n2",
 			Address: "127.0.0.1:2"}}, codes.Unavailable},
 	} {
-		s, r := newServer(group())
+		s, r := newServer(groupStatus())
 		r.operateError = c.err
 		op := &schema.Operation{Kind: schema.Operation_REMOVE, Name: "n2"}
 		if _, err := s.Operate(t.Context(), op); status.Code(err) != c.want {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: error %v, want status %v", name, err, c.want)
 		}
 	}
 }
--- a/internal/cluster/transport/server.go
+++ b/internal/cluster/transport/server.go
@@ -19,16 +19,16 @@
 	"moorstack/internal/schema"
 )
 
-// Timing of connections of peers.
+// Timing of incoming connections.
 const (
-	minKeepaliveInterval = time.Second
-	serverKeepalive      = 2 * time.Second
-	// maxConnectionAge bounds how long a connection goes by the certificates of when it was made.
+	minKeepaliveInterval   = time.Second
+	serverKeepaliveTimeout = 2 * time.Second
+	// maxConnectionAge bounds how long a connection keeps using the certificates with which it was opened.
 	maxConnectionAge      = 10 * time.Minute
 	maxConnectionAgeGrace = 10 * time.Second
 )
 
-// Server makes the gRPC server that other instances call.
+// Server returns the gRPC server that other instances call.
 func (n *Network) Server() *grpc.Server {
 	s := grpc.NewServer(
 		grpc.Creds(credentials.NewTLS(n.keys.ServerTLSConfig(keys.RoleInstance))),
@@ -38,7 +38,8 @@
 			keepalive.EnforcementPolicy{MinTime: minKeepaliveInterval, PermitWithoutStream: true},
 		),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionAge: maxConnectionAge,
-			MaxConnectionAgeGrace: maxConnectionAgeGrace, Time: keepaliveInterval, Timeout: serverKeepalive}),
+			MaxConnectionAgeGrace: maxConnectionAgeGrace, Time: keepaliveInterval,
+			Timeout: serverKeepaliveTimeout}),
 	)
 	schema.RegisterPeersServer(s, &server{network: n})
 	return s
@@ -49,7 +50,7 @@
 	network *Network
 }
 
-// callerName is the name in the caller's certificate.
+// callerName returns the common name in the caller's certificate, or "" if there is none.
 func callerName(ctx context.Context) string {
 	if p, ok := peer.FromContext(ctx); ok {
 		if info, ok := p.AuthInfo.(credentials.TLSInfo); ok && len(info.State.PeerCertificates) > 0 {
@@ -83,8 +84,8 @@
 // Describe implements schema.PeersServer.
 func (s *server) Describe(context.Context, *schema.DescribeRequest) (*schema.Description, error) {
 	st := s.network.runner.Status()
-	out := &schema.Description{Id: st.ID, Name: st.Name, Cluster: st.Cluster, Program: s.network.program,
-		Format: clusterstate.LatestFormat, Life: st.Incarnation}
+	out := &schema.Description{Id: st.ID, Name: st.Name, Cluster: st.Cluster,
+		Program: s.network.programVersion, Format: clusterstate.LatestFormat, Life: st.Incarnation}
 	if s.network.handlers.describe != nil {
 		s.network.handlers.describe(out)
 	}
@@ -107,7 +108,7 @@
 
 // Lists implements schema.PeersServer.
 func (s *server) Lists(in *schema.ListsRequest, out grpc.ServerStreamingServer[schema.ListNews]) error {
-	stream := s.network.handlers.lists
+	stream := s.network.handlers.watchEndpointLists
 	if st := s.network.runner.Status(); in.Cluster != st.Cluster || stream == nil {
 		return status.Errorf(codes.FailedPrecondition, "this is an instance of the group %s", st.Cluster)
 	}
@@ -117,7 +118,8 @@
 	return nil
 }
 
-// Operate implements schema.PeersServer, for an instance that doesn't lead.
+// Operate implements schema.PeersServer. It runs operations that were forwarded by an instance that doesn't
+// lead.
 func (s *server) Operate(ctx context.Context, op *schema.Operation) (*schema.Operated, error) {
 	return s.network.operate(ctx, op, false)
 }
