--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -167,7 +167,7 @@
 	case hotrestart.TypeMigratedRequest:
 		h.handleJob(l, m)
 	case hotrestart.TypeInFlight:
-		h.broker().SetOtherInFlight(m.InFlight)
+		h.broker().SetPredecessorInFlight(m.InFlight)
 	case hotrestart.TypeMaintenance:
 		h.handleMaintenance(m.Maintenance)
 	}
@@ -177,7 +177,7 @@
 func (h *hotRestart) handleHello(l *hotrestart.Link) {
 	before := h.link
 	for _, effect := range h.machine.Step(hotrestart.TakeoverRequested) {
-		if effect == hotrestart.RejectRequest {
+		if effect == hotrestart.RejectTakeover {
 			l.Reject("the process is " + h.machine.Phase().String())
 			continue
 		}
@@ -237,13 +237,13 @@
 		case hotrestart.StopAccepting:
 			h.node.front.StopAccepting()
 			h.link.Send(hotrestart.Message{Type: hotrestart.TypeParentReleased,
-				RequestIDs: h.broker().OpenIDs()})
+				RequestIDs: h.broker().OpenRequestIDs()})
 			h.sendStatus()
 		case hotrestart.ResumeAccepting:
 			h.node.front.ResumeAccepting()
 		case hotrestart.RestoreLimits:
 			h.shareLimits(false)
-			h.broker().SetOtherInFlight(nil)
+			h.broker().SetPredecessorInFlight(nil)
 		case hotrestart.ListenForChild:
 			h.listen()
 		case hotrestart.CloseLink:
--- a/internal/proxy/broker/actions.go
+++ b/internal/proxy/broker/actions.go
@@ -6,13 +6,13 @@
 	"moorstack/balancer"
 )
 
-// actions carries out what the balancer decides. It is a type of its own, so that the actions are not among
-// the methods that fronts see.
+// actions carries out the balancer's decisions. It is a separate type so that these methods are not part of
+// the Broker's API for fronts.
 type actions struct{ *Broker }
 
 var _ balancer.Actions = actions{}
 
-// Send implements balancer.Actions. An attempt that can't be started ends as not sent.
+// Send implements balancer.Actions. An attempt that can't be started ends with the result NotSent.
 func (b actions) Send(id balancer.RequestID, worker balancer.WorkerID) {
 	req := b.requests[id]
 	if req == nil {
@@ -34,41 +34,42 @@
 	e.inFlight++
 	switch {
 	case req.client == nil || !reachable || a.number >= max(b.settings.Limits.MaxAttempts, 1):
-		b.end(a, balancer.NotSent, nil, balancer.NoLoadReport)
+		b.finishAttempt(a, balancer.NotSent, nil, balancer.NoLoadReport)
 		return
 	case deadline <= now:
-		b.end(a, balancer.TimedOut, nil, balancer.NoLoadReport)
+		b.finishAttempt(a, balancer.TimedOut, nil, balancer.NoLoadReport)
 		return
 	}
-	// Hazard: a worker that never responds, or a connection that passes nothing on, holds a request for ever.
+	// Without the timer, a worker that never responds or a connection that transfers no data would keep a
+	// request open for ever.
 	a.timer = b.clock.At(deadline, func() { b.abandon(a, balancer.TimedOut) })
 	a.running = e.StartAttempt(Attempt{ID: a.id, Payload: req.Payload, RequestID: req.ID, Deadline: deadline})
 }
 
 // Reject implements balancer.Actions.
 func (b actions) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	b.finish(id, Response{Kind: Rejected, RetryAfter: retryAfter})
+	b.endRequest(id, Response{Kind: Rejected, RetryAfter: retryAfter})
 }
 
 // Fail implements balancer.Actions.
-func (b actions) Fail(id balancer.RequestID) { b.finish(id, Response{Kind: Failed}) }
+func (b actions) Fail(id balancer.RequestID) { b.endRequest(id, Response{Kind: Failed}) }
 
-// finish gives a final response that no worker gave.
-func (b actions) finish(id balancer.RequestID, r Response) {
+// endRequest responds to a request that no worker has served.
+func (b actions) endRequest(id balancer.RequestID, r Response) {
 	if req := b.requests[id]; req != nil {
 		b.respond(req, r)
-		b.forget(req)
+		b.dropFinished(req)
 	}
 }
 
-// Cancel implements balancer.Actions: it abandons an attempt.
+// Cancel implements balancer.Actions by abandoning the attempt.
 func (b actions) Cancel(id balancer.RequestID, number int) {
 	if req := b.requests[id]; req != nil && number >= 0 && number < len(req.attempts) {
 		b.abandon(req.attempts[number], balancer.Cancelled)
 	}
 }
 
-// CheckHealth implements balancer.Actions: it requests a worker's load report.
+// CheckHealth implements balancer.Actions by requesting a load report from the worker.
 func (b actions) CheckHealth(worker balancer.WorkerID) {
 	e := b.endpoints[worker]
 	if e == nil || e.Endpoint == nil {
--- a/internal/proxy/broker/attempt.go
+++ b/internal/proxy/broker/attempt.go
@@ -7,70 +7,70 @@
 	"moorstack/internal/proxy/slotmap"
 )
 
-// Attempt is one try to have a request served by one endpoint.
+// Attempt is one try to serve a request at one endpoint.
 type Attempt struct {
 	ID        slotmap.ID
-	Payload   any // of the request
+	Payload   any // the request's payload
 	RequestID string
-	Deadline  time.Duration // time of the broker's clock at which it is abandoned
+	Deadline  time.Duration // when the attempt is abandoned, by the broker's clock
 }
 
 // RunningAttempt is an attempt that an endpoint has started.
 type RunningAttempt interface {
-	// Abandon is called when nobody waits for the attempt's end any more.
+	// Abandon is called when the attempt's result is no longer needed.
 	Abandon()
 }
 
-// attempt is one that has been started, or could not be.
+// attempt is the broker's record of an attempt that was started or failed to start.
 type attempt struct {
 	id       slotmap.ID
 	request  *request
-	number   int // within the request, from 0
+	number   int // of the attempt within its request, from 0
 	endpoint *endpoint
 	sentAt   time.Duration
-	running  RunningAttempt // nil: it was not started, or has migrated
-	timer    Timer          // of its deadline
+	running  RunningAttempt // nil if it was not started or its request has migrated
+	timer    Timer          // fires at the deadline
 	ended    bool
 }
 
-// MayStillSend reports whether an attempt that was started, and has not been written to its worker yet, may
-// still be written: it has not ended, its endpoint takes work, its class allows it now, and its client is
-// connected.
+// MayStillSend reports whether an attempt that has started, but has not been written to its worker yet, may
+// still be written: it has not ended, its endpoint accepts new attempts, the balancer still allows it for the
+// request's class, and its client is connected.
 func (b *Broker) MayStillSend(id slotmap.ID) bool {
 	a, ok := b.attempts.Get(id)
 	if !ok || a.endpoint.removed ||
-		b.effective(a.endpoint.name, a.endpoint.listed).State != balancer.Ready {
+		b.effectiveWorker(a.endpoint.name, a.endpoint.listed).State != balancer.Ready {
 		return false
 	}
-	// Within the balancer's own call it has only just decided.
-	if !b.inDeferred &&
+	// While a call of the balancer runs it must not be called again; it has only just started the attempt.
+	if !b.runningDeferred &&
 		!b.balancer.MayStillSend(b.clock.Now(), balancer.RequestID(a.request.ID), a.number) {
 		return false
 	}
-	return b.clientWaits(a.request) && !a.ended
+	return b.clientIsWaiting(a.request) && !a.ended
 }
 
-// EndAttempt records how an attempt has ended. An attempt that has ended before keeps its first end.
+// EndAttempt records the result of an attempt. It has no effect if the attempt has already ended.
 func (b *Broker) EndAttempt(id slotmap.ID, res balancer.Result, body []byte, report balancer.LoadReport) {
 	if a, ok := b.attempts.Get(id); ok {
-		b.end(a, res, body, report)
+		b.finishAttempt(a, res, body, report)
 	}
 }
 
-// EndAttemptAt ends the attempt that a request has in flight at the named endpoint, and returns false if
-// there is none.
+// EndAttemptAt ends the attempt that a request has in flight at the named endpoint. It returns false if there
+// is none.
 func (b *Broker) EndAttemptAt(requestID, name string, res balancer.Result, body []byte,
 	report balancer.LoadReport) bool {
 	a := b.inFlightAt(requestID, name)
 	if a == nil {
 		return false
 	}
-	b.end(a, res, body, report)
+	b.finishAttempt(a, res, body, report)
 	return true
 }
 
-// ReportProgress passes on that an attempt in flight has started running, or which fraction of it is done. It
-// returns false if the request has no attempt in flight at the named endpoint.
+// ReportProgress reports to the balancer whether an attempt in flight has started running, and which fraction
+// of it is complete. It returns false if the request has no attempt in flight at the named endpoint.
 func (b *Broker) ReportProgress(requestID, name string, started bool, fraction float64) bool {
 	a := b.inFlightAt(requestID, name)
 	if a == nil {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// inFlightAt finds the attempt of a request that is in flight at the named endpoint; nil: there is none.
+// inFlightAt returns the attempt that a request has in flight at the named endpoint, or nil.
 func (b *Broker) inFlightAt(requestID, name string) *attempt {
 	req := b.requests[balancer.RequestID(requestID)]
 	if req == nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// abandon ends an attempt for which nobody waits any more.
+// abandon ends an attempt whose result is no longer needed.
 func (b *Broker) abandon(a *attempt, res balancer.Result) {
 	if a.ended {
 		return
@@ -107,11 +107,11 @@
 	if a.running != nil {
 		a.running.Abandon()
 	}
-	b.end(a, res, nil, balancer.NoLoadReport)
+	b.finishAttempt(a, res, nil, balancer.NoLoadReport)
 }
 
-// end is the one place that ends an attempt.
-func (b *Broker) end(a *attempt, res balancer.Result, body []byte, report balancer.LoadReport) {
+// finishAttempt ends an attempt that has not ended. All attempts end here.
+func (b *Broker) finishAttempt(a *attempt, res balancer.Result, body []byte, report balancer.LoadReport) {
 	req := a.request
 	a.ended = true
 	if a.timer != nil {
@@ -133,6 +133,6 @@
 			ID: balancer.RequestID(req.ID), Attempt: a.number, Worker: a.endpoint.id,
 			Result: res, Took: now - a.sentAt, Responded: req.client == nil, Report: report,
 		})
-		b.forget(req)
+		b.dropFinished(req)
 	})
 }
--- a/internal/proxy/broker/broker.go
+++ b/internal/proxy/broker/broker.go
@@ -9,21 +9,21 @@
 	"moorstack/internal/proxy/slotmap"
 )
 
-// Clock gives the time and runs timers.
+// Clock provides the current time and timers.
 type Clock interface {
-	// Now is the time since an origin of the clock's own. It never goes back.
+	// Now returns the time since an origin specific to this clock. It never decreases.
 	Now() time.Duration
-	// At calls f on the broker's goroutine once the time has come.
+	// At calls f on the broker's goroutine at the given time.
 	At(at time.Duration, f func()) Timer
 }
 
 // Timer is a pending call of Clock.At.
 type Timer interface {
-	// Stop prevents the call. It has no effect on a timer that has fired.
+	// Stop cancels the call. It has no effect on a timer that has fired.
 	Stop()
 }
 
-// Broker connects the fronts, the endpoints and one balancer. New makes one. It is used from one goroutine.
+// Broker connects the fronts, the endpoints and one balancer. It must be used from one goroutine only.
 type Broker struct {
 	balancer  *balancer.Balancer
 	settings  balancer.Settings
@@ -39,18 +39,18 @@
 	idByName  map[string]balancer.WorkerID
 
 	maintenance maintenance
-	subset      map[string]bool // names of endpoints that are used; nil: all
-	ejected     map[string]bool // names of endpoints that the group's outlier verdicts exclude
+	subset      map[string]bool // names of the endpoints to use; nil: all
+	ejected     map[string]bool // names of the endpoints that the group has ejected as outliers
 
 	onListUpdate func()                                     // may be nil
 	onAttemptEnd func(endpoint string, res balancer.Result) // may be nil
 
-	deferred   []func() // calls that wait for the one that runs
-	inDeferred bool
+	deferred        []func() // calls that wait for the running one to return
+	runningDeferred bool
 }
 
-// New makes a broker and its balancer. The same seed and events give the same decisions. source may be nil,
-// where the endpoint list is pushed. It returns an error for settings that the balancer does not accept.
+// New creates a broker and its balancer. The same seed and events lead to the same decisions. source may be
+// nil if the endpoint list is pushed. New returns an error if the balancer does not accept the settings.
 func New(settings balancer.Settings, seed uint64, clock Clock, source EndpointSource,
 	log logrus.FieldLogger) (*Broker, error) {
 	b := &Broker{settings: settings, clock: clock, source: source, log: log,
@@ -61,34 +61,34 @@
 	return b, err
 }
 
-// SetAdmissionController has a decide on every request before the balancer sees it.
+// SetAdmissionController sets the controller that every request must pass before it reaches the balancer.
 func (b *Broker) SetAdmissionController(a AdmissionController) { b.admission = a }
 
-// CanConfigure returns an error if Configure must not be called with the settings.
+// CanConfigure returns an error if the settings must not be passed to Configure.
 func (b *Broker) CanConfigure(settings balancer.Settings) error {
 	return b.balancer.CanConfigure(settings)
 }
 
-// Configure applies the classes and the tenants of settings that CanConfigure has accepted. An open request
-// keeps the class that it was submitted with.
+// Configure applies the classes and tenants of settings that CanConfigure has accepted. An open request
+// keeps the class with which it was submitted.
 func (b *Broker) Configure(settings balancer.Settings) {
 	b.run(func() { b.balancer.Configure(settings) })
 }
 
-// run calls f, after all calls that are deferred already.
+// run calls f after all calls that have been deferred before.
 //
-// The balancer must not be called from within its own actions, and a front may call the broker from within a
-// response.
+// Calls are deferred because the balancer must not be called from within its own actions, and a front may
+// call the broker from within Client.Respond.
 func (b *Broker) run(f func()) {
 	b.deferred = append(b.deferred, f)
-	if b.inDeferred {
+	if b.runningDeferred {
 		return
 	}
-	b.inDeferred = true
+	b.runningDeferred = true
 	for len(b.deferred) > 0 {
 		next := b.deferred[0]
 		b.deferred = b.deferred[1:]
 		next()
 	}
-	b.deferred, b.inDeferred = nil, false
+	b.deferred, b.runningDeferred = nil, false
 }
--- a/internal/proxy/broker/broker_test.go
+++ b/internal/proxy/broker/broker_test.go
@@ -14,7 +14,7 @@
 	"moorstack/internal/proxy/slotmap"
 )
 
-// fakeClock is moved by tests.
+// fakeClock is a Clock that a test advances.
 type fakeClock struct {
 	now    time.Duration
 	timers []*fakeTimer
@@ -36,7 +36,7 @@
 	return t
 }
 
-// advance moves the time on, and calls the timers that are due, in order.
+// advance advances the time and calls the timers that are due, in order.
 func (c *fakeClock) advance(d time.Duration) {
 	end := c.now + d
 	for {
@@ -55,7 +55,7 @@
 	}
 }
 
-// fakeEndpoint remembers the attempts that it was given.
+// fakeEndpoint records the attempts that it receives.
 type fakeEndpoint struct {
 	started   []Attempt
 	abandoned int
@@ -70,23 +70,23 @@
 
 func (e *fakeEndpoint) Abandon() { e.abandoned++ }
 
-// fakeClient remembers its responses, and may act on them.
+// fakeClient records its responses, and can call a function on each.
 type fakeClient struct {
 	responses    []Response
 	disconnected bool
-	then         func()
+	onRespond    func()
 }
 
 func (c *fakeClient) Respond(r Response) {
 	c.responses = append(c.responses, r)
-	if c.then != nil {
-		c.then()
+	if c.onRespond != nil {
+		c.onRespond()
 	}
 }
 
 func (c *fakeClient) Disconnected() bool { return c.disconnected }
 
-// fixture is a broker with two endpoints, a and b.
+// fixture is a broker with the two endpoints "a" and "b".
 type fixture struct {
 	t *testing.T
 	*Broker
@@ -111,12 +111,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.list("a", "b")
+	f.setEndpointList("a", "b")
 	return f
 }
 
-// list makes the named endpoints the whole endpoint list.
-func (f *fixture) list(names ...string) {
+// setEndpointList passes a full endpoint list with the named endpoints to the broker.
+func (f *fixture) setEndpointList(names ...string) {
 	var entries []ListEntry
 	for _, name := range names {
 		entries = append(entries, ListEntry{Name: name, State: balancer.Ready, Size: 1,
@@ -125,7 +125,7 @@
 	f.UpdateEndpoints(balancer.ListFull, entries)
 }
 
-// submit submits a request, and gives its client.
+// submit submits a request and returns its client.
 func (f *fixture) submit(id string) *fakeClient {
 	f.t.Helper()
 	c := &fakeClient{}
@@ -135,7 +135,7 @@
 	return c
 }
 
-// attempts gives the IDs of all attempts of a request, and the names of their endpoints.
+// attempts returns the IDs of all attempts of a request and the names of their endpoints.
 func (f *fixture) attempts(requestID string) (ids []slotmap.ID, names []string) {
 	for _, name := range []string{"a", "b"} {
 		for _, a := range f.endpoints[name].started {
@@ -147,15 +147,15 @@
 	return ids, names
 }
 
-// want checks the responses of a client.
-func (f *fixture) want(c *fakeClient, kinds ...ResponseKind) {
+// wantResponses checks the kinds of the responses that a client has received.
+func (f *fixture) wantResponses(c *fakeClient, kinds ...ResponseKind) {
 	f.t.Helper()
 	var got []ResponseKind
 	for _, r := range c.responses {
 		got = append(got, r.Kind)
 	}
 	if !slices.Equal(got, kinds) {
-		f.t.Errorf("responses of the kinds %v, want %v", got, kinds)
+		f.t.Errorf("responses are of kinds %v, want %v", got, kinds)
 	}
 }
 
@@ -164,16 +164,19 @@
 	c := f.submit("r")
 	ids, _ := f.attempts("r")
 	if len(ids) != 1 || !f.MayStillSend(ids[0]) || f.PendingCount() != 1 {
-		t.Fatalf("%d attempts, %d requests pending", len(ids), f.PendingCount())
+		t.Fatalf("got %d attempts and %d pending requests, want 1 of each, ready to send", len(ids),
+			f.PendingCount())
 	}
 	f.EndAttempt(ids[0], balancer.OK, []byte("body"), balancer.NoLoadReport)
 	f.EndAttempt(ids[0], balancer.ServerError, nil, balancer.NoLoadReport)
 	f.clock.advance(time.Minute)
-	if f.want(c, Served); string(c.responses[0].Body) != "body" {
-		t.Errorf("the body is %q", c.responses[0].Body)
+	if f.wantResponses(c, Served); string(c.responses[0].Body) != "body" {
+		t.Errorf("response body is %q, want \"body\"", c.responses[0].Body)
 	}
-	if f.PendingCount() != 0 || len(f.OpenIDs()) != 0 || f.attemptsInUse() != 0 || f.MayStillSend(ids[0]) {
-		t.Errorf("%d requests and %d attempts are kept", len(f.OpenIDs()), f.attemptsInUse())
+	if f.PendingCount() != 0 || len(f.OpenRequestIDs()) != 0 || f.attemptsInUse() != 0 ||
+		f.MayStillSend(ids[0]) {
+		t.Errorf("%d requests and %d attempts are left, want none", len(f.OpenRequestIDs()),
+			f.attemptsInUse())
 	}
 }
 
@@ -184,20 +187,20 @@
 	c := f.submit("r")
 	_, names := f.attempts("r")
 	if !f.EndAttemptAt("r", names[0], balancer.ConnectFailed, nil, balancer.NoLoadReport) {
-		t.Fatal("there is no attempt to end")
+		t.Fatal("EndAttemptAt found no attempt in flight")
 	}
 	if f.EndAttemptAt("r", names[0], balancer.OK, nil, balancer.NoLoadReport) {
-		t.Error("an attempt was ended that has ended")
+		t.Error("EndAttemptAt ended an attempt that had already ended")
 	}
 	if _, names = f.attempts("r"); !slices.Equal(names, []string{"a", "b"}) {
-		t.Fatalf("attempts at %v, want one at each", names)
+		t.Fatalf("attempts at %v, want one at each endpoint", names)
 	}
 	f.EndAttemptAt("r", "a", balancer.OK, nil, balancer.NoLoadReport)
 	f.EndAttemptAt("r", "b", balancer.OK, nil, balancer.NoLoadReport)
-	f.want(c, Served)
+	f.wantResponses(c, Served)
 }
 
-// Hazard: a worker that never responds holds a request for ever.
+// Without the deadline, a worker that never responds would keep a request open for ever.
 func TestAttemptIsAbandonedAtItsDeadline(t *testing.T) {
 	f := newFixture(t)
 	c := &fakeClient{}
@@ -207,14 +210,14 @@
 	}
 	f.clock.advance(time.Second)
 	if f.endpoints["a"].abandoned+f.endpoints["b"].abandoned != 0 {
-		t.Error("abandoned before the deadline")
+		t.Error("an attempt was abandoned before its deadline")
 	}
 	f.clock.advance(4 * time.Second)
 	if f.endpoints["a"].abandoned != 1 || f.endpoints["b"].abandoned != 1 {
-		t.Errorf("abandoned %d and %d times, want once at each endpoint", f.endpoints["a"].abandoned,
-			f.endpoints["b"].abandoned)
+		t.Errorf("attempts were abandoned %d and %d times, want once at each endpoint",
+			f.endpoints["a"].abandoned, f.endpoints["b"].abandoned)
 	}
-	f.want(c, Rejected) // both attempts are used up, and the class is idempotent
+	f.wantResponses(c, Rejected) // both attempts are used up, and the class is idempotent
 }
 
 func TestDuplicateIDIsRejected(t *testing.T) {
@@ -222,9 +225,9 @@
 	f.submit("r")
 	c := &fakeClient{}
 	if err := f.Submit(Request{ID: "r", Timeout: time.Second}, c); !errors.Is(err, ErrDuplicateID) {
-		t.Errorf("a duplicate ID: %v", err)
+		t.Errorf("a duplicate ID returned error %v, want ErrDuplicateID", err)
 	}
-	f.want(c)
+	f.wantResponses(c)
 }
 
 type rejectAll struct{}
@@ -237,11 +240,11 @@
 	f := newFixture(t)
 	f.SetAdmissionController(rejectAll{})
 	c := f.submit("r")
-	f.want(c, Rejected)
+	f.wantResponses(c, Rejected)
 	if r := c.responses[0]; r.Reason != "closed" || r.RetryAfter != 3*time.Second {
-		t.Errorf("the response is %+v", r)
+		t.Errorf("response is %+v, want the controller's reason and delay", r)
 	}
-	if ids, _ := f.attempts("r"); len(ids) != 0 || len(f.OpenIDs()) != 0 {
+	if ids, _ := f.attempts("r"); len(ids) != 0 || len(f.OpenRequestIDs()) != 0 {
 		t.Error("a rejected request reached the balancer")
 	}
 }
@@ -252,32 +255,33 @@
 	f.ClientDisconnected("r")
 	f.ClientDisconnected("r")
 	if n := f.endpoints["a"].abandoned + f.endpoints["b"].abandoned; n != 1 {
-		t.Errorf("%d attempts are abandoned, want 1", n)
+		t.Errorf("%d attempts were abandoned, want 1", n)
 	}
 	f.clock.advance(time.Minute)
-	f.want(c)
-	if f.PendingCount() != 0 || len(f.OpenIDs()) != 0 {
-		t.Errorf("%d requests are kept", len(f.OpenIDs()))
+	f.wantResponses(c)
+	if f.PendingCount() != 0 || len(f.OpenRequestIDs()) != 0 {
+		t.Errorf("%d requests are left, want none", len(f.OpenRequestIDs()))
 	}
 }
 
-// Hazard: a client's end is unread while an attempt is about to be written.
+// A client may disconnect after its attempt has started. Until the front has read that, only the check just
+// before the attempt is written can prevent it from running for nobody.
 func TestAttemptIsNotSentForADisconnectedClient(t *testing.T) {
 	f := newFixture(t)
 	c := f.submit("r")
 	ids, _ := f.attempts("r")
 	c.disconnected = true
 	if f.MayStillSend(ids[0]) || f.PendingCount() != 0 {
-		t.Error("the attempt may be sent, or its request is pending")
+		t.Error("the attempt may still be sent, or its request is still pending")
 	}
 }
 
-// A front may submit the next request from within a response.
+// A front may submit the next request from within Client.Respond, while a call of the balancer is running.
 func TestSubmitFromWithinAResponse(t *testing.T) {
 	f := newFixture(t)
 	first := f.submit("r0")
 	second := &fakeClient{}
-	first.then = func() {
+	first.onRespond = func() {
 		if err := f.Submit(Request{ID: "r1", Timeout: time.Second}, second); err != nil {
 			t.Error(err)
 		}
@@ -285,14 +289,14 @@
 	ids, _ := f.attempts("r0")
 	f.EndAttempt(ids[0], balancer.OK, nil, balancer.NoLoadReport)
 	if ids, _ = f.attempts("r1"); len(ids) != 1 {
-		t.Fatalf("%d attempts of the second request", len(ids))
+		t.Fatalf("the second request has %d attempts, want 1", len(ids))
 	}
 	f.EndAttempt(ids[0], balancer.OK, nil, balancer.NoLoadReport)
-	f.want(first, Served)
-	f.want(second, Served)
+	f.wantResponses(first, Served)
+	f.wantResponses(second, Served)
 }
 
-// serve submits n requests, serves each at once, and counts them by endpoint.
+// serve submits n requests one after the other, serves each at once, and counts them by endpoint.
 func (f *fixture) serve(prefix string, n int) map[string]int {
 	count := map[string]int{}
 	for i := range n {
@@ -323,22 +327,23 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			c.exclude(f)
-			f.list("a", "b") // a list does not end it
+			f.setEndpointList("a", "b") // must not end the exclusion
 			if got := f.serve("x", 20); got["a"] != 0 || got["b"] != 20 {
-				t.Errorf("excluded, it got %d of 20 requests, the other one %d", got["a"], got["b"])
+				t.Errorf("excluded endpoint got %d of 20 requests and the other %d, want 0 and 20", got["a"],
+					got["b"])
 			}
 			c.include(f)
 			f.submit("y0")
 			f.submit("y1")
 			_, first := f.attempts("y0")
 			if _, second := f.attempts("y1"); first[0] == second[0] {
-				t.Errorf("afterwards two requests at once both went to %s", first[0])
+				t.Errorf("after the exclusion two concurrent requests both went to %s", first[0])
 			}
 		})
 	}
 }
 
-// Maintenance goes on in the process that replaces this one, and so does what the balancer has learned.
+// A hot restart must not end maintenance: the new process continues it for the endpoints that it inherits.
 func TestStatePassesToAnotherProcess(t *testing.T) {
 	f, next := newFixture(t), newFixture(t)
 	f.StartMaintenance("a")
@@ -346,26 +351,26 @@
 	f.EndMaintenance("b")
 	next.ImportState(f.ExportState())
 	if since, ok := next.underMaintenance()["a"]; !ok || since != time.Hour || !next.EverListed("b") {
-		t.Errorf("under maintenance: %v", next.underMaintenance())
+		t.Errorf("the new process has %v under maintenance, want a since 1h", next.underMaintenance())
 	}
 	if got := next.serve("x", 10); got["a"] != 0 {
-		t.Errorf("the endpoint under maintenance got %d requests", got["a"])
+		t.Errorf("the endpoint under maintenance got %d requests, want 0", got["a"])
 	}
 }
 
-// A request that goes on at another process keeps its attempts, and gets no response here.
+// A request that has migrated to another process keeps its attempts and gets no response from this one.
 func TestMigratedRequestKeepsItsAttempts(t *testing.T) {
 	f := newFixture(t)
 	c := f.submit("r")
 	deadline, list := f.OutstandingAttempts("r")
 	if deadline != f.clock.now+10*time.Second || len(list) != 1 || f.InFlight()[list[0].Endpoint] != 1 {
-		t.Fatalf("until %v: %v, in flight %v", deadline, list, f.InFlight())
+		t.Fatalf("deadline %v, attempts %v, in flight %v", deadline, list, f.InFlight())
 	}
 	f.Migrate("r")
 	if n := f.endpoints["a"].abandoned + f.endpoints["b"].abandoned; n != 0 || f.PendingCount() != 0 {
-		t.Errorf("%d attempts are abandoned, %d requests pending", n, f.PendingCount())
+		t.Errorf("%d attempts were abandoned and %d requests are pending, want none", n, f.PendingCount())
 	}
-	f.want(c)
+	f.wantResponses(c)
 }
 
 func TestRemovedEndpointIsForgottenAfterItsAttempts(t *testing.T) {
@@ -373,12 +378,13 @@
 	f.submit("r")
 	ids, names := f.attempts("r")
 	other := map[string]string{"a": "b", "b": "a"}[names[0]]
-	f.list(other)
+	f.setEndpointList(other)
 	if f.DiscoveredCount() != 1 || len(f.Broker.endpoints) != 2 || f.MayStillSend(ids[0]) {
-		t.Errorf("%d listed, %d kept", f.DiscoveredCount(), len(f.Broker.endpoints))
+		t.Errorf("%d endpoints are listed and %d kept, want 1 and 2", f.DiscoveredCount(),
+			len(f.Broker.endpoints))
 	}
 	f.EndAttempt(ids[0], balancer.OK, nil, balancer.NoLoadReport)
 	if len(f.Broker.endpoints) != 1 {
-		t.Errorf("%d endpoints are kept", len(f.Broker.endpoints))
+		t.Errorf("%d endpoints are kept, want 1", len(f.Broker.endpoints))
 	}
 }
--- a/internal/proxy/broker/endpoint.go
+++ b/internal/proxy/broker/endpoint.go
@@ -8,12 +8,12 @@
 	"moorstack/balancer"
 )
 
-// Endpoint is a worker as a front reaches it.
+// Endpoint is a front's connection to a worker.
 type Endpoint interface {
-	// StartAttempt begins an attempt. Its end is reported by Broker.EndAttempt or Broker.EndAttemptAt; if
-	// none has been reported by the attempt's deadline, the broker ends and abandons it.
+	// StartAttempt starts an attempt. The front reports its end with Broker.EndAttempt or
+	// Broker.EndAttemptAt. If it has not done so by the attempt's deadline, the broker abandons the attempt.
 	StartAttempt(a Attempt) RunningAttempt
-	// CheckHealth requests a load report and calls done once.
+	// CheckHealth requests a load report and calls done exactly once.
 	CheckHealth(done func(balancer.Result, balancer.LoadReport))
 }
 
@@ -24,18 +24,18 @@
 	State            balancer.WorkerState
 	Size             float64
 	Labels           []string
-	StartedAt        time.Duration // on the broker's clock; 0: long ago
-	Endpoint         Endpoint      // nil for one that is removed
+	StartedAt        time.Duration // by the broker's clock; 0: long ago
+	Endpoint         Endpoint      // nil if State is Removed
 }
 
-// EndpointSource provides the endpoint list where it must be requested. It reports what it gets by
+// EndpointSource provides the endpoint list if it has to be requested. It passes updates to
 // Broker.UpdateEndpoints.
 type EndpointSource interface {
-	// WatchList subscribes to watch events, or ends the subscription.
+	// WatchList starts or stops watching the list.
 	WatchList(on bool)
 }
 
-// endpoint is one that is listed, or was and has attempts in flight.
+// endpoint is an endpoint that is listed, or that was listed and still has attempts in flight.
 type endpoint struct {
 	Endpoint
 	id       balancer.WorkerID
@@ -44,7 +44,7 @@
 	inFlight int
 	removed  bool
 
-	listed balancer.Worker // as the endpoint list has it, without maintenance, subset and ejections
+	listed balancer.Worker // the list entry, before maintenance, subset and ejections are applied
 }
 
 // HasEndpoints reports whether any endpoint is listed.
@@ -57,7 +57,7 @@
 	return false
 }
 
-// DiscoveredCount is the number of listed endpoints.
+// DiscoveredCount returns the number of listed endpoints.
 func (b *Broker) DiscoveredCount() int {
 	n := 0
 	for _, e := range b.endpoints {
@@ -68,14 +68,14 @@
 	return n
 }
 
-// UpdateEndpoints applies a watch event of the endpoint list, or a whole list.
+// UpdateEndpoints applies a watch event or a full endpoint list.
 func (b *Broker) UpdateEndpoints(kind balancer.ListUpdateKind, entries []ListEntry) {
 	named := map[balancer.WorkerID]bool{}
 	workers := make([]balancer.Worker, 0, len(entries))
 	for _, entry := range entries {
 		e := b.updateEndpoint(entry)
 		named[e.id] = true
-		workers = append(workers, b.effective(e.name, e.listed))
+		workers = append(workers, b.effectiveWorker(e.name, e.listed))
 	}
 	if kind == balancer.ListFull || kind == balancer.ListCached {
 		for id, e := range b.endpoints {
@@ -95,9 +95,9 @@
 	}
 }
 
-// updateEndpoint takes over one entry of the list.
+// updateEndpoint applies one entry of the list.
 func (b *Broker) updateEndpoint(entry ListEntry) *endpoint {
-	id := b.idOf(entry.Name)
+	id := b.workerID(entry.Name)
 	e := b.endpoints[id]
 	if e == nil {
 		e = &endpoint{id: id, name: entry.Name}
@@ -109,11 +109,11 @@
 	e.removed, e.zone = entry.State == balancer.Removed, strconv.Itoa(entry.Zone)
 	e.listed = balancer.Worker{ID: id, Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell,
 		State: entry.State, Size: entry.Size, StartedAt: entry.StartedAt, Labels: entry.Labels}
-	b.maintenance.addName(entry.Name)
+	b.maintenance.addKnownName(entry.Name)
 	return e
 }
 
-// dropRemoved forgets an endpoint that is not listed any more and has no attempt in flight.
+// dropRemoved deletes an endpoint if it is no longer listed and has no attempts in flight.
 func (b *Broker) dropRemoved(e *endpoint) {
 	if e.removed && e.inFlight == 0 && b.endpoints[e.id] == e {
 		delete(b.endpoints, e.id)
@@ -121,9 +121,9 @@
 	}
 }
 
-// idOf is the number by which the balancer knows an endpoint. It must be the same at every node and after a
-// restart: dispatchers take turns at workers that warm up by it.
-func (b *Broker) idOf(name string) balancer.WorkerID {
+// workerID returns the balancer's ID for an endpoint. It is a hash of the name, because it must be the same
+// on every node and after a restart: dispatchers use it to take turns at workers in slow start.
+func (b *Broker) workerID(name string) balancer.WorkerID {
 	if id, ok := b.idByName[name]; ok {
 		return id
 	}
@@ -137,30 +137,30 @@
 	return id
 }
 
-// refresh passes to the balancer the state of an endpoint as it is now.
+// refresh passes the current state of an endpoint to the balancer.
 func (b *Broker) refresh(name string) { b.refreshThen(name, func(balancer.WorkerID) {}) }
 
-// refreshThen is refresh, with a call that follows it before anything else reaches the balancer.
+// refreshThen is like refresh, and then calls a function before any other call reaches the balancer.
 func (b *Broker) refreshThen(name string, then func(balancer.WorkerID)) {
 	id, ok := b.idByName[name]
 	if !ok {
-		return // it is not listed now; once it is, the overlays apply
+		return // not listed; the overlays are applied once it is
 	}
 	e := b.endpoints[id]
 	if e == nil || e.removed {
 		return
 	}
-	w := b.effective(name, e.listed)
+	w := b.effectiveWorker(name, e.listed)
 	b.run(func() {
 		b.balancer.UpdateWorkers(b.clock.Now(), balancer.ListDelta, []balancer.Worker{w})
 		then(id)
 	})
 }
 
-// effective is an entry of the list as the balancer is to see it: endpoints under maintenance, outside the
-// subset or ejected count as draining, so that nothing new goes to them while attempts in flight may end and
-// what was learned of them is kept.
-func (b *Broker) effective(name string, w balancer.Worker) balancer.Worker {
+// effectiveWorker returns a list entry as the balancer should see it. An endpoint under maintenance, outside
+// the subset or ejected is shown as draining: it gets no new attempts, its attempts in flight may end, and
+// the balancer keeps what it has learned about it.
+func (b *Broker) effectiveWorker(name string, w balancer.Worker) balancer.Worker {
 	w = b.maintenance.apply(name, w)
 	if (b.subset != nil && !b.subset[name] || b.ejected[name]) && w.State == balancer.Ready {
 		w.State = balancer.Draining
--- a/internal/proxy/broker/maintenance.go
+++ b/internal/proxy/broker/maintenance.go
@@ -8,40 +8,41 @@
 )
 
 // ErrNeverListed is returned for maintenance of an endpoint whose name was never in the endpoint list. Its
-// text is sent to operators' tools, and so never changes.
+// text is sent to operators' tools, so it must not change.
 var ErrNeverListed = errors.New("no trip worker of this id was ever listed")
 
-// maxNames is how many names are remembered of endpoints that were listed at any time.
-const maxNames = 1 << 16
+// maxKnownNames limits how many names of previously listed endpoints are kept.
+const maxKnownNames = 1 << 16
 
-// MaintenancePeriod is a time of maintenance that has ended, on the broker's clock.
+// MaintenancePeriod is a period of maintenance that has ended. Times are by the broker's clock.
 type MaintenancePeriod struct{ Since, Ended time.Duration }
 
-// maintenance is an overlay on the endpoint list: which endpoints operators have taken out of service, by
-// name. The list itself is kept as it was received. To the balancer an endpoint under maintenance is
+// maintenance is an overlay on the endpoint list. It holds, by name, the endpoints that operators have taken
+// out of service; the list itself is kept as received. The balancer sees an endpoint under maintenance as
 // draining.
 //
-// Hazard: whatever the list contains meanwhile, a restart under the same name, a gap with a whole new list,
-// or the removal and return of the endpoint must not end its maintenance.
+// The overlay is separate because no update of the list may end maintenance: neither a restart of the
+// endpoint under the same name, nor a full list after a gap in the watch, nor the endpoint's removal and
+// return.
 type maintenance struct {
-	since    map[string]time.Duration     // of endpoints under maintenance: when it began
-	returned map[string]MaintenancePeriod // of endpoints that are not listed as restarted since theirs ended
-	names    map[string]struct{}          // of all endpoints that were ever listed
+	since      map[string]time.Duration     // when the maintenance of each endpoint started
+	returned   map[string]MaintenancePeriod // ended, but the endpoint is not yet listed as restarted
+	knownNames map[string]struct{}          // of all endpoints that have ever been listed
 }
 
 func newMaintenance() maintenance {
 	return maintenance{since: map[string]time.Duration{}, returned: map[string]MaintenancePeriod{},
-		names: map[string]struct{}{}}
+		knownNames: map[string]struct{}{}}
 }
 
-// addName remembers that the list has named an endpoint.
-func (m *maintenance) addName(name string) {
-	if len(m.names) < maxNames { // hazard: a list that has new names for ever
-		m.names[name] = struct{}{}
+// addKnownName records the name of an endpoint in the list.
+func (m *maintenance) addKnownName(name string) {
+	if len(m.knownNames) < maxKnownNames { // a list with ever new names must not use unlimited memory
+		m.knownNames[name] = struct{}{}
 	}
 }
 
-// apply gives an entry of the list as the balancer is to see it.
+// apply returns a list entry as the balancer should see it.
 func (m *maintenance) apply(name string, w balancer.Worker) balancer.Worker {
 	if _, ok := m.since[name]; ok {
 		if w.State == balancer.Ready {
@@ -50,8 +51,9 @@
 		return w
 	}
 	if period, ok := m.returned[name]; ok && w.State != balancer.Removed {
-		// Hazard: it was restarted during its maintenance and has to warm up, and the list, which is late,
-		// does not show that yet. Until it does, the endpoint counts as started when its maintenance ended.
+		// The endpoint was restarted during its maintenance and is cold, but the list may lag behind and not
+		// show the restart yet. Until it does, the end of the maintenance is used as the start time, so that
+		// the endpoint gets its slow start.
 		if w.StartedAt > period.Since {
 			delete(m.returned, name)
 		} else {
@@ -61,17 +63,18 @@
 	return w
 }
 
-// EverListed reports whether an endpoint of this name was ever in the endpoint list.
+// EverListed reports whether the endpoint list has ever contained an endpoint of this name.
 func (b *Broker) EverListed(name string) bool {
-	_, ok := b.maintenance.names[name]
+	_, ok := b.maintenance.knownNames[name]
 	return ok
 }
 
-// StartMaintenance takes an endpoint out of service by an operator's command, until EndMaintenance: from now
-// on no new attempt goes to it. It is idempotent.
+// StartMaintenance takes an endpoint out of service at an operator's command: it gets no new attempts until
+// EndMaintenance. It is idempotent.
 func (b *Broker) StartMaintenance(name string) { b.startMaintenanceSince(name, b.clock.Now()) }
 
-// startMaintenanceSince is StartMaintenance for one that began earlier, at another process of this node.
+// startMaintenanceSince is like StartMaintenance, for maintenance that started earlier in another process of
+// this node.
 func (b *Broker) startMaintenanceSince(name string, since time.Duration) {
 	if _, ok := b.maintenance.since[name]; ok {
 		return
@@ -81,7 +84,7 @@
 	b.refresh(name)
 }
 
-// EndMaintenance puts an endpoint back into service, and returns false if it was not under maintenance.
+// EndMaintenance returns an endpoint to service. It returns false if the endpoint was not under maintenance.
 func (b *Broker) EndMaintenance(name string) bool {
 	since, ok := b.maintenance.since[name]
 	if !ok {
@@ -93,13 +96,13 @@
 	return true
 }
 
-// underMaintenance gives the names of the endpoints under maintenance, and since when. It must not be
-// changed.
+// underMaintenance returns when the maintenance of each endpoint under maintenance started. The caller must
+// not change the map.
 func (b *Broker) underMaintenance() map[string]time.Duration { return b.maintenance.since }
 
-// EjectedCount is how many listed endpoints get no new attempts, because they are under maintenance or
-// because the balancer has ejected them as outliers. Endpoints that the list itself has as draining are not
-// among them.
+// EjectedCount returns the number of listed endpoints that get no new attempts because they are under
+// maintenance or because the balancer has ejected them as outliers. Endpoints whose state in the list is
+// draining are not counted for that.
 func (b *Broker) EjectedCount() int {
 	n := b.balancer.EjectedCount(b.clock.Now())
 	for name := range b.maintenance.since {
--- a/internal/proxy/broker/maintenance_test.go
+++ b/internal/proxy/broker/maintenance_test.go
@@ -7,7 +7,8 @@
 	"moorstack/balancer"
 )
 
-// The overlay gives the balancer what the operators decided, whatever the endpoint list contains.
+// An update of the endpoint list must not end maintenance or hide the restart of an endpoint that returned
+// from it.
 func TestMaintenanceOverlayOverridesEndpointList(t *testing.T) {
 	const began, ended = time.Minute, 2 * time.Minute
 	ready := balancer.Worker{State: balancer.Ready, StartedAt: 10 * time.Second}
@@ -43,10 +44,10 @@
 
 func TestRememberedNamesAreBounded(t *testing.T) {
 	m := newMaintenance()
-	for i := range maxNames + 10 {
-		m.addName(time.Duration(i).String())
+	for i := range maxKnownNames + 10 {
+		m.addKnownName(time.Duration(i).String())
 	}
-	if len(m.names) != maxNames {
-		t.Errorf("%d names are remembered", len(m.names))
+	if len(m.knownNames) != maxKnownNames {
+		t.Errorf("%d names are remembered", len(m.knownNames))
 	}
 }
--- a/internal/proxy/broker/process_state.go
+++ b/internal/proxy/broker/process_state.go
@@ -7,29 +7,30 @@
 	"moorstack/balancer"
 )
 
-// ProcessState is what the broker of one process of a node passes to that of the process that replaces it in
-// a hot restart, without endpoints and open requests. Times are of the sender's clock.
+// ProcessState is the state that the broker of a process passes to the broker of the process that replaces it
+// in a hot restart. It contains neither endpoints nor open requests. Times are by the sender's clock.
 type ProcessState struct {
-	KnownNames              []string // of endpoints that were ever listed
-	UnderMaintenance        map[string]time.Duration
-	ReturnedFromMaintenance map[string]MaintenancePeriod // and not listed as restarted since
+	KnownNames              []string                     // of all endpoints that have ever been listed
+	UnderMaintenance        map[string]time.Duration     // by endpoint name: when the maintenance started
+	ReturnedFromMaintenance map[string]MaintenancePeriod // by endpoint name; not yet listed as restarted
 	Balancer                balancer.LearnedState
 }
 
-// ExportState gives the state that another process needs.
+// ExportState returns the state for the process that replaces this one.
 func (b *Broker) ExportState() ProcessState {
 	s := ProcessState{UnderMaintenance: b.maintenance.since,
 		ReturnedFromMaintenance: maps.Clone(b.maintenance.returned), Balancer: b.balancer.Learned()}
-	for name := range b.maintenance.names {
+	for name := range b.maintenance.knownNames {
 		s.KnownNames = append(s.KnownNames, name)
 	}
 	return s
 }
 
-// ImportState takes over another process's state, after the first endpoint list and before any request.
+// ImportState applies the state of the process that this one replaces. It must be called after the first
+// endpoint list and before the first request.
 func (b *Broker) ImportState(s ProcessState) {
 	for _, name := range s.KnownNames {
-		b.maintenance.addName(name)
+		b.maintenance.addKnownName(name)
 	}
 	for name, period := range s.ReturnedFromMaintenance {
 		b.maintenance.returned[name] = period
@@ -41,7 +42,7 @@
 	b.run(func() { b.balancer.RestoreLearned(b.clock.Now(), s.Balancer) })
 }
 
-// InFlight gives, by endpoint name, the work that this process has in flight there.
+// InFlight returns, by endpoint name, the number of slots that this process's attempts in flight occupy.
 func (b *Broker) InFlight() map[string]float64 {
 	inFlight := map[string]float64{}
 	for id, n := range b.balancer.InFlight() {
@@ -52,9 +53,9 @@
 	return inFlight
 }
 
-// SetOtherInFlight sets, by endpoint name, the work that the process which this one replaces has in flight.
-// An endpoint that is not named has none of it.
-func (b *Broker) SetOtherInFlight(inFlight map[string]float64) {
+// SetPredecessorInFlight sets, by endpoint name, the number of slots that attempts of the process that this
+// one replaces occupy. For an endpoint that is not named it is 0.
+func (b *Broker) SetPredecessorInFlight(inFlight map[string]float64) {
 	b.run(func() {
 		for id, e := range b.endpoints {
 			b.balancer.SetPredecessorInFlight(id, inFlight[e.name])
@@ -62,8 +63,8 @@
 	})
 }
 
-// OpenIDs gives the IDs of the open requests, in no order.
-func (b *Broker) OpenIDs() []string {
+// OpenRequestIDs returns the IDs of the open requests, in no particular order.
+func (b *Broker) OpenRequestIDs() []string {
 	ids := make([]string, 0, len(b.requests))
 	for id := range b.requests {
 		ids = append(ids, string(id))
@@ -77,8 +78,8 @@
 	Running  RunningAttempt
 }
 
-// OutstandingAttempts gives the attempts in flight of a request whose client waits, and when the client gives
-// up.
+// OutstandingAttempts returns the deadline and the attempts in flight of a request whose client is still
+// waiting, or no attempts if there is no such request.
 func (b *Broker) OutstandingAttempts(id string) (deadline time.Duration, list []OutstandingAttempt) {
 	req := b.requests[balancer.RequestID(id)]
 	if req == nil || req.client == nil {
@@ -92,7 +93,8 @@
 	return req.deadline, list
 }
 
-// Migrate ends a request here that goes on at another process, without abandoning its attempts in flight.
+// Migrate ends a request in this process after it has migrated to another process. Its attempts in flight are
+// not abandoned, and its client gets no response from this process.
 func (b *Broker) Migrate(id string) {
 	if req := b.requests[balancer.RequestID(id)]; req != nil {
 		for _, a := range req.attempts {
--- a/internal/proxy/broker/request.go
+++ b/internal/proxy/broker/request.go
@@ -12,82 +12,83 @@
 	ID     string
 	Class  int // index of Settings.Classes
 	Tenant int // index of Settings.Tenants
-	// Account is whose rate limit the request counts against, where a front was given one; empty: none by
-	// name.
+	// Account is the account whose rate limit the request counts against. It is empty if the front does not
+	// know one.
 	Account      string
-	Timeout      time.Duration // until the client gives up
-	ExpectedWork time.Duration // running time on a standard core; 0: not known
-	Slots        float64       // worker slots that it takes; 0: not known
-	Memory       float64       // units of memory that it takes; 0: not known
-	IsRetry      bool          // the client marks it as a retry
-	Payload      any           // passed to the front's endpoints as it is
+	Timeout      time.Duration // from now until the client gives up
+	ExpectedWork time.Duration // run time on a standard core; 0: unknown
+	Slots        float64       // worker slots that it occupies; 0: unknown
+	Memory       float64       // units of memory that it occupies; 0: unknown
+	IsRetry      bool          // the client has marked it as a retry
+	Payload      any           // passed unchanged to the front's endpoints
 
 	Route          balancer.Route // nil: any endpoint
-	MaxAttempts    int            // within the class's limit; 0: that limit
-	AttemptTimeout time.Duration  // of each attempt, within Timeout; 0: none of its own
+	MaxAttempts    int            // lowers the class's limit; 0: the class's limit
+	AttemptTimeout time.Duration  // of each attempt, within Timeout; 0: only Timeout applies
 }
 
-// ResponseKind is how a request ended.
+// ResponseKind is the outcome of a request.
 type ResponseKind uint8
 
 // The kinds of final response.
 const (
 	Served   ResponseKind = iota
-	Rejected              // not served, and a retry is harmless
-	Failed                // not served, and the job may have run
+	Rejected              // not served; a retry is safe
+	Failed                // not served, but the job may have run
 )
 
 // Response is a request's final response.
 type Response struct {
 	Kind       ResponseKind
 	Body       []byte        // of Served
-	RetryAfter time.Duration // of Rejected: when to retry; 0: not given
+	RetryAfter time.Duration // of Rejected: how long to wait before a retry; 0: not specified
 	Reason     string        // of Rejected, from the admission controller
 }
 
-// Client waits for one request's final response.
+// Client receives the final response to one request.
 type Client interface {
-	// Respond is called exactly once, unless Broker.ClientDisconnected comes before.
+	// Respond is called exactly once, unless Broker.ClientDisconnected is called first.
 	Respond(Response)
 }
 
-// DisconnectChecker is a Client that can detect that it has disconnected before its front has read so.
+// DisconnectChecker is implemented by a Client that can check its connection for a disconnect that the front
+// has not read yet.
 //
-// Hazard: the process is stalled or overloaded, and the end of a client's connection is unread while an
-// attempt is started for it.
+// Without this check, a stalled or overloaded process would start attempts for clients that have disconnected
+// in the meantime.
 type DisconnectChecker interface{ Disconnected() bool }
 
-// AdmissionController decides, before the balancer, whether a request is admitted. It picks no endpoint and
-// has no part in the final response of a request that it admits.
+// AdmissionController decides whether a request is admitted before it reaches the balancer. It does not
+// choose endpoints and does not influence the final response to a request that it has admitted.
 type AdmissionController interface {
-	// Admit returns false, with a Rejection, for a request that must be rejected at once.
+	// Admit returns true if the request is admitted. Otherwise it is rejected at once with the Rejection.
 	Admit(r *Request) (Rejection, bool)
 }
 
-// Rejection is why an admission controller rejects a request.
+// Rejection is the reason why a request is not admitted, and when the client may retry.
 type Rejection struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// ErrDuplicateID is returned for a request whose ID is in use by an open one. Its text is a response's body,
-// and so never changes.
+// ErrDuplicateID is returned for a request with the ID of an open request. Its text is the body of the
+// response to the client, so it must not change.
 var ErrDuplicateID = errors.New("a transaction with this ID is open already")
 
-// request is an open one: from Submit until it has its response and no attempt is in flight.
+// request is an open request: it has no final response yet, or still has attempts in flight.
 type request struct {
 	Request
-	client   Client // nil once it has its response, or has disconnected
+	client   Client // nil once it has got its response or disconnected
 	deadline time.Duration
-	attempts []*attempt // by attempt number
+	attempts []*attempt // by attempt.number
 	inFlight int        // attempts that have not ended
 }
 
-// PendingCount is the number of requests without their final response.
+// PendingCount returns the number of requests that have no final response yet.
 func (b *Broker) PendingCount() int { return b.pending }
 
-// Submit takes a request. Unless it returns ErrDuplicateID, the client gets one response, maybe before Submit
-// returns.
+// Submit submits a request. Unless it returns ErrDuplicateID, the client gets one response, possibly before
+// Submit returns.
 func (b *Broker) Submit(r Request, client Client) error {
 	id := balancer.RequestID(r.ID)
 	if b.requests[id] != nil {
@@ -112,15 +113,15 @@
 	return nil
 }
 
-// forBalancer is the request as the balancer sees it, without ID.
+// forBalancer converts the request to the balancer's type, without ID.
 func (r *Request) forBalancer() balancer.Request {
 	return balancer.Request{Class: r.Class, Tenant: r.Tenant, Timeout: r.Timeout,
 		ExpectedWork: r.ExpectedWork, Slots: r.Slots, Memory: r.Memory, Route: r.Route,
 		MaxAttempts: r.MaxAttempts}
 }
 
-// Explain gives, by endpoint name, whether the balancer would consider that endpoint for a request that came
-// now, at a tier of its route, and if not, why. It changes nothing.
+// Explain returns, by endpoint name, whether the endpoint is eligible for a request that arrived now, at a
+// tier of the request's route, and if not, why. It does not affect later decisions.
 func (b *Broker) Explain(r Request, tier int) map[string]balancer.Eligibility {
 	out := map[string]balancer.Eligibility{}
 	for _, v := range b.balancer.Explain(b.clock.Now(), r.forBalancer(), tier) {
@@ -131,7 +132,7 @@
 	return out
 }
 
-// ClientDisconnected ends a request whose client has disconnected. The client gets no response any more.
+// ClientDisconnected ends a request whose client has disconnected. The client gets no response.
 func (b *Broker) ClientDisconnected(id string) {
 	req := b.requests[balancer.RequestID(id)]
 	if req == nil || req.client == nil {
@@ -141,20 +142,20 @@
 	b.pending--
 	b.run(func() {
 		b.balancer.ClientDisconnected(balancer.RequestID(id))
-		b.forget(req)
+		b.dropFinished(req)
 	})
 }
 
-// clientWaits reports whether the client still waits for the response. A request whose client turns out to
-// have disconnected is ended.
-func (b *Broker) clientWaits(req *request) bool {
+// clientIsWaiting reports whether the client is still waiting for the response. If it finds that the client
+// has disconnected, it ends the request.
+func (b *Broker) clientIsWaiting(req *request) bool {
 	if c, ok := req.client.(DisconnectChecker); ok && c.Disconnected() {
 		b.ClientDisconnected(req.ID)
 	}
 	return req.client != nil
 }
 
-// respond gives the final response, once.
+// respond sends the final response, unless the client has got one or disconnected.
 func (b *Broker) respond(req *request, r Response) {
 	if client := req.client; client != nil {
 		req.client = nil
@@ -163,8 +164,8 @@
 	}
 }
 
-// forget drops a request that has its response and no attempt in flight.
-func (b *Broker) forget(req *request) {
+// dropFinished deletes a request if its client is no longer waiting and no attempts are in flight.
+func (b *Broker) dropFinished(req *request) {
 	if req.client == nil && req.inFlight == 0 {
 		delete(b.requests, balancer.RequestID(req.ID))
 	}
--- a/internal/proxy/broker/subset.go
+++ b/internal/proxy/broker/subset.go
@@ -4,16 +4,17 @@
 	"moorstack/balancer"
 )
 
-// ListedEndpoint is an endpoint that the endpoint list has as ready.
+// ListedEndpoint is an endpoint whose state in the endpoint list is ready.
 type ListedEndpoint struct{ Name, Zone string }
 
-// OnListUpdate has f be called after each update of the endpoint list.
+// OnListUpdate sets a function that is called after each update of the endpoint list.
 func (b *Broker) OnListUpdate(f func()) { b.onListUpdate = f }
 
-// OnAttemptEnd has f be called with the end of each attempt. It must not call the broker.
+// OnAttemptEnd sets a function that is called when an attempt has ended. It must not call the broker.
 func (b *Broker) OnAttemptEnd(f func(name string, res balancer.Result)) { b.onAttemptEnd = f }
 
-// ListedEndpoints are the endpoints that the list has as ready, also those under maintenance, in no order.
+// ListedEndpoints returns the endpoints whose state in the endpoint list is ready, including those under
+// maintenance, in no particular order.
 func (b *Broker) ListedEndpoints() []ListedEndpoint {
 	var list []ListedEndpoint
 	for _, e := range b.endpoints {
@@ -24,7 +25,7 @@
 	return list
 }
 
-// SetSubset has only the named endpoints get new attempts; nil: all of them.
+// SetSubset restricts new attempts to the named endpoints; nil removes the restriction.
 func (b *Broker) SetSubset(names map[string]bool) {
 	before := b.subset
 	b.subset = names
@@ -35,8 +36,8 @@
 	}
 }
 
-// SetEjected has the named endpoints, which the group's outlier verdicts exclude, get no new attempts until
-// it is called again.
+// SetEjected sets which endpoints the group has ejected as outliers. They get no new attempts until a later
+// call leaves them out.
 func (b *Broker) SetEjected(names map[string]bool) {
 	before := b.ejected
 	b.ejected = names
@@ -47,7 +48,7 @@
 	}
 }
 
-// SubsetSize is the number of listed, ready endpoints that are within the subset.
+// SubsetSize returns the number of endpoints in the subset whose state in the endpoint list is ready.
 func (b *Broker) SubsetSize() int {
 	n := 0
 	for _, e := range b.ListedEndpoints() {
--- a/internal/proxy/hotrestart/doc.go
+++ b/internal/proxy/hotrestart/doc.go
@@ -1,11 +1,11 @@
-// Package hotrestart has one process of a node, the child, take the place of another, its parent, while the
-// node serves: what passes between the two, in which order, and what each does if the other dies, is slow or
-// is of another version.
+// Package hotrestart replaces a process of a node, the parent, by a new one, the child, while the node
+// serves. It defines the messages between the two, their order, and what each process does if the other one
+// dies, is slow or uses another version of the protocol.
 //
 // The Machine is the protocol's state machine, without I/O or clock: the driver feeds it events and carries
-// out its effects. A child finds its parent at a SocketPath, a Unix socket in a folder that both processes
-// are given, and inherits its State and listening socket; from then on a Link carries Messages both ways.
-// docs/upgrade.md has the timeline.
+// out its effects. A child finds its parent at a SocketPath, a Unix socket in a folder that is configured for
+// both processes, and inherits the parent's State and listening socket. From then on a Link carries Messages
+// in both directions. docs/upgrade.md shows the timeline.
 //
-// All but SocketPath.Join runs on the goroutine of the node's event loop.
+// Everything except SocketPath.Join runs on the goroutine of the node's event loop.
 package hotrestart
--- a/internal/proxy/hotrestart/link.go
+++ b/internal/proxy/hotrestart/link.go
@@ -7,27 +7,27 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-var errMessageTooLong = errors.New("a message without end")
+var errMessageTooLong = errors.New("message is longer than 8 MiB")
 
-// Link is the connection of the two processes, on the loop of one. Messages are received through onMessage;
-// onClose is called once if the other process closes it, dies or sends what is no message.
+// Link is one process's end of the connection between the two. It passes each received message to onMessage.
+// It calls onClose once if the other process closes the connection, dies or sends a malformed message.
 type Link struct {
 	conn      *eventloop.Conn
-	partial   []byte // the beginning of a message that has not come whole
+	partial   []byte // the beginning of a message that is not complete yet
 	onMessage func(*Link, *Message)
 	onClose   func(*Link, error)
 }
 
 var _ eventloop.Handler = (*Link)(nil)
 
-// AcceptLink makes a link of a connection that a parent has accepted.
+// AcceptLink creates a link from a connection that a parent has accepted.
 func AcceptLink(conn *eventloop.Conn, onMessage func(*Link, *Message), onClose func(*Link, error)) *Link {
 	l := &Link{conn: conn, onMessage: onMessage, onClose: onClose}
 	conn.Handler = l
 	return l
 }
 
-// ConnectLink makes a link of the descriptor of Inheritance.ConnFD, which is the link's unless an error is
+// ConnectLink creates a link from Inheritance.ConnFD. The link owns the descriptor unless an error is
 // returned.
 func ConnectLink(loop *eventloop.Loop, fd int, onMessage func(*Link, *Message),
 	onClose func(*Link, error)) (*Link, error) {
@@ -42,19 +42,21 @@
 // Send sends a message.
 func (l *Link) Send(m Message) { l.conn.Write(m.Append(nil)) }
 
-// SendRequest sends an open request with its client's connection. It fails if output waits on the link.
+// SendRequest sends an open request with its client's connection. It fails while earlier output is still
+// buffered on the link.
 func (l *Link) SendRequest(r MigratedRequest, clientFD int) error {
 	m := Message{Type: TypeMigratedRequest, Request: &r}
 	return l.conn.WriteFDs(m.Append(nil), clientFD)
 }
 
-// SendState sends the state with the listening socket. It fails if output waits on the link.
+// SendState sends the state with the listening socket. It fails while earlier output is still buffered on the
+// link.
 func (l *Link) SendState(s *State, listenerFD int) error {
 	m := Message{Type: TypeState, Version: Version, State: s}
 	return l.conn.WriteFDs(m.Append(nil), listenerFD)
 }
 
-// PopFD returns the descriptor that came with the current message; the caller owns it.
+// PopFD returns the descriptor that arrived with the current message. The caller owns it.
 func (l *Link) PopFD() (fd int, ok bool) { return l.conn.PopFD() }
 
 // Reject sends a rejection and closes the link.
@@ -63,15 +65,17 @@
 	l.conn.CloseAfterFlush()
 }
 
-// Close closes the link without a call of onClose.
+// Close closes the link without calling onClose.
 func (l *Link) Close() { l.conn.Close() }
 
-// OnConnect implements eventloop.Handler; the connection is up already.
+// OnConnect implements eventloop.Handler. It does nothing, because a link's connection is already
+// established.
 func (*Link) OnConnect(*eventloop.Conn) {}
 
-// OnData implements eventloop.Handler: it takes whole messages, in whatever pieces they come.
+// OnData implements eventloop.Handler. It assembles complete messages from the data that has arrived.
 func (l *Link) OnData(c *eventloop.Conn) {
-	// A process that says hello and then little is not evicted for it; ChildServesTimeout ends that.
+	// This exempts the link from eviction. ChildServesTimeout covers a process that
+	// sends a hello and then nothing.
 	c.BeginProcessing()
 	l.partial = append(l.partial, c.Input()...)
 	c.Discard(len(c.Input()))
@@ -93,7 +97,7 @@
 	}
 }
 
-// OnClose implements eventloop.Handler: the other process has closed the link, or died.
+// OnClose implements eventloop.Handler. The other process has closed the link or died.
 func (l *Link) OnClose(_ *eventloop.Conn, err error) { l.onClose(l, err) }
 
 func (l *Link) fail(err error) {
--- a/internal/proxy/hotrestart/link_test.go
+++ b/internal/proxy/hotrestart/link_test.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// newLoopAndSocketPair returns a loop, and the two ends of a connection.
+// newLoopAndSocketPair returns an event loop and the two ends of a connection.
 func newLoopAndSocketPair(t *testing.T) (*eventloop.Loop, [2]int) {
 	loop, err := eventloop.New()
 	if err != nil {
@@ -23,7 +23,8 @@
 	return loop, fds
 }
 
-// Messages are read in whatever pieces they come; a malformed one closes the link, once.
+// A message may arrive in several reads, and several messages in one. A malformed message closes the link
+// once.
 func TestLinkReadsMessagesInAnyPieces(t *testing.T) {
 	text := string((&Message{Type: TypeChildServes}).Append(nil)) +
 		string((&Message{Type: TypeCallBack, CallBackNumber: 7, Body: []byte("a\nb")}).Append(nil)) +
@@ -44,7 +45,7 @@
 			for rest := text + "{no message\n" + text; rest != ""; {
 				n, err := unix.Write(fds[1], []byte(rest[:min(size, len(rest))]))
 				if err != nil {
-					return // the other end has closed, as it should
+					return // the other end has closed the link, as expected
 				}
 				rest = rest[n:]
 			}
@@ -54,12 +55,12 @@
 		}
 		unix.Close(fds[1])
 		if strings.Join(got, ",") != "take,calla\nb,begun" || closed != 1 {
-			t.Errorf("in pieces of %d: %q, and %d calls of onClose", size, got, closed)
+			t.Errorf("in pieces of %d bytes: got messages %q and %d calls of onClose", size, got, closed)
 		}
 	}
 }
 
-// A message without end closes the link.
+// Without a limit, a message that never ends would use unlimited memory.
 func TestLinkClosesOnEndlessMessage(t *testing.T) {
 	loop, fds := newLoopAndSocketPair(t)
 	closed := false
@@ -83,6 +84,6 @@
 	}
 	unix.Close(fds[1])
 	if !closed {
-		t.Error("a message without end is read on")
+		t.Error("the link did not close on a message over the limit")
 	}
 }
--- a/internal/proxy/hotrestart/machine.go
+++ b/internal/proxy/hotrestart/machine.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Phase is what a process is to the other one of its node.
+// Phase is the role of a process in a hot restart, and its progress.
 type Phase uint8
 
-// The phases. Their names are sent in rejections.
+// The phases. Their names are sent in rejections, so they must not change.
 const (
-	Alone                  Phase = iota // there is no other process
-	Offering                            // a parent whose child has the state and does not serve yet
-	ParentDraining                      // a parent whose child serves; it finishes what it has accepted
-	TakingOver                          // a child that has the state, while its parent still accepts
-	ServingAlongsideParent              // a child that serves, while its parent finishes what it has accepted
+	Alone                  Phase = iota // there is no other process of the node
+	Offering                            // a parent whose child has the state but does not serve yet
+	ParentDraining                      // a parent whose child serves; it finishes its open requests
+	TakingOver                          // a child that has the state; its parent still accepts requests
+	ServingAlongsideParent              // a child that serves; its parent finishes its open requests
 )
 
 // String returns the phase's name.
@@ -19,66 +19,66 @@
 	return [...]string{"alone", "offering", "handed over", "taking over", "beside the old process"}[p]
 }
 
-// Event is what a process observes.
+// Event is an input of the Machine.
 type Event uint8
 
 // The events.
 const (
-	TakeoverRequested Event = iota // a process wants to take this one's place
-	ChildServes                    // the child serves from here on
-	ParentReleased                 // the parent has stopped accepting
-	ParentDrained                  // the parent owes no client anything
-	PeerLost                       // the other process has ended, or can't be understood
-	TimedOut                       // what was waited for has not come in time
+	TakeoverRequested Event = iota // a new process requests to replace this one
+	ChildServes                    // the child has started to serve
+	ParentReleased                 // the parent has stopped accepting requests
+	ParentDrained                  // the parent has no open requests left
+	PeerLost                       // the other process has ended or sent a malformed message
+	TimedOut                       // the expected message has not arrived in time
 )
 
-// Effect is what the process has to do.
+// Effect is an action that the driver of a Machine must carry out.
 type Effect uint8
 
 // The effects.
 const (
 	SendState       Effect = iota // send the state and the listening socket, and share the limits
-	RejectRequest                 // reject the process that wants to take this one's place
-	StopAccepting                 // stop accepting, drain the clients, and notify the child
-	ResumeAccepting               // accept again
-	RestoreLimits                 // the limits are this process's alone
-	ListenForChild                // listen for the process that will take this one's place
-	CloseLink                     // close the link with the other process
+	RejectTakeover                // reject the process that requests to replace this one
+	StopAccepting                 // stop accepting requests, drain the clients, and notify the child
+	ResumeAccepting               // accept requests again
+	RestoreLimits                 // apply the full limits to this process
+	ListenForChild                // listen for the process that will replace this one
+	CloseLink                     // close the link to the other process
 )
 
-// How long a process waits for the other.
+// Timeouts, by the process that waits.
 const (
-	stateTimeout       = 2 * time.Second         // a child: for the state
-	joinRetryTimeout   = 5 * time.Second         // a third process: for the first two to finish
-	ChildServesTimeout = 6 * time.Second         // a parent: for the child to serve, as the platform does
-	MigrateAfter       = 2500 * time.Millisecond // a parent, from SIGTERM: until it migrates open requests
-	ReleaseTimeout     = time.Second             // a child: for its parent to stop accepting
-	parentGracePeriod  = 3500 * time.Millisecond // a child, from its start: for its parent's requests
+	stateTimeout       = 2 * time.Second         // child: to receive the state
+	joinRetryTimeout   = 5 * time.Second         // third process: for the hot restart in progress to finish
+	ChildServesTimeout = 6 * time.Second         // parent: for the child to serve; the platform waits as long
+	MigrateAfter       = 2500 * time.Millisecond // parent, from SIGTERM: until it migrates its open requests
+	ReleaseTimeout     = time.Second             // child: for its parent to stop accepting requests
+	parentGracePeriod  = 3500 * time.Millisecond // child, from its start: for its parent's open requests
 )
 
-// Machine is the state machine of one process. It is not safe for concurrent use.
+// Machine is the hot restart state machine of one process. It is not safe for concurrent use.
 type Machine struct {
 	phase         Phase
 	parentDrained bool
-	readyAt       time.Duration // of a child: when it is ready even if its parent has not drained
+	readyAt       time.Duration // when a child is ready even if its parent has not drained
 }
 
-// NewWithoutParent returns the machine of a process that found no other one.
+// NewWithoutParent returns the machine of a process that has found no parent.
 func NewWithoutParent() *Machine { return &Machine{} }
 
-// NewChild returns the machine of a process that has started at the given time and inherited the state of its
-// parent.
+// NewChild returns the machine of a process that started at the given time and has inherited its parent's
+// state.
 //
-// It is ready late on purpose: the platform ends the parent soon after, and until then the parent can finish
-// requests with all the time that their clients have.
+// A child becomes ready late on purpose: the platform ends the parent soon after the child is ready. Until
+// then the parent can finish its requests within the full timeouts of their clients.
 func NewChild(started time.Duration) *Machine {
 	return &Machine{phase: TakingOver, readyAt: started + parentGracePeriod}
 }
 
-// Phase returns the phase of the process.
+// Phase returns the current phase of the process.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Ready reports whether the process is ready to be the node's only one.
+// Ready reports whether the node can continue with this process alone.
 func (m *Machine) Ready(now time.Duration) bool {
 	switch m.phase {
 	case Alone, Offering:
@@ -106,8 +106,8 @@
 	{Offering, PeerLost}:    {Alone, []Effect{CloseLink, RestoreLimits}},
 	{Offering, TimedOut}:    {Alone, []Effect{CloseLink, RestoreLimits}},
 
-	// Hazard: the child dies before the platform ends the parent, which then is the only process that can
-	// serve.
+	// The child has died before the platform has ended the parent. The parent is then the only process that
+	// can serve, so it must accept requests again.
 	{ParentDraining, PeerLost}: {Alone, []Effect{CloseLink, RestoreLimits, ResumeAccepting, ListenForChild}},
 
 	{TakingOver, ParentReleased}: {ServingAlongsideParent, []Effect{ListenForChild}},
@@ -117,16 +117,16 @@
 	{ServingAlongsideParent, PeerLost}: {Alone, []Effect{CloseLink, RestoreLimits}},
 }
 
-// Step takes an event and returns the effects, in their order; the caller must not change them. An event that
-// has no meaning in the phase has no effects.
+// Step applies an event and returns its effects in the order in which they must be carried out. The caller
+// must not change them. An event that the current phase does not expect has no effects.
 func (m *Machine) Step(e Event) []Effect {
 	if t, ok := transitions[transitionKey{m.phase, e}]; ok {
 		m.phase = t.next
 		return t.effects
 	}
 	switch {
-	case e == TakeoverRequested: // hazard: a third process, while two have not settled which one serves
-		return []Effect{RejectRequest}
+	case e == TakeoverRequested: // from a third process, before the hot restart in progress is complete
+		return []Effect{RejectTakeover}
 	case e == ParentDrained && m.phase == ServingAlongsideParent:
 		m.parentDrained = true
 	}
--- a/internal/proxy/hotrestart/machine_test.go
+++ b/internal/proxy/hotrestart/machine_test.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// A child takes over from its parent, which drains, and is a parent itself once that has ended.
+// A child takes over while its parent drains, and can become a parent itself when the old one has ended.
 func TestTakeoverTimeline(t *testing.T) {
 	parent, child := NewWithoutParent(), NewChild(time.Minute)
 	step := func(m *Machine, e Event, phase Phase, want ...Effect) {
 		t.Helper()
 		if got := m.Step(e); !slices.Equal(got, want) || m.Phase() != phase {
-			t.Fatalf("event %d: effects %v and %v, want %v and %v", e, got, m.Phase(), want, phase)
+			t.Fatalf("event %d: got effects %v and phase %v, want %v and %v", e, got, m.Phase(), want, phase)
 		}
 	}
 	step(parent, TakeoverRequested, Offering, SendState)
-	step(parent, TakeoverRequested, Offering, RejectRequest)
+	step(parent, TakeoverRequested, Offering, RejectTakeover)
 	if !parent.Ready(0) || child.Ready(time.Hour) {
-		t.Fatal("until the child serves, the parent alone is ready")
+		t.Fatal("only the parent must be ready until the child serves")
 	}
 	step(parent, ChildServes, ParentDraining, StopAccepting)
 	step(parent, ChildServes, ParentDraining)
 	step(child, ParentReleased, ServingAlongsideParent, ListenForChild)
-	step(child, TakeoverRequested, ServingAlongsideParent, RejectRequest)
+	step(child, TakeoverRequested, ServingAlongsideParent, RejectTakeover)
 	if parent.Ready(0) || child.Ready(time.Minute) || !child.Ready(time.Minute+parentGracePeriod) {
-		t.Fatal("the child is ready when its parent's grace period is over")
+		t.Fatal("only the child must be ready, and only after its parent's grace period")
 	}
 	step(child, ParentDrained, ServingAlongsideParent)
 	if !child.Ready(time.Minute) {
-		t.Fatal("the parent has drained, and the child is not ready")
+		t.Fatal("the child is not ready although its parent has drained")
 	}
 	step(child, PeerLost, Alone, CloseLink, RestoreLimits)
 	step(child, TakeoverRequested, Offering, SendState)
 }
 
-// Each death, at each step, leaves one process that serves with all the limits.
+// If a process dies at any step of a hot restart, the other one must serve with the full limits.
 func TestDeathAtEachStepLeavesOneServingProcess(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -67,7 +67,7 @@
 			c.m.Step(e)
 		}
 		if got := c.m.Step(c.last); !slices.Equal(got, c.want) || c.m.Phase() != Alone || !c.m.Ready(0) {
-			t.Errorf("%s: %v, and then %v", c.name, got, c.m.Phase())
+			t.Errorf("%s: got effects %v and phase %v", c.name, got, c.m.Phase())
 		}
 	}
 }
--- a/internal/proxy/hotrestart/socket.go
+++ b/internal/proxy/hotrestart/socket.go
@@ -21,34 +21,36 @@
 
 	joinRetryInterval = 50 * time.Millisecond
 	readBufferBytes   = 64 << 10
-	maxControlBytes   = 64 // room for the control message with the listening socket
+	maxControlBytes   = 64 // buffer for the control message with the listening socket
 )
 
 var (
-	// ErrNoParent is the error of Join if no process listens at the path.
-	ErrNoParent = errors.New("no process to take over from")
-
-	errRestartUnderWay = errors.New("another process is about to take its place")
-	errStateTimeout    = errors.New("the process there does not answer in time")
-	errParentClosed    = errors.New("the process there closed the connection")
-	errStateTooLong    = errors.New("its state has no end")
-	errNoListener      = errors.New("the state came without the listening socket")
+	// ErrNoParent is returned by Join if no process listens at the path.
+	ErrNoParent = errors.New("no parent process is listening")
+
+	errRestartUnderWay = errors.New("another hot restart is in progress")
+	errStateTimeout    = errors.New("timed out while waiting for the parent's state")
+	errParentClosed    = errors.New("the parent closed the connection before it sent its state")
+	errStateTooLong    = errors.New("the parent's state is longer than 8 MiB")
+	errNoListener      = errors.New("the parent sent its state without the listening socket")
 )
 
-// SocketPath is where a node's processes meet: a Unix socket in a folder. Its name is derived from the node's
-// address, so that the nodes of one machine don't meet each other.
+// SocketPath is the path of the Unix socket at which a child connects to its parent. The socket's name is
+// derived from the node's listen address, so that nodes on the same machine use different sockets.
 type SocketPath struct{ dir, name string }
 
-// SocketFor returns the path in a folder for the node that serves clients at an address.
+// SocketFor returns the path for the node that serves clients at an address, in the given folder.
 func SocketFor(dir, listenAddress string) SocketPath {
 	hash := fnv.New64a()
 	hash.Write([]byte(listenAddress))
 	return SocketPath{dir, fmt.Sprintf("moorstack-%x.sock", hash.Sum64())}
 }
 
-// sockaddr returns the address of a socket in the folder, and a function to call once it has been used.
+// sockaddr returns the address of a socket in the folder, and a function to call when the address is no
+// longer needed.
 //
-// Hazard: the folder's path may be longer than a Unix address. A descriptor of the folder makes a short one.
+// The folder's path may be too long for a Unix socket address. It is then replaced by a short path through a
+// descriptor of the folder.
 func (p SocketPath) sockaddr(name string) (addr *unix.SockaddrUnix, release func(), err error) {
 	path := filepath.Join(p.dir, name)
 	if len(path) <= maxUnixPathBytes {
@@ -62,28 +64,28 @@
 	return &unix.SockaddrUnix{Name: path}, func() { unix.Close(fd) }, nil
 }
 
-// Listen listens at the path for a child, in place of the process that listened there before. OnAccept is
-// called on the loop for each connection.
+// Listen listens at the path for a child. It replaces any process that has listened there before. It calls
+// onAccept on the loop for each connection.
 func (p SocketPath) Listen(loop *eventloop.Loop, onAccept func(*eventloop.Conn)) (
 	*eventloop.Listener, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("socket: %w", err)
+		return nil, fmt.Errorf("creating a Unix socket: %w", err)
 	}
 	if err := p.bind(fd); err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("listening at %s for a child: %w", filepath.Join(p.dir, p.name), err)
+		return nil, fmt.Errorf("listening for a child process at %s: %w", filepath.Join(p.dir, p.name), err)
 	}
 	limits := eventloop.Limits{MaxConnections: maxLinks, MaxBufferBytes: maxLinks * maxMessageBytes}
 	return loop.ListenFD(fd, limits, onAccept)
 }
 
-// bind has the socket listen at the path.
+// bind binds the socket to the path and starts listening.
 func (p SocketPath) bind(fd int) error {
-	own := fmt.Sprintf("%s.%d", p.name, os.Getpid())
-	ownPath := filepath.Join(p.dir, own)
-	_ = os.Remove(ownPath) // of a process that had the same number
-	addr, release, err := p.sockaddr(own)
+	bindName := fmt.Sprintf("%s.%d", p.name, os.Getpid())
+	bindPath := filepath.Join(p.dir, bindName)
+	_ = os.Remove(bindPath) // left by a process that had the same process ID
+	addr, release, err := p.sockaddr(bindName)
 	if err != nil {
 		return err
 	}
@@ -91,26 +93,27 @@
 	if err := unix.Bind(fd, addr); err != nil {
 		return err
 	}
-	if err := os.Chmod(ownPath, 0o600); err != nil {
+	if err := os.Chmod(bindPath, 0o600); err != nil {
 		return err
 	}
 	if err := unix.Listen(fd, listenBacklog); err != nil {
 		return err
 	}
-	// In one step: at any time a process that connects there reaches one of the two.
-	return os.Rename(ownPath, filepath.Join(p.dir, p.name))
+	// The rename is atomic, so a process that connects at any time reaches either the old or the new
+	// listener.
+	return os.Rename(bindPath, filepath.Join(p.dir, p.name))
 }
 
-// Inheritance is what a child gets from its parent. The descriptors are the caller's.
+// Inheritance is what a child receives from its parent. The caller owns the descriptors.
 type Inheritance struct {
 	State      *State
 	ListenerFD int // the listening socket
-	ConnFD     int // the connection with the parent, for ConnectLink
+	ConnFD     int // the connection to the parent, for ConnectLink
 }
 
-// Join requests the state and the listening socket of the process that listens at the path. It returns
-// ErrNoParent at once if there is none, and another error if they can't be had in time. It blocks, up to
-// joinRetryTimeout and stateTimeout together.
+// Join requests the state and the listening socket from the process that listens at the path. It returns
+// ErrNoParent at once if there is none, and another error if it does not receive both in time. It blocks for
+// at most the sum of joinRetryTimeout and stateTimeout.
 func (p SocketPath) Join(node, listenAddress string) (*Inheritance, error) {
 	hello := Message{Type: TypeHello, Version: Version, Node: node, ListenAddress: listenAddress}
 	for end := time.Now().Add(joinRetryTimeout); ; time.Sleep(joinRetryInterval) {
@@ -121,7 +124,7 @@
 	}
 }
 
-// requestState makes one attempt at Join.
+// requestState makes one attempt to receive the state for Join.
 func (p SocketPath) requestState(hello Message, deadline time.Time) (*Inheritance, error) {
 	fd, err := p.connect()
 	if err != nil {
@@ -141,25 +144,25 @@
 func (p SocketPath) connect() (fd int, err error) {
 	addr, release, err := p.sockaddr(p.name)
 	if err != nil {
-		return -1, ErrNoParent // there is no folder
+		return -1, ErrNoParent // the folder does not exist
 	}
 	defer release()
 	fd, err = unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, fmt.Errorf("socket: %w", err)
+		return -1, fmt.Errorf("creating a Unix socket: %w", err)
 	}
 	if err := unix.Connect(fd, addr); err != nil {
-		// Hazard: the socket may be of a process that was killed. Then the connection is refused.
+		// The socket may have been left by a process that was killed. The connection is then refused.
 		unix.Close(fd)
 		return -1, ErrNoParent
 	}
 	return fd, nil
 }
 
-// request sends a hello and receives the state.
+// request sends a hello message and receives the state.
 func (in *Inheritance) request(hello Message, deadline time.Time) error {
 	if _, err := unix.Write(in.ConnFD, hello.Append(nil)); err != nil {
-		return fmt.Errorf("sending hello: %w", err)
+		return fmt.Errorf("sending the hello message: %w", err)
 	}
 	text, err := in.receiveLine(deadline)
 	if err != nil {
@@ -173,7 +176,7 @@
 	case m.Type == TypeRejected:
 		return fmt.Errorf("%w: %s", errRestartUnderWay, m.Reason)
 	case m.Type != TypeState || len(rest) > 0:
-		return fmt.Errorf("unexpected message of type %q", m.Type)
+		return fmt.Errorf("expected a single state message, got type %q", m.Type)
 	case in.ListenerFD < 0:
 		return errNoListener
 	}
@@ -183,7 +186,7 @@
 	return nil
 }
 
-// receiveLine reads until a line has come whole, and keeps the descriptor that comes with it.
+// receiveLine reads a complete line, and stores the descriptor that arrives with it in ListenerFD.
 func (in *Inheritance) receiveLine(deadline time.Time) (text []byte, err error) {
 	buf, control := make([]byte, readBufferBytes), make([]byte, maxControlBytes)
 	for !bytes.ContainsRune(text, '\n') {
@@ -197,7 +200,7 @@
 		}
 		n, controlLen, _, _, err := unix.Recvmsg(in.ConnFD, buf, control, unix.MSG_CMSG_CLOEXEC)
 		if err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
-			return nil, fmt.Errorf("reading its state: %w", err)
+			return nil, fmt.Errorf("receiving the parent's state: %w", err)
 		}
 		if fd := firstDescriptor(control[:max(controlLen, 0)]); fd >= 0 {
 			in.ListenerFD = fd
@@ -212,7 +215,7 @@
 	return text, nil
 }
 
-// firstDescriptor returns the first descriptor of a control message, or -1, and closes the others.
+// firstDescriptor returns the first descriptor in a control message, or -1. It closes any others.
 func firstDescriptor(control []byte) int {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
--- a/internal/proxy/hotrestart/state.go
+++ b/internal/proxy/hotrestart/state.go
@@ -7,35 +7,36 @@
 	"moorstack/balancer"
 )
 
-// minClockStep is the least difference of two processes' clocks that is taken for a step of the wall clock
-// between their starts, and not for the time that a message took.
+// minClockStep is the least difference between the clocks of two processes that is treated as a step of the
+// wall clock between their starts. A smaller difference is treated as the time that the message was under
+// way.
 const minClockStep = 250 * time.Millisecond
 
-// State is what a child inherits from its parent. Its times are by the clock of the process that sent it,
-// until RebaseTimes.
+// State is the state that a child inherits from its parent. Its times are by the sender's clock until
+// RebaseTimes converts them.
 type State struct {
 	Generation          int64                 `json:"generation"` // of the endpoint list
-	Instances           json.RawMessage       `json:"instances"`  // the list, in discovery's form
-	DiscoveryAddress    string                `json:"discovery"`  // as reloads have left it
-	ConfiguredDiscovery string                `json:"written"`    // as the file gave it last
-	KnownEndpoints      []string              `json:"known"`      // that were ever listed
+	Instances           json.RawMessage       `json:"instances"`  // the endpoint list, in discovery's format
+	DiscoveryAddress    string                `json:"discovery"`  // the one in use, after reloads
+	ConfiguredDiscovery string                `json:"written"`    // the one last read from the file
+	KnownEndpoints      []string              `json:"known"`      // all that have ever been listed
 	Maintenance         []Maintenance         `json:"bans"`
 	Balancer            balancer.LearnedState `json:"module"`
 
-	SentAt       time.Duration          `json:"now,omitempty"`    // 0: an older process did not state it
-	WorkerStarts map[string]WorkerStart `json:"starts,omitempty"` // by the workers' names
+	SentAt       time.Duration          `json:"now,omitempty"`    // 0: not sent, by an older process
+	WorkerStarts map[string]WorkerStart `json:"starts,omitempty"` // by worker name
 }
 
-// WorkerStart is when a worker started.
+// WorkerStart is the start time of a worker.
 type WorkerStart struct {
-	Reported time.Duration `json:"said"` // by the wall clock, as the worker reports it
+	Reported time.Duration `json:"said"` // by the wall clock, as reported by the worker
 	At       time.Duration `json:"at"`
 }
 
-// RebaseTimes converts the times of the state to times of the receiver's clock, which shows now.
+// RebaseTimes converts the times of the state to the receiver's clock, whose current time is now.
 //
-// Hazard: a process's clock goes on by itself from what the wall clock showed at its start. Where that was
-// stepped meanwhile, the two processes' clocks differ for good.
+// A process's clock starts at the wall clock's time and then advances monotonically. If the wall clock is
+// stepped between the starts of two processes, their clocks differ permanently.
 func (s *State) RebaseTimes(now time.Duration) {
 	shift := now - s.SentAt
 	if s.SentAt == 0 || shift.Abs() < minClockStep {
@@ -54,8 +55,8 @@
 	shiftLearnedTimes(&s.Balancer, shift)
 }
 
-// shiftLearnedTimes adds to all times of what the balancer has learned. One that is not set means never, or
-// long ago, and stays so.
+// shiftLearnedTimes adds shift to all times that the balancer has learned. A time of 0 means never or long
+// ago, so it is not shifted.
 func shiftLearnedTimes(l *balancer.LearnedState, shift time.Duration) {
 	add := func(t *time.Duration) {
 		if *t > 0 {
--- a/internal/proxy/hotrestart/state_test.go
+++ b/internal/proxy/hotrestart/state_test.go
@@ -9,7 +9,7 @@
 	"moorstack/balancer"
 )
 
-// stateAt returns a state in which every time is set, to a minute before the sender's clock.
+// stateAt returns a state that is sent at now, in which every other time is a minute earlier.
 func stateAt(now time.Duration) *State {
 	at := now - time.Minute
 	return &State{
@@ -30,9 +30,9 @@
 	}
 }
 
-// The wall clock is stepped between the starts of two processes of a node, by seconds or an hour, either way:
-// what one sends to the other happened as long ago by the other's clock. The time that a message takes is no
-// step.
+// If the wall clock is stepped between the starts of two processes, inherited times would lie in the future
+// or too far in the past. They must be as long ago by the receiver's clock as they were by the sender's. The
+// time that a message is under way must not be treated as a step.
 func TestRebaseTimesAfterClockStep(t *testing.T) {
 	const now = 1000 * time.Hour
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
@@ -48,24 +48,24 @@
 	got := stateAt(now)
 	got.RebaseTimes(now + minClockStep/2)
 	if !reflect.DeepEqual(got, stateAt(now)) {
-		t.Error("the time that the message took was taken for a step")
+		t.Error("the time that the message was under way was treated as a clock step")
 	}
 	older := stateAt(now)
 	older.SentAt = 0
 	older.RebaseTimes(now + time.Hour)
 	if older.Maintenance[0].StartedAt != now-time.Minute {
-		t.Error("the times of a process that states no clock were shifted")
+		t.Error("times from a process that does not send its clock were shifted")
 	}
 }
 
-// Every time that the balancer has learned is shifted: one that is added must be, too.
+// RebaseTimes must shift every time in LearnedState. The test fails if a new field is left out.
 func TestRebaseShiftsEveryLearnedTime(t *testing.T) {
 	var walk func(v reflect.Value, path string)
 	walk = func(v reflect.Value, path string) {
 		switch {
 		case v.Type() == reflect.TypeFor[time.Duration]():
 			if got := time.Duration(v.Int()); got != 100*time.Hour-time.Minute+time.Hour {
-				t.Errorf("%s is %v", path, got)
+				t.Errorf("%s is %v, want it shifted by an hour", path, got)
 			}
 		case v.Kind() == reflect.Struct:
 			for i := range v.NumField() {
--- a/internal/verify/emulate/operations.go
+++ b/internal/verify/emulate/operations.go
@@ -96,11 +96,11 @@
 	if n.down || old.down {
 		return
 	}
-	n.broker.SetOtherInFlight(old.broker.InFlight())
+	n.broker.SetPredecessorInFlight(old.broker.InFlight())
 	age := w.Clock.now - startedAt
 	if age >= killDelay || old.broker.PendingCount() == 0 && age >= readyDelay {
 		old.kill()
-		n.broker.SetOtherInFlight(nil)
+		n.broker.SetPredecessorInFlight(nil)
 		return
 	}
 	w.Clock.After(inFlightInterval, func() { w.handOver(old, n, startedAt) })
