--- a/internal/proxy/routing/compile.go
+++ b/internal/proxy/routing/compile.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// Limits of a file: the index has a bit for each rule and value.
+// Limits of a file. They bound the size of the index, which has a bit for each pair of rule and value.
 const (
 	maxRules = 10_000
 	maxPools = 1_000
 )
 
-// The names of the file's arrays.
+// The names of the arrays of tables in a file.
 const (
 	poolArray = "pool"
 	ruleArray = "rule"
 )
 
-// Compile makes a Table of a file. The error is nil or Problems, which has everything that is wrong; the
-// warnings are of rules that can never match.
+// Compile compiles a file into a Table. The error is nil or of type Problems, and contains all problems with
+// the file. The warnings are about rules that can never match.
 //
-// Hazard: a group replicates the texts of the problems of its rules: instances of all versions must give the
-// same, in the same order.
+// The wording and order of the problems are fixed: a group replicates them when it checks a change of its
+// rules, so instances of all versions must return the same texts in the same order.
 func Compile(f *File, names KnownNames) (*Table, Problems, error) {
 	c := &compiler{file: f, names: names, table: &Table{pools: map[string]*pool{}}}
 	if len(f.Rules) > maxRules || len(f.Pools) > maxPools {
@@ -56,7 +56,7 @@
 	problems Problems
 }
 
-// element is an element of one of the file's arrays, as problems name it.
+// element is an element of one of the file's arrays, with the label that identifies it in problems.
 type element struct {
 	array string
 	index int
@@ -67,34 +67,34 @@
 	return element{ruleArray, n, fmt.Sprintf("rule %d (%s)", n+1, c.file.Rules[n].Name)}
 }
 
-// addProblem adds a problem with a key of an element; with no key: with the element.
-func (c *compiler) addProblem(at element, key, format string, args ...any) {
-	c.problems = append(c.problems, Problem{c.file.position(at.array, at.index, key), at.label,
+// addProblem adds a problem with a key of an element, or with the element itself if key is empty.
+func (c *compiler) addProblem(elem element, key, format string, args ...any) {
+	c.problems = append(c.problems, Problem{c.file.position(elem.array, elem.index, key), elem.label,
 		fmt.Sprintf(format, args...)})
 }
 
 func (c *compiler) compilePool(n int) {
 	spec := &c.file.Pools[n]
-	at := element{poolArray, n, fmt.Sprintf("pool %q", spec.Name)}
+	elem := element{poolArray, n, fmt.Sprintf("pool %q", spec.Name)}
 	if spec.Name == "" {
-		c.addProblem(at, "name", "it has no name")
+		c.addProblem(elem, "name", "it has no name")
 	}
 	if c.table.pools[spec.Name] != nil {
-		c.addProblem(at, "name", "there are two of this name")
+		c.addProblem(elem, "name", "there are two of this name")
 	}
 	c.table.pools[spec.Name] = &pool{name: spec.Name, cells: spec.Cells, labels: spec.Labels,
-		zones: c.compileSet(at, "zone", spec.Zones, c.names.Zones),
-		kinds: c.compileSet(at, "kind", spec.Kinds, c.names.Kinds)}
+		zones: c.compileSet(elem, "zone", spec.Zones, c.names.Zones),
+		kinds: c.compileSet(elem, "kind", spec.Kinds, c.names.Kinds)}
 }
 
-// compileSet returns for each known name whether it is in the set; nil: the set is not given.
-func (c *compiler) compileSet(at element, key string, set, known []string) []bool {
+// compileSet returns, for each known name, whether it is in the set. It returns nil if the set is not given.
+func (c *compiler) compileSet(elem element, key string, set, known []string) []bool {
 	if len(set) == 0 {
 		return nil
 	}
 	numbers, unknown := resolveNames(set, known)
 	for _, name := range unknown {
-		c.addProblem(at, key, "there is no %s %q, so no worker can ever be in it", key, name)
+		c.addProblem(elem, key, "there is no %s %q, so no worker can ever be in it", key, name)
 	}
 	in := make([]bool, len(known))
 	for _, i := range numbers {
@@ -103,14 +103,14 @@
 	return in
 }
 
-// compileRoute makes a route of pools in order.
-func (c *compiler) compileRoute(at element, pools []string, spillover Spillover) *Route {
+// compileRoute returns a route through the named pools, in order of preference and without duplicates.
+func (c *compiler) compileRoute(elem element, pools []string, spillover Spillover) *Route {
 	r := &Route{spillover: spillover}
 	for _, name := range pools {
 		p := c.table.pools[name]
 		switch {
 		case p == nil:
-			c.addProblem(at, "prefer", "there is no pool %q", name)
+			c.addProblem(elem, "prefer", "there is no pool %q", name)
 		case !slices.Contains(r.pools, p):
 			r.pools = append(r.pools, p)
 		}
--- a/internal/proxy/routing/compile_test.go
+++ b/internal/proxy/routing/compile_test.go
@@ -32,7 +32,7 @@
 			"[[rule]]\nname = \"a\"\nmatch = { host = [\"a*.org\"] }"},
 	} {
 		if _, _, err := compile(t, c.text); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("want %q, got %v", c.want, err)
+			t.Errorf("want an error with %q, got %v", c.want, err)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 func TestShadowedRuleIsWarnedOf(t *testing.T) {
 	_, warnings, err := compile(t, "[[rule]]\nname = \"all\"\nmatch = { host = [\"*.org\"] }\n"+
 		"[[rule]]\nname = \"none\"\nmatch = { host = [\"a.org\", \"*.b.org\"], class = [\"book\"] }\n")
-	want := "r.toml:5: rule 2 (none): can never match: rule 1 (all) takes all"
+	want := "r.toml:5: rule 2 (none): can never match: rule 1 (all) matches all its jobs"
 	if err != nil || len(warnings) != 1 || !strings.Contains(warnings[0].Error(), want) {
 		t.Errorf("%v %v", warnings, err)
 	}
--- a/internal/proxy/routing/doc.go
+++ b/internal/proxy/routing/doc.go
@@ -1,7 +1,7 @@
-// Package routing decides which workers a job may go to, in which order, and on what terms, by rules that
-// operators write. It narrows the choice and orders it; package balancer decides which of the remaining
-// workers gets the job, and none of its restrictions is lifted here.
+// Package routing applies operators' rules that decide which workers a job may go to, in which order of
+// preference, and with which limits. Package balancer then chooses one of these workers. Rules can't lift any
+// of the balancer's restrictions.
 //
-// It has no I/O, clock or goroutine: a Table is compiled once from a file's text, never changes, and may be
-// read by several goroutines, until another Table replaces it as a whole.
+// The package has no I/O, clock or goroutine. A Table is compiled once from a file's text and is immutable,
+// so several goroutines may use it at the same time. A change of the rules replaces the whole Table.
 package routing
--- a/internal/proxy/routing/enumerate.go
+++ b/internal/proxy/routing/enumerate.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxEnumeratedJobs bounds how many jobs EnumerateJobs makes.
+	// maxEnumeratedJobs limits the number of jobs that EnumerateJobs generates.
 	maxEnumeratedJobs = 2_000_000
-	// keysPerSplit is how many route keys are made for a rule with a split.
+	// keysPerSplit is the number of route keys that are generated for a rule with a split.
 	keysPerSplit = 16
 )
 
-// EnumerateJobs makes jobs that between them have every value that the rules of two files distinguish, in all
-// combinations, from the plainest to the most special, until visit returns false or there are too many. It
-// reports whether it made all of them.
+// EnumerateJobs calls visit with a job for each combination of the values that the rules of two files
+// distinguish, beginning with jobs that have few properties. It stops when visit returns false or after
+// maxEnumeratedJobs jobs. It reports whether it has visited all combinations.
 func EnumerateJobs(names KnownNames, a, b *File, visit func(*Job) bool) bool {
 	s := newJobSpace(names)
 	for _, f := range []*File{a, b} {
@@ -27,30 +27,30 @@
 	}
 	s.headerNames = slices.Sorted(maps.Keys(s.headers))
 	sizes := s.sizes()
-	at := make([]int, len(sizes))
+	idx := make([]int, len(sizes))
 	for range maxEnumeratedJobs {
-		if !visit(s.job(at)) {
+		if !visit(s.job(idx)) {
 			return false
 		}
-		if !increment(at, sizes) {
+		if !increment(idx, sizes) {
 			return true
 		}
 	}
 	return false
 }
 
-// increment moves on to the next combination; false: there is none.
-func increment(at, sizes []int) bool {
-	for i := range at {
-		if at[i]++; at[i] < sizes[i] {
+// increment advances idx to the next combination. It returns false after the last one.
+func increment(idx, sizes []int) bool {
+	for i := range idx {
+		if idx[i]++; idx[i] < sizes[i] {
 			return true
 		}
-		at[i] = 0
+		idx[i] = 0
 	}
 	return false
 }
 
-// jobSpace has the values that the jobs' properties take.
+// jobSpace holds the values of each property that the enumerated jobs can have.
 type jobSpace struct {
 	names                                        KnownNames
 	frontends, hosts, paths, queues, types, keys valueSet
@@ -59,7 +59,8 @@
 	headerNames                                  []string
 }
 
-// valueSet is a list of values, each once. In each, the empty value is the first, and stands for none.
+// valueSet is a list of distinct values. An empty value means that a job does not have the property; it comes
+// first, except in jobSpace.frontends, which has none.
 type valueSet []string
 
 func (v *valueSet) add(s string) {
@@ -113,7 +114,7 @@
 	}
 }
 
-// sizes returns how many values each property takes, in the order that job expects.
+// sizes returns the number of values of each property, in the order in which job uses them.
 func (s *jobSpace) sizes() []int {
 	sizes := []int{len(s.frontends), len(s.names.Classes) + 1, len(s.names.Tenants) + 1, len(s.hosts),
 		len(s.paths), len(s.queues), len(s.types), len(s.keys), len(s.work)}
@@ -123,19 +124,19 @@
 	return sizes
 }
 
-// job makes the job of a combination of values.
-func (s *jobSpace) job(at []int) *Job {
+// job returns the job for a combination, given by an index into the values of each property.
+func (s *jobSpace) job(idx []int) *Job {
 	headers := map[string]string{}
 	for i, h := range s.headerNames {
-		headers[h] = s.headers[h][at[9+i]]
+		headers[h] = s.headers[h][idx[9+i]]
 	}
-	return &Job{Front: s.frontends[at[0]], Class: at[1] - 1, Tenant: at[2] - 1, Host: s.hosts[at[3]],
-		Path: s.paths[at[4]], Queue: s.queues[at[5]], JobType: s.types[at[6]], RouteKey: s.keys[at[7]],
-		ExpectedWork: s.work[at[8]], ID: "job", headers: headers,
+	return &Job{Front: s.frontends[idx[0]], Class: idx[1] - 1, Tenant: idx[2] - 1, Host: s.hosts[idx[3]],
+		Path: s.paths[idx[4]], Queue: s.queues[idx[5]], JobType: s.types[idx[6]], RouteKey: s.keys[idx[7]],
+		ExpectedWork: s.work[idx[8]], ID: "job", headers: headers,
 		Header: func(name string) string { return headers[name] }}
 }
 
-// DescribeJob describes a job, without what it does not name.
+// DescribeJob describes the properties that a job has.
 func DescribeJob(names KnownNames, j *Job) string {
 	properties := []string{j.Front}
 	add := func(what, value string) {
--- a/internal/proxy/routing/index.go
+++ b/internal/proxy/routing/index.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// index finds the rules that a job may match by bit sets, which have a bit for each rule in 64-bit words. So
-// the cost of a match is in words, not in rules.
+// index finds the rules that may match a job. Its bit sets have one bit for each rule, so a lookup processes
+// 64 rules with each word.
 type index struct {
 	wordCount int
-	all       []uint64 // every rule
+	all       []uint64 // the set of all rules
 
 	classes           dimension[int]
 	tenants           dimension[int]
 	fronts            dimension[string]
 	queues            dimension[string]
 	jobTypes          dimension[string]
-	hosts             dimension[string] // whole hosts, and ".example.org" for its subdomains
+	hosts             dimension[string] // host names, and ".example.org" for subdomains of example.org
 	pathPrefixes      dimension[string]
-	pathPrefixLengths []int // each once, ascending
+	pathPrefixLengths []int // distinct, ascending
 }
 
-// dimension has, for each value that some rule names, the rules that match the value. A value that no rule
-// names matches the rules that name no value.
+// dimension is the index of one property. For each value that a rule names, it holds the set of rules that
+// match the value. Any other value matches only the rules that name no value of this property.
 type dimension[K comparable] struct {
-	any   []uint64       // the rules that name no value
-	named map[K][]uint64 // including any's
-	used  bool           // some rule names a value
+	any   []uint64       // rules that name no value
+	named map[K][]uint64 // by value; includes the rules in any
+	used  bool           // at least one rule names a value
 }
 
 func (d *dimension[K]) bitsFor(k K, word int) uint64 {
@@ -44,13 +44,13 @@
 	for i := range t.rules {
 		x.all[i/64] |= 1 << (i % 64)
 	}
-	numberIn := func(known []string) func(string) int {
-		return func(name string) int { return slices.Index(known, name) } // "" is -1, like a job without
+	indexIn := func(known []string) func(string) int {
+		return func(name string) int { return slices.Index(known, name) } // "" becomes -1, which stands for none
 	}
 	identity := func(s string) string { return s }
 	withoutStar := func(host string) string { return strings.TrimPrefix(host, "*") }
-	buildDimension(t, &x.classes, func(m *MatchSpec) []string { return m.Classes }, numberIn(names.Classes))
-	buildDimension(t, &x.tenants, func(m *MatchSpec) []string { return m.Tenants }, numberIn(names.Tenants))
+	buildDimension(t, &x.classes, func(m *MatchSpec) []string { return m.Classes }, indexIn(names.Classes))
+	buildDimension(t, &x.tenants, func(m *MatchSpec) []string { return m.Tenants }, indexIn(names.Tenants))
 	buildDimension(t, &x.fronts, func(m *MatchSpec) []string { return m.Fronts }, identity)
 	buildDimension(t, &x.queues, func(m *MatchSpec) []string { return m.Queues }, identity)
 	buildDimension(t, &x.jobTypes, func(m *MatchSpec) []string { return m.JobTypes }, identity)
@@ -84,8 +84,8 @@
 	}
 }
 
-// match finds the first rule that matches the job: by the index, and of the rules that it finds, in order, by
-// the conditions that it does not have.
+// match returns the first rule that matches the job, or nil. The index finds candidates; the conditions that
+// are not indexed are checked for each of them, in the order of the rules.
 func (t *Table) match(j *Job) *Rule {
 	x := &t.index
 	host := j.Host
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// hostBits returns the rules that match the host itself or a domain above it.
+// hostBits returns the rules that match the host itself or one of its parent domains.
 func (x *index) hostBits(host string, word int) uint64 {
 	set := x.hosts.bitsFor(host, word)
 	for i := 0; i < len(host); i++ {
--- a/internal/proxy/routing/pool.go
+++ b/internal/proxy/routing/pool.go
@@ -8,10 +8,10 @@
 	"moorstack/balancer"
 )
 
-// pool is a compiled set of workers.
+// pool is a compiled PoolSpec.
 type pool struct {
 	name         string
-	zones, kinds []bool // by number; nil: any
+	zones, kinds []bool // by zone or kind number; nil: any
 	cells        []int  // nil: any
 	labels       []string
 }
@@ -34,7 +34,7 @@
 	return true
 }
 
-// Route is a list of pools, the most preferred first. A worker that is in several counts in the first.
+// Route is a list of pools in order of preference. A worker in several pools belongs to the first of them.
 type Route struct {
 	pools     []*pool
 	spillover Spillover
@@ -42,7 +42,7 @@
 
 var _ balancer.Route = (*Route)(nil)
 
-// TierCount implements balancer.Route: a tier is a pool.
+// TierCount implements balancer.Route. Each pool is a tier.
 func (r *Route) TierCount() int { return len(r.pools) }
 
 // Tier implements balancer.Route.
@@ -60,7 +60,7 @@
 	return r.spillover == SpillIfBusy || r.spillover == SpillIfEmpty && !busy
 }
 
-// PoolNames lists the pools, the most preferred first.
+// PoolNames returns the names of the pools in order of preference.
 func (r *Route) PoolNames() []string {
 	names := make([]string, len(r.pools))
 	for i, p := range r.pools {
@@ -69,7 +69,8 @@
 	return names
 }
 
-// String lists the pools in their order, and when a job goes on to the next.
+// String lists the pools in order of preference, and when a job spills over to the next. Replies to operators
+// contain the text, so its wording is fixed.
 func (r *Route) String() string {
 	if len(r.pools) == 1 {
 		return r.pools[0].name
--- a/internal/proxy/routing/shadow.go
+++ b/internal/proxy/routing/shadow.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// shadowedRules returns a warning for each rule that can never match because one rule before it matches
-// everything that it matches.
+// shadowedRules returns a warning for each rule that can never match because an earlier rule matches every
+// job that it matches.
 func shadowedRules(rules []*Rule) Problems {
 	var warnings Problems
 	for j, later := range rules {
@@ -15,7 +15,8 @@
 			if covers(&earlier.spec.Match, &later.spec.Match) {
 				warnings = append(warnings, Problem{later.Position,
 					fmt.Sprintf("rule %d (%s)", later.Number, later.Name),
-					fmt.Sprintf("can never match: rule %d (%s) takes all", earlier.Number, earlier.Name)})
+					fmt.Sprintf("can never match: rule %d (%s) matches all its jobs", earlier.Number,
+						earlier.Name)})
 				break
 			}
 		}
@@ -23,7 +24,7 @@
 	return warnings
 }
 
-// covers reports whether every job that b matches is matched by a.
+// covers reports whether a matches every job that b matches.
 func covers(a, b *MatchSpec) bool {
 	equal := func(outer, inner string) bool { return outer == inner }
 	isHostWithin := func(outer, inner string) bool {
@@ -43,7 +44,8 @@
 		(a.WorkBelow == 0 || b.WorkBelow > 0 && b.WorkBelow <= a.WorkBelow)
 }
 
-// listCovers reports whether each element of inner is within one of outer; an empty list matches anything.
+// listCovers reports whether each element of inner is within an element of outer. An empty list matches
+// everything.
 func listCovers(outer, inner []string, isWithin func(outer, inner string) bool) bool {
 	if len(outer) == 0 {
 		return true
--- a/internal/proxy/routing/table.go
+++ b/internal/proxy/routing/table.go
@@ -9,35 +9,35 @@
 	"moorstack/balancer"
 )
 
-// noClass is the class of a job, or a rule, that names none.
+// noClass is the class of a job or a rule that does not name one.
 const noClass = -1
 
-// Job is what rules can know of a job.
+// Job holds the properties of a job that rules can refer to.
 type Job struct {
 	Front        string // FrontHTTP or FrontFaktory
-	Class        int    // below 0: it names none
-	Tenant       int    // below 0: it names none
+	Class        int    // negative: the job does not name one
+	Tenant       int    // negative: the job does not name one
 	Host         string
 	Path         string
-	Header       func(name string) string // nil: it has none
+	Header       func(name string) string // nil: the job has no headers
 	RouteKey     string
 	ExpectedWork time.Duration
 	Queue        string
 	JobType      string
 	ID           string
 
-	headers map[string]string // what Header returns, for DescribeJob
+	headers map[string]string // the same headers, for DescribeJob
 }
 
-// Decision is what the rules decide about a job.
+// Decision is the result of applying the rules to a job.
 type Decision struct {
-	Rule           *Rule          // nil: none matched, and the balancer alone decides
-	Class          int            // the job's, or the rule's for a job that names none; below 0: none
+	Rule           *Rule          // nil: no rule matched, and only the balancer decides
+	Class          int            // the job's or else the rule's; negative: none
 	RejectReason   string         // empty: the job is not rejected
 	RetryAfter     time.Duration  // with RejectReason
 	Route          balancer.Route // nil: any worker
-	MaxAttempts    int            // 0: the class's
-	AttemptTimeout time.Duration  // 0: the job's
+	MaxAttempts    int            // 0: the class's limit
+	AttemptTimeout time.Duration  // 0: the job's timeout
 }
 
 // Rule is a compiled rule.
@@ -47,29 +47,29 @@
 	Position Position
 
 	spec        *RuleSpec
-	class       int // noClass: it gives none
+	class       int // noClass: the rule does not set one
 	preferred   *Route
-	split       []*Route // by the index in spec.Split
-	totalWeight int      // of the split
+	split       []*Route // by index of spec.Split
+	totalWeight int      // sum of the split's weights
 	headers     []headerMatch
 	minWork     time.Duration
 	workBelow   time.Duration // 0: no limit
 }
 
-// headerMatch is a header that a job must have, with a value or anyValue.
+// headerMatch requires a header with the given value, or with any value if that is anyValue.
 type headerMatch struct{ name, value string }
 
-// Table is the compiled rules of a file.
+// Table holds the compiled rules of a file.
 type Table struct {
 	rules []*Rule
 	pools map[string]*pool
 	index index
 }
 
-// Rules returns the rules in their order.
+// Rules returns the rules in the order of the file.
 func (t *Table) Rules() []*Rule { return t.rules }
 
-// RuleByName returns a rule; nil: there is none of that name.
+// RuleByName returns the rule with the given name, or nil.
 func (t *Table) RuleByName(name string) *Rule {
 	for _, r := range t.rules {
 		if r.Name == name {
@@ -79,15 +79,15 @@
 	return nil
 }
 
-// HasPool reports whether there is a pool of that name.
+// HasPool reports whether there is a pool with the given name.
 func (t *Table) HasPool(name string) bool { return t.pools[name] != nil }
 
-// PoolContains reports whether a worker is in a pool.
+// PoolContains reports whether the named pool exists and contains the worker.
 func (t *Table) PoolContains(name string, w *balancer.Worker) bool {
 	return t.pools[name] != nil && t.pools[name].contains(w)
 }
 
-// Decide returns the decision of the first rule that matches the job.
+// Decide returns the decision of the first rule that matches the job. Without such a rule, only Class is set.
 func (t *Table) Decide(j *Job) Decision {
 	d := Decision{Class: j.Class}
 	r := t.match(j)
@@ -108,7 +108,7 @@
 	return d
 }
 
-// route returns the rule's route for the job: a split always gives the same route for the same key.
+// route returns the rule's route for the job, or nil. A split maps the same key always to the same route.
 func (r *Rule) route(j *Job) *Route {
 	if len(r.split) == 0 {
 		return r.preferred
@@ -124,7 +124,7 @@
 		key = j.ID
 	}
 	h := fnv.New64a()
-	h.Write([]byte(r.Name)) // two splits must not split the same keys in the same way
+	h.Write([]byte(r.Name)) // so that different rules split the same keys independently
 	h.Write([]byte{0})
 	h.Write([]byte(key))
 	at := int(mixHash(h.Sum64()) % uint64(r.totalWeight))
@@ -136,7 +136,7 @@
 	return r.preferred
 }
 
-// mixHash spreads a hash whose low bits may be poor (the finalizer of MurmurHash3).
+// mixHash improves the distribution of a hash's low bits. It is the finalizer of MurmurHash3.
 func mixHash(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -145,7 +145,7 @@
 	return h ^ h>>33
 }
 
-// matchesUnindexed checks the conditions that the index does not have.
+// matchesUnindexed checks the conditions that are not part of the index.
 func (r *Rule) matchesUnindexed(j *Job) bool {
 	for _, h := range r.headers {
 		value := ""
--- a/internal/proxy/routing/table_test.go
+++ b/internal/proxy/routing/table_test.go
@@ -33,7 +33,7 @@
 	return table
 }
 
-// matchesByScan checks a rule's conditions one by one: the index must come to the same result.
+// matchesByScan checks a rule's conditions one by one, as a reference for the index.
 func matchesByScan(m *MatchSpec, names KnownNames, j *Job) bool {
 	in := func(list []string, v string) bool { return len(list) == 0 || slices.Contains(list, v) }
 	name := func(known []string, i int) string {
@@ -99,8 +99,8 @@
 	}
 }
 
-// The index finds the rule that checking each rule in turn finds, and a rule that is reported never to match
-// never does.
+// The index must find the same rule as a check of each rule in order. A rule must not match any job if a
+// warning says that it can never match.
 func TestIndexMatchesAScanOfTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &File{Version: fileVersion}
@@ -125,18 +125,19 @@
 				got = d.Rule.Name
 			}
 			if got != want {
-				t.Fatalf("%s: rule %q, by a scan %q", DescribeJob(testNames, j), got, want)
+				t.Fatalf("%s: index found rule %q, scan found %q", DescribeJob(testNames, j), got, want)
 			}
 			for _, w := range warnings {
 				if got != "" && strings.Contains(w.Rule, "("+got+")") {
-					t.Fatalf("%s is decided by %s, reported never to match", DescribeJob(testNames, j), got)
+					t.Fatalf("%s matches rule %s, reported to never match", DescribeJob(testNames, j), got)
 				}
 			}
 		}
 	})
 }
 
-// The same key always gets the same route, and the parts get their weights.
+// The same key must always get the same route, and each part of a split a share of the keys in proportion to
+// its weight.
 func TestSplitIsStableAndWeighted(t *testing.T) {
 	table := mustCompile(t, `
 [[pool]]
@@ -153,14 +154,14 @@
 		j := &Job{RouteKey: fmt.Sprint("key", i)}
 		d := table.Decide(j)
 		if again := table.Decide(j); d.Route != again.Route {
-			t.Fatal("a key gets two routes")
+			t.Fatal("the same key got two different routes")
 		}
 		if d.Route.(*Route).PoolNames()[0] == "new" {
 			n++
 		}
 	}
-	if n < 900 || n > 1100 { // 10 standard deviations are 300
-		t.Errorf("%d of 10000 keys go to a part of 10%%", n)
+	if n < 900 || n > 1100 { // 100 is over 3 standard deviations, of 30 each
+		t.Errorf("%d of 10000 keys went to a part with a weight of 10%%, want 900 to 1100", n)
 	}
 }
 
@@ -189,7 +190,7 @@
 		}
 	}
 	if !r.SpillsOver(0, true) || !r.SpillsOver(0, false) {
-		t.Error("it does not spill over")
+		t.Error("the route does not spill over, want spillover in both cases")
 	}
 }
 
@@ -220,7 +221,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if d := table.Decide(j); d.Rule == nil || d.Rule.Number != n {
-					b.Fatal("another rule")
+					b.Fatal("Decide did not return the expected rule")
 				}
 			}
 		})
