--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -1,17 +1,17 @@
-// Package drain is the state machine by which a node drains its clients, for whatever reason: operators put
-// it on standby, the platform shuts it down, or another process takes its place. It is given events and the
-// time, and has no clock and no socket of its own.
+// Package drain is the state machine for draining a node's clients, because an operator puts the node on
+// standby, the platform shuts it down, or another process replaces it. The caller passes in events and the
+// time; the package uses no clock and no sockets.
 //
 //	        BeginStandby, BeginShutdown            Advance
 //	Serving ---------------------------> Unready ---------> ClosingConnections
 //	   ^                                    |                       |
 //	   +-- EndStandby, before a shutdown ---+-----------------------+
 //
-//	any state --BeginTakeover--> ClosingConnections --AbortTakeover--> the state before
+//	any state --BeginTakeover--> ClosingConnections --AbortTakeover--> previous state
 //
-// Unready: health checks fail; requests are accepted as ever, until those who check have noticed.
-// ClosingConnections: responses carry Connection: close, and idle connections of clients are closed. A
-// shutdown can't be undone.
+// Unready: health checks fail, but requests are still accepted, so that load balancers have time to notice.
+// ClosingConnections: responses carry "Connection: close", and idle client connections are closed. A shutdown
+// can't be undone.
 package drain
 
 import (
@@ -19,65 +19,66 @@
 	"time"
 )
 
-// State is what a node does with its clients.
+// State is the state of the node towards its clients.
 type State uint8
 
 // The states.
 const (
 	Serving            State = iota
 	Unready                  // health checks fail
-	ClosingConnections       // connections are closed, too
+	ClosingConnections       // health checks fail and connections are closed
 )
 
-// String returns the state's name, which operators see in the answer to a status call.
+// String returns the name of the state. Operators receive it in the reply to a status call, so it must not
+// change.
 func (s State) String() string { return [...]string{"serving", "steering clients away", "closing"}[s] }
 
-// HealthCheckGrace is how long a node accepts requests as ever after its first failed health check: the
-// platform's load balancer checks ten times a second and stops new connections 0.2 s after a failure; at a
-// planned restart they come for 0.4 s.
+// HealthCheckGrace is how long a node keeps accepting requests in the state Unready. The platform's load
+// balancer checks ten times a second and stops sending new connections 0.2 s after a failed check; in a
+// planned restart they keep arriving for 0.4 s.
 const HealthCheckGrace = 500 * time.Millisecond
 
 var (
-	// ErrTakenOver is the error of EndStandby in a process whose place another one has taken.
+	// ErrTakenOver is returned by EndStandby in a process that another one has replaced.
 	ErrTakenOver = errors.New("another process has taken this one's place")
-	// ErrShuttingDown is the error of EndStandby once a shutdown has begun.
+	// ErrShuttingDown is returned by EndStandby after a shutdown has begun.
 	ErrShuttingDown = errors.New("the process is to end, and does not serve again")
 )
 
-// Machine is the state machine. The zero value serves. Its times are of one clock, whichever. It is not safe
-// for concurrent use.
+// Machine is the drain state machine. Its zero value is in the state Serving. All times passed to it must
+// come from the same clock. It is not safe for concurrent use.
 type Machine struct {
-	state        State
-	shuttingDown bool
-	takenOver    bool
-	stateBefore  State         // the state before BeginTakeover
-	closingAt    time.Duration // when Unready ends
+	state               State
+	shuttingDown        bool
+	takenOver           bool
+	stateBeforeTakeover State         // the state to which AbortTakeover returns
+	closingAt           time.Duration // when the state Unready ends
 }
 
 // State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// TakenOver reports whether another process has taken this one's place.
+// TakenOver reports whether another process has replaced this one.
 func (m *Machine) TakenOver() bool { return m.takenOver }
 
 // ShuttingDown reports whether a shutdown has begun.
 func (m *Machine) ShuttingDown() bool { return m.shuttingDown }
 
-// BeginStandby begins a drain that EndStandby can end. It reports whether that changed the state.
+// BeginStandby starts a drain that EndStandby can end. It reports whether the state has changed.
 func (m *Machine) BeginStandby(now time.Duration) bool {
 	if m.takenOver {
-		m.stateBefore = ClosingConnections // should this process serve again, it is on standby
+		m.stateBeforeTakeover = ClosingConnections // AbortTakeover will return to standby
 		return false
 	}
 	if m.state != Serving {
-		return false // a drain under way goes on, and so does a shutdown
+		return false // a drain or shutdown in progress continues
 	}
 	m.state, m.closingAt = Unready, now+HealthCheckGrace
 	return true
 }
 
-// BeginShutdown begins a drain that can't be ended; one under way goes on from its state. It reports whether
-// this is the first call.
+// BeginShutdown starts a drain that can't be ended. A drain in progress continues from its current state.
+// BeginShutdown reports whether this is its first call.
 func (m *Machine) BeginShutdown(now time.Duration) bool {
 	first := !m.shuttingDown
 	m.shuttingDown = true
@@ -87,28 +88,28 @@
 	return first
 }
 
-// BeginTakeover begins a drain because another process takes this one's place. Clients are drained at once,
-// for new connections are the other's.
+// BeginTakeover starts a drain because another process replaces this one. It skips the state Unready, because
+// new connections already go to the other process.
 func (m *Machine) BeginTakeover() {
 	if !m.takenOver {
-		m.stateBefore, m.takenOver = m.state, true
+		m.stateBeforeTakeover, m.takenOver = m.state, true
 		m.state = ClosingConnections
 	}
 }
 
-// AbortTakeover ends that drain, after the other process has ended. This one returns to the state before
-// BeginTakeover, unless it shuts down.
+// AbortTakeover ends the drain of BeginTakeover after the other process has ended. The machine returns to the
+// state before BeginTakeover, unless this process is shutting down.
 func (m *Machine) AbortTakeover() {
 	if m.takenOver {
 		m.takenOver = false
 		if !m.shuttingDown {
-			m.state = m.stateBefore
+			m.state = m.stateBeforeTakeover
 		}
 	}
 }
 
-// EndStandby ends a drain, and reports whether that changed the state. It fails with ErrShuttingDown or
-// ErrTakenOver.
+// EndStandby ends a drain and reports whether the state has changed. It fails with ErrShuttingDown or
+// ErrTakenOver if the drain can't be ended.
 func (m *Machine) EndStandby() (changed bool, err error) {
 	if m.shuttingDown {
 		return false, ErrShuttingDown
@@ -121,8 +122,8 @@
 	return changed, nil
 }
 
-// Advance takes the time and reports whether ClosingConnections begins by it, which it does once a drain. A
-// call that was scheduled for an earlier drain changes nothing.
+// Advance changes the state from Unready to ClosingConnections if now is at or after ClosingAt, and reports
+// whether it has done so. A call that was scheduled for an earlier drain has no effect.
 func (m *Machine) Advance(now time.Duration) bool {
 	if m.state != Unready || now < m.closingAt {
 		return false
@@ -131,5 +132,5 @@
 	return true
 }
 
-// ClosingAt returns when Advance is to be called.
+// ClosingAt returns the time at which Advance should be called.
 func (m *Machine) ClosingAt() time.Duration { return m.closingAt }
--- a/internal/proxy/memtrim/memtrim.go
+++ b/internal/proxy/memtrim/memtrim.go
@@ -1,7 +1,8 @@
-// Package memtrim trims the resident memory of a process by what only its start has used.
+// Package memtrim releases the resident memory that a process has needed only for its start.
 //
-// The kernel maps a program's file by windows of 64 KiB round each page that is touched. What start-up code
-// and its tables have touched stays mapped, and counts as resident, though an idle process does not need it.
+// When a page of a program's file is accessed, the kernel maps a window of 64 KiB around it. Pages that only
+// start-up code and its tables have accessed stay mapped and count as resident, although an idle process does
+// not need them.
 package memtrim
 
 import (
@@ -17,13 +18,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReleaseFilePages drops the pages of this program's own file that can only be read, and returns how many
-// bytes of address space that is. Pages that are needed come back from the page cache, one window at a time.
-// It may be called from any goroutine. An error names the mappings that could not be dropped; the others
-// were.
+// ReleaseFilePages releases the read-only pages of the program's file, and returns the size of their address
+// range in bytes. Pages that are needed again are mapped from the page cache, one window at a time. It may be
+// called from any goroutine. The error names the mappings that could not be released; all others were.
 //
-// Hazard: a page that can be written to may differ from the file, and would be lost. Only mappings without
-// write permission are dropped; code that runs meanwhile is mapped again under it.
+// Only mappings without write permission are released: a writable page may differ from the file, and its
+// content would be lost. The kernel maps pages of running code again transparently.
 func ReleaseFilePages() (bytes int, err error) {
 	program, err := os.Readlink("/proc/self/exe")
 	if err != nil {
@@ -34,10 +34,10 @@
 		return 0, err
 	}
 	for _, m := range readOnlyMappings(maps, program) {
-		// The address is the kernel's, of a mapping that lasts as long as the process.
+		// The address comes from the kernel, and the mapping exists as long as the process.
 		pages := unsafe.Slice((*byte)(*(*unsafe.Pointer)(unsafe.Pointer(&m.from))), m.to-m.from)
 		if failed := unix.Madvise(pages, unix.MADV_DONTNEED); failed != nil {
-			err = errors.Join(err, fmt.Errorf("release the mapping at %x: %w", m.from, failed))
+			err = errors.Join(err, fmt.Errorf("releasing the mapping at %x: %w", m.from, failed))
 			continue
 		}
 		bytes += len(pages)
@@ -45,14 +45,14 @@
 	return bytes, err
 }
 
-// mapping is a range of addresses, the last one excluded.
+// mapping is an address range, in which to is exclusive.
 type mapping struct{ from, to uintptr }
 
-// minMapFields is how many fields a line of /proc/self/maps has for a mapped file: the range, the
-// permissions, the offset, the device, the inode and the path, which may hold blanks.
+// minMapFields is the least number of fields in a line of /proc/self/maps for a mapped file: range,
+// permissions, offset, device, inode, and path. A path that contains blanks has several fields.
 const minMapFields = 6
 
-// readOnlyMappings finds the mappings of a file that can be read and not written to, in the text of
+// readOnlyMappings returns the readable mappings without write permission of a file, from the content of
 // /proc/self/maps.
 func readOnlyMappings(maps []byte, file string) (list []mapping) {
 	lines := bufio.NewScanner(bytes.NewReader(maps))
@@ -71,7 +71,7 @@
 	return list
 }
 
-// parseRange reads a range such as 00400000-00500000.
+// parseRange parses an address range such as "00400000-00500000".
 func parseRange(text string) (mapping, bool) {
 	first, last, _ := strings.Cut(text, "-")
 	from, errFrom := strconv.ParseUint(first, 16, 64)
--- a/internal/proxy/memtrim/memtrim_test.go
+++ b/internal/proxy/memtrim/memtrim_test.go
@@ -17,11 +17,11 @@
 		"7f000000-7f100000 rw-p 00000000 00:00 0\nnonsense\n"
 	want := []mapping{{0x400000, 0x500000}, {0x500000, 0x600000}}
 	if got := readOnlyMappings([]byte(maps), "/bin/node"); !slices.Equal(got, want) {
-		t.Errorf("%x", got)
+		t.Errorf("got mappings %x, want only the two that are readable and not writable", got)
 	}
 }
 
-// residentFileBytes is how much of files is mapped in this process, in bytes.
+// residentFileBytes returns how many bytes of mapped files are resident in this process.
 func residentFileBytes(t *testing.T) int {
 	t.Helper()
 	b, err := os.ReadFile("/proc/self/status")
@@ -34,7 +34,7 @@
 			return kb << 10
 		}
 	}
-	t.Skip("this kernel does not say how much of files is mapped")
+	t.Skip("/proc/self/status has no RssFile on this kernel")
 	return 0
 }
 
@@ -42,9 +42,9 @@
 	before := residentFileBytes(t)
 	n, err := ReleaseFilePages()
 	if err != nil || n == 0 {
-		t.Fatalf("%d bytes: %v", n, err)
+		t.Fatalf("released %d bytes, error %v; want some bytes and no error", n, err)
 	}
 	if after := residentFileBytes(t); after >= before {
-		t.Errorf("%d bytes of files are mapped, %d were", after, before)
+		t.Errorf("%d bytes of files are resident after the call, %d were before", after, before)
 	}
 }
--- a/internal/proxy/metrics/metrics.go
+++ b/internal/proxy/metrics/metrics.go
@@ -1,41 +1,41 @@
-// Package metrics counts what a process has done and formats it as JSON. It knows no socket and no clock:
-// whoever does a thing counts it, on one goroutine.
+// Package metrics counts the jobs of a process and formats the counters as JSON. It uses no sockets and no
+// clock. The fronts update the counters, on one goroutine.
 //
-// What counts as what: a job is one that a front could read and that is not rejected for its form. Those
-// answered with a result are succeeded, those answered that a retry is harmless are declined, those answered
-// that they have failed are aborted. A job whose client disconnected before its answer is in none of them. A
-// request that can't be read, or whose id is in use, is no job. So at any time
+// A job is counted if the front could parse it and has not rejected it as malformed. A job is "succeeded" if
+// its response was a result, "declined" if its client was told that a retry is safe, and "aborted" if its
+// client was told that it has failed. A job whose client disconnected before the response is in none of the
+// three. A request that can't be parsed, or whose ID is in use, is not a job. So at any time
 //
-//	taken = succeeded + declined + aborted + outstanding + client disconnects.
+//	accepted jobs = succeeded + declined + aborted + outstanding + client disconnects.
 package metrics
 
 import "strconv"
 
-// ClassCounters are the counters of one class of jobs.
+// ClassCounters counts the jobs of one class by outcome.
 type ClassCounters struct{ Succeeded, Declined, Aborted uint64 }
 
-// Counters are the counters of a process, from 0.
+// Counters are the counters of a process, which start at 0.
 type Counters struct {
-	Classes           []ClassCounters // by the class's number
-	Forwards          uint64          // attempts written complete to endpoints
-	ClientDisconnects uint64          // jobs whose client disconnected before the answer
+	Classes           []ClassCounters // by class number
+	Forwards          uint64          // attempts that were written completely to endpoints
+	ClientDisconnects uint64          // jobs whose client disconnected before the response
 }
 
-// Gauges are what holds at one moment, and is not counted.
+// Gauges are current values, as opposed to counters.
 type Gauges struct {
-	InFlight  int // jobs taken and not ended
+	InFlight  int // accepted jobs without a final response
 	Endpoints int // in the endpoint list
-	Ejected   int // of them, those under maintenance or avoided by choice
+	Ejected   int // of Endpoints: those under maintenance or ejected as outliers
 }
 
-// AppendJSON appends the metrics, as one line of JSON, to dst. The classes have the names given.
+// AppendJSON appends the metrics to dst as one line of JSON. names are the names of the classes, by number.
 func (c *Counters) AppendJSON(dst []byte, names []string, g Gauges) []byte {
 	dst = append(dst, `{"results":{`...)
 	for i, name := range names {
 		if i > 0 {
 			dst = append(dst, ',')
 		}
-		var class ClassCounters // one that came with a reload has served nothing yet
+		var class ClassCounters // a class that a reload has added may have no counters yet
 		if i < len(c.Classes) {
 			class = c.Classes[i]
 		}
@@ -55,9 +55,9 @@
 	return append(dst, '}')
 }
 
-// appendNumber appends a key and its number, after the character that goes before it.
-func appendNumber(dst []byte, before byte, key string, n uint64) []byte {
-	dst = append(dst, before, '"')
+// appendNumber appends the separator, the key and its number.
+func appendNumber(dst []byte, separator byte, key string, n uint64) []byte {
+	dst = append(dst, separator, '"')
 	dst = append(dst, key...)
 	dst = append(dst, '"', ':')
 	return strconv.AppendUint(dst, n, 10)
--- a/internal/proxy/metrics/metrics_test.go
+++ b/internal/proxy/metrics/metrics_test.go
@@ -18,13 +18,13 @@
 	}
 	known, unserved := got.Results["quote"], got.Results[`bo"ok`]
 	if known["succeeded"] != 1 || known["declined"] != 2 || known["aborted"] != 3 {
-		t.Errorf("quote reads %v", known)
+		t.Errorf("class quote has counters %v, want 1, 2 and 3", known)
 	}
 	if len(unserved) != 3 || unserved["succeeded"]+unserved["declined"]+unserved["aborted"] != 0 {
-		t.Errorf("a class that has served nothing reads %v", unserved)
+		t.Errorf("a class without counters has %v, want three zeros", unserved)
 	}
 	if got.Outstanding != 14 || got.Discovered != 10 || got.Ejected != 2 || got.Forwards != 9 ||
 		got.Left != 4 {
-		t.Errorf("%s", line)
+		t.Errorf("unexpected gauges or counters in %s", line)
 	}
 }
--- a/internal/proxy/routing/index.go
+++ b/internal/proxy/routing/index.go
@@ -45,7 +45,7 @@
 		x.all[i/64] |= 1 << (i % 64)
 	}
 	indexIn := func(known []string) func(string) int {
-		return func(name string) int { return slices.Index(known, name) } // "" becomes -1, which stands for none
+		return func(name string) int { return slices.Index(known, name) } // "" becomes -1, for none
 	}
 	identity := func(s string) string { return s }
 	withoutStar := func(host string) string { return strings.TrimPrefix(host, "*") }
--- a/internal/proxy/settings/balancer.go
+++ b/internal/proxy/settings/balancer.go
@@ -7,7 +7,7 @@
 	"moorstack/balancer"
 )
 
-// The names on the wire, and their values in the balancer.
+// The balancer's values for names on the wire.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"retryable": balancer.Idempotent,
@@ -20,7 +20,7 @@
 		"zone": balancer.ScopeZone,
 		"cell": balancer.ScopeCell,
 	}
-	// A meaning that is not named here is SizeNone.
+	// Other names map to SizeNone, the zero value.
 	sizeMeanings = map[string]balancer.SizeMeaning{
 		"silent":  balancer.SizeNone,
 		"nominal": balancer.SizeNominal,
@@ -29,8 +29,8 @@
 	}
 )
 
-// Balancer converts the object to the balancer's settings. It returns an error for a name that is not known;
-// whether the values are in range, balancer.New decides.
+// Balancer converts the object to the balancer's settings. It returns an error for an unknown effect or key
+// scope. balancer.New checks the ranges of the values.
 func (p *Params) Balancer() (balancer.Settings, error) {
 	s := balancer.Settings{
 		DispatcherIndex:    p.DispatcherIndex,
@@ -64,7 +64,7 @@
 	return s, nil
 }
 
-// class converts the class of an index.
+// class converts Classes[i], with its settings in Extra.
 func (p *Params) class(i int) (balancer.Class, error) {
 	c := &p.Classes[i]
 	out := balancer.Class{
--- a/internal/proxy/settings/params.go
+++ b/internal/proxy/settings/params.go
@@ -1,5 +1,5 @@
-// Package settings reads the object of settings that the simulator's first message and a node's configuration
-// file both hold, and converts it to the balancer's settings.
+// Package settings parses the settings object, which is part of both the simulator's first message and a
+// node's configuration file, and converts it to the balancer's settings.
 package settings
 
 import (
@@ -7,9 +7,9 @@
 	"fmt"
 )
 
-// Params is the object under its names on the wire. Times are in nanoseconds.
+// Params is the settings object with its names on the wire. Durations are in nanoseconds.
 type Params struct {
-	Zone            int      `json:"az"` // of this dispatcher
+	Zone            int      `json:"az"` // the zone of this dispatcher
 	DispatcherIndex int      `json:"me"`
 	DispatcherCount int      `json:"fleet_size"`
 	Classes         []Class  `json:"classes"`
@@ -21,12 +21,12 @@
 	Kinds           []string `json:"kinds"` // their names
 	Zones           []string `json:"zones"` // their names
 	Limits          Limits   `json:"limits"`
-	ListMode        string   `json:"membership_mode"` // "on_request": the list must be requested
+	ListMode        string   `json:"membership_mode"` // "on_request": the endpoint list must be requested
 	OverQuotaWeight float64  `json:"over_share_worth"`
 	Costs           Costs    `json:"prices"`
 	Reports         Reports  `json:"report"`
 	SizeMeaning     string   `json:"weights"`  // "silent", "nominal", "rough" or "live"; empty: silent
-	WeightBy        string   `json:"worth_by"` // "work": weights count for each unit of work
+	WeightBy        string   `json:"worth_by"` // "work": weights apply to each unit of work
 }
 
 // Class is a class of requests.
@@ -40,7 +40,7 @@
 	LatencyObjective int64    `json:"slo"`
 	Streaming        bool     `json:"stream"`
 	KeyWindow        int64    `json:"window"`
-	ObjectiveStretch *float64 `json:"aim_stretch"` // nil: that of Extra
+	ObjectiveStretch *float64 `json:"aim_stretch"` // nil: the value in Extra.ClassStretch
 }
 
 // Tenant is a tenant of the deployment.
@@ -50,7 +50,7 @@
 	QuotaPerSecond float64 `json:"allowance_per_s"`
 }
 
-// Goal is the weights of the parts of the score.
+// Goal holds the weights of the components of the score.
 type Goal struct {
 	Overall     float64 `json:"whole"`
 	WorstClass  float64 `json:"worst_class"`
@@ -61,7 +61,7 @@
 	AllowedMissShare float64 `json:"miss_allowed"`
 }
 
-// Rules are the limits that dispatchers are judged by.
+// Rules are the limits that the score checks for each dispatcher.
 type Rules struct {
 	ResponseSlack     int64   `json:"answer_slack"`
 	ListPollInterval  int64   `json:"ask_every"`
@@ -76,18 +76,18 @@
 	FullMayHaveRun    bool    `json:"full_unproven"`
 }
 
-// Extra is the object's further settings, of classes and load reports.
+// Extra holds further settings, of classes and load reports.
 type Extra struct {
-	ClassKind        []int     `json:"class_kind"`     // by class: the kind of worker
+	ClassKind        []int     `json:"class_kind"`     // by class: the kind of worker that it needs
 	ClassPriority    []int     `json:"class_priority"` // by class
-	ClassStretch     []float64 `json:"class_stretch"`  // by class: see Class.ObjectiveStretch
+	ClassStretch     []float64 `json:"class_stretch"`  // by class, unless Class.ObjectiveStretch is set
 	ProgressInterval int64     `json:"progress"`
 	ReportsStart     bool      `json:"tells_start"`
-	ReportX0         string    `json:"report_x0"` // what a load report's x0 holds
-	ReportX1         string    `json:"report_x1"`
+	ReportX0         string    `json:"report_x0"` // the meaning of x0 in a load report; see LoadReportFields
+	ReportX1         string    `json:"report_x1"` // the meaning of x1
 }
 
-// Limits are what the deployment lets a dispatcher do.
+// Limits are the actions and limits that the deployment allows a dispatcher.
 type Limits struct {
 	CanCancel      bool  `json:"cancel"`
 	IdleTimeout    int64 `json:"conn_idle"`
@@ -100,7 +100,7 @@
 	HedgedRequests bool  `json:"second_copies"`
 }
 
-// Costs are what one unit of each takes off the score.
+// Costs are the amounts that one unit of each cost subtracts from the score.
 type Costs struct {
 	Connection  float64 `json:"connection"`
 	CrossZone   float64 `json:"cross_zone"`
@@ -111,13 +111,13 @@
 	WastedWork  float64 `json:"waste"`
 }
 
-// Reports is how load reports come.
+// Reports determines how load reports are received.
 type Reports struct {
-	Mode string `json:"how"` // "pull": only with health checks
+	Mode string `json:"how"` // "pull": only in response to health checks
 }
 
-// Parse reads the object from JSON. It is read once for each start, so speed does not matter. Fields that are
-// not known are ignored.
+// Parse parses the object from JSON. Unknown fields are ignored. It is called once at each start, so its
+// speed does not matter.
 func Parse(raw []byte) (*Params, error) {
 	var p Params
 	if err := json.Unmarshal(raw, &p); err != nil {
--- a/internal/proxy/settings/settings_test.go
+++ b/internal/proxy/settings/settings_test.go
@@ -8,8 +8,8 @@
 	"moorstack/balancer"
 )
 
-// parsed parses an object that must be one.
-func parsed(t *testing.T, text string) *Params {
+// mustParse parses a settings object, and fails the test if that is not possible.
+func mustParse(t *testing.T, text string) *Params {
 	t.Helper()
 	p, err := Parse([]byte(text))
 	if err != nil {
@@ -18,9 +18,10 @@
 	return p
 }
 
-// The optional rules and the goal's allowed share of misses reach the balancer.
+// Optional settings must not be lost in the conversion: the retry budget, full_unproven, and the allowed
+// share of misses.
 func TestOptionalSettingsReachBalancer(t *testing.T) {
-	set, err := parsed(t, `{"classes":[],"blend":{"punctual":0.2,"miss_allowed":0.02},"contract":`+
+	set, err := mustParse(t, `{"classes":[],"blend":{"punctual":0.2,"miss_allowed":0.02},"contract":`+
 		`{"free_resends":5,"repeat_ratio":0.03,"budget_span":5000000000,"full_unproven":true}}`).Balancer()
 	if err != nil {
 		t.Fatal(err)
@@ -28,13 +29,14 @@
 	rules := balancer.Rules{RetryBudgetWindow: 5 * time.Second, RetryBudgetBase: 5, RetryBudgetShare: 0.03,
 		FullMayHaveRun: true}
 	if set.Rules != rules || set.Goal.OnTime != 0.2 || set.Goal.AllowedMissShare != 0.02 {
-		t.Errorf("rules %+v, goal %+v", set.Rules, set.Goal)
+		t.Errorf("got rules %+v and goal %+v", set.Rules, set.Goal)
 	}
 }
 
-// A class's own stretch counts before that of the extras, and without a kind it goes to any worker.
+// A class's own aim_stretch takes precedence over class_stretch, and a class without a kind goes to any
+// worker.
 func TestClassesByExtras(t *testing.T) {
-	set, err := parsed(t, `{"classes":[{"name":"a","effect":"retryable","aim_stretch":3},`+
+	set, err := mustParse(t, `{"classes":[{"name":"a","effect":"retryable","aim_stretch":3},`+
 		`{"name":"b","effect":"dedup","key_scope":"zone"},{"name":"c","effect":"fragile"}],`+
 		`"extra":{"class_stretch":[1,2],"class_kind":[1,0],"class_priority":[7]}}`).Balancer()
 	if err != nil {
@@ -56,15 +58,16 @@
 		{`{"effect":"maybe"}`, `class 0: unknown effect "maybe"`},
 		{`{"effect":"dedup","key_scope":"room"}`, `class 0: unknown key_scope "room"`},
 	} {
-		_, err := parsed(t, `{"classes":[`+c.class+`]}`).Balancer()
+		_, err := mustParse(t, `{"classes":[`+c.class+`]}`).Balancer()
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, want %q", err, c.want)
+			t.Errorf("got error %v, want one with %q", err, c.want)
 		}
 	}
 }
 
 func TestLoadReportValuesFindTheirPlaces(t *testing.T) {
-	fields := parsed(t, `{"extra":{"report_x0":"free memory","report_x1":"free slots"}}`).LoadReportFields()
+	fields := mustParse(t,
+		`{"extra":{"report_x0":"free memory","report_x1":"free slots"}}`).LoadReportFields()
 	got := balancer.NoLoadReport
 	names := []string{"x0", "x1", "busy_reqs", "pending", "cpu_share", "served_ps", "failed_ps", "svc_ms"}
 	for i, name := range names {
@@ -73,6 +76,6 @@
 	want := balancer.LoadReport{Received: true, FreeMemory: 1, FreeSlots: 2, InFlight: 3, QueueLength: 4,
 		CPUShare: 5, ServedPerSecond: 6, FailedPerSecond: 7}
 	if got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("got load report %+v, want %+v", got, want)
 	}
 }
--- a/internal/proxy/slotmap/slotmap.go
+++ b/internal/proxy/slotmap/slotmap.go
@@ -1,19 +1,20 @@
-// Package slotmap keeps values in numbered slots that are reused, under IDs that are not.
+// Package slotmap stores values in numbered slots. Slots are reused, but IDs are not.
 //
-// Each use of a slot has a generation of its own, and an ID holds both numbers. An ID that has outlived its
-// value finds nothing, never the value that uses the slot now. A Map is used by one goroutine at a time.
+// Each use of a slot has its own generation, and an ID consists of the slot's number and the generation.
+// After its value has been removed, an ID finds nothing, even if another value uses the slot. A Map is not
+// safe for concurrent use.
 package slotmap
 
-// ID names one use of one slot. The zero ID names nothing.
+// ID identifies one use of one slot. The zero ID is never assigned.
 type ID uint64
 
-// Index is the slot's number.
+// Index returns the slot's number.
 func (id ID) Index() uint32 { return uint32(id) }
 
-// Generation counts the uses of the slot, from 1.
+// Generation returns the number of the slot's use, from 1.
 func (id ID) Generation() uint32 { return uint32(id >> 32) }
 
-// MakeID makes the ID of a slot's number and generation.
+// MakeID returns the ID for a slot's number and generation.
 func MakeID(index, generation uint32) ID { return ID(generation)<<32 | ID(index) }
 
 type slot[T any] struct {
@@ -22,13 +23,13 @@
 	value      T
 }
 
-// Map holds values by ID. The zero Map is empty and ready for use.
+// Map maps IDs to values. The zero Map is empty and ready for use.
 type Map[T any] struct {
 	slots []slot[T]
-	free  []uint32 // the numbers of slots that are not in use
+	free  []uint32 // numbers of the unused slots
 }
 
-// Add puts a value into a free slot, and gives its ID.
+// Add stores a value in a free slot and returns its ID.
 func (m *Map[T]) Add(v T) ID {
 	var i uint32
 	if n := len(m.free); n > 0 {
@@ -38,12 +39,12 @@
 		m.slots = append(m.slots, slot[T]{})
 	}
 	s := &m.slots[i]
-	s.generation++ // from 1, so that no ID is zero
+	s.generation++ // starts at 1, so that no ID is zero
 	s.used, s.value = true, v
 	return MakeID(i, s.generation)
 }
 
-// Get gives the value of an ID, and false if it has been removed.
+// Get returns the value with the given ID. ok is false if there is none or it has been removed.
 func (m *Map[T]) Get(id ID) (v T, ok bool) {
 	if i := id.Index(); int(i) < len(m.slots) {
 		if s := &m.slots[i]; s.used && s.generation == id.Generation() {
@@ -53,7 +54,7 @@
 	return v, false
 }
 
-// Remove frees the slot of an ID. It does nothing if the value has been removed already.
+// Remove removes the value with the given ID and frees its slot. It has no effect if the ID finds no value.
 func (m *Map[T]) Remove(id ID) {
 	if _, ok := m.Get(id); !ok {
 		return
@@ -64,10 +65,11 @@
 	m.free = append(m.free, id.Index())
 }
 
-// Len is the number of values.
+// Len returns the number of values.
 func (m *Map[T]) Len() int { return len(m.slots) - len(m.free) }
 
-// All yields the IDs and values, in the order of their slots. Values may be added and removed meanwhile.
+// All yields the IDs and values in the order of their slots. Values may be added and removed during the
+// iteration.
 func (m *Map[T]) All(yield func(ID, T) bool) {
 	for i := 0; i < len(m.slots); i++ {
 		if s := m.slots[i]; s.used && !yield(MakeID(uint32(i), s.generation), s.value) {
