--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -1,7 +1,7 @@
-// Package faultfs is an in-memory file system that fails as real ones do: what was not
-// synced is lost at a power failure, wholly or in part and not in order, writes come short
-// when the disk is full, and syncs fail. Faults are drawn from a seed or requested by the
-// caller. It has no locks: one goroutine uses it at a time.
+// Package faultfs provides an in-memory file system with the faults of real ones: a power
+// failure loses unsynced data completely or in part, and not necessarily from the end; writes
+// are short when the disk is full; and syncs fail. Faults depend on a seed or are requested by
+// the caller. The file system is not safe for concurrent use.
 package faultfs
 
 import (
@@ -19,50 +19,50 @@
 	"moorstack/internal/storage/store"
 )
 
-// tornBlockBytes is the granularity in which parts of an unsynced write survive a power failure. Real
-// disks have 512 or 4096; it is small here so that short records are torn too.
+// tornBlockBytes is the size of the blocks in which an unsynced write is torn by a power failure. Real disks
+// have blocks of 512 or 4096 bytes; it is smaller here so that short records are torn as well.
 const tornBlockBytes = 16
 
-// unlimited is the value of FS.FreeBytes that sets no bound.
+// unlimited is a value of FS.FreeBytes that means no limit.
 const unlimited = -1
 
 // FS is the file system of one machine.
 type FS struct {
 	rng         *rand.Rand
-	inodes      map[string]*inode // by path, as the processes see them
-	stable      map[string]*inode // the paths that would be there after a power failure
+	inodes      map[string]*inode // by path, as seen by processes
+	durable     map[string]*inode // by path, the files that exist after a power failure
 	locked      map[string]bool
-	incarnation int // of the processes: a handle from an earlier one is dead
+	incarnation int // incremented when the processes are killed; older handles then fail
 
-	FreeBytes    int64 // bytes that may still be written; below 0: no limit
-	FailNextSync bool  // the next sync fails
+	FreeBytes    int64 // bytes that can still be written; negative: no limit
+	FailNextSync bool  // makes the next Sync fail
 }
 
 // inode is a file's content.
 type inode struct {
 	bytes  []byte
-	synced []byte // what a power failure can't take
+	synced []byte // the content that survives a power failure
 }
 
 var _ store.FS = (*FS)(nil)
 
-// ErrCrashed is returned by a handle from before LosePower or KillProcesses.
+// ErrCrashed is returned by handles that were opened before LosePower or KillProcesses.
 var ErrCrashed = errors.New("the machine has crashed")
 
-// New makes an empty file system without a bound on its size.
+// New returns an empty file system without a size limit.
 func New(seed uint64) *FS {
 	return &FS{rng: rand.New(rand.NewPCG(seed, 0xf5)), inodes: map[string]*inode{},
-		stable: map[string]*inode{}, locked: map[string]bool{}, FreeBytes: unlimited}
+		durable: map[string]*inode{}, locked: map[string]bool{}, FreeBytes: unlimited}
 }
 
-// LosePower cuts the power: names and bytes that were not synced may be lost. Of a file's
-// unsynced end a prefix stays, or else blocks of it stay and others are zero.
+// LosePower simulates a power failure: unsynced directory entries and data may be lost. Of the
+// unsynced end of a file, either everything, a prefix, or some blocks remain; other blocks are zero.
 func (f *FS) LosePower() {
 	f.KillProcesses()
-	after := maps.Clone(f.stable)
+	after := maps.Clone(f.durable)
 	for _, path := range f.Paths() {
-		if f.stable[path] != f.inodes[path] && f.rng.IntN(2) == 0 {
-			after[path] = f.inodes[path] // the kernel may have written the name out by itself
+		if f.durable[path] != f.inodes[path] && f.rng.IntN(2) == 0 {
+			after[path] = f.inodes[path] // the kernel may have written the entry without a sync
 		}
 	}
 	torn := map[*inode]bool{}
@@ -73,21 +73,21 @@
 		}
 	}
 	f.inodes = after
-	f.stable = maps.Clone(after)
+	f.durable = maps.Clone(after)
 }
 
-// KillProcesses ends the processes and leaves the kernel running: only the handles and locks
-// are lost.
+// KillProcesses simulates a kill of all processes while the kernel keeps running: only handles
+// and locks are lost.
 func (f *FS) KillProcesses() {
 	f.incarnation++
 	f.locked = map[string]bool{}
 }
 
-// tear takes unsynced changes of a file's content back, wholly or in part.
+// tear reverts unsynced changes to a file's content, completely or in part.
 func (f *FS) tear(n *inode) {
 	synced := len(n.synced)
 	if len(n.bytes) < synced || !slices.Equal(n.bytes[:synced], n.synced) {
-		// It was truncated and not synced: the old content may be back.
+		// The file was truncated and not synced, so its old content may reappear.
 		if f.rng.IntN(2) == 0 {
 			n.bytes = slices.Clone(n.synced)
 		}
@@ -106,22 +106,22 @@
 	n.synced = slices.Clone(n.bytes)
 }
 
-// Paths lists the files, sorted.
+// Paths returns the sorted paths of all files.
 func (f *FS) Paths() []string { return slices.Sorted(maps.Keys(f.inodes)) }
 
-// Content returns a file's bytes; changes to them are changes to the disk.
+// Content returns the content of a file. Changes to the slice change the file.
 func (f *FS) Content(path string) []byte { return f.inodes[path].bytes }
 
-// WriteDurable writes a whole file that survives a power failure.
+// WriteDurable creates or replaces a file with content that survives a power failure.
 func (f *FS) WriteDurable(path string, b []byte) {
 	n := &inode{bytes: slices.Clone(b), synced: slices.Clone(b)}
-	f.inodes[path], f.stable[path] = n, n
+	f.inodes[path], f.durable[path] = n, n
 }
 
 // EraseDisk kills the processes and removes all files.
 func (f *FS) EraseDisk() {
 	f.KillProcesses()
-	f.inodes, f.stable = map[string]*inode{}, map[string]*inode{}
+	f.inodes, f.durable = map[string]*inode{}, map[string]*inode{}
 }
 
 // ListFiles implements store.FS.
@@ -141,7 +141,7 @@
 // MkdirAll implements store.FS.
 func (f *FS) MkdirAll(string) error { return nil }
 
-// Open implements store.FS. On a full disk it can't create a file.
+// Open implements store.FS. It can't create a file on a full disk.
 func (f *FS) Open(path string) (store.File, error) {
 	n := f.inodes[path]
 	if n == nil {
@@ -185,20 +185,20 @@
 
 // SyncDir implements store.FS.
 func (f *FS) SyncDir(dir string) error {
-	for path := range f.stable {
+	for path := range f.durable {
 		if inDir(path, dir) && f.inodes[path] == nil {
-			delete(f.stable, path)
+			delete(f.durable, path)
 		}
 	}
 	for path, n := range f.inodes {
 		if inDir(path, dir) {
-			f.stable[path] = n
+			f.durable[path] = n
 		}
 	}
 	return nil
 }
 
-// lock is a lock that a process holds.
+// lock is a lock held by a process.
 type lock struct {
 	fs          *FS
 	path        string
@@ -222,24 +222,24 @@
 	return lock{f, path, f.incarnation}, nil
 }
 
-// handle is an open file.
+// handle is the open file of a process.
 type handle struct {
 	fs          *FS
 	inode       *inode
 	incarnation int
 }
 
-// usable fails once the handle's process has been killed.
-func (h *handle) usable() error {
+// checkAlive returns ErrCrashed if the handle's process has been killed.
+func (h *handle) checkAlive() error {
 	if h.incarnation != h.fs.incarnation {
 		return ErrCrashed
 	}
 	return nil
 }
 
-// Write implements store.File. On a disk that fills up it writes a part.
+// Write implements store.File. If the disk has not enough space, it writes only a part of b.
 func (h *handle) Write(b []byte) (int, error) {
-	if err := h.usable(); err != nil {
+	if err := h.checkAlive(); err != nil {
 		return 0, err
 	}
 	n := len(b)
@@ -256,7 +256,7 @@
 
 // Sync implements store.File.
 func (h *handle) Sync() error {
-	if err := h.usable(); err != nil {
+	if err := h.checkAlive(); err != nil {
 		return err
 	}
 	if h.fs.FailNextSync {
@@ -269,7 +269,7 @@
 
 // Truncate implements store.File.
 func (h *handle) Truncate(size int64) error {
-	if err := h.usable(); err != nil {
+	if err := h.checkAlive(); err != nil {
 		return err
 	}
 	h.inode.bytes = h.inode.bytes[:min(int(size), len(h.inode.bytes))]
@@ -277,4 +277,4 @@
 }
 
 // Close implements store.File.
-func (h *handle) Close() error { return h.usable() }
+func (h *handle) Close() error { return h.checkAlive() }
--- a/internal/storage/store/check.go
+++ b/internal/storage/store/check.go
@@ -5,24 +5,24 @@
 	"path/filepath"
 )
 
-// CheckReport is what Check found.
+// CheckReport is the result of Check.
 type CheckReport struct {
 	Dir           string `json:"dir"`
 	Format        int    `json:"format"`
-	Snapshot      string `json:"snapshot,omitempty"` // the file's name
-	SnapshotBytes int    `json:"snapshot_bytes"`     // of its payload
+	Snapshot      string `json:"snapshot,omitempty"` // the name of the snapshot's file
+	SnapshotBytes int    `json:"snapshot_bytes"`     // the length of the snapshot's payload
 	Segments      int    `json:"segments"`
-	Records       int    `json:"records"` // that the snapshot does not hold
+	Records       int    `json:"records"` // after the snapshot
 	SyncMarkers   int    `json:"seals"`
 	NextSeq       uint64 `json:"next_record"`
-	Bytes         int64  `json:"bytes"`               // of all files
-	TornTail      string `json:"torn,omitempty"`      // the end of the log that the next start will cut off
-	Leftovers     int    `json:"leftovers,omitempty"` // files that the next start will remove
+	Bytes         int64  `json:"bytes"`               // the length of all valid data
+	TornTail      string `json:"torn,omitempty"`      // the end of the log that the next Open will cut off
+	Leftovers     int    `json:"leftovers,omitempty"` // the number of files that the next Open will remove
 }
 
-// Check reads a store and verifies every byte of it; a nil fs is the machine's file system. It
-// changes nothing. It fails with ErrLocked while a process has the store open, and with a
-// CorruptError if acknowledged data is damaged.
+// Check reads and verifies a whole store without changing it. A nil fs means OS. Check fails with
+// ErrLocked while a process has the store open, and with a CorruptError if acknowledged data is
+// damaged.
 func Check(dir string, fs FS) (*CheckReport, error) {
 	if fs == nil {
 		fs = OS{}
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	if len(found.segments) == 0 && !found.hasSnapshot {
-		return nil, fmt.Errorf("%s holds no store", dir)
+		return nil, fmt.Errorf("%s contains no segment or snapshot of a store", dir)
 	}
 	r := &CheckReport{
 		Dir:           dir,
--- a/internal/storage/store/crash_test.go
+++ b/internal/storage/store/crash_test.go
@@ -13,8 +13,8 @@
 	"moorstack/internal/storage/store"
 )
 
-// crashRun drives a store through random operations and faults, and compares what it returns when it is
-// opened again with what it acknowledged.
+// crashRun applies random operations and faults to a store. Whenever the store is reopened, it compares the
+// records that the store returns with those that it has acknowledged.
 type crashRun struct {
 	t            *testing.T
 	seed         uint64
@@ -22,10 +22,10 @@
 	fs           *faultfs.FS
 	segmentBytes int64
 	store        *store.Store
-	all          []string // every record ever appended, by its number
-	durable      int      // how many of them must be back
+	appended     []string // every record that the log may hold, by index
+	durable      int      // how many of them must be returned
 	inSnapshot   int      // how many of them the snapshot holds
-	operations   []string // so far
+	operations   []string // for error messages
 }
 
 func newCrashRun(t *testing.T, seed uint64) *crashRun {
@@ -39,59 +39,59 @@
 	return r
 }
 
-// fillDisk lets the disk fill up within some bytes, once in so many calls.
-func (r *crashRun) fillDisk(onceIn, freeBytes int) {
+// maybeFillDisk limits the free space to a random value below freeBytes, once in onceIn calls on average.
+func (r *crashRun) maybeFillDisk(onceIn, freeBytes int) {
 	if r.rng.IntN(onceIn) == 0 {
 		r.fs.FreeBytes = int64(r.rng.IntN(freeBytes))
 	}
 }
 
-func (r *crashRun) emptyDisk() { r.fs.FreeBytes = -1 }
+func (r *crashRun) freeDiskSpace() { r.fs.FreeBytes = -1 }
 
 func (r *crashRun) log(operation ...any) {
 	r.operations = append(r.operations, fmt.Sprint(operation...))
 }
 
 func (r *crashRun) append() {
-	data := strings.Repeat("x", r.rng.IntN(80)) + fmt.Sprint(len(r.all))
-	r.fillDisk(10, 60)
+	data := strings.Repeat("x", r.rng.IntN(80)) + fmt.Sprint(len(r.appended))
+	r.maybeFillDisk(10, 60)
 	_, err := r.store.Append(
 		store.Record{Kind: 1, Data: []byte(data)},
 		store.Record{Kind: 2, Data: []byte("b")},
 	)
-	r.emptyDisk()
+	r.freeDiskSpace()
 	r.log("append ", err)
 	if err == nil {
-		n := len(r.all) + 1
-		r.all = append(r.all, fmt.Sprintf("%d:1:%s", n, data), fmt.Sprintf("%d:2:b", n+1))
+		n := len(r.appended) + 1
+		r.appended = append(r.appended, fmt.Sprintf("%d:1:%s", n, data), fmt.Sprintf("%d:2:b", n+1))
 	} else if !errors.Is(err, syscall.ENOSPC) {
 		r.t.Fatalf("seed %d: %v", r.seed, err)
 	}
 }
 
 func (r *crashRun) sync() {
-	r.fillDisk(12, 10)
+	r.maybeFillDisk(12, 10)
 	err := r.store.Sync()
-	r.emptyDisk()
+	r.freeDiskSpace()
 	r.log("sync")
 	if err != nil {
 		r.t.Fatalf("seed %d: sync: %v", r.seed, err)
 	}
-	r.durable = len(r.all)
+	r.durable = len(r.appended)
 }
 
 func (r *crashRun) snapshot() {
-	r.fillDisk(3, 100)
-	err := r.store.WriteSnapshot([]byte(fmt.Sprint("upto ", len(r.all))))
-	r.emptyDisk()
+	r.maybeFillDisk(3, 100)
+	err := r.store.WriteSnapshot([]byte(fmt.Sprint("upto ", len(r.appended))))
+	r.freeDiskSpace()
 	r.log("snapshot ", err)
-	r.durable = len(r.all)
+	r.durable = len(r.appended)
 	if err == nil {
-		r.inSnapshot = len(r.all)
+		r.inSnapshot = len(r.appended)
 	}
 }
 
-// stop ends the store's process in one of three ways.
+// stop simulates a power loss, kills the process, or closes the store.
 func (r *crashRun) stop() {
 	switch r.rng.IntN(3) {
 	case 0:
@@ -100,15 +100,15 @@
 	case 1:
 		r.fs.KillProcesses()
 		r.log("kill")
-		r.durable = len(r.all) // the kernel has it all
+		r.durable = len(r.appended) // the kernel has all the written data
 	default:
 		must(r.t, r.store.Close())
 		r.log("close")
-		r.durable = len(r.all)
+		r.durable = len(r.appended)
 	}
 }
 
-// reopen opens the store and checks that everything durable is back, in order.
+// reopen opens the store and checks that it returns all durable records, in order.
 func (r *crashRun) reopen() {
 	var c content
 	var err error
@@ -119,14 +119,14 @@
 		fmt.Sscanf(c.snapshot, "upto %d", &r.inSnapshot)
 	}
 	n := r.inSnapshot + len(c.records)
-	if n < r.durable || n > len(r.all) || !slices.Equal(c.records, r.all[r.inSnapshot:n]) {
-		r.t.Fatalf("seed %d: %d records are back of %d durable, %d appended\n%s", r.seed, n, r.durable,
-			len(r.all), r.operations)
+	if n < r.durable || n > len(r.appended) || !slices.Equal(c.records, r.appended[r.inSnapshot:n]) {
+		r.t.Fatalf("seed %d: the store returned %d records, of %d durable and %d appended\n%s", r.seed, n,
+			r.durable, len(r.appended), r.operations)
 	}
-	r.all, r.durable = r.all[:n], n
+	r.appended, r.durable = r.appended[:n], n
 }
 
-// Whatever happens to the machine, what was synced is back and nothing is out of order.
+// After power losses, killed processes and full disks, all synced records must be returned, in order.
 func TestSyncedRecordsSurviveRandomCrashes(t *testing.T) {
 	for seed := range uint64(500) {
 		r := newCrashRun(t, seed)
--- a/internal/storage/store/doc.go
+++ b/internal/storage/store/doc.go
@@ -1,21 +1,22 @@
-// Package store keeps what must outlive a process: a log of records, and a snapshot that
-// replaces the log's beginning.
+// Package store provides durable storage for a process: a log of records, and a snapshot that
+// replaces the beginning of the log.
 //
 // The contract:
 //
-//   - Append writes records; they are durable once a later Sync has returned nil, and
-//     nothing may be acknowledged before. Several appends may share one sync.
-//   - Open returns all records that were durable, in order, and perhaps more that were
-//     written and not yet synced, but never a part of a record and never one without those
-//     before it. A log whose end was cut short while it was written loses that end, and
-//     Store.TornTail reports it. Any other damage fails Open with a CorruptError that names
-//     the file and the byte.
-//   - WriteSnapshot replaces all records appended before it. It is durable when it returns.
-//   - After an error of Append the log is as it was before, and the caller may go on, for
-//     example once the disk has space again. After an error of Sync nobody knows what the
-//     disk holds, and every further call fails: the process must exit and open the store
+//   - Append writes records. They are durable once a later Sync has returned nil, and must
+//     not be acknowledged before. Several appends may share one sync.
+//   - Open returns all records that were durable, in order. It may also return records that
+//     were written but not yet synced, but never part of a record, and never a record
+//     without all records before it. If the end of the log was only partly written, Open
+//     cuts it off, and Store.TornTail reports it. Any other damage makes Open fail with a
+//     CorruptError that names the file and the offset.
+//   - WriteSnapshot replaces all records appended before it. The snapshot is durable when
+//     WriteSnapshot returns.
+//   - After an error of Append the log is unchanged, and the caller may continue, for
+//     example once the disk has space again. After an error of Sync the content of the disk
+//     is unknown, and all further calls fail: the process must exit and open the store
 //     again.
-//   - One process has a directory open at a time.
+//   - Only one process at a time can have a directory open.
 //
-// A Store is used by one goroutine at a time; a GroupCommitter lets many share it.
+// A Store is used by one goroutine at a time. A GroupCommitter shares it between goroutines.
 package store
--- a/internal/storage/store/filesystem.go
+++ b/internal/storage/store/filesystem.go
@@ -10,40 +10,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the part of a file system that a store needs. OS is the real one; tests and
-// simulations have one that loses what was not synced, fills up and fails (package faultfs).
+// FS is the part of a file system that a store needs. OS is the implementation for the
+// operating system. Package faultfs has one for tests and simulations that loses unsynced
+// data, runs out of space and fails.
 type FS interface {
 	// ListFiles returns the names of the regular files in a directory.
 	ListFiles(dir string) ([]string, error)
 	// MkdirAll creates a directory and its parents.
 	MkdirAll(dir string) error
-	// Open opens a file for reading and appending, and creates it if it isn't there.
+	// Open opens a file for reading and appending, and creates it if it does not exist.
 	Open(path string) (File, error)
-	// ReadFile returns a file's whole content.
+	// ReadFile returns the content of a file.
 	ReadFile(path string) ([]byte, error)
-	// Rename replaces the file at to by the one at from.
+	// Rename atomically renames a file and replaces any file that has the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// SyncDir makes the names in a directory durable.
+	// SyncDir makes the entries of a directory durable.
 	SyncDir(dir string) error
-	// Lock takes the exclusive lock on a file until Close, or fails at once with ErrLocked.
+	// Lock acquires an exclusive lock on a file, which Close releases. It fails at once with ErrLocked if the
+	// file is locked.
 	Lock(path string) (io.Closer, error)
 }
 
-// File is an open file. Write appends.
+// File is an open file. Write appends to it.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written durable.
+	// Sync makes everything that was written durable.
 	Sync() error
-	// Truncate cuts the file off after size bytes.
+	// Truncate shortens the file to size bytes.
 	Truncate(size int64) error
 }
 
-// ErrLocked means that another process has the directory open.
+// ErrLocked is returned if another process has the directory open.
 var ErrLocked = errors.New("in use by another process")
 
-// OS is the machine's file system.
+// OS is the FS of the operating system.
 type OS struct{}
 
 var _ FS = OS{}
@@ -63,7 +65,7 @@
 	return names, nil
 }
 
-// MkdirAll implements FS. Only the owner may read what a store holds.
+// MkdirAll implements FS. Only the owner may access a store.
 func (OS) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
 // Open implements FS.
@@ -90,7 +92,7 @@
 	return d.Sync()
 }
 
-// Lock implements FS by flock(2), which the kernel releases however the process ends.
+// Lock implements FS with flock(2). The kernel releases the lock even if the process is killed.
 func (OS) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/storage/store/group_commit.go
+++ b/internal/storage/store/group_commit.go
@@ -2,17 +2,16 @@
 
 import "sync"
 
-// maxBatchBytes bounds the records that one sync covers, so that the first commit of a batch does not
-// wait without limit.
+// maxBatchBytes limits the size of a batch, so that the first commit of a batch does not wait too long for
+// the others to be written.
 const maxBatchBytes = 4 << 20
 
-// GroupCommitter lets many goroutines, and an event loop, commit to one store. What arrives while a
-// sync is running is written together and shares the next sync. Its methods may be called from any
-// goroutine.
+// GroupCommitter commits records to a store for several goroutines. Commits that arrive during a sync are
+// written as a batch and share the next sync. Its methods may be called from any goroutine.
 type GroupCommitter struct {
 	store   *Store
 	mu      sync.Mutex
-	changed sync.Cond // pending has grown, or closed is set
+	changed sync.Cond // signalled when pending grows or closed is set
 	pending []pendingCommit
 	closed  bool
 	done    chan struct{} // closed when the committer's goroutine has ended
@@ -23,7 +22,7 @@
 	notify  func(firstSeq uint64, err error)
 }
 
-// bytes returns how much the commit adds to the log.
+// bytes returns the number of bytes that the commit adds to the log.
 func (c pendingCommit) bytes() int {
 	n := 0
 	for _, r := range c.records {
@@ -32,7 +31,8 @@
 	return n
 }
 
-// NewGroupCommitter starts a goroutine that has the store for itself until Close.
+// NewGroupCommitter starts a goroutine that uses the store. The caller must not use the store until Close has
+// returned.
 func NewGroupCommitter(s *Store) *GroupCommitter {
 	g := &GroupCommitter{store: s, done: make(chan struct{})}
 	g.changed.L = &g.mu
@@ -40,9 +40,9 @@
 	return g
 }
 
-// CommitAsync commits records and calls notify, on the committer's goroutine, once they are
-// durable or can't be made so. Commits are made in the order of the calls. After Close it
-// calls notify with ErrClosed, on the caller's goroutine.
+// CommitAsync commits records. It calls notify on the committer's goroutine when the records are durable or
+// the commit has failed. Commits are made in the order of the calls. After Close, CommitAsync calls notify
+// with ErrClosed on the caller's goroutine.
 func (g *GroupCommitter) CommitAsync(notify func(firstSeq uint64, err error), records ...Record) {
 	g.mu.Lock()
 	if g.closed {
@@ -55,8 +55,7 @@
 	g.changed.Signal()
 }
 
-// Commit commits records, waits until they are durable and returns the sequence number of the
-// first.
+// Commit commits records, waits until they are durable, and returns the sequence number of the first one.
 func (g *GroupCommitter) Commit(records ...Record) (uint64, error) {
 	type result struct {
 		firstSeq uint64
@@ -68,7 +67,7 @@
 	return r.firstSeq, r.err
 }
 
-// run is the committer's goroutine.
+// run commits batches until the committer is closed and no commits are pending.
 func (g *GroupCommitter) run() {
 	defer close(g.done)
 	for {
@@ -80,7 +79,8 @@
 	}
 }
 
-// nextBatch waits for commits and takes as many as share one sync; none, once it is closed.
+// nextBatch waits for commits and returns those that share the next sync. It returns none if the committer is
+// closed and no commits are pending.
 func (g *GroupCommitter) nextBatch() []pendingCommit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,7 +97,7 @@
 	return batch
 }
 
-// commit appends a batch, syncs once and notifies each caller.
+// commit appends a batch, syncs once, and notifies the caller of each commit.
 func (g *GroupCommitter) commit(batch []pendingCommit) {
 	firstSeqs, errs := make([]uint64, len(batch)), make([]error, len(batch))
 	for i, c := range batch {
@@ -112,7 +112,7 @@
 	}
 }
 
-// Close commits what is pending and ends the goroutine. The store stays open.
+// Close commits what is pending and ends the goroutine. It does not close the store.
 func (g *GroupCommitter) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/storage/store/scan.go
+++ b/internal/storage/store/scan.go
@@ -8,67 +8,67 @@
 	"strings"
 )
 
-// The files of a store's directory.
+// The names of the files in a store's directory.
 const (
 	lockFile        = "LOCK"
 	segmentSuffix   = ".log"
 	snapshotSuffix  = ".snap"
 	temporarySuffix = ".tmp"
-	seqDigits       = 20 // of the sequence number that a file is named by
+	seqDigits       = 20 // of the sequence number in a file's name
 )
 
-// CorruptError reports where a store is damaged. A damaged store does not open: to continue
-// without what was acknowledged would be a silent loss.
+// CorruptError reports that acknowledged data in a store is damaged. A damaged store can't be
+// opened, because continuing without that data would be a silent loss.
 type CorruptError struct {
 	File   string
 	Offset int64 // in bytes, from the file's start
 	Reason string
 }
 
-// Error names the file, the byte and the reason.
+// Error names the file, the offset and the reason.
 func (e *CorruptError) Error() string {
 	return fmt.Sprintf("%s: damaged at byte %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// TornTail is an end of the log that was written but never acknowledged.
+// TornTail describes an end of the log that was only partly written and never acknowledged.
 type TornTail struct {
 	File   string
 	Offset int64 // in bytes, from the file's start
-	Bytes  int64 // that were cut off
+	Bytes  int64 // the length of the tail
 	Reason string
 }
 
-// String names the file, the bytes and the reason.
+// String names the file, the length, the offset and the reason.
 func (t *TornTail) String() string {
 	return fmt.Sprintf("%s: %d bytes from byte %d on were never acknowledged (%s)", t.File, t.Bytes, t.Offset,
 		t.Reason)
 }
 
-// scanResult is what a scan finds in a directory.
+// scanResult is the result of scanning a directory.
 type scanResult struct {
 	snapshot     []byte
 	hasSnapshot  bool
-	snapshotSeq  uint64 // the first record that the snapshot does not hold
+	snapshotSeq  uint64 // of the first record after the snapshot
 	snapshotPath string
 	segments     []segment
 	nextSeq      uint64 // the sequence number of the next record
-	records      int    // that the snapshot does not hold
+	records      int    // after the snapshot
 	bytes        int64
 	syncMarkers  int
 	tornTail     *TornTail
-	emptySegment string   // a last segment that holds no record, and is to be removed
-	leftovers    []string // files of writes that were interrupted
+	emptySegment string   // the last segment, if it holds no records and should be removed
+	leftovers    []string // files left by interrupted writes or removals
 }
 
-// scanner reads one directory.
+// scanner scans one directory.
 type scanner struct {
 	scanResult
 	fs    FS
 	dir   string
-	visit func(Record) // called with each record that the snapshot does not hold; may be nil
+	visit func(Record) // called with each record after the snapshot; may be nil
 }
 
-// scanDir reads and verifies a whole store, and changes nothing.
+// scanDir reads and verifies a whole store without changing it.
 func scanDir(fs FS, dir string, visit func(Record)) (*scanResult, error) {
 	names, err := fs.ListFiles(dir)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return &s.scanResult, nil
 }
 
-// readSnapshots reads the newest snapshot. Older ones are there only until they have been removed.
+// readSnapshots reads the newest snapshot. Older ones are leftovers whose removal was interrupted.
 func (s *scanner) readSnapshots(names []string) error {
 	if len(names) == 0 {
 		return nil
@@ -108,8 +108,8 @@
 		return fmt.Errorf("reading the store: %w", err)
 	}
 	nextSeq, data, offset, reason := parseSnapshot(raw)
-	if reason == "" && nextSeq != seqOf(newest) {
-		offset, reason = snapshotSeqOffset, "the snapshot's number is not its name's"
+	if reason == "" && nextSeq != seqFromName(newest) {
+		offset, reason = snapshotSeqOffset, "the snapshot's sequence number differs from its name"
 	}
 	if reason != "" {
 		return &CorruptError{path, offset, reason}
@@ -126,8 +126,8 @@
 func (s *scanner) readSegments(names []string) error {
 	for i, name := range names {
 		last := i == len(names)-1
-		if !last && seqOf(names[i+1]) <= s.snapshotSeq {
-			// The snapshot holds all of it: its removal was interrupted.
+		if !last && seqFromName(names[i+1]) <= s.snapshotSeq {
+			// The snapshot covers the whole segment, whose removal was interrupted.
 			s.leftovers = append(s.leftovers, filepath.Join(s.dir, name))
 			continue
 		}
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// readSegment reads one file of the log.
+// readSegment reads one segment.
 func (s *scanner) readSegment(name string, last bool) error {
 	path := filepath.Join(s.dir, name)
 	b, err := s.fs.ReadFile(path)
@@ -148,19 +148,19 @@
 	firstSeq, reason := parseSegmentHeader(b)
 	if reason != "" {
 		if last && len(b) <= segmentHeaderBytes {
-			// Hazard: it was being created when the process ended. Nothing in it was
-			// acknowledged, for a segment's header is synced before its first record.
+			// The process ended while it created the segment. The segment holds no acknowledged
+			// data, because the header is synced before the first record is written.
 			s.emptySegment = path
 			s.tornTail = &TornTail{path, 0, int64(len(b)), reason}
 			return nil
 		}
 		return &CorruptError{path, 0, reason}
 	}
-	if firstSeq != seqOf(name) {
-		return &CorruptError{path, segmentSeqOffset, "the segment's number is not its name's"}
+	if firstSeq != seqFromName(name) {
+		return &CorruptError{path, segmentSeqOffset, "the segment's sequence number differs from its name"}
 	}
 	if last && len(b) == segmentHeaderBytes && firstSeq < s.nextSeq {
-		// Its creation failed and the segment before stayed active.
+		// Its creation failed, and the previous segment stayed active.
 		s.emptySegment = path
 		return nil
 	}
@@ -170,25 +170,26 @@
 	return s.readRecords(path, b, firstSeq, last)
 }
 
-// gapBefore reports why a segment with that first record can't follow what has been read.
+// gapBefore returns an empty string if a segment with the given first record continues the log that has been
+// read, and otherwise the reason why it does not.
 func (s *scanner) gapBefore(firstSeq uint64) string {
 	switch {
 	case len(s.segments) == 0 && firstSeq > s.nextSeq:
-		return fmt.Sprintf("the log begins with record %d, wanted is %d: a file is missing",
+		return fmt.Sprintf("the log begins with record %d, want %d: a file is missing",
 			firstSeq, s.nextSeq)
 	case len(s.segments) > 0 && firstSeq != s.nextSeq:
-		return fmt.Sprintf("the segment begins with record %d, wanted is %d", firstSeq, s.nextSeq)
+		return fmt.Sprintf("the segment begins with record %d, want %d", firstSeq, s.nextSeq)
 	}
 	return ""
 }
 
-// readRecords reads the records of a segment's content, up to a torn tail.
+// readRecords reads the records of a segment up to its end or a torn tail.
 func (s *scanner) readRecords(path string, b []byte, firstSeq uint64, last bool) error {
 	seq, offset := firstSeq, segmentHeaderBytes
 	for offset < len(b) {
 		r, size, reason := parseRecord(b[offset:])
 		if reason == "" && r.Seq != seq {
-			reason = fmt.Sprintf("it is record %d where %d is due", r.Seq, seq)
+			reason = fmt.Sprintf("the record has sequence number %d, want %d", r.Seq, seq)
 		}
 		if reason != "" {
 			if !last || syncMarkerFollows(b[offset:], seq) {
@@ -215,13 +216,13 @@
 	return nil
 }
 
-// syncMarkerFollows searches behind a bad record for a sync marker that was written later. If there is
-// one, the bad record had been acknowledged and is damaged. Other records prove nothing: of a group that
-// was being written when the power failed, the end may be on disk and the beginning not.
+// syncMarkerFollows reports whether b, which begins with an invalid record, contains a later sync marker. If
+// so, the invalid record had been acknowledged and is damaged. Other valid records do not show that: if the
+// power fails while a batch is being written, its end may reach the disk without its beginning.
 func syncMarkerFollows(b []byte, seq uint64) bool {
 	for i := 1; i+recordHeaderBytes <= len(b); i++ {
-		if !zero(b[i+kindOffset : i+recordHeaderBytes]) {
-			continue // no marker: its kind is 0, and so are the bytes after
+		if !allZero(b[i+kindOffset : i+recordHeaderBytes]) {
+			continue // not a marker: its kind and the three bytes after it are 0
 		}
 		r, _, reason := parseRecord(b[i:])
 		if reason == "" && r.Seq > seq && r.Seq-seq <= uint64(len(b)) {
@@ -231,7 +232,7 @@
 	return false
 }
 
-// isNumbered reports whether a file is named by a sequence number and the suffix.
+// isNumbered reports whether a file name consists of a sequence number and the suffix.
 func isNumbered(name, suffix string) bool {
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) != seqDigits {
@@ -241,8 +242,8 @@
 	return err == nil
 }
 
-// seqOf returns the sequence number in a name that isNumbered.
-func seqOf(name string) uint64 {
+// seqFromName returns the sequence number in a file name for which isNumbered is true.
+func seqFromName(name string) uint64 {
 	seq, _ := strconv.ParseUint(name[:seqDigits], 10, 64)
 	return seq
 }
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -10,18 +10,19 @@
 type segment struct {
 	path     string
 	firstSeq uint64 // of its first record
-	nextSeq  uint64 // as found by the scan: the record that would come next in it
-	bytes    int64  // as found by the scan: how much of it is valid
+	nextSeq  uint64 // as found by the scan: the number of the record after its last one
+	bytes    int64  // as found by the scan: the length of its valid part
 }
 
-// startSegment creates a new segment and makes it the active one. Its header is durable before its
+// startSegment creates a new segment and makes it the active one. The segment's header is durable before its
 // first record is written.
 func (s *Store) startSegment() error {
 	if n := len(s.segments); n > 0 && s.segments[n-1].firstSeq == s.nextSeq && s.active != nil {
 		return s.fs.SyncDir(s.dir) // the active segment is still empty
 	}
 	if s.active != nil {
-		// Hazard: the last sync marker of a segment that others follow must not be missing.
+		// The last sync marker must be durable before another segment follows: a torn marker in a segment
+		// that is not the last one would be reported as damage.
 		if err := s.active.Sync(); err != nil {
 			return s.fail(fmt.Errorf("syncing the store: %w", err))
 		}
@@ -31,16 +32,17 @@
 	if err != nil {
 		if f != nil {
 			f.Close()
-			// Hazard: the segment before stays active, and this file would stand in its midst.
+			// The previous segment stays active. Without the removal, this file would be in the middle of
+			// the previous segment's records.
 			if removeErr := s.fs.Remove(path); removeErr != nil {
 				return s.fail(errors.Join(err, removeErr))
 			}
 		}
-		return fmt.Errorf("beginning a segment of the store: %w", err)
+		return fmt.Errorf("starting a segment of the store: %w", err)
 	}
 	if s.active != nil {
 		if err := s.active.Close(); err != nil {
-			return s.fail(fmt.Errorf("ending a segment of the store: %w", err))
+			return s.fail(fmt.Errorf("closing a segment of the store: %w", err))
 		}
 	}
 	s.active, s.activeBytes = f, segmentHeaderBytes
@@ -48,7 +50,8 @@
 	return nil
 }
 
-// createSegment writes an empty segment durably. With an error it returns the file, if that was opened.
+// createSegment durably writes an empty segment. If it fails after opening the file, it returns the file with
+// the error.
 func (s *Store) createSegment(path string) (File, error) {
 	f, err := s.fs.Open(path)
 	if err == nil {
--- a/internal/storage/store/snapshot.go
+++ b/internal/storage/store/snapshot.go
@@ -6,16 +6,16 @@
 	"path/filepath"
 )
 
-// WriteSnapshot replaces all records appended so far by data, durably. If it fails after the
-// snapshot itself was written, the store stays usable unless a sync failed; files that are no
-// longer needed are then removed by the next snapshot or the next Open.
+// WriteSnapshot durably replaces all records appended so far by data. If it fails after it has
+// written the snapshot, the store remains usable unless a sync has failed. The next snapshot or the
+// next Open then removes the files that are no longer needed.
 func (s *Store) WriteSnapshot(data []byte) error {
 	if err := s.Sync(); err != nil {
 		return err
 	}
 	path := filepath.Join(s.dir, fmt.Sprintf("%020d%s", s.nextSeq, snapshotSuffix))
 	if path == s.snapshotPath {
-		return nil // nothing has been appended since
+		return nil // no records since the last snapshot
 	}
 	if err := s.replaceFile(path, appendSnapshot(nil, s.nextSeq, data)); err != nil {
 		return fmt.Errorf("writing a snapshot of the store: %w", err)
@@ -26,27 +26,28 @@
 		if s.failure != nil {
 			return s.failure
 		}
-		return err // the snapshot is valid; the old files are removed by the next one
+		return err // the snapshot is valid; the next one removes the old files
 	}
-	// Hazard: the new names must be durable before the old ones are removed. startSegment has synced them.
+	// The new files' directory entries must be durable before the old files are removed. startSegment has
+	// synced them.
 	s.segments = s.segments[len(s.segments)-1:]
 	for _, g := range oldSegments {
 		if g.path == s.segments[0].path {
 			continue
 		}
 		if err := s.fs.Remove(g.path); err != nil {
-			return fmt.Errorf("dropping a segment of the store: %w", err)
+			return fmt.Errorf("removing a segment of the store: %w", err)
 		}
 	}
 	if oldSnapshot != "" {
 		if err := s.fs.Remove(oldSnapshot); err != nil {
-			return fmt.Errorf("dropping a snapshot of the store: %w", err)
+			return fmt.Errorf("removing a snapshot of the store: %w", err)
 		}
 	}
 	return nil
 }
 
-// replaceFile writes a file that is there with all its content or not at all.
+// replaceFile writes a file atomically: after a crash it exists either with all of its content or not at all.
 func (s *Store) replaceFile(path string, content []byte) error {
 	tmp := path + temporarySuffix
 	f, err := s.fs.Open(tmp)
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -7,19 +7,19 @@
 	"path/filepath"
 )
 
-// defaultSegmentBytes is the size past which a segment is closed unless Options sets another.
+// defaultSegmentBytes is the default of Options.SegmentBytes.
 const defaultSegmentBytes = 64 << 20
 
-// ErrClosed is returned by the calls of a Store or GroupCommitter that has been closed.
+// ErrClosed is returned by the methods of a closed Store or GroupCommitter.
 var ErrClosed = errors.New("the store is closed")
 
 // Options configure a Store. The zero value is ready for use.
 type Options struct {
-	FS           FS    // nil: the machine's file system
-	SegmentBytes int64 // a segment larger than this is followed by a new one; 0: 64 MiB
+	FS           FS    // nil: OS
+	SegmentBytes int64 // a new segment is started after a larger one; 0: 64 MiB
 }
 
-// Store is an open store. It is used by one goroutine at a time.
+// Store is an open store. It is not safe for concurrent use.
 type Store struct {
 	fs           FS
 	dir          string
@@ -27,20 +27,20 @@
 	lock         io.Closer
 	active       File // the segment that records are appended to
 	activeBytes  int64
-	segments     []segment // oldest first; the last one is active
+	segments     []segment // oldest first; the last one is the active segment
 	nextSeq      uint64
-	unsynced     bool // something was appended since the last sync marker
+	unsynced     bool // records may have been appended since the last sync marker
 	snapshotPath string
 	tornTail     *TornTail
-	failure      error // why every further call fails
+	failure      error // the error that all further calls return
 	buffer       []byte
 }
 
-// Open opens the store in a directory, and creates one where there is none. It calls
-// snapshot once, if there is a snapshot, and then replay with every record after it. The
-// bytes passed to either stay valid.
+// Open opens the store in a directory, or creates one if the directory has none. It calls
+// snapshot once if there is a snapshot, and then replay with each later record. The byte
+// slices passed to both remain valid.
 //
-// It fails with ErrLocked while another process has the directory open, and with a
+// Open fails with ErrLocked while another process has the directory open, and with a
 // CorruptError if acknowledged data is damaged.
 func Open(dir string, o Options, snapshot func([]byte) error, replay func(Record) error) (*Store, error) {
 	s := &Store{fs: o.FS, dir: dir, segmentBytes: o.SegmentBytes}
@@ -51,7 +51,7 @@
 		s.segmentBytes = defaultSegmentBytes
 	}
 	if err := s.fs.MkdirAll(dir); err != nil {
-		return nil, fmt.Errorf("making the store's directory: %w", err)
+		return nil, fmt.Errorf("creating the store's directory: %w", err)
 	}
 	var err error
 	if s.lock, err = s.fs.Lock(filepath.Join(dir, lockFile)); err != nil {
@@ -64,9 +64,10 @@
 	return s, nil
 }
 
-// load reads the directory, passes its content on and makes the log ready for appending.
+// load reads the directory, passes its content to the callbacks and prepares the log for appending.
 func (s *Store) load(snapshot func([]byte) error, replay func(Record) error) error {
-	// The directory is read once, and the records must be replayed after the snapshot.
+	// The directory is read only once. Records are collected because they must be replayed after the
+	// snapshot.
 	var records []Record
 	found, err := scanDir(s.fs, s.dir, func(r Record) { records = append(records, r) })
 	if err != nil {
@@ -80,7 +81,7 @@
 	for _, r := range records {
 		if replay != nil {
 			if err := replay(r); err != nil {
-				return fmt.Errorf("record %d of the store %s: %w", r.Seq, s.dir, err)
+				return fmt.Errorf("replaying record %d of the store %s: %w", r.Seq, s.dir, err)
 			}
 		}
 	}
@@ -89,44 +90,45 @@
 	for _, path := range append(found.leftovers, found.emptySegment) {
 		if path != "" {
 			if err := s.fs.Remove(path); err != nil {
-				return fmt.Errorf("clearing the store: %w", err)
+				return fmt.Errorf("removing a leftover file of the store: %w", err)
 			}
 		}
 	}
-	return s.resume(found)
+	return s.openActiveSegment(found)
 }
 
-// resume opens the last segment for appending, or starts the first one.
-func (s *Store) resume(found *scanResult) error {
+// openActiveSegment opens the last segment for appending. It starts a new segment if there is none or if the
+// end of the last one is missing.
+func (s *Store) openActiveSegment(found *scanResult) error {
 	if len(s.segments) == 0 {
 		return s.startSegment()
 	}
 	last := s.segments[len(s.segments)-1]
 	var err error
 	if s.active, err = s.fs.Open(last.path); err != nil {
-		return fmt.Errorf("opening the store: %w", err)
+		return fmt.Errorf("opening the active segment of the store: %w", err)
 	}
 	s.activeBytes = last.bytes
 	s.unsynced = true
 	if last.nextSeq < s.nextSeq {
-		// The segment's end is missing, but the snapshot holds it: nothing is lost, and no record may
-		// follow in this file.
+		// The segment's end is missing, but the snapshot covers it, so nothing is lost. A record appended
+		// here would not follow the one before it, so a new segment is needed.
 		return errors.Join(s.startSegment(), s.Sync())
 	}
 	if s.tornTail != nil && found.emptySegment == "" {
 		if err := s.active.Truncate(last.bytes); err != nil {
-			return fmt.Errorf("cutting off what was torn: %w", err)
+			return fmt.Errorf("truncating the torn tail of the store: %w", err)
 		}
 	}
-	// What was found and not synced before the last exit may be sent to others from now on, so it must
-	// be durable from now on.
+	// Records that were found but may not have been synced before the last exit can now be sent to other
+	// processes, so they must be made durable first.
 	return s.Sync()
 }
 
-// TornTail returns the unacknowledged end of the log that Open cut off, or nil.
+// TornTail returns the unacknowledged end of the log that Open has cut off, or nil.
 func (s *Store) TornTail() *TornTail { return s.tornTail }
 
-// fail makes every further call return err, or the first such error.
+// fail makes all further calls return err, or an earlier error that was passed to fail.
 func (s *Store) fail(err error) error {
 	if s.failure == nil {
 		s.failure = err
@@ -134,7 +136,7 @@
 	return s.failure
 }
 
-// Close syncs and closes the store. Closing it again does nothing.
+// Close syncs and closes the store. Further calls of Close have no effect.
 func (s *Store) Close() error {
 	if errors.Is(s.failure, ErrClosed) {
 		return nil
@@ -142,7 +144,7 @@
 	err := s.failure
 	if err == nil {
 		if err = s.Sync(); err == nil {
-			err = s.active.Sync() // the last sync marker
+			err = s.active.Sync() // for the last sync marker
 		}
 	}
 	err = errors.Join(err, s.active.Close(), s.lock.Close())
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -15,7 +15,7 @@
 
 const dir = "/d"
 
-// content is what a store returns when it is opened.
+// content is the content that Open passes to its callbacks.
 type content struct {
 	snapshot string
 	records  []string // as "sequence number:kind:data"
@@ -40,7 +40,7 @@
 	}
 }
 
-// copyDisk copies all files but one.
+// copyDisk copies all files except one.
 func copyDisk(fs *faultfs.FS, except string) *faultfs.FS {
 	copied := faultfs.New(1)
 	for _, path := range fs.Paths() {
@@ -51,7 +51,8 @@
 	return copied
 }
 
-// A log that ends at any byte opens with the whole records before it, and takes further ones.
+// A write may be interrupted at any byte. The store must then open with the complete records and accept
+// further ones.
 func TestLogCutAtEveryByteOpens(t *testing.T) {
 	const headerBytes, recordBytes = 24, 20 + len("record 0")
 	fs := faultfs.New(1)
@@ -75,19 +76,21 @@
 		betweenRecords := cut >= headerBytes && (cut-headerBytes)%recordBytes == 0
 		inRecords := cut < headerBytes+4*recordBytes
 		if s.TornTail() == nil && !betweenRecords && inRecords {
-			t.Errorf("cut at %d: no torn tail is reported", cut)
+			t.Errorf("cut at %d: no torn tail was reported", cut)
 		}
 		before := len(c.records)
 		_, err = s.Append(store.Record{Kind: 3, Data: []byte("after")})
 		must(t, err)
 		must(t, s.Close())
 		if _, c, err = open(t, fs, 1<<20); err != nil || len(c.records) != before+1 {
-			t.Fatalf("cut at %d: %v, %d records after %d", cut, err, len(c.records), before)
+			t.Fatalf("cut at %d: reopening returned error %v and %d records, want one more than %d", cut, err,
+				len(c.records), before)
 		}
 	}
 }
 
-// A flipped bit of what was acknowledged is reported where it is, or changes nothing that is returned.
+// A flipped bit in acknowledged data must be reported in its file, at or before its position, or have no
+// effect on the returned data. The store must not drop records as if they were a torn tail.
 func TestFlippedBitIsNeverSilentLoss(t *testing.T) {
 	fs := faultfs.New(1)
 	s, _, err := open(t, fs, 80)
@@ -113,19 +116,20 @@
 				switch {
 				case errors.As(err, &damaged):
 					if damaged.File != path || int(damaged.Offset) > i {
-						t.Fatalf("%s byte %d: reported as %v", path, i, err)
+						t.Fatalf("%s byte %d: the damage was reported elsewhere: %v", path, i, err)
 					}
 				case err != nil:
 					t.Fatalf("%s byte %d: %v", path, i, err)
 				case !slices.Equal(c.records, want.records) || c.snapshot != want.snapshot:
-					t.Fatalf("%s byte %d bit %d: silently lost: %v", path, i, bit, c.records)
+					t.Fatalf("%s byte %d bit %d: data was silently lost, records are %v", path, i, bit,
+						c.records)
 				}
 			}
 		}
 	}
 }
 
-// A segment that is missing from the middle or the beginning of the log is damage.
+// If a segment before the last one is missing, the log must not open.
 func TestMissingSegmentIsDamage(t *testing.T) {
 	fs := faultfs.New(1)
 	s, _, err := open(t, fs, 60)
@@ -141,12 +145,13 @@
 		copied := copyDisk(fs, path)
 		var damaged *store.CorruptError
 		if _, _, err := open(t, copied, 60); !errors.As(err, &damaged) {
-			t.Errorf("without %s: %v", path, err)
+			t.Errorf("without %s: got error %v, want a CorruptError", path, err)
 		}
 	}
 }
 
-// After a failed sync nothing may be acknowledged, not even after one that succeeds.
+// After a failed sync the kernel may have dropped data, although the next sync succeeds. The store must not
+// report success any more.
 func TestStoreStaysFailedAfterFailedSync(t *testing.T) {
 	fs := faultfs.New(1)
 	s, _, err := open(t, fs, 1<<20)
@@ -156,24 +161,24 @@
 	fs.FailNextSync = true
 	for range 2 {
 		if s.Sync() == nil {
-			t.Error("a failed sync, or one after it, reports success")
+			t.Error("a failed sync or the one after it returned no error")
 		}
 	}
 	if _, err := s.Append(store.Record{Kind: 1}); err == nil {
-		t.Error("a store that failed accepts records")
+		t.Error("Append succeeded after a failed sync")
 	}
 }
 
-// On the machine's own file system: the lock, the checker, group commit.
+// TestLockCheckAndGroupCommitOnDisk tests locking, Check and GroupCommitter on a real file system.
 func TestLockCheckAndGroupCommitOnDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	s, err := store.Open(dir, store.Options{SegmentBytes: 4096}, nil, nil)
 	must(t, err)
 	if _, err := store.Open(dir, store.Options{}, nil, nil); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a second process can open the directory: %v", err)
+		t.Errorf("opening an open store returned %v, want ErrLocked", err)
 	}
 	if _, err := store.Check(dir, nil); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("it can be checked while open: %v", err)
+		t.Errorf("checking an open store returned %v, want ErrLocked", err)
 	}
 	g := store.NewGroupCommitter(s)
 	var wg sync.WaitGroup
@@ -189,13 +194,13 @@
 	wg.Wait()
 	g.Close()
 	if _, err := g.Commit(store.Record{Kind: 1}); !errors.Is(err, store.ErrClosed) {
-		t.Errorf("a closed committer returns %v", err)
+		t.Errorf("a closed committer returned %v, want ErrClosed", err)
 	}
 	must(t, s.Close())
 	r, err := store.Check(dir, nil)
 	must(t, err)
 	if r.Records != 400 || r.TornTail != "" || r.Segments < 2 || r.NextSeq != 401 {
-		t.Errorf("the checker finds %+v", r)
+		t.Errorf("Check returned %+v, want 400 records in at least two segments", r)
 	}
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	must(t, err)
@@ -206,12 +211,12 @@
 	var damaged *store.CorruptError
 	if _, err := store.Check(dir, nil); !errors.As(err, &damaged) || damaged.File != names[0] ||
 		damaged.Offset != 24 {
-		t.Errorf("the checker reports %v", err)
+		t.Errorf("Check returned %v, want a CorruptError at byte 24", err)
 	}
 }
 
-// FuzzOpen opens any bytes as a log and a snapshot: the result is an error or a usable store, never a
-// panic.
+// FuzzOpen opens a store with arbitrary bytes as segment and snapshot. Open must return an error or a usable
+// store, and must not panic.
 func FuzzOpen(f *testing.F) {
 	fs := faultfs.New(1)
 	s, _, err := open(f, fs, 1<<20)
@@ -237,7 +242,8 @@
 		must(t, err)
 		must(t, s.Close())
 		if _, again, err := open(t, fs, 1<<20); err != nil || len(again.records) != len(c.records)+1 {
-			t.Fatalf("%v: %d records, then %d", err, len(c.records), len(again.records))
+			t.Fatalf("reopening returned error %v; had %d records, now %d, want one more", err,
+				len(c.records), len(again.records))
 		}
 	})
 }
