--- a/internal/proxy/broker/attempt.go
+++ b/internal/proxy/broker/attempt.go
@@ -42,7 +42,8 @@
 		b.effectiveWorker(a.endpoint.name, a.endpoint.listed).State != balancer.Ready {
 		return false
 	}
-	// While a call of the balancer runs it must not be called again; it has only just started the attempt.
+	// The balancer must not be called from within its own calls. In that case it has only just started the
+	// attempt, so the attempt is still allowed.
 	if !b.runningDeferred &&
 		!b.balancer.MayStillSend(b.clock.Now(), balancer.RequestID(a.request.ID), a.number) {
 		return false
--- a/internal/proxy/broker/maintenance.go
+++ b/internal/proxy/broker/maintenance.go
@@ -101,8 +101,8 @@
 func (b *Broker) underMaintenance() map[string]time.Duration { return b.maintenance.since }
 
 // EjectedCount returns the number of listed endpoints that get no new attempts because they are under
-// maintenance or because the balancer has ejected them as outliers. Endpoints whose state in the list is
-// draining are not counted for that.
+// maintenance or because the balancer has ejected them as outliers. Endpoints that only the list itself shows
+// as draining are not counted.
 func (b *Broker) EjectedCount() int {
 	n := b.balancer.EjectedCount(b.clock.Now())
 	for name := range b.maintenance.since {
--- a/internal/proxy/broker/request.go
+++ b/internal/proxy/broker/request.go
@@ -54,8 +54,8 @@
 // DisconnectChecker is implemented by a Client that can check its connection for a disconnect that the front
 // has not read yet.
 //
-// Without this check, a stalled or overloaded process would start attempts for clients that have disconnected
-// in the meantime.
+// Without this check, a stalled or overloaded process would run attempts for clients that have already
+// disconnected.
 type DisconnectChecker interface{ Disconnected() bool }
 
 // AdmissionController decides whether a request is admitted before it reaches the balancer. It does not
--- a/internal/proxy/drain/drain.go
+++ b/internal/proxy/drain/drain.go
@@ -38,6 +38,7 @@
 // planned restart they keep arriving for 0.4 s.
 const HealthCheckGrace = 500 * time.Millisecond
 
+// Operators receive the texts of these errors, so they must not change.
 var (
 	// ErrTakenOver is returned by EndStandby in a process that another one has replaced.
 	ErrTakenOver = errors.New("another process has taken this one's place")
--- a/internal/proxy/routing/file.go
+++ b/internal/proxy/routing/file.go
@@ -13,7 +13,7 @@
 
 // File is a parsed file of rules.
 type File struct {
-	Version int        `toml:"version"` // 1
+	Version int        `toml:"version"` // must be fileVersion
 	Pools   []PoolSpec `toml:"pool"`
 	Rules   []RuleSpec `toml:"rule"`
 
--- a/internal/proxy/routing/pool.go
+++ b/internal/proxy/routing/pool.go
@@ -69,11 +69,10 @@
 	return names
 }
 
-// String lists the pools in order of preference, and when a job spills over to the next. Replies to operators
-// contain the text, so its wording is fixed.
+// String lists the pools in order of preference, and when a job spills over to the next.
 func (r *Route) String() string {
 	if len(r.pools) == 1 {
 		return r.pools[0].name
 	}
-	return fmt.Sprintf("%s (on when %s)", strings.Join(r.PoolNames(), ", then "), r.spillover)
+	return fmt.Sprintf("%s (spillover: %s)", strings.Join(r.PoolNames(), ", then "), r.spillover)
 }
