--- a/internal/cluster/consensus/cluster_view.go
+++ b/internal/cluster/consensus/cluster_view.go
@@ -25,7 +25,7 @@
 	replica      *replica
 	participants *participants
 
-	lease   lease.Clock
+	lease   lease.Tracker
 	views   []placement.View // to be emitted
 	latest  placement.View
 	skipped bool // views may have been skipped since the last ClusterView
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// A lease from a leader that has applied more than this instance counts only once the instance has caught up.
+// A lease from a leader that has applied more of the log than this instance becomes valid only once the
+// instance has caught up.
 func TestLeaseCountsOnceStateIsAsNewAsTheLeaders(t *testing.T) {
-	var c Clock
+	var tracker Tracker
 	const lease = time.Second
-	c.ObserveGrant(4, 100, lease, 50, 49)
-	if c.ExpiresAt(4, lease) != 0 {
-		t.Error("a lease counts at an instance whose state is older than the leader's was")
+	tracker.ObserveGrant(4, 100, lease, 50, 49)
+	if tracker.ExpiresAt(4, lease) != 0 {
+		t.Error("a lease is valid on an instance that has applied 49 entries; the leader had applied 50")
 	}
-	if c.ObserveApplied(50); c.ExpiresAt(4, lease) != 100+lease {
-		t.Errorf("the lease expires at %v", c.ExpiresAt(4, lease))
+	if tracker.ObserveApplied(50); tracker.ExpiresAt(4, lease) != 100+lease {
+		t.Errorf("after catching up, the lease expires at %v", tracker.ExpiresAt(4, lease))
 	}
-	if c.ExpiresAt(5, lease) != 0 {
-		t.Error("a lease counts for another session")
+	if tracker.ExpiresAt(5, lease) != 0 {
+		t.Error("the lease of epoch 4 is valid for epoch 5")
 	}
-	if c.ExpiresAt(4, lease/2) != 100+lease/2 {
-		t.Error("the shorter lease of the configuration in force does not limit it")
+	if tracker.ExpiresAt(4, lease/2) != 100+lease/2 {
+		t.Error("the lease is longer than the configuration in force allows")
 	}
-	c.ObserveGrant(4, 200, lease, 60, 55)
-	if c.ExpiresAt(4, lease) != 100+lease {
-		t.Error("a renewal that does not count yet has replaced the lease that does")
+	tracker.ObserveGrant(4, 200, lease, 60, 55)
+	if tracker.ExpiresAt(4, lease) != 100+lease {
+		t.Error("a renewal that is not valid yet has replaced the current lease")
 	}
 }
 
@@ -41,10 +42,10 @@
 		"index not yet applied": {epoch: 4, requestedAt: 200, duration: time.Second, index: 61},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var c Clock
-			c.ObserveGrant(4, 100, time.Second, 50, 60)
-			c.ObserveGrant(grant.epoch, grant.requestedAt, grant.duration, grant.index, 60)
-			if got, want := c.ExpiresAt(4, time.Minute), 100+time.Second; got != want {
+			var tracker Tracker
+			tracker.ObserveGrant(4, 100, time.Second, 50, 60)
+			tracker.ObserveGrant(grant.epoch, grant.requestedAt, grant.duration, grant.index, 60)
+			if got, want := tracker.ExpiresAt(4, time.Minute), 100+time.Second; got != want {
 				t.Errorf("the lease expires at %v, want %v", got, want)
 			}
 		})
@@ -52,19 +53,19 @@
 }
 
 func TestGrantWithoutASessionDoesNotCount(t *testing.T) {
-	var c Clock
-	c.ObserveGrant(0, 100, time.Second, 50, 60)
-	if c.ExpiresAt(0, time.Second) != 0 {
-		t.Error("a lease counts without a session")
+	var tracker Tracker
+	tracker.ObserveGrant(0, 100, time.Second, 50, 60)
+	if tracker.ExpiresAt(0, time.Second) != 0 {
+		t.Error("a lease is valid without a session")
 	}
 }
 
 func TestGrantForANewSessionReplacesTheOldSessionsLease(t *testing.T) {
-	var c Clock
-	c.ObserveGrant(4, 100, time.Second, 50, 60)
-	c.ObserveGrant(5, 50, time.Second, 50, 60) // a new process: its clock may show less
-	if c.ExpiresAt(4, time.Second) != 0 || c.ExpiresAt(5, time.Second) != 50+time.Second {
-		t.Errorf("the old session's lease expires at %v, the new one's at %v", c.ExpiresAt(4, time.Second),
-			c.ExpiresAt(5, time.Second))
+	var tracker Tracker
+	tracker.ObserveGrant(4, 100, time.Second, 50, 60)
+	tracker.ObserveGrant(5, 50, time.Second, 50, 60) // a new process, whose clock may show an earlier time
+	if tracker.ExpiresAt(4, time.Second) != 0 || tracker.ExpiresAt(5, time.Second) != 50+time.Second {
+		t.Errorf("the old session's lease expires at %v, want 0; the new one's at %v",
+			tracker.ExpiresAt(4, time.Second), tracker.ExpiresAt(5, time.Second))
 	}
 }
--- a/internal/cluster/leasedtask/model_test.go
+++ b/internal/cluster/leasedtask/model_test.go
@@ -67,7 +67,7 @@
 	state         *State
 	applied       int
 	epoch         uint64 // of this incarnation's session
-	clock         lease.Clock
+	clock         lease.Tracker
 	lastRequestAt time.Duration
 	request       *leaseRequest
 	grant         *leaseGrant
--- a/internal/cluster/leasedtask/modelcheck_test.go
+++ b/internal/cluster/leasedtask/modelcheck_test.go
@@ -107,7 +107,7 @@
 		t.add(m, fmt.Sprint("crash ", i+1), func(next *model) {
 			x := &next.instances[i]
 			x.epoch += 10
-			x.clock, x.request, x.grant, x.released = lease.Clock{}, nil, nil, 0
+			x.clock, x.request, x.grant, x.released = lease.Tracker{}, nil, nil, 0
 			next.crashes++
 			next.commit(logEntry{opened: next.session(i)})
 		})
--- a/internal/cluster/leasedtask/participant.go
+++ b/internal/cluster/leasedtask/participant.go
@@ -17,7 +17,7 @@
 // instance is to hold what. It belongs to the goroutine of the consensus instance.
 type participant struct {
 	replicated.NoopParticipant
-	clock        lease.Clock
+	clock        lease.Tracker
 	assigner     *Assigner // nil unless this instance leads
 	notified     []Lease   // the leases of the last notification
 	notifiedPlan PlanChanged
--- a/internal/cluster/replicated/participant.go
+++ b/internal/cluster/replicated/participant.go
@@ -7,81 +7,87 @@
 	"moorstack/internal/schema"
 )
 
-// Participant is an instance's side of a state machine, and the leader's side while the instance
-// leads. It has no clock, no I/O and no goroutine of its own: it is called on the goroutine that
-// drives the instance, its commands are proposed to the log, and its notifications go to the rest of
-// the node. Times are on the instance's monotonic clock.
+// Participant is the part of a state machine that runs on each instance, including the leader's part while
+// the instance is the leader. It has no clock, I/O or goroutine of its own: it is called on the goroutine
+// that drives the instance. The caller proposes its commands to the log, and passes its notifications to the
+// rest of the node. All times are on the instance's monotonic clock.
 type Participant interface {
-	// BecomeLeader begins the leader's side in a term; term 0 ends it.
+	// BecomeLeader is called when the instance becomes the leader of a term, and with term 0 when it stops
+	// being the leader.
 	BecomeLeader(now time.Duration, term uint64)
-	// FillReport adds to the report by which the instance renews its session.
+	// FillReport adds the participant's data to the report with which the instance renews its session.
 	FillReport(v InstanceView, r *schema.SessionReport)
-	// ObserveReport takes a member's report, at the leader.
+	// ObserveReport processes a member's report. It is called only on the leader.
 	ObserveReport(now time.Duration, member uint64, r *schema.SessionReport)
-	// FillGrant adds to the lease that the leader grants a member.
+	// FillGrant adds the participant's data to a lease that the leader grants to a member.
 	FillGrant(v InstanceView, member uint64, g *schema.SessionGrant)
-	// ObserveGrant takes a lease. applied is the number of log entries that this instance has applied.
+	// ObserveGrant processes a lease that the leader has granted to this instance. applied is the index of
+	// the last log entry that this instance has applied.
 	ObserveGrant(now time.Duration, g *schema.SessionGrant, applied uint64)
-	// LeaderCommands returns the leader's commands. One that is lost is returned again by a later call.
+	// LeaderCommands returns the commands that the leader has to propose. If a command is lost, a later call
+	// returns it again.
 	LeaderCommands(v InstanceView) []*schema.Change
-	// Advance returns this instance's own commands, and the notifications for the rest of the node, in
-	// order.
+	// Advance returns the notifications for the rest of the node, in order, and the commands that this
+	// instance has to propose.
 	Advance(v InstanceView) (notifications []any, commands []*schema.Change)
-	// SnapshotInstalled is called when entries were skipped because a snapshot has replaced them.
+	// SnapshotInstalled is called after the instance has installed a snapshot in place of log entries, which
+	// it therefore does not apply one by one.
 	SnapshotInstalled()
-	// Receive takes a message of the rest of the node.
+	// Receive processes a message from the rest of the node.
 	Receive(v InstanceView, message any)
-	// Status is shown to operators; nil: there is nothing to show.
+	// Status returns what operators are shown of the participant; nil: nothing.
 	Status(v InstanceView) any
 }
 
-// OperatorControlled is a Participant that carries out operators' requests.
+// OperatorControlled is implemented by participants that handle requests of operators.
 type OperatorControlled interface {
-	// CommandFor returns the command, with the given id, that carries a request out. mine is false for a
-	// request that belongs to another participant.
-	CommandFor(v InstanceView, op *schema.Operation, id string) (e *schema.Change, mine bool, err error)
+	// CommandFor returns the command, with the given ID, that performs a request. handled is false if the
+	// request is for another participant.
+	CommandFor(v InstanceView, op *schema.Operation, id string) (e *schema.Change, handled bool, err error)
 }
 
-// InstanceView is what a participant sees of its instance. Times are on its monotonic clock.
+// InstanceView is the state of the instance that its participants can read. Times are on the instance's
+// monotonic clock.
 type InstanceView struct {
 	Now                time.Duration
 	StateMachine       StateMachine
-	AppliedIndex       uint64            // of the last log entry that has been applied
-	MemberID           uint64            // the instance's
-	Incarnation        uint64            // drawn at random when the process started
-	Session            placement.Session // the instance's; Epoch 0: it has none
-	OwnershipExpiresAt time.Duration     // when its right to act on what it owns by placement ends
-	LeaseDuration      time.Duration     // of every instance's session
+	AppliedIndex       uint64            // of the last applied log entry
+	MemberID           uint64            // of this instance
+	Incarnation        uint64            // random number generated when the process started
+	Session            placement.Session // of this instance; Epoch 0: it has no session
+	OwnershipExpiresAt time.Duration     // until when it may act on what it owns by placement
+	LeaseDuration      time.Duration     // the same for all instances
 	Departing          bool              // the instance is shutting down
 	Group              Group
 }
 
-// Group is the group that an instance belongs to, as the instance knows it.
+// Group is an instance's view of its group.
 type Group interface {
-	// Size is how many members there are.
+	// Size returns the number of members.
 	Size() int
-	// Members lists the members by number. Only the leader knows whether they are healthy.
+	// Members lists the members in the order of their numbers. Healthy is known only to the leader.
 	Members() []Member
-	// EligibleOwners lists the members that may own something by placement.
+	// EligibleOwners lists the members that may be owners by placement.
 	EligibleOwners() []placement.Member
 	// Departing reports whether a member has announced that it is shutting down.
 	Departing(member uint64) bool
-	// Expired reports whether a member's session, which was set aside, has certainly ended. Only the
-	// leader knows.
+	// Expired reports whether a member's session was set aside and its lease is guaranteed to have expired.
+	// Only the leader knows this.
 	Expired(member uint64) bool
-	// ExpiredSessions lists the sessions that were set aside and have certainly ended. Only the leader
-	// knows.
+	// ExpiredSessions lists the sessions that were set aside and whose leases are guaranteed to have expired.
+	// Only the leader knows this.
 	ExpiredSessions() []placement.Session
 }
 
 // Member is an instance of the group.
 type Member struct {
 	placement.Member
-	Healthy bool // the leader has received a report of it lately
-	Voter   bool // it votes in elections
+	Healthy bool // the leader has received a report from it recently
+	Voter   bool // it votes in leader elections
 }
 
-// NoopParticipant does nothing. Participants that need few of the methods embed it.
+// NoopParticipant implements Participant with methods that do nothing. Participants embed it and override the
+// methods that they need.
 type NoopParticipant struct{}
 
 var _ Participant = NoopParticipant{}
--- a/internal/cluster/replicated/state_machine.go
+++ b/internal/cluster/replicated/state_machine.go
@@ -8,28 +8,28 @@
 	"moorstack/internal/schema"
 )
 
-// StateMachineType describes one kind of replicated state machine: something that a group agrees on
-// in addition to its document, or a section of the document with rules of its own.
+// StateMachineType describes a kind of replicated state machine, or a section of the document that is
+// validated but has no state machine (see SectionOnly).
 type StateMachineType interface {
 	// Section is the name of the document section that configures it.
 	Section() string
-	// SinceFormat is the format of the log from which on a group knows it.
+	// SinceFormat is the first format of the log in which groups support it.
 	SinceFormat() int
-	// Validate returns all that is wrong with its section. It must return the same at every instance.
+	// Validate returns all problems of its section. It must return the same problems on every instance.
 	Validate(c Config) []string
 	// OwnsEntry reports whether an entry of the log is a command of this state machine.
 	OwnsEntry(e *schema.Change) bool
-	// NewStateMachine makes the state machine of a new group, whose fencing tokens and sequence
-	// numbers come after the given one; nil: there is none.
-	NewStateMachine(after uint64) StateMachine
-	// NewParticipant makes an instance's participant; nil: there is none.
+	// NewStateMachine returns the state machine of a new group, or nil if the type has none. Its fencing
+	// tokens and sequence numbers are greater than lastNumber.
+	NewStateMachine(lastNumber uint64) StateMachine
+	// NewParticipant returns an instance's participant, or nil if the type has none.
 	NewParticipant(o LocalInfo) Participant
 }
 
 // Config is the part of a document that a state machine may read.
 type Config struct {
-	Values  map[string]string // of its section; nil: the document has none
-	Format  int               // of the group's log: keys that came with a later format are not valid
+	Values  map[string]string // of its section; nil: the document does not have the section
+	Format  int               // of the group's log; keys that were introduced in a later format are invalid
 	Classes []Class
 	Tenants []string
 }
@@ -40,7 +40,7 @@
 	Idempotency string        // retryable, dedup or fragile
 	KeyScope    string        // all, zone or cell; for dedup
 	Timeout     time.Duration // for all attempts of a job
-	KeyWindow   time.Duration // for how long repeats of a job are dropped; for dedup
+	KeyWindow   time.Duration // how long duplicates of a job are dropped; for dedup
 }
 
 // ClassNames lists the classes in the order of the document.
@@ -52,53 +52,53 @@
 	return names
 }
 
-// StateMachine is one state machine's share of the replicated state: the same entries in the same
-// order give the same state, byte for byte, at every instance. It is used on the goroutine that
+// StateMachine is one state machine's part of the replicated state. Applying the same entries in the same
+// order must produce the same state, byte for byte, on every instance. It is used only on the goroutine that
 // applies the log.
 type StateMachine interface {
-	// Configure applies a document that has come into force. It has been validated.
+	// Configure applies a document that has come into force. The document has been validated.
 	Configure(c Config)
-	// Decode reads the command in an entry, if the entry belongs to this state machine.
+	// Decode decodes the command in an entry; false if the entry does not belong to this state machine.
 	Decode(e *schema.Change) (Command, bool)
-	// SetOwners sets the members that may own something by placement. It is called after each entry.
+	// SetOwners sets the members that may be owners by placement. It is called after each entry.
 	SetOwners(members []placement.Member)
-	// SessionsExpired releases what belonged to sessions that have certainly ended, at a time in
-	// milliseconds since 1970 by the leader's clock.
+	// SessionsExpired releases everything that belongs to sessions that are guaranteed to have ended. atMS is
+	// the leader's wall clock in Unix milliseconds.
 	SessionsExpired(expired func(placement.Session) bool, reason string, atMS int64)
-	// Snapshot returns what must be kept. Every field is named, also where it is empty.
+	// Snapshot returns all fields of the state, including empty ones: Restore gets only fields named here.
 	Snapshot() []SnapshotField
-	// Restore replaces the state by a snapshot. read reports whether a field is present, and decodes it.
+	// Restore replaces the state with that of a snapshot. read decodes a field into a value, and reports
+	// whether the snapshot has the field.
 	Restore(read func(field string, into any) (bool, error)) error
 }
 
 // SnapshotField is a named field of a snapshot.
 type SnapshotField struct {
 	Name  string
-	Value any // nil, an empty list or 0: the field is left out
+	Value any // the field is omitted if this is nil, 0 or empty
 }
 
-// Command is a state machine's command that has been read from the log.
+// Command is a decoded command of a state machine.
 type Command struct {
-	ID              string // by which a caller waits for the outcome; empty: nobody waits
-	RememberOutcome bool   // a command with the same ID has the same outcome and is not applied again
-	// LeaderDecision: the leader of Term decided it, and it is void in any other term. Hazard: a leader that
-	// was deposed between its decision and its proposal forwards the command to the next leader, which may
-	// since have granted what the command takes for ended.
+	ID              string // with which a caller waits for the outcome; empty: no caller waits
+	RememberOutcome bool   // a repeated command with the same ID gets the same outcome and is not applied
+	// LeaderDecision marks a command that the leader of Term decided on; it has no effect in another term. A
+	// leader that is deposed between its decision and its proposal forwards the command to the next leader.
+	// Without this check, the command could then end what the next leader has granted meanwhile.
 	LeaderDecision bool
 	Term           uint64
-	// Apply carries the command out, or returns why it changes nothing. isOpen reports whether a session is
-	// open.
+	// Apply applies the command, or returns why it has no effect. isOpen reports whether a session is open.
 	Apply func(isOpen func(placement.Session) bool) error
 }
 
-// LocalInfo is what an instance has by itself, outside the replicated state.
+// LocalInfo is what a participant needs of its instance that is not in the replicated state.
 type LocalInfo struct {
-	WallClock func() time.Time // nil: there is none
-	TimeZones *calendar.ZoneDB // nil: those of the machine
+	WallClock func() time.Time // nil: no wall clock is available
+	TimeZones *calendar.ZoneDB // nil: the time zones of the machine
 	Labels    []string         // capabilities that leased tasks may require
 }
 
-// SectionOnly is a StateMachineType of which only a document section is agreed on.
+// SectionOnly is a StateMachineType that validates a document section and has no state machine.
 type SectionOnly struct {
 	SectionName string
 	FirstFormat int                   // what SinceFormat returns
@@ -116,11 +116,11 @@
 // Validate implements StateMachineType.
 func (s SectionOnly) Validate(c Config) []string { return s.Validator(c) }
 
-// OwnsEntry implements StateMachineType: there are no commands.
+// OwnsEntry implements StateMachineType: no entry is a command.
 func (SectionOnly) OwnsEntry(*schema.Change) bool { return false }
 
-// NewStateMachine implements StateMachineType: there is none.
+// NewStateMachine implements StateMachineType: it returns nil.
 func (SectionOnly) NewStateMachine(uint64) StateMachine { return nil }
 
-// NewParticipant implements StateMachineType: there is none.
+// NewParticipant implements StateMachineType: it returns nil.
 func (SectionOnly) NewParticipant(LocalInfo) Participant { return nil }
