--- a/internal/cluster/rollout/command.go
+++ b/internal/cluster/rollout/command.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// Kind is what a command does. Its numbers stand in the log.
+// Kind is the kind of a command. The log contains its numbers, so they must not change.
 type Kind uint8
 
 // The kinds of command.
 const (
 	None            Kind = iota
-	OpenSession          // Member may admit jobs, under a new epoch
-	ExpireSessions       // the leases of Sessions have surely expired
-	CloseAdmission       // all of Sessions have staged the change: stop admitting
-	Commit               // all of Sessions have stopped admitting: the change is in force
-	ReopenAdmission      // continue under the old configuration, and try again
-	Withdraw             // the change is dropped
-	SetAside             // an operator states that Member does not serve
+	OpenSession          // Member may admit jobs, in a session with a new epoch
+	ExpireSessions       // the leases of Sessions are guaranteed to have expired
+	CloseAdmission       // all of Sessions have staged the change; admission is closed
+	Commit               // all of Sessions have stopped admitting; the change comes into force
+	ReopenAdmission      // admit jobs under the old configuration, then retry the change
+	Withdraw             // the pending change is dropped
+	SetAside             // an operator states that Member is not serving
 )
 
 // String implements fmt.Stringer.
@@ -26,37 +26,37 @@
 		"reopen admission", "withdraw", "set aside"}[min(int(k), int(SetAside))]
 }
 
-// LeaderDecision reports whether a command is a decision of the leader of a term. Such a command is void in
-// the log of another leader.
+// LeaderDecision reports whether commands of this kind are decided by the leader of a term. Such a command
+// has no effect in the log of another leader.
 func (k Kind) LeaderDecision() bool { return k != Withdraw && k != SetAside }
 
-// Command is an entry of the replicated log.
+// Command is a command in the replicated log.
 type Command struct {
 	Kind        Kind        `json:"kind"`
-	ID          string      `json:"id,omitempty"`   // of the operator's request that waits for the outcome
-	Term        uint64      `json:"term,omitempty"` // of the leader that decided; 0: an operator's command
+	ID          string      `json:"id,omitempty"`   // of the operator's request, to wait for the outcome
+	Term        uint64      `json:"term,omitempty"` // of the leader that decided; 0 for an operator's command
 	Change      string      `json:"change,omitempty"`
 	Attempt     int         `json:"attempt,omitempty"`
 	Member      uint64      `json:"member,omitempty"`
 	Name        string      `json:"name,omitempty"`
 	Incarnation uint64      `json:"nonce,omitempty"`
-	Sessions    []SessionID `json:"seats,omitempty"` // on which the decision rests
+	Sessions    []SessionID `json:"seats,omitempty"` // that the leader's decision is based on
 	Reason      string      `json:"reason,omitempty"`
-	AtMS        int64       `json:"at_ms,omitempty"` // wall clock in Unix milliseconds, for people only
+	AtMS        int64       `json:"at_ms,omitempty"` // wall clock in Unix milliseconds, for display only
 }
 
-// Texts that are part of the replicated state.
+// Texts that are part of the replicated state, so they must not change.
 const (
 	reasonLeaseExpired = "its lease ran out"
 	reasonSetAside     = "set aside by an operator"
 )
 
-// Apply applies a command, or returns why it has no effect. The caller acts on what becomes of the pending
-// change: on Commit it is in force, on Withdraw it is dropped.
+// Apply applies a command, or returns why it has no effect. The caller has to handle the end of the pending
+// change: after Commit it is in force, after Withdraw it is dropped.
 //
-// Hazard: every instance must compute the same state, also in a group with an older program. The outcome of
-// an operator's command is part of the state with its error text, so texts that are returned or stored here
-// must not change.
+// All instances must compute the same state, including instances that run an older program. The outcome of an
+// operator's command is part of the state, and so is its error text, so the texts that are returned or stored
+// here must not change.
 func (s *State) Apply(c Command) error {
 	switch c.Kind {
 	case OpenSession:
@@ -84,25 +84,26 @@
 
 func (s *State) applyExpireSessions(c Command) error {
 	for _, id := range c.Sessions {
-		if x := s.Sessions[id.Member]; x.Open && x.Epoch == id.Epoch {
-			x.Open, x.ClosedReason = false, reasonLeaseExpired
-			s.Sessions[id.Member] = x
+		if session := s.Sessions[id.Member]; session.Open && session.Epoch == id.Epoch {
+			session.Open, session.ClosedReason = false, reasonLeaseExpired
+			s.Sessions[id.Member] = session
 		}
 	}
 	return nil
 }
 
 func (s *State) applySetAside(c Command) error {
-	x, ok := s.Sessions[c.Member]
-	if !ok || !x.Open {
+	session, ok := s.Sessions[c.Member]
+	if !ok || !session.Open {
 		return errors.New("it has no session that is open")
 	}
-	x.Open, x.Unleased, x.ClosedReason = false, false, reasonSetAside
-	s.Sessions[c.Member] = x
+	session.Open, session.Unleased, session.ClosedReason = false, false, reasonSetAside
+	s.Sessions[c.Member] = session
 	return nil
 }
 
-// checkPending returns an error unless the command is about the pending change and its current attempt.
+// checkPending returns an error unless the command refers to the pending change and, if the leader decided on
+// it, to the current attempt.
 func (s *State) checkPending(c Command) error {
 	p := s.Pending
 	switch {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// applyToPending applies a command that is about the pending change.
+// applyToPending applies a command that refers to the pending change.
 func (s *State) applyToPending(c Command) error {
 	switch c.Kind {
 	case CloseAdmission:
--- a/internal/cluster/rollout/lease_holder.go
+++ b/internal/cluster/rollout/lease_holder.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Report is what an instance reports to the leader, and its request for a lease.
+// Report is a report of an instance to the leader, which also requests a lease.
 type Report struct {
 	Member      uint64
 	Incarnation uint64
-	Epoch       uint64 // of the session that it has; 0: it requests one
-	// RequestedAt is the instance's clock before it sent the report; it comes back with the grant.
+	Epoch       uint64 // of the instance's session; 0: it requests a session
+	// RequestedAt is the time on the instance's clock before it sent the report. The grant returns it.
 	RequestedAt        time.Duration
-	StagedChange       string   // the change that the instance has staged, or can't stage
-	Problems           []string // why it can't
+	StagedChange       string   // the change that the instance has staged or failed to stage
+	Problems           []string // why staging failed; empty if it succeeded
 	AdmissionClosedFor string   // the change for which it has stopped admitting
 	Attempt            int      // of AdmissionClosedFor
 	RunningRevision    uint64   // the revision of the configuration that its fronts run
@@ -20,18 +20,19 @@
 type Grant struct {
 	Epoch       uint64
 	RequestedAt time.Duration
-	Duration    time.Duration // of the lease, from RequestedAt on; 0: none is granted
+	Duration    time.Duration // of the lease, which starts at RequestedAt; 0: no lease is granted
 }
 
-// reportsPerLease is how often an instance reports, and so renews its lease, while a lease lasts.
+// reportsPerLease is the number of reports, each of which renews the lease, per duration of a lease.
 const reportsPerLease = 4
 
-// LeaseHolder is one instance's side: its session, its lease and what it has to report.
+// LeaseHolder is the part of the rollout that runs on each instance: its session, its lease, and what it has
+// to report.
 type LeaseHolder struct {
-	member, incarnation  uint64
-	epoch                uint64        // of the session; 0: none
-	leaseFrom, leaseLong time.Duration // when the lease was requested, and its duration
-	unleased             bool          // this incarnation served before there were sessions
+	member, incarnation             uint64
+	epoch                           uint64        // of the session; 0: it has none
+	leaseRequestedAt, leaseDuration time.Duration // a duration of 0: it has no lease
+	unleased                        bool          // this incarnation served before the group had sessions
 
 	stagedChange       string
 	problems           []string
@@ -41,32 +42,32 @@
 
 	reportedAt time.Duration
 	reported   bool // at least once
-	reportDue  bool // there is something new to report
+	reportDue  bool // a report is due before the interval ends
 }
 
-// NewLeaseHolder returns the side of one incarnation of an instance. No other incarnation of the instance may
-// have the same number.
+// NewLeaseHolder returns the lease holder of an incarnation of an instance. Each incarnation of an instance
+// must have a different number.
 func NewLeaseHolder(member, incarnation uint64) *LeaseHolder {
 	return &LeaseHolder{member: member, incarnation: incarnation}
 }
 
-// SetStaged records that the instance is ready to switch to a change, or why it can't.
+// SetStaged records that the instance is ready to switch to a change or, with problems, why it is not.
 func (h *LeaseHolder) SetStaged(change string, problems []string) {
 	h.stagedChange, h.problems, h.reportDue = change, problems, true
 }
 
-// SetAdmissionClosed records that the fronts have stopped admitting for an attempt at a change.
+// SetAdmissionClosed records that the fronts have stopped admitting jobs for an attempt at a change.
 func (h *LeaseHolder) SetAdmissionClosed(change string, attempt int) {
 	h.admissionClosedFor, h.attempt, h.reportDue = change, attempt, true
 }
 
-// SetRunningRevision records which revision the fronts run.
+// SetRunningRevision records the revision that the fronts run.
 func (h *LeaseHolder) SetRunningRevision(revision uint64) { h.runningRevision = revision }
 
 // Incarnation returns the number of this incarnation.
 func (h *LeaseHolder) Incarnation() uint64 { return h.incarnation }
 
-// StagedChange returns the change that the instance is ready for; empty if there is none.
+// StagedChange returns the change that the instance is ready to switch to; empty if there is none.
 func (h *LeaseHolder) StagedChange() string {
 	if len(h.problems) > 0 {
 		return ""
@@ -77,36 +78,36 @@
 // Epoch returns the epoch of this incarnation's session; 0 if it has none.
 func (h *LeaseHolder) Epoch() uint64 { return h.epoch }
 
-// leaseExpiresAt is when the lease expires. Hazard: the policy may have come to name a shorter lease since it
-// was granted.
+// leaseExpiresAt returns when the lease expires. The policy limits its duration, because a change may have
+// shortened leases since this one was granted.
 func (h *LeaseHolder) leaseExpiresAt(p Policy) time.Duration {
-	return h.leaseFrom + min(h.leaseLong, p.Lease)
+	return h.leaseRequestedAt + min(h.leaseDuration, p.Lease)
 }
 
-// LeaseRemaining returns how long the lease lasts from now on.
+// LeaseRemaining returns the remaining duration of the lease.
 func (h *LeaseHolder) LeaseRemaining(now time.Duration, p Policy) time.Duration {
 	return max(h.leaseExpiresAt(p)-now, 0)
 }
 
-// SetUnleased records that this incarnation serves in a group that has no sessions yet.
+// SetUnleased records that this incarnation has served in a group that had no sessions yet.
 func (h *LeaseHolder) SetUnleased() { h.unleased = true }
 
-// session returns this incarnation's session, if it is open in the replicated state.
+// session returns this incarnation's session in the replicated state; false if it is not open.
 func (h *LeaseHolder) session(s *State) (Session, bool) {
-	x, ok := s.Sessions[h.member]
-	return x, ok && x.Open && (x.Incarnation == h.incarnation || x.Unleased)
+	session, ok := s.Sessions[h.member]
+	return session, ok && session.Open && (session.Incarnation == h.incarnation || session.Unleased)
 }
 
-// ObserveState takes over the replicated state after entries have been applied.
+// ObserveState updates the lease holder after entries have been applied to the replicated state.
 func (h *LeaseHolder) ObserveState(s *State) {
-	x, ok := h.session(s)
+	session, ok := h.session(s)
 	switch {
 	case !ok:
-		h.epoch, h.leaseFrom, h.leaseLong = 0, 0, 0
-	case x.Epoch != h.epoch:
-		h.epoch, h.leaseFrom, h.leaseLong, h.reportDue = x.Epoch, 0, 0, true
+		h.epoch, h.leaseRequestedAt, h.leaseDuration = 0, 0, 0
+	case session.Epoch != h.epoch:
+		h.epoch, h.leaseRequestedAt, h.leaseDuration, h.reportDue = session.Epoch, 0, 0, true
 	}
-	// What concerns a change that is no longer pending is not reported again.
+	// Reports omit a change that is no longer pending.
 	if s.Pending == nil || s.Pending.Change != h.stagedChange {
 		h.stagedChange, h.problems = "", nil
 	}
@@ -115,7 +116,7 @@
 	}
 }
 
-// NextReport returns the report that must be sent to the leader now; false if none is due.
+// NextReport returns the report to send to the leader now; false if none is due.
 func (h *LeaseHolder) NextReport(now time.Duration, p Policy) (Report, bool) {
 	if h.reported && !h.reportDue && now-h.reportedAt < p.Lease/reportsPerLease {
 		return Report{}, false
@@ -126,13 +127,13 @@
 		Attempt: h.attempt, RunningRevision: h.runningRevision}, true
 }
 
-// ReportNow makes the next report due at once, because there is a new leader.
+// ReportNow makes the next report due immediately, for example because there is a new leader.
 func (h *LeaseHolder) ReportNow() { h.reportDue = true }
 
-// ObserveGrant takes the leader's response. Hazard: the lease counts from before it was requested. If it
-// counted from the response on, the leader might have taken it for expired long before.
+// ObserveGrant records the leader's response. The lease starts at the time before it was requested. If it
+// started when the response arrives, the leader might consider it expired long before it ends here.
 func (h *LeaseHolder) ObserveGrant(g Grant) {
-	if g.Duration > 0 && g.Epoch == h.epoch && g.RequestedAt >= h.leaseFrom {
-		h.leaseFrom, h.leaseLong = g.RequestedAt, g.Duration
+	if g.Duration > 0 && g.Epoch == h.epoch && g.RequestedAt >= h.leaseRequestedAt {
+		h.leaseRequestedAt, h.leaseDuration = g.RequestedAt, g.Duration
 	}
 }
--- a/internal/cluster/rollout/model_events_test.go
+++ b/internal/cluster/rollout/model_events_test.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// timePasses is the name of the event that time passes by a step.
+// timePasses is the name of the event in which a step of time passes.
 const timePasses = "time passes"
 
-// event is something that may happen next.
+// event is an event that can occur in a state of the model.
 type event struct {
 	name  string
 	apply func(m *model)
 }
 
-// events returns all that may happen next.
+// events returns all events that can occur next.
 func (m *model) events() (events []event) {
 	for i := range m.instances {
 		events = append(events, m.instanceEvents(i)...)
@@ -21,23 +21,23 @@
 	return append(events, m.timeEvents()...)
 }
 
-// instanceEvents are the events at one instance. What is sent to one that is isolated does not arrive; its
-// own reports may.
+// instanceEvents returns the events of an instance. Messages to an isolated instance do not arrive; its own
+// reports can.
 func (m *model) instanceEvents(i int) (events []event) {
-	x, isolated := &m.instances[i], m.isolated == i+1
+	inst, isolated := &m.instances[i], m.isolated == i+1
 	add := func(name string, apply func(m *model)) {
 		events = append(events, event{fmt.Sprintf("%s %d", name, i+1), apply})
 	}
-	if !isolated && x.applied < len(m.log) {
+	if !isolated && inst.applied < len(m.log) {
 		add("apply", func(m *model) { m.applyNext(i) })
 	}
-	if x.report != nil {
+	if inst.report != nil {
 		add(deliverReport, func(m *model) { m.deliverReport(i) })
 		if m.losses < m.limits.losses {
 			add("lose report", func(m *model) { m.instances[i].report, m.losses = nil, m.losses+1 })
 		}
 	}
-	if !isolated && x.grant != nil {
+	if !isolated && inst.grant != nil {
 		add("deliver grant", func(m *model) { m.deliverGrant(i) })
 		if m.losses < m.limits.losses {
 			add("lose grant", func(m *model) { m.instances[i].grant, m.losses = nil, m.losses+1 })
@@ -49,49 +49,49 @@
 	return events
 }
 
-// deliverReport begins the names of the events that a report arrives.
+// deliverReport is the prefix of the names of the events in which a report arrives.
 const deliverReport = "deliver report"
 
 func (m *model) applyNext(i int) {
-	x := &m.instances[i]
-	m.log[x.applied].applyTo(x.state, &x.revision)
-	x.applied++
+	inst := &m.instances[i]
+	m.log[inst.applied].applyTo(inst.state, &inst.revision)
+	inst.applied++
 	m.observeState(i)
 }
 
-// deliverReport has the leader respond. It has applied the whole log: its response is as safe as after the
-// confirmation of a majority.
+// deliverReport delivers a report to the leader, and sends the response. The leader applies the whole log
+// first, which makes its response as safe as a confirmation by a majority does.
 func (m *model) deliverReport(i int) {
-	x := &m.instances[i]
-	r := *x.report
-	x.report = nil
+	inst := &m.instances[i]
+	r := *inst.report
+	inst.report = nil
 	m.applyAtLeader()
 	m.leader.ObserveReport(m.now, r)
 	if g := m.leader.Grant(m.now, r, m.leaderState, modelPolicy); g.Duration > 0 {
-		x.grant = &g
+		inst.grant = &g
 	}
 }
 
 func (m *model) deliverGrant(i int) {
-	x := &m.instances[i]
+	inst := &m.instances[i]
 	if m.limits.omittedGuard == leaseFromRequest {
-		x.grant.RequestedAt = m.instanceClock()
+		inst.grant.RequestedAt = m.instanceClock()
 	}
-	x.holder.ObserveGrant(*x.grant)
-	x.grant = nil
+	inst.holder.ObserveGrant(*inst.grant)
+	inst.grant = nil
 	m.observeState(i)
 }
 
-// crash restarts an instance at once. Its last report may still arrive.
+// crash stops an instance and restarts it immediately. Its last report may still arrive.
 func (m *model) crash(i int) {
-	x := &m.instances[i]
+	inst := &m.instances[i]
 	m.lastIncarnation++
-	x.holder, x.grant, x.justStarted = *NewLeaseHolder(uint64(i+1), m.lastIncarnation), nil, true
+	inst.holder, inst.grant, inst.justStarted = *NewLeaseHolder(uint64(i+1), m.lastIncarnation), nil, true
 	m.crashes++
 	m.observeState(i)
 }
 
-// groupEvents are the proposal of a change, and a change of leader.
+// groupEvents returns the proposal of a change and the change of leader.
 func (m *model) groupEvents() (events []event) {
 	if m.changes < m.limits.changes && m.leaderState.Pending == nil {
 		events = append(events, event{"propose", func(m *model) {
@@ -129,10 +129,10 @@
 	return events
 }
 
-// allDelivered reports whether nothing is in transit but to or from the isolated instance.
+// allDelivered reports whether no message is in transit, except to or from the isolated instance.
 func (m *model) allDelivered() bool {
-	for i, x := range m.instances {
-		if m.isolated != i+1 && (x.applied < len(m.log) || x.report != nil || x.grant != nil) {
+	for i, inst := range m.instances {
+		if m.isolated != i+1 && (inst.applied < len(m.log) || inst.report != nil || inst.grant != nil) {
 			return false
 		}
 	}
@@ -140,8 +140,8 @@
 }
 
 func (m *model) timeEvents() (events []event) {
-	if m.limits.promptOtherwise &&
-		(!m.allDelivered() || m.isolated > 0 && m.now-m.isolatedSince >= longestIsolation) {
+	if m.limits.promptDelivery &&
+		(!m.allDelivered() || m.isolated > 0 && m.now-m.isolatedSince >= maxIsolation) {
 		return nil
 	}
 	if m.limits.endsAt > 0 && m.now >= m.limits.endsAt {
--- a/internal/cluster/rollout/model_key_test.go
+++ b/internal/cluster/rollout/model_key_test.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// Two states are the same if all that can happen from them is. Times count from now, and what has expired has
-// expired however long ago; sessions and incarnations are distinguished but have no numbers, instances are
-// distinguished but have no names. What follows from the rest is left out: the state as each instance has
-// it, which is that of the one furthest behind and the log from there on; and what has no effect any more.
+// Two states of the model are equivalent if the same events can follow. The key therefore abstracts from
+// details: times are relative to now, and it does not matter how long ago something expired; the numbers of
+// sessions and incarnations are replaced by their order, and instances have no names. The key omits data that
+// has no effect any more, and data that follows from the rest: the states of the instances follow from the
+// state of the instance that has applied the fewest entries and from the log after that.
 
 var keySeed = maphash.MakeSeed()
 
-// keyWriter writes a state so that states that are the same are written the same.
+// keyWriter encodes a state. Equivalent states have the same encoding.
 type keyWriter struct {
 	m            *model
-	b            []byte
-	epochs       []uint64 // in the order in which they were met; likewise incarnations
+	buf          []byte
+	epochs       []uint64 // in the order of their first use; the same for incarnations
 	incarnations []uint64
-	rank         [8]byte // of each instance, by member number
+	rank         [8]byte // position of each instance in the order of the key, by member number
 }
 
 func (w *keyWriter) reset() {
-	w.b, w.epochs, w.incarnations = w.b[:0], w.epochs[:0], w.incarnations[:0]
+	w.buf, w.epochs, w.incarnations = w.buf[:0], w.epochs[:0], w.incarnations[:0]
 }
 
 func (w *keyWriter) put(values ...int) {
 	for _, x := range values {
-		w.b = append(w.b, byte(x))
+		w.buf = append(w.buf, byte(x))
 	}
 }
 
@@ -43,30 +44,30 @@
 	w.put(n)
 }
 
-// ordinal replaces a number by the order in which it was met; 0 stays 0.
-func ordinal(met *[]uint64, v uint64) int {
+// ordinal returns the position of a number in the order of first use, from 1; 0 stays 0.
+func ordinal(seen *[]uint64, v uint64) int {
 	if v == 0 {
 		return 0
 	}
-	k := slices.Index(*met, v)
+	k := slices.Index(*seen, v)
 	if k < 0 {
-		k = len(*met)
-		*met = append(*met, v)
+		k = len(*seen)
+		*seen = append(*seen, v)
 	}
 	return k + 1
 }
 
-// elapsed writes how long ago something was, up to a longest time.
-func (w *keyWriter) elapsed(at, now, longest time.Duration) {
-	w.put(int(max(min(now-at, longest), 0) / time.Second))
+// elapsed writes the time since at, limited to the given maximum.
+func (w *keyWriter) elapsed(at, now, limit time.Duration) {
+	w.put(int(max(min(now-at, limit), 0) / time.Second))
 }
 
-// remaining writes how long something lasts yet.
+// remaining writes the time that remains until the given time.
 func (w *keyWriter) remaining(until, now time.Duration) {
 	w.put(int((max(until-now, 0) + time.Second - 1) / time.Second))
 }
 
-// attempt writes an attempt: only whether it is the first, and the distance to the pending one, matter.
+// attempt writes an attempt. Only whether it is the first and its distance to the pending attempt matter.
 func (w *keyWriter) attempt(a int) {
 	if p := w.m.leaderState.Pending; p != nil && a > 1 {
 		a = max(2+a-p.Attempt+100, 2)
@@ -85,66 +86,67 @@
 
 func (w *keyWriter) report(r Report) {
 	w.put(ordinal(&w.incarnations, r.Incarnation), ordinal(&w.epochs, r.Epoch))
-	w.b = append(append(append(w.b, r.StagedChange...), '/'), r.AdmissionClosedFor...)
+	w.buf = append(append(append(w.buf, r.StagedChange...), '/'), r.AdmissionClosedFor...)
 	w.attempt(r.Attempt)
 }
 
-// instance writes what belongs to one instance, and what the leader knows of it.
+// instance writes the state of an instance, and what the leader knows about it.
 func (w *keyWriter) instance(i int) {
-	m, x, now := w.m, &w.m.instances[i], w.m.instanceClock()
-	h := &x.holder
-	w.put(len(m.log)-x.applied, ordinal(&w.incarnations, h.incarnation))
-	w.remaining(h.leaseFrom+h.leaseLong, now)
-	w.bits(h.reported, h.reportDue, x.report != nil, x.grant != nil, x.justStarted)
+	m, inst, now := w.m, &w.m.instances[i], w.m.instanceClock()
+	h := &inst.holder
+	w.put(len(m.log)-inst.applied, ordinal(&w.incarnations, h.incarnation))
+	w.remaining(h.leaseRequestedAt+h.leaseDuration, now)
+	w.bits(h.reported, h.reportDue, inst.report != nil, inst.grant != nil, inst.justStarted)
 	if !h.reportDue {
 		w.elapsed(h.reportedAt, now, modelPolicy.Lease/4)
 	}
-	if x.report != nil {
-		w.report(*x.report)
-		w.elapsed(x.report.RequestedAt, now, modelPolicy.Lease)
+	if inst.report != nil {
+		w.report(*inst.report)
+		w.elapsed(inst.report.RequestedAt, now, modelPolicy.Lease)
 	}
-	if x.grant != nil {
-		w.put(ordinal(&w.epochs, x.grant.Epoch))
-		w.elapsed(x.grant.RequestedAt, now, modelPolicy.Lease)
+	if inst.grant != nil {
+		w.put(ordinal(&w.epochs, inst.grant.Epoch))
+		w.elapsed(inst.grant.RequestedAt, now, modelPolicy.Lease)
 	}
 	w.member(i)
 }
 
-// member writes what the leader knows of an instance.
+// member writes what the leader knows about an instance.
 func (w *keyWriter) member(i int) {
 	m, l, p := w.m, w.m.leader, w.m.leaderState.Pending
-	s, x := m.leaderState.Sessions[uint64(i+1)], l.members[uint64(i+1)]
-	if x == nil {
-		x = &memberState{}
-	}
-	// What matters is whether the leader has a report of the session that is open now.
-	current := x.reported && s.Open && x.report.Epoch == s.Epoch
-	requests := x.unanswered && x.report.Epoch == 0
-	w.bits(s.Open, current, requests, s.Open && x.expiringEpoch == s.Epoch, x.epoch == s.Epoch,
-		p != nil && x.reportedAt == m.now, p != nil && x.reportedAt >= l.pendingSince)
+	session, member := m.leaderState.Sessions[uint64(i+1)], l.members[uint64(i+1)]
+	if member == nil {
+		member = &memberState{}
+	}
+	// Only whether the latest report is from the holder of the open session matters.
+	current := member.reported && session.Open && member.report.Epoch == session.Epoch
+	requests := member.unhandled && member.report.Epoch == 0
+	w.bits(session.Open, current, requests, session.Open && member.expiringEpoch == session.Epoch,
+		member.epoch == session.Epoch,
+		p != nil && member.reportedAt == m.now, p != nil && member.reportedAt >= l.pendingSince)
 	if requests {
-		w.put(ordinal(&w.incarnations, x.report.Incarnation))
+		w.put(ordinal(&w.incarnations, member.report.Incarnation))
 	}
 	if p != nil && current {
-		w.bits(x.report.StagedChange == p.Change, x.report.AdmissionClosedFor == p.Change,
-			x.report.Attempt == p.Attempt)
+		w.bits(member.report.StagedChange == p.Change, member.report.AdmissionClosedFor == p.Change,
+			member.report.Attempt == p.Attempt)
 	}
-	if s.Open {
-		w.remaining(l.leaseExpiry(x, modelPolicy), m.now)
+	if session.Open {
+		w.remaining(l.leaseExpiry(member, modelPolicy), m.now)
 	}
 	w.remaining(l.startedAt+ExpiryWait(modelPolicy.Lease), m.now)
 }
 
-// Key distinguishes states that are not the same.
+// Key implements modelcheck.State: it returns a hash of the state that is equal for equivalent states.
 func (m *model) Key() uint64 {
-	w := &keyWriter{m: m, b: make([]byte, 0, 256)}
+	w := &keyWriter{m: m, buf: make([]byte, 0, 256)}
 	var signature [8]uint64
 	order := make([]int, len(m.instances))
 	furthestBehind := 0
 	for i := range m.instances {
 		w.reset()
 		w.instance(i)
-		signature[i], order[i] = maphash.Bytes(keySeed, w.b), i
+		signature[i], order[i] = maphash.Bytes(keySeed, w.buf), i
 		if m.instances[i].applied < m.instances[furthestBehind].applied {
 			furthestBehind = i
 		}
@@ -164,15 +166,16 @@
 		w.pending(&m.leader.pending)
 		w.elapsed(m.leader.pendingSince, m.now, modelPolicy.MaxAdmissionPause+time.Second)
 	}
-	return maphash.Bytes(keySeed, w.b)
+	return maphash.Bytes(keySeed, w.buf)
 }
 
-// replicated writes the state of the instance that is furthest behind, and the log from there on.
+// replicated writes the state of the instance that has applied the fewest entries, and the entries after
+// that.
 func (w *keyWriter) replicated(behind *modelInstance, order []int) {
 	for _, i := range order {
-		x := behind.state.Sessions[uint64(i+1)]
-		w.bits(x.Open)
-		w.put(ordinal(&w.epochs, x.Epoch), ordinal(&w.incarnations, x.Incarnation))
+		session := behind.state.Sessions[uint64(i+1)]
+		w.bits(session.Open)
+		w.put(ordinal(&w.epochs, session.Epoch), ordinal(&w.incarnations, session.Incarnation))
 	}
 	w.pending(behind.state.Pending)
 	w.put(int(behind.revision))
@@ -180,7 +183,7 @@
 		c := e.command
 		w.put(e.change, int(c.Kind), int(w.rank[c.Member]), ordinal(&w.incarnations, c.Incarnation))
 		w.attempt(c.Attempt)
-		// The sessions on which a decision rests are a set.
+		// The order of the sessions that a decision is based on does not matter.
 		var sessions [8]int
 		for _, s := range c.Sessions {
 			sessions[w.rank[s.Member]] = ordinal(&w.epochs, s.Epoch)
--- a/internal/cluster/rollout/model_test.go
+++ b/internal/cluster/rollout/model_test.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// The model has every order of events of a small group: entries applied early or late, reports and grants
-// delayed by any time, time passing between any two events, and a crash, a lost message, a stalled leader and
-// a change of leader at any point. A state is wrong if an instance might admit a job under a configuration
-// after another might have admitted one under a later one.
+// The model covers every order of the events of a small group: entries that are applied early or late,
+// reports and grants with any delay, time that passes between any two events, and crashes, lost messages, a
+// stalled leader and changes of leader at any point. A state is a violation if an instance might admit a job
+// under a configuration after another instance might have admitted one under a later configuration.
 //
-// Time passes in steps of half a lease on the leader's clock, and as slowly as is allowed on the instances'
-// clocks: at 0.6 to the leader's 1.4. A lease then lasts less than five steps, and the leader waits 4.9:
-// there is no step to spare.
+// Time passes in steps of half a lease on the leader's clock. The instances' clocks run as slowly as is
+// allowed, at 0.6 to the leader's 1.4. A lease then lasts less than five steps, and the leader waits for 4.9
+// steps, so there is no margin of a whole step.
 
 const (
 	leaderStep   = 7 * time.Second // a step of time on the leader's clock
 	instanceStep = 3 * time.Second // the same step on the instances' clocks
-	// tooSlowStep is a step on clocks that are slower than the package allows for.
+	// tooSlowStep is a step on clocks whose rate is below the allowed minimum.
 	tooSlowStep = 2500 * time.Millisecond
-	// longestIsolation is long enough for a lease to have surely expired, and for two attempts at a change.
-	longestIsolation = 7 * leaderStep
+	// maxIsolation is long enough for a lease to be guaranteed to expire, and for two attempts at a change.
+	maxIsolation = 7 * leaderStep
 )
 
 var modelPolicy = Policy{WhenIsolated: StopAtLeaseExpiry, Lease: 2 * leaderStep, StagingTimeout: time.Hour,
 	MaxAdmissionPause: 3 * leaderStep}
 
-// guard is a rule that the model can leave out, to show that the model finds it missing.
+// guard is a safety rule that the model can omit, to test that it finds the violation that follows.
 type guard string
 
 const (
@@ -41,21 +41,21 @@
 	clockRateWithinTheBound guard = "clocks keep to the bounds of their rates"
 )
 
-// limits bound the model.
+// limits bound the events of the model.
 type limits struct {
 	instances, changes int
 	endsAt             time.Duration // 0: never
 	crashes, losses    int
 	newLeaders         int
 	leaderStalls       int
-	isolations         int  // of one instance from the rest, each for up to longestIsolation
-	promptOtherwise    bool // all other messages are delivered, in any order, before time passes
+	isolations         int  // of an instance from the others, each for up to maxIsolation
+	promptDelivery     bool // deliver all messages, except those of an isolated instance, before time passes
 	omittedGuard       guard
 }
 
-// logEntry is the proposal of a change, by number, or a command.
+// logEntry is either the proposal of a change, given by its number, or a command.
 type logEntry struct {
-	change  int // 0: a command
+	change  int // 0: the entry is a command
 	command Command
 }
 
@@ -63,11 +63,11 @@
 	holder      LeaseHolder
 	applied     int
 	state       *State
-	revision    uint64 // in force, as far as it has applied the log
+	revision    uint64 // in force according to the applied entries
 	permit      Permit
 	report      *Report // in transit to the leader
 	grant       *Grant  // in transit from the leader
-	justStarted bool    // it has no session yet
+	justStarted bool    // it has had no session since it started
 }
 
 type model struct {
@@ -78,19 +78,19 @@
 	instances []modelInstance
 
 	leader         *Leader
-	leaderState    *State // as the leader's own instance has it
+	leaderState    *State // of the instance that is the leader
 	leaderRevision uint64
 	leaderApplied  int
 
-	newestAdmitted uint64 // revision under which an instance might have admitted a job
-	isolated       int    // the instance that is isolated, from 1 on; 0: none
+	newestAdmitted uint64 // latest revision under which an instance might have admitted a job
+	isolated       int    // number of the isolated instance, from 1; 0: none
 	isolatedSince  time.Duration
 
 	changes, crashes, losses, newLeaders, leaderStalls, isolations int
 	lastIncarnation                                                uint64
 }
 
-// newModel returns the state in which all instances of a group admit jobs.
+// newModel returns a model in a state in which all instances admit jobs.
 func newModel(l limits) *model {
 	m := &model{limits: limits{instances: l.instances}, leaderState: NewState(), leader: NewLeader(0, 1),
 		leaderRevision: 1}
@@ -112,7 +112,7 @@
 	}
 }
 
-// instanceClock is what the instances' clocks show.
+// instanceClock returns the time on the instances' clocks.
 func (m *model) instanceClock() time.Duration { return m.onInstanceClock(m.now) }
 
 func (m *model) onInstanceClock(at time.Duration) time.Duration {
@@ -122,26 +122,26 @@
 	return at / leaderStep * instanceStep
 }
 
-// admits reports whether an instance might admit a job now, with the guard that is left out.
+// admits reports whether an instance might admit a job now, given the omitted guard.
 func (m *model) admits(i int) bool {
-	x, now, isolated := &m.instances[i], m.instanceClock(), m.isolated == i+1
+	inst, now, isolated := &m.instances[i], m.instanceClock(), m.isolated == i+1
 	switch {
 	case m.limits.omittedGuard == monotonicClock && isolated:
-		now -= modelPolicy.Lease // somebody has set the clock back
+		now -= modelPolicy.Lease // the clock was set back
 	case m.limits.omittedGuard == clockReadWhenAdmitting && isolated:
-		now = m.isolatedSince / leaderStep * instanceStep // as when it stalled
-	case m.limits.omittedGuard == closedUntilSession && x.justStarted:
+		now = m.isolatedSince / leaderStep * instanceStep // the reading from before it stalled
+	case m.limits.omittedGuard == closedUntilSession && inst.justStarted:
 		return true
 	}
-	return x.permit.Admits(now, x.revision)
+	return inst.permit.Admits(now, inst.revision)
 }
 
-// Violation describes what is wrong in this state; empty if nothing is.
+// Violation implements modelcheck.State: it describes the violation in this state; empty if there is none.
 func (m *model) Violation() string {
 	for i := range m.instances {
 		if revision := m.instances[i].revision; m.admits(i) && revision < m.newestAdmitted {
-			return fmt.Sprintf("n%d may admit under %d, and an instance might have under %d", i+1, revision,
-				m.newestAdmitted)
+			return fmt.Sprintf("n%d may admit jobs under revision %d after another instance might have under %d",
+				i+1, revision, m.newestAdmitted)
 		}
 	}
 	for i := range m.instances {
@@ -167,22 +167,22 @@
 	}
 }
 
-// observeState has an instance's fronts act on the state as it has applied it.
+// observeState updates an instance's lease holder and fronts after the instance's state has changed.
 func (m *model) observeState(i int) {
-	x := &m.instances[i]
-	x.holder.ObserveState(x.state)
-	x.justStarted = x.justStarted && x.holder.epoch == 0
-	x.permit = x.holder.Permit(x.state, x.revision, modelPolicy)
-	if x.permit.Change != "" {
-		x.holder.SetAdmissionClosed(x.permit.Change, x.permit.Attempt)
+	inst := &m.instances[i]
+	inst.holder.ObserveState(inst.state)
+	inst.justStarted = inst.justStarted && inst.holder.epoch == 0
+	inst.permit = inst.holder.Permit(inst.state, inst.revision, modelPolicy)
+	if inst.permit.Change != "" {
+		inst.holder.SetAdmissionClosed(inst.permit.Change, inst.permit.Attempt)
 	}
-	if p := x.state.Pending; p != nil && x.holder.stagedChange != p.Change {
-		x.holder.SetStaged(p.Change, nil)
+	if p := inst.state.Pending; p != nil && inst.holder.stagedChange != p.Change {
+		inst.holder.SetStaged(p.Change, nil)
 	}
 }
 
-// handleEvent has an event happen, and what follows from it at once: instances send what they have to
-// report, and the leader evaluates. How long a message takes is up to later events.
+// handleEvent applies an event and its immediate consequences: instances send their due reports, and the
+// leader evaluates. Messages are delivered by later events.
 func (m *model) handleEvent(e event) {
 	e.apply(m)
 	m.sendReports()
@@ -194,7 +194,7 @@
 	m.applyAtLeader()
 }
 
-// commitUnconfirmed has the leader commit without the confirmations that it needs.
+// commitUnconfirmed makes the leader commit without the required confirmations, if such a guard is omitted.
 func (m *model) commitUnconfirmed() {
 	p := m.leaderState.Pending
 	if p == nil {
@@ -213,16 +213,16 @@
 
 func (m *model) sendReports() {
 	for i := range m.instances {
-		x := &m.instances[i]
-		if x.report == nil && x.grant == nil {
-			if r, due := x.holder.NextReport(m.instanceClock(), modelPolicy); due {
-				x.report = &r
+		inst := &m.instances[i]
+		if inst.report == nil && inst.grant == nil {
+			if r, due := inst.holder.NextReport(m.instanceClock(), modelPolicy); due {
+				inst.report = &r
 			}
 		}
 	}
 }
 
-// applyAtLeader has the leader's own instance apply the whole log.
+// applyAtLeader applies the whole log on the instance that is the leader.
 func (m *model) applyAtLeader() {
 	for ; m.leaderApplied < len(m.log); m.leaderApplied++ {
 		m.log[m.leaderApplied].applyTo(m.leaderState, &m.leaderRevision)
@@ -250,13 +250,13 @@
 	c := *l
 	c.members, c.proposedAt = map[uint64]*memberState{}, map[proposal]time.Duration{}
 	for key, at := range l.proposedAt {
-		if l.lastEvaluated-at < modelPolicy.Lease/2 { // older ones have no effect
+		if l.lastEvaluated-at < modelPolicy.Lease/2 { // older proposals have no effect
 			c.proposedAt[key] = at
 		}
 	}
-	for id, x := range l.members {
-		y := *x
-		c.members[id] = &y
+	for id, member := range l.members {
+		memberCopy := *member
+		c.members[id] = &memberCopy
 	}
 	return &c
 }
@@ -264,10 +264,10 @@
 func (m *model) clone() *model {
 	c := *m
 	c.instances = slices.Clone(m.instances)
-	// Entries that all have applied are not needed any more.
+	// Entries that all instances have applied are no longer needed.
 	applied := m.leaderApplied
-	for _, x := range m.instances {
-		applied = min(applied, x.applied)
+	for _, inst := range m.instances {
+		applied = min(applied, inst.applied)
 	}
 	c.log, c.leaderApplied = slices.Clone(m.log[applied:]), m.leaderApplied-applied
 	for i := range c.instances {
--- a/internal/cluster/rollout/modelcheck_test.go
+++ b/internal/cluster/rollout/modelcheck_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-var maxStates = flag.Int64("explore", 40_000, "visit at most so many states of the model")
+var maxStates = flag.Int64("explore", 40_000, "maximum number of states of the model to visit")
 
 func TestPromiseHoldsInEveryState(t *testing.T) {
 	for _, l := range []limits{
@@ -36,7 +36,7 @@
 		{instances: 3, changes: 2, losses: 1, leaderStalls: 1},
 		{instances: 3, changes: 2, crashes: 1, losses: 1, isolations: 1, leaderStalls: 1, newLeaders: 1},
 	} {
-		l.promptOtherwise = true
+		l.promptDelivery = true
 		startedAt := time.Now()
 		r := modelcheck.Check(newModel(l), *maxStates)
 		if r.Violation != "" {
@@ -47,32 +47,35 @@
 	}
 }
 
-// Each guard that is left out is found missing, and so is a clock that is slower than the bounds allow.
+// The model must find a violation for each omitted guard, including a clock that is slower than the bounds
+// allow.
 func TestModelFindsEachMissingGuard(t *testing.T) {
 	for _, g := range []guard{twoPhases, confirmedClosing, leaseFromRequest, monotonicClock,
 		clockReadWhenAdmitting, closedUntilSession, clockRateWithinTheBound} {
 		t.Run(string(g), func(t *testing.T) {
-			l := limits{instances: 2, changes: 1, isolations: 1, promptOtherwise: true, omittedGuard: g}
+			l := limits{instances: 2, changes: 1, isolations: 1, promptDelivery: true, omittedGuard: g}
 			if g == closedUntilSession {
 				l.crashes = 1
 			}
 			r := modelcheck.Check(newModel(l), 2_000_000)
 			if r.Violation == "" {
-				t.Fatalf("not found in %d states", r.States)
+				t.Fatalf("no violation found in %d states", r.States)
 			}
-			t.Logf("found after %d states, by %d events: %s", r.States, len(r.Trace), r.Violation)
+			t.Logf("violation found after %d states, with a trace of %d events: %s", r.States, len(r.Trace),
+				r.Violation)
 		})
 	}
 }
 
-// randomWalk takes one order of events, drawn from a seed, to its end.
+// randomWalk applies events in a random order that the seed determines, until there is a violation or the
+// walk ends.
 func randomWalk(l limits, seed uint64) (events int, violation string, trace []string) {
 	const maxEvents, redraws = 500, 6
 	rng := rand.New(rand.NewPCG(seed, 1))
 	m := newModel(l)
-	// One instance mostly stalls: what it has to process waits, but its reports arrive.
+	// One instance is mostly stalled: its events are delayed, except that its reports arrive.
 	stalled := fmt.Sprint(" ", 1+rng.IntN(l.instances+1))
-	waits := func(e event) bool {
+	isStalled := func(e event) bool {
 		return strings.HasSuffix(e.name, stalled) && !strings.HasPrefix(e.name, deliverReport)
 	}
 	for events = 0; events < maxEvents; events++ {
@@ -81,7 +84,7 @@
 			return events, "", nil
 		}
 		k := rng.IntN(len(next))
-		for redraw := 0; waits(next[k]) && redraw < redraws; redraw++ {
+		for redraw := 0; isStalled(next[k]) && redraw < redraws; redraw++ {
 			k = rng.IntN(len(next))
 		}
 		m.handleEvent(next[k])
@@ -105,5 +108,5 @@
 			t.Fatalf("seed %d: %s:\n%s", seed, violation, strings.Join(trace, "\n"))
 		}
 	}
-	t.Logf("%d walks of %d events in all", walks, total)
+	t.Logf("%d walks with %d events in total", walks, total)
 }
--- a/internal/cluster/rollout/permit.go
+++ b/internal/cluster/rollout/permit.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// Permit is whether an instance's fronts may admit jobs. It is a value that is handed to the fronts' loop.
+// Permit states whether an instance's fronts may admit jobs. It is passed to the fronts' loop by value.
 type Permit struct {
 	Revision     uint64 // of the configuration under which jobs may be admitted
 	Open         bool
 	ExpiresAt    time.Duration // on the instance's clock
-	NoExpiry     bool          // ExpiresAt does not count: the instance keeps serving when it is cut off
-	ClosedReason string        // why jobs are not admitted, if they are not; shown to operators
-	// Change and Attempt are what admission is closed for: the fronts must confirm that they have closed it.
+	NoExpiry     bool          // ignore ExpiresAt: the instance continues to serve when it is isolated
+	ClosedReason string        // why jobs are not admitted, if they are not; clients and operators see it
+	// Change and Attempt identify the change for which admission is closed, if it is closed for one. The
+	// fronts must confirm that they have closed admission.
 	Change  string
 	Attempt int
 }
 
-// Permit returns whether this instance may admit jobs under a revision, as far as its state goes.
+// Permit returns whether this instance may admit jobs under a revision, according to the replicated state
+// that it has applied.
 func (h *LeaseHolder) Permit(s *State, revision uint64, p Policy) Permit {
 	permit := Permit{Revision: revision}
 	_, ok := h.session(s)
@@ -29,14 +31,15 @@
 	default:
 		permit.Open, permit.ExpiresAt = true, h.leaseExpiresAt(p)
 		permit.NoExpiry = p.WhenIsolated == KeepServing ||
-			s.Sessions[h.member].Unleased && h.unleased && h.leaseLong == 0
+			s.Sessions[h.member].Unleased && h.unleased && h.leaseDuration == 0
 		permit.ClosedReason = "its lease has run out: the leader is not reached"
 	}
 	return permit
 }
 
-// Admits reports whether a job may be admitted at the time now by fronts that run a revision. Hazard: the
-// clock must be read in the same turn that admits the job, for the process may have stalled since.
+// Admits reports whether fronts that run the revision runningRevision may admit a job now. The caller must
+// read the clock in the same turn of the loop in which it admits the job: with an earlier reading, a process
+// that stalls in between would admit the job after its lease has expired.
 func (p Permit) Admits(now time.Duration, runningRevision uint64) bool {
 	return p.Open && p.Revision == runningRevision && (p.NoExpiry || now < p.ExpiresAt)
 }
--- a/internal/cluster/rollout/policy.go
+++ b/internal/cluster/rollout/policy.go
@@ -7,34 +7,33 @@
 	"time"
 )
 
-// Section is the name of the section of the agreed document that holds a Policy.
+// Section is the name of the document section that contains the Policy.
 const Section = "rollout"
 
-// IsolationMode is what instances do that are cut off from the leader.
+// IsolationMode determines what instances do while they are isolated from the leader.
 type IsolationMode string
 
-// The isolation modes, as the key cut_off names them.
+// The isolation modes, as values of the key cut_off.
 const (
 	// StopAtLeaseExpiry: an instance that can't renew its lease stops admitting jobs, and changes are
 	// committed without it.
 	StopAtLeaseExpiry IsolationMode = "lease"
-	// KeepServing: an instance that is cut off continues to serve, and a change that it has not staged is
-	// withdrawn.
+	// KeepServing: an isolated instance continues to serve, and a change that it has not staged is withdrawn.
 	KeepServing IsolationMode = "serve"
 )
 
-// Policy is how changes take effect: a section of the agreed document.
+// Policy configures the rollout of changes. It is a section of the group's document.
 type Policy struct {
 	WhenIsolated IsolationMode
-	Lease        time.Duration // 0: defaultLeaseTicks ticks
-	// StagingTimeout is how long instances may take to stage a change before it is withdrawn.
+	Lease        time.Duration // 0: defaultLeaseTicks ticks (see WithDefaults)
+	// StagingTimeout is how long instances may take to stage a change. After that the change is withdrawn.
 	StagingTimeout time.Duration
-	// MaxAdmissionPause is how long admission stays closed for a change before it is reopened without a
-	// commit.
+	// MaxAdmissionPause is how long admission may stay closed for a change. After that it is reopened without
+	// a commit.
 	MaxAdmissionPause time.Duration
 }
 
-// Defaults and bounds of the section's values.
+// Defaults and bounds of the values in the section.
 const (
 	defaultStagingTimeout    = 20 * time.Second
 	defaultMaxAdmissionPause = 500 * time.Millisecond
@@ -44,29 +43,29 @@
 	maxDuration              = time.Hour
 )
 
-// Durations in ticks of the consensus protocol, which depend on the instances' settings.
+// Durations in ticks of the consensus protocol. The duration of a tick is a setting of the instances.
 const (
-	// minLeaseTicks is the shortest lease, in ticks: leases are renewed with the ticks.
+	// minLeaseTicks is the shortest lease. Leases are renewed on ticks, so a lease must last several of them.
 	minLeaseTicks          = 5
 	defaultLeaseTicks      = 10
 	minAdmissionPauseTicks = 3
 )
 
-// ParsePolicy decodes the section's values. It returns one problem for each key that is unknown or has an
-// invalid value, or one for values that contradict each other.
+// ParsePolicy decodes the values of the section. It returns a problem for each key that is unknown or has an
+// invalid value; if there is none, it returns a problem if the values contradict each other.
 //
-// Hazard: the problems are part of the replicated state, so their texts must not change.
+// The problems become part of the replicated state, so their texts must not change.
 func ParsePolicy(values map[string]string) (p Policy, problems []string) {
 	p = Policy{WhenIsolated: StopAtLeaseExpiry, StagingTimeout: defaultStagingTimeout,
 		MaxAdmissionPause: defaultMaxAdmissionPause}
-	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
-	parse := func(key, text string, into *time.Duration, shortest time.Duration) {
+	add := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
+	parseDuration := func(key, text string, dst *time.Duration, minimum time.Duration) {
 		v, err := time.ParseDuration(text)
-		if err != nil || v < shortest || v > maxDuration {
-			report("%s: %q is not a time from %v to %v, as in \"1s\"", key, text, shortest, maxDuration)
+		if err != nil || v < minimum || v > maxDuration {
+			add("%s: %q is not a time from %v to %v, as in \"1s\"", key, text, minimum, maxDuration)
 			return
 		}
-		*into = v
+		*dst = v
 	}
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		text := values[key]
@@ -74,27 +73,27 @@
 		case "cut_off":
 			p.WhenIsolated = IsolationMode(text)
 			if p.WhenIsolated != StopAtLeaseExpiry && p.WhenIsolated != KeepServing {
-				report("cut_off: %q is not %s or %s", text, StopAtLeaseExpiry, KeepServing)
+				add("cut_off: %q is not %s or %s", text, StopAtLeaseExpiry, KeepServing)
 			}
 		case "lease":
-			parse(key, text, &p.Lease, minLease)
+			parseDuration(key, text, &p.Lease, minLease)
 		case "stage_within":
-			parse(key, text, &p.StagingTimeout, minStagingTimeout)
+			parseDuration(key, text, &p.StagingTimeout, minStagingTimeout)
 		case "hold_within":
-			parse(key, text, &p.MaxAdmissionPause, minMaxAdmissionPause)
+			parseDuration(key, text, &p.MaxAdmissionPause, minMaxAdmissionPause)
 		default:
-			report("%q is no key of this section; cut_off, lease, stage_within and hold_within are", key)
+			add("%q is no key of this section; cut_off, lease, stage_within and hold_within are", key)
 		}
 	}
 	if len(problems) == 0 && p.Lease > 0 && p.WhenIsolated == StopAtLeaseExpiry &&
 		p.StagingTimeout < ExpiryWait(p.Lease) {
-		report("stage_within: %v is less than the %v after which a lease of %v has surely run out",
+		add("stage_within: %v is less than the %v after which a lease of %v has surely run out",
 			p.StagingTimeout, ExpiryWait(p.Lease).Round(time.Millisecond), p.Lease)
 	}
 	return p, problems
 }
 
-// WithDefaults returns the policy with the values filled in that depend on the duration of a tick.
+// WithDefaults returns the policy with the defaults and minimums that depend on the duration of a tick.
 func (p Policy) WithDefaults(tick time.Duration) Policy {
 	if p.Lease == 0 {
 		p.Lease = defaultLeaseTicks * tick
@@ -104,7 +103,9 @@
 	return p
 }
 
-// CheckTick returns an error if an instance whose ticks have that duration can't keep the policy.
+// CheckTick returns an error if the lease is too short for an instance with the given duration of a tick. The
+// error can become the reason of a withdrawn change and so part of the replicated state: its text must not
+// change.
 func (p Policy) CheckTick(tick time.Duration) error {
 	if p.Lease > 0 && p.Lease < minLeaseTicks*tick {
 		return fmt.Errorf("a lease of %v is shorter than %d ticks of %v", p.Lease, minLeaseTicks, tick)
@@ -112,17 +113,18 @@
 	return nil
 }
 
-// Bounds of the rates of instances' clocks: each may advance by 0.6 to 1.4 seconds in a second. Beyond them,
-// a lease may be taken for expired that is not.
+// Bounds of the rates of the instances' clocks: each clock may advance by 0.6 to 1.4 seconds per second. If a
+// clock is slower or faster, the leader may consider a lease expired while its holder does not.
 const (
 	slowestClockRate = 0.6
 	fastestClockRate = 1.4
-	// roundingMargin covers the rounding of durations, with one more millisecond for very short leases.
+	// roundingMargin allows for the rounding of durations. ExpiryWait adds 1 ms for very short leases.
 	roundingMargin = 1.05
 )
 
-// ExpiryWait returns how long after it was granted a lease has surely expired, at any rates of the leader's
-// and the holder's clocks within the bounds.
+// ExpiryWait returns how long after granting a lease the leader must wait, on its own clock, until the lease
+// is guaranteed to have expired. This holds for all rates of the leader's and the holder's clocks within the
+// bounds.
 func ExpiryWait(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*fastestClockRate/slowestClockRate*roundingMargin) + time.Millisecond
 }
--- a/internal/cluster/rollout/rollout_test.go
+++ b/internal/cluster/rollout/rollout_test.go
@@ -9,10 +9,10 @@
 var testPolicy = Policy{WhenIsolated: StopAtLeaseExpiry, Lease: time.Second, StagingTimeout: 20 * time.Second,
 	MaxAdmissionPause: 300 * time.Millisecond}
 
-// evaluateEvery is how often the tests have a leader evaluate.
-const evaluateEvery = 100 * time.Millisecond
+// evaluateInterval is the time between two evaluations of the leader in the tests.
+const evaluateInterval = 100 * time.Millisecond
 
-// testGroup is a leader and the instances a and b, with the members 1 and 2 and open sessions.
+// testGroup is a leader and two instances, a (member 1) and b (member 2), that have open sessions.
 type testGroup struct {
 	*testing.T
 	state  *State
@@ -37,12 +37,12 @@
 	}
 }
 
-// setPending makes a first attempt at the change "x" pending.
+// setPending makes the change "x" pending, in its first attempt.
 func (g *testGroup) setPending() {
 	g.state.Pending = &PendingChange{Change: "x", Revision: 2, Phase: Staging, Attempt: 1}
 }
 
-// report has an instance report at one time, and the report arrive at another.
+// report makes an instance send a report at sentAt, which reaches the leader at arrivesAt.
 func (g *testGroup) report(h *LeaseHolder, sentAt, arrivesAt time.Duration) Report {
 	g.Helper()
 	h.ReportNow()
@@ -54,7 +54,7 @@
 	return r
 }
 
-// requestLease returns the response to a report.
+// requestLease sends a report and returns the leader's response.
 func (g *testGroup) requestLease(h *LeaseHolder, sentAt, arrivesAt time.Duration) Grant {
 	g.Helper()
 	return g.leader.Grant(arrivesAt, g.report(h, sentAt, arrivesAt), g.state, testPolicy)
@@ -64,10 +64,10 @@
 	return g.leader.Evaluate(now, g.state, p, map[uint64]string{1: "a", 2: "b"})
 }
 
-// timeOfExpiry has a renew its lease, and returns when the leader proposes the expiry of b's session.
+// timeOfExpiry keeps renewing a's lease, and returns when the leader proposes the expiry of b's session.
 func (g *testGroup) timeOfExpiry(from, until time.Duration) time.Duration {
 	g.Helper()
-	for now := from; now < until; now += evaluateEvery {
+	for now := from; now < until; now += evaluateInterval {
 		g.requestLease(g.a, now, now)
 		for _, c := range g.evaluate(now, testPolicy) {
 			if c.Kind == ExpireSessions {
@@ -75,7 +75,7 @@
 			}
 		}
 	}
-	g.Fatal("the session does not expire")
+	g.Fatal("the leader did not propose the expiry of b's session")
 	return 0
 }
 
@@ -84,23 +84,24 @@
 	grant := g.requestLease(g.b, 0, 500*time.Millisecond)
 	at := g.timeOfExpiry(500*time.Millisecond, 10*time.Second)
 	if earliest := 500*time.Millisecond + ExpiryWait(testPolicy.Lease); at < earliest {
-		t.Fatalf("expired at %v, before %v", at, earliest)
+		t.Fatalf("the session expired at %v, want %v or later", at, earliest)
 	}
-	// The response arrives only now. It is a lease of the past.
+	// The response arrives only now, when the lease has already expired.
 	g.b.ObserveGrant(grant)
 	if g.b.Permit(g.state, 1, testPolicy).Admits(at, 1) {
-		t.Error("a lease that the leader has taken for expired admits jobs")
+		t.Error("jobs are admitted under a lease that the leader considers expired")
 	}
 }
 
-// At clock rates of 0.6 and 1.4 the holder's lease expires before the leader's wait ends.
+// With the holder's clock at the rate 0.6 and the leader's at 1.4, the lease must expire before the leader's
+// wait ends.
 func TestExpiryWaitOutlastsTheLeaseAtAnyClockRate(t *testing.T) {
 	for _, lease := range []time.Duration{50 * time.Millisecond, time.Second, time.Hour} {
 		holder := float64(lease) / slowestClockRate
 		leader := float64(ExpiryWait(lease)) / fastestClockRate
 		if leader <= holder {
-			t.Errorf("%v: the holder's lasts up to %v, the leader waits as little as %v", lease,
-				time.Duration(holder), time.Duration(leader))
+			t.Errorf("a lease of %v lasts up to %v for its holder, but the leader may wait for only %v",
+				lease, time.Duration(holder), time.Duration(leader))
 		}
 	}
 }
@@ -112,26 +113,26 @@
 	g.leader = NewLeader(termStart, 2)
 	at := g.timeOfExpiry(termStart, 10*time.Second)
 	if g.b.Permit(g.state, 1, testPolicy).Admits(at, 1) || at < termStart+ExpiryWait(testPolicy.Lease) {
-		t.Errorf("the new leader took the lease for expired at %v", at)
+		t.Errorf("the new leader considered the lease expired at %v, which is too early", at)
 	}
 }
 
 func TestNothingIsGrantedOnceExpiryIsProposed(t *testing.T) {
 	g := newTestGroup(t)
 	at := g.timeOfExpiry(0, 10*time.Second)
-	// The expiry is in the log and not applied yet.
+	// The expiry has been proposed and is not applied yet.
 	if grant := g.requestLease(g.b, at, at); grant.Duration > 0 {
-		t.Error("a lease is granted whose expiry may be committed at any time")
+		t.Error("a lease was granted although the expiry of its session may be committed at any time")
 	}
 }
 
-// The session of an instance that has died expires once, and its last report opens no other.
+// The last report of an instance that has died must not open a session again after its session has expired.
 func TestDeadInstanceGetsNoSessionAgain(t *testing.T) {
 	g := newTestGroup(t)
 	g.requestLease(g.b, 0, 0)
-	g.report(NewLeaseHolder(2, 23), 0, 0) // b restarts, requests a session and dies
+	g.report(NewLeaseHolder(2, 23), 0, 0) // b restarts, requests a session, and dies
 	opened := 0
-	for now := time.Duration(0); now < 20*time.Second; now += evaluateEvery {
+	for now := time.Duration(0); now < 20*time.Second; now += evaluateInterval {
 		g.requestLease(g.a, now, now)
 		for _, c := range g.evaluate(now, testPolicy) {
 			g.apply(c)
@@ -141,12 +142,13 @@
 		}
 	}
 	if opened != 1 || g.state.Sessions[2].Open {
-		t.Errorf("opened %d times, and at the end %+v", opened, g.state.Sessions[2])
+		t.Errorf("%d sessions were opened, want 1; the last state is %+v, want closed", opened,
+			g.state.Sessions[2])
 	}
 }
 
-// Reports that a partition held back arrive all at once, before the first has been acted on in the log: they
-// open one session, and another only if the log has lost the first command.
+// Reports that a network partition delayed arrive together, before the command for the first one is applied.
+// They must open a single session, and another one only if the command was lost.
 func TestReportsAtOnceOpenOneSession(t *testing.T) {
 	g := newTestGroup(t)
 	restarted := NewLeaseHolder(2, 23)
@@ -162,10 +164,10 @@
 		return n
 	}
 	if n := opened(0); n != 1 {
-		t.Errorf("15 reports at once open %d sessions", n)
+		t.Errorf("15 simultaneous reports opened %d sessions, want 1", n)
 	}
 	if n := opened(testPolicy.Lease); n != 1 {
-		t.Errorf("a lease later, with none committed, %d are opened", n)
+		t.Errorf("after the duration of a lease without a commit, %d sessions were opened, want 1", n)
 	}
 }
 
@@ -175,7 +177,7 @@
 	g.requestLease(g.b, 0, 0)
 	g.evaluate(0, testPolicy)
 	for _, c := range g.evaluate(30*time.Second, testPolicy) {
-		t.Errorf("its first command after a stall is %v of %v", c.Kind, c.Sessions)
+		t.Errorf("after a stall the leader proposes: %v, sessions %v", c.Kind, c.Sessions)
 	}
 }
 
@@ -183,7 +185,7 @@
 	g := newTestGroup(t)
 	g.b.ObserveGrant(g.requestLease(g.b, 0, 0))
 	p := g.b.Permit(g.state, 1, testPolicy)
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		now      time.Duration
 		revision uint64
 		want     bool
@@ -191,10 +193,10 @@
 		{999 * time.Millisecond, 1, true},
 		{time.Second, 1, false},
 		{time.Minute, 1, false},
-		{0, 2, false}, // a revision that is not in force
+		{0, 2, false}, // revision 2 is not in force
 	} {
-		if got := p.Admits(x.now, x.revision); got != x.want {
-			t.Errorf("%+v admits at %v under revision %d: %v, want %v", p, x.now, x.revision, got, x.want)
+		if got := p.Admits(tc.now, tc.revision); got != tc.want {
+			t.Errorf("%+v admits at %v under revision %d: %v, want %v", p, tc.now, tc.revision, got, tc.want)
 		}
 	}
 }
@@ -206,7 +208,7 @@
 	restarted.ObserveState(g.state)
 	if p := restarted.Permit(g.state, 1, testPolicy); p.Open ||
 		!strings.Contains(p.ClosedReason, "since it started") {
-		t.Errorf("restarted, it has %+v", p)
+		t.Errorf("after a restart, the permit is %+v", p)
 	}
 }
 
@@ -216,10 +218,10 @@
 	sessions := g.state.OpenSessions()
 	if err := g.state.Apply(Command{Kind: CloseAdmission, Change: "x", Attempt: 1,
 		Sessions: sessions[:1]}); err == nil {
-		t.Error("admission is closed, and not all have staged the change")
+		t.Error("admission was closed although one instance has not staged the change")
 	}
 	g.apply(Command{Kind: CloseAdmission, Change: "x", Attempt: 1, Sessions: sessions})
-	// A session opens between the leader's decision and its entry.
+	// A session is opened between the leader's decision and the entry that contains it.
 	g.apply(Command{Kind: OpenSession, Member: 3, Name: "c", Incarnation: 33})
 	for _, c := range []Command{
 		{Kind: Commit, Change: "x", Attempt: 1, Sessions: sessions},
@@ -227,37 +229,38 @@
 		{Kind: Commit, Change: "x", Attempt: 2, Sessions: g.state.OpenSessions()},
 	} {
 		if err := g.state.Apply(c); err == nil {
-			t.Errorf("committed by %+v", c)
+			t.Errorf("the change was committed by %+v", c)
 		}
 	}
 	g.apply(Command{Kind: ReopenAdmission, Change: "x", Attempt: 1})
 	if g.state.Pending.Attempt != 2 {
-		t.Errorf("after a reopening: %+v", g.state.Pending)
+		t.Errorf("after admission was reopened, the pending change is %+v, want attempt 2", g.state.Pending)
 	}
 }
 
-// Where no lease expires, a change that an instance has not staged is withdrawn, with the instance's name.
+// With KeepServing, leases do not expire: a change that an instance has not staged is withdrawn, and the
+// reason names the instance.
 func TestKeepServingWithdrawsByName(t *testing.T) {
 	g := newTestGroup(t)
 	policy := testPolicy
 	policy.WhenIsolated = KeepServing
 	g.setPending()
 	g.a.SetStaged("x", nil)
-	for now := time.Duration(0); now < time.Minute; now += evaluateEvery {
+	for now := time.Duration(0); now < time.Minute; now += evaluateInterval {
 		g.requestLease(g.a, now, now)
 		for _, c := range g.evaluate(now, policy) {
 			switch c.Kind {
 			case ExpireSessions:
-				t.Fatal("the session of an instance that keeps serving expires")
+				t.Fatal("a session expired with KeepServing")
 			case Withdraw:
 				if !strings.Contains(c.Reason, "b (not heard of)") || strings.Contains(c.Reason, "a (") {
-					t.Errorf("withdrawn because of %q", c.Reason)
+					t.Errorf("the reason is %q, want b as the only missing instance", c.Reason)
 				}
 				return
 			}
 		}
 	}
-	t.Error("not withdrawn within a minute")
+	t.Error("the change was not withdrawn within a minute")
 }
 
 func TestParsePolicyReportsProblems(t *testing.T) {
@@ -269,7 +272,7 @@
 		"hold_within: \"-1s\"":                 {"hold_within": "-1s"},
 	} {
 		if _, problems := ParsePolicy(values); len(problems) != 1 || !strings.Contains(problems[0], want) {
-			t.Errorf("%v: %v, want %q", values, problems, want)
+			t.Errorf("%v: problems are %v, want one that contains %q", values, problems, want)
 		}
 	}
 }
@@ -277,6 +280,6 @@
 func TestCheckTickNeedsEnoughTicksInALease(t *testing.T) {
 	p, _ := ParsePolicy(map[string]string{"lease": "200ms"})
 	if p.CheckTick(50*time.Millisecond) == nil || p.CheckTick(40*time.Millisecond) != nil {
-		t.Error("a lease of 200ms needs a tick of at most 40ms")
+		t.Error("a lease of 200ms must allow ticks of up to 40ms and no longer ones")
 	}
 }
--- a/internal/cluster/rollout/state.go
+++ b/internal/cluster/rollout/state.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Phase is how far a change has come that is neither committed nor withdrawn. Its numbers stand in snapshots.
+// Phase is the phase of a pending change. Snapshots contain its numbers, so they must not change.
 type Phase uint8
 
 // The phases of a pending change.
@@ -15,37 +15,38 @@
 	ClosingAdmission
 )
 
-// String returns the phase as operators see it and as it stands in remembered outcomes.
+// String returns the phase as operators see it. Stored outcomes contain these texts, so they must not change.
 func (p Phase) String() string {
 	return [...]string{"", "staging", "taking hold"}[min(int(p), int(ClosingAdmission))]
 }
 
 // PendingChange is a change that has been proposed and is neither committed nor withdrawn.
 type PendingChange struct {
-	Change   string `json:"change"` // its id
+	Change   string `json:"change"` // ID of the change
 	Revision uint64 `json:"revision"`
 	Phase    Phase  `json:"phase"`
-	Attempt  int    `json:"attempt"` // from 1; grows each time that admission is reopened without a commit
+	Attempt  int    `json:"attempt"` // from 1; incremented when admission is reopened without a commit
 }
 
-// Session is an instance's right to admit jobs. At most one incarnation of an instance has it.
+// Session is an instance's right to admit jobs. At most one incarnation of an instance holds it.
 type Session struct {
 	Member uint64 `json:"member"`
 	Name   string `json:"name"`
-	// Epoch only grows, over all sessions of the group.
+	// Epoch increases with every session that is opened in the group.
 	Epoch uint64 `json:"epoch"`
-	// Incarnation is the process that the session was opened for: a number that it drew when it started.
+	// Incarnation identifies the process for which the session was opened, by a random number that the
+	// process generated when it started.
 	Incarnation uint64 `json:"nonce"`
 	Open        bool   `json:"open"`
-	// ClosedReason is why the session is not open.
+	// ClosedReason states why the session is not open.
 	ClosedReason string `json:"why,omitempty"`
-	// Unleased: the instance may serve without a lease, for it began to before there were leases. The session
-	// can't expire before the instance has reported.
+	// Unleased marks a session of an instance that may serve without a lease, because it started to serve
+	// before the group had leases. The session can't expire before the instance has reported.
 	Unleased bool `json:"loose,omitempty"`
 }
 
-// SessionID identifies a session: an instance's member number and the session's epoch. It is
-// placement.Session with the field names of this package's entries.
+// SessionID identifies a session by the instance's member number and the session's epoch. It corresponds to
+// placement.Session, with the JSON field names of this package's log entries.
 type SessionID struct {
 	Member uint64 `json:"member"`
 	Epoch  uint64 `json:"epoch"`
@@ -55,7 +56,7 @@
 type State struct {
 	Sessions  map[uint64]Session // by member
 	LastEpoch uint64
-	Pending   *PendingChange // nil: no change is pending
+	Pending   *PendingChange // nil if no change is pending
 }
 
 // NewState returns the state of a group without sessions.
@@ -65,8 +66,8 @@
 func (s *State) OpenSessions() []SessionID {
 	var open []SessionID
 	for _, member := range slices.Sorted(maps.Keys(s.Sessions)) {
-		if x := s.Sessions[member]; x.Open {
-			open = append(open, SessionID{x.Member, x.Epoch})
+		if session := s.Sessions[member]; session.Open {
+			open = append(open, SessionID{session.Member, session.Epoch})
 		}
 	}
 	return open
@@ -79,16 +80,16 @@
 	})
 }
 
-// coversOpenSessions reports whether the sessions include every open one. Hazard: one may have been opened
-// between the leader's decision and the entry that carries it.
+// coversOpenSessions reports whether the list includes every open session. A session may have been opened
+// between the leader's decision and the log entry that contains the decision.
 func (s *State) coversOpenSessions(sessions []SessionID) bool {
 	return !slices.ContainsFunc(s.OpenSessions(), func(open SessionID) bool {
 		return !slices.Contains(sessions, open)
 	})
 }
 
-// AddUnleasedSessions opens an unleased session for every instance, by member number and name, of a group
-// that served before there were sessions.
+// AddUnleasedSessions opens an unleased session for every instance of a group that served before it had
+// sessions. The map has the instances' names by member number.
 func (s *State) AddUnleasedSessions(names map[uint64]string) {
 	for _, member := range slices.Sorted(maps.Keys(names)) {
 		s.LastEpoch++
@@ -97,7 +98,8 @@
 	}
 }
 
-// PruneSessions drops the closed sessions of instances that are not members.
+// PruneSessions deletes the closed sessions of instances that are no longer members.
 func (s *State) PruneSessions(isMember func(uint64) bool) {
-	maps.DeleteFunc(s.Sessions, func(member uint64, x Session) bool { return !x.Open && !isMember(member) })
+	maps.DeleteFunc(s.Sessions,
+		func(member uint64, session Session) bool { return !session.Open && !isMember(member) })
 }
