--- a/internal/cluster/clusterstate/change.go
+++ b/internal/cluster/clusterstate/change.go
@@ -10,24 +10,24 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// maxNoteBytes bounds what an author writes about a change.
+// maxNoteBytes is the maximum size of an author's description of a change.
 const maxNoteBytes = 1024
 
-// Change is a proposed document that is to replace the one of its base revision.
+// Change is a proposal to replace the document of the base revision with another one.
 type Change struct {
-	ID           string // chosen by the client; the same change has the same one when it is repeated
+	ID           string // set by the client; the same if it repeats the change
 	BaseRevision uint64
 	Author       string
 	Note         string
-	ProposedAt   time.Time // shown to people, used for nothing
+	ProposedAt   time.Time // for display only
 	Document     *Document
 }
 
-// OutcomeOf returns what became of a change or command, if that is remembered.
+// OutcomeOf returns the outcome of the change or command with the given ID, if it is remembered.
 func (s *State) OutcomeOf(id string) (Outcome, bool) { return s.outcomes.get(id) }
 
-// CheckChange returns what would become of a change now. An instance checks before it proposes, so
-// that a change that would be rejected is not put into the log.
+// CheckChange returns the outcome that a change would have if it were applied now. Instances check a change
+// before they propose it, so that a change that would be rejected is not added to the log.
 func (s *State) CheckChange(c Change) Outcome {
 	if o, ok := s.outcomes.get(c.ID); ok {
 		return o
@@ -43,7 +43,7 @@
 	return Outcome{Code: Accepted, Revision: current.Number + 1}
 }
 
-// checkProposal checks all of a change but the content of its document.
+// checkProposal checks everything of a change except the content of its document.
 func (s *State) checkProposal(c Change, current Revision) (OutcomeCode, []string) {
 	reject := func(code OutcomeCode, format string, args ...any) (OutcomeCode, []string) {
 		return code, []string{fmt.Sprintf(format, args...)}
@@ -66,7 +66,7 @@
 	return Accepted, nil
 }
 
-// checkDocument checks a document as the one after the current.
+// checkDocument checks a document as the successor of the current one.
 func (s *State) checkDocument(d, current *Document) (OutcomeCode, []string) {
 	for _, section := range slices.Sorted(maps.Keys(d.Sections)) {
 		if s.format < s.rules.requiredFormat(section) {
@@ -82,8 +82,9 @@
 	if bytes.Equal(b, current.Encode()) {
 		return Unchanged, nil
 	}
-	// Hazard: an older program in the group must find the same problems, word for word: they are part of
-	// the state. So a document is validated by the group's format, and not by what this program knows.
+	// Instances that run an older program must find the same problems, word for word, because the problems
+	// are part of the state. So the document is validated by the rules of the group's format, and not by
+	// those of the latest format that this program supports.
 	rules := s.rules
 	rules.format = s.format
 	if problems := rules.ValidateChange(current, d); len(problems) > 0 {
@@ -92,8 +93,9 @@
 	return Accepted, nil
 }
 
-// ApplyChange applies a change that is in the log. A change that was applied already has the outcome
-// that it had, and changes nothing. One whose rollout begins has no outcome yet, and ok is false.
+// ApplyChange applies a change from the log, and returns its outcome. A change that was applied before has no
+// effect, and its earlier outcome is returned. If the change is pending, because its rollout begins now or
+// has begun before, it has no outcome yet and ok is false.
 func (s *State) ApplyChange(c Change) (o Outcome, ok bool) {
 	if o, ok := s.outcomes.get(c.ID); ok {
 		return o, true
@@ -112,10 +114,9 @@
 			return Outcome{}, false
 		}
 		s.addRevision(r)
-		s.configureMachines()
+		s.configureStateMachines()
 	}
-	// Rejections are remembered too: the same change must not be rejected now and accepted when it is
-	// repeated.
+	// Rejections are remembered too, so that a change that was rejected is not accepted when it is repeated.
 	s.outcomes.addIfValid(c.ID, o)
 	return o, true
 }
--- a/internal/cluster/clusterstate/diff.go
+++ b/internal/cluster/clusterstate/diff.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// maxDiffValueBytes is how much of a value a line of a diff shows.
+// maxDiffValueBytes is the length of the longest value that a diff shows in full.
 const maxDiffValueBytes = 60
 
-// Diff returns what is different in after, a line each.
+// Diff returns the differences from before to after, one per line.
 func Diff(before, after *Document) []string {
 	var p problems
 	p.diffClasses(before.Classes, after.Classes)
@@ -25,14 +25,14 @@
 }
 
 func (p *problems) diffClasses(before, after []Class) {
-	removed := map[string]Class{}
+	unmatched := map[string]Class{}
 	for _, c := range before {
-		removed[c.Name] = c
+		unmatched[c.Name] = c
 	}
 	for _, c := range after {
 		where := fmt.Sprintf("class %q", c.Name)
-		old, ok := removed[c.Name]
-		if delete(removed, c.Name); !ok {
+		old, ok := unmatched[c.Name]
+		if delete(unmatched, c.Name); !ok {
 			p.add(where, "added")
 			continue
 		}
@@ -46,39 +46,39 @@
 		p.diffValue(where, "late_share", old.LateShare, c.LateShare)
 		p.diffValue(where, "attempts", old.MaxAttempts, c.MaxAttempts)
 	}
-	for _, name := range slices.Sorted(maps.Keys(removed)) {
+	for _, name := range slices.Sorted(maps.Keys(unmatched)) {
 		p.add(fmt.Sprintf("class %q", name), "removed")
 	}
 }
 
 func (p *problems) diffTenants(before, after []Tenant) {
-	removed := map[string]Tenant{}
+	unmatched := map[string]Tenant{}
 	for _, t := range before {
-		removed[t.Name] = t
+		unmatched[t.Name] = t
 	}
 	for _, t := range after {
 		where := fmt.Sprintf("tenant %q", t.Name)
-		old, ok := removed[t.Name]
-		if delete(removed, t.Name); !ok {
+		old, ok := unmatched[t.Name]
+		if delete(unmatched, t.Name); !ok {
 			p.add(where, "added")
 			continue
 		}
 		p.diffValue(where, "share", old.CapacityShare, t.CapacityShare)
 		p.diffValue(where, "allowance_per_s", old.QuotaPerSecond, t.QuotaPerSecond)
 	}
-	for _, name := range slices.Sorted(maps.Keys(removed)) {
+	for _, name := range slices.Sorted(maps.Keys(unmatched)) {
 		p.add(fmt.Sprintf("tenant %q", name), "removed")
 	}
 }
 
 func (p *problems) diffSection(where string, before, after map[string]string) {
 	for _, key := range unionOfKeys(before, after) {
-		old, wasThere := before[key]
-		value, isThere := after[key]
+		old, inBefore := before[key]
+		value, inAfter := after[key]
 		switch {
-		case !wasThere:
+		case !inBefore:
 			p.add(where, "%s added: %s", key, abbreviate(value))
-		case !isThere:
+		case !inAfter:
 			p.add(where, "%s removed", key)
 		case old != value:
 			p.add(where, "%s %s -> %s", key, abbreviate(old), abbreviate(value))
@@ -92,7 +92,7 @@
 	}
 }
 
-// unionOfKeys returns the keys of both maps, sorted.
+// unionOfKeys returns the sorted keys that are in either of two maps.
 func unionOfKeys[V any](a, b map[string]V) []string {
 	keys := map[string]bool{}
 	for key := range a {
@@ -104,7 +104,8 @@
 	return slices.Sorted(maps.Keys(keys))
 }
 
-// abbreviate keeps a line of a diff readable.
+// abbreviate formats a value for a diff: it truncates long values, and quotes values that are empty or
+// contain whitespace.
 func abbreviate(s string) string {
 	if s == "" {
 		return `""`
--- a/internal/cluster/clusterstate/helpers_test.go
+++ b/internal/cluster/clusterstate/helpers_test.go
@@ -7,7 +7,8 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// sampleDocument has two classes, two tenants and a section without rules.
+// sampleDocument returns a document with two classes, two tenants and a section that is not validated. The
+// argument is the priority weight of the first class.
 func sampleDocument(weight float64) *Document {
 	return &Document{
 		Classes: []Class{
@@ -23,7 +24,7 @@
 	}
 }
 
-// newState makes the state of a group of one member.
+// newState returns the state of a group with one member.
 func newState(t *testing.T, rules Rules, d *Document) *State {
 	t.Helper()
 	s, err := New(rules, "g", d, 0, Member{ID: 1, Name: "n1", Address: "127.0.0.1:1"})
@@ -33,7 +34,7 @@
 	return s
 }
 
-// restoreCopy makes a second state from a snapshot of one.
+// restoreCopy returns a copy of a state that is restored from its snapshot.
 func restoreCopy(t *testing.T, s *State) *State {
 	t.Helper()
 	restored, err := Restore(Rules{}, s.Encode())
@@ -43,7 +44,8 @@
 	return restored
 }
 
-// applyAndCommit applies a change and commits it, as a group without sessions does at once.
+// applyAndCommit applies a change and commits it. The group has no open sessions, so no instance has to
+// confirm.
 func applyAndCommit(s *State, c Change) Outcome {
 	o, ok := s.ApplyChange(c)
 	if ok {
@@ -55,7 +57,7 @@
 	return o
 }
 
-// proposal is a change to the sample document with that weight.
+// proposal returns a change to the sample document with the given weight.
 func proposal(id string, base uint64, weight float64) Change {
 	return Change{ID: id, BaseRevision: base, Document: sampleDocument(weight)}
 }
--- a/internal/cluster/clusterstate/members.go
+++ b/internal/cluster/clusterstate/members.go
@@ -6,31 +6,31 @@
 	"slices"
 )
 
-// maxRemovedMembers is how many removed members are remembered by their numbers.
+// maxRemovedMembers is the maximum number of removed members whose numbers are remembered.
 const maxRemovedMembers = 256
 
-// Member is an instance of the group.
+// Member is an instance that is a member of the group.
 type Member struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Members lists the instances, by number.
+// Members returns the members in the order of their numbers.
 func (s *State) Members() []Member {
 	return slices.SortedFunc(maps.Values(s.members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Size returns how many instances there are.
+// Size returns the number of members.
 func (s *State) Size() int { return len(s.members) }
 
-// Member returns the instance of that number.
+// Member returns the member with the given number.
 func (s *State) Member(id uint64) (Member, bool) {
 	m, ok := s.members[id]
 	return m, ok
 }
 
-// MemberByName returns the instance of that name.
+// MemberByName returns the member with the given name.
 func (s *State) MemberByName(name string) (Member, bool) {
 	for _, m := range s.members {
 		if m.Name == name {
@@ -40,11 +40,12 @@
 	return Member{}, false
 }
 
-// WasRemoved reports whether an instance of that number was removed from the group, as far as that is
-// remembered.
+// WasRemoved reports whether the member with the given number was removed from the group. It is false if the
+// removal is no longer remembered (see maxRemovedMembers).
 func (s *State) WasRemoved(id uint64) bool { return slices.Contains(s.removed, id) }
 
-// ApplyMembership applies a change of the members that is in the log.
+// ApplyMembership applies a membership change from the log: it adds or updates the members in put, and
+// removes those whose numbers are in remove.
 func (s *State) ApplyMembership(put []Member, remove []uint64) {
 	for _, m := range put {
 		s.members[m.ID] = m
@@ -58,7 +59,7 @@
 	if n := len(s.removed) - maxRemovedMembers; n > 0 {
 		s.removed = append(s.removed[:0], s.removed[n:]...)
 	}
-	// Hazard: one that has been removed may admit jobs until its lease ends. Its session stays
-	// until then, and a change waits for it.
+	// A removed member may admit jobs until its lease expires. So its session is kept until then, and a
+	// pending change waits for it.
 	s.rollout.PruneSessions(func(id uint64) bool { _, ok := s.members[id]; return ok })
 }
--- a/internal/cluster/clusterstate/outcome.go
+++ b/internal/cluster/clusterstate/outcome.go
@@ -1,36 +1,37 @@
 package clusterstate
 
-// maxOutcomes is how many outcomes are remembered. A client that repeats a change whose id has been
-// forgotten gets a conflict instead: its base revision is no longer the current one.
+// maxOutcomes is the maximum number of outcomes that are remembered. If a client repeats a change whose
+// outcome has been forgotten, the change is rejected as a conflict, because its base revision is no longer
+// current.
 const maxOutcomes = 4096
 
-// OutcomeCode is what became of a change or command.
+// OutcomeCode is the kind of an outcome. Snapshots contain its numbers, so they must not change.
 type OutcomeCode uint8
 
-// The outcomes.
+// The outcome codes.
 const (
 	Accepted  OutcomeCode = iota
 	Conflict              // the base revision is not the current one
-	Invalid               // the document or command is rejected
-	TooLarge              // it is over a bound
+	Invalid               // the document or command is invalid
+	TooLarge              // a size limit is exceeded
 	Unchanged             // the document equals the one in force
-	Withdrawn             // it could not come into force everywhere, and so did nowhere
+	Withdrawn             // the pending change was dropped, so it is in force on no instance
 )
 
-// String returns the outcome as operators read it.
+// String returns the text that is shown to operators.
 func (c OutcomeCode) String() string {
 	texts := [...]string{"accepted", "conflict", "invalid", "too large", "unchanged", "withdrawn"}
 	return texts[min(int(c), len(texts)-1)]
 }
 
-// Outcome is what became of a change or command, at every instance the same.
+// Outcome is the outcome of a change or command. It is the same on every instance.
 type Outcome struct {
 	Code     OutcomeCode `json:"code"`
-	Revision uint64      `json:"revision"` // that it made, or the current one
+	Revision uint64      `json:"revision"` // the one that the change created, or the current one
 	Problems []string    `json:"problems,omitempty"`
 }
 
-// outcomeLog remembers the latest outcomes by the ids of their changes and commands.
+// outcomeLog has the latest outcomes by the IDs of their changes and commands.
 type outcomeLog struct {
 	byID map[string]Outcome
 	ids  []string // oldest first
@@ -43,7 +44,7 @@
 	return o, ok
 }
 
-// add remembers an outcome and forgets the oldest one if there are too many.
+// add adds an outcome, and removes the oldest one if the log is full.
 func (l *outcomeLog) add(id string, o Outcome) {
 	if len(l.ids) >= maxOutcomes {
 		delete(l.byID, l.ids[0])
@@ -53,7 +54,7 @@
 	l.ids = append(l.ids, id)
 }
 
-// addIfValid remembers an outcome unless its id is empty or too long.
+// addIfValid adds an outcome unless its ID is empty or too long.
 func (l *outcomeLog) addIfValid(id string, o Outcome) {
 	if id != "" && len(id) <= maxNameBytes {
 		l.add(id, o)
--- a/internal/cluster/clusterstate/revision.go
+++ b/internal/cluster/clusterstate/revision.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// Bounds on the revisions that are kept.
+// Limits of the revisions that are kept.
 const (
 	maxRevisions     = 100
-	maxRevisionBytes = 4 << 20 // of their documents together
+	maxRevisionBytes = 4 << 20 // total size of their encoded documents
 )
 
-// Revision is a document that was agreed on.
+// Revision is a version of the document that is pending, in force, or was in force before.
 type Revision struct {
 	Number       uint64 `json:"revision"`
 	ChangeID     string `json:"id"`
 	Author       string `json:"author,omitempty"`
 	Note         string `json:"note,omitempty"`
-	ProposedAtMS int64  `json:"at_ms"` // since 1970, by the proposer's clock
-	// EffectiveAtMS is when it came into force, since 1970, by the clock of the leader that committed it;
-	// 0: when it was proposed.
+	ProposedAtMS int64  `json:"at_ms"` // Unix time in milliseconds on the proposer's clock
+	// EffectiveAtMS is the Unix time in milliseconds when the revision came into force, on the clock of the
+	// leader that committed it; 0: it came into force when it was proposed.
 	EffectiveAtMS int64     `json:"force_ms,omitempty"`
 	Document      *Document `json:"document"`
 
-	bytes int // of the encoded document
+	bytes int // size of the encoded document
 }
 
-// revisionLog keeps the latest revisions. It is never empty once the State is made.
+// revisionLog has the latest revisions. It is never empty after the State has been created.
 type revisionLog struct {
 	list  []Revision // oldest first; the last one is in force
 	bytes int
 }
 
-// add appends a revision and drops the oldest ones that are over a bound.
+// add appends a revision, and removes the oldest ones while a limit is exceeded.
 func (l *revisionLog) add(r Revision) {
 	r.bytes = len(r.Document.Encode())
 	l.list = append(l.list, r)
@@ -61,10 +61,10 @@
 // Revisions returns the revisions that are kept, oldest first.
 func (s *State) Revisions() []Revision { return slices.Clone(s.revisions.list) }
 
-// RevisionByNumber returns a revision, if it is kept.
+// RevisionByNumber returns the revision with the given number, if it is still kept.
 func (s *State) RevisionByNumber(number uint64) (Revision, bool) { return s.revisions.byNumber(number) }
 
-// PendingRevision returns the revision that has been proposed and neither committed nor withdrawn.
+// PendingRevision returns the pending revision, which is neither committed nor withdrawn yet.
 func (s *State) PendingRevision() (Revision, bool) {
 	if s.pending == nil {
 		return Revision{}, false
--- a/internal/cluster/clusterstate/rules.go
+++ b/internal/cluster/clusterstate/rules.go
@@ -14,29 +14,29 @@
 	"moorstack/internal/schema"
 )
 
-// LatestFormat is the newest format of the state and its log that this program reads. An instance
-// that meets a newer one stops applying entries rather than reading them in part.
+// LatestFormat is the latest format of the state and its log that this program supports. An instance that
+// reads an entry of a later format stops applying entries, because it would interpret them incompletely.
 //
-// In a group of format 1 a change is in force when it is agreed on. From format 2 on it goes through
-// package rollout; format 3 adds leased tasks, format 4 rates over all fronts, format 5 triggers,
-// format 6 the instances' weights, and format 7 rolling restarts and membership probes. A group goes
-// to a newer format once all its instances can read it.
+// In a group of format 1, a change is in force as soon as it is agreed on. Since format 2, changes go through
+// package rollout. Format 3 added leased tasks, format 4 rate limits over all fronts, format 5 triggers,
+// format 6 the instances' weights, and format 7 rolling restarts and membership probes. A group switches to a
+// later format once all its instances support it.
 const LatestFormat = 7
 
-// The formats from which on a group knows what has only a section, or is part of the state itself.
+// The first formats that support features without a state machine of their own.
 const (
 	formatRollout    = 2 // sessions, and changes that go through package rollout
 	formatRates      = 4
 	formatPlacement  = 5
 	formatMembership = 7
 
-	// formatKnownSections is the first with sections that an instance rejects while another instance does
-	// not know them.
+	// formatKnownSections is the first format whose sections are rejected until the group's format supports
+	// them, that is, while an instance does not support them.
 	formatKnownSections = formatRates
 )
 
-// StateMachineTypes returns what a group agrees on in addition to the document's classes and tenants, in the
-// order of the fields in a snapshot. A new one is a package and a line here.
+// StateMachineTypes returns the types of the replicated state machines and of the validated sections, in the
+// order of their fields in a snapshot. To add a type, implement it in a package and add a line here.
 func StateMachineTypes() []replicated.StateMachineType {
 	return []replicated.StateMachineType{
 		replicated.SectionOnly{SectionName: rollout.Section, FirstFormat: formatRollout,
@@ -63,16 +63,16 @@
 	return problems
 }
 
-// SectionValidator returns the problems of a section that the program knows. It must be a pure
-// function.
+// SectionValidator returns the problems of a section with the given values. It must be a pure function, so
+// that every instance gets the same result.
 type SectionValidator func(d *Document, values map[string]string) []string
 
-// Rules are what documents are validated by. Every instance of a group must have the same.
+// Rules are the rules by which documents are validated. All instances of a group must use the same rules.
 type Rules struct {
-	// Sections are the validators that no state machine type has. A section without any may hold
-	// anything.
+	// Sections has additional validators by section. A section without a validator and without a state
+	// machine type is not validated.
 	Sections map[string]SectionValidator
-	// Types are what is agreed on in addition to the document; nil: StateMachineTypes().
+	// Types are the types of the state machines and validated sections; nil: StateMachineTypes().
 	Types  []replicated.StateMachineType
 	format int // of the group; 0: LatestFormat
 }
@@ -85,7 +85,7 @@
 	return StateMachineTypes()
 }
 
-// typeOf returns the type that a section configures, or nil.
+// typeOf returns the type that a section configures; nil if there is none.
 func (r Rules) typeOf(section string) replicated.StateMachineType {
 	for _, t := range r.StateMachineTypes() {
 		if t.Section() == section {
@@ -95,11 +95,11 @@
 	return nil
 }
 
-// requiredFormat is the group's format below which a document with the section is rejected; 0: none. An
-// instance that does not know a section runs the document all the same, and ignores the section.
+// requiredFormat returns the earliest format of a group in which a document may have the section; 0: any. An
+// instance that does not support a section still applies the document, and ignores the section.
 //
-// Hazard: earlier programs checked this from format 4 on. To reject what they accept would be to agree
-// on something else than they do.
+// Earlier versions of the program checked this only for sections of format 4 and later. Instances must not
+// reject documents that those versions accept, because they would then agree on a different state.
 func (r Rules) requiredFormat(section string) int {
 	if t := r.typeOf(section); t != nil && t.SinceFormat() >= formatKnownSections {
 		return t.SinceFormat()
@@ -107,7 +107,7 @@
 	return 0
 }
 
-// HasCommand reports whether an entry of the log is a state machine's.
+// HasCommand reports whether an entry of the log is a command of a state machine.
 func (r Rules) HasCommand(e *schema.Change) bool {
 	for _, t := range r.StateMachineTypes() {
 		if t.OwnsEntry(e) {
@@ -117,7 +117,7 @@
 	return false
 }
 
-// config returns what a state machine may read of a document.
+// config returns the part of a document that the state machine configured by the section may read.
 func (r Rules) config(d *Document, section string) replicated.Config {
 	c := replicated.Config{Values: d.Sections[section], Format: r.format}
 	if c.Format == 0 {
--- a/internal/cluster/clusterstate/sessions.go
+++ b/internal/cluster/clusterstate/sessions.go
@@ -7,19 +7,20 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// Rollout returns the sessions and how the pending change is rolled out. It must not be changed.
+// Rollout returns the state of the rollout: the sessions and the pending change. The caller must not modify
+// it.
 func (s *State) Rollout() *rollout.State { return s.rollout }
 
-// RolloutPolicy returns how changes are rolled out now.
+// RolloutPolicy returns the rollout policy in force.
 func (s *State) RolloutPolicy() rollout.Policy { return s.rolloutPolicy }
 
-// isOpen reports whether a session is open.
-func (s *State) isOpen(id placement.Session) bool {
+// isSessionOpen reports whether a session is open.
+func (s *State) isSessionOpen(id placement.Session) bool {
 	session := s.rollout.Sessions[id.Member]
 	return session.Open && session.Epoch == id.Epoch
 }
 
-// EligibleOwners lists the members that may own something by placement: those with open sessions.
+// EligibleOwners lists the members that may be owners by placement: those with open sessions that use leases.
 func (s *State) EligibleOwners() []placement.Member {
 	var list []placement.Member
 	w := s.weights()
@@ -35,25 +36,25 @@
 	return list
 }
 
-// UpdateOwners passes the eligible owners on to the state machines. It is called after each entry of
-// the log.
+// UpdateOwners passes the eligible owners to the state machines. It is called after each log entry.
 func (s *State) UpdateOwners() {
 	owners := s.EligibleOwners()
-	for _, m := range s.machines {
+	for _, m := range s.stateMachines {
 		m.state.SetOwners(owners)
 	}
 }
 
-// PopExpiredSessions returns the sessions that have certainly ended since it was called last.
+// PopExpiredSessions returns the sessions that are guaranteed to have ended, and that earlier calls did not
+// return.
 func (s *State) PopExpiredSessions() []placement.Session {
 	list := s.expiredSessions
 	s.expiredSessions = nil
 	return list
 }
 
-// ApplyRollout applies a rollout command that is in the log. The outcome is for the operator who
-// requested it, if one did. decidedChange is the id of the pending change, if the command committed
-// or withdrew it.
+// ApplyRollout applies a rollout command from the log. The outcome is for the operator who requested the
+// command, if an operator did. decidedChange is the ID of the pending change if the command committed or
+// withdrew it, and empty otherwise.
 func (s *State) ApplyRollout(c rollout.Command) (o Outcome, decidedChange string) {
 	o = Outcome{Code: Accepted, Revision: s.CurrentRevision().Number}
 	if s.format < formatRollout {
@@ -68,15 +69,16 @@
 		o.Code, o.Problems = Invalid, []string{err.Error()}
 	} else {
 		s.expireSessions(c, before)
-		decidedChange = s.decidePending(c)
+		decidedChange = s.finishPending(c)
 	}
 	s.outcomes.addIfValid(c.ID, o)
 	return o, decidedChange
 }
 
-// decidePending follows the rollout once it has committed or withdrawn the pending change, and returns
-// the change's id.
-func (s *State) decidePending(c rollout.Command) string {
+// finishPending puts the pending revision into force or drops it if the rollout has committed or withdrawn
+// the change, and returns the change's ID. It returns an empty ID if nothing was pending or the change still
+// is.
+func (s *State) finishPending(c rollout.Command) string {
 	decided := s.pending
 	if s.rollout.Pending != nil || decided == nil {
 		return ""
@@ -86,18 +88,19 @@
 	if c.Kind == rollout.Commit {
 		decided.EffectiveAtMS = c.AtMS
 		s.addRevision(*decided)
-		s.configureMachines()
+		s.configureStateMachines()
 		o = Outcome{Code: Accepted, Revision: decided.Number}
 	}
 	s.outcomes.add(decided.ChangeID, o)
 	return decided.ChangeID
 }
 
-// expireSessions releases what belonged to sessions that have certainly ended: their lease has expired,
-// or the process that held them has been replaced. before is the command's member's session as it was.
+// expireSessions releases everything that belongs to sessions that are guaranteed to have ended, because
+// their lease has expired or the process that held them has been replaced. The argument before is the session
+// of the command's member before the command was applied.
 //
-// Hazard: a session that an operator has set aside may act until its lease ends; its leased tasks wait
-// for that.
+// A session that an operator has set aside is not released yet: its instance may act until its lease expires,
+// so its leased tasks are reassigned only then.
 func (s *State) expireSessions(c rollout.Command, before rollout.Session) {
 	switch c.Kind {
 	case rollout.ExpireSessions:
@@ -108,7 +111,7 @@
 			return slices.Contains(c.Sessions, rollout.SessionID(id))
 		}, "its session ended", c.AtMS)
 	case rollout.OpenSession:
-		// Hazard: one that was set aside and comes back is the same process.
+		// With the same incarnation, the process still runs: its session was set aside and is opened again.
 		if before.Open && before.Incarnation != c.Incarnation {
 			s.expiredSessions = append(s.expiredSessions,
 				placement.Session{Member: before.Member, Epoch: before.Epoch})
@@ -119,10 +122,10 @@
 	}
 }
 
-// releaseExpired has the state machines release what belonged to expired sessions. The reason is part of
-// the state.
+// releaseExpired makes the state machines release everything that belongs to expired sessions. The reason is
+// part of the state, so its text must not change.
 func (s *State) releaseExpired(expired func(placement.Session) bool, reason string, atMS int64) {
-	for _, m := range s.machines {
+	for _, m := range s.stateMachines {
 		m.state.SessionsExpired(expired, reason, atMS)
 	}
 }
--- a/internal/cluster/clusterstate/sessions_test.go
+++ b/internal/cluster/clusterstate/sessions_test.go
@@ -7,8 +7,8 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// A session whose lease has expired, or whose process has been replaced, has certainly ended; one that is
-// set aside may still act.
+// A session is guaranteed to have ended if its lease has expired or its process has been replaced. The
+// instance of a session that is set aside may still act.
 func TestOnlyCertainlyEndedSessionsExpire(t *testing.T) {
 	s := newState(t, Rules{}, sampleDocument(5))
 	open := func(incarnation uint64) rollout.Command {
@@ -27,7 +27,7 @@
 	} {
 		s.ApplyRollout(step.command)
 		if got := fmt.Sprint(s.PopExpiredSessions()); got != step.expired {
-			t.Errorf("after %d, %v: %s have expired, wanted %s", n, step.command.Kind, got, step.expired)
+			t.Errorf("after step %d, %v: %s have expired, want %s", n, step.command.Kind, got, step.expired)
 		}
 	}
 }
--- a/internal/cluster/clusterstate/settings.go
+++ b/internal/cluster/clusterstate/settings.go
@@ -8,14 +8,14 @@
 	"moorstack/balancer"
 )
 
-// The values of a class's effect and key_scope. The empty scope is the default.
+// The values of the keys effect and key_scope of a class. An empty key_scope is the default.
 var (
-	effects = map[string]balancer.Idempotency{
+	idempotencyValues = map[string]balancer.Idempotency{
 		"retryable": balancer.Idempotent,
 		"dedup":     balancer.IdempotentByKey,
 		"fragile":   balancer.NonIdempotent,
 	}
-	scopes = map[string]balancer.KeyScope{
+	keyScopeValues = map[string]balancer.KeyScope{
 		"":     balancer.ScopeAll,
 		"all":  balancer.ScopeAll,
 		"zone": balancer.ScopeZone,
@@ -23,8 +23,8 @@
 	}
 )
 
-// spelling returns the value that a document has for a setting.
-func spelling[V comparable](settings map[string]V, setting V) string {
+// settingText returns the text by which a document represents a setting; empty if it has none.
+func settingText[V comparable](settings map[string]V, setting V) string {
 	for text, v := range settings {
 		if v == setting && text != "" {
 			return text
@@ -33,14 +33,14 @@
 	return ""
 }
 
-// DocumentFromSettings returns the document that is equivalent to an instance's own settings: the
-// first one of a new group.
+// DocumentFromSettings returns the document that is equivalent to an instance's local settings. It becomes
+// the initial document of a new group.
 func DocumentFromSettings(s balancer.Settings) *Document {
 	d := &Document{}
 	for _, c := range s.Classes {
 		class := Class{
 			Name:             c.Name,
-			Idempotency:      spelling(effects, c.Idempotency),
+			Idempotency:      settingText(idempotencyValues, c.Idempotency),
 			Timeout:          Duration(c.Timeout),
 			LatencyObjective: Duration(c.LatencyObjective),
 			ObjectiveStretch: c.ObjectiveStretch,
@@ -49,7 +49,7 @@
 			MaxAttempts:      c.MaxAttempts,
 		}
 		if c.Idempotency == balancer.IdempotentByKey {
-			class.KeyScope, class.KeyWindow = spelling(scopes, c.KeyScope), Duration(c.KeyWindow)
+			class.KeyScope, class.KeyWindow = settingText(keyScopeValues, c.KeyScope), Duration(c.KeyWindow)
 		}
 		d.Classes = append(d.Classes, class)
 	}
@@ -60,8 +60,11 @@
 	return d
 }
 
-// ApplyTo returns an instance's own settings with the document's values in place of theirs. The
-// classes and tenants must be the same ones, in any order.
+// ApplyTo returns an instance's local settings with the values of the document. Both must have the same
+// classes and tenants, in any order.
+//
+// The error can become the reason of a withdrawn change and so part of the replicated state: its text must
+// not change.
 func (d *Document) ApplyTo(s balancer.Settings) (balancer.Settings, error) {
 	if len(d.Classes) != len(s.Classes) || len(d.Tenants) != len(s.Tenants) {
 		return s, fmt.Errorf(
@@ -91,7 +94,7 @@
 	return s, nil
 }
 
-// indexBy maps each element's name to its index.
+// indexBy returns the index of each element by its name.
 func indexBy[T any](list []T, name func(T) string) map[string]int {
 	index := make(map[string]int, len(list))
 	for i, x := range list {
@@ -100,10 +103,11 @@
 	return index
 }
 
-// applyTo sets what may change while instances run; what may not has to be equal already.
+// applyTo sets the values that can change while instances run. It returns an error if another value differs.
 func (c Class) applyTo(to *balancer.Class) error {
-	sameDedup := to.KeyScope == scopes[c.KeyScope] && to.KeyWindow == time.Duration(c.KeyWindow)
-	if to.Idempotency != effects[c.Idempotency] || to.Idempotency == balancer.IdempotentByKey && !sameDedup {
+	sameDedup := to.KeyScope == keyScopeValues[c.KeyScope] && to.KeyWindow == time.Duration(c.KeyWindow)
+	if to.Idempotency != idempotencyValues[c.Idempotency] ||
+		to.Idempotency == balancer.IdempotentByKey && !sameDedup {
 		return fmt.Errorf("class %q: this instance's own settings say otherwise what may run again", c.Name)
 	}
 	to.Timeout, to.LatencyObjective = time.Duration(c.Timeout), time.Duration(c.LatencyObjective)
--- a/internal/cluster/clusterstate/settings_test.go
+++ b/internal/cluster/clusterstate/settings_test.go
@@ -21,17 +21,17 @@
 		t.Fatal(err)
 	}
 	if c := got.Classes[0]; c.PriorityWeight != 15 || c.WorkerKind != 2 || c.Timeout != 15*time.Second {
-		t.Errorf("the class is %+v", c)
+		t.Errorf("the class is %+v, want the values of the document and worker kind 2", c)
 	}
 	if got.Tenants[0].QuotaPerSecond != 9 || settings.Classes[0].PriorityWeight != 1 {
-		t.Error("a tenant is wrong, or the settings given have changed")
+		t.Error("the quota of a tenant is wrong, or ApplyTo has modified its argument")
 	}
-	again, err := DocumentFromSettings(got).ApplyTo(got)
-	if err != nil || !slices.Equal(again.Classes, got.Classes) {
-		t.Errorf("to a document and back: %v", err)
+	roundTrip, err := DocumentFromSettings(got).ApplyTo(got)
+	if err != nil || !slices.Equal(roundTrip.Classes, got.Classes) {
+		t.Errorf("the settings differ after conversion to a document and back: %v", err)
 	}
 	settings.Classes[0].KeyScope = balancer.ScopeAll
 	if _, err := sampleDocument(5).ApplyTo(settings); err == nil {
-		t.Error("settings that differ in what may run again are accepted")
+		t.Error("settings with another key scope are accepted")
 	}
 }
--- a/internal/cluster/clusterstate/snapshot.go
+++ b/internal/cluster/clusterstate/snapshot.go
@@ -8,7 +8,7 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// snapshot is a State as it is written, without the fields of the state machines, which follow it.
+// snapshot is the encoded form of a State. The fields of the state machines are appended after these.
 type snapshot struct {
 	Format    int            `json:"format"`
 	ClusterID string         `json:"cluster"`
@@ -17,20 +17,20 @@
 	Members   []Member       `json:"members"`
 	Removed   []uint64       `json:"removed,omitempty"`
 
-	// From formatRollout on.
+	// Since formatRollout.
 	Sessions  []rollout.Session      `json:"sessions,omitempty"`
 	LastEpoch uint64                 `json:"epoch,omitempty"`
 	Rollout   *rollout.PendingChange `json:"phase,omitempty"`
 	Pending   *Revision              `json:"pending,omitempty"`
 }
 
-// savedOutcome is an outcome with its change's or command's id.
+// savedOutcome is an outcome with the ID of its change or command.
 type savedOutcome struct {
 	ID string `json:"id"`
 	Outcome
 }
 
-// Encode returns the state in bytes: equal states have equal bytes.
+// Encode returns the canonical encoding of the state: equal states have equal encodings.
 func (s *State) Encode() []byte {
 	saved := snapshot{
 		Format:    s.format,
@@ -47,7 +47,7 @@
 		saved.Outcomes = append(saved.Outcomes, savedOutcome{id, s.outcomes.byID[id]})
 	}
 	b := encode(saved)
-	for _, m := range s.machines {
+	for _, m := range s.stateMachines {
 		for _, f := range m.state.Snapshot() {
 			switch value := encode(f.Value); string(value) {
 			case "null", "0", "[]", "{}", `""`:
@@ -61,7 +61,7 @@
 	return b
 }
 
-// encode encodes a value of the state, which has been checked for what JSON can't express.
+// encode encodes a value of the state. Numbers that JSON can't represent have been rejected before.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -70,55 +70,58 @@
 	return b
 }
 
-// decode reads a snapshot and returns the fields of the state machines apart.
-func (s *snapshot) decode(machines []machine, b []byte) (map[string]json.RawMessage, error) {
-	all, machineFields := map[string]json.RawMessage{}, map[string]json.RawMessage{}
-	if err := json.Unmarshal(b, &all); err != nil {
+// decode decodes a snapshot into s, and returns the fields of the state machines undecoded.
+func (s *snapshot) decode(stateMachines []stateMachine, b []byte) (map[string]json.RawMessage, error) {
+	fields, machineFields := map[string]json.RawMessage{}, map[string]json.RawMessage{}
+	if err := json.Unmarshal(b, &fields); err != nil {
 		return nil, err
 	}
-	for _, m := range machines {
+	for _, m := range stateMachines {
 		for _, f := range m.state.Snapshot() {
-			if text, ok := all[f.Name]; ok {
+			if text, ok := fields[f.Name]; ok {
 				machineFields[f.Name] = text
-				delete(all, f.Name)
+				delete(fields, f.Name)
 			}
 		}
 	}
-	return machineFields, decodeStrictly(encode(all), s)
+	return machineFields, decodeStrictly(encode(fields), s)
 }
 
-// validate checks what the rest of the program relies on.
+// validate checks the properties of a snapshot that other code relies on.
 func (s *snapshot) validate() error {
 	switch {
 	case s.Format < 1 || s.Format > LatestFormat:
-		return fmt.Errorf("an agreed state of format %d; this program reads 1 to %d", s.Format, LatestFormat)
+		return fmt.Errorf("the replicated state has format %d, this program supports formats 1 to %d",
+			s.Format, LatestFormat)
 	case (s.Rollout == nil) != (s.Pending == nil) || s.Pending != nil && s.Pending.Document == nil:
-		return errors.New("reading an agreed state: half a change is pending")
+		return errors.New("decoding the replicated state: the pending change is incomplete")
 	case len(s.Revisions) == 0 || len(s.Outcomes) > maxOutcomes:
-		return fmt.Errorf("reading an agreed state: %d revisions, %d ids", len(s.Revisions), len(s.Outcomes))
+		return fmt.Errorf("decoding the replicated state: invalid number of revisions (%d) or outcomes (%d)",
+			len(s.Revisions), len(s.Outcomes))
 	}
 	last := uint64(0)
 	for _, r := range s.Revisions {
 		if r.Document == nil || r.Number <= last {
-			return fmt.Errorf("reading an agreed state: revision %d after %d", r.Number, last)
+			return fmt.Errorf("decoding the replicated state: revision %d follows %d or has no document",
+				r.Number, last)
 		}
 		last = r.Number
 	}
 	return nil
 }
 
-// Restore reads what Encode wrote.
+// Restore returns the state that Encode encoded.
 func Restore(rules Rules, b []byte) (*State, error) {
 	var saved snapshot
-	machines := rules.newMachines(0)
-	machineFields, err := saved.decode(machines, b)
+	stateMachines := rules.newStateMachines(0)
+	machineFields, err := saved.decode(stateMachines, b)
 	if err != nil {
-		return nil, fmt.Errorf("reading an agreed state: %w", err)
+		return nil, fmt.Errorf("decoding the replicated state: %w", err)
 	}
 	if err := saved.validate(); err != nil {
 		return nil, err
 	}
-	if err := restoreMachines(machines, machineFields); err != nil {
+	if err := restoreStateMachines(stateMachines, machineFields); err != nil {
 		return nil, err
 	}
 	s := &State{
@@ -131,7 +134,7 @@
 		removed:   saved.Removed,
 		rollout: &rollout.State{Sessions: map[uint64]rollout.Session{}, LastEpoch: saved.LastEpoch,
 			Pending: saved.Rollout},
-		machines: machines,
+		stateMachines: stateMachines,
 	}
 	for _, session := range saved.Sessions {
 		s.rollout.Sessions[session.Member] = session
@@ -139,19 +142,20 @@
 	for _, r := range saved.Revisions {
 		s.addRevision(r)
 	}
-	s.configureMachines()
+	s.configureStateMachines()
 	for _, o := range saved.Outcomes {
 		s.outcomes.add(o.ID, o.Outcome)
 	}
 	for _, m := range saved.Members {
 		s.members[m.ID] = m
 	}
-	// Hazard: the first entry after a snapshot must find the same owners as where there was none.
+	// The first entry after a snapshot must be applied with the same owners as on instances that did not
+	// restore one.
 	s.UpdateOwners()
 	return s, nil
 }
 
-func restoreMachines(machines []machine, fields map[string]json.RawMessage) error {
+func restoreStateMachines(stateMachines []stateMachine, fields map[string]json.RawMessage) error {
 	read := func(field string, into any) (bool, error) {
 		text, ok := fields[field]
 		if !ok {
@@ -159,9 +163,9 @@
 		}
 		return true, decodeStrictly(text, into)
 	}
-	for _, m := range machines {
+	for _, m := range stateMachines {
 		if err := m.state.Restore(read); err != nil {
-			return fmt.Errorf("reading an agreed state: %s: %w", m.Section(), err)
+			return fmt.Errorf("decoding the replicated state: section %s: %w", m.Section(), err)
 		}
 	}
 	return nil
--- a/internal/cluster/clusterstate/snapshot_test.go
+++ b/internal/cluster/clusterstate/snapshot_test.go
@@ -19,25 +19,27 @@
 		ProposedAt: time.UnixMilli(17)})
 	applyAndCommit(s, proposal("b", 1, 7))
 	s.ApplyMembership([]Member{{2, "n2", "127.0.0.1:2"}}, []uint64{1})
-	r := restoreCopy(t, s)
-	if !bytes.Equal(r.Encode(), s.Encode()) || !r.WasRemoved(1) {
-		t.Fatalf("%s is restored from %s", r.Encode(), s.Encode())
+	restored := restoreCopy(t, s)
+	if !bytes.Equal(restored.Encode(), s.Encode()) || !restored.WasRemoved(1) {
+		t.Fatalf("the restored state is %s, want %s, with member 1 removed", restored.Encode(), s.Encode())
 	}
-	restored, original := applyAndCommit(r, proposal("c", 2, 8)), applyAndCommit(s, proposal("c", 2, 8))
-	if restored.Revision != 3 || original.Revision != 3 || !bytes.Equal(r.Encode(), s.Encode()) {
-		t.Errorf("they differ after a change: %+v, %+v", restored, original)
+	restoredOutcome, outcome := applyAndCommit(restored, proposal("c", 2, 8)),
+		applyAndCommit(s, proposal("c", 2, 8))
+	if restoredOutcome.Revision != 3 || outcome.Revision != 3 || !bytes.Equal(restored.Encode(), s.Encode()) {
+		t.Errorf("after the same change the states differ: the outcomes are %+v and %+v", restoredOutcome,
+			outcome)
 	}
-	for _, invalid := range []string{"", "{}", fmt.Sprintf(`{"format":%d}`, LatestFormat+1),
+	for _, invalidSnapshot := range []string{"", "{}", fmt.Sprintf(`{"format":%d}`, LatestFormat+1),
 		`{"format":1,"history":[{"revision":1}]}`,
 		strings.Replace(string(s.Encode()), `,"cluster":`, `,"new":1,"cluster":`, 1)} {
-		if _, err := Restore(Rules{}, []byte(invalid)); err == nil {
-			t.Errorf("restored from %q", invalid)
+		if _, err := Restore(Rules{}, []byte(invalidSnapshot)); err == nil {
+			t.Errorf("Restore accepts the invalid snapshot %q", invalidSnapshot)
 		}
 	}
 }
 
-// At whatever entry an instance continues from a snapshot, it comes to the same state as one that never
-// did.
+// An instance that restores a snapshot at any log entry must reach the same state as an instance that does
+// not restore one.
 func TestTriggersContinueFromASnapshot(t *testing.T) {
 	d := sampleDocument(5)
 	d.Sections["schedule"] = map[string]string{"zone": "UTC", "trigger.a": "* * * * * class=trip-quote",
@@ -45,15 +47,15 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		s := newState(t, Rules{}, d)
-		r := s
+		restored := s
 		now := int64(1_800_000_000)
 		for range 200 {
 			if rng.IntN(5) == 0 {
-				r = restoreCopy(t, r)
+				restored = restoreCopy(t, restored)
 			}
 			now += int64(rng.IntN(60))
 			session, command := randomTriggerCommand(rng, s, now)
-			for _, x := range []*State{s, r} {
+			for _, x := range []*State{s, restored} {
 				if session.Kind != rollout.None {
 					x.ApplyRollout(session)
 				} else {
@@ -61,18 +63,19 @@
 				}
 				x.UpdateOwners()
 			}
-			if !bytes.Equal(s.Encode(), r.Encode()) {
-				t.Fatalf("seed %d, after %v %+v:\n%s\n%s", seed, session.Kind, command, s.Encode(),
-					r.Encode())
+			if !bytes.Equal(s.Encode(), restored.Encode()) {
+				t.Fatalf("seed %d: the states differ after %v %+v:\n%s\n%s", seed, session.Kind, command,
+					s.Encode(), restored.Encode())
 			}
 		}
 		if s.Schedule().LastNumber == 0 {
-			t.Error("nothing was intended")
+			t.Error("no firing was intended")
 		}
 	}
 }
 
-// randomTriggerCommand draws a command of the sessions, or, if that is None, one of the triggers.
+// randomTriggerCommand returns a random command for the sessions, or, if that is of the kind None, one for
+// the triggers.
 func randomTriggerCommand(rng *rand.Rand, s *State, now int64) (rollout.Command, schedule.Command) {
 	triggers := s.Schedule().Policy()
 	member := s.rollout.Sessions[uint64(1+rng.IntN(3))]
--- a/internal/cluster/clusterstate/state.go
+++ b/internal/cluster/clusterstate/state.go
@@ -8,46 +8,49 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// State is the replicated state. Make one with New or Restore.
+// State is the replicated state. It is created by New or Restore.
 type State struct {
 	rules     Rules
 	clusterID string
 	format    int
 	revisions revisionLog
-	pending   *Revision // that is being rolled out
+	pending   *Revision // nil if none is being rolled out
 	outcomes  outcomeLog
 	members   map[uint64]Member
-	removed   []uint64 // members by number, oldest first
+	removed   []uint64 // numbers of removed members, oldest first
 
 	rollout         *rollout.State
 	rolloutPolicy   rollout.Policy // of the revision in force
-	machines        []machine
-	expiredSessions []placement.Session // since they were taken last
+	stateMachines   []stateMachine
+	expiredSessions []placement.Session // since the last call of PopExpiredSessions
 }
 
-// New makes the state of a new group with one member. The first document has the revision after
-// the given one, so that a group made from a backup continues its numbers; 0 for one made from
-// nothing. It fails if the document is not valid.
-func New(rules Rules, clusterID string, first *Document, after uint64, founder Member) (*State, error) {
+// New returns the state of a new group with one member, or an error if the first document is invalid. The
+// document gets the revision after lastRevision: a group that is created from a backup continues the backup's
+// numbers, and any other group starts after 0.
+func New(
+	rules Rules, clusterID string, first *Document, lastRevision uint64, firstMember Member,
+) (*State, error) {
 	s := &State{
 		rules:     rules,
 		clusterID: clusterID,
 		format:    LatestFormat,
 		outcomes:  newOutcomeLog(),
-		members:   map[uint64]Member{founder.ID: founder},
+		members:   map[uint64]Member{firstMember.ID: firstMember},
 		rollout:   rollout.NewState(),
-		// Hazard: a group made from a backup must not use the numbers of the group that the backup was made
-		// of, which may have used more since.
-		machines: rules.newMachines(after << 32),
+		// A group that is created from a backup must not reuse fencing tokens and sequence numbers of the
+		// original group, which may have used more of them since the backup. So they start at a value that
+		// the revision determines.
+		stateMachines: rules.newStateMachines(lastRevision << 32),
 	}
 	if !first.isFinite() {
-		return nil, errors.New("the first document has a number that is none")
+		return nil, errors.New("the first document has a number that is not finite")
 	}
 	if problems := rules.Validate(first); len(problems) > 0 {
-		return nil, fmt.Errorf("the first document is not valid: %v", problems)
+		return nil, fmt.Errorf("the first document is invalid: %v", problems)
 	}
-	s.addRevision(Revision{Number: after + 1, ChangeID: "first", Document: first})
-	s.configureMachines()
+	s.addRevision(Revision{Number: lastRevision + 1, ChangeID: "first", Document: first})
+	s.configureStateMachines()
 	s.UpdateOwners()
 	return s, nil
 }
@@ -58,21 +61,21 @@
 	s.rolloutPolicy, _ = rollout.ParsePolicy(r.Document.Sections[rollout.Section])
 }
 
-// ClusterID returns the group's identity, drawn when the group was made.
+// ClusterID returns the group's ID, which was generated when the group was created.
 func (s *State) ClusterID() string { return s.clusterID }
 
-// Format returns the group's format, which all its instances can read.
+// Format returns the group's format, which all its instances support.
 func (s *State) Format() int { return s.format }
 
-// UpgradeFormat takes the group to LatestFormat. In a group without sessions so far, each instance
-// gets one.
+// UpgradeFormat switches the group to LatestFormat. If the group had no sessions before, each instance gets
+// an unleased session.
 func (s *State) UpgradeFormat() {
 	if s.format >= LatestFormat {
 		return
 	}
 	before := s.format
 	s.format = LatestFormat
-	s.configureMachines()
+	s.configureStateMachines()
 	if before >= formatRollout {
 		return
 	}
--- a/internal/cluster/clusterstate/state_machines.go
+++ b/internal/cluster/clusterstate/state_machines.go
@@ -9,26 +9,27 @@
 	"moorstack/internal/schema"
 )
 
-// machine is a replicated state machine with its type.
-type machine struct {
+// stateMachine is a replicated state machine with its type.
+type stateMachine struct {
 	replicated.StateMachineType
 	state replicated.StateMachine
 }
 
-// newMachines makes the state machines of a new group. Their numbers come after the given one.
-func (r Rules) newMachines(after uint64) []machine {
-	var list []machine
+// newStateMachines returns the state machines of a new group. Their fencing tokens and sequence numbers are
+// greater than lastNumber.
+func (r Rules) newStateMachines(lastNumber uint64) []stateMachine {
+	var list []stateMachine
 	for _, t := range r.StateMachineTypes() {
-		if state := t.NewStateMachine(after); state != nil {
-			list = append(list, machine{t, state})
+		if state := t.NewStateMachine(lastNumber); state != nil {
+			list = append(list, stateMachine{t, state})
 		}
 	}
 	return list
 }
 
-// StateMachine returns the state machine that a section configures, or nil. It must not be changed.
+// StateMachine returns the state machine that a section configures, or nil. The caller must not modify it.
 func (s *State) StateMachine(section string) replicated.StateMachine {
-	for _, m := range s.machines {
+	for _, m := range s.stateMachines {
 		if m.Section() == section {
 			return m.state
 		}
@@ -36,9 +37,9 @@
 	return nil
 }
 
-// DecodeCommand reads a state machine's command from an entry, if it has one.
+// DecodeCommand decodes the state machine command in a log entry; false if the entry has none.
 func (s *State) DecodeCommand(e *schema.Change) (replicated.Command, bool) {
-	for _, m := range s.machines {
+	for _, m := range s.stateMachines {
 		if c, ok := m.state.Decode(e); ok {
 			return c, true
 		}
@@ -46,13 +47,13 @@
 	return replicated.Command{}, false
 }
 
-// ApplyCommand applies a state machine's command that is in the log.
+// ApplyCommand applies a state machine command from the log.
 func (s *State) ApplyCommand(c replicated.Command) Outcome {
 	if known, ok := s.outcomes.get(c.ID); ok && c.ID != "" {
 		return known
 	}
 	o := Outcome{Code: Accepted, Revision: s.CurrentRevision().Number}
-	if err := c.Apply(s.isOpen); err != nil {
+	if err := c.Apply(s.isSessionOpen); err != nil {
 		o.Code, o.Problems = Invalid, []string{err.Error()}
 	}
 	if c.RememberOutcome {
@@ -61,36 +62,36 @@
 	return o
 }
 
-// configureMachines has the state machines use the revision in force. It has been validated.
+// configureStateMachines passes the revision in force, which has been validated, to the state machines.
 //
-// Hazard: a section of a state machine that the group does not know yet may hold anything, and older
-// programs ignore it.
-func (s *State) configureMachines() {
+// State machines that the group's format does not support yet are left out: their sections have not been
+// validated, and older programs ignore them.
+func (s *State) configureStateMachines() {
 	d := s.CurrentRevision().Document
-	for _, m := range s.machines {
+	for _, m := range s.stateMachines {
 		if s.format >= m.SinceFormat() {
 			m.state.Configure(s.rules.config(d, m.Section()))
 		}
 	}
 }
 
-// LeasedTasks returns who holds which task. It must not be changed.
+// LeasedTasks returns the state of the leased tasks. The caller must not modify it.
 func (s *State) LeasedTasks() *leasedtask.State {
 	return s.StateMachine(leasedtask.Section).(*leasedtask.StateMachine).State
 }
 
-// Schedule returns how far the triggers have come. It must not be changed.
+// Schedule returns the state of the triggers. The caller must not modify it.
 func (s *State) Schedule() *schedule.State {
 	return s.StateMachine(schedule.Section).(*schedule.StateMachine).State
 }
 
-// weights are the instances', or nil if the group has none.
+// weights returns the state machine of the instances' weights, or nil if the rules have none.
 func (s *State) weights() *weights.StateMachine {
 	w, _ := s.StateMachine(weights.Section).(*weights.StateMachine)
 	return w
 }
 
-// PlacementView returns who may own what by placement now.
+// PlacementView returns the current placement view.
 func (s *State) PlacementView() placement.View {
 	v := placement.View{Members: s.EligibleOwners()}
 	weightChanges := uint64(0)
--- a/internal/cluster/clusterstate/validate.go
+++ b/internal/cluster/clusterstate/validate.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// maxDuration is the longest time that a document may name.
+// maxDuration is the longest duration that a document may have.
 const maxDuration = 24 * time.Hour
 
-// shareTolerance allows for the rounding of a sum of shares.
+// shareTolerance allows for rounding errors in the sum of the shares.
 const shareTolerance = 1e-9
 
-// problems collects what is wrong with a document, or what differs between two, a line each.
+// problems collects the problems of a document or the differences between two documents, one per line.
 type problems []string
 
 func (p *problems) add(where, format string, args ...any) {
 	*p = append(*p, where+": "+fmt.Sprintf(format, args...))
 }
 
-// Validate returns all that is wrong with a document by itself.
+// Validate returns all problems of a document, regardless of the document before it.
 func (r Rules) Validate(d *Document) []string {
 	var p problems
 	p.checkCounts(d)
@@ -43,10 +43,10 @@
 	}
 }
 
-// checkName checks the name of the entry at an index of an array of tables.
+// checkName checks the name of an entry in an array of tables: it must be valid, and not be in seen.
 func (p *problems) checkName(table string, index int, name string, seen map[string]bool) {
-	if why := invalidName(name); why != "" {
-		p.add(fmt.Sprintf("%s[%d]", table, index), "name: %s", why)
+	if reason := invalidName(name); reason != "" {
+		p.add(fmt.Sprintf("%s[%d]", table, index), "name: %s", reason)
 	} else if seen[name] {
 		p.add(fmt.Sprintf("%s %q", table, name), "there are two of this name")
 	}
@@ -62,10 +62,10 @@
 }
 
 func (p *problems) checkClass(where string, c Class) {
-	if _, ok := effects[c.Idempotency]; !ok {
+	if _, ok := idempotencyValues[c.Idempotency]; !ok {
 		p.add(where, "effect: %q is not retryable, dedup or fragile", c.Idempotency)
 	}
-	if _, ok := scopes[c.KeyScope]; !ok {
+	if _, ok := keyScopeValues[c.KeyScope]; !ok {
 		p.add(where, "key_scope: %q is not all, zone or cell", c.KeyScope)
 	}
 	if c.Idempotency != "dedup" && (c.KeyScope != "" || c.KeyWindow != 0) {
@@ -120,16 +120,16 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Sections)) {
 		where := fmt.Sprintf("section %q", name)
-		if why := invalidName(name); why != "" {
-			p.add(where, "%s", why)
+		if reason := invalidName(name); reason != "" {
+			p.add(where, "%s", reason)
 		}
 		values := d.Sections[name]
 		if len(values) > maxKeys {
 			p.add(where, "there are %d keys, %d are allowed", len(values), maxKeys)
 		}
 		for _, key := range slices.Sorted(maps.Keys(values)) {
-			if why := invalidName(key); why != "" {
-				p.add(where, "key %q: %s", key, why)
+			if reason := invalidName(key); reason != "" {
+				p.add(where, "key %q: %s", key, reason)
 			}
 		}
 		if t := r.typeOf(name); t != nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-// invalidName reports why a text can't be a name; empty: it can.
+// invalidName returns why a text is not a valid name; empty if it is valid.
 func invalidName(s string) string {
 	switch {
 	case s == "":
@@ -158,8 +158,8 @@
 	return ""
 }
 
-// ValidateChange returns all that is wrong with a document as the next one after the current: also
-// what can't change while instances run, with the reason.
+// ValidateChange returns all problems of a document as the successor of the current one. They include changes
+// that are not possible while instances run.
 func (r Rules) ValidateChange(current, next *Document) []string {
 	p := problems(r.Validate(next))
 	p.checkClassChanges(current.Classes, next.Classes)
@@ -168,42 +168,42 @@
 }
 
 func (p *problems) checkClassChanges(current, next []Class) {
-	removed := map[string]Class{}
+	unmatched := map[string]Class{}
 	for _, c := range current {
-		removed[c.Name] = c
+		unmatched[c.Name] = c
 	}
 	for _, c := range next {
 		where := fmt.Sprintf("class %q", c.Name)
-		before, ok := removed[c.Name]
+		before, ok := unmatched[c.Name]
 		if !ok {
 			p.add(where, "a class can't be added while instances run: their own files must name it first")
 			continue
 		}
-		delete(removed, c.Name)
+		delete(unmatched, c.Name)
 		if c.Idempotency != before.Idempotency || c.KeyScope != before.KeyScope ||
 			c.KeyWindow != before.KeyWindow {
 			p.add(where,
 				"effect, key_scope and window can't change while instances run: open jobs may have run")
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(removed)) {
+	for _, name := range slices.Sorted(maps.Keys(unmatched)) {
 		p.add(fmt.Sprintf("class %q", name),
 			"a class can't be removed while instances run: jobs of it may be open")
 	}
 }
 
 func (p *problems) checkTenantChanges(current, next []Tenant) {
-	removed := map[string]bool{}
+	unmatched := map[string]bool{}
 	for _, t := range current {
-		removed[t.Name] = true
+		unmatched[t.Name] = true
 	}
 	for _, t := range next {
-		if !removed[t.Name] {
+		if !unmatched[t.Name] {
 			p.add(fmt.Sprintf("tenant %q", t.Name), "a tenant can't be added while instances run")
 		}
-		delete(removed, t.Name)
+		delete(unmatched, t.Name)
 	}
-	for _, name := range slices.Sorted(maps.Keys(removed)) {
+	for _, name := range slices.Sorted(maps.Keys(unmatched)) {
 		p.add(fmt.Sprintf("tenant %q", name),
 			"a tenant can't be removed while instances run: jobs of it may be open")
 	}
--- a/internal/cluster/clusterstate/validate_test.go
+++ b/internal/cluster/clusterstate/validate_test.go
@@ -16,7 +16,7 @@
 			return nil
 		},
 	}}
-	for want, spoil := range map[string]func(*Document){
+	for want, modify := range map[string]func(*Document){
 		"at least one":     func(d *Document) { d.Classes = nil },
 		"two of this name": func(d *Document) { d.Classes[1].Name = "trip-quote" },
 		"it is empty":      func(d *Document) { d.Classes[0].Name = "" },
@@ -40,13 +40,13 @@
 		t.Run(want, func(t *testing.T) {
 			s := newState(t, rules, sampleDocument(5))
 			c := proposal("x", 1, 9)
-			spoil(c.Document)
+			modify(c.Document)
 			o := applyAndCommit(s, c)
 			if o.Code != Invalid || !strings.Contains(strings.Join(o.Problems, "\n"), want) {
 				t.Errorf("%v %v", o.Code, o.Problems)
 			}
 			if s.CurrentRevision().Number != 1 {
-				t.Error("the document is in force")
+				t.Error("the invalid document is in force")
 			}
 		})
 	}
