--- a/internal/cluster/replicated/state_machine.go
+++ b/internal/cluster/replicated/state_machine.go
@@ -23,7 +23,7 @@
 	// tokens and sequence numbers are greater than lastNumber.
 	NewStateMachine(lastNumber uint64) StateMachine
 	// NewParticipant returns an instance's participant, or nil if the type has none.
-	NewParticipant(o LocalInfo) Participant
+	NewParticipant(local LocalInfo) Participant
 }
 
 // Config is the part of a document that a state machine may read.
--- a/internal/cluster/rollout/model_test.go
+++ b/internal/cluster/rollout/model_test.go
@@ -140,7 +140,7 @@
 func (m *model) Violation() string {
 	for i := range m.instances {
 		if revision := m.instances[i].revision; m.admits(i) && revision < m.newestAdmitted {
-			return fmt.Sprintf("n%d may admit jobs under revision %d after another instance may have under %d",
+			return fmt.Sprintf("n%d may admit jobs under revision %d, another instance may have under %d",
 				i+1, revision, m.newestAdmitted)
 		}
 	}
--- a/internal/cluster/rollout/policy.go
+++ b/internal/cluster/rollout/policy.go
@@ -122,9 +122,8 @@
 	roundingMargin = 1.05
 )
 
-// ExpiryWait returns how long after granting a lease the leader must wait, on its own clock, until the lease
-// is guaranteed to have expired. This holds for all rates of the leader's and the holder's clocks within the
-// bounds.
+// ExpiryWait returns how long the leader must wait, on its own clock, after it has granted a lease, until the
+// lease is guaranteed to have expired at all rates of the leader's and the holder's clocks within the bounds.
 func ExpiryWait(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*fastestClockRate/slowestClockRate*roundingMargin) + time.Millisecond
 }
