--- a/internal/frontend/platform/adoption.go
+++ b/internal/frontend/platform/adoption.go
@@ -10,17 +10,18 @@
 	"moorstack/internal/proxy/hotrestart"
 )
 
-// adoption is an open request that another process of the node accepted and could not finish in the time
-// that it had. Its attempts are outstanding at workers; this process waits for their call-backs and responds
-// to the client. It begins no further attempt: only the other process knows what the first may have done.
+// adoption is the state of an open request that the other process of the node accepted and could not finish
+// before its end. Its attempts are outstanding at workers; this process waits for their call-backs and
+// responds to the client. It starts no further attempt, since only the other process knows what the earlier
+// attempts may have done.
 type adoption struct {
-	workers []string         // that have accepted it and not called back yet
+	workers []string         // workers that have accepted it and not called back yet
 	timer   *eventloop.Timer // for the request's deadline
 }
 
-// MigrateRequests migrates open requests to the other process, by send, until send fails. It returns how
-// many. A request stays if one of its attempts was not accepted by the worker yet, or if it waits for a
-// worker.
+// MigrateRequests migrates open requests to the other process by calling send for each, until send fails. It
+// returns the number of migrated requests. A request stays here if it waits for a worker, or if one of its
+// attempts has not been accepted by its worker yet.
 func (f *Front) MigrateRequests(
 	send func(r hotrestart.MigratedRequest, clientFD int) error,
 ) (migrated int) {
@@ -46,13 +47,13 @@
 			f.broker.Migrate(c.requestID)
 		}
 		c.conn.Detach()
-		c.forget()
+		c.unregister()
 	}
 	return migrated
 }
 
-// outstanding returns the workers that have accepted the client's request, and its deadline. It is not ok if
-// there are none, or if an attempt was not accepted yet.
+// outstanding returns the workers that have accepted the client's request, and the request's deadline. ok is
+// false if there is no such worker or if an attempt has not been accepted yet.
 func (f *Front) outstanding(c *client) (workers []string, deadline time.Duration, ok bool) {
 	if c.adoption != nil {
 		return c.adoption.workers, c.deadline, len(c.adoption.workers) > 0
@@ -67,10 +68,10 @@
 	return workers, deadline, len(workers) > 0
 }
 
-// AdoptRequest takes over a request that the other process has migrated, with its client's connection. The
-// descriptor is this process's from here on, unless an error is returned.
+// AdoptRequest adopts a request that the other process has migrated, together with its client's connection.
+// The Front owns the descriptor from then on, unless an error is returned.
 func (f *Front) AdoptRequest(r *hotrestart.MigratedRequest, clientFD int) error {
-	deadline := r.Deadline // an older process sends no timeout
+	deadline := r.Deadline // older versions send no timeout
 	if r.Timeout > 0 {
 		deadline = f.loop.Now() + r.Timeout
 	}
@@ -96,20 +97,21 @@
 	return nil
 }
 
+// removeAdopted ends the adoption of a client's request.
 func (f *Front) removeAdopted(c *client) {
 	c.adoption.timer.Stop()
 	delete(f.adopted, c.requestID)
 	c.adoption = nil
 }
 
-// respondAdopted gives an adopted request its final response.
+// respondAdopted sends the final response to an adopted request.
 func (f *Front) respondAdopted(c *client, r broker.Response) {
 	f.removeAdopted(c)
 	c.Respond(r)
 }
 
-// handleAdoptedCallBack reports whether the call-back was for an adopted request. The first result is the
-// response; once no attempt is outstanding the request has failed.
+// handleAdoptedCallBack applies a call-back for an adopted request, and reports false if it is for none. The
+// first result becomes the response; the request fails once no attempt is outstanding.
 func (f *Front) handleAdoptedCallBack(cb *callBack) bool {
 	c := f.adopted[cb.RequestID]
 	if c == nil || !slices.Contains(c.adoption.workers, cb.Worker) {
@@ -130,7 +132,7 @@
 	return true
 }
 
-// abandonAdopted cancels an adopted request whose client has disconnected.
+// abandonAdopted cancels the attempts of an adopted request whose client has disconnected.
 func (f *Front) abandonAdopted(c *client) {
 	for _, name := range c.adoption.workers {
 		if w := f.workers[name]; w != nil {
--- a/internal/frontend/platform/call_back.go
+++ b/internal/frontend/platform/call_back.go
@@ -6,14 +6,14 @@
 	"moorstack/balancer"
 )
 
-// callBackState is what a worker reports of an attempt that it has accepted.
+// callBackState is the state that a worker reports of an attempt that it has accepted.
 type callBackState string
 
 const (
 	callBackDone     callBackState = "done"
 	callBackFailed   callBackState = "failed"
-	callBackReturned callBackState = "returned" // it was not run, and may run elsewhere
-	callBackLost     callBackState = "lost"     // whether it ran is unknown
+	callBackReturned callBackState = "returned" // not run; may run elsewhere
+	callBackLost     callBackState = "lost"     // unknown whether it ran
 	callBackStarted  callBackState = "started"
 	callBackRunning  callBackState = "running"
 )
@@ -24,12 +24,13 @@
 	Worker    string             `json:"from"`
 	State     callBackState      `json:"state"`
 	Result    *string            `json:"result"`
-	Share     float64            `json:"share"` // of the work that is done
+	Share     float64            `json:"share"` // fraction of the work that is done
 	Load      map[string]float64 `json:"load"`
 }
 
-// handleCallBack reports whether the call-back was for an attempt of this process. It may come before the
-// 202, more than once, or late: it ends only the attempt that is outstanding at the worker that sent it.
+// handleCallBack applies a call-back, and reports false if it belongs to no attempt of this process. A
+// call-back may come before the 202, more than once, or late; it ends only an attempt that is outstanding at
+// the worker that sent it. A malformed call-back is logged and counts as handled.
 func (f *Front) handleCallBack(body []byte) bool {
 	var cb callBack
 	if err := json.Unmarshal(body, &cb); err != nil {
@@ -62,5 +63,5 @@
 	case callBackStarted, callBackRunning:
 		return f.broker.ReportProgress(cb.RequestID, cb.Worker, cb.State == callBackStarted, cb.Share)
 	}
-	return true // no state of the protocol
+	return true // a state that the protocol does not define
 }
--- a/internal/frontend/platform/client.go
+++ b/internal/frontend/platform/client.go
@@ -19,37 +19,37 @@
 
 var errNotFound = errors.New("there is nothing here")
 
-// client is an accepted connection: of a client, or of a worker that calls back.
+// client is an accepted connection from a client, or from a worker that calls back.
 type client struct {
 	front  *Front
 	conn   *eventloop.Conn
 	parser http1.Parser
 
-	requestID      string // of the request that awaits its response
-	class          int    // its class's number; -1: it has none
-	rule           string // the routing rule that decided, if one did
+	requestID      string // of the request that waits for its response
+	class          int    // index of the request's class; -1: none
+	rule           string // name of the routing rule that matched; empty: none
 	awaitsResponse bool
 	adoption       *adoption     // set if the request was migrated from the other process
 	deadline       time.Duration // of a migrated request
 
-	callBackForwarded  bool // its call-back is with the other process, which has not answered yet
+	callBackForwarded  bool // a call-back was forwarded to the other process, which has not confirmed it yet
 	closeAfterResponse bool
 	continueSent       bool // a 100 response has been sent for the request being read
-	isWorker           bool // it has called back
+	isWorker           bool // a call-back has come on this connection
 
 	openedAt    time.Duration
-	sentMessage bool // a complete message has come on it
+	sentMessage bool // a complete message has come on this connection
 }
 
 var _ eventloop.Handler = (*client)(nil)
 var _ broker.Client = (*client)(nil)
 var _ broker.DisconnectChecker = (*client)(nil)
 
-// OnConnect implements eventloop.Handler; an accepted connection is up already.
+// OnConnect implements eventloop.Handler. An accepted connection is already established.
 func (c *client) OnConnect(*eventloop.Conn) {}
 
-// mayRead reports whether the next request may be read: a pipelined one waits for the response to the one
-// before it.
+// mayRead reports whether the next request may be read. A pipelined request waits for the response to the
+// previous one.
 func (c *client) mayRead() bool {
 	return !c.awaitsResponse && !c.callBackForwarded && !c.closeAfterResponse && !c.conn.Closed() &&
 		len(c.conn.Input()) > 0
@@ -60,7 +60,8 @@
 	for c.mayRead() {
 		complete, err := c.parser.Feed(c.conn.Input())
 		if err == nil && !complete && c.conn.InputFull() {
-			// Hazard: a body in chunks of a byte is mostly framing, and would wait here unread.
+			// A body in chunks of one byte is mostly framing and fills the input buffer before it is
+			// complete; without this check the connection would stall.
 			err = &http1.ProtocolError{Status: 413, Reason: "the framing of the body is too large"}
 		}
 		if err != nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// sendContinue has the sender of an incomplete request send its body, if it waits for a 100 response.
+// sendContinue sends a 100 response if the sender of an incomplete request waits for one before the body.
 func (c *client) sendContinue() {
 	if c.parser.HeadComplete() && c.parser.ExpectsContinue && !c.continueSent {
 		c.continueSent = true
@@ -90,7 +91,7 @@
 	}
 }
 
-// rejectMalformed ends a connection whose input can't be parsed on.
+// rejectMalformed rejects input that can't be parsed and closes the connection.
 func (c *client) rejectMalformed(err error) {
 	status := 400
 	if bad := (*http1.ProtocolError)(nil); errors.As(err, &bad) {
@@ -99,20 +100,19 @@
 	c.rejectInvalid(status, err)
 }
 
-// rejectInvalid responds to what is no valid request, and ends the connection.
-//
-// Hazard: the sender of such a request repeats it at once, or stays and holds a descriptor.
+// rejectInvalid responds to an invalid request and closes the connection. Otherwise the sender could repeat
+// the request at once, or stay idle and hold a descriptor.
 func (c *client) rejectInvalid(status int, err error) {
 	c.closeAfterResponse = true
 	c.respond(status, "", []byte(err.Error()+"\n"))
 }
 
-// respond writes a response. Fields are whole field lines with their line ends.
+// respond writes a response. fields holds complete header lines, each with its line ending.
 func (c *client) respond(status int, fields string, body []byte) {
 	c.conn.Write(http1.AppendResponse(nil, status, c.closeAfterResponse, fields, body))
 	if c.closeAfterResponse {
 		c.conn.CloseAfterFlush()
-		c.forget()
+		c.unregister()
 		return
 	}
 	c.conn.EndProcessing()
@@ -138,18 +138,18 @@
 	case c.front.handleCallBack(body):
 		c.respond(204, "", nil)
 	case c.front.forwardCallBack(c, body):
-	case c.front.loop.Now() < c.front.unknownPeerUntil:
-		// Hazard: the process that shares the address, and with which this one has no link, waits for it.
-		// A worker that calls again may reach that one.
+	case c.front.loop.Now() < c.front.unlinkedPeerUntil:
+		// The attempt may belong to an unlinked process that shares this address. The worker repeats the
+		// call-back after a 503 and may then reach that process.
 		c.respond(503, "", nil)
 	default:
-		// Whatever it names, it was received: any other status would have the worker repeat it.
+		// The request is unknown, but any other status would make the worker repeat the call-back.
 		c.respond(204, "", nil)
 	}
 }
 
 func (c *client) handleHealthCheck() {
-	// Health is checked seldom, and on connections of its own.
+	// Health checks are rare and use separate connections, so that there is no reason to keep this one open.
 	c.closeAfterResponse = c.closeAfterResponse || !c.conn.HasPendingInput()
 	if c.front.Ready() != nil {
 		c.respond(503, "Retry-After: 1\r\n", nil)
@@ -161,7 +161,8 @@
 // submit passes a client's request to the broker, or rejects it.
 func (c *client) submit(m *http1.Message, body []byte) {
 	r, decision, err := c.front.parseRequest(m, body)
-	// Hazard: a pipelined request has waited here for the response to the one before it.
+	// A pipelined request has waited here for the response to the previous one; that counts against its
+	// timeout.
 	r.Timeout -= c.front.loop.Now() - c.conn.LastActivity()
 	c.rule = ""
 	if decision.Rule != nil {
@@ -210,7 +211,7 @@
 		counters.Aborted++
 		c.respond(502, "", nil)
 	}
-	// The next request may be in the buffer. It must not begin within this call of the broker.
+	// The next request may be in the buffer already. It must not be handled within this call by the broker.
 	c.front.loop.After(0, func() {
 		if c.front.drain.State() == drain.ClosingConnections {
 			c.closeIfIdle()
@@ -219,7 +220,8 @@
 	})
 }
 
-// respondRejected writes a rejection: when to retry, and the reason where one is given.
+// respondRejected writes a rejection, with the time after which to retry and the reason, where they are
+// given.
 func (c *client) respondRejected(retryAfter time.Duration, reason string) {
 	fields := ""
 	if retryAfter > 0 {
@@ -231,33 +233,30 @@
 	c.respond(503, fields, nil)
 }
 
-// closeIfDraining has the connection close after the response that is written next, if connections are being
-// closed.
-//
-// Hazard: a pipelined request has been read, and would be closed without a response.
+// closeIfDraining marks the connection to close after the next response if connections are being closed. A
+// connection with a pipelined request stays open, since that request would be lost without a response.
 func (c *client) closeIfDraining() {
 	c.closeAfterResponse = c.closeAfterResponse ||
 		c.front.drain.State() == drain.ClosingConnections && !c.conn.HasPendingInput()
 }
 
-// closeIfIdle closes a client's connection that is between two requests.
-//
-// Hazard: a request that has come and was not read is in the kernel's buffer, and would be lost.
+// closeIfIdle closes a client's connection that is between two requests. It stays open if unread input is in
+// the kernel's buffer: closing would lose that request.
 func (c *client) closeIfIdle() {
 	if !c.sentMessage && c.front.loop.Now() < c.openedAt+drain.HealthCheckGrace {
-		return // its first request is on its way
+		return // its first request may be on its way
 	}
 	inUse := c.awaitsResponse || c.callBackForwarded || c.isWorker || c.conn.UnsentBytes() > 0 ||
 		c.conn.Closed() || c.conn.HasPendingInput()
 	if !inUse {
 		c.conn.CloseAfterFlush()
-		c.forget()
+		c.unregister()
 	}
 }
 
-// OnClose implements eventloop.Handler: the client has disconnected, perhaps before its response.
+// OnClose implements eventloop.Handler. The client may have disconnected before its response.
 func (c *client) OnClose(*eventloop.Conn, error) {
-	if c.forget(); c.awaitsResponse {
+	if c.unregister(); c.awaitsResponse {
 		c.awaitsResponse = false
 		c.front.counters.ClientDisconnects++
 		if c.adoption != nil {
@@ -268,22 +267,23 @@
 	}
 }
 
-// Disconnected implements broker.DisconnectChecker: it reports whether the client has closed its
-// connection, also if the loop has not reported that yet.
+// Disconnected implements broker.DisconnectChecker. It reports whether the client has closed its connection,
+// even if the event loop has not reported that yet.
 func (c *client) Disconnected() bool { return c.conn.PeerClosed() }
 
-func (c *client) forget() { delete(c.front.clients, c) }
+// unregister removes the connection from the connections that the front tracks.
+func (c *client) unregister() { delete(c.front.clients, c) }
 
-// owedResponse reports whether the connection still has to get a response, or may have to: a request that
-// has come whole and was not read is owed one, however long ago the shutdown began.
-func (c *client) owedResponse() bool {
+// needsResponse reports whether a response on this connection is still pending or may be. Unread input may be
+// a complete request, which gets a response however long ago the shutdown began.
+func (c *client) needsResponse() bool {
 	return c.awaitsResponse || c.callBackForwarded || c.conn.UnsentBytes() > 0 ||
 		!c.isWorker && c.conn.HasUnreadInput()
 }
 
-// mayStillRequest reports whether a request is on its way: a part of it has come, or it would be the first
-// of the connection.
-func (c *client) mayStillRequest(now time.Duration) bool {
+// expectsRequest reports whether a request may be on its way: part of one has come, or the connection was
+// just opened and has not carried one yet.
+func (c *client) expectsRequest(now time.Duration) bool {
 	justOpened := !c.sentMessage && now < c.openedAt+drain.HealthCheckGrace
 	return !c.isWorker && (justOpened || c.conn.HasPendingInput())
 }
--- a/internal/frontend/platform/config.go
+++ b/internal/frontend/platform/config.go
@@ -12,35 +12,35 @@
 	"moorstack/internal/proxy/settings"
 )
 
-// minDescriptors is how few sockets a node can serve with.
+// minDescriptors is the smallest socket limit with which a node can serve.
 const minDescriptors = 16
 
 // Config is a node's configuration as read at its start. A reload changes only the address of discovery.
 type Config struct {
 	Name             string          `json:"name"`
 	ListenAddress    string          `json:"listen"`
-	AdminAddress     string          `json:"admin_addr"` // where operators call; empty: nowhere
+	AdminAddress     string          `json:"admin_addr"` // address for operators; empty: no admin listener
 	DiscoveryAddress string          `json:"discovery"`
 	Seed             string          `json:"seed"`
 	Limits           Limits          `json:"limits"`
 	InitialList      workerList      `json:"known"` // the endpoint list until discovery has answered
 	Settings         settings.Params `json:"settings"`
 
-	path                string // of the file, if BALANCER_CONFIG does not name it
-	configuredDiscovery string // the address of discovery in the file, as it was read last
+	path                string // of the file; empty: BALANCER_CONFIG names it
+	configuredDiscovery string // discovery's address in the file when it was last read
 }
 
-// Limits are what the node may use.
+// Limits are the node's resource limits.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"` // MiB
 	Sockets  int     `json:"sockets"`
 
-	ReservedDescriptors int `json:"-"` // descriptors that another frontend may hold
+	ReservedDescriptors int `json:"-"` // descriptors reserved for another frontend
 }
 
 // ReadConfig reads the file that BALANCER_CONFIG names and validates it. BALANCER_NAME, BALANCER_LISTEN,
-// BALANCER_DISCOVERY and BALANCER_ADMIN_ADDR override it where they are set.
+// BALANCER_DISCOVERY and BALANCER_ADMIN_ADDR override its values where they are set.
 func ReadConfig() (*Config, error) {
 	c, err := readEnvironmentFile()
 	if err != nil {
@@ -60,8 +60,8 @@
 	return c, c.validate()
 }
 
-// ReadConfigFile reads and validates a file in the platform's form, for a node that the platform does not
-// run.
+// ReadConfigFile reads and validates a file in the platform's format, for a node that the platform does not
+// run. Environment variables don't override its values.
 func ReadConfigFile(path string) (*Config, error) {
 	c, err := readFile(path)
 	if err != nil {
@@ -71,11 +71,11 @@
 	return c, c.validate()
 }
 
-// readEnvironmentFile reads the file that BALANCER_CONFIG names, without what overrides it.
+// readEnvironmentFile reads the file that BALANCER_CONFIG names, without the overrides by other variables.
 func readEnvironmentFile() (*Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
-		return nil, errors.New("BALANCER_CONFIG is not set: it names the node's configuration")
+		return nil, errors.New("BALANCER_CONFIG is not set; it must name the node's configuration file")
 	}
 	return readFile(path)
 }
@@ -92,22 +92,22 @@
 	return c, nil
 }
 
-// HotRestartEnabled reports whether another process may take this one's place while the node serves: where
-// operators can call, and the platform gives both processes a folder.
+// HotRestartEnabled reports whether a new process may replace this one while the node serves. That requires
+// an admin address, and a folder for both processes, which TMPDIR names.
 func (c *Config) HotRestartEnabled() bool { return c.AdminAddress != "" && os.Getenv("TMPDIR") != "" }
 
 func (c *Config) validate() error {
 	if c.Limits.Sockets < minDescriptors {
-		return fmt.Errorf("limits.sockets: a node needs %d at least", minDescriptors)
+		return fmt.Errorf("limits.sockets must be at least %d", minDescriptors)
 	}
 	if !isIPv4AndPort(c.DiscoveryAddress) {
-		return fmt.Errorf("discovery: %q is not an IPv4 address and a port", c.DiscoveryAddress)
+		return fmt.Errorf("discovery must be an IPv4 address and port, got %q", c.DiscoveryAddress)
 	}
 	if c.AdminAddress != "" && !isIPv4AndPort(c.AdminAddress) {
-		return fmt.Errorf("admin_addr: %q is not an IPv4 address and a port", c.AdminAddress)
+		return fmt.Errorf("admin_addr must be an IPv4 address and port, got %q", c.AdminAddress)
 	}
 	if c.AdminAddress != "" && c.AdminAddress == c.ListenAddress {
-		return fmt.Errorf("admin_addr: %q is the clients' address (listen), not one of its own",
+		return fmt.Errorf("admin_addr must differ from the clients' address (listen), got %q for both",
 			c.AdminAddress)
 	}
 	_, err := c.Settings.Balancer()
@@ -119,8 +119,8 @@
 	return err == nil && ap.Addr().Unmap().Is4()
 }
 
-// SeedValue is the seed of the balancer's random choices. Without a valid one in the configuration it is the
-// time.
+// SeedValue returns the seed for the balancer's random choices: the one in the configuration if that is
+// valid, otherwise the current time.
 func (c *Config) SeedValue() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
@@ -128,22 +128,23 @@
 	return uint64(time.Now().UnixNano())
 }
 
-// InheritDiscovery has a process that takes another's place use that one's address of discovery. Configured
-// is what the other process read last from its file.
+// InheritDiscovery sets the discovery address that the replaced process used. configured is the address that
+// the replaced process last read from its file. If the file has changed since then, the file's address is
+// newer and stays in force.
 //
-// Hazard: BALANCER_DISCOVERY overrides the file, and names the address of before a reload. A file that was
-// changed since is newer than both.
+// Without this, the new process would use BALANCER_DISCOVERY, which overrides the file and may name an
+// address from before a reload.
 func (c *Config) InheritDiscovery(address, configured string) {
 	if c.configuredDiscovery == configured && address != "" {
 		c.DiscoveryAddress = address
 	}
 }
 
-// Reload reads the file again and takes over the address of discovery. An invalid file changes nothing; it
-// is logged.
+// Reload reads the file again and applies its discovery address. An invalid file is logged and changes
+// nothing.
 //
-// Hazard: BALANCER_DISCOVERY overrides the file at the start, and would hide for ever what the file holds
-// now. So a reload goes by whether the file itself has changed.
+// BALANCER_DISCOVERY overrides the file only at the start: a reload applies the file's address if it differs
+// from the one last read from the file. Otherwise the variable would hide every later change of the file.
 func (f *Front) Reload() {
 	var next *Config
 	var err error
@@ -165,5 +166,5 @@
 	}
 	f.cfg.DiscoveryAddress, f.cfg.configuredDiscovery = next.DiscoveryAddress, next.DiscoveryAddress
 	f.log.WithField("address", f.cfg.DiscoveryAddress).Info("discovery address changed")
-	f.directory.addressChanged()
+	f.discovery.addressChanged()
 }
--- a/internal/frontend/platform/discovery.go
+++ b/internal/frontend/platform/discovery.go
@@ -13,35 +13,35 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// membersPath is discovery's resource: the endpoint list, or with stream=1 a watch of its changes.
+// membersPath is the path of discovery's endpoint list; with stream=1 it is a watch of the list's changes.
 const membersPath = "/catalog/members"
 
-// directory is the broker's EndpointSource: it watches discovery, and polls it where a local agent relays
-// the list.
-type directory struct {
+// discoveryClient is the broker's EndpointSource. It watches discovery's endpoint list and, where a local
+// agent relays the list, polls it as well.
+type discoveryClient struct {
 	front       *Front
 	policy      discovery.RefreshPolicy
 	generations discovery.GenerationTracker
-	watchWanted bool           // the broker wants a watch; one of a local agent is always wanted
-	watch       *discoveryCall // nil: none is open
-	fedByPeer   bool           // another instance watches discovery, and relays the list to this one
-	// onUpdate is notified of each list update in discovery's form; nil: nobody is.
+	watchWanted bool           // the broker requested a watch; with a local agent always true
+	watch       *discoveryCall // the open watch; nil: none
+	listRelayed bool           // another instance watches discovery and relays the list
+	// onUpdate, if not nil, is called with each list update in discovery's format.
 	onUpdate func(generation int64, full bool, text []byte)
 
-	// With a local agent: the polls in flight, the timer of the next one, and the list that was polled last,
-	// since most are equal.
+	// With a local agent: the polls in flight, the timer of the next poll, and the last polled list, by which
+	// unchanged lists are recognised, as most are.
 	polls          map[*discoveryCall]struct{}
 	pollTimer      *eventloop.Timer
-	retryTimer     *eventloop.Timer // of the watch
+	retryTimer     *eventloop.Timer // reopens the watch
 	lastPolled     []byte
 	lastCallFailed bool
 }
 
-var _ broker.EndpointSource = (*directory)(nil)
+var _ broker.EndpointSource = (*discoveryClient)(nil)
 
-func newDirectory(f *Front) *directory {
+func newDiscoveryClient(f *Front) *discoveryClient {
 	s := &f.cfg.Settings
-	return &directory{
+	return &discoveryClient{
 		front:       f,
 		polls:       map[*discoveryCall]struct{}{},
 		generations: discovery.GenerationTracker{Generation: f.cfg.InitialList.Generation},
@@ -54,20 +54,20 @@
 	}
 }
 
-// open begins to watch a local agent. Discovery itself is watched once the broker requests it.
+// open begins to watch a local agent. Without a local agent, the watch begins when the broker requests it.
 //
-// Hazard: the balancer requests nothing where a local agent pushes lists, and the simulator pushes them
-// unasked. Here the watch must be opened.
-func (d *directory) open() {
+// Where a local agent pushes lists, the balancer requests none. The simulator pushes lists without a request,
+// but here a watch must be opened to receive them.
+func (d *discoveryClient) open() {
 	if d.policy.LocalAgent {
 		d.watchWanted = true
 		d.ensureWatch()
 	}
 }
 
-// WatchList implements broker.EndpointSource. A watch that is open stays open: the broker may request
-// another after a failure that a change of discovery's address has mended meanwhile.
-func (d *directory) WatchList(on bool) {
+// WatchList implements broker.EndpointSource. A watch that is already open stays open: the broker may
+// request one after a failure although a change of discovery's address has opened one meanwhile.
+func (d *discoveryClient) WatchList(on bool) {
 	if d.watchWanted = on; on {
 		d.ensureWatch()
 	} else {
@@ -75,14 +75,14 @@
 	}
 }
 
-// ensureWatch opens the watch if it is wanted and not open, and begins to poll a local agent.
-func (d *directory) ensureWatch() {
-	if !d.watchWanted || d.fedByPeer {
+// ensureWatch opens the watch if it is wanted and not open, and begins to poll if there is a local agent.
+func (d *discoveryClient) ensureWatch() {
+	if !d.watchWanted || d.listRelayed {
 		return
 	}
 	d.retryTimer.Stop()
 	if d.watch == nil {
-		// It resumes after the last update: what was announced meanwhile comes first.
+		// The watch resumes after the last known generation, so that changes since then come first.
 		d.watch = d.startCall(fmt.Sprintf("%s?stream=1&index=%d", membersPath, d.generations.Generation))
 	}
 	if d.policy.LocalAgent && d.pollTimer == nil {
@@ -90,16 +90,16 @@
 	}
 }
 
-// poll requests the whole list from the agent, and again after an interval, whatever becomes of this call.
-//
-// Hazard: a watch that is open and silent announces no drain, and what the agent has counts as announced.
-func (d *directory) poll() {
+// poll requests the full list from the agent, and schedules the next poll regardless of this call's outcome.
+// The node is held responsible for every change that the agent knows, and a watch that is open but silent
+// would not report that a worker drains.
+func (d *discoveryClient) poll() {
 	d.polls[d.startCall(membersPath)] = struct{}{}
 	d.pollTimer = d.front.loop.After(d.policy.PollInterval(), d.poll)
 }
 
-// stop ends the watch and the polls.
-func (d *directory) stop() {
+// stop closes the watch and all polls, and stops their timers.
+func (d *discoveryClient) stop() {
 	d.pollTimer.Stop()
 	d.retryTimer.Stop()
 	d.pollTimer, d.lastPolled = nil, nil
@@ -113,17 +113,17 @@
 	}
 }
 
-// addressChanged leaves the old address at once, without a request of the broker: the old one closes its
-// watches only after a while, and its updates may end before.
-func (d *directory) addressChanged() {
+// addressChanged closes all calls to the old address at once and watches the new one, without a request from
+// the broker. The old address closes its watches only after a while, and may send no updates before that.
+func (d *discoveryClient) addressChanged() {
 	d.stop()
 	d.generations.Reset(d.front.loop.Now())
 	d.ensureWatch()
 }
 
-// applyUpdate passes a list, or a delta of it, to the broker.
-func (d *directory) applyUpdate(list *workerList) {
-	d.front.initial.release()
+// applyUpdate passes a list or a delta to the broker.
+func (d *discoveryClient) applyUpdate(list *workerList) {
+	d.front.initial.apply()
 	kind := balancer.ListDelta
 	if list.Full {
 		kind = balancer.ListFull
@@ -132,14 +132,15 @@
 	d.front.startTimes.confirm(d.front.loop.Now())
 }
 
-// callFailed schedules the next call. Where there is no local agent the broker chooses when.
-func (d *directory) callFailed(err error) {
+// callFailed logs a failed call and schedules the next one. Without a local agent the broker decides when to
+// retry.
+func (d *discoveryClient) callFailed(err error) {
 	if !d.policy.LocalAgent {
 		d.front.log.WithError(err).Warn("discovery call failed")
 		d.front.broker.UpdateEndpoints(balancer.ListUnavailable, nil)
 		return
 	}
-	if !d.lastCallFailed { // it is polled often: one line of the log is enough
+	if !d.lastCallFailed { // polls are frequent: log only the first of a series of failures
 		d.front.log.WithError(err).Warn("discovery call failed")
 	}
 	d.lastCallFailed = true
@@ -149,51 +150,50 @@
 	}
 }
 
-// SetFedByPeer sets whether another instance relays the list to this one, which then makes no calls of
-// discovery.
-func (f *Front) SetFedByPeer(on bool) {
-	d := f.directory
-	if d.fedByPeer == on {
+// SetListRelayed sets whether another instance relays the endpoint list to this one, which then does not call
+// discovery itself.
+func (f *Front) SetListRelayed(on bool) {
+	d := f.discovery
+	if d.listRelayed == on {
 		return
 	}
-	if d.fedByPeer = on; on {
+	if d.listRelayed = on; on {
 		d.stop()
 	} else {
 		d.ensureWatch()
 	}
 }
 
-// WatchesDiscovery reports whether this front watches discovery, and has received a list from it.
-//
-// Hazard: a front that has just started has no list, and would relay an empty one.
+// WatchesDiscovery reports whether this front watches discovery and has received a list from it. Without the
+// second condition, a front that has just started would relay an empty list.
 func (f *Front) WatchesDiscovery() bool {
-	d := f.directory
+	d := f.discovery
 	return d.watch != nil && !d.watch.closed && d.watch.parser.HeadComplete() &&
 		d.generations.Generation > 0 &&
 		!f.initial.pending
 }
 
-// OnListUpdate sets the function that is notified of each list update, on the loop, in discovery's form;
-// nil: none is.
+// OnListUpdate sets the function that is called on the event loop with each list update in discovery's
+// format; nil: none.
 func (f *Front) OnListUpdate(notify func(generation int64, full bool, text []byte)) {
-	f.directory.onUpdate = notify
+	f.discovery.onUpdate = notify
 }
 
-// ApplyList applies a list, or a delta of it, that another instance has received from discovery and relays.
+// ApplyList applies a list or a delta that another instance has received from discovery and relays.
 func (f *Front) ApplyList(text []byte) error {
 	var list workerList
 	if err := json.Unmarshal(text, &list); err != nil {
 		return fmt.Errorf("decoding a relayed list: %w", err)
 	}
-	// The instance that relays it has accepted it already, in the order of generations.
-	f.directory.generations.Generation = list.Generation
-	f.directory.applyUpdate(&list)
+	// The relaying instance has already checked the order of generations.
+	f.discovery.generations.Generation = list.Generation
+	f.discovery.applyUpdate(&list)
 	return nil
 }
 
-// FullList returns the list as it is known here, in discovery's form, and its generation.
+// FullList returns the endpoint list known here, in discovery's format, and its generation.
 func (f *Front) FullList() (generation int64, text []byte, err error) {
-	list := workerList{Generation: f.directory.generations.Generation, Full: true, Workers: []workerEntry{}}
+	list := workerList{Generation: f.discovery.generations.Generation, Full: true, Workers: []workerEntry{}}
 	for _, id := range slices.Sorted(maps.Keys(f.entries)) {
 		list.Workers = append(list.Workers, f.entries[id])
 	}
--- a/internal/frontend/platform/discovery_call.go
+++ b/internal/frontend/platform/discovery_call.go
@@ -12,22 +12,22 @@
 	"moorstack/internal/netio/http1"
 )
 
-// maxListBytes is the longest list, or line of a watch, that is read.
+// maxListBytes is the maximum length of a list, or of one update of a watch.
 const maxListBytes = 4 << 20
 
-// Why a call of discovery failed.
+// Reasons why a call to discovery failed.
 var (
-	errDiscoverySilent = errors.New("discovery is silent")
-	errListTooLong     = errors.New("discovery sends a list without end")
-	errWatchEnded      = errors.New("the watch has ended")
+	errDiscoverySilent = errors.New("no response from discovery within the timeout")
+	errListTooLong     = errors.New("list from discovery is longer than 4 MiB")
+	errWatchEnded      = errors.New("discovery ended the watch")
 )
 
-// discoveryCall is a call of discovery: one list, or a watch with an update a line.
+// discoveryCall is a call to discovery: a poll, which returns one list, or a watch, which streams updates.
 type discoveryCall struct {
-	directory *directory
+	discovery *discoveryClient
 	conn      *eventloop.Conn
 	parser    http1.Parser
-	unparsed  []byte // the beginning of a list that has not come whole
+	unparsed  []byte // the beginning of a list that is not complete yet
 	startedAt time.Duration
 	timer     *eventloop.Timer
 	closed    bool
@@ -35,15 +35,15 @@
 
 var _ eventloop.Handler = (*discoveryCall)(nil)
 
-func (d *directory) startCall(target string) *discoveryCall {
+func (d *discoveryClient) startCall(target string) *discoveryCall {
 	c := &discoveryCall{
-		directory: d,
+		discovery: d,
 		parser:    http1.Parser{ReadsResponses: true, StreamsBody: true},
 		startedAt: d.front.loop.Now(),
 	}
 	conn, err := d.front.loop.Dial(d.front.cfg.DiscoveryAddress, c)
 	if err != nil {
-		d.front.loop.After(0, func() { c.fail(err) }) // not from within the broker's call
+		d.front.loop.After(0, func() { c.fail(err) }) // not within this call, which may come from the broker
 		return c
 	}
 	c.conn = conn
@@ -52,14 +52,14 @@
 	return c
 }
 
-func (c *discoveryCall) isWatch() bool { return c == c.directory.watch }
+// isWatch reports whether the call is the client's current watch; any other call is a poll.
+func (c *discoveryCall) isWatch() bool { return c == c.discovery.watch }
 
-// resetTimeout sets the time at which the call times out.
-//
-// Hazard: a list that never ends, or comes in drips, keeps a call alive that brings nothing. So only a
-// complete list, or a blank line, resets the timeout.
+// resetTimeout restarts the call's timeout. Once a call runs, only the complete response head, a complete
+// list or a blank line restarts it; otherwise a list that never ends or arrives very slowly would keep a
+// useless call alive.
 func (c *discoveryCall) resetTimeout() {
-	d := c.directory
+	d := c.discovery
 	timeout := d.policy.PollTimeout()
 	if c.isWatch() && c.parser.HeadComplete() {
 		timeout = d.policy.WatchTimeout()
@@ -68,12 +68,11 @@
 	c.timer = d.front.loop.After(timeout, c.timedOut)
 }
 
-// timedOut fails a call that is silent. A watch that was accepted is opened again at once.
-//
-// Hazard: what a silent watch misses counts as announced soon. The broker's backoff before it requests
-// another watch is for discovery that is down, and is too long here.
+// timedOut fails a call that timed out; a watch that was accepted is reopened at once instead. The node soon
+// counts as notified of changes that a silent watch misses. The broker's backoff before it requests another
+// watch is meant for an outage of discovery and is too long here.
 func (c *discoveryCall) timedOut() {
-	d := c.directory
+	d := c.discovery
 	if !c.isWatch() || !c.parser.HeadComplete() {
 		c.fail(errDiscoverySilent)
 		return
@@ -84,15 +83,15 @@
 	d.ensureWatch()
 }
 
-// OnConnect implements eventloop.Handler; the request is written already.
+// OnConnect implements eventloop.Handler. The request has been queued by startCall.
 func (c *discoveryCall) OnConnect(*eventloop.Conn) {}
 
-// OnData reads the response as far as it has come.
+// OnData implements eventloop.Handler. It reads what has come of the response.
 func (c *discoveryCall) OnData(*eventloop.Conn) {
 	headWasComplete := c.parser.HeadComplete()
 	complete, err := c.parser.Feed(c.conn.Input())
 	if err == nil && c.parser.HeadComplete() && c.parser.Status != 200 {
-		err = fmt.Errorf("discovery answers %d", c.parser.Status)
+		err = fmt.Errorf("discovery responded with status %d", c.parser.Status)
 	}
 	if err != nil {
 		c.fail(err)
@@ -116,14 +115,13 @@
 	}
 }
 
-// parseLists handles the complete lists that have come. Last: the response ends here.
-//
-// Hazard: a list may be indented, over many lines, so that a line's end is not a list's.
+// parseLists handles the complete lists received so far; last reports that the response is complete. A list
+// may be indented over many lines, so that a line's end does not end a list.
 func (c *discoveryCall) parseLists(last bool) {
 	if len(c.unparsed) == 0 {
 		return
 	}
-	d := c.directory
+	d := c.discovery
 	if d.lastPolled != nil && !c.isWatch() && last && bytes.Equal(c.unparsed, d.lastPolled) {
 		c.unparsed = c.unparsed[:0]
 		d.lastCallFailed = false
@@ -134,7 +132,7 @@
 	for !c.closed {
 		var received receivedList
 		err := decoder.Decode(&received)
-		if errors.Is(err, io.EOF) { // the rest is blank: nothing has changed
+		if errors.Is(err, io.EOF) { // only white space is left: nothing has changed
 			used = len(c.unparsed)
 			c.heartbeat()
 			break
@@ -147,7 +145,7 @@
 			list, err = received.validate()
 		}
 		if err != nil {
-			c.fail(fmt.Errorf("discovery's list: %w", err))
+			c.fail(fmt.Errorf("invalid list from discovery: %w", err))
 			return
 		}
 		text := bytes.TrimSpace(c.unparsed[used:decoder.InputOffset()])
@@ -160,19 +158,20 @@
 	}
 }
 
-// heartbeat records that nothing has changed since the last list.
+// heartbeat records that nothing has changed since the last list, which is what a blank line from discovery
+// means.
 func (c *discoveryCall) heartbeat() {
 	c.resetTimeout()
 	if c.isWatch() {
-		f := c.directory.front
+		f := c.discovery.front
 		f.initial.confirm()
 		f.startTimes.confirm(f.loop.Now())
 	}
 }
 
-// handleList applies a list, or a delta, unless a later generation was received before.
+// handleList applies a list or a delta, or fails the call if the list's generation is out of order.
 func (c *discoveryCall) handleList(list *workerList, text []byte) {
-	d := c.directory
+	d := c.discovery
 	if err := d.generations.Accept(d.front.loop.Now(), c.startedAt, list.Generation); err != nil {
 		c.fail(err)
 		return
@@ -187,17 +186,17 @@
 	}
 }
 
-// completed handles the end of a response: that is as it should be for a poll, and a failure of a watch.
+// completed handles the end of a response, which completes a poll but is a failure of a watch.
 func (c *discoveryCall) completed() {
 	if c.isWatch() {
 		c.fail(errWatchEnded)
 		return
 	}
 	c.close()
-	delete(c.directory.polls, c)
+	delete(c.discovery.polls, c)
 }
 
-// OnClose implements eventloop.Handler: discovery, or the network, has ended the connection.
+// OnClose implements eventloop.Handler. Discovery or the network has ended the connection.
 func (c *discoveryCall) OnClose(_ *eventloop.Conn, err error) {
 	if !c.closed && c.parser.CompleteAtEOF() {
 		if c.parseLists(true); !c.closed {
@@ -208,13 +207,13 @@
 	c.fail(err)
 }
 
-// fail ends the call, once, and has the directory schedule the next one.
+// fail closes the call, unless it is closed already, and has the discovery client schedule the next one.
 func (c *discoveryCall) fail(err error) {
 	if c.closed {
 		return
 	}
 	c.close()
-	d := c.directory
+	d := c.discovery
 	delete(d.polls, c)
 	if d.watch == c {
 		d.watch = nil
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// closeIdleInterval is how often idle connections are closed while the node drains: some are opened
-	// meanwhile and left idle, some held a request that was not read.
+	// closeIdleInterval is how often idle connections are closed while the node drains. One pass is not
+	// enough: new connections may stay idle, and others were kept because of an unread request.
 	closeIdleInterval = 100 * time.Millisecond
 
-	// partialRequestGrace is how long the shutdown waits for requests that have come in part, or not been
-	// read.
+	// partialRequestGrace is how long the shutdown waits for the rest of partial requests, and for the first
+	// request of connections just opened.
 	partialRequestGrace = time.Second
 
-	// drainedInterval is how often the shutdown checks whether all responses have been written.
-	drainedInterval = 10 * time.Millisecond
+	// drainCheckInterval is how often the shutdown checks whether all responses have been written.
+	drainCheckInterval = 10 * time.Millisecond
 )
 
 var errNoWorker = errors.New("no trip worker is known")
 
-// Ready is nil while the front may get more clients. Otherwise the error is the reason; operators see its
-// text.
+// Ready returns nil while the front accepts new clients, otherwise an error with the reason. Operators see
+// the error's text.
 func (f *Front) Ready() error {
 	switch {
 	case f.drain.ShuttingDown():
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// BeginStandby drains the clients until EndStandby: health checks fail, then idle connections are closed.
+// BeginStandby starts to drain the clients, until EndStandby: health checks fail, and after a while idle
+// connections are closed.
 func (f *Front) BeginStandby() {
 	if f.drain.BeginStandby(f.loop.Now()) {
 		f.log.Info("standby begun, draining clients")
@@ -46,8 +47,8 @@
 	}
 }
 
-// EndStandby ends what BeginStandby began. Nothing has to be undone: open connections stay open, and health
-// checks succeed from here on. It fails with drain.ErrShuttingDown or drain.ErrTakenOver.
+// EndStandby ends the drain that BeginStandby started. Connections that are still open stay open, and health
+// checks succeed again. It fails with drain.ErrShuttingDown or drain.ErrTakenOver.
 func (f *Front) EndStandby() error {
 	changed, err := f.drain.EndStandby()
 	if changed {
@@ -56,8 +57,8 @@
 	return err
 }
 
-// BeginShutdown begins a graceful shutdown: requests are still accepted for a while and all that were
-// accepted are finished; then done is called. Only the first call has an effect.
+// BeginShutdown begins a graceful shutdown: requests are still accepted for a while, all accepted requests
+// are completed, and then done is called. Only the first call has an effect.
 func (f *Front) BeginShutdown(done func()) {
 	if !f.drain.BeginShutdown(f.loop.Now()) {
 		return
@@ -67,7 +68,7 @@
 	f.loop.At(f.drain.ClosingAt(), func() { f.awaitDrained(f.loop.Now()+partialRequestGrace, done) })
 }
 
-// ShutdownRequestedAt returns when the process was requested to end; 0: it was not.
+// ShutdownRequestedAt returns when the graceful shutdown was requested; 0: not requested.
 func (f *Front) ShutdownRequestedAt() time.Duration { return f.shutdownAt }
 
 // scheduleClosing closes idle connections once health checks have failed for long enough.
@@ -79,7 +80,7 @@
 	})
 }
 
-// closeIdleClients closes the connections that are idle now, and again at each interval while the node
+// closeIdleClients closes the idle connections, and repeats that at every closeIdleInterval while the node
 // drains.
 func (f *Front) closeIdleClients() {
 	if f.drain.State() != drain.ClosingConnections {
@@ -91,21 +92,22 @@
 	f.loop.After(closeIdleInterval, f.closeIdleClients)
 }
 
-// awaitDrained calls done once the last responses are written. The listener stays open until then: workers
-// call back on it.
+// awaitDrained closes the listener and calls done once the last responses have been sent. The listener stays
+// open until then, since workers call back on it.
 //
-// Hazards: between two checks of a connection a request may have come on it; one may come on a connection
-// that waits to be accepted, or was just opened; a response is on its way on a connection that is being
-// closed, and the end of the process would reset it.
+// Besides pending requests it waits for three cases that would otherwise lose a request or a response.
+// Unread input may be a request that came after the connection was last handled. A request may come on a
+// connection that is not accepted yet or was just opened. And a connection that is being closed may still
+// carry a response, which the end of the process would reset.
 func (f *Front) awaitDrained(partialUntil time.Duration, done func()) {
 	f.listener.AcceptPending()
 	now := f.loop.Now()
 	busy := f.broker.PendingCount() > 0 || f.listener.LingeringCount() > 0
 	for c := range f.clients {
-		busy = busy || c.owedResponse() || now < partialUntil && c.mayStillRequest(now)
+		busy = busy || c.needsResponse() || now < partialUntil && c.expectsRequest(now)
 	}
 	if busy {
-		f.loop.After(drainedInterval, func() { f.awaitDrained(partialUntil, done) })
+		f.loop.After(drainCheckInterval, func() { f.awaitDrained(partialUntil, done) })
 		return
 	}
 	f.listener.Close()
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	// maxIdlePerWorker is how many idle connections to one worker are kept. All of them together may take an
-	// eighth of the descriptors: half of what is not for accepted connections.
+	// maxIdlePerWorker limits the idle connections kept to one worker. Those to all workers together may use
+	// an eighth of the descriptors, which is half of the share that accepted connections leave.
 	maxIdlePerWorker = 16
 
-	// defaultConnectTimeout and defaultIdleTimeout hold where the settings give none.
+	// defaultConnectTimeout and defaultIdleTimeout apply where the settings give no value.
 	defaultConnectTimeout = time.Second
 	defaultIdleTimeout    = 5 * time.Second
 
-	// reuseBackoff is how long idle connections are not reused for attempts after one was reset under a
-	// request. Hazard: some machines, and what lies between, drop idle connections early and show it only by
-	// resetting the next request. Each such attempt may have run, as far as this process can know. A new
-	// connection costs a few milliseconds of work. Health checks go on reusing connections, and so find out
-	// when this is over.
+	// reuseBackoff is how long attempts use only new connections after a reused one was reset during a
+	// request. Some machines and network devices drop idle connections early, which shows only when the next
+	// request is reset. This process can't know whether such an attempt ran. A new connection costs a few
+	// milliseconds of work. Health checks still reuse connections, which extends the backoff until such
+	// resets end.
 	reuseBackoff = 10 * time.Second
 )
 
-// responseFunc receives the response to a request, once: its head and body, or a nil head and whether the
-// request surely never was sent whole.
+// responseFunc is called once with the response to a request: its head and body, or a nil head if there was
+// no response. unsent then reports that the request certainly was not sent completely.
 type responseFunc func(m *http1.Message, body []byte, unsent bool)
 
-// exchange is a request to a worker and its response, on a connection that carries one at a time.
+// exchange is a connection to a worker that carries one request and its response at a time.
 type exchange struct {
 	worker              *worker
 	conn                *eventloop.Conn
 	parser              http1.Parser
-	timer               *eventloop.Timer // to connect, or while idle
-	address             string           // that was dialled
+	timer               *eventloop.Timer // connect timeout, or idle timeout
+	address             string           // the dialled address
 	inFlight            bool
-	reused              bool // the connection has carried a request before this one
-	resetBeforeResponse bool // it ended without a byte of a response
+	reused              bool // the connection has carried an earlier request
+	resetBeforeResponse bool // the connection ended before any byte of a response
 
-	// buildRequest returns the request, as of when the connection can take it; nil: nobody waits for it any
-	// more.
+	// buildRequest is called when the connection can be written to and returns the request; nil: the request
+	// is no longer needed.
 	buildRequest func() []byte
 	onResponse   responseFunc
 }
 
 var _ eventloop.Handler = (*exchange)(nil)
 
-// sending is how a request is sent.
-type sending struct {
-	newConnection bool // on no idle connection
-	countForward  bool // as a forwarded attempt, once the kernel has the whole of it
+// sendOptions control how a request is sent.
+type sendOptions struct {
+	newConnection bool // don't reuse an idle connection
+	countForward  bool // count it as forwarded once the kernel has accepted all of it
 }
 
-// send writes a request on an idle connection or, where there is none to use, on a new one. It returns nil
-// if no connection can be begun; onResponse has been called then.
+// send sends a request on an idle connection or, if none can be used, on a new one. It returns nil if
+// dialling fails; onResponse has been called then.
 //
-// Hazard: a new connection may come up late. The timeout that the request states must be true when it is
-// written, and its client may have disconnected meanwhile. So the request is built then.
-func (w *worker) send(buildRequest func() []byte, how sending, onResponse responseFunc) *exchange {
+// A new connection may take long to establish, and the client may disconnect meanwhile. The request is
+// therefore built only when it can be written, so that the timeout it states is correct at that time.
+func (w *worker) send(buildRequest func() []byte, options sendOptions, onResponse responseFunc) *exchange {
 	var x *exchange
-	if !how.newConnection {
+	if !options.newConnection {
 		x = w.popIdle()
 	}
 	if x != nil {
@@ -77,7 +77,7 @@
 		x.timer = w.front.loop.After(w.front.connectTimeout(), x.fail)
 	}
 	x.inFlight, x.buildRequest, x.onResponse = true, buildRequest, onResponse
-	if x.conn.OnSent = nil; how.countForward {
+	if x.conn.OnSent = nil; options.countForward {
 		x.conn.OnSent = func() { w.front.counters.Forwards++ }
 	}
 	if x.reused {
@@ -86,15 +86,15 @@
 	return x
 }
 
-// popIdle returns the idle connection that was used last, or nil.
+// popIdle removes and returns the most recently used idle connection that is still open, or nil.
 func (w *worker) popIdle() *exchange {
 	for len(w.idle) > 0 {
 		last := len(w.idle) - 1
 		x := w.idle[last]
 		w.idle = w.idle[:last]
 		x.timer.Stop()
-		// Hazard: the worker has closed it meanwhile; a request written then ends as a reset, though it
-		// never ran.
+		// If the worker has closed the connection meanwhile, a request written on it would end as a
+		// reset although it never ran.
 		if !x.conn.Stale() {
 			return x
 		}
@@ -103,15 +103,15 @@
 	return nil
 }
 
-// sendIdempotent sends a request that may be repeated, and repeats it once on a new connection if a reused
-// one is reset under it: that is the connection's fault, not the worker's. It returns a function that
-// cancels the call; onResponse is not called after it.
+// sendIdempotent sends a request that may be repeated. If a reused connection is reset before any byte of
+// the response, the request is repeated once on a new connection, since such a reset is no fault of the
+// worker. The returned function cancels the call; onResponse is not called after that.
 func (w *worker) sendIdempotent(request []byte, onResponse responseFunc) (cancel func()) {
 	var x *exchange
 	build := func() []byte { return request }
-	x = w.send(build, sending{}, func(m *http1.Message, body []byte, unsent bool) {
+	x = w.send(build, sendOptions{}, func(m *http1.Message, body []byte, unsent bool) {
 		if m == nil && x != nil && x.reused && x.resetBeforeResponse {
-			x = w.send(build, sending{newConnection: true}, onResponse)
+			x = w.send(build, sendOptions{newConnection: true}, onResponse)
 			return
 		}
 		onResponse(m, body, unsent)
@@ -123,7 +123,7 @@
 	}
 }
 
-// writeRequest writes the request, unless nobody waits for it any more.
+// writeRequest builds and writes the request, unless it is no longer needed.
 func (x *exchange) writeRequest() {
 	request := x.buildRequest()
 	switch {
@@ -136,23 +136,23 @@
 	}
 }
 
-// dropUnsent ends the exchange of a request that was never written.
+// dropUnsent ends an exchange whose request was never written.
 func (x *exchange) dropUnsent() {
 	onResponse := x.onResponse
 	x.close()
 	onResponse(nil, nil, true)
 }
 
-// OnConnect implements eventloop.Handler: the request can be written.
+// OnConnect implements eventloop.Handler. It writes the request.
 func (x *exchange) OnConnect(*eventloop.Conn) {
 	x.timer.Stop()
 	x.writeRequest()
 }
 
-// OnData reads the response.
+// OnData implements eventloop.Handler. It reads the response.
 func (x *exchange) OnData(*eventloop.Conn) {
 	if !x.inFlight {
-		x.close() // no request is waiting for it
+		x.close() // data without a request in flight
 		return
 	}
 	for {
@@ -176,12 +176,12 @@
 	x.complete(&m, body)
 }
 
-// complete passes the response on and keeps the connection for the next request.
+// complete passes the response on and keeps the connection for the next request if it may be reused.
 func (x *exchange) complete(m *http1.Message, body []byte) {
 	x.inFlight = false
 	onResponse := x.onResponse
 	x.onResponse = nil
-	if w := x.worker; m.Close || !x.current() || len(x.conn.Input()) > 0 ||
+	if w := x.worker; m.Close || !x.addressCurrent() || len(x.conn.Input()) > 0 ||
 		len(w.idle) >= maxIdlePerWorker || !w.front.canKeepIdleConnection() {
 		x.close()
 	} else {
@@ -191,12 +191,12 @@
 	onResponse(m, body, false)
 }
 
-// current reports whether the connection leads to where the worker is listed now.
-func (x *exchange) current() bool {
+// addressCurrent reports whether the worker is still listed at the address of this connection.
+func (x *exchange) addressCurrent() bool {
 	return x.worker.front.workers[x.worker.name] == x.worker && x.worker.address == x.address
 }
 
-// OnClose implements eventloop.Handler: the worker, or the network, has ended the connection.
+// OnClose implements eventloop.Handler. The worker or the network has ended the connection.
 func (x *exchange) OnClose(*eventloop.Conn, error) {
 	if x.inFlight && x.parser.CompleteAtEOF() {
 		m, body := x.parser.Message, x.parser.Body(x.conn.Input())
@@ -211,8 +211,8 @@
 	x.fail()
 }
 
-// fail ends the exchange without a response. A request of which the kernel still held a part, or whose
-// connection never came up, can't have run.
+// fail ends the exchange without a response. The request can't have run if the connection was never
+// established or if the kernel has not accepted all of the request.
 func (x *exchange) fail() {
 	unsent := x.conn.Connecting() || x.conn.UnsentBytes() > 0
 	onResponse := x.onResponse
@@ -221,7 +221,7 @@
 	}
 }
 
-// close closes the connection without a call of onResponse.
+// close closes the connection without calling onResponse.
 func (x *exchange) close() {
 	x.conn.Close()
 	x.timer.Stop()
@@ -234,9 +234,10 @@
 	}
 }
 
+// avoidsReuse reports whether attempts must use new connections for now.
 func (f *Front) avoidsReuse() bool { return f.loop.Now() < f.reuseFailedAt+reuseBackoff }
 
-// canKeepIdleConnection reports whether one more idle connection may be kept.
+// canKeepIdleConnection reports whether another idle connection fits in their share of the descriptors.
 func (f *Front) canKeepIdleConnection() bool {
 	n := 0
 	for _, w := range f.workers {
@@ -252,8 +253,8 @@
 	return defaultConnectTimeout
 }
 
-// idleTimeout is how long a connection is kept idle: half of the time after which the worker closes it, for
-// a request that crosses that close ends as a reset.
+// idleTimeout is how long a connection may stay idle: half of the time after which the worker closes it. A
+// request sent while the worker closes the connection would end as a reset.
 func (f *Front) idleTimeout() time.Duration {
 	if d := time.Duration(f.cfg.Settings.Limits.IdleTimeout); d > 0 {
 		return d / 2
--- a/internal/frontend/platform/front.go
+++ b/internal/frontend/platform/front.go
@@ -12,7 +12,8 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// Front is the platform's frontend: it accepts clients and holds the connections to workers and discovery.
+// Front is the platform's frontend. It accepts client connections and owns the connections to workers and to
+// discovery.
 type Front struct {
 	loop     *eventloop.Loop
 	broker   *broker.Broker
@@ -24,21 +25,21 @@
 	clients    map[*client]struct{}
 	workers    map[string]*worker     // by id
 	entries    map[string]workerEntry // the endpoint list in discovery's form, by id
-	adopted    map[string]*client     // requests that the other process migrated to this one, by id
-	peerState                         // what concerns the other process of this node
-	directory  *directory             // the calls of discovery
-	initial    initialList            // the list of the configuration
+	adopted    map[string]*client     // requests migrated from the other process, by request id
+	peerState                         // state shared with the other process of this node
+	discovery  *discoveryClient       // calls discovery
+	initial    initialList            // the endpoint list from the configuration
 	startTimes startTimes             // of workers
 
 	drain         drain.Machine
-	shutdownAt    time.Duration // when the process was requested to end; 0: it was not
+	shutdownAt    time.Duration // when the graceful shutdown was requested; 0: not requested
 	counters      metrics.Counters
-	accountHeader string         // the field that names a request's account; empty: none does
-	routes        *routing.Table // nil: the balancer alone chooses the worker
-	reuseFailedAt time.Duration  // when a reused connection to a worker was last reset under a request
+	accountHeader string         // the header field that names a request's account; empty: no account
+	routes        *routing.Table // nil: no rules; the balancer alone selects the worker
+	reuseFailedAt time.Duration  // when a reused worker connection was last reset during a request
 }
 
-// New returns a Front that does not serve yet: Open starts it, once it has its broker. The configuration
+// New returns a Front that does not serve yet; Open passes it the broker and starts it. The configuration
 // must have been validated, as ReadConfig does.
 func New(loop *eventloop.Loop, cfg *Config, log logrus.FieldLogger) *Front {
 	f := &Front{
@@ -54,28 +55,29 @@
 		counters:      metrics.Counters{Classes: make([]metrics.ClassCounters, len(cfg.Settings.Classes))},
 		reuseFailedAt: -reuseBackoff,
 	}
-	f.directory = newDirectory(f)
+	f.discovery = newDiscoveryClient(f)
 	f.initial.front = f
 	return f
 }
 
-// EndpointSource is where the broker requests the endpoint list.
-func (f *Front) EndpointSource() broker.EndpointSource { return f.directory }
+// EndpointSource returns the source from which the broker requests the endpoint list.
+func (f *Front) EndpointSource() broker.EndpointSource { return f.discovery }
 
-// Open passes the configured list to the broker and begins to listen. It fails if the address can't be
-// listened on.
+// Open sets the broker, starts to retrieve the endpoint list and begins to listen. It fails if the front
+// can't listen on its address.
 func (f *Front) Open(b *broker.Broker) error {
 	f.broker = b
 	f.initial.begin()
 	var err error
 	f.listener, err = f.loop.Listen(f.cfg.ListenAddress, f.listenerLimits(), f.onAccept)
-	f.directory.open()
+	f.discovery.open()
 	return err
 }
 
-// listenerLimits are what accepted connections may take: a quarter of the descriptors is kept for attempts,
-// health checks and discovery. A quarter of the memory may hold what has come in; results, the requests in
-// flight and the collector's slack need the rest. Two processes of one node have half of that each.
+// listenerLimits returns the limits for accepted connections. They may use three quarters of the descriptors;
+// a quarter is left for attempts, health checks and discovery. Their input buffers may use a quarter of the
+// memory; results, requests in flight and the garbage collector's headroom need the rest. While two processes
+// of a node serve, each has half of these limits.
 func (f *Front) listenerLimits() eventloop.Limits {
 	limits, processes := f.cfg.Limits, 1
 	if f.limitsShared {
@@ -88,10 +90,10 @@
 	}
 }
 
-// SetRoutes has requests routed by the table, from the next one on; nil: by none.
+// SetRoutes sets the routing table for all further requests; nil: no routing rules.
 func (f *Front) SetRoutes(t *routing.Table) { f.routes = t }
 
-// SetAccountHeader names the header field that holds a request's account; empty: requests have none.
+// SetAccountHeader sets the header field that holds a request's account; empty: requests have no account.
 func (f *Front) SetAccountHeader(header string) { f.accountHeader = header }
 
 func (f *Front) onAccept(conn *eventloop.Conn) {
--- a/internal/frontend/platform/initial_list.go
+++ b/internal/frontend/platform/initial_list.go
@@ -8,23 +8,23 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// unconfirmedTimeout is how long a node without an answer of discovery waits before it serves by the list in
-// its configuration. A restarted node has to be ready within 10 s.
+// unconfirmedTimeout is how long a node waits for discovery before it serves by the list in its
+// configuration. A restarted node has to be ready within 10 s.
 const unconfirmedTimeout = 8 * time.Second
 
-// initialList is the endpoint list of the configuration. It is passed to the broker once discovery has
-// answered what has changed since, or after unconfirmedTimeout without an answer.
+// initialList is the endpoint list from the configuration. It is passed to the broker once discovery has sent
+// the changes since then, or after unconfirmedTimeout without a response.
 //
-// Hazard: the configuration may be much older than the process. A node that is restarted after an outage
-// would send requests to workers that have been drained or removed in the meantime, and counts as notified
-// of that, whether it has polled or not.
+// The configuration may be much older than the process. If its list were used at once, a node restarted after
+// an outage would send requests to workers that have been drained or removed meanwhile. The node counts as
+// notified of such changes whether it has polled or not.
 type initialList struct {
 	front   *Front
-	pending bool // it has not been passed to the broker
+	pending bool // the list has not been passed to the broker yet
 	timer   *eventloop.Timer
 }
 
-// begin starts the broker without workers and waits for discovery.
+// begin starts the broker with an empty list and waits for discovery.
 func (l *initialList) begin() {
 	l.pending = true
 	l.front.broker.UpdateEndpoints(balancer.ListCached, nil)
@@ -34,12 +34,13 @@
 	l.timer = l.front.loop.After(unconfirmedTimeout, func() {
 		l.front.log.WithField("duration", unconfirmedTimeout).
 			Warn("no answer from discovery, serving by the configured endpoint list")
-		l.release()
+		l.apply()
 	})
 }
 
-// release passes the list to the broker, once. What discovery has answered follows at once.
-func (l *initialList) release() {
+// apply passes the list to the broker, on the first call only. The caller then applies discovery's update,
+// if it has one.
+func (l *initialList) apply() {
 	if !l.pending {
 		return
 	}
@@ -48,9 +49,8 @@
 	l.front.updateEndpoints(balancer.ListCached, &l.front.cfg.InitialList)
 }
 
-// unconfirmedWorkers is the list while it waits for discovery.
-//
-// Hazard: a process that takes this one's place polls for what has changed since, and needs all of it.
+// unconfirmedWorkers returns the list while it waits for discovery, otherwise an empty list. A process that
+// replaces this one requests only the changes since this list, and so needs all of it.
 func (l *initialList) unconfirmedWorkers() []workerEntry {
 	if !l.pending {
 		return []workerEntry{}
@@ -58,10 +58,10 @@
 	return slices.Clone(l.front.cfg.InitialList.Workers)
 }
 
-// confirm records discovery's response that nothing has changed since the configured list.
+// confirm applies the list when discovery reports that nothing has changed since.
 func (l *initialList) confirm() {
 	if l.pending {
-		l.release()
+		l.apply()
 		l.front.broker.UpdateEndpoints(balancer.ListDelta, nil)
 	}
 }
--- a/internal/frontend/platform/load_report.go
+++ b/internal/frontend/platform/load_report.go
@@ -9,7 +9,7 @@
 	"moorstack/internal/netio/http1"
 )
 
-// loadReportOf returns the load report that a worker's response carries in its head.
+// loadReportOf returns the load report in the header of a worker's response.
 func (f *Front) loadReportOf(m *http1.Message) balancer.LoadReport {
 	if m == nil {
 		return balancer.NoLoadReport
@@ -17,7 +17,7 @@
 	return f.parseLoadReport(m.Get("X-Server-Load"))
 }
 
-// parseLoadReport reads a load report, as a JSON object or as "TEXT name=value, name=value".
+// parseLoadReport parses a load report: a JSON object, or "TEXT name=value, name=value".
 func (f *Front) parseLoadReport(s string) balancer.LoadReport {
 	r := balancer.NoLoadReport
 	s = strings.TrimSpace(s)
--- a/internal/frontend/platform/metrics.go
+++ b/internal/frontend/platform/metrics.go
@@ -2,11 +2,11 @@
 
 import "moorstack/internal/proxy/metrics"
 
-// ForwardedCount returns how many attempts have been sent to workers since the start.
+// ForwardedCount returns the number of attempts sent to workers since the start of the process.
 func (f *Front) ForwardedCount() uint64 { return f.counters.Forwards }
 
-// classCounters returns the counters of a class. A routing rule may give a request a class that came with a
-// reload; a request that was rejected before it had a class, -1, is counted under the first.
+// classCounters returns the counters of a class. They grow if a routing rule assigns a class that was added
+// by a reload. A request rejected before it had a class (-1) is counted for the first class.
 func (f *Front) classCounters(class int) *metrics.ClassCounters {
 	for class >= len(f.counters.Classes) {
 		f.counters.Classes = append(f.counters.Classes, metrics.ClassCounters{})
@@ -14,7 +14,8 @@
 	return &f.counters.Classes[max(class, 0)]
 }
 
-// AppendMetrics appends the metrics as one line of JSON to dst. They are one snapshot between two events.
+// AppendMetrics appends the metrics to dst as one line of JSON. It runs on the event loop, so that all
+// values are from the same time.
 func (f *Front) AppendMetrics(dst []byte) []byte {
 	names := make([]string, len(f.cfg.Settings.Classes))
 	for i := range names {
--- a/internal/frontend/platform/peer_process.go
+++ b/internal/frontend/platform/peer_process.go
@@ -11,61 +11,62 @@
 )
 
 const (
-	// unknownPeerSpan is how long a process with which this one has no link may share the address: the
-	// platform ends it some 10 s after this one's start.
-	unknownPeerSpan = 10 * time.Second
+	// unlinkedPeerTimeout is how long a process with which this one has no link may share the address. The
+	// platform ends that process about 10 s after this one's start.
+	unlinkedPeerTimeout = 10 * time.Second
 
-	// forwardTimeout is how long the other process may take over a call-back. The worker calls again after
-	// that, as it does when nobody responds.
+	// forwardTimeout is how long the other process may take to handle a forwarded call-back. After that the
+	// worker gets a 503 and calls again, as it does without a response.
 	forwardTimeout = time.Second
 )
 
-// PeerProcess is the other process of this node, while one takes the other's place.
+// PeerProcess is the other process of this node during a hot restart.
 type PeerProcess interface {
-	// ForwardCallBack passes a call-back on. CallBackHandled is called with the same number once the other
+	// ForwardCallBack forwards a call-back. CallBackHandled is called with the same number once the other
 	// process has handled it.
 	ForwardCallBack(number uint64, body []byte)
-	// RequestBegun notifies it of a request that it must not begin, too.
+	// RequestBegun reports a request that begins here, so that the other process rejects the same id.
 	RequestBegun(id string)
 }
 
-// peerState is what concerns the other process.
+// peerState is the Front's state that concerns the other process of the node.
 type peerState struct {
-	peer          PeerProcess // nil: there is none
-	limitsShared  bool        // the limits are for both processes
-	lastForwarded uint64
-	forwarded     map[uint64]*client  // connections of workers whose call-back is with the other process
-	peerRequests  map[string]struct{} // ids of requests that are open there
+	peer                PeerProcess // nil: none
+	limitsShared        bool        // both processes share the limits
+	lastForwardedNumber uint64
+	forwarded           map[uint64]*client  // worker connections by number of the forwarded call-back
+	peerRequests        map[string]struct{} // ids of open requests of the other process
 
-	unknownPeerUntil time.Duration // until when there may be one with which this process has no link
+	unlinkedPeerUntil time.Duration // until when an unlinked process may share the address
 }
 
-// ExpectUnknownPeer records that another process of the node may share the address for some time, though this
-// one has no link with it.
-func (f *Front) ExpectUnknownPeer() { f.unknownPeerUntil = f.loop.Now() + unknownPeerSpan }
+// ExpectUnlinkedPeer records that another process of the node, with which this one has no link, may share the
+// address for some time.
+func (f *Front) ExpectUnlinkedPeer() { f.unlinkedPeerUntil = f.loop.Now() + unlinkedPeerTimeout }
 
-// forwardCallBack passes a call-back that is for no attempt of this process to the other one, and reports
-// whether there is one. A worker calls the shared address, and the process that accepts may not be the one
-// whose attempt it is.
+// forwardCallBack forwards a call-back that belongs to no attempt of this process, and reports whether there
+// is another process to forward it to. Workers call back at the shared address, and the connection may be
+// accepted by the process that did not start the attempt.
 //
-// Hazard: a response before the other process has the call-back loses the result if that process dies
-// meanwhile.
+// The worker gets its response only after the other process has handled the call-back; otherwise the result
+// would be lost if that process died before it received it.
 func (f *Front) forwardCallBack(c *client, body []byte) bool {
 	if f.peer == nil {
 		return false
 	}
-	f.lastForwarded++
-	n := f.lastForwarded
+	f.lastForwardedNumber++
+	n := f.lastForwardedNumber
 	f.forwarded[n], c.callBackForwarded = c, true
 	f.peer.ForwardCallBack(n, body)
 	f.loop.After(forwardTimeout, func() { f.respondForwarded(n, 503) })
 	return true
 }
 
-// CallBackHandled records that the other process has handled a call-back, or knows nothing of it either: in
-// both cases the worker need not call again.
+// CallBackHandled responds to a forwarded call-back that the other process has handled or does not know
+// either. In both cases the worker need not call again.
 func (f *Front) CallBackHandled(number uint64) { f.respondForwarded(number, 204) }
 
+// respondForwarded responds to the worker whose call-back was forwarded under the number, if it still waits.
 func (f *Front) respondForwarded(number uint64, status int) {
 	c := f.forwarded[number]
 	if c == nil {
@@ -79,12 +80,12 @@
 	f.loop.After(0, func() { c.OnData(c.conn) }) // the next request may be in the buffer
 }
 
-// HandleForwardedCallBack handles a call-back that the other process accepted. One that is for no attempt
-// here either is dropped: another call would not help.
+// HandleForwardedCallBack handles a call-back that the other process received. If it belongs to no attempt
+// here either it is dropped, since a repetition would not help.
 func (f *Front) HandleForwardedCallBack(body []byte) { f.handleCallBack(body) }
 
-// openElsewhere reports whether the request is open at the other process, or adopted from it. If it is not,
-// the other process is notified that it begins here.
+// openElsewhere reports whether the request is open in the other process or was adopted from it. If neither,
+// it notifies the other process that the request begins here.
 func (f *Front) openElsewhere(id string) bool {
 	if _, open := f.peerRequests[id]; open || f.adopted[id] != nil {
 		return true
@@ -95,7 +96,8 @@
 	return false
 }
 
-// AddPeerRequests adds ids of requests that are open at the other process.
+// AddPeerRequests adds the ids of requests that are open in the other process. This process rejects new
+// requests with these ids.
 func (f *Front) AddPeerRequests(ids []string) {
 	if f.peerRequests == nil {
 		f.peerRequests = map[string]struct{}{}
@@ -105,8 +107,7 @@
 	}
 }
 
-// SetPeerProcess sets the other process of this node, which then shares the limits; nil: there is none any
-// more.
+// SetPeerProcess sets the other process of this node, which then shares the limits; nil: it has ended.
 func (f *Front) SetPeerProcess(peer PeerProcess) {
 	if f.peer, f.limitsShared = peer, peer != nil; peer == nil {
 		f.peerRequests = nil
@@ -117,7 +118,8 @@
 	f.listener.SetLimits(f.listenerLimits())
 }
 
-// Drained reports whether no client is owed anything by this process.
+// Drained reports whether no client waits for a response from this process or has input that is not handled
+// yet.
 func (f *Front) Drained() bool {
 	if f.broker.PendingCount() > 0 {
 		return false
@@ -130,8 +132,8 @@
 	return true
 }
 
-// StopAccepting leaves new connections to the other process, and has the clients of this one reconnect
-// there.
+// StopAccepting leaves new connections to the other process, and closes idle connections so that their
+// clients reconnect there.
 func (f *Front) StopAccepting() {
 	f.listener.SetSuspended(true)
 	f.drain.BeginTakeover()
@@ -141,26 +143,27 @@
 	f.closeIdleClients()
 }
 
-// ResumeAccepting undoes StopAccepting: the other process has ended.
+// ResumeAccepting accepts connections again after StopAccepting, when the other process has ended.
 func (f *Front) ResumeAccepting() {
 	f.drain.AbortTakeover()
 	f.listener.SetSuspended(false)
 }
 
-// ListenerFD is the listening socket.
+// ListenerFD returns the descriptor of the listening socket.
 func (f *Front) ListenerFD() int { return f.listener.FD() }
 
-// CurrentList returns the endpoint list as it was received last, in discovery's form, and its generation.
+// CurrentList returns the workers of the current endpoint list, in discovery's format, and its generation. It
+// includes a configured list that still waits for discovery.
 func (f *Front) CurrentList() (generation int64, list json.RawMessage, err error) {
 	entries := f.initial.unconfirmedWorkers()
 	for _, e := range f.entries {
 		entries = append(entries, e)
 	}
 	list, err = json.Marshal(entries)
-	return f.directory.generations.Generation, list, err
+	return f.discovery.generations.Generation, list, err
 }
 
-// WorkerStarts returns when workers started, by their ids, as far as it is known here.
+// WorkerStarts returns the known start times of workers, by worker id.
 func (f *Front) WorkerStarts() map[string]hotrestart.WorkerStart {
 	starts := make(map[string]hotrestart.WorkerStart, len(f.startTimes.known))
 	for name, s := range f.startTimes.known {
@@ -169,26 +172,26 @@
 	return starts
 }
 
-// DiscoveryAddresses returns the address of discovery, and the one that the file gave last.
+// DiscoveryAddresses returns the address of discovery in use, and the address last read from the file.
 func (f *Front) DiscoveryAddresses() (address, configured string) {
 	return f.cfg.DiscoveryAddress, f.cfg.configuredDiscovery
 }
 
-// OpenInherited is Open for a process that takes another one's place, with that one's listening socket and
-// state. The times in the state must be of this process's clock (hotrestart.State.RebaseTimes).
+// OpenInherited opens the front of a process that replaces another one, with the other's listening socket and
+// state. Times in the state must refer to this process's clock (see hotrestart.State.RebaseTimes).
 func (f *Front) OpenInherited(b *broker.Broker, listenerFD int, s *hotrestart.State,
 	p broker.ProcessState) error {
 	list := workerList{Generation: s.Generation, Full: true}
 	if err := json.Unmarshal(s.Instances, &list.Workers); err != nil {
-		return fmt.Errorf("the inherited endpoint list: %w", err)
+		return fmt.Errorf("decoding the inherited endpoint list: %w", err)
 	}
 	f.startTimes.restore(s.WorkerStarts)
-	f.cfg.InitialList, f.directory.generations.Generation = list, s.Generation
+	f.cfg.InitialList, f.discovery.generations.Generation = list, s.Generation
 	f.broker, f.limitsShared = b, true
 	f.updateEndpoints(balancer.ListCached, &f.cfg.InitialList)
 	b.ImportState(p)
 	var err error
 	f.listener, err = f.loop.ListenFD(listenerFD, f.listenerLimits(), f.onAccept)
-	f.directory.open()
+	f.discovery.open()
 	return err
 }
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -14,11 +14,11 @@
 
 const (
 	maxRequestIDBytes = 200
-	maxCostMicros     = 1e12 // of a request's expected work
+	maxCostMicros     = 1e12 // upper bound of a request's expected work, exclusive
 	maxTimeout        = 24 * time.Hour
 )
 
-// What is wrong with a request's fields; the texts are sent to the client.
+// Errors of a request's header fields. Their texts are sent to the client.
 var (
 	errRequestID   = errors.New("X-Request-ID is missing, too long or no plain text")
 	errClass       = errors.New("X-Priority-Class names no class")
@@ -29,19 +29,19 @@
 	errIdempotency = errors.New("Idempotency-Key is missing or no plain text")
 )
 
-// payload is what of a client's request is sent on to a worker.
+// payload holds the parts of a client's request that are sent on to a worker.
 type payload struct {
 	target, idempotencyKey string
 	body                   []byte
 }
 
-// parseRequest reads the request from a message's fields, and has it routed.
+// parseRequest reads the request from the message's header fields and routes it.
 func (f *Front) parseRequest(m *http1.Message, body []byte) (broker.Request, routing.Decision, error) {
 	p := &payload{target: m.Target, idempotencyKey: m.Get("Idempotency-Key"), body: body}
 	r := broker.Request{ID: m.Get("X-Request-ID"), Payload: p}
 	var d routing.Decision
-	// Hazard: on what a worker can't parse it closes the connection. That counts as a reset and against the
-	// worker, and an idempotent request would go on to do so at the next one.
+	// A worker closes the connection on input that it can't parse. That would count as a reset, against the
+	// worker, and an idempotent request would then be retried with the same outcome at the next one.
 	if !http1.IsVisibleASCII(r.ID) || len(r.ID) > maxRequestIDBytes {
 		return r, d, errRequestID
 	}
@@ -74,8 +74,8 @@
 	return r, d, err
 }
 
-// parseAttributes reads "name=value, name=value", what the request is expected to need. These are hints:
-// what is unknown or no number is passed over.
+// parseAttributes reads "name=value, name=value": the resources that the request is expected to need. These
+// are hints; unknown names and invalid numbers are ignored.
 func parseAttributes(r *broker.Request, attributes string) {
 	for attribute := range strings.SplitSeq(attributes, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(attribute), "=")
@@ -92,7 +92,8 @@
 	}
 }
 
-// route has the rules choose the request's workers and class, and checks what depends on the class.
+// route applies the routing rules, which select the request's workers and class, and then checks what the
+// class requires.
 func (f *Front) route(m *http1.Message, r *broker.Request, p *payload) (d routing.Decision, err error) {
 	if f.routes != nil {
 		path, _, _ := strings.Cut(m.Target, "?")
@@ -116,8 +117,7 @@
 			return d, errNoClass
 		}
 	}
-	// Hazard: without its key, a retry of a request that is idempotent by key is not known for one, and the
-	// work runs again.
+	// Workers recognise a retry by its idempotency key; without the key the work would run again.
 	if d.RejectReason == "" && f.cfg.Settings.Classes[r.Class].Effect == "dedup" &&
 		!http1.IsVisibleASCII(p.idempotencyKey) {
 		return d, errIdempotency
@@ -125,7 +125,7 @@
 	return d, nil
 }
 
-// parseTimeout reads a number and its unit: m for milliseconds, u for microseconds.
+// parseTimeout parses a number followed by its unit: m for milliseconds, u for microseconds.
 func parseTimeout(s string) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
--- a/internal/frontend/platform/scheduled.go
+++ b/internal/frontend/platform/scheduled.go
@@ -8,11 +8,11 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// ScheduledRequest is a request that this node begins by itself, at its scheduled time.
+// ScheduledRequest is a request that this node itself starts at a scheduled time.
 type ScheduledRequest struct {
-	ID           string // also its idempotency key
-	Class        int    // the class's number
-	Tenant       int    // the tenant's number
+	ID           string // also used as the idempotency key
+	Class        int    // index of the class
+	Tenant       int    // index of the tenant
 	Account      string // empty: none
 	Path         string
 	Body         string
@@ -21,8 +21,9 @@
 	IsRetry      bool
 }
 
-// SubmitScheduled submits a scheduled request to the broker as if a client had sent it: routing rules, limits
-// and admission control apply as to any other. Unless it returns an error, client.Respond is called once.
+// SubmitScheduled submits a scheduled request to the broker as if a client had sent it: routing rules,
+// limits and admission control apply as to any other request. Unless it returns an error, it has
+// client.Respond called exactly once.
 func (f *Front) SubmitScheduled(s ScheduledRequest, client broker.Client) error {
 	p := &payload{target: s.Path, idempotencyKey: s.ID, body: []byte(s.Body)}
 	r := broker.Request{
--- a/internal/frontend/platform/start_times.go
+++ b/internal/frontend/platform/start_times.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// maxListingDelay is how long after a worker's start discovery may list it at the latest: a worker that
-	// was not in the last list started no longer than this before that.
+	// maxListingDelay is the maximum time between a worker's start and its listing by discovery. A worker
+	// that was missing from the last confirmed list started at most this long before that list.
 	maxListingDelay = 15 * time.Second
 
-	// minClockStep is the least difference of two clocks that is taken for a step of the wall clock.
+	// minClockStep is the smallest difference between two clocks that counts as a step of the wall clock.
 	minClockStep = 50 * time.Millisecond
 
-	// maxRememberedStarts bounds how many start times are remembered, also of workers that are not listed
-	// any more. Beyond it all are forgotten.
+	// maxRememberedStarts limits the remembered start times, which include those of workers that are no
+	// longer listed. When the limit is reached, all are dropped.
 	maxRememberedStarts = 1 << 16
 )
 
-// startTimes converts the wall-clock times at which workers report that they started to times of the loop's
-// clock.
+// startTimes converts the start times that workers report, which are wall-clock times, to times of the event
+// loop's clock.
 //
-// Hazard: wall clocks are stepped. A worker that starts after a step back of an hour reports that it started
-// an hour ago, and would be given the load of a warm one; after a step forward it would stay in slow start
-// for an hour. What is known without any clock is that it started after the last list without it, and before
-// now.
+// Wall clocks can be stepped. A worker that starts after its clock was set back by an hour reports that it
+// started an hour ago, and would get the load of a warm worker; after a step forward it would stay in slow
+// start for an hour. Independent of all clocks, a worker must have started after the last list without it
+// and before now.
 type startTimes struct {
 	known       map[string]startTime
-	confirmedAt time.Duration // when discovery last answered; 0: never
+	confirmedAt time.Duration // when discovery last confirmed the list; 0: never
 }
 
-// startTime is when a worker started, as it reports and by the loop's clock.
+// startTime is a worker's start time as reported and as converted to the loop's clock.
 type startTime struct{ reported, at time.Duration }
 
-// confirm records that the list was as it is known at this time.
+// confirm records that the known list was current at the given time.
 func (s *startTimes) confirm(now time.Duration) { s.confirmedAt = now }
 
-// resolve returns the time of a start that the worker reports. Step is how far the wall clock is ahead of
-// now, which is the loop's.
+// resolve converts a reported start time to the loop's clock. now is the time of the loop's clock, and step
+// is how far the wall clock is ahead of it. A start that was resolved before keeps its time.
 func (s *startTimes) resolve(name string, reported, now, step time.Duration) time.Duration {
 	if reported <= 0 {
 		return reported // long ago
@@ -54,7 +54,7 @@
 	return at
 }
 
-// restore takes over the start times that another process knew.
+// restore replaces the known start times by those of the replaced process.
 func (s *startTimes) restore(starts map[string]hotrestart.WorkerStart) {
 	s.known = make(map[string]startTime, len(starts))
 	for name, k := range starts {
@@ -62,7 +62,9 @@
 	}
 }
 
-// estimate returns the later of what the reported time means before and after the step, if it is possible.
+// estimate reads the reported time as one from before and as one from after the clock's step, and returns the
+// later of the two that is not in the future; if both are, it returns now. A result more than maxListingDelay
+// before the last confirmed list is impossible, and is replaced by the time of that list.
 func (s *startTimes) estimate(reported, now, step time.Duration) time.Duration {
 	earliest := time.Duration(0)
 	if s.confirmedAt > 0 {
--- a/internal/frontend/platform/worker.go
+++ b/internal/frontend/platform/worker.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	// healthCheckTimeout is how long a health check may take; a later report would be of a load long past.
+	// healthCheckTimeout limits a health check; a load report that came later would be out of date.
 	healthCheckTimeout = 300 * time.Millisecond
 
-	// cancelTimeout is how long the response to a cancellation is waited for.
+	// cancelTimeout is how long to wait for the response to a cancellation.
 	cancelTimeout = time.Second
 
-	// acceptTimeoutFactor is how long a worker may take over its 202, in connect timeouts. It responds as
-	// soon as it has the request, before it works on it: where the network was sound, 2.7 ms were the most
-	// that was measured, beside a connect timeout of 250 ms.
+	// acceptTimeoutFactor is how long a worker may take to respond 202, in connect timeouts. It responds as
+	// soon as it has received the request, before it works on it: on a healthy network the slowest 202 took
+	// 2.7 ms, at a connect timeout of 250 ms.
 	acceptTimeoutFactor = 2
 
-	// timeoutReserve is what is subtracted from the time that a worker is given: it reads the request a
-	// little later, its call-back takes a while, and this process may be held up before it writes the
-	// response. It is a tenth of the time at most.
+	// timeoutReserve is subtracted from the timeout that is sent to a worker. It allows for the delay until
+	// the worker reads the request, for its call-back, and for a delay of this process before it writes the
+	// response. At most a tenth of the timeout is subtracted.
 	timeoutReserve = 10 * time.Millisecond
 )
 
-// worker is a trip worker of the platform: its address, and the idle connections to it.
+// worker is one of the platform's workers: its address and the idle connections to it.
 type worker struct {
 	front   *Front
-	name    string // its id in discovery's list
+	name    string // its id in the endpoint list
 	address string
-	idle    []*exchange // the one used last at the end
+	idle    []*exchange // ordered by last use, the most recent at the end
 }
 
 var _ broker.Endpoint = (*worker)(nil)
 
-// closeIdle closes the idle connections.
+// closeIdle closes all idle connections to the worker.
 func (w *worker) closeIdle() {
 	for len(w.idle) > 0 {
 		w.idle[len(w.idle)-1].close()
 	}
 }
 
-// attempt is one attempt at a worker.
+// attempt is an attempt that was started at a worker.
 type attempt struct {
 	worker      *worker
 	exchange    *exchange
 	requestID   string
 	accepted    bool             // the worker has responded 202
-	acceptTimer *eventloop.Timer // for the 202
+	acceptTimer *eventloop.Timer // fires if the 202 does not come in time
 }
 
 var _ broker.RunningAttempt = (*attempt)(nil)
 
-// StartAttempt implements broker.Endpoint: it sends the request to the worker.
+// StartAttempt implements broker.Endpoint. It sends the request to the worker.
 func (w *worker) StartAttempt(b broker.Attempt) broker.RunningAttempt {
 	a := &attempt{worker: w, requestID: b.RequestID}
 	a.exchange = w.send(
-		func() []byte { return w.buildAttempt(b) },
-		sending{newConnection: w.front.avoidsReuse(), countForward: true},
+		func() []byte { return w.buildAttemptRequest(b) },
+		sendOptions{newConnection: w.front.avoidsReuse(), countForward: true},
 		func(m *http1.Message, _ []byte, unsent bool) {
 			a.acceptTimer.Stop()
 			if m != nil && m.Status == 202 {
@@ -72,8 +72,8 @@
 			w.front.broker.EndAttempt(b.ID, resultOf(m, unsent), nil, w.front.loadReportOf(m))
 		})
 	if a.exchange != nil && a.exchange.inFlight {
-		// Hazard: a machine is cut off and its connections stay open and silent. A request sent on one would
-		// be waited for until its timeout.
+		// The connections to a machine that lost its network stay open and silent. Without this timer a
+		// request sent on one of them would wait until its own timeout.
 		a.acceptTimer = w.front.loop.After(acceptTimeoutFactor*w.front.connectTimeout(), func() {
 			a.exchange.close()
 			w.front.broker.EndAttempt(b.ID, balancer.ConnectionReset, nil, balancer.NoLoadReport)
@@ -82,9 +82,9 @@
 	return a
 }
 
-// buildAttempt returns the HTTP request of an attempt as of now; nil: its client has disconnected, or its
-// timeout has passed.
-func (w *worker) buildAttempt(b broker.Attempt) []byte {
+// buildAttemptRequest returns the HTTP request of an attempt, with the timeout that remains now; nil: its
+// timeout has passed, or the broker no longer allows it, for example since its client has disconnected.
+func (w *worker) buildAttemptRequest(b broker.Attempt) []byte {
 	timeout := b.Deadline - w.front.loop.Now()
 	timeout -= min(timeoutReserve, timeout/10)
 	if timeout <= 0 || !w.front.broker.MayStillSend(b.ID) {
@@ -99,8 +99,8 @@
 	return http1.AppendRequest(nil, "POST", p.target, w.address, fields, p.body)
 }
 
-// resultOf is the protocol's table of what a worker's response means. A result by which the request
-// never ran must be certain.
+// resultOf maps a worker's response to an attempt's result, as the protocol defines it. A result that says
+// that the request never ran is returned only if that is certain.
 func resultOf(m *http1.Message, unsent bool) balancer.Result {
 	switch {
 	case m == nil && unsent:
@@ -115,8 +115,8 @@
 	return balancer.ServerError
 }
 
-// Abandon implements broker.RunningAttempt: it cancels the request at the worker, or closes the connection
-// if the worker has not accepted it yet.
+// Abandon implements broker.RunningAttempt. It cancels the request at the worker, or closes the connection
+// if the worker has not accepted the request yet.
 func (a *attempt) Abandon() {
 	if a.accepted {
 		a.worker.cancel(a.requestID)
@@ -128,17 +128,15 @@
 	}
 }
 
-// cancel sends the worker a cancellation of a request that it has accepted.
-//
-// Hazard: requests are cancelled at machines that have vanished, and each call would hold its connection for
-// ever. So it is aborted after cancelTimeout.
+// cancel sends the worker a cancellation of a request that it has accepted. The call is aborted after
+// cancelTimeout; otherwise a call to a machine that has vanished would hold its connection for ever.
 func (w *worker) cancel(requestID string) {
 	request := http1.AppendRequest(nil, "DELETE", "/jobs/"+url.PathEscape(requestID), w.address, "", nil)
 	abort := w.sendIdempotent(request, func(*http1.Message, []byte, bool) {})
 	w.front.loop.After(cancelTimeout, abort)
 }
 
-// CheckHealth implements broker.Endpoint: it requests the worker's load report, and calls done once.
+// CheckHealth implements broker.Endpoint. It requests the worker's load report and calls done exactly once.
 func (w *worker) CheckHealth(done func(balancer.Result, balancer.LoadReport)) {
 	finished := false
 	finish := func(result balancer.Result, r balancer.LoadReport) {
--- a/internal/frontend/platform/worker_list.go
+++ b/internal/frontend/platform/worker_list.go
@@ -10,14 +10,14 @@
 	"moorstack/internal/proxy/settings"
 )
 
-// workerList is discovery's endpoint list, or a delta of it.
+// workerList is an endpoint list as discovery sends it, or a delta of one.
 type workerList struct {
 	Generation int64         `json:"generation"`
-	Full       bool          `json:"reset"` // else it is a delta
+	Full       bool          `json:"reset"` // a full list; otherwise a delta
 	Workers    []workerEntry `json:"instances"`
 }
 
-// workerEntry is a worker in discovery's form.
+// workerEntry is a worker's entry in discovery's format.
 type workerEntry struct {
 	ID          string  `json:"instanceId"`
 	Address     string  `json:"hostPort"`
@@ -26,31 +26,31 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
-	StartedAtMS int64   `json:"startedAtMs"` // by the wall clock; 0: long ago
+	StartedAtMS int64   `json:"startedAtMs"` // wall-clock time; 0: long ago
 }
 
-// lifecycles are the states of workers that may be used, by discovery's names. Any other is a removal.
+// lifecycles maps discovery's lifecycle names to worker states. Any other name removes the worker.
 var lifecycles = map[string]balancer.WorkerState{"SERVING": balancer.Ready, "DRAINING": balancer.Draining}
 
 func (e *workerEntry) state() balancer.WorkerState { return lifecycles[e.Lifecycle] }
 
-// receivedList is a list as received, which may be another document altogether.
+// receivedList is a received document that may not be an endpoint list at all. A pointer shows whether it has
+// a generation.
 type receivedList struct {
 	workerList
 	Generation *int64 `json:"generation"`
 }
 
-// validate returns the list, unless the document is no list or a part of one.
-//
-// Hazard: a foreign document that happens to be JSON reads as an empty list, and would remove all workers.
+// validate returns the list, or an error if the document is not a complete list or delta. Without this check,
+// any other JSON object would be read as an empty list and would remove all workers.
 func (r *receivedList) validate() (*workerList, error) {
 	if r.Generation == nil {
-		return nil, errors.New("it has no generation, and so is no list")
+		return nil, errors.New("not an endpoint list: generation is missing")
 	}
 	list := &r.workerList
 	list.Generation = *r.Generation
 	if list.Full && list.Workers == nil {
-		return nil, fmt.Errorf("generation %d names no instances, and says that it is whole",
+		return nil, fmt.Errorf("generation %d is a full list without instances",
 			list.Generation)
 	}
 	for i := range list.Workers {
@@ -63,7 +63,7 @@
 	return list, nil
 }
 
-// nameIndex maps the names of the wire to the numbers by which the balancer knows them.
+// nameIndex maps the names used in messages to the balancer's indexes.
 type nameIndex struct {
 	classes, tenants, zones, kinds map[string]int
 	report                         settings.LoadReportFields
@@ -87,7 +87,7 @@
 	return n
 }
 
-// indexOrNone returns the number of a name, or -1.
+// indexOrNone returns the index of a name, or -1 if it is unknown.
 func indexOrNone(m map[string]int, name string) int {
 	if i, ok := m[name]; ok {
 		return i
@@ -95,7 +95,7 @@
 	return -1
 }
 
-// updateEndpoints passes a list to the broker, and keeps the workers that it names.
+// updateEndpoints passes a list to the broker and updates this front's workers to match it.
 func (f *Front) updateEndpoints(kind balancer.ListUpdateKind, list *workerList) {
 	entries := make([]broker.ListEntry, 0, len(list.Workers))
 	if kind != balancer.ListDelta {
@@ -135,7 +135,8 @@
 	f.broker.UpdateEndpoints(kind, entries)
 }
 
-// workerAt returns the worker with the id, at what may be a new address.
+// workerAt returns the worker with the id and sets its address. It creates the worker if there is none, and
+// closes the idle connections if the address has changed.
 func (f *Front) workerAt(id, address string) *worker {
 	w := f.workers[id]
 	if w == nil {
--- a/internal/node/listfollower.go
+++ b/internal/node/listfollower.go
@@ -87,7 +87,7 @@
 		return
 	}
 	f.rules.Invalidate()
-	if f.env.onLoop(ctx, func() { f.env.node.front.SetFedByPeer(false) }) == nil {
+	if f.env.onLoop(ctx, func() { f.env.node.front.SetListRelayed(false) }) == nil {
 		f.polls = true
 		f.log.Info("polling discovery directly")
 	}
@@ -146,7 +146,7 @@
 			err = f.env.node.front.ApplyList(update.Payload)
 		}
 		if err == nil {
-			f.env.node.front.SetFedByPeer(true)
+			f.env.node.front.SetListRelayed(true)
 		}
 	}); bad != nil {
 		f.rules.Invalidate()
--- a/internal/node/listrelay.go
+++ b/internal/node/listrelay.go
@@ -45,7 +45,7 @@
 	s.stale.Store(true) // until discovery has sent something
 	front := s.env.node.front
 	if err := s.env.onLoop(ctx, func() {
-		front.SetFedByPeer(false)
+		front.SetListRelayed(false)
 		front.OnListUpdate(s.publish)
 	}); err != nil {
 		return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,7 +147,7 @@
 		return err
 	}
 	if p.serves {
-		n.front.ExpectUnknownPeer()
+		n.front.ExpectUnlinkedPeer()
 	}
 	if restartable {
 		return n.startHotRestart(p, began)
