--- a/internal/frontend/faktory/auth.go
+++ b/internal/frontend/faktory/auth.go
@@ -5,11 +5,11 @@
 	"encoding/hex"
 )
 
-// passwordHashRounds is how often a password is hashed, as HI announces it.
+// passwordHashRounds is the number of hash rounds that HI announces.
 const passwordHashRounds = 1545
 
-// HashPassword is the protocol's hash of a password, in hexadecimal: SHA-256 over password and salt, and over
-// its own result again until it has been applied as many times as rounds says.
+// HashPassword returns the protocol's hash of a password in hexadecimal: SHA-256 of the password followed by
+// the salt, applied repeatedly to its own result, rounds times in total.
 func HashPassword(password, salt string, rounds int) string {
 	sum := sha256.Sum256([]byte(password + salt))
 	for range rounds - 1 {
--- a/internal/frontend/faktory/command.go
+++ b/internal/frontend/faktory/command.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// protocolVersion is the one of HI and HELLO.
+	// protocolVersion is the protocol version in HI and HELLO.
 	protocolVersion = 2
-	// maxWIDBytes is the length of a worker's id.
+	// maxWIDBytes is the maximum length of a worker's id.
 	maxWIDBytes = 200
 )
 
@@ -23,7 +23,7 @@
 	errNoSession  = errors.New("a worker must give a wid in HELLO")
 )
 
-// handleCommand handles a line: a verb and its arguments.
+// handleCommand handles a command line, which is a verb followed by its arguments.
 func (c *conn) handleCommand(line []byte) {
 	c.front.counts.commands++
 	verb, rest, _ := bytes.Cut(line, []byte(" "))
@@ -58,7 +58,7 @@
 	}
 }
 
-// handleFirst handles a connection's first command, which must be HELLO.
+// handleFirst handles the first command of a connection. It must be HELLO; an error closes the connection.
 func (c *conn) handleFirst(name string, args []byte) {
 	err := errHelloFirst
 	if name == "HELLO" {
@@ -72,7 +72,8 @@
 	c.reply("+OK\r\n")
 }
 
-// hello checks the version and the password. A wid makes the connection a worker's, of that session.
+// hello checks the protocol version and the password. With a wid the connection is a worker's and joins the
+// session of that wid.
 func (c *conn) hello(args []byte) error {
 	var h struct {
 		Version int      `json:"v"`
@@ -96,12 +97,12 @@
 		return errors.New("the wid is too long")
 	}
 	if h.WID != "" {
-		c.session = c.front.join(c, h.WID, h.Labels)
+		c.session = c.front.joinSession(c, h.WID, h.Labels)
 	}
 	return nil
 }
 
-// handleFetch gives a worker a job of the queues, or has it wait for one.
+// handleFetch delivers a job from the given queues to the worker, or has the FETCH wait for one.
 func (c *conn) handleFetch(args []byte) {
 	if c.session == nil {
 		c.replyError(errNoSession)
@@ -114,7 +115,7 @@
 	c.session.fetchOrWait(c, queues)
 }
 
-// jobID reads the arguments of ACK and FAIL, which only a worker may send.
+// jobID returns the job id in the arguments of ACK or FAIL, which only a worker may send.
 func (c *conn) jobID(name string, args []byte) (string, error) {
 	var e struct {
 		JID string `json:"jid"`
@@ -128,7 +129,7 @@
 	return e.JID, nil
 }
 
-// acknowledge ends a job that the worker has done. One that comes late is accepted, and changes nothing.
+// acknowledge handles ACK: the worker has done the job. A late ACK gets OK and changes nothing.
 func (c *conn) acknowledge(args []byte) error {
 	jid, err := c.jobID("ACK", args)
 	if err == nil {
@@ -137,7 +138,7 @@
 	return err
 }
 
-// fail ends a job that the worker couldn't do.
+// fail handles FAIL: the worker could not do the job.
 func (c *conn) fail(args []byte) error {
 	jid, err := c.jobID("FAIL", args)
 	if err == nil && !c.session.endReservation(jid, balancer.ServerError) {
@@ -146,8 +147,8 @@
 	return err
 }
 
-// heartbeat keeps a worker's session, and may bear the worker's notice that it drains. The reply asks for
-// no state of the worker.
+// heartbeat handles BEAT, which keeps a worker's session alive and may report that the worker drains. The
+// reply never requests a change of the worker's state.
 func (c *conn) heartbeat(args []byte) error {
 	var b struct {
 		WID   string `json:"wid"`
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// handleTrack replies with the state of a job.
+// handleTrack handles TRACK GET, which requests the state of a job.
 func (c *conn) handleTrack(args []byte) {
 	verb, jid, _ := strings.Cut(string(args), " ")
 	if jid = strings.TrimSpace(jid); strings.ToUpper(verb) != "GET" || jid == "" {
--- a/internal/frontend/faktory/config.go
+++ b/internal/frontend/faktory/config.go
@@ -9,36 +9,36 @@
 	"moorstack/internal/tomlfile"
 )
 
-// Config is the file that -faktory names. Keys are read without regard to case.
+// Config is the content of the file that -faktory names. Its keys are case-insensitive.
 type Config struct {
-	// Listen is the address, with its port, at which producers and workers connect.
+	// Listen is the address and port for producers and workers.
 	Listen string `toml:"listen"`
-	// Password is what every connection must prove to know; empty: none.
+	// Password is required from every connection, as a salted hash; empty: no password.
 	Password string `toml:"password"`
-	// MaxConnections is the number of open connections, producers' and workers' together.
+	// MaxConnections limits the open connections of producers and workers together.
 	MaxConnections int `toml:"connections"`
-	// MaxLineBytes is the length of a command's line, without its end.
+	// MaxLineBytes limits the length of a command line, without its line ending.
 	MaxLineBytes int `toml:"line_bytes"`
-	// MaxJobs is the number of jobs that are kept, finished ones too.
+	// MaxJobs limits the number of jobs in memory, including finished ones.
 	MaxJobs int `toml:"jobs"`
-	// MaxJobBytes is the size of all unfinished jobs together.
+	// MaxJobBytes limits the total size of all unfinished jobs.
 	MaxJobBytes int `toml:"bytes"`
-	// ResponseRetention is for how long a finished job's result can be read.
+	// ResponseRetention is how long the result of a finished job can be read.
 	ResponseRetention time.Duration `toml:"keep"`
-	// SessionTimeout is after how much silence a worker's session expires.
+	// SessionTimeout is the time without a command after which a worker's session expires.
 	SessionTimeout time.Duration `toml:"silence"`
-	// ReservationTimeout is how long a worker may work on a job that doesn't say so itself.
+	// ReservationTimeout is how long a worker may work on a job without reserve_for.
 	ReservationTimeout time.Duration `toml:"reserve"`
-	// MinReservationTimeout is the least that a job may say for that.
+	// MinReservationTimeout is the lower limit for reserve_for; smaller values are raised to it.
 	MinReservationTimeout time.Duration `toml:"reserve_least"`
-	// MaxUnfetchedPerWorker is how many jobs may wait for a worker's next FETCH.
+	// MaxUnfetchedPerWorker limits the jobs that are assigned to a worker and not fetched yet.
 	MaxUnfetchedPerWorker int `toml:"queue"`
-	// ClassByJobType gives job types their class by name; a type that is missing here is its class's name.
+	// ClassByJobType maps job types to class names. A type that is not listed is itself a class name.
 	ClassByJobType map[string]string `toml:"classes"`
 }
 
-// ReadConfig reads the file, with defaults for what it doesn't give. It fails on an unknown key, without a
-// listen address, and on a limit that is out of range.
+// ReadConfig reads the file and sets defaults for missing keys. It fails if a key is unknown, if the listen
+// address is missing, or if a limit is out of range.
 func ReadConfig(path string) (*Config, error) {
 	c := &Config{
 		MaxConnections:        256,
@@ -55,14 +55,16 @@
 		return nil, err
 	}
 	if c.Listen == "" {
-		return nil, fmt.Errorf("reading %s: no listen address", path)
+		return nil, fmt.Errorf("reading %s: listen must be set", path)
 	}
 	if !c.limitsInRange() {
-		return nil, errors.New("reading " + path + ": a limit is out of range")
+		return nil, errors.New("reading " + path +
+			": a limit is out of range: line_bytes from 256 to 131072, queue from 0, all others above 0")
 	}
 	return c, nil
 }
 
+// limitsInRange reports whether every limit is in its range.
 func (c *Config) limitsInRange() bool {
 	return c.MaxConnections >= 1 && c.MaxLineBytes >= 256 && c.MaxLineBytes <= 128<<10 &&
 		c.MaxJobs >= 1 && c.MaxJobBytes >= 1 && c.MaxUnfetchedPerWorker >= 0 &&
@@ -70,10 +72,10 @@
 		c.ReservationTimeout > 0 && c.MinReservationTimeout > 0
 }
 
-// AdaptSettings fits a node's settings to this frontend's endpoint list, which consists of the workers that
-// hold a session with this node: no discovery service need be polled, no other node sends to them, and their
-// load can be read here at no cost. They are not of the platform's machine kinds. A worker fetches only what
-// it has capacity for, and so needs no slow start.
+// AdaptSettings returns a node's settings adapted to this frontend. Its endpoint list consists of the
+// workers that have a session with this node: no discovery service has to be polled, no other node sends
+// jobs to them, and their load can be read here at no cost. They have none of the platform's machine kinds.
+// A worker fetches only the jobs that it has capacity for, and so needs no slow start.
 func AdaptSettings(set balancer.Settings) balancer.Settings {
 	set.DispatcherIndex, set.DispatcherCount, set.WorkerKinds = 0, 1, 1
 	set.ListOnRequest, set.ReportsStart, set.ProgressInterval = false, false, 0
--- a/internal/frontend/faktory/config_test.go
+++ b/internal/frontend/faktory/config_test.go
@@ -12,7 +12,7 @@
 	for name, c := range map[string]struct{ text, want string }{
 		"minimal":            {listen, ""},
 		"keys in upper case": {"Listen = \"127.0.0.1:1\"\nKeep = \"1m\"\n", ""},
-		"no address":         {"jobs = 1\n", "no listen address"},
+		"no address":         {"jobs = 1\n", "listen must be set"},
 		"unknown key":        {listen + "jbos = 1\n", "jbos"},
 		"no connections":     {listen + "connections = 0\n", "a limit is out of range"},
 		"short lines":        {listen + "line_bytes = 255\n", "a limit is out of range"},
@@ -33,7 +33,7 @@
 			_, err := ReadConfig(path)
 			if c.want == "" && err != nil ||
 				c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("got error %v, want %q", err, c.want)
 			}
 		})
 	}
--- a/internal/frontend/faktory/conn.go
+++ b/internal/frontend/faktory/conn.go
@@ -11,22 +11,23 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// conn is a producer's or a worker's connection: it cuts the input into lines and writes replies.
+// conn is a connection of a producer or a worker. It splits the input into lines and writes replies.
 type conn struct {
 	front     *Front
 	conn      *eventloop.Conn
-	salt      string // of the password's hash; empty where there is no password
+	salt      string // salt of the password's hash; empty: no password is required
 	helloDone bool
-	session   *session // nil: a producer's
+	session   *session // the worker's session; nil: a producer's connection
 
-	fetching     bool            // its FETCH waits for a job
-	fetchQueues  map[string]bool // of its last FETCH
+	fetching     bool            // a FETCH waits for a job
+	fetchQueues  map[string]bool // queues of the last FETCH
 	fetchTimer   *eventloop.Timer
-	scannedBytes int // of the input, known to hold no line's end
+	scannedBytes int // length of the input known to contain no line end
 }
 
 var _ eventloop.Handler = (*conn)(nil)
 
+// accept handles a new connection and sends HI.
 func (f *Front) accept(nc *eventloop.Conn) {
 	c := &conn{front: f, conn: nc}
 	nc.Handler = c
@@ -35,13 +36,13 @@
 		c.salt = rand.Text()
 		hi["s"], hi["i"] = c.salt, passwordHashRounds
 	}
-	text, _ := json.Marshal(hi) // of a map of plain values it can't fail
+	text, _ := json.Marshal(hi) // can't fail for a map of plain values
 	c.reply("+HI " + string(text) + "\r\n")
 }
 
 func (c *conn) reply(text string) { c.conn.Write([]byte(text)) }
 
-// replyStatus replies OK, or the error.
+// replyStatus replies with OK, or with the error if there is one.
 func (c *conn) replyStatus(err error) {
 	if err != nil {
 		c.replyError(err)
@@ -50,10 +51,12 @@
 	c.reply("+OK\r\n")
 }
 
+// replyBulk replies with a bulk string.
 func (c *conn) replyBulk(text []byte) {
 	c.conn.Write(append(append(fmt.Appendf(nil, "$%d\r\n", len(text)), text...), "\r\n"...))
 }
 
+// replyJSON replies with the value in JSON, as a bulk string.
 func (c *conn) replyJSON(v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -63,7 +66,8 @@
 	c.replyBulk(text)
 }
 
-// replyError replies with an error. What it quotes must not break the line.
+// replyError replies with an error. Control characters become spaces, since a quoted line break would end the
+// reply early.
 func (c *conn) replyError(err error) {
 	c.reply("-ERR " + strings.Map(func(r rune) rune {
 		if r < ' ' {
@@ -73,7 +77,7 @@
 	}, err.Error()) + "\r\n")
 }
 
-// closeWithError ends a connection that can't go on.
+// closeWithError replies with an error and closes the connection.
 func (c *conn) closeWithError(err error) {
 	c.replyError(err)
 	c.close()
@@ -84,10 +88,10 @@
 	c.OnClose(c.conn, nil)
 }
 
-// OnConnect is never called: nothing is dialled.
+// OnConnect implements eventloop.Handler. It is never called, since this frontend dials no connections.
 func (c *conn) OnConnect(*eventloop.Conn) {}
 
-// OnClose is the end of the connection, from whichever side.
+// OnClose implements eventloop.Handler. Either side may have closed the connection.
 func (c *conn) OnClose(*eventloop.Conn, error) {
 	c.fetchTimer.Stop()
 	if s := c.session; s != nil {
@@ -96,10 +100,11 @@
 	}
 }
 
-// resumeInput goes on with input that came while a FETCH waited, though not within this call.
+// resumeInput schedules the handling of input that came while a FETCH waited. It must not happen within this
+// call.
 func (c *conn) resumeInput() { c.front.loop.After(0, func() { c.OnData(c.conn) }) }
 
-// OnData handles the commands one at a time.
+// OnData implements eventloop.Handler. It handles the commands one at a time.
 func (c *conn) OnData(*eventloop.Conn) {
 	for !c.fetching && !c.conn.Closed() && !c.conn.Finishing() {
 		line, ok := c.readLine()
@@ -108,15 +113,15 @@
 		}
 		c.conn.BeginProcessing()
 		c.handleCommand(line)
-		// A worker's connection is never shed: its jobs would be lost.
+		// A worker's connection must never be closed to shed load: its jobs would be lost.
 		if c.session == nil && !c.conn.Finishing() {
 			c.conn.EndProcessing()
 		}
 	}
 }
 
-// readLine takes a line out of the input; not ok: there is no whole one yet, or it is too long, which ends
-// the connection.
+// readLine removes a line from the input and returns it. ok is false if there is no complete line yet, or if
+// the line is too long, in which case the connection is closed.
 func (c *conn) readLine() (line []byte, ok bool) {
 	in, limit := c.conn.Input(), c.front.cfg.MaxLineBytes
 	i := bytes.IndexByte(in[c.scannedBytes:], '\n')
--- a/internal/frontend/faktory/doc.go
+++ b/internal/frontend/faktory/doc.go
@@ -1,7 +1,8 @@
-// Package faktory is the frontend for the Faktory work protocol: producers push jobs, workers fetch and
-// acknowledge them, and a broker of its own decides which worker gets which job.
+// Package faktory is the frontend for the Faktory work protocol. Producers push jobs, workers fetch and
+// acknowledge them, and a broker that only this frontend uses decides which worker gets which job.
 //
-// It is a server in memory: what it keeps is lost when the process ends. Like any frontend it carries and
-// decides nothing; a job that the broker rejects is rejected at once. Everything in it runs on its event
-// loop's goroutine, but for ReadConfig, AdaptSettings and HashPassword, which any goroutine may call.
+// All state is in memory and lost when the process ends. Like every frontend it handles the I/O and leaves
+// the decisions to its broker: a job that the broker rejects is rejected at once. All functions must run on
+// the event loop's goroutine, except ReadConfig, AdaptSettings and HashPassword, which any goroutine may
+// call.
 package faktory
--- a/internal/frontend/faktory/front.go
+++ b/internal/frontend/faktory/front.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// drainPoll is how often a drain checks whether all jobs have ended.
-	drainPoll = 10 * time.Millisecond
-	// unreadResponseWait is for how long after its end a job whose result nobody has read delays a drain.
+	// drainCheckInterval is how often Drain checks whether all jobs have ended.
+	drainCheckInterval = 10 * time.Millisecond
+	// unreadResponseWait is how long after its end a job delays a drain if nobody has read its result.
 	unreadResponseWait = 3 * time.Second
 )
 
-// Front is the Faktory frontend. All its methods are for the event loop's goroutine.
+// Front is the Faktory frontend. Its methods must be called on the event loop's goroutine.
 type Front struct {
 	loop         *eventloop.Loop
 	broker       *broker.Broker
@@ -31,19 +31,19 @@
 	tenants      map[string]int
 	jobs         map[string]*job
 	sessions     map[string]*session
-	pendingBytes int // of the unfinished jobs
-	lastCell     int // given to a worker without a pod label; they count down from -1
+	pendingBytes int // total size of the unfinished jobs
+	lastCell     int // last cell of a worker without a pod label; they count down from -1
 	draining     bool
-	routingTable *routing.Table // nil: jobs go where the balancer decides
+	routingTable *routing.Table // nil: no rules; the balancer alone selects the worker
 	startedAt    time.Duration
 	counts       counters
 }
 
-// counters are since the process's start.
+// counters count jobs and commands since the start of the process.
 type counters struct{ rejected, served, failed, commands int }
 
-// New makes the frontend with these settings, which AdaptSettings has made. It fails if a job type has a
-// class that the settings don't have.
+// New returns a Front that does not serve yet; Open starts it. The settings must come from AdaptSettings. New
+// fails if the configuration gives a job type a class that the settings don't define.
 func New(loop *eventloop.Loop, cfg *Config, set balancer.Settings, log logrus.FieldLogger) (*Front, error) {
 	f := &Front{loop: loop, cfg: cfg, settings: set, log: log, classes: map[string]int{},
 		tenants: map[string]int{}, jobs: map[string]*job{}, sessions: map[string]*session{},
@@ -57,34 +57,35 @@
 	for jobType, class := range cfg.ClassByJobType {
 		i, ok := f.classes[class]
 		if !ok {
-			return nil, fmt.Errorf("job type %q: the settings have no class %q", jobType, class)
+			return nil, fmt.Errorf("classes: job type %q has class %q, which the settings don't define",
+				jobType, class)
 		}
 		f.classes[jobType] = i
 	}
 	return f, nil
 }
 
-// Open begins to listen, for the broker. The endpoint list is empty until a worker fetches.
+// Open sets the broker and begins to listen. The broker's endpoint list is empty until a worker fetches.
 func (f *Front) Open(b *broker.Broker) error {
 	f.broker = b
 	f.broker.UpdateEndpoints(balancer.ListFull, nil)
 	var err error
-	// Input that waits may take a quarter as much as the unfinished jobs, or else a little for
-	// each connection and a few long lines.
+	// Input buffers may use a quarter of the limit for unfinished jobs, but at least 4 KiB for each
+	// connection and four lines of the maximum length.
 	limits := eventloop.Limits{MaxConnections: f.cfg.MaxConnections,
 		MaxBufferBytes: max(f.cfg.MaxJobBytes/4, f.cfg.MaxConnections<<12+4*f.cfg.MaxLineBytes)}
 	f.listener, err = f.loop.Listen(f.cfg.Listen, limits, f.accept)
 	return err
 }
 
-// SetRoutingTable has jobs routed by these rules, from the next one on; nil: by none.
+// SetRoutingTable sets the routing table for all further jobs; nil: no routing rules.
 func (f *Front) SetRoutingTable(t *routing.Table) { f.routingTable = t }
 
-// ApplySettings takes over the classes' timeouts, from the next job on.
+// ApplySettings replaces the settings. The classes' new timeouts apply to all further jobs.
 func (f *Front) ApplySettings(set balancer.Settings) { f.settings = set }
 
-// Drain rejects new jobs, lets accepted ones end and their producers read the results for a while, and
-// then closes the listener and calls done.
+// Drain rejects new jobs and waits until all accepted jobs have ended and, for up to unreadResponseWait,
+// until their results have been read. It then closes the listener and calls done.
 func (f *Front) Drain(done func()) {
 	f.draining = true
 	pending := f.broker.PendingCount() > 0
@@ -92,7 +93,7 @@
 		pending = pending || j.finished && !j.responseRead && time.Since(j.updatedAt) < unreadResponseWait
 	}
 	if pending {
-		f.loop.After(drainPoll, func() { f.Drain(done) })
+		f.loop.After(drainCheckInterval, func() { f.Drain(done) })
 		return
 	}
 	f.listener.Close()
--- a/internal/frontend/faktory/job.go
+++ b/internal/frontend/faktory/job.go
@@ -12,7 +12,7 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// jobState is a job's state, in the words of the protocol's TRACK.
+// jobState is a job's state, as the protocol's TRACK names it.
 type jobState string
 
 const (
@@ -22,25 +22,25 @@
 	failed   jobState = "failed"
 )
 
-// job is a job that was pushed, kept for a while after its final response.
+// job is a pushed job. It is kept for ResponseRetention after its final response.
 type job struct {
 	front   *Front
-	payload []byte // as it was pushed; nil once the job has finished
+	payload []byte // the job as it was pushed; nil once the job has finished
 	jobBody
-	digest       [sha256.Size]byte // of what makes it this job and no other
+	digest       [sha256.Size]byte // of job type and arguments, to recognise a repeated push
 	state        jobState
-	accepted     bool // PUSH was answered with OK
-	finished     bool // it has its final response
-	responseRead bool // and that has been read
+	accepted     bool // PUSH got OK as its reply
+	finished     bool // the final response is known
+	responseRead bool // a producer has read the final response
 	rejected     bool
 	retryAfter   time.Duration
-	rejectReason string // where the admission controller gave one
+	rejectReason string // from the admission controller; empty: none given
 	updatedAt    time.Time
 }
 
 var _ broker.Client = (*job)(nil)
 
-// rejection is the error of a job that may be pushed again later.
+// rejection is the error for a job that may be pushed again later.
 type rejection struct {
 	reason     string
 	retryAfter time.Duration
@@ -50,10 +50,11 @@
 	return fmt.Sprintf("BUSY %s; retry after %.3f s", r.reason, r.retryAfter.Seconds())
 }
 
-// defaultRetryAfter is the least wait after a rejection that has no time of its own.
+// defaultRetryAfter is the retry time of rejections that this frontend makes, and the minimum of those by
+// routing rules.
 const defaultRetryAfter = time.Second
 
-// push accepts a job, or fails with a rejection or another reason.
+// push accepts a job. Otherwise it returns a rejection, or another error if the job is invalid or has failed.
 func (f *Front) push(payload []byte) error {
 	j := &job{front: f, payload: append([]byte(nil), payload...), state: enqueued, updatedAt: time.Now()}
 	if err := json.Unmarshal(payload, &j.jobBody); err != nil {
@@ -69,21 +70,22 @@
 	j.digest = sha256.Sum256(append([]byte(j.Type+"\x00"), j.Args...))
 	j.Args = nil
 	if old := f.jobs[j.JID]; old != nil && !old.rejected {
-		// Hazard: a producer whose connection broke pushes again what was accepted: it would
-		// run twice. The first push stands.
+		// A producer whose connection broke pushes an accepted job again, which must not run
+		// twice. The first push remains in force.
 		return old.checkDuplicate(j)
 	}
 	if f.draining {
 		return rejection{"this node is ending", defaultRetryAfter}
 	}
-	// Hazard: the largest jobs, as many as are allowed, are more than the node's memory.
+	// The byte limit is needed as well, since MaxJobs jobs of the maximum size would exceed the node's
+	// memory.
 	if len(f.jobs) >= f.cfg.MaxJobs || f.pendingBytes+len(payload) > f.cfg.MaxJobBytes {
 		return rejection{"as many jobs are held as may be", defaultRetryAfter}
 	}
 	return f.submit(request, j)
 }
 
-// submit gives a job to the broker, which may respond before it returns.
+// submit passes a job to the broker, which may respond before Submit returns.
 func (f *Front) submit(request broker.Request, j *job) error {
 	size := len(j.payload)
 	f.jobs[j.JID] = j
@@ -97,7 +99,7 @@
 		j.accepted = true
 		return nil
 	}
-	// The response is given here and now, and so there is nothing to read later.
+	// The reply to PUSH already has the response, so that the job need not be kept.
 	delete(f.jobs, j.JID)
 	if j.rejected {
 		return rejection{cmp.Or(j.rejectReason, "refused"), j.retryAfter}
@@ -105,7 +107,8 @@
 	return errors.New("the job has failed")
 }
 
-// checkDuplicate is the result of another push with the job's jid.
+// checkDuplicate returns the result of another push with the job's jid: nil if it is a repetition of the
+// same job, unless that has failed.
 func (j *job) checkDuplicate(other *job) error {
 	switch {
 	case other.digest != j.digest:
@@ -116,7 +119,7 @@
 	return nil
 }
 
-// Respond keeps the final response for the producer to read.
+// Respond implements broker.Client. It keeps the final response until the producer reads it or it expires.
 func (j *job) Respond(response broker.Response) {
 	j.finished, j.updatedAt = true, time.Now()
 	j.front.pendingBytes -= len(j.payload)
@@ -134,16 +137,16 @@
 		j.front.counts.failed++
 	}
 	if !j.accepted {
-		return // PUSH itself brings the response
+		return // the reply to PUSH has the response
 	}
 	j.front.loop.After(j.front.cfg.ResponseRetention, func() {
-		if j.front.jobs[j.JID] == j { // not a later push after a rejection
+		if j.front.jobs[j.JID] == j { // not replaced by a later push after a rejection
 			delete(j.front.jobs, j.JID)
 		}
 	})
 }
 
-// route has the routing rules decide on a request, and takes over what they decide.
+// route applies the routing rules to a request and copies their decision to it.
 func (f *Front) route(request *broker.Request, j *job, tenant int) routing.Decision {
 	if f.routingTable == nil {
 		return routing.Decision{}
--- a/internal/frontend/faktory/request.go
+++ b/internal/frontend/faktory/request.go
@@ -14,12 +14,12 @@
 	minJIDBytes  = 8
 	maxJIDBytes  = 200
 	defaultQueue = "default"
-	// maxJobSeconds bounds a job's deadline, reservation and cost: a day.
+	// maxJobSeconds is the upper limit of a job's deadline, reservation and cost: a day.
 	maxJobSeconds = 86400
 	maxJobSlots   = 1e6
 )
 
-// jobBody is what is read of a job.
+// jobBody holds the fields of a job that this frontend reads.
 type jobBody struct {
 	JID        string          `json:"jid"`
 	Type       string          `json:"jobtype"`
@@ -36,7 +36,7 @@
 	} `json:"custom"`
 }
 
-// validate checks what every job must have.
+// validate checks the fields that every job must have.
 func (b *jobBody) validate() error {
 	if n := len(b.JID); n < minJIDBytes || n > maxJIDBytes {
 		return errors.New("jid must have 8 to 200 characters")
@@ -53,11 +53,11 @@
 	return nil
 }
 
-// validSeconds says whether a time that a job gives is in range; not-a-number is not.
+// validSeconds reports whether a time in a job is in range; NaN is not.
 func validSeconds(seconds float64) bool { return seconds > 0 && seconds <= maxJobSeconds }
 
-// parseRequest makes the broker's request of a job. Where the routing rules reject the job, the decision has
-// the reason, and the rest of the request doesn't count.
+// parseRequest converts a job into a request to the broker. If the routing rules reject the job, the
+// decision has the reason and the request is not to be used.
 func (f *Front) parseRequest(j *job) (request broker.Request, d routing.Decision, err error) {
 	if err := j.validate(); err != nil {
 		return request, d, err
@@ -85,11 +85,12 @@
 		return request, d, fmt.Errorf("jobtype %.60q has no class", j.Type)
 	}
 	request.Timeout = f.settings.Classes[request.Class].Timeout
-	return request, d, j.limitRequest(&request)
+	return request, d, j.applyLimits(&request)
 }
 
-// limitRequest checks the job's times and its size, and gives the request its deadline.
-func (b *jobBody) limitRequest(request *broker.Request) error {
+// applyLimits checks the job's times, cost and slots, and sets the request's timeout if the job has a
+// deadline.
+func (b *jobBody) applyLimits(request *broker.Request) error {
 	if deadline := b.Custom.Deadline; deadline != nil {
 		if !validSeconds(*deadline) {
 			return errors.New("custom.deadline must be seconds, above 0 and up to a day")
--- a/internal/frontend/faktory/request_test.go
+++ b/internal/frontend/faktory/request_test.go
@@ -11,7 +11,7 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// parse has a frontend of one class and two tenants parse a job.
+// parse parses a job with a frontend that has one class and two tenants.
 func parse(t *testing.T, text string) (broker.Request, *job, error) {
 	t.Helper()
 	f := &Front{
@@ -25,7 +25,7 @@
 	}
 	request, decision, err := f.parseRequest(j)
 	if decision != (routing.Decision{}) {
-		t.Errorf("a decision without routing rules: %+v", decision)
+		t.Errorf("without routing rules the decision is %+v, want none", decision)
 	}
 	return request, j, err
 }
@@ -36,18 +36,18 @@
 	want := broker.Request{ID: "12345678", Class: 0, Tenant: 1, Payload: j, Account: "a7", Slots: 3,
 		Timeout: 2500 * time.Millisecond, ExpectedWork: 250 * time.Millisecond}
 	if err != nil || request != want || j.Queue != defaultQueue {
-		t.Errorf("%+v, queue %q, %v; want %+v", request, j.Queue, err, want)
+		t.Errorf("request %+v, queue %q, error %v; want %+v", request, j.Queue, err, want)
 	}
 }
 
 func TestJobWithoutDeadlineHasItsClassesTimeout(t *testing.T) {
 	request, _, err := parse(t, `{"jid": "12345678", "jobtype": "quick", "args": [], "queue": "q"}`)
 	if err != nil || request.Timeout != 5*time.Second || request.Tenant != 0 {
-		t.Errorf("%+v, %v", request, err)
+		t.Errorf("request %+v, error %v, want timeout 5s and tenant 0", request, err)
 	}
 }
 
-// What a producer reads when its job is wrong; the texts are part of the protocol as it is spoken here.
+// The producer gets an error that names the fault of its job. These texts are part of the protocol.
 func TestInvalidJobIsNamed(t *testing.T) {
 	const head = `{"jid": "12345678", "jobtype": "Mail", "args": []`
 	for _, c := range []struct{ job, want string }{
@@ -67,7 +67,7 @@
 		{head + `, "custom": {"slots": 1000001}}`, "custom.cost or custom.slots is out of range"},
 	} {
 		if _, _, err := parse(t, c.job); err == nil || err.Error() != c.want {
-			t.Errorf("%.80s: %v, want %s", c.job, err, c.want)
+			t.Errorf("%.80s: got error %v, want %s", c.job, err, c.want)
 		}
 	}
 }
--- a/internal/frontend/faktory/reservation.go
+++ b/internal/frontend/faktory/reservation.go
@@ -10,17 +10,18 @@
 	"moorstack/internal/proxy/slotmap"
 )
 
-// reservation is an attempt at a worker: a job that waits for the worker's FETCH, and then one that it has.
+// reservation is an attempt at a worker: a job that waits for the worker's FETCH or that the worker has
+// fetched.
 type reservation struct {
 	session     *session
 	job         *job
 	attempt     slotmap.ID
-	expiryTimer *eventloop.Timer // from the FETCH on
+	expiryTimer *eventloop.Timer // runs from the FETCH on
 }
 
 var _ broker.RunningAttempt = (*reservation)(nil)
 
-// startTimer has the reservation expire when the worker has had the job for as long as it may.
+// startTimer starts the timeout of the reservation, which ends the attempt as timed out.
 func (r *reservation) startTimer() {
 	cfg := r.session.front.cfg
 	timeout := cfg.ReservationTimeout
@@ -30,14 +31,14 @@
 	r.expiryTimer = r.session.front.loop.After(timeout, func() { r.finish(balancer.TimedOut) })
 }
 
-// finish ends the reservation, and with it the attempt.
+// finish ends the reservation and its attempt.
 func (r *reservation) finish(result balancer.Result) {
 	r.Abandon()
 	r.session.front.broker.EndAttempt(r.attempt, result, nil, r.session.load())
 }
 
-// Abandon takes the job from the worker. The protocol has no cancellation: a worker that has the job goes on,
-// and its late ACK finds nothing to end.
+// Abandon implements broker.RunningAttempt. It removes the job from the worker's session. The protocol has no
+// cancellation: a worker that has fetched the job continues to run it, and its late ACK has no effect.
 func (r *reservation) Abandon() {
 	r.expiryTimer.Stop()
 	s := r.session
--- a/internal/frontend/faktory/session.go
+++ b/internal/frontend/faktory/session.go
@@ -10,19 +10,19 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// fetchTimeout is how long a FETCH waits for a job, as the protocol has it.
+// fetchTimeout is how long a FETCH waits for a job, as the protocol defines it.
 const fetchTimeout = 2 * time.Second
 
-// session is a worker: a process with one wid and all its connections. It is an endpoint from its first FETCH
-// on.
+// session is the session of a worker process: its wid and all its connections. It becomes an endpoint with
+// its first FETCH.
 type session struct {
 	front          *Front
 	wid            string
 	cell           int
 	labels         []string
 	conns          map[*conn]struct{}
-	waitingFetches []*conn                 // the oldest first
-	unfetched      []*reservation          // assigned by the broker, not fetched yet
+	waitingFetches []*conn                 // connections whose FETCH waits, oldest first
+	unfetched      []*reservation          // assigned by the broker and not fetched yet, oldest first
 	reserved       map[string]*reservation // fetched, by jid
 	listed         bool
 	draining       bool
@@ -32,10 +32,11 @@
 
 var _ broker.Endpoint = (*session)(nil)
 
-// join finds the session of a worker's connection, or begins it. Workers with the same pod number drop each
-// other's repeats; any other is a pod of its own, so that a job with an idempotency key that may have run
-// there is not repeated elsewhere.
-func (f *Front) join(c *conn, wid string, labels []string) *session {
+// joinSession adds a worker's connection to the session with the wid, and creates the session if there is
+// none. Workers with the same pod number recognise and drop repetitions of jobs that another of them has
+// run, by the idempotency key. A worker without a pod label gets a cell of its own, so that a job with an
+// idempotency key that may have run there is not repeated elsewhere.
+func (f *Front) joinSession(c *conn, wid string, labels []string) *session {
 	s := f.sessions[wid]
 	if s == nil {
 		f.lastCell--
@@ -54,10 +55,10 @@
 	return s
 }
 
-// resetSilenceTimer puts off the time at which the session expires.
+// resetSilenceTimer restarts the timeout after which the session expires. Without it, the session of a
+// machine that vanished would never end, because its connections stay open and silent.
 func (s *session) resetSilenceTimer() {
 	s.silenceTimer.Stop()
-	// Hazard: a machine that vanishes leaves its connections open and silent.
 	s.silenceTimer = s.front.loop.After(s.front.cfg.SessionTimeout, func() {
 		s.front.log.WithField("worker", s.wid).Warn("worker session expired")
 		s.end()
@@ -81,7 +82,7 @@
 	s.front.broker.UpdateEndpoints(balancer.ListDelta, []broker.ListEntry{e})
 }
 
-// drain follows the worker's notice that it wants nothing new.
+// drain stops assigning jobs to the worker, which has reported that it fetches no more.
 func (s *session) drain() {
 	if s.draining {
 		return
@@ -93,7 +94,7 @@
 	s.returnUnfetched(balancer.WorkerFull)
 }
 
-// returnUnfetched ends the attempts that were assigned and never fetched: they never ran.
+// returnUnfetched ends the attempts that were assigned but not fetched, and so never ran.
 func (s *session) returnUnfetched(result balancer.Result) {
 	for _, r := range s.unfetched {
 		s.front.broker.EndAttempt(r.attempt, result, nil, balancer.NoLoadReport)
@@ -101,7 +102,7 @@
 	s.unfetched = nil
 }
 
-// end is the end of a worker. What it had fetched may have run.
+// end ends the session and all its attempts. Jobs that the worker had fetched may have run.
 func (s *session) end() {
 	if s.ended {
 		return
@@ -124,7 +125,7 @@
 	}
 }
 
-// removeConn takes a connection out. The session ends with its last one.
+// removeConn removes a connection. The session ends with its last connection.
 func (s *session) removeConn(c *conn) {
 	delete(s.conns, c)
 	s.cancelWait(c)
@@ -133,7 +134,8 @@
 	}
 }
 
-// StartAttempt assigns a job to the worker; the next fitting FETCH takes it.
+// StartAttempt implements broker.Endpoint. It delivers the job to a waiting FETCH of its queue, or keeps it
+// for the next one.
 func (s *session) StartAttempt(a broker.Attempt) broker.RunningAttempt {
 	r := &reservation{session: s, job: a.Payload.(*job), attempt: a.ID}
 	if !s.ended && !s.draining && s.fetchesFrom(r.job.Queue) {
@@ -153,7 +155,7 @@
 	return r
 }
 
-// fetchesFrom says whether any connection of the worker fetches from the queue.
+// fetchesFrom reports whether any connection of the worker fetches from the queue.
 func (s *session) fetchesFrom(queue string) bool {
 	for c := range s.conns {
 		if c.fetchQueues[queue] {
@@ -163,7 +165,7 @@
 	return false
 }
 
-// fetchOrWait gives the connection the next job, or lets it wait for one.
+// fetchOrWait delivers the next job to the connection, or has its FETCH wait for one.
 func (s *session) fetchOrWait(c *conn, queues []string) {
 	c.fetchQueues = map[string]bool{}
 	for _, q := range queues {
@@ -186,8 +188,8 @@
 	}
 }
 
-// takeUnfetched takes the oldest job of the connection's queues, and ends on its way the attempts of jobs
-// that have finished meanwhile; nil: there is none.
+// takeUnfetched removes and returns the oldest unfetched job of the connection's queues; nil: none. It also
+// ends the attempts of jobs that have finished meanwhile.
 func (s *session) takeUnfetched(c *conn) *reservation {
 	for i := 0; i < len(s.unfetched); i++ {
 		r := s.unfetched[i]
@@ -198,14 +200,14 @@
 		if !r.job.finished {
 			return r
 		}
-		// A hedged request has finished it.
+		// A hedged request has finished the job.
 		s.front.broker.EndAttempt(r.attempt, balancer.Cancelled, nil, s.load())
 		i--
 	}
 	return nil
 }
 
-// cancelWait ends the wait of a connection's FETCH.
+// cancelWait ends the wait of the connection's FETCH, if it waits.
 func (s *session) cancelWait(c *conn) {
 	c.fetchTimer.Stop()
 	c.fetching = false
@@ -214,7 +216,7 @@
 	}
 }
 
-// deliver gives the worker the job. From here on it may run.
+// deliver sends the job to the worker. From then on the job may run.
 func (s *session) deliver(c *conn, r *reservation) {
 	s.reserved[r.job.JID] = r
 	r.startTimer()
@@ -223,8 +225,8 @@
 	c.resumeInput()
 }
 
-// endReservation ends a job's reservation after ACK or FAIL. Only the worker that holds the reservation can
-// end it, and once: a late one leaves the first end as it is.
+// endReservation ends a job's reservation after ACK or FAIL, and reports whether there was one. Only the
+// worker that holds the reservation can end it, and only once: a late ACK or FAIL changes nothing.
 func (s *session) endReservation(jid string, result balancer.Result) bool {
 	r := s.reserved[jid]
 	if r == nil {
@@ -234,7 +236,7 @@
 	return true
 }
 
-// load is the worker's load: fetches that wait, and jobs that wait for one.
+// load returns the worker's load: waiting fetches are free slots, and unfetched jobs are the queue.
 func (s *session) load() balancer.LoadReport {
 	r := balancer.NoLoadReport
 	r.Received = true
@@ -242,7 +244,7 @@
 	return r
 }
 
-// CheckHealth reads the load, at once.
+// CheckHealth implements broker.Endpoint. It reports the load at once.
 func (s *session) CheckHealth(done func(balancer.Result, balancer.LoadReport)) {
 	done(balancer.OK, s.load())
 }
--- a/internal/frontend/faktory/status.go
+++ b/internal/frontend/faktory/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// track is the reply to TRACK GET.
+// track returns the reply to TRACK GET. It marks the response of a finished job as read.
 func (f *Front) track(jid string) any {
 	t := struct {
 		JID        string  `json:"jid"`
@@ -19,7 +19,7 @@
 	return t
 }
 
-// info is the reply to INFO.
+// info returns the reply to INFO.
 func (f *Front) info() any {
 	unfetched := map[string]int{}
 	for _, s := range f.sessions {
--- a/internal/frontend/platform/adoption_test.go
+++ b/internal/frontend/platform/adoption_test.go
@@ -12,8 +12,9 @@
 	"moorstack/internal/proxy/hotrestart"
 )
 
-// A request is migrated by a process whose clock is an hour ahead or behind, since the wall clock was stepped
-// between the starts of the two processes: it keeps the rest of its timeout, no more and no less.
+// The clock of the process that migrates a request may be an hour ahead or behind, if the wall clock was
+// stepped between the starts of the two processes. An adopted request must still keep exactly the rest of
+// its timeout.
 func TestAdoptedRequestKeepsTimeoutAcrossClocks(t *testing.T) {
 	const timeout = 600 * time.Millisecond
 	for name, ahead := range map[string]time.Duration{"ahead": time.Hour, "behind": -time.Hour, "alike": 0} {
@@ -27,21 +28,21 @@
 				f.loop.Post(func() { f.handleCallBack(callBack) })
 			})
 			if got := readStatus(t, done); got != http.StatusOK {
-				t.Errorf("the request that is done in time gets %d", got)
+				t.Errorf("the request that is done in time got status %d", got)
 			}
 			if got := readStatus(t, late); got != http.StatusBadGateway {
-				t.Errorf("the one that is not done gets %d", got)
+				t.Errorf("the request that is not done got status %d", got)
 			}
 			took := time.Since(began)
 			if took < timeout-100*time.Millisecond || took > timeout+500*time.Millisecond {
-				t.Errorf("its response comes after %v, its timeout is %v", took, timeout)
+				t.Errorf("the response of the latter came after %v, its timeout is %v", took, timeout)
 			}
 		})
 	}
 }
 
-// adopt has the front adopt a request from a process whose clock is that far ahead, and returns its client's
-// connection.
+// adopt has the front adopt a request from a process whose clock is ahead by the given time. It returns the
+// client's connection.
 func adopt(t *testing.T, f *Front, id string, ahead, timeout time.Duration) net.Conn {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/frontend/platform/attempt_test.go
+++ b/internal/frontend/platform/attempt_test.go
@@ -14,7 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// nextAttempt returns the connection of the next attempt, at either worker, and the other worker.
+// nextAttempt returns the connection of the next attempt at either worker, and the worker that did not get
+// it.
 func nextAttempt(t *testing.T, a, b *fakeWorker) (net.Conn, *fakeWorker) {
 	t.Helper()
 	select {
@@ -28,8 +29,8 @@
 	}
 }
 
-// requireRejected has both workers reject a request, and reads the rejection at its client. Both have an idle
-// connection then.
+// requireRejected has both workers reject a request and requires that its client gets the rejection.
+// Afterwards the front has an idle connection to each worker.
 func requireRejected(t *testing.T, c net.Conn, a, b *fakeWorker) {
 	t.Helper()
 	for range 2 {
@@ -41,12 +42,12 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != 503 {
-		t.Fatalf("%d, want a rejection", resp.StatusCode)
+		t.Fatalf("status %d, want a rejection (503)", resp.StatusCode)
 	}
 }
 
-// slowConnectWorker listens with a full accept queue, so that the kernel drops the first packet of the next
-// connection, which comes up a second late. DrainQueue makes room.
+// slowConnectWorker listens with a full accept queue. The kernel drops the first packet of the next
+// connection, which is therefore established a second late, if drainQueue has made room by then.
 type slowConnectWorker struct {
 	t           *testing.T
 	fd          int
@@ -79,12 +80,12 @@
 		}
 		t.Cleanup(func() { c.Close() })
 		if w.queuedConns++; w.queuedConns > 16 {
-			t.Fatal("the queue does not fill")
+			t.Fatal("the accept queue does not fill up")
 		}
 	}
 }
 
-// accept accepts the next connection, with a timeout for reads from it.
+// accept accepts the next connection and sets a read timeout on it.
 func (w *slowConnectWorker) accept() int {
 	fd, _, err := unix.Accept(w.fd)
 	if err != nil {
@@ -102,7 +103,7 @@
 	}
 }
 
-// request returns what comes on the first connection on which something comes; empty: nothing does.
+// request returns the first data received on any new connection; empty: none came in time.
 func (w *slowConnectWorker) request() string {
 	_ = unix.SetsockoptTimeval(w.fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: 2})
 	for {
@@ -120,37 +121,38 @@
 	}
 }
 
-// A connection to a worker comes up a second late: the timeout that the attempt states is that of when it is
-// sent, not of when its connection was begun.
+// A connection to a worker is established a second late. The timeout sent with the attempt must be the time
+// that remains when the request is written, not when the connection was dialled.
 func TestTimeoutSentOnSlowConnectionIsCurrent(t *testing.T) {
 	t.Parallel()
-	late := newSlowConnectWorker(t)
+	slow := newSlowConnectWorker(t)
 	a := newDiscovery(t)
-	a.state, a.workerAddresses = "DRAINING", []string{late.address}
+	a.state, a.workerAddresses = "DRAINING", []string{slow.address}
 	f := newFront(t, "on_request", a)
 	awaitState(t, f, "DRAINING", 20*drainGrace)
 	sent := time.Now()
 	sendRequest(t, f.address(t), "late")
 	time.Sleep(300 * time.Millisecond)
-	late.drainQueue()
-	text := late.request()
+	slow.drainQueue()
+	text := slow.request()
 	elapsed := time.Since(sent)
 	_, after, _ := strings.Cut(text, "X-Timeout: ")
 	number, _, _ := strings.Cut(after, "u\r\n")
 	us, err := strconv.Atoi(number)
 	if err != nil {
-		t.Fatalf("the worker got %q", text)
+		t.Fatalf("X-Timeout is missing or invalid in %q", text)
 	}
 	if elapsed < 500*time.Millisecond {
-		t.Fatalf("the connection was not late: %v", elapsed)
+		t.Fatalf("the connection was established too early, after %v", elapsed)
 	}
 	if stated := time.Duration(us) * time.Microsecond; stated > requestTimeout-elapsed+50*time.Millisecond {
-		t.Errorf("%v after the request was sent the attempt states %v of %v", elapsed, stated, requestTimeout)
+		t.Errorf("%v after the request the attempt has a timeout of %v, of %v in the request",
+			elapsed, stated, requestTimeout)
 	}
 }
 
-// An attempt states a little less than the rest of the client's timeout: the response takes its time, and the
-// process may be held up before it writes.
+// The timeout sent with an attempt is less than what remains of the client's timeout by timeoutReserve, which
+// covers the delay of the response and a delay of this process before it writes.
 func TestTimeoutSentKeepsReserve(t *testing.T) {
 	t.Parallel()
 	stated := make(chan string, 1)
@@ -171,33 +173,33 @@
 		t.Fatal(err)
 	}
 	if d > requestTimeout-timeoutReserve || d < requestTimeout/2 {
-		t.Errorf("the attempt states %v, of %v that the client waits", d, requestTimeout)
+		t.Errorf("the attempt has a timeout of %v; the client waits %v", d, requestTimeout)
 	}
 }
 
-// A worker drains while a connection to it comes up: nothing is sent on it any more.
+// A worker begins to drain while a connection to it is being established: no attempt may be sent on it.
 func TestNoAttemptToWorkerDrainedWhileConnecting(t *testing.T) {
 	t.Parallel()
-	late := newSlowConnectWorker(t)
+	slow := newSlowConnectWorker(t)
 	a := newDiscovery(t)
-	a.state, a.workerAddresses = "DRAINING", []string{late.address}
+	a.state, a.workerAddresses = "DRAINING", []string{slow.address}
 	f := newFront(t, "on_request", a)
 	awaitState(t, f, "DRAINING", 20*drainGrace)
 	sendRequest(t, f.address(t), "late")
 	time.Sleep(100 * time.Millisecond)
 	a.locked(func() { a.state, a.drainWorkers, a.generation = "SERVING", true, a.generation+1 })
 	awaitState(t, f, "SERVING", 20*drainGrace)
-	late.drainQueue()
-	if text := late.request(); strings.HasPrefix(text, "POST") {
-		t.Errorf("a draining worker gets %.20q", text)
+	slow.drainQueue()
+	if text := slow.request(); strings.HasPrefix(text, "POST") {
+		t.Errorf("a draining worker received %.20q", text)
 	}
 }
 
-// The connection for a retry comes up a second late, beyond the window in which workers recognise the
-// idempotency key of what may have run: the retry is not sent.
+// The connection for a retry is established a second late, after the window in which workers recognise the
+// idempotency key of a request that may have run: the retry must not be sent.
 func TestNoRetryOnSlowConnectionBeyondKeyWindow(t *testing.T) {
 	t.Parallel()
-	late, first := newSlowConnectWorker(t), newFakeWorker(t)
+	slow, first := newSlowConnectWorker(t), newFakeWorker(t)
 	a := newDiscovery(t)
 	a.class = `{"name":"c","effect":"dedup","key_scope":"all","window":1000000000,` +
 		`"give_up":5000000000,"slo":4000000000}`
@@ -208,25 +210,25 @@
 	got := <-first.attempts
 	a.locked(func() {
 		a.state, a.generation = "SERVING", a.generation+1
-		a.workerAddresses = append(a.workerAddresses, late.address)
+		a.workerAddresses = append(a.workerAddresses, slow.address)
 	})
 	awaitState(t, f, "SERVING", 20*drainGrace)
 	dialled := time.Now()
-	got.Close() // before its 202: it may have run
+	got.Close() // without a 202: the request may have run
 	for time.Since(dialled) < 100*time.Millisecond {
-		time.Sleep(time.Millisecond) // the first packet of the next connection is dropped meanwhile
+		time.Sleep(time.Millisecond) // until the first packet of the next connection has been dropped
 	}
-	late.drainQueue()
-	if text := late.request(); strings.HasPrefix(text, "POST") {
-		t.Errorf("beyond the window a worker gets %.20q", text)
+	slow.drainQueue()
+	if text := slow.request(); strings.HasPrefix(text, "POST") {
+		t.Errorf("after the idempotency key's window a worker received %.20q", text)
 	}
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode == 200 {
-		t.Errorf("the client gets %v, %v", resp, err)
+		t.Errorf("the client got %v, %v, want a response other than 200", resp, err)
 	}
 }
 
-// A client disconnects while the loop is blocked, and the end of an attempt is read before that: no retry is
-// sent. While the client stays connected it is.
+// A client disconnects while the event loop is blocked, and the loop reads the end of the attempt before it
+// reads the disconnection: no retry may be sent. If the client stays connected, the retry is sent.
 func TestNoAttemptAfterClientDisconnected(t *testing.T) {
 	for name, disconnects := range map[string]bool{"disconnected": true, "connected": false} {
 		t.Run(name, func(t *testing.T) {
@@ -240,7 +242,7 @@
 			f.loop.Post(func() { close(blocked); <-unblock })
 			<-blocked
 			respondNotProcessed(first)
-			time.Sleep(50 * time.Millisecond) // the loop reads this before the client's end
+			time.Sleep(50 * time.Millisecond) // so that the loop reads the response before the disconnection
 			if disconnects {
 				c.Close()
 			}
@@ -249,11 +251,11 @@
 			select {
 			case <-other.attempts:
 				if disconnects {
-					t.Error("a retry is sent 0.15 s after the client disconnected")
+					t.Error("a retry was sent 0.15 s after the client disconnected")
 				}
 			case <-time.After(time.Second):
 				if !disconnects {
-					t.Error("no retry is sent")
+					t.Error("no retry was sent")
 				}
 			}
 		})
--- a/internal/frontend/platform/discovery_test.go
+++ b/internal/frontend/platform/discovery_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// What the agent has counts as announced, whatever becomes of the watch and of single polls.
+// The node counts as notified of every change that the agent knows, so a change must be applied even if the
+// watch or single polls fail.
 //
-// The bound here is many times the grace: how fast this machine is must not decide. Without polls beside the
-// watch none of these ends at all.
+// The bound is many times drainGrace, so that the speed of the machine doesn't matter. Without polls in
+// addition to the watch, none of the fault cases would end at all.
 func TestAgentListIsAppliedThroughWatchAndPollFaults(t *testing.T) {
 	const bound = 20 * drainGrace
 	for name, fault := range map[string]func(a *fakeDiscovery){
@@ -48,7 +49,7 @@
 	return string(text) + "\n"
 }
 
-// From its first moment a process has to know what the agent has, and after an outage at once.
+// The agent's list must be applied directly after the start, and directly after an outage of the agent.
 func TestAgentListIsAppliedAtStartAndAfterOutage(t *testing.T) {
 	t.Parallel()
 	a := newDiscovery(t)
@@ -63,7 +64,7 @@
 	awaitState(t, f, "SERVING", 20*drainGrace)
 }
 
-// An invalid list changes nothing, and a valid one after it is applied.
+// An invalid list changes nothing, and a valid list after it is applied.
 func TestInvalidListsAreIgnored(t *testing.T) {
 	t.Parallel()
 	a := newDiscovery(t)
@@ -94,14 +95,15 @@
 			a.locked(func() { done = a.polls > calls+1 })
 		}
 		if got := f.firstWorkerState(); got != "SERVING" {
-			t.Fatalf("truncated after %d bytes: the front takes the worker for %q", a.truncateAt, got)
+			t.Fatalf("list truncated after %d bytes: the worker's state in the front changed to %q",
+				a.truncateAt, got)
 		}
 	}
 	a.locked(func() { a.truncateAt, a.generation = 0, 51 })
 	awaitState(t, f, "DRAINING", 20*drainGrace)
 }
 
-// After a reload the new address is watched from the first moment, whatever its generations are.
+// After a reload the front watches the new address at once, even if its generations are lower.
 func TestReloadFollowsNewAgentAddress(t *testing.T) {
 	t.Parallel()
 	a, b := newDiscovery(t), newDiscovery(t)
@@ -113,21 +115,21 @@
 	awaitState(t, f, "DRAINING", 20*drainGrace)
 	old, now := 0, 0
 	a.locked(func() { old = a.polls })
-	a.setState("SERVING") // announced to a watch that the front has closed, or has not
+	a.setState("SERVING") // must not reach the front, whose watch of the old address is closed
 	b.locked(func() { now = b.polls })
 	for polled := 0; polled < now+6; time.Sleep(time.Millisecond) {
 		b.locked(func() { polled = b.polls })
 	}
 	requireStateStays(t, f, "DRAINING")
 	a.locked(func() {
-		// One poll may have been on its way when the address changed, and is counted when it is read.
+		// One poll may have been in flight when the address changed.
 		if a.polls > old+1 {
-			t.Errorf("the old address has been polled %d times since", a.polls-old)
+			t.Errorf("the old address was polled %d times after the reload", a.polls-old)
 		}
 	})
 }
 
-// Where there is no local agent each call costs: the watch is all there is.
+// Without a local agent each call costs discovery work, so the front opens one watch and sends no polls.
 func TestRemoteDiscoveryIsWatchedNotPolled(t *testing.T) {
 	t.Parallel()
 	a := newDiscovery(t)
@@ -137,12 +139,12 @@
 	requireStateStays(t, f, "DRAINING")
 	a.locked(func() {
 		if a.polls != 0 || a.watches != 1 {
-			t.Errorf("%d polls and %d watches", a.polls, a.watches)
+			t.Errorf("%d polls and %d watches, want 0 and 1", a.polls, a.watches)
 		}
 	})
 }
 
-// The list in the configuration may be outdated: it is not used until discovery has answered.
+// The list in the configuration may be out of date and must not be used until discovery has responded.
 func TestConfiguredListWaitsForDiscovery(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
 		t.Run(mode, func(t *testing.T) {
@@ -152,15 +154,16 @@
 			f := newFront(t, mode, a)
 			requireStateStays(t, f, "")
 			if n, watched := f.inheritable(); n != 1 || watched {
-				t.Errorf("%d workers are inherited by another process; relayed to others: %v", n, watched)
+				t.Errorf("%d workers are inherited by a new process, want 1; relayed to instances: %v, want no",
+					n, watched)
 			}
 			if ready := f.healthy(); ready {
-				t.Error("ready with an unconfirmed list")
+				t.Error("ready before discovery confirmed the list")
 			}
 			a.locked(func() { a.state, a.generation, a.silentWatches = "DRAINING", a.generation+1, false })
 			awaitState(t, f, "DRAINING", 20*drainGrace)
 			if ready := f.healthy(); !ready {
-				t.Error("not ready with discovery's list")
+				t.Error("not ready after discovery sent a list")
 			}
 		})
 	}
@@ -175,15 +178,15 @@
 	awaitState(t, f, "SERVING", 20*drainGrace)
 }
 
-// healthy reports the result of a health check.
+// healthy reports whether a health check would succeed.
 func (f *Front) healthy() bool {
 	got := make(chan error, 1)
 	f.loop.Post(func() { got <- f.Ready() })
 	return <-got == nil
 }
 
-// inheritable returns how many workers a process inherits that takes this one's place, and whether the list
-// would be relayed to other instances.
+// inheritable returns the number of workers that a process replacing this one would inherit, and whether the
+// list would be relayed to other instances.
 func (f *Front) inheritable() (n int, watched bool) {
 	done := make(chan struct{})
 	f.loop.Post(func() {
--- a/internal/frontend/platform/harness_test.go
+++ b/internal/frontend/platform/harness_test.go
@@ -23,25 +23,25 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// fakeDiscovery stands for discovery, or for its local agent: it lists one worker, in one state, and further
-// ones at workerAddresses.
+// fakeDiscovery is a fake of discovery or of its local agent. It lists worker s-1 in a given state, and
+// further workers at workerAddresses.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu              sync.Mutex
 	state           string
 	generation      int
-	silentWatches   bool          // watches send nothing, open ones and new ones
+	silentWatches   bool          // open and new watches send nothing
 	silentPolls     bool          // polls get no response
 	pollDelay       time.Duration // how long a poll takes
 	down            bool
-	override        string // in place of the list, if not empty
-	truncateAt      int    // how many bytes of the list are sent; 0: all
-	polls           int    // how many there were
+	override        string // sent in place of the list, if not empty
+	truncateAt      int    // number of bytes of the list that are sent; 0: all
+	polls           int    // number of polls so far
 	watches         int
-	workerAddresses []string      // of further workers, s-2 and so on
-	drainWorkers    bool          // the further workers drain
-	class           string        // in place of the class of the settings, if not empty
-	endWatches      chan struct{} // closed: open watches end
+	workerAddresses []string      // addresses of further workers, s-2 and so on
+	drainWorkers    bool          // the further workers are draining
+	class           string        // replaces the class in the settings, if not empty
+	endWatches      chan struct{} // open watches end when it is closed
 }
 
 func newDiscovery(t *testing.T) *fakeDiscovery {
@@ -51,13 +51,14 @@
 	return a
 }
 
+// locked runs f with the mutex held.
 func (a *fakeDiscovery) locked(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f()
 }
 
-// setState changes the worker's state, in a new generation.
+// setState changes the state of worker s-1 in a new generation.
 func (a *fakeDiscovery) setState(state string) {
 	a.locked(func() { a.state, a.generation = state, a.generation+1 })
 }
@@ -137,13 +138,13 @@
 
 const drainGrace = 400 * time.Millisecond
 
-// newFront returns a running front that watches the discovery.
+// newFront returns a running front that uses the given discovery.
 func newFront(t *testing.T, mode string, a *fakeDiscovery) *Front {
 	t.Helper()
 	return newFrontOn(t, kernel.Linux{}, mode, a)
 }
 
-// newFrontOn is newFront with another system in the kernel's place.
+// newFrontOn is newFront with the given implementation of system calls.
 func newFrontOn(t *testing.T, system kernel.System, mode string, a *fakeDiscovery) *Front {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -206,30 +207,31 @@
 	return <-got
 }
 
-// awaitState waits until the front knows that state of worker s-1, and fails if that takes too long.
+// awaitState waits until the front knows worker s-1 in the given state, and fails the test after the time
+// limit.
 func awaitState(t *testing.T, f *Front, state string, within time.Duration) {
 	t.Helper()
 	for began := time.Now(); f.firstWorkerState() != state; time.Sleep(time.Millisecond) {
 		if time.Since(began) > within {
-			t.Fatalf("%v after discovery knew it the front does not know of %s", within, state)
+			t.Fatalf("after %v the front does not know the worker's state %s", within, state)
 		}
 	}
 }
 
-// requireStateStays fails if the front comes to know another state within the grace.
+// requireStateStays fails the test if the worker's state in the front changes within drainGrace.
 func requireStateStays(t *testing.T, f *Front, state string) {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < drainGrace; time.Sleep(time.Millisecond) {
 		if got := f.firstWorkerState(); got != state {
-			t.Fatalf("the front takes the worker for %q", got)
+			t.Fatalf("the worker's state in the front changed to %q", got)
 		}
 	}
 }
 
-// fakeWorker stands for a trip worker, whose connections a test answers itself.
+// fakeWorker is a fake worker that reads requests and leaves the responses to the test.
 type fakeWorker struct {
 	*net.TCPListener
-	attempts chan net.Conn // connections on which an attempt has come
+	attempts chan net.Conn // connections on which an attempt was received
 }
 
 func newFakeWorker(t *testing.T) *fakeWorker {
@@ -267,12 +269,12 @@
 	}
 }
 
-// respondNotProcessed responds that the request did not run.
+// respondNotProcessed responds that the request was not run.
 func respondNotProcessed(c net.Conn) {
 	fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-// newFrontWithWorkers returns a front that has only these workers, and its address.
+// newFrontWithWorkers returns a front that can use only the given workers, and its address.
 func newFrontWithWorkers(t *testing.T, workers ...*fakeWorker) (*Front, string) {
 	t.Helper()
 	a := newDiscovery(t)
@@ -285,7 +287,7 @@
 	return f, f.address(t)
 }
 
-// address returns the address at which the front listens.
+// address returns the address on which the front listens.
 func (f *Front) address(t *testing.T) string {
 	t.Helper()
 	at, err := unix.Getsockname(f.listener.FD())
@@ -297,7 +299,7 @@
 
 const requestTimeout = 4 * time.Second
 
-// sendRequest sends a request and returns its connection.
+// sendRequest sends a request on a new connection and returns the connection.
 func sendRequest(t *testing.T, address, id string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
--- a/internal/frontend/platform/shutdown_test.go
+++ b/internal/frontend/platform/shutdown_test.go
@@ -13,24 +13,24 @@
 	"moorstack/internal/proxy/drain"
 )
 
-// shutdown is a front whose process is about to end: idle connections are being closed, and one request,
+// shutdownTest has a front that is shutting down: idle connections are being closed, and one request,
 // "last", is in flight.
-type shutdown struct {
+type shutdownTest struct {
 	t       *testing.T
 	front   *Front
 	address string
-	client  net.Conn // of the last request
+	client  net.Conn // connection of the request "last"
 	done    chan struct{}
 }
 
-func newShutdown(t *testing.T) *shutdown {
+func newShutdownTest(t *testing.T) *shutdownTest {
 	t.Helper()
 	w := newFakeWorker(t)
 	f, address := newFrontWithWorkers(t, w)
-	e := &shutdown{t: t, front: f, address: address, done: make(chan struct{})}
+	e := &shutdownTest{t: t, front: f, address: address, done: make(chan struct{})}
 	e.client = sendRequest(t, address, "last")
 	<-w.attempts
-	e.onLoop(func() { // as BeginShutdown does, but for awaitDrained, which the test calls
+	e.onLoop(func() { // like BeginShutdown, but without awaitDrained, which the test calls
 		f.drain.BeginShutdown(f.loop.Now())
 		f.scheduleClosing()
 	})
@@ -40,18 +40,19 @@
 	return e
 }
 
-// onLoop runs f on the loop, in one turn.
-func (e *shutdown) onLoop(f func()) {
+// onLoop runs f on the event loop, in one iteration, and waits for it.
+func (e *shutdownTest) onLoop(f func()) {
 	done := make(chan struct{})
 	e.front.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// lastTurn runs a turn of the loop in which the last request ends, then between, and then awaitDrained.
-func (e *shutdown) lastTurn(partialGrace time.Duration, between func()) {
+// lastIteration runs in one iteration of the event loop: the end of the last request, then between, and then
+// awaitDrained.
+func (e *shutdownTest) lastIteration(partialGrace time.Duration, between func()) {
 	e.onLoop(func() {
 		for c := range e.front.clients {
-			if c.awaitsResponse { // its client disconnects, so that no response is on its way
+			if c.awaitsResponse { // disconnect its client, so that no response is pending
 				c.conn.Close()
 				c.OnClose(c.conn, io.EOF)
 			}
@@ -61,57 +62,61 @@
 	})
 }
 
-// awaitDrained has the process end once it is drained, and wait that long for requests that came in part.
-func (e *shutdown) awaitDrained(partialGrace time.Duration) {
+// awaitDrained closes done once the front is drained. The front waits up to partialGrace for partial
+// requests.
+func (e *shutdownTest) awaitDrained(partialGrace time.Duration) {
 	e.front.awaitDrained(e.front.loop.Now()+partialGrace, func() { close(e.done) })
 }
 
-// requireStatus fails unless that response comes on the connection.
-func (e *shutdown) requireStatus(c net.Conn, status int) {
+// requireStatus fails the test unless a response with the status comes on the connection.
+func (e *shutdownTest) requireStatus(c net.Conn, status int) {
 	e.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(requestTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != status {
-		e.t.Fatalf("%v, %v, want %d", resp, err, status)
+		e.t.Fatalf("response %v, error %v, want status %d", resp, err, status)
 	}
 }
 
-// requireStatusBeforeEnd fails unless that response comes, and the process waits for its client to close.
-func (e *shutdown) requireStatusBeforeEnd(c net.Conn, status int) {
+// requireStatusBeforeEnd is requireStatus, and also fails the test if the shutdown has completed by then
+// instead of waiting for the client to close the connection.
+func (e *shutdownTest) requireStatusBeforeEnd(c net.Conn, status int) {
 	e.t.Helper()
 	e.requireStatus(c, status)
 	select {
 	case <-e.done:
-		e.t.Error("the process ends before its client has the response")
+		e.t.Error("the shutdown completed before the client read the response")
 	default:
 	}
 }
 
-// requireEnd fails unless the process ends.
-func (e *shutdown) requireEnd() {
+// requireEnd fails the test unless the shutdown completes.
+func (e *shutdownTest) requireEnd() {
 	e.t.Helper()
 	select {
 	case <-e.done:
 	case <-time.After(requestTimeout):
-		e.t.Error("the process does not end")
+		e.t.Error("the shutdown does not complete")
 	}
 }
 
-// writeExpiredRequest sends a request that no worker can get: its timeout has passed when it comes.
+// writeExpiredRequest sends a request that is never sent to a worker, since its timeout has passed when it
+// is read.
 func writeExpiredRequest(c net.Conn, id string) {
 	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: c\r\n"+
 		"X-Timeout: 1u\r\nContent-Length: 1\r\n\r\nx", id)
 }
 
-// A request that comes in the very turn in which a process would end is answered first.
+// A request that comes in the iteration of the event loop in which the shutdown would complete still gets a
+// response.
 func TestRequestsInLastTurnAreAnswered(t *testing.T) {
 	for name, partialGrace := range map[string]time.Duration{"soon": partialRequestGrace,
 		"long after the grace": -time.Second} {
 		t.Run("on a connection not accepted yet, "+name, func(t *testing.T) {
 			t.Parallel()
-			e := newShutdown(t)
+			e := newShutdownTest(t)
 			var c net.Conn
-			e.lastTurn(partialGrace, func() {
+			e.lastIteration(partialGrace, func() {
 				c, _ = net.Dial("tcp", e.address)
 				writeExpiredRequest(c, "new")
 			})
@@ -122,9 +127,9 @@
 		})
 		t.Run("unread on a connection that is kept, "+name, func(t *testing.T) {
 			t.Parallel()
-			e := newShutdown(t)
+			e := newShutdownTest(t)
 			other := e.idleConnection()
-			e.lastTurn(partialGrace, func() { writeExpiredRequest(other, "unread") })
+			e.lastIteration(partialGrace, func() { writeExpiredRequest(other, "unread") })
 			e.requireStatusBeforeEnd(other, 503)
 			other.Close()
 			e.requireEnd()
@@ -132,9 +137,9 @@
 	}
 	t.Run("the first of a connection that was just opened", func(t *testing.T) {
 		t.Parallel()
-		e := newShutdown(t)
+		e := newShutdownTest(t)
 		var c net.Conn
-		e.lastTurn(partialRequestGrace, func() { c, _ = net.Dial("tcp", e.address) })
+		e.lastIteration(partialRequestGrace, func() { c, _ = net.Dial("tcp", e.address) })
 		defer c.Close()
 		time.Sleep(100 * time.Millisecond)
 		writeExpiredRequest(c, "first")
@@ -148,14 +153,14 @@
 
 func testPartialRequest(t *testing.T) {
 	t.Parallel()
-	e := newShutdown(t)
+	e := newShutdownTest(t)
 	var c net.Conn
-	e.lastTurn(partialRequestGrace, func() {
+	e.lastIteration(partialRequestGrace, func() {
 		c, _ = net.Dial("tcp", e.address)
 		fmt.Fprint(c, "POST /api HT")
 	})
 	defer c.Close()
-	time.Sleep(partialRequestGrace * 3 / 4) // longer than a connection counts as just opened
+	time.Sleep(partialRequestGrace * 3 / 4) // longer than HealthCheckGrace, so that it isn't just opened
 	fmt.Fprint(c, "TP/1.1\r\nHost: x\r\nX-Request-ID: half\r\nX-Priority-Class: c\r\n"+
 		"X-Timeout: 1u\r\nContent-Length: 1\r\n\r\nx")
 	e.requireStatusBeforeEnd(c, 503)
@@ -165,7 +170,7 @@
 
 func testResponseNotYetRead(t *testing.T) {
 	t.Parallel()
-	e := newShutdown(t)
+	e := newShutdownTest(t)
 	e.onLoop(func() {
 		e.front.broker.EndAttemptAt("last", "s-2", balancer.OK, []byte("done"), balancer.NoLoadReport)
 		e.awaitDrained(partialRequestGrace)
@@ -176,10 +181,11 @@
 	e.requireEnd()
 }
 
-// A call-back that was forwarded to the other process, which has not handled it yet, is owed its response.
+// The shutdown waits for the response to a call-back that was forwarded and that the other process has not
+// handled yet.
 func TestShutdownAwaitsForwardedCallBack(t *testing.T) {
 	t.Parallel()
-	e := newShutdown(t)
+	e := newShutdownTest(t)
 	caller, err := net.Dial("tcp", e.address)
 	if err != nil {
 		t.Fatal(err)
@@ -195,10 +201,10 @@
 			}
 		})
 	}
-	e.lastTurn(-time.Second, func() { worker.callBackForwarded, worker.isWorker = true, true })
+	e.lastIteration(-time.Second, func() { worker.callBackForwarded, worker.isWorker = true, true })
 	select {
 	case <-e.done:
-		t.Error("the process ends before the other one has handled the call-back")
+		t.Error("the shutdown completed before the other process handled the call-back")
 	case <-time.After(100 * time.Millisecond):
 	}
 	e.onLoop(func() { worker.callBackForwarded = false; worker.respond(204, "", nil) })
@@ -206,21 +212,21 @@
 	e.requireEnd()
 }
 
-// While the node drains an idle connection is closed, but not over an unread request, and not while the first
-// request of one that was just opened is on its way.
+// While the node drains, idle connections are closed, except those with an unread request and those just
+// opened, whose first request may be on its way.
 func TestIdleConnectionsWhileDraining(t *testing.T) {
 	t.Run("idle", func(t *testing.T) {
 		t.Parallel()
-		e := newShutdown(t)
+		e := newShutdownTest(t)
 		c := e.idleConnection()
 		_ = c.SetReadDeadline(time.Now().Add(requestTimeout))
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("%v, want the end", err)
+			t.Errorf("got error %v, want EOF", err)
 		}
 	})
 	t.Run("with an unread request", func(t *testing.T) {
 		t.Parallel()
-		e := newShutdown(t)
+		e := newShutdownTest(t)
 		c := e.idleConnection()
 		e.onLoop(func() {
 			writeExpiredRequest(c, "crossing")
@@ -230,7 +236,7 @@
 	})
 	t.Run("just opened", func(t *testing.T) {
 		t.Parallel()
-		e := newShutdown(t)
+		e := newShutdownTest(t)
 		c, err := net.Dial("tcp", e.address)
 		if err != nil {
 			t.Fatal(err)
@@ -242,8 +248,8 @@
 	})
 }
 
-// idleConnection returns a client's connection that has carried a request and is idle.
-func (e *shutdown) idleConnection() net.Conn {
+// idleConnection returns an idle client connection that counts as having carried a request.
+func (e *shutdownTest) idleConnection() net.Conn {
 	e.t.Helper()
 	c, err := net.Dial("tcp", e.address)
 	if err != nil {
@@ -262,29 +268,29 @@
 	return c
 }
 
-// minLingerTime is how long the process waits at least for a client to close a connection.
+// minLingerTime is how long the front waits at least for a client to close its connection.
 const minLingerTime = 500 * time.Millisecond
 
-// A request is pipelined behind a health check: both are answered.
+// A request that is pipelined behind a health check gets its response, too.
 func TestRequestPipelinedBehindHealthCheckIsAnswered(t *testing.T) {
 	t.Parallel()
 	f, address := newFrontWithWorkers(t, newFakeWorker(t))
 	var c net.Conn
-	held := make(chan struct{})
+	sent := make(chan struct{})
 	f.loop.Post(func() {
 		c, _ = net.Dial("tcp", address)
 		fmt.Fprint(c, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		writeExpiredRequest(c, "pipelined")
-		close(held)
+		close(sent)
 	})
-	<-held
+	<-sent
 	defer c.Close()
 	_ = c.SetReadDeadline(time.Now().Add(requestTimeout))
 	in := bufio.NewReader(c)
 	for _, status := range []int{200, 503} {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != status {
-			t.Fatalf("%v, %v, want %d", resp, err, status)
+			t.Fatalf("response %v, error %v, want status %d", resp, err, status)
 		}
 	}
 }
--- a/internal/frontend/platform/syscall_faults_test.go
+++ b/internal/frontend/platform/syscall_faults_test.go
@@ -18,15 +18,15 @@
 	"moorstack/internal/netio/faultnet"
 )
 
-// acceptingWorkers accept each request and call back that it is done.
+// acceptingWorkers accept every request and call back with a result.
 type acceptingWorkers struct {
 	t            *testing.T
-	frontAddress string // where they call back
+	frontAddress string // address for call-backs
 	mu           sync.Mutex
-	received     map[string]bool // ids of requests
+	received     map[string]bool // ids of received requests
 }
 
-// hasReceived reports whether a request has come to any worker.
+// hasReceived reports whether any worker has received the request.
 func (w *acceptingWorkers) hasReceived(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -49,7 +49,7 @@
 	return srv.Listener.Addr().String()
 }
 
-// callBack reports that a request is done, and repeats that as workers do until there is a response.
+// callBack reports that a request is done, and repeats the call until it gets a response, as real workers do.
 func (w *acceptingWorkers) callBack(id, from string) {
 	once := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: requestTimeout}
 	body, _ := json.Marshal(map[string]string{"id": id, "from": from, "state": "done", "result": "done"})
@@ -63,8 +63,8 @@
 	}
 }
 
-// System calls fail now and then, in each way that breaks no connection: every request that was read gets one
-// final response, and most are served.
+// System calls fail sometimes, with errors that don't break established connections: every request that the
+// front has read still gets one final response, and at least half of them are served.
 func TestEveryRequestIsAnsweredWhileSystemCallsFail(t *testing.T) {
 	for call, failures := range map[faultnet.Syscall][]error{
 		faultnet.Accept: {unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
@@ -92,8 +92,8 @@
 	})
 }
 
-// requireResponses has clients send requests to a front on the system, which fails by the script from then
-// on.
+// requireResponses starts a front on the given system and has clients send requests to it while system calls
+// fail as the script says.
 func requireResponses(t *testing.T, system *faultnet.System, script faultnet.Script) {
 	t.Helper()
 	a := newDiscovery(t)
@@ -113,32 +113,33 @@
 	}
 	clients.Wait()
 	close(served)
-	all := 0
+	total := 0
 	for n := range served {
-		all += n
+		total += n
 	}
-	if want := cap(served) * requestsPerClient / 2; all < want {
-		t.Errorf("%d requests are served, want %d at least", all, want)
+	if want := cap(served) * requestsPerClient / 2; total < want {
+		t.Errorf("%d requests were served, want at least %d", total, want)
 	}
 }
 
-// requestsPerClient is how many requests each client sends.
+// requestsPerClient is the number of requests that each client sends.
 const requestsPerClient = 12
 
-// sendRequests sends requests one after the other, fails if one gets no response, and counts those served.
+// sendRequests sends requests one after the other and returns how many were served. The test fails if one
+// gets no response.
 func (w *acceptingWorkers) sendRequests(client int) (served int) {
 	c := &keepAliveClient{workers: w}
 	defer c.disconnect()
 	for i := range requestsPerClient {
 		id := fmt.Sprintf("c%d-%d", client, i)
 		status, err := c.request(id)
-		// A close may cross a request that was not read: then it is sent once more. One that went on to a
-		// worker was read.
+		// The front may close the connection before it reads the request: then it is sent once more. A
+		// request that a worker has received was read.
 		if err != nil && !w.hasReceived(id) {
 			status, err = c.request(id + "-again")
 		}
 		if err != nil {
-			w.t.Errorf("request %s: %v; it came to a worker: %v", id, err, w.hasReceived(id))
+			w.t.Errorf("request %s: %v; received by a worker: %v", id, err, w.hasReceived(id))
 		}
 		if status == http.StatusOK {
 			served++
@@ -147,7 +148,7 @@
 	return served
 }
 
-// keepAliveClient keeps its connection while the front allows it.
+// keepAliveClient reuses its connection for as long as the front keeps it open.
 type keepAliveClient struct {
 	workers *acceptingWorkers
 	conn    net.Conn
