--- a/internal/frontend/faktory/job.go
+++ b/internal/frontend/faktory/job.go
@@ -107,8 +107,8 @@
 	return errors.New("the job has failed")
 }
 
-// checkDuplicate returns the result of another push with the job's jid: nil if it is a repetition of the
-// same job, unless that has failed.
+// checkDuplicate returns the result of another push with the job's jid: nil if it repeats a job that has
+// not failed, otherwise an error.
 func (j *job) checkDuplicate(other *job) error {
 	switch {
 	case other.digest != j.digest:
--- a/internal/frontend/platform/client.go
+++ b/internal/frontend/platform/client.go
@@ -55,7 +55,7 @@
 		len(c.conn.Input()) > 0
 }
 
-// OnData reads requests one at a time.
+// OnData implements eventloop.Handler. It reads requests one at a time.
 func (c *client) OnData(*eventloop.Conn) {
 	for c.mayRead() {
 		complete, err := c.parser.Feed(c.conn.Input())
@@ -192,7 +192,7 @@
 	c.rejectInvalid(status, err)
 }
 
-// Respond implements broker.Client: it writes the request's final response.
+// Respond implements broker.Client. It writes the request's final response.
 func (c *client) Respond(r broker.Response) {
 	c.awaitsResponse = false
 	c.closeIfDraining()
--- a/internal/frontend/platform/discovery.go
+++ b/internal/frontend/platform/discovery.go
@@ -28,8 +28,8 @@
 	// onUpdate, if not nil, is called with each list update in discovery's format.
 	onUpdate func(generation int64, full bool, text []byte)
 
-	// With a local agent: the polls in flight, the timer of the next poll, and the last polled list, by which
-	// unchanged lists are recognised, as most are.
+	// With a local agent: the polls in flight, the timer of the next poll, and the last polled list. Most
+	// polls return the same list again, which then need not be parsed.
 	polls          map[*discoveryCall]struct{}
 	pollTimer      *eventloop.Timer
 	retryTimer     *eventloop.Timer // reopens the watch
--- a/internal/frontend/platform/discovery_test.go
+++ b/internal/frontend/platform/discovery_test.go
@@ -154,7 +154,7 @@
 			f := newFront(t, mode, a)
 			requireStateStays(t, f, "")
 			if n, watched := f.inheritable(); n != 1 || watched {
-				t.Errorf("%d workers are inherited by a new process, want 1; relayed to instances: %v, want no",
+				t.Errorf("%d workers are inherited by a new process, want 1; relayed: %v, want false",
 					n, watched)
 			}
 			if ready := f.healthy(); ready {
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -95,10 +95,10 @@
 // awaitDrained closes the listener and calls done once the last responses have been sent. The listener stays
 // open until then, since workers call back on it.
 //
-// Besides pending requests it waits for three cases that would otherwise lose a request or a response.
-// Unread input may be a request that came after the connection was last handled. A request may come on a
-// connection that is not accepted yet or was just opened. And a connection that is being closed may still
-// carry a response, which the end of the process would reset.
+// It waits not only for pending requests. Unread input may be a request that came after the connection was
+// last handled, and a request may still come on a connection that is not accepted yet or was just opened. A
+// connection that is being closed may still carry a response, which would be lost in the reset at the end of
+// the process.
 func (f *Front) awaitDrained(partialUntil time.Duration, done func()) {
 	f.listener.AcceptPending()
 	now := f.loop.Now()
--- a/internal/frontend/platform/front.go
+++ b/internal/frontend/platform/front.go
@@ -24,7 +24,7 @@
 
 	clients    map[*client]struct{}
 	workers    map[string]*worker     // by id
-	entries    map[string]workerEntry // the endpoint list in discovery's form, by id
+	entries    map[string]workerEntry // the endpoint list in discovery's format, by id
 	adopted    map[string]*client     // requests migrated from the other process, by request id
 	peerState                         // state shared with the other process of this node
 	discovery  *discoveryClient       // calls discovery
--- a/internal/frontend/platform/metrics.go
+++ b/internal/frontend/platform/metrics.go
@@ -5,8 +5,8 @@
 // ForwardedCount returns the number of attempts sent to workers since the start of the process.
 func (f *Front) ForwardedCount() uint64 { return f.counters.Forwards }
 
-// classCounters returns the counters of a class. They grow if a routing rule assigns a class that was added
-// by a reload. A request rejected before it had a class (-1) is counted for the first class.
+// classCounters returns the counters of a class, and adds them if a routing rule has assigned a class that
+// was added by a reload. A request rejected before it had a class (-1) is counted for the first class.
 func (f *Front) classCounters(class int) *metrics.ClassCounters {
 	for class >= len(f.counters.Classes) {
 		f.counters.Classes = append(f.counters.Classes, metrics.ClassCounters{})
--- a/internal/frontend/platform/shutdown_test.go
+++ b/internal/frontend/platform/shutdown_test.go
@@ -110,8 +110,8 @@
 // A request that comes in the iteration of the event loop in which the shutdown would complete still gets a
 // response.
 func TestRequestsInLastTurnAreAnswered(t *testing.T) {
-	for name, partialGrace := range map[string]time.Duration{"soon": partialRequestGrace,
-		"long after the grace": -time.Second} {
+	for name, partialGrace := range map[string]time.Duration{"within the grace": partialRequestGrace,
+		"after the grace": -time.Second} {
 		t.Run("on a connection not accepted yet, "+name, func(t *testing.T) {
 			t.Parallel()
 			e := newShutdownTest(t)
@@ -125,7 +125,7 @@
 			c.Close()
 			e.requireEnd()
 		})
-		t.Run("unread on a connection that is kept, "+name, func(t *testing.T) {
+		t.Run("unread on a kept connection, "+name, func(t *testing.T) {
 			t.Parallel()
 			e := newShutdownTest(t)
 			other := e.idleConnection()
@@ -135,7 +135,7 @@
 			e.requireEnd()
 		})
 	}
-	t.Run("the first of a connection that was just opened", func(t *testing.T) {
+	t.Run("first request on a connection just opened", func(t *testing.T) {
 		t.Parallel()
 		e := newShutdownTest(t)
 		var c net.Conn
@@ -147,8 +147,8 @@
 		c.Close()
 		e.requireEnd()
 	})
-	t.Run("one that has come in part", testPartialRequest)
-	t.Run("a response whose client has not closed yet", testResponseNotYetRead)
+	t.Run("partial request", testPartialRequest)
+	t.Run("response whose client has not closed the connection", testResponseNotYetRead)
 }
 
 func testPartialRequest(t *testing.T) {
--- a/internal/frontend/platform/start_times.go
+++ b/internal/frontend/platform/start_times.go
@@ -24,8 +24,8 @@
 //
 // Wall clocks can be stepped. A worker that starts after its clock was set back by an hour reports that it
 // started an hour ago, and would get the load of a warm worker; after a step forward it would stay in slow
-// start for an hour. Independent of all clocks, a worker must have started after the last list without it
-// and before now.
+// start for an hour. Regardless of the clocks, a worker must have started after the last list without it and
+// before now.
 type startTimes struct {
 	known       map[string]startTime
 	confirmedAt time.Duration // when discovery last confirmed the list; 0: never
--- a/internal/frontend/platform/worker_list.go
+++ b/internal/frontend/platform/worker_list.go
@@ -34,8 +34,8 @@
 
 func (e *workerEntry) state() balancer.WorkerState { return lifecycles[e.Lifecycle] }
 
-// receivedList is a received document that may not be an endpoint list at all. A pointer shows whether it has
-// a generation.
+// receivedList is a received document that may not be an endpoint list at all. Its Generation is a pointer,
+// so that validate notices if it is missing.
 type receivedList struct {
 	workerList
 	Generation *int64 `json:"generation"`
