--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -5,7 +5,7 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// adminCommands carries out the commands of the second address. All of it runs on the node's loop.
+// adminCommands carries out the commands of the admin address. It is confined to the node's loop.
 type adminCommands struct{ node *Node }
 
 var _ adminproto.Handler = adminCommands{}
@@ -13,8 +13,8 @@
 // AppendMetrics implements adminproto.Handler.
 func (a adminCommands) AppendMetrics(dst []byte) []byte { return a.node.front.AppendMetrics(dst) }
 
-// Ready implements adminproto.Handler for this process: while another one takes its place, one of the two is
-// not ready.
+// Ready implements adminproto.Handler for this process. During a hot restart one of the two processes is not
+// ready.
 func (a adminCommands) Ready() error {
 	if err := a.node.front.Ready(); err != nil {
 		return err
@@ -22,8 +22,7 @@
 	return a.node.hotRestart.ready()
 }
 
-// StartMaintenance implements adminproto.Handler: it excludes an endpoint at all brokers, whichever front it
-// belongs to.
+// StartMaintenance implements adminproto.Handler: it excludes an endpoint in the brokers of all fronts.
 func (a adminCommands) StartMaintenance(id string) error {
 	if err := a.checkListed(id); err != nil {
 		return err
@@ -36,8 +35,8 @@
 	return nil
 }
 
-// EndMaintenance implements adminproto.Handler. For an endpoint that is not under maintenance it changes
-// nothing, and is no error.
+// EndMaintenance implements adminproto.Handler. For an endpoint that is not under maintenance it does nothing
+// and returns no error.
 func (a adminCommands) EndMaintenance(id string) error {
 	if err := a.checkListed(id); err != nil {
 		return err
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -10,18 +10,18 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// Retry-After of a rejection: a change takes hold soon, a lost leader takes about a lease.
+// Retry-After of a rejection: a change is applied soon, replacing a lost leader takes about one lease.
 const (
 	retryAfterChange    = 50 * time.Millisecond
 	retryAfterLeaseLoss = time.Second
 )
 
-// admission admits jobs while this instance holds a valid permit for the revision that its fronts run. It
-// belongs to the node's loop; only the counter may be read elsewhere.
+// admission admits jobs while this instance holds a valid permit for the revision that its fronts run. It is
+// confined to the node's loop; only the counter may be read from other goroutines.
 type admission struct {
 	env       *environment
 	permit    rollout.Permit
-	running   uint64 // the revision that the fronts run; 0: none that was agreed on
+	running   uint64 // the revision that the fronts run; 0: no agreed revision
 	rejected  atomic.Uint64
 	rateLimit *rateLimitDriver
 	slowStart *slowStartDriver
@@ -29,15 +29,16 @@
 
 var _ broker.AdmissionController = (*admission)(nil)
 
-// newAdmission admits nothing until the group has granted a permit. The drivers are set before the loop runs.
+// newAdmission returns an admission that rejects every job until the group grants a permit. Its drivers must
+// be set before the loop runs.
 func newAdmission(env *environment) *admission {
 	return &admission{env: env, permit: rollout.Permit{ClosedReason: "this instance belongs to no group yet"}}
 }
 
 // Admit implements broker.AdmissionController.
 func (a *admission) Admit(r *broker.Request) (broker.Rejection, bool) {
-	// Hazard: the process may have been stalled for long with this job in its buffers. The clock is read
-	// here and now, whatever any timer has set, and this moment decides whether the job is admitted.
+	// The clock is read here, independent of any timer, and decides whether the job is admitted: the process
+	// may have been stalled for a long time with this job in its buffers, and the permit may have expired.
 	now := consensus.BootTime()
 	a.slowStart.expire(now)
 	if !a.permit.Admits(now, a.running) {
@@ -70,7 +71,7 @@
 	return retryAfterLeaseLoss
 }
 
-// setRunning takes the revision that the fronts run from this turn on; an older one changes nothing.
+// setRunning sets the revision that the fronts run from this turn on. An older revision is ignored.
 func (a *admission) setRunning(revision uint64) {
 	if revision <= a.running {
 		return
@@ -80,28 +81,28 @@
 	a.auditOpening()
 }
 
-// auditOpening writes that jobs are admitted from this turn on, if the permit and the fronts go by the same
-// revision.
+// auditOpening writes to the audit log that jobs are admitted from this turn on, if the permit is for the
+// revision that the fronts run.
 func (a *admission) auditOpening() {
 	if a.permit.Open && a.permit.Revision == a.running && (a.permit.NoExpiry || a.permit.ExpiresAt > 0) {
 		a.env.audit.write("open %d", a.running)
 	}
 }
 
-// permitChanged takes a permit, or that there is none. It is called on the runner's goroutine.
+// permitChanged applies a new permit, or its withdrawal. It is called on the runner's goroutine.
 func (a *admission) permitChanged(p rollout.Permit) {
 	a.env.loop().Post(func() {
 		a.logPermit(p)
 		a.permit = p
 		a.auditOpening()
-		// Hazard: the acknowledgement must follow the turn in which the fronts have ceased to admit.
+		// Acknowledge only now: the group relies on the fronts having stopped admitting jobs.
 		if !p.Open && p.Change != "" {
 			a.env.runner.ReportAdmissionClosed(p.Change, p.Attempt)
 		}
 	})
 }
 
-// logPermit writes a line where the new permit differs from the one before in more than its time.
+// logPermit logs a permit that differs from the previous one in more than its expiry.
 func (a *admission) logPermit(p rollout.Permit) {
 	if a.permit.Open == p.Open && (p.Open || a.permit.ClosedReason == p.ClosedReason) {
 		return
--- a/internal/node/auditlog.go
+++ b/internal/node/auditlog.go
@@ -8,12 +8,12 @@
 	"moorstack/internal/cluster/consensus"
 )
 
-// auditLog is the file in which an instance writes what it admits and does, one line each: the time on the
-// boot clock in nanoseconds, then the event and its facts. The fault-injection runs read it. It may be
-// written from any goroutine. The nil auditLog writes nothing.
+// auditLog is the file in which an instance records what it admits and does, one line per event: the time on
+// the boot clock in nanoseconds, then the event and its values. The fault-injection runs read it. It may be
+// written from any goroutine. A nil auditLog writes nothing.
 type auditLog struct{ file *os.File }
 
-// openAuditLog opens the file at path for appending, and makes it if there is none.
+// openAuditLog opens the file at path for appending, and creates it if it does not exist.
 func openAuditLog(path string) (*auditLog, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -22,18 +22,18 @@
 	return &auditLog{file: f}, nil
 }
 
-// enabled reports whether lines are written. Callers on the path of a request check it first, so that no
-// arguments are allocated for nothing.
+// enabled reports whether events are written. Callers on the request path check it first, to avoid allocating
+// the arguments.
 func (a *auditLog) enabled() bool { return a != nil }
 
-// writeAt writes an event of a moment on the boot clock.
+// writeAt writes an event with a time on the boot clock.
 func (a *auditLog) writeAt(now time.Duration, format string, args ...any) {
 	if a != nil {
 		fmt.Fprintf(a.file, "%d %s\n", now, fmt.Sprintf(format, args...))
 	}
 }
 
-// write writes an event that happens now.
+// write writes an event with the current time.
 func (a *auditLog) write(format string, args ...any) {
 	if a != nil {
 		a.writeAt(consensus.BootTime(), format, args...)
--- a/internal/node/backups.go
+++ b/internal/node/backups.go
@@ -16,11 +16,11 @@
 	"moorstack/internal/operate/controlapi"
 )
 
-// backupCheckInterval is how often the holder of the backup task checks whether a period has begun.
+// backupCheckInterval is how often the holder of the backup task checks whether a new period has started.
 const backupCheckInterval = 100 * time.Millisecond
 
-// backupTask writes a backup of the agreed state for each period. The period goes by the wall clock, and
-// nothing else does: that no two instances write at once is ensured by the lease and the directory.
+// backupTask writes one backup of the agreed state per period. Only the period depends on the wall clock: the
+// lease and the directory ensure that no two instances write at once.
 type backupTask struct {
 	env *environment
 	log logrus.FieldLogger
@@ -35,16 +35,17 @@
 	return &backupTask{env: env, log: env.component("backups"), dir: backups.Dir{Path: path, Verify: verify}}
 }
 
-// run is a taskFunc.
+// run implements taskFunc.
 func (b *backupTask) run(ctx context.Context, r *taskRun) error {
 	return repeat(ctx, backupCheckInterval, func() error { return b.backUpIfDue(ctx, r) })
 }
 
-// backUpIfDue writes the backup of this period, unless the task's note has it, and records it there.
+// backUpIfDue writes the backup of the current period, unless the task's note already records it, and
+// records it there.
 func (b *backupTask) backUpIfDue(ctx context.Context, r *taskRun) error {
 	policy, ok := b.policy(ctx)
 	if !ok {
-		return nil // the group has just lost the task
+		return nil // backups were just turned off, or the runner does not answer
 	}
 	lease := r.current()
 	last, err := lastBackup(lease.Note)
@@ -57,7 +58,7 @@
 	}
 	cluster, content, err := b.content(ctx)
 	if err != nil {
-		return nil // the lease ends, or there is no leader: the next check tries again
+		return nil // the lease is ending, or there is no leader: the next check retries
 	}
 	written, err := b.dir.Write(backups.WriteRequest{
 		Group: cluster, Task: r.task, FencingToken: r.token, Period: period, Content: content,
@@ -81,7 +82,8 @@
 	return nil
 }
 
-// policy is false where the agreed configuration has no backups, or the runner does not answer.
+// policy returns the agreed backup policy. ok is false if the agreed configuration has no backups, or if the
+// runner does not answer.
 func (b *backupTask) policy(ctx context.Context) (p leasedtask.Policy, ok bool) {
 	err := b.env.runner.View(ctx, func(s *clusterstate.State) {
 		p, _ = leasedtask.ParsePolicy(s.CurrentRevision().Document.Sections[leasedtask.Section],
@@ -90,7 +92,7 @@
 	return p, err == nil && p.BackupInterval != 0
 }
 
-// lastBackup reads the task's note; an empty one is of no backup.
+// lastBackup decodes the task's note; an empty note means that there is no backup yet.
 func lastBackup(note []byte) (last backups.Result, err error) {
 	if len(note) == 0 {
 		return last, nil
@@ -101,7 +103,7 @@
 	return last, nil
 }
 
-// content is a backup of the agreed state, at least as new as the call.
+// content returns the group's id and an encoded backup of the agreed state as of this call or later.
 func (b *backupTask) content(ctx context.Context) (cluster string, content []byte, err error) {
 	if err := b.env.runner.Barrier(ctx); err != nil {
 		return "", nil, err
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -14,46 +14,48 @@
 	"moorstack/internal/tomlfile"
 )
 
-// ServeConfig is the file that `moorstack serve` reads. Paths in it count from the file's own folder.
+// ServeConfig is the file that `moorstack serve` reads. Relative paths in it are resolved against the file's
+// directory.
 type ServeConfig struct {
-	Name string `toml:"name"` // this instance's, as in its certificate
-	Data string `toml:"data"` // the directory that it keeps its state in
+	Name string `toml:"name"` // this instance's name, as in its certificate
+	Data string `toml:"data"` // directory of its persistent state
 
 	Front struct {
-		Platform  string `toml:"platform"`  // JSON: the deployment's settings, and where the fronts listen
-		Listen    string `toml:"listen"`    // in place of the platform file's
-		Discovery string `toml:"discovery"` // likewise
-		Admin     string `toml:"admin"`     // the second address; the platform file's is not used
-		Faktory   string `toml:"faktory"`   // TOML; the Faktory front is off without
-		Routes    string `toml:"routes"`    // TOML; what the group agrees on comes before it
+		Platform  string `toml:"platform"`  // JSON file: the deployment's settings and listen addresses
+		Listen    string `toml:"listen"`    // overrides the platform file's
+		Discovery string `toml:"discovery"` // overrides the platform file's
+		Admin     string `toml:"admin"`     // admin address; the platform file's is ignored
+		Faktory   string `toml:"faktory"`   // TOML file; empty: the Faktory front is off
+		Routes    string `toml:"routes"`    // TOML file; rules that the group agrees on take precedence
 	} `toml:"front"`
 
 	Peers struct {
 		Listen string `toml:"listen"` // where this instance listens for others
-		// Where others reach it, if something stands between: a forwarder, or another network.
+		// Address at which others reach this instance, if it differs from Listen, as behind a forwarder or
+		// from another network.
 		Advertise string `toml:"advertise"`
-		// The address that it calls others from, where the machine has several.
+		// Source address of calls to others, for a machine with several addresses.
 		From string   `toml:"from"`
-		Tick duration `toml:"tick"` // Raft's unit of time; the same at all instances
+		Tick duration `toml:"tick"` // Raft's tick interval; the same at all instances
 	} `toml:"peers"`
 
 	Keys keys.Files `toml:"keys"`
 
-	// What this instance admits and does is written to this file, for audits.
+	// File in which this instance records what it admits and does; empty: none.
 	AuditLog string `toml:"audit"`
 
 	LeasedTasks struct {
-		// Where this instance can keep backups of what the group has agreed on.
+		// Directory in which this instance can keep backups of the agreed state.
 		Backups string `toml:"backups"`
-		// What becomes of its process when a rolling restart takes it out: "end", whoever runs it starts it
-		// again, or "start": it starts the program in its own place.
+		// How a rolling restart restarts the process. "end": the process ends, and its supervisor starts it
+		// again. "start": the process starts the program in its own place.
 		Restart string `toml:"out"`
 	} `toml:"duties"`
 
-	// Test is for tests: see TestClocksEnv.
+	// Test has settings for tests only: see TestClocksEnv.
 	Test struct {
-		Clock string `toml:"clock"` // the file of a wall clock
-		Zones string `toml:"zones"` // a zone that all zones are taken for: rules that others don't have
+		Clock string `toml:"clock"` // file of a wall clock that a test sets
+		Zones string `toml:"zones"` // used for all zones, so that the zone rules differ from those of others
 	} `toml:"test"`
 
 	Control struct {
@@ -70,10 +72,10 @@
 	defaultTick   = 100 * time.Millisecond
 	minTick       = 10 * time.Millisecond
 	maxTick       = 5 * time.Second
-	maxSocketPath = 107 // bytes: the kernel keeps a socket's path in 108, with an end
+	maxSocketPath = 107 // bytes: the kernel's buffer has 108, including the terminating NUL
 )
 
-// duration is a time.Duration that the file has as text, such as "100ms".
+// duration is a time.Duration that the file writes as text, such as "100ms".
 type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -83,8 +85,8 @@
 	return err
 }
 
-// ReadServeConfig reads and checks the file at path, fills in its defaults and makes its paths absolute. An
-// error of a value names the file, the line and the key.
+// ReadServeConfig reads and checks the file at path, applies the defaults and makes its paths absolute. An
+// error about a value names the file, the line and the key.
 func ReadServeConfig(path string) (*ServeConfig, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -101,17 +103,18 @@
 	}
 	c.resolvePaths(filepath.Dir(path))
 	if n := len(c.Control.Socket); n > maxSocketPath {
-		return nil, c.errorAt("control.socket", "the path has %d bytes, %d are possible", n, maxSocketPath)
+		return nil, c.errorAt("control.socket", "path must be at most %[2]d bytes, got %[1]d", n,
+			maxSocketPath)
 	}
 	return c, nil
 }
 
-// errorAt is an error about the value of a key.
+// errorAt returns an error about the value of a key.
 func (c *ServeConfig) errorAt(key, format string, args ...any) error {
 	return tomlfile.ErrorAt(c.path, c.raw, key, format, args...)
 }
 
-// setting is a key of the file, and its value.
+// setting is a key of the file and its value.
 type setting struct {
 	key, value string
 }
@@ -135,36 +138,36 @@
 		{"peers.advertise", c.Peers.Advertise}, {"front.listen", c.Front.Listen},
 		{"front.discovery", c.Front.Discovery}, {"front.admin", c.Front.Admin}} {
 		if s.value == "" && s.key != "peers.listen" {
-			continue // only that one must be given
+			continue // only peers.listen is required
 		}
 		if at, err := netip.ParseAddrPort(s.value); err != nil || at.Port() == 0 {
-			return c.errorAt(s.key, "%q is not an address and a port", s.value)
+			return c.errorAt(s.key, "must be an IP address and a port other than 0, got %q", s.value)
 		}
 	}
 	if c.Peers.Advertise == "" {
 		c.Peers.Advertise = c.Peers.Listen
 	}
 	if _, err := netip.ParseAddr(c.Peers.From); err != nil && c.Peers.From != "" {
-		return c.errorAt("peers.from", "%q is not an address; it has no port", c.Peers.From)
+		return c.errorAt("peers.from", "must be an IP address without a port, got %q", c.Peers.From)
 	}
 	return nil
 }
 
-// checkValues checks the values that have a default, and fills that in.
+// checkValues checks the settings that have a default, and applies the default.
 func (c *ServeConfig) checkValues() error {
 	restart := &c.LeasedTasks.Restart
 	if *restart == "" {
 		*restart = restartByEnding
 	}
 	if *restart != restartByEnding && *restart != restartByStarting {
-		return c.errorAt("duties.out", "%q is neither %q nor %q", *restart, restartByEnding,
+		return c.errorAt("duties.out", "must be %[2]q or %[3]q, got %[1]q", *restart, restartByEnding,
 			restartByStarting)
 	}
 	if c.Peers.Tick == 0 {
 		c.Peers.Tick = duration(defaultTick)
 	}
 	if t := time.Duration(c.Peers.Tick); t < minTick || t > maxTick {
-		return c.errorAt("peers.tick", "%v is not from %v to %v", t, minTick, maxTick)
+		return c.errorAt("peers.tick", "must be between %[2]v and %[3]v, got %[1]v", t, minTick, maxTick)
 	}
 	return nil
 }
@@ -178,8 +181,7 @@
 	}
 }
 
-// fronts reads the files that the configuration names for the fronts. The second is nil where the Faktory
-// front is off.
+// fronts reads the configuration files of the fronts. The second result is nil if the Faktory front is off.
 func (c *ServeConfig) fronts() (*platform.Config, *faktory.Config, error) {
 	p, err := platform.ReadConfigFile(c.Front.Platform)
 	if err != nil {
@@ -189,10 +191,11 @@
 	if c.Front.Listen != "" {
 		p.ListenAddress = c.Front.Listen
 	}
-	// Hazard: instances of one machine share a platform file, and can't share an address.
+	// The platform file's admin address is ignored: instances on one machine share the file, but can't share
+	// an address.
 	p.AdminAddress = c.Front.Admin
 	if p.AdminAddress != "" && p.AdminAddress == p.ListenAddress {
-		return nil, nil, c.errorAt("front.admin", "%q is the clients' address, not one of its own",
+		return nil, nil, c.errorAt("front.admin", "must differ from the clients' address, got %q for both",
 			p.AdminAddress)
 	}
 	if c.Front.Discovery != "" {
@@ -210,7 +213,8 @@
 	return p, f, nil
 }
 
-// labels are what this instance has that leased tasks require, and where it is.
+// labels returns the labels by which leased tasks are assigned: the zone, and whether backups can be kept
+// here.
 func (c *ServeConfig) labels(zone string) []string {
 	list := []string{leasedtask.ZoneLabelPrefix + zone}
 	if c.LeasedTasks.Backups != "" {
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -22,7 +22,7 @@
 socket = "control.sock"
 `
 
-// writeConfig writes a configuration, and returns its path.
+// writeConfig writes a configuration file and returns its path.
 func writeConfig(t *testing.T, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "serve.toml")
@@ -61,16 +61,19 @@
 		{"no platform file", `"platform.json"`, `""`, ": front.platform: it must be given"},
 		{"no socket", `"control.sock"`, `""`, ": control.socket: it must be given"},
 		{"no port", `"127.0.0.1:7000"`, `"127.0.0.1"`,
-			`: peers.listen: "127.0.0.1" is not an address and a port`},
-		{"port 0", `"127.0.0.1:7000"`, `"127.0.0.1:0"`, `: peers.listen: "127.0.0.1:0" is not an address`},
+			`: peers.listen: must be an IP address and a port other than 0, got "127.0.0.1"`},
+		{"port 0", `"127.0.0.1:7000"`, `"127.0.0.1:0"`,
+			`: peers.listen: must be an IP address and a port other than 0, got "127.0.0.1:0"`},
 		{"calls from a port", `[keys]`, "from = \"1.2.3.4:5\"\n[keys]",
-			`: peers.from: "1.2.3.4:5" is not an address`},
-		{"tick too short", `[keys]`, "tick = \"9ms\"\n[keys]", ": peers.tick: 9ms is not from 10ms to 5s"},
-		{"tick too long", `[keys]`, "tick = \"6s\"\n[keys]", ": peers.tick: 6s is not from 10ms to 5s"},
+			`: peers.from: must be an IP address without a port, got "1.2.3.4:5"`},
+		{"tick too short", `[keys]`, "tick = \"9ms\"\n[keys]",
+			": peers.tick: must be between 10ms and 5s, got 9ms"},
+		{"tick too long", `[keys]`, "tick = \"6s\"\n[keys]",
+			": peers.tick: must be between 10ms and 5s, got 6s"},
 		{"unknown restart", `[control]`, "[duties]\nout = \"stop\"\n[control]",
-			`: duties.out: "stop" is neither`},
+			`: duties.out: must be "end" or "start", got "stop"`},
 		{"long socket path", `control.sock`, "/" + strings.Repeat("x", 107),
-			": control.socket: the path has 108 bytes, 107 are possible"},
+			": control.socket: path must be at most 107 bytes, got 108"},
 		{"unknown key", `[control]`, "[control]\nport = 1", ": control.port: this key is not known here"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -92,10 +95,10 @@
 	c.Test.Clock, c.Test.Zones = path, "Asia/Muscat"
 	t.Setenv(TestClocksEnv, "")
 	if _, err := c.wallClock(); err == nil || !strings.Contains(err.Error(), TestClocksEnv) {
-		t.Errorf("a clock of a file: %v", err)
+		t.Errorf("test clock: got %v, want an error", err)
 	}
 	if _, err := c.zoneRules(); err == nil || !strings.Contains(err.Error(), TestClocksEnv) {
-		t.Errorf("other zone rules: %v", err)
+		t.Errorf("test zone rules: got %v, want an error", err)
 	}
 	t.Setenv(TestClocksEnv, "yes")
 	if _, err := c.wallClock(); err != nil {
@@ -114,7 +117,7 @@
 	for _, rate := range []string{"0", "-1", "1000001"} {
 		path := writeConfig(t, `{"rate":`+rate+`}`)
 		if _, err := readTestClock(path); err == nil {
-			t.Errorf("rate %s is accepted", rate)
+			t.Errorf("rate %s was accepted", rate)
 		}
 	}
 }
--- a/internal/node/configurator.go
+++ b/internal/node/configurator.go
@@ -14,28 +14,28 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// configurator puts the revisions that the group agrees on into force at this instance's fronts and drivers.
-// One goroutine, run, does so once the node runs.
+// configurator applies the revisions that the group agrees on to this instance's fronts and drivers. Once the
+// node runs, the goroutine of run does this.
 type configurator struct {
 	env       *environment
 	cfg       *ServeConfig
-	local     balancer.Settings // this instance's own
+	local     balancer.Settings // from this instance's platform file
 	routes    *routeRules
 	drivers   driverSet
 	admission *admission
-	committed chan clusterstate.Revision // of which only the newest counts
-	proposed  chan clusterstate.Revision // likewise: changes to be staged
+	committed chan clusterstate.Revision // to be applied; only the newest counts
+	proposed  chan clusterstate.Revision // to be staged; only the newest counts
 
 	mu      sync.Mutex
-	running uint64 // the revision that the fronts run; 0: none that was agreed on
+	running uint64 // the revision that the fronts run; 0: no agreed revision
 	current clusterstate.Revision
-	problem string // why the fronts don't run the revision that is in force
+	problem string // why the fronts don't run the revision in force
 	staged  stagedChange
 }
 
 // stagedChange is a change that is ready to be applied.
 type stagedChange struct {
-	id     string // the change's; empty: there is none
+	id     string // the change's id; empty: nothing is staged
 	config RuntimeConfig
 }
 
@@ -45,16 +45,17 @@
 		committed: make(chan clusterstate.Revision, 1), proposed: make(chan clusterstate.Revision, 1)}
 }
 
-// revisionCommitted takes a revision that comes into force, and changeProposed a change that must be made
-// ready. They are called on the runner's goroutine, and never wait.
+// revisionCommitted queues a revision that comes into force, and changeProposed a change to be staged. They
+// are called on the runner's goroutine and never block.
 func (c *configurator) revisionCommitted(r clusterstate.Revision) { replaceNewest(c.committed, r) }
 func (c *configurator) changeProposed(r clusterstate.Revision)    { replaceNewest(c.proposed, r) }
 
-// clusterChanged hands a new view of the group's sessions to the drivers. It is called on the runner's
+// clusterChanged passes a new view of the group's sessions to the drivers. It is called on the runner's
 // goroutine.
 func (c *configurator) clusterChanged(v consensus.ClusterView) { c.drivers.ClusterChanged(v) }
 
-// replaceNewest sends a revision without waiting: the receiver gets the newest. The channel has room for one.
+// replaceNewest sends a revision without blocking, in place of one that has not been received yet. The
+// channel's capacity is 1.
 func replaceNewest(ch chan clusterstate.Revision, r clusterstate.Revision) {
 	for {
 		select {
@@ -63,13 +64,13 @@
 		default:
 		}
 		select {
-		case <-ch: // an older one that has not been received
+		case <-ch: // discard an older revision
 		default:
 		}
 	}
 }
 
-// run works until the context ends.
+// run stages and applies revisions until the context ends.
 func (c *configurator) run(ctx context.Context) {
 	for {
 		select {
@@ -83,8 +84,8 @@
 	}
 }
 
-// stage makes everything ready for a change, so that the switch takes one turn of the loop, and reports
-// whether this instance can run it.
+// stage prepares a change, so that applying it takes one turn of the loop, and reports to the group whether
+// this instance can run it.
 func (c *configurator) stage(r clusterstate.Revision) {
 	c.env.audit.write("staging %s", r.ChangeID)
 	entry := c.env.log.WithFields(logrus.Fields{"revision": r.Number, "change": r.ChangeID})
@@ -102,7 +103,7 @@
 	c.env.runner.ReportStaged(r.ChangeID, nil)
 }
 
-// check reports why a document can't be run here, or returns what the node is to run.
+// check returns the node's configuration for a document, or why this instance can't run the document.
 func (c *configurator) check(d *clusterstate.Document) (RuntimeConfig, error) {
 	config, err := c.runtimeConfig(d)
 	if err != nil {
@@ -117,7 +118,7 @@
 	return config, c.env.node.ValidateConfig(config)
 }
 
-// checkLeases reports why this instance's clock of ticks can't keep the leases of a document.
+// checkLeases reports why the leases of a document can't be kept with this instance's tick interval.
 func (c *configurator) checkLeases(d *clusterstate.Document) error {
 	p, _ := rollout.ParsePolicy(d.Sections[rollout.Section])
 	if err := p.CheckTick(time.Duration(c.cfg.Peers.Tick)); err != nil {
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// runtimeConfig fits a document to this instance's own files.
+// runtimeConfig combines a document with this instance's own settings and routing rules.
 func (c *configurator) runtimeConfig(d *clusterstate.Document) (config RuntimeConfig, err error) {
 	if config.Settings, err = d.ApplyTo(c.local); err != nil {
 		return config, fmt.Errorf("%s: %w", c.cfg.Front.Platform, err)
@@ -135,16 +136,16 @@
 	return config, err
 }
 
-// apply puts a revision into force by configure, which is the node's: before the loop runs its own, and then
-// the one that waits for the loop.
+// apply applies a revision with configure, which is Node.configure before the loop runs and Node.Configure,
+// which waits for the loop, afterwards.
 func (c *configurator) apply(r clusterstate.Revision, configure func(RuntimeConfig) error) {
 	err := c.configure(r, configure)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	entry := c.env.log.WithField("revision", r.Number)
 	if err != nil {
-		// Only files that differ from what they were when it was staged can bring this about: the fronts
-		// admit nothing more, for what they run is not in force.
+		// This happens only if local files have changed since the change was staged. The fronts admit
+		// nothing more, because what they run is not in force.
 		c.problem = fmt.Sprintf("revision %d: %v", r.Number, err)
 		entry.WithError(err).Error("configuration can't be applied")
 		return
@@ -173,7 +174,7 @@
 	return configure(config)
 }
 
-// popStaged returns what was staged for a change, and drops whatever was staged.
+// popStaged returns the configuration staged for a change. It discards the staged change in any case.
 func (c *configurator) popStaged(change string) (RuntimeConfig, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,15 +183,15 @@
 	return staged.config, change != "" && staged.id == change
 }
 
-// status is the revision that the fronts run, and why they don't run the one that is in force.
+// status returns the revision that the fronts run, and why they don't run the one in force.
 func (c *configurator) status() (running uint64, problem string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running, c.problem
 }
 
-// reloadRoutes reads this instance's own rules again, where it routes by them. It is called on the node's
-// loop, or before that runs.
+// reloadRoutes reloads this instance's own routing rules, unless the group has agreed on rules. It is called
+// on the node's loop, or before the loop runs.
 func (c *configurator) reloadRoutes() error {
 	if c.hasAgreedRoutes() {
 		return nil
--- a/internal/node/configurator_test.go
+++ b/internal/node/configurator_test.go
@@ -19,16 +19,16 @@
 func TestStagedChangeIsUsedOnce(t *testing.T) {
 	c := &configurator{staged: stagedChange{id: "x"}}
 	if _, ok := c.popStaged("x"); !ok {
-		t.Error("it is not taken")
+		t.Error("the staged change was not returned")
 	}
 	if _, ok := c.popStaged("x"); ok {
-		t.Error("it is taken twice")
+		t.Error("the staged change was returned twice")
 	}
 	c.staged = stagedChange{id: "x"}
 	if _, ok := c.popStaged("y"); ok || c.staged.id != "" {
-		t.Error("another change takes it, or leaves it")
+		t.Error("the staged change was returned for another change, or not discarded")
 	}
 	if _, ok := c.popStaged(""); ok {
-		t.Error("a revision without a change takes what is not staged")
+		t.Error("a revision without a change got a staged configuration")
 	}
 }
--- a/internal/node/drivers.go
+++ b/internal/node/drivers.go
@@ -8,30 +8,30 @@
 	"moorstack/internal/cluster/schedule"
 )
 
-// driver carries out one section of the agreed document: it connects a package of rules, which has no
-// goroutine, clock or socket, to the node's loop and the group.
+// driver applies one section of the agreed document: it connects a rule package, which has no goroutine,
+// clock or socket, to the node's loop and the group.
 type driver interface {
-	// Supports reports why this instance can't carry out a valid document, or nil. Any goroutine may call it.
+	// Supports returns why this instance can't run a valid document, or nil. Any goroutine may call it.
 	Supports(d *clusterstate.Document) error
-	// Prepare reads the driver's section of a document that takes effect, with the settings that the fronts
-	// get from it, and changes nothing yet.
+	// Prepare reads the driver's section of a document that will be applied, together with the settings that
+	// the fronts get from it. It changes nothing yet.
 	Prepare(d *clusterstate.Document, set balancer.Settings) preparedChange
-	// ClusterChanged takes a new view of the group's sessions. It is called on the runner's goroutine, and
-	// must not wait.
+	// ClusterChanged receives a new view of the group's sessions. It is called on the runner's goroutine and
+	// must not block.
 	ClusterChanged(v consensus.ClusterView)
 }
 
-// preparedChange is what a driver is about to take over from a document.
+// preparedChange is a driver's part of a document, ready to be applied.
 type preparedChange interface {
-	// Apply takes it over. It is called on the node's loop, in the turn in which the fronts begin to run the
-	// document.
+	// Apply applies the change. It is called on the node's loop, in the turn in which the fronts start to run
+	// the document.
 	Apply()
 }
 
 // driverSet is all drivers, in the order in which they are called.
 type driverSet []driver
 
-// Supports implements driver: the first reason of any driver.
+// Supports implements driver: it returns the first driver's error.
 func (s driverSet) Supports(d *clusterstate.Document) error {
 	for _, one := range s {
 		if err := one.Supports(d); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// preparedChanges are those of all drivers.
+// preparedChanges are the prepared changes of all drivers.
 type preparedChanges []preparedChange
 
 // Apply implements preparedChange.
@@ -69,8 +69,8 @@
 
 var _ driver = driverSet(nil)
 
-// notified dispatches a notification of a replicated state machine to its driver. It is called on the
-// runner's goroutine.
+// notified passes a notification of a replicated state machine to its driver. It is called on the runner's
+// goroutine.
 func (i *Instance) notified(notification any) {
 	switch n := notification.(type) {
 	case leasedtask.PlanChanged:
--- a/internal/node/drivers_test.go
+++ b/internal/node/drivers_test.go
@@ -15,7 +15,7 @@
 	"moorstack/internal/cluster/consensus"
 )
 
-// testEnvironment has a log that nobody reads and an audit log, whose path it returns.
+// testEnvironment returns an environment with a silent log and an audit log, and the audit log's path.
 func testEnvironment(t *testing.T) (*environment, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "audit")
@@ -49,7 +49,7 @@
 func TestNilAuditLogWritesNothing(t *testing.T) {
 	var a *auditLog
 	if a.write("open %d", 1); a.enabled() {
-		t.Error("it is enabled")
+		t.Error("a nil audit log is enabled")
 	}
 }
 
--- a/internal/node/environment.go
+++ b/internal/node/environment.go
@@ -12,10 +12,10 @@
 	"moorstack/internal/schema"
 )
 
-// environment is what an instance's drivers share. It is filled while the instance opens, before the loop
+// environment holds what an instance's drivers share. It is filled while the instance opens, before the loop
 // and the runner start, and does not change after that.
 type environment struct {
-	name    string // the instance's
+	name    string // the instance's name
 	log     logrus.FieldLogger
 	audit   *auditLog
 	node    *Node
@@ -23,12 +23,12 @@
 	network *transport.Network
 }
 
-// component is the log of one component of the instance.
+// component returns the log of one component of the instance.
 func (e *environment) component(name string) logrus.FieldLogger {
 	return e.log.WithField("component", name)
 }
 
-// loop is the node's event loop.
+// loop returns the node's event loop.
 func (e *environment) loop() *eventloop.Loop { return e.node.loop }
 
 // member looks up a member of the group by its id.
@@ -41,7 +41,7 @@
 	return clusterstate.Member{}, false
 }
 
-// memberName is the name of a member, for log lines.
+// memberName returns a member's name for log lines.
 func (e *environment) memberName(id uint64) string {
 	if m, ok := e.member(id); ok {
 		return m.Name
@@ -49,15 +49,16 @@
 	return "a removed member"
 }
 
-// sendSession sends a message to a member. One to an unknown member is dropped, and so is one that the
-// transport has no room for: senders repeat what matters.
+// sendSession sends a message to a member. A message to an unknown member is dropped, and so is one that the
+// transport's queue has no room for: senders repeat important messages.
 func (e *environment) sendSession(to uint64, m *schema.SessionMessage) {
 	if member, ok := e.member(to); ok {
 		e.network.SendSession(member, m)
 	}
 }
 
-// onLoop runs f on the node's loop and waits until it has run, or the context has ended.
+// onLoop runs f on the node's loop and waits until f has run or the context has ended. In the second case f
+// may still run later.
 func (e *environment) onLoop(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	e.loop().Post(func() { f(); close(done) })
--- a/internal/node/explainroute.go
+++ b/internal/node/explainroute.go
@@ -11,11 +11,11 @@
 	"moorstack/internal/schema"
 )
 
-// routeExplainer explains where a job would go, by the running brokers. It belongs to the node's loop.
+// routeExplainer explains where the running brokers would send a job. It is confined to the node's loop.
 type routeExplainer struct {
 	node  *Node
 	names routing.KnownNames
-	local balancer.Settings // this instance's own
+	local balancer.Settings // from this instance's platform file
 }
 
 func (x *routeExplainer) explain(in *schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error) {
@@ -68,16 +68,16 @@
 		ExpectedWork: time.Duration(in.CostUs) * time.Microsecond,
 	}
 	if in.Class != "" && job.Class < 0 {
-		return nil, fmt.Errorf("there is no class %q", in.Class)
+		return nil, fmt.Errorf("unknown class %q", in.Class)
 	}
 	if in.Tenant != "" && job.Tenant < 0 {
-		return nil, fmt.Errorf("there is no tenant %q", in.Tenant)
+		return nil, fmt.Errorf("unknown tenant %q", in.Tenant)
 	}
 	return job, nil
 }
 
-// explainTiers returns the pools in the order in which they are tried, and which workers of each could have
-// the job now.
+// explainTiers returns the pools in the order in which they are tried, and for each which workers could get
+// the job now and why the others could not.
 func (x *routeExplainer) explainTiers(c *frontBroker, job *routing.Job,
 	d routing.Decision) (tiers []*schema.Tier) {
 	pools := []string{"any worker"}
--- a/internal/node/explainroute_test.go
+++ b/internal/node/explainroute_test.go
@@ -25,8 +25,8 @@
 			routing.FrontFaktory, 0, ""},
 		{"no class", &schema.ExplainRouteRequest{}, routing.FrontHTTP, -1, ""},
 		{"unknown front", &schema.ExplainRouteRequest{Front: "x"}, "", 0, `this instance has no front "x"`},
-		{"unknown class", &schema.ExplainRouteRequest{Class: "x"}, "", 0, `there is no class "x"`},
-		{"unknown tenant", &schema.ExplainRouteRequest{Tenant: "x"}, "", 0, `there is no tenant "x"`},
+		{"unknown class", &schema.ExplainRouteRequest{Class: "x"}, "", 0, `unknown class "x"`},
+		{"unknown tenant", &schema.ExplainRouteRequest{Tenant: "x"}, "", 0, `unknown tenant "x"`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, err := x.frontBroker(c.in.Front)
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -61,7 +61,7 @@
 	return i.membership.memberState(member)
 }
 
-// ExplainRoute implements controlapi.Host: the running broker explains, on its loop.
+// ExplainRoute implements controlapi.Host. The explanation is computed on the node's loop.
 func (i *Instance) ExplainRoute(in *schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error) {
 	type result struct {
 		reply *schema.ExplainRouteReply
@@ -77,14 +77,14 @@
 	return r.reply, r.err
 }
 
-// describeFronts describes this instance's fronts to another one: where they are, which revision they run,
-// and why they admit nothing. It is called on a goroutine of the transport.
+// describeFronts describes this instance's fronts to another instance: their zone, the revision that they
+// run, and why they admit no jobs. It is called on a goroutine of the transport.
 func (i *Instance) describeFronts(d *schema.Description) {
 	d.Zone = i.zone()
 	if d.Running, d.Why = i.configurator.status(); d.Why != "" {
 		return
 	}
-	// The fronts' own loop answers whether it admits: it may be stalled while the rest answers.
+	// The loop itself must answer whether jobs are admitted: it may be stalled while other goroutines run.
 	reason := make(chan string, 1)
 	i.env.loop().Post(func() {
 		if i.admission.permit.Admits(consensus.BootTime(), i.admission.running) {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -17,36 +17,36 @@
 
 var (
 	errParentServes  = errors.New("taking over: the old process has clients still")
-	errSeveralFronts = errors.New("a node with more than the platform's front can't pass its state on")
+	errSeveralFronts = errors.New("hot restart is not supported for a node with several fronts")
 )
 
 // statusInterval is how often a parent process reports its in-flight jobs to its child.
 const statusInterval = 20 * time.Millisecond
 
-// hotRestart drives package hotrestart: one process of a node, the child, takes the place of another, its
-// parent, while the node serves. All of it belongs to the node's loop. The nil hotRestart is of a node that
-// no process takes over.
+// hotRestart drives package hotrestart: one process of a node, the child, takes over from another, its
+// parent, while the node serves. It is confined to the node's loop. A nil hotRestart means that hot restart
+// is off.
 type hotRestart struct {
 	node     *Node
 	log      logrus.FieldLogger
 	place    hotrestart.SocketPath
 	machine  *hotrestart.Machine
-	link     *hotrestart.Link    // with the other process; nil: there is none
-	listener *eventloop.Listener // where a child connects; nil: not open
-	inFlight map[string]float64  // by endpoint, as the child was sent it last
+	link     *hotrestart.Link    // to the other process; nil: none
+	listener *eventloop.Listener // to which a child connects; nil: not open
+	inFlight map[string]float64  // by endpoint, as last sent to the child
 }
 
 var _ platform.PeerProcess = (*hotRestart)(nil)
 
-// parentProcess is the process whose place this one takes, as far as it was found.
+// parentProcess is what joinParent found of a process to take over from.
 type parentProcess struct {
 	place   hotrestart.SocketPath
-	offered *hotrestart.Inheritance // nil: it passes no state on
-	serves  bool                    // it serves on, and this process at a socket of its own as well
+	offered *hotrestart.Inheritance // nil: the parent passes no state on
+	serves  bool                    // the parent serves on, and this process serves on a separate socket
 }
 
-// joinParent finds the process whose place this one takes. Whatever is in the way, the node starts: alone if
-// there is no other, else at a socket of its own.
+// joinParent looks for a process to take over from. If there is none, this process serves alone. If the
+// takeover fails, it still starts, on a separate socket.
 func joinParent(cfg *platform.Config, log logrus.FieldLogger) parentProcess {
 	p := parentProcess{place: hotrestart.SocketFor(os.Getenv("TMPDIR"), cfg.ListenAddress)}
 	var err error
@@ -69,7 +69,7 @@
 	return n.front.OpenInherited(c, offered.ListenerFD, offered.State, decodeBrokerState(offered.State))
 }
 
-// startHotRestart begins the exchange with the parent, or has this node be ready for a child.
+// startHotRestart starts the exchange with the parent, or listens for a child.
 func (n *Node) startHotRestart(p parentProcess, began time.Duration) error {
 	h := &hotRestart{node: n, log: n.log, place: p.place, machine: hotrestart.NewWithoutParent()}
 	n.hotRestart = h
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// ready is nil while this process is ready to be the node's only one.
+// ready returns nil while this process is ready to be the node's only one.
 func (h *hotRestart) ready() error {
 	if h == nil || h.machine.Ready(h.node.loop.Now()) {
 		return nil
@@ -100,7 +100,7 @@
 	return errParentServes
 }
 
-// listen waits for the process that will take this one's place.
+// listen opens the socket to which a child connects.
 func (h *hotRestart) listen() {
 	if h.listener != nil {
 		h.listener.Close()
@@ -111,16 +111,16 @@
 	}
 }
 
-// accept takes the connection of a process that may want this one's place. Its first message
-// shows whether it does.
+// accept accepts a connection. Its first message shows whether the process at the other end requests a
+// takeover.
 func (h *hotRestart) accept(c *eventloop.Conn) {
 	hotrestart.AcceptLink(c, h.receive, h.disconnected)
 }
 
-// broker is the platform front's: a node with another front has no hot restart.
+// broker returns the platform front's broker: a node with several fronts has no hot restart.
 func (h *hotRestart) broker() *broker.Broker { return h.node.brokers[0].Broker }
 
-// shareLimits has the limits be for two processes, or for one.
+// shareLimits divides the node's limits between two processes, or gives this process all of them.
 func (h *hotRestart) shareLimits(two bool) {
 	var with platform.PeerProcess
 	processes := int64(1)
@@ -133,14 +133,14 @@
 
 func (h *hotRestart) disconnected(l *hotrestart.Link, err error) {
 	if l != h.link {
-		return // one that was rejected, or sent nothing
+		return // a rejected connection, or one that sent nothing
 	}
 	h.log.WithError(err).WithField("phase", h.machine.Phase().String()).
 		Info("hot restart: connection to the other process lost")
 	h.step(hotrestart.PeerLost)
 }
 
-// receive dispatches a message of the other process.
+// receive dispatches a message from the other process.
 func (h *hotRestart) receive(l *hotrestart.Link, m *hotrestart.Message) {
 	if m.Type == hotrestart.TypeHello {
 		h.handleHello(l)
@@ -173,7 +173,7 @@
 	}
 }
 
-// handleHello takes the request of a process to take this one's place: it is sent the state, or rejected.
+// handleHello handles a takeover request: it sends the state, or rejects the request.
 func (h *hotRestart) handleHello(l *hotrestart.Link) {
 	before := h.link
 	for _, effect := range h.machine.Step(hotrestart.TakeoverRequested) {
@@ -200,13 +200,13 @@
 	}
 }
 
-// handleCallback takes a worker's call-back that the other process forwarded.
+// handleCallback handles a worker's call-back that the other process forwarded.
 func (h *hotRestart) handleCallback(m *hotrestart.Message) {
 	h.node.front.HandleForwardedCallBack(m.Body)
 	h.link.Send(hotrestart.Message{Type: hotrestart.TypeCallBackHandled, CallBackNumber: m.CallBackNumber})
 }
 
-// handleJob adopts an open job, with its client's connection.
+// handleJob takes over an open request, with its client's connection.
 func (h *hotRestart) handleJob(l *hotrestart.Link, m *hotrestart.Message) {
 	fd, ok := l.PopFD()
 	if !ok {
@@ -218,7 +218,7 @@
 	}
 }
 
-// handleMaintenance takes an operator's command that was given to the other process.
+// handleMaintenance applies an operator's command that was given to the other process.
 func (h *hotRestart) handleMaintenance(b *hotrestart.Maintenance) {
 	for _, c := range h.node.brokers {
 		if b.Active {
@@ -229,7 +229,7 @@
 	}
 }
 
-// step has the machine take an event, and carries out its effects.
+// step passes an event to the state machine and carries out its effects.
 func (h *hotRestart) step(event hotrestart.Event) {
 	before := h.machine.Phase()
 	for _, effect := range h.machine.Step(event) {
@@ -258,8 +258,8 @@
 	}
 }
 
-// sendStatus sends the child this process's in-flight jobs, migrates them when it is time, and reports
-// when this process owes no client anything.
+// sendStatus sends the child this process's in-flight jobs, migrates them hotrestart.MigrateAfter after the
+// shutdown was requested, and reports when no client waits for a response of this process.
 func (h *hotRestart) sendStatus() {
 	if h.machine.Phase() != hotrestart.ParentDraining || h.link == nil {
 		return
@@ -286,16 +286,16 @@
 	h.link.Send(hotrestart.Message{Type: hotrestart.TypeCallBack, CallBackNumber: number, Body: body})
 }
 
-// RequestBegun implements platform.PeerProcess: it reports a request that the other process must not begin.
+// RequestBegun implements platform.PeerProcess: it reports a request that the other process must not start.
 func (h *hotRestart) RequestBegun(id string) {
-	// The state is sent before the ids that are open: what begins until then is among them.
+	// Nothing is reported before the open ids are sent, which is after the state: they include this one.
 	if p := h.machine.Phase(); p == hotrestart.ParentDraining || p == hotrestart.ServingAlongsideParent ||
 		p == hotrestart.TakingOver {
 		h.link.Send(hotrestart.Message{Type: hotrestart.TypeRequestsBegun, RequestIDs: []string{id}})
 	}
 }
 
-// sendMaintenance passes an operator's command on to the other process, for both still give out work.
+// sendMaintenance passes an operator's command on to the other process, because both still dispatch jobs.
 func (h *hotRestart) sendMaintenance(id string, on bool) {
 	if h != nil && h.link != nil {
 		h.link.Send(hotrestart.Message{Type: hotrestart.TypeMaintenance,
--- a/internal/node/hotrestart_state.go
+++ b/internal/node/hotrestart_state.go
@@ -7,7 +7,7 @@
 	"moorstack/internal/proxy/hotrestart"
 )
 
-// sendState sends the child all that it must know of what this process did, and the listening socket.
+// sendState sends the child this process's state and the listening socket.
 func (h *hotRestart) sendState() error {
 	if len(h.node.brokers) != 1 {
 		return errSeveralFronts
@@ -24,7 +24,7 @@
 	return h.link.SendState(s, front.ListenerFD())
 }
 
-// encodeBrokerState is the broker's part of what is passed on.
+// encodeBrokerState returns the part of the state that comes from the broker.
 func encodeBrokerState(p broker.ProcessState) *hotrestart.State {
 	s := &hotrestart.State{KnownEndpoints: p.KnownNames, Balancer: p.Balancer}
 	for name, since := range p.UnderMaintenance {
@@ -38,7 +38,7 @@
 	return s
 }
 
-// decodeBrokerState is encodeBrokerState's opposite.
+// decodeBrokerState is the inverse of encodeBrokerState.
 func decodeBrokerState(s *hotrestart.State) broker.ProcessState {
 	p := broker.ProcessState{KnownNames: s.KnownEndpoints, UnderMaintenance: map[string]time.Duration{},
 		ReturnedFromMaintenance: map[string]broker.MaintenancePeriod{}, Balancer: s.Balancer}
--- a/internal/node/instance.go
+++ b/internal/node/instance.go
@@ -18,7 +18,7 @@
 type Instance struct {
 	cfg     *ServeConfig
 	log     logrus.FieldLogger
-	program string // its version
+	program string // the program's version
 	env     *environment
 	names   routing.KnownNames
 	zones   *calendar.ZoneDB
@@ -38,18 +38,18 @@
 	started []service // in the order in which they were started
 }
 
-// service is what has been started, and how it is stopped.
+// service is a started service and the function that stops it.
 type service struct {
 	name string
 	stop func() error
 }
 
-// onStop registers a service that has been started: they are stopped in the opposite order.
+// onStop registers a started service. Services are stopped in the opposite order.
 func (i *Instance) onStop(name string, stop func() error) {
 	i.started = append(i.started, service{name, stop})
 }
 
-// stop stops what has been started, the last first, and nothing else.
+// stop stops the services that were started, the last one first.
 func (i *Instance) stop() error {
 	var errs []error
 	for n := len(i.started) - 1; n >= 0; n-- {
@@ -61,8 +61,8 @@
 	return errors.Join(errs...)
 }
 
-// NewInstance builds an instance of a program's version and opens all that listens. Where that fails
-// half-way, what had been started is stopped.
+// NewInstance builds an instance and opens its listeners. program is the program's version. If opening fails,
+// the services that were started already are stopped.
 func NewInstance(cfg *ServeConfig, program string, log logrus.FieldLogger) (*Instance, error) {
 	i := &Instance{cfg: cfg, log: log, program: program, env: &environment{name: cfg.Name, log: log}}
 	if err := i.open(); err != nil {
@@ -71,8 +71,8 @@
 	return i, nil
 }
 
-// Run serves until the node has been ordered to end. With ErrRestart the program is to be started in its
-// place.
+// Run serves until the node has shut down. If it returns ErrRestart, the caller must start the program again
+// in place of this process.
 func (i *Instance) Run(signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/node/leasedtasks.go
+++ b/internal/node/leasedtasks.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// transferTimeout is how long an instance that ends waits for its leases to be transferred.
+	// transferTimeout is how long a stopping instance waits for its leases to be transferred.
 	transferTimeout = time.Second
-	// releaseTimeout is how long one attempt to release a lease may take, and releaseBackoff the time before
-	// the next.
+	// releaseTimeout bounds one attempt to release a lease, and releaseBackoff is the time before the next
+	// one.
 	releaseTimeout = 2 * time.Second
 	releaseBackoff = 50 * time.Millisecond
-	// transferPollInterval is how often an instance that ends checks whether its leases are released.
+	// transferPollInterval is how often a stopping instance checks whether its leases are released.
 	transferPollInterval = 2 * time.Millisecond
 	// drillInterval is the time between two actions of a drill.
 	drillInterval = 2 * time.Millisecond
 )
 
-// taskFunc is the work of a leased task: until its context ends, or it fails. It checks taskRun.Valid before
-// each effect that leaves the process, in the turn that acts.
+// taskFunc does the work of a leased task until its context ends or it fails. It must check taskRun.Valid
+// immediately before each effect that leaves the process.
 type taskFunc func(ctx context.Context, run *taskRun) error
 
 // taskDriver drives package leasedtask: it does the work of the tasks whose leases this instance holds, and
-// releases the leases. One goroutine, run, starts and stops the work; each task's work has one of its own,
-// which ends with the lease or with close.
+// releases the leases. The goroutine of run starts and stops the work. Each task runs on a separate
+// goroutine, which ends with the lease or with close.
 type taskDriver struct {
 	env     *environment
 	log     logrus.FieldLogger
-	work    map[string]taskFunc // by the task's name
-	changed chan struct{}       // the leases may have changed
+	work    map[string]taskFunc // by task name
+	changed chan struct{}       // signals that the leases may have changed
 	closing chan struct{}
 	closed  chan struct{} // closed once run has ended
 
 	mu       sync.Mutex
-	leases   []leasedtask.Lease  // as the runner gave them last
-	runs     map[string]*taskRun // by the task's name
-	sequence uint64              // of this process's commands
+	leases   []leasedtask.Lease  // as last received from the runner
+	runs     map[string]*taskRun // by task name
+	sequence uint64              // number of this process's last command
 
-	standby       atomic.Bool // an operator's order
-	standbyReport sync.Mutex  // held while the group is given it
+	standby       atomic.Bool // ordered by an operator
+	standbyReport sync.Mutex  // held while standby is reported to the group
 }
 
-// taskRun is the work under one lease, from its first step to the release.
+// taskRun is the work under one lease, from its start to the release.
 type taskRun struct {
 	driver *taskDriver
 	task   string
@@ -59,18 +59,18 @@
 	stop   context.CancelFunc
 
 	mu    sync.Mutex
-	lease leasedtask.Lease // renewed while it lasts
-	ended bool             // it acts no more
+	lease leasedtask.Lease // as last renewed
+	ended bool             // no further effects are allowed
 }
 
-// Valid reports whether this instance may act under the lease at this moment of the boot clock.
+// Valid reports whether this instance may act under the lease at a time on the boot clock.
 func (r *taskRun) Valid(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.ended && r.lease.Valid(now)
 }
 
-// current is the lease as it is known now.
+// current returns the lease as last renewed.
 func (r *taskRun) current() leasedtask.Lease {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,9 +83,9 @@
 	r.lease = lease
 }
 
-// end has the run act no more, and returns why the lease is to be released, if the group has requested it.
+// end ends the run, and returns why the lease is to be released if the group has requested that.
 //
-// Hazard: from here on nothing is done under this fencing token, whatever lease there still is.
+// Nothing may be done under this fencing token afterwards, even if the lease is still valid.
 func (r *taskRun) end() (releaseReason string) {
 	r.stop()
 	r.mu.Lock()
@@ -94,8 +94,8 @@
 	return r.lease.ReleaseReason
 }
 
-// updateNote proposes another note of the task, in place of that of a lease. It is false where the note was
-// rejected or the outcome is not known: the lease, once renewed, shows it.
+// updateNote proposes a new note of the task in place of the lease's. It returns false if the note was
+// rejected or the outcome is unknown; the renewed lease then shows which note applies.
 func (r *taskRun) updateNote(ctx context.Context, lease leasedtask.Lease, note []byte) bool {
 	o, err := r.driver.propose(ctx, leasedtask.Command{Kind: leasedtask.UpdateNote, Task: r.task,
 		FencingToken: r.token, NoteRevision: lease.NoteRevision, Note: note})
@@ -107,12 +107,12 @@
 		changed: make(chan struct{}, 1), closing: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// leasesChanged takes the leases that this instance holds. It is called on the runner's goroutine, and never
-// waits.
+// leasesChanged receives the leases that this instance holds. It is called on the runner's goroutine and
+// never blocks.
 func (d *taskDriver) leasesChanged(leases []leasedtask.Lease) {
 	d.mu.Lock()
 	d.leases = leases
-	// A renewed lease counts at once, for the work under way.
+	// A renewal applies to running work at once.
 	for _, lease := range leases {
 		if r := d.runs[lease.Task]; r != nil && r.token == lease.FencingToken {
 			r.renew(lease)
@@ -129,7 +129,7 @@
 	}
 }
 
-// held is the leases that this instance holds.
+// held returns the leases that this instance holds.
 func (d *taskDriver) held() []leasedtask.Lease {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// reconcile starts and stops work by the leases.
+// reconcile starts and stops work according to the leases.
 func (d *taskDriver) reconcile() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,7 +163,7 @@
 	}
 	for task, lease := range leases {
 		if d.runs[task] != nil {
-			continue // the next run starts when that one has ended
+			continue // the next run starts once this one has ended
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		r := &taskRun{driver: d, task: task, token: lease.FencingToken, lease: lease, stop: stop}
@@ -175,7 +175,7 @@
 	}
 }
 
-// runTask does the work under a lease, and releases it.
+// runTask does the work under a lease, and then releases the lease.
 func (d *taskDriver) runTask(ctx context.Context, r *taskRun) {
 	log := d.log.WithFields(logrus.Fields{"task": r.task, "fencing_token": r.token})
 	log.Info("lease acquired")
@@ -199,7 +199,7 @@
 	d.wake()
 }
 
-// release proposes the release of a lease until the group has agreed to it.
+// release proposes the release of a lease until the group has decided on it or the lease is no longer held.
 func (d *taskDriver) release(c leasedtask.Command) {
 	for d.holds(c.Task, c.FencingToken) {
 		ctx, stop := context.WithTimeout(context.Background(), releaseTimeout)
@@ -224,7 +224,7 @@
 	return false
 }
 
-// propose puts a lease holder's command into the log.
+// propose proposes a lease holder's command to the group.
 func (d *taskDriver) propose(ctx context.Context, c leasedtask.Command) (clusterstate.Outcome, error) {
 	d.mu.Lock()
 	d.sequence++
@@ -234,15 +234,15 @@
 	return d.env.runner.ProposeCommand(ctx, leasedtask.Section, leasedtask.EncodeCommand(c), c.ID)
 }
 
-// setStandby takes an operator's order to stand by, or its end: the group gives an instance that stands by no
-// leases, and transfers those that it holds, where others can hold them. It does not wait.
+// setStandby starts or ends standby on an operator's order. The group grants no leases to an instance on
+// standby, and transfers those that it holds if another instance can hold them. It does not block.
 func (d *taskDriver) setStandby(on bool) {
 	d.standby.Store(on)
 	go d.reportStandby()
 }
 
 func (d *taskDriver) reportStandby() {
-	// Hazard: two calls may get here in another order. What counts is the newest order.
+	// Concurrent calls may arrive here in a different order, so each reports the newest state.
 	d.standbyReport.Lock()
 	defer d.standbyReport.Unlock()
 	ctx, stop := context.WithTimeout(context.Background(), transferTimeout)
@@ -252,8 +252,8 @@
 	}
 }
 
-// drain has every lease be released, and none be granted to this instance: it is about to end. Open jobs may
-// take long yet, and the tasks need not wait for them.
+// drain releases all leases of an instance that shuts down, and prevents new ones. Open jobs may still take
+// long, and the tasks need not wait for them.
 func (d *taskDriver) drain() {
 	ctx, stop := context.WithTimeout(context.Background(), transferTimeout)
 	defer stop()
@@ -267,7 +267,7 @@
 	}
 }
 
-// close releases the leases, as far as that succeeds in time, and ends the driver.
+// close releases the leases, waiting for at most transferTimeout, and stops the driver.
 func (d *taskDriver) close() error {
 	ctx, stop := context.WithTimeout(context.Background(), transferTimeout)
 	defer stop()
@@ -280,7 +280,7 @@
 	return nil
 }
 
-// workOf is the work of the task of a name.
+// workOf returns the work of a task.
 func (d *taskDriver) workOf(task string) taskFunc {
 	var n int
 	if _, err := fmt.Sscanf(task, leasedtask.DrillTaskFormat, &n); err == nil {
@@ -294,7 +294,7 @@
 	}
 }
 
-// drill does nothing but write to the audit log, which shows who acted when.
+// drill only writes to the audit log, which shows which instance acted when.
 func (d *taskDriver) drill(ctx context.Context, r *taskRun) error {
 	tick := time.NewTicker(drillInterval)
 	defer tick.Stop()
@@ -310,7 +310,7 @@
 	}
 }
 
-// repeat calls step at an interval, the first time at once, until the context ends or step fails.
+// repeat calls step immediately and then at an interval, until the context ends or step fails.
 func repeat(ctx context.Context, interval time.Duration, step func() error) error {
 	for {
 		if err := step(); err != nil && ctx.Err() == nil {
--- a/internal/node/leasedtasks_test.go
+++ b/internal/node/leasedtasks_test.go
@@ -14,7 +14,7 @@
 	stopped := false
 	r := &taskRun{lease: lease, stop: func() { stopped = true }}
 	if !r.Valid(time.Minute) || r.Valid(2*time.Hour) {
-		t.Error("it does not go by its lease")
+		t.Error("the run's validity does not follow its lease")
 	}
 	lease.ReleaseReason = "transferred"
 	r.renew(lease)
@@ -24,7 +24,7 @@
 	lease.ReleaseReason = ""
 	r.renew(lease)
 	if r.Valid(time.Minute) {
-		t.Error("it acts after its end")
+		t.Error("the run is valid after its end")
 	}
 }
 
@@ -36,7 +36,7 @@
 		t.Error(err)
 	}
 	if err := d.workOf("other")(t.Context(), nil); err == nil {
-		t.Error("a task of another program is done")
+		t.Error("an unknown task succeeded")
 	}
 }
 
@@ -56,6 +56,6 @@
 		t.Errorf("no note: %v, %v", last, err)
 	}
 	if _, err := lastBackup([]byte("{")); err == nil {
-		t.Error("half a note is read")
+		t.Error("a truncated note was accepted")
 	}
 }
--- a/internal/node/listfollower.go
+++ b/internal/node/listfollower.go
@@ -18,27 +18,27 @@
 const (
 	// resubscribeBackoff is the time between the end of one subscription and the next attempt.
 	resubscribeBackoff = 100 * time.Millisecond
-	// relayLookupTimeout bounds the lookup in the agreed state of who relays the list.
+	// relayLookupTimeout bounds looking up in the agreed state which instance relays the list.
 	relayLookupTimeout = time.Second
 )
 
 var (
-	errRelaySilent  = errors.New("the relay is silent")
+	errRelaySilent  = errors.New("the relay has sent nothing for too long")
 	errRelayChanged = errors.New("another instance relays the list")
 )
 
-// listFollower has this instance get the endpoint list from the one that relays it, and poll discovery by
-// itself while that fails. One goroutine, run, works on it; it ends with close.
+// listFollower receives the endpoint list from the instance that relays it, and polls discovery directly
+// while that fails. Its work is done by the goroutine of run, which ends with close.
 type listFollower struct {
 	env    *environment
 	log    logrus.FieldLogger
 	rules  *listrelay.Subscriber
-	polls  bool // this instance polls discovery by itself
+	polls  bool // this instance polls discovery directly
 	cancel context.CancelFunc
 	closed chan struct{} // closed once run has ended
 }
 
-// relay is the instance that relays the list, and the fencing token of its lease.
+// relay is the instance that relays the list, with the fencing token of its lease.
 type relay struct {
 	clusterstate.Member
 	token uint64
@@ -49,7 +49,7 @@
 		rules: listrelay.NewSubscriber(consensus.BootTime(), rand.Float64())}
 }
 
-// start starts the goroutine that follows the list; close ends it.
+// start starts the follower's goroutine; close ends it.
 func (f *listFollower) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -68,7 +68,7 @@
 		from, ok := f.currentRelay(ctx)
 		if ok {
 			f.rules.ObserveFencingToken(from.token)
-			// The subscription ends by itself when the relay is silent for too long.
+			// subscribe also returns when the relay has sent nothing for too long.
 			err := f.subscribe(ctx, from)
 			f.log.WithError(err).WithField("instance", from.Name).
 				Debug("subscription to the endpoint list ended")
@@ -81,7 +81,7 @@
 	}
 }
 
-// fallBack goes back to polling discovery, where it is time: at once where nobody relays the list.
+// fallBack returns to polling discovery directly when that is due: at once if no instance relays the list.
 func (f *listFollower) fallBack(ctx context.Context, noRelay bool) {
 	if f.polls || !noRelay && !f.rules.ShouldPoll(consensus.BootTime()) {
 		return
@@ -93,8 +93,8 @@
 	}
 }
 
-// currentRelay is who relays the list; false: this instance, or nobody, or the configuration has no such
-// task.
+// currentRelay returns the instance that relays the list. ok is false if that is this instance, if there is
+// none, or if the configuration has no such task.
 func (f *listFollower) currentRelay(ctx context.Context) (r relay, ok bool) {
 	ctx, stop := context.WithTimeout(ctx, relayLookupTimeout)
 	defer stop()
@@ -109,7 +109,7 @@
 	return r, ok
 }
 
-// subscribe takes what a relay sends, until it is silent, another relays the list, or a message is wrong.
+// subscribe receives updates until the relay is silent, another instance relays the list, or an update fails.
 func (f *listFollower) subscribe(ctx context.Context, from relay) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -122,8 +122,8 @@
 	})
 }
 
-// watchRelay ends a subscription when another instance relays the list: the one before goes on for as long as
-// it does not know. It ends with the context.
+// watchRelay ends a subscription when another instance relays the list: the previous relay continues to send
+// until it learns of its successor. It returns when the context ends.
 func (f *listFollower) watchRelay(ctx context.Context, from relay, stop context.CancelCauseFunc) {
 	for ctx.Err() == nil {
 		if now, ok := f.currentRelay(ctx); !ok || now.ID != from.ID {
@@ -150,7 +150,7 @@
 		}
 	}); bad != nil {
 		f.rules.Invalidate()
-		return bad // Hazard: err may be written yet
+		return bad // the function posted to the loop may still write err
 	}
 	if err != nil {
 		f.rules.Invalidate()
--- a/internal/node/listrelay.go
+++ b/internal/node/listrelay.go
@@ -12,8 +12,8 @@
 	"moorstack/internal/schema"
 )
 
-// subscriberBuffer is how many updates wait for a subscriber; one that is slower is dropped, and subscribes
-// again.
+// subscriberBuffer is how many updates are queued for a subscriber. One that falls further behind is dropped,
+// and subscribes again.
 const subscriberBuffer = 256
 
 var (
@@ -28,7 +28,7 @@
 
 	stale       atomic.Bool // this instance's own watch of discovery is down
 	mu          sync.Mutex
-	run         *taskRun // of the task, while its lease is held here
+	run         *taskRun // of the task; nil: its lease is not held here
 	relay       listrelay.Publisher
 	subscribers map[chan listrelay.EndpointListUpdate]bool
 }
@@ -37,7 +37,7 @@
 	return &listServer{env: env, subscribers: map[chan listrelay.EndpointListUpdate]bool{}}
 }
 
-// runTask is a taskFunc: what discovery sends to this instance goes to the subscribers.
+// runTask implements taskFunc: it publishes what discovery sends to this instance.
 func (s *listServer) runTask(ctx context.Context, r *taskRun) error {
 	s.mu.Lock()
 	s.run, s.relay = r, listrelay.Publisher{}
@@ -62,8 +62,8 @@
 	return err
 }
 
-// superviseWatch waits until the lease ends, or discovery has sent nothing to this instance for long: then it
-// fails, so that another instance tries, and meanwhile each polls by itself.
+// superviseWatch waits until the lease ends. It fails if this instance has not been watching discovery for
+// twice listrelay.SilenceTimeout, so that another instance tries; meanwhile each polls discovery directly.
 func (s *listServer) superviseWatch(ctx context.Context) error {
 	tick := time.NewTicker(listrelay.HeartbeatInterval)
 	defer tick.Stop()
@@ -83,12 +83,14 @@
 		if time.Since(lastWatched) > 2*listrelay.SilenceTimeout {
 			return errDiscoverySilent
 		}
-		// Hazard: heartbeats would claim that nothing has changed, and this instance does not know.
+		// While the watch is down no heartbeats may be sent: they would claim that nothing has changed, which
+		// this instance can't know.
 		s.stale.Store(!watched)
 	}
 }
 
-// publish takes discovery's text, on the loop. It never waits: a subscriber that is too slow is dropped.
+// publish sends discovery's text to the subscribers. It is called on the loop and never blocks: a subscriber
+// that is too slow is dropped.
 func (s *listServer) publish(generation int64, whole bool, text []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,16 +109,16 @@
 	}
 }
 
-// subscription is one instance's.
+// subscription is another instance's subscription to the endpoint list.
 type subscription struct {
 	server  *listServer
 	run     *taskRun
 	updates chan listrelay.EndpointListUpdate
-	newest  int64 // generation that was sent
+	newest  int64 // the last generation that was sent
 }
 
-// serve sends another instance the list and its changes, until this one relays it no more. It is called on a
-// goroutine of the transport.
+// serve sends another instance the list and its changes until this instance stops relaying it. It is called
+// on a goroutine of the transport.
 func (s *listServer) serve(ctx context.Context, send func(*schema.ListNews) error) error {
 	sub, first, err := s.subscribe(ctx)
 	if err != nil {
@@ -126,20 +128,20 @@
 	return sub.forward(ctx, first, send)
 }
 
-// subscribe returns a subscription and the complete list that it begins with.
+// subscribe returns a subscription and the complete list that it starts with.
 func (s *listServer) subscribe(ctx context.Context) (*subscription, listrelay.EndpointListUpdate, error) {
 	sub := &subscription{server: s, updates: make(chan listrelay.EndpointListUpdate, subscriberBuffer)}
 	var first listrelay.EndpointListUpdate
 	var err error
-	// The complete list and the changes after it are taken up in one turn: none is missed between.
+	// The list is read and the subscription registered in one turn, so that no change in between is missed.
 	if bad := s.env.onLoop(ctx, func() { first, err = s.register(sub) }); bad != nil {
-		// Hazard: the turn may be yet to come: first and err are its own.
+		// The function posted to the loop may still write first and err.
 		return nil, listrelay.EndpointListUpdate{}, bad
 	}
 	return sub, first, err
 }
 
-// register is called on the loop.
+// register adds a subscription and returns the complete list. It is called on the loop.
 func (s *listServer) register(sub *subscription) (first listrelay.EndpointListUpdate, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,14 +163,14 @@
 	delete(s.subscribers, sub.updates)
 }
 
-// forward sends updates, and heartbeats between them.
+// forward sends the first update and those that follow, with heartbeats in between.
 func (sub *subscription) forward(ctx context.Context, update listrelay.EndpointListUpdate,
 	send func(*schema.ListNews) error) error {
 	heartbeat := time.NewTicker(listrelay.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for ok := true; ; {
-		// Hazard: the lease is checked right before each message; what leaves all the same carries the
-		// fencing token.
+		// The lease is checked immediately before each message. If it expires while a message is sent, the
+		// receiver still has the fencing token to check.
 		if !ok || !sub.run.Valid(consensus.BootTime()) {
 			return errNotRelayed
 		}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// groupRefreshInterval is how often the detector is given the group's members.
+	// groupRefreshInterval is how often the detector's member list is updated from the group's.
 	groupRefreshInterval = time.Second
-	// minDetectorPause is the least time between two turns of the detector.
+	// minDetectorPause is the minimum time between two ticks of the detector.
 	minDetectorPause = time.Millisecond
 )
 
-// membershipDriver drives package membership, the failure detector. The detector belongs to the node's loop;
-// the member states that it has published may be read by any goroutine. No lease rests on them.
+// membershipDriver drives package membership, the failure detector. The detector is confined to the node's
+// loop; the member states that it has published may be read by any goroutine. No lease depends on them.
 type membershipDriver struct {
 	env       *environment
 	log       logrus.FieldLogger
 	detector  *membership.Detector // nil: instances don't probe each other
 	policy    membership.Policy
 	timer     *eventloop.Timer
-	refreshed time.Duration // when the detector was given the group's members last
-	sequence  uint64        // of the suspicions handed to the runner
-	version   uint64        // of the detector's states, as published last
+	refreshed time.Duration // when the detector's member list was last updated
+	sequence  uint64        // of the suspicions last passed to the runner
+	version   uint64        // of the detector's states, as last published
 	published bool
 
 	mu     sync.Mutex
@@ -59,7 +59,7 @@
 	enabled bool
 }
 
-// Apply implements preparedChange: another policy begins with a detector that knows nothing.
+// Apply implements preparedChange. A changed policy starts with a new detector that has no state.
 func (c *membershipChange) Apply() {
 	m := c.driver
 	if c.enabled == (m.detector != nil) && c.policy == m.policy {
@@ -78,10 +78,10 @@
 	m.tick()
 }
 
-// ClusterChanged implements driver: the detector goes by the group's members, and not by their sessions.
+// ClusterChanged implements driver: the detector depends on the group's members, not on their sessions.
 func (m *membershipDriver) ClusterChanged(consensus.ClusterView) {}
 
-// refreshGroup has the detector know the group's members, and no others.
+// refreshGroup makes the detector's member list equal to the group's.
 func (m *membershipDriver) refreshGroup(now time.Duration, st consensus.Status) {
 	m.refreshed = now
 	current := map[membership.ID]bool{}
@@ -104,7 +104,7 @@
 	m.advance(now, m.detector.Tick(now))
 }
 
-// advance sends what the detector has to send, publishes its states, and sets the timer for its next turn.
+// advance sends the detector's messages, publishes its states, and sets the timer for its next tick.
 func (m *membershipDriver) advance(now time.Duration, out []membership.Outbound) {
 	m.send(out)
 	m.publish()
@@ -127,7 +127,7 @@
 	}
 }
 
-// receive takes another instance's message. It is called on a goroutine of the transport.
+// receive handles another instance's message. It is called on a goroutine of the transport.
 func (m *membershipDriver) receive(from uint64, message *schema.MembershipMessage) {
 	m.env.loop().Post(func() {
 		if m.detector == nil {
@@ -147,7 +147,8 @@
 	return out
 }
 
-// maxEnum is the greatest value of a kind or state: what is above it becomes unknown, and not a smaller one.
+// maxEnum is the largest value of a kind or state. Greater values are reduced to it and so stay unknown,
+// instead of wrapping around to a known value.
 const maxEnum = 255
 
 func decodeMembership(m *schema.MembershipMessage) membership.Message {
@@ -161,10 +162,10 @@
 	return out
 }
 
-// publish makes the member states readable for others, and hands the suspicions to the leased tasks, where
-// they have changed.
+// publish makes the member states readable by other goroutines, and passes the suspicions to the leased tasks
+// if the states have changed.
 func (m *membershipDriver) publish() {
-	// Most messages change nothing, and the loop has jobs to work on.
+	// Most messages change nothing, and the states need not be copied on the loop.
 	if m.detector != nil && m.published && m.version == m.detector.Version() {
 		return
 	}
@@ -194,7 +195,7 @@
 	}
 }
 
-// sameStates compares what others read of member states, times apart. It may be called with nil.
+// sameStates reports whether member states are equal for their readers, apart from times. Both may be nil.
 func sameStates(a, b map[uint64]membership.MemberState) bool {
 	same := len(a) == len(b)
 	for id, x := range b {
@@ -203,7 +204,7 @@
 	return same
 }
 
-// suspected is the members that are not alive.
+// suspected returns the members that are not alive.
 func suspected(states map[uint64]membership.MemberState) map[uint64]bool {
 	members := map[uint64]bool{}
 	for id, x := range states {
@@ -214,7 +215,7 @@
 	return members
 }
 
-// memberState is a member's state as this instance's detector sees it; false: it knows no such member.
+// memberState returns a member's state in this instance's detector. known is false for an unknown member.
 func (m *membershipDriver) memberState(id uint64) (s controlapi.MemberState, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// A newer program may send kinds and states that this one does not know: they must not become known ones by
-// losing their upper bits.
+// A newer program may send kinds and states that this one does not know. Truncated to 8 bits, they would be
+// mistaken for known ones.
 func TestUnknownMembershipEnumsStayUnknown(t *testing.T) {
 	got := decodeMembership(&schema.MembershipMessage{Kind: 256 + 1,
 		Words: []*schema.MembershipRumour{{State: 256}}})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,25 +20,25 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// Options are what a node is built from.
+// Options configure a Node.
 type Options struct {
 	Platform *platform.Config
 	Faktory  *faktory.Config // nil: this front is off
 	Log      logrus.FieldLogger
-	// Admission decides on every job, in all fronts, before the balancer; nil: all are admitted.
+	// Admission admits or rejects every job of every front, before the balancer; nil: all are admitted.
 	Admission broker.AdmissionController
-	MaxProcs  int // goroutines that run at once; 1, if 0: the loop does all the work
+	MaxProcs  int // GOMAXPROCS; 0 means 1: the loop does all the work
 }
 
-// Node is a node that serves: one event loop, the fronts, and a broker for each front. Its methods may be
-// called from any goroutine, unless stated otherwise.
+// Node runs one event loop with the fronts and a broker for each front. Its methods may be called from any
+// goroutine, unless stated otherwise.
 type Node struct {
-	// OnReload, where it is set, is called on SIGHUP, on the node's loop.
+	// OnReload, if set, is called on the loop on SIGHUP.
 	OnReload func()
-	// OnShutdown, where it is set, is called on the loop when the node is ordered to end, before it drains.
+	// OnShutdown, if set, is called on the loop when a graceful shutdown starts, before the drain.
 	OnShutdown func()
-	// OnStandby, where it is set, is called on the loop when an operator has the node stand by (true), and
-	// when that ends.
+	// OnStandby, if set, is called on the loop when an operator starts standby (true) and when standby ends
+	// (false).
 	OnStandby func(bool)
 
 	loop    *eventloop.Loop
@@ -47,35 +47,35 @@
 	brokers []frontBroker
 	drain   func(done func())
 
-	memoryLimit int64       // the collector's, in bytes, where this process is alone
-	hotRestart  *hotRestart // nil: no other process can take this one's place
+	memoryLimit int64       // the garbage collector's, in bytes, while no second process shares the node
+	hotRestart  *hotRestart // nil: hot restart is off
 }
 
-// frontBroker is a front's broker, and how the node's configuration reaches the two.
+// frontBroker is a front's broker, with the functions that pass the node's configuration to the two.
 type frontBroker struct {
 	*broker.Broker
-	front string         // its name
-	table *routing.Table // by which the front routes; nil: by none
-	// fit makes the front's settings of the node's.
+	front string         // the front's name
+	table *routing.Table // the front's routing rules; nil: none
+	// fit adapts the node's settings to the front.
 	fit func(balancer.Settings) balancer.Settings
-	// configureFront, where it is set, is called with settings that the broker has taken over.
+	// configureFront, if set, is called with settings that the broker has applied.
 	configureFront func(balancer.Settings)
 	setRoutes      func(*routing.Table)
 }
 
-// route has the front route by a table.
+// route sets the front's routing rules.
 func (c *frontBroker) route(t *routing.Table) {
 	c.table = t
 	c.setRoutes(t)
 }
 
-// clock is the loop's clock as the broker takes it.
+// clock adapts the loop's clock to broker.Clock.
 type clock struct{ *eventloop.Loop }
 
 // At implements broker.Clock.
 func (c clock) At(at time.Duration, f func()) broker.Timer { return c.Loop.At(at, f) }
 
-// New builds a node and opens its fronts. Nothing is served before Run.
+// New builds a node and opens its fronts. Nothing is served until Run is called.
 func New(o Options) (*Node, error) {
 	cfg := o.Platform
 	set, err := cfg.Settings.Balancer()
@@ -101,25 +101,25 @@
 	}
 	if cfg.AdminAddress != "" {
 		if _, err := adminproto.Listen(loop, cfg.AdminAddress, adminCommands{n}); err != nil {
-			return nil, fmt.Errorf("the second address (admin_addr): %w", err)
+			return nil, fmt.Errorf("listen on admin_addr: %w", err)
 		}
 	}
 	o.Log.WithField("address", cfg.ListenAddress).Info("serving")
 	return n, nil
 }
 
-// limitProcess sets how many goroutines run at once, and the collector's limit, which it returns in bytes.
+// limitProcess sets GOMAXPROCS and the garbage collector's memory limit, which it returns in bytes.
 func limitProcess(o Options) (memoryLimit int64) {
 	// One goroutine does all the work of the fronts.
 	runtime.GOMAXPROCS(max(o.MaxProcs, 1))
-	// The collector works harder before the memory limit, beyond which the node is killed, is near.
+	// At 60% of the memory limit, beyond which the node is killed, the collector starts to work harder.
 	memoryLimit = o.Platform.Limits.MemoryMB << 20 * 6 / 10
 	debug.SetMemoryLimit(memoryLimit)
 	return memoryLimit
 }
 
-// openPlatform opens the platform's front: in the place of the process before this one, if there is one that
-// passes its state on.
+// openPlatform opens the platform's front. If a parent process passes its state on, the front takes over from
+// it.
 func (n *Node) openPlatform(o Options, set balancer.Settings) error {
 	cfg, began := o.Platform, n.loop.Now()
 	restartable := cfg.HotRestartEnabled() && o.Faktory == nil
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// limitFaktory bounds what the Faktory front takes of the node's sockets and memory: its file may allow more
-// than the node has.
+// limitFaktory bounds the Faktory front's share of the node's sockets and memory: its configuration file may
+// allow more than the node has.
 func limitFaktory(o Options) {
 	limits := &o.Platform.Limits
 	o.Faktory.MaxConnections = min(o.Faktory.MaxConnections, limits.Sockets/4)
@@ -164,8 +164,8 @@
 	limits.ReservedDescriptors = o.Faktory.MaxConnections
 }
 
-// openFaktory opens the second front. It has an endpoint list of its own, and so a broker of its own: jobs of
-// the one protocol can't be worked on in the other.
+// openFaktory opens the Faktory front. It has a separate endpoint list and therefore a separate broker:
+// workers of one protocol can't run jobs of the other.
 func (n *Node) openFaktory(o Options, set balancer.Settings) (*faktory.Front, error) {
 	set = faktory.AdaptSettings(set)
 	log := n.log.WithField("front", routing.FrontFaktory)
@@ -188,11 +188,11 @@
 	return front, nil
 }
 
-// Run serves until the node has been ordered to end and has finished what it took. A SIGHUP among the signals
-// reloads the configuration, any other one ends the node.
+// Run serves until a graceful shutdown has finished all accepted work. SIGHUP reloads the configuration, any
+// other signal starts the shutdown.
 //
-// Hazard: a signal that nobody waits for yet ends the process, so the caller must have had them notified
-// before it built the node.
+// The caller must register the signals with signal.Notify before it calls New: until then, a signal ends the
+// process at once.
 func (n *Node) Run(signals <-chan os.Signal) error {
 	go func() {
 		for sig := range signals {
@@ -221,8 +221,8 @@
 // idleCheckInterval is how often a node checks whether it is idle.
 const idleCheckInterval = 2 * time.Second
 
-// trimMemory gives memory back that only the start, or work that has ended, has used, where no job has come
-// since the last check. Under load it would only cost page faults.
+// trimMemory returns memory to the system that was used only at the start or by finished work, if no job has
+// arrived since the last check. Under load it would only cost page faults.
 func (n *Node) trimMemory(forwardsBefore uint64) {
 	forwards, inFlight := n.front.ForwardedCount(), 0
 	for i := range n.brokers {
@@ -231,7 +231,7 @@
 	if forwards == forwardsBefore && inFlight == 0 {
 		if _, err := memtrim.ReleaseFilePages(); err != nil {
 			n.log.WithError(err).Debug("resident memory not trimmed")
-			return // nor will it be
+			return // further attempts would fail too
 		}
 	}
 	n.loop.After(idleCheckInterval, func() { n.trimMemory(forwards) })
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -16,8 +16,7 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// open builds the parts of an instance in the order in which they depend on each other. Nothing runs before
-// startServices.
+// open builds the parts of an instance in the order of their dependencies. Nothing runs before startServices.
 func (i *Instance) open() error {
 	certificates, err := i.openKeys()
 	if err != nil {
@@ -51,21 +50,21 @@
 	return i.startServices(certificates)
 }
 
-// openKeys opens the certificates, which must be this instance's.
+// openKeys opens the certificate files and checks that the certificate was issued to this instance.
 func (i *Instance) openKeys() (*keys.Reloader, error) {
 	certificates, err := keys.NewReloader(i.cfg.Keys, i.log)
 	if err != nil {
 		return nil, err
 	}
 	if name, role := certificates.Identity(); name != i.cfg.Name || role != keys.RoleInstance {
-		return nil, fmt.Errorf("%s is the certificate of %s %q; wanted is that of instance %q",
+		return nil, fmt.Errorf("%s is a certificate for %s %q, expected one for instance %q",
 			i.cfg.Keys.Cert, role, name, i.cfg.Name)
 	}
 	return certificates, nil
 }
 
-// readLocal reads what this instance's own files contain, which the fronts run until the group has agreed on
-// something, and checks its rules.
+// readLocal reads this instance's own settings and checks its routing rules. The fronts run them until the
+// group has agreed on a configuration.
 func (i *Instance) readLocal(cfg *platform.Config) error {
 	local, err := cfg.Settings.Balancer()
 	if err != nil {
@@ -87,7 +86,7 @@
 	return nil
 }
 
-// openRunner opens the consensus module and its directory.
+// openRunner opens the consensus module and its data directory.
 func (i *Instance) openRunner() error {
 	wall, err := i.cfg.wallClock()
 	if err != nil {
@@ -130,7 +129,7 @@
 	return nil
 }
 
-// instanceProcs is how many goroutines of an instance run at once: the loop, and all the others.
+// instanceProcs is an instance's GOMAXPROCS: one for the loop, one for all other goroutines.
 const instanceProcs = 2
 
 func (i *Instance) openNode(platformConfig *platform.Config, faktoryConfig *faktory.Config) (err error) {
@@ -139,7 +138,7 @@
 	return err
 }
 
-// makeDrivers makes the drivers, which need the node and the runner.
+// makeDrivers creates the drivers, which need the node and the runner.
 func (i *Instance) makeDrivers() {
 	i.rateLimit = newRateLimitDriver(i.env, i.names)
 	i.schedule = newScheduleDriver(i.env, i.names, i.zones)
@@ -160,8 +159,8 @@
 	})
 }
 
-// applyCommitted has the fronts run the revision that was agreed on last, or this instance's own rules. They
-// admit nothing under it before the group has confirmed that it is in force still.
+// applyCommitted configures the fronts with the last committed revision, or with this instance's own routing
+// rules. They admit nothing under it until the group has confirmed that it is still in force.
 func (i *Instance) applyCommitted() error {
 	if r, ok := i.env.runner.CommittedRevision(); ok {
 		i.configurator.apply(r, i.env.node.configure)
@@ -170,7 +169,7 @@
 	return i.configurator.reloadRoutes()
 }
 
-// connectTransport has the transport hand messages of other instances to the drivers.
+// connectTransport registers the drivers' handlers for messages from other instances.
 func (i *Instance) connectTransport() {
 	i.env.network.HandleDescribe(i.describeFronts)
 	i.env.network.HandleWatchEndpointLists(i.listServer.serve)
@@ -179,7 +178,7 @@
 	i.env.network.HandleMembershipMessages(i.membership.receive)
 }
 
-// connectNode has the node's events reach the drivers.
+// connectNode registers the drivers' handlers for the node's events.
 func (i *Instance) connectNode() {
 	n := i.env.node
 	n.OnShutdown = func() {
@@ -196,11 +195,11 @@
 	}
 }
 
-// startServices opens what other instances and operators connect to, and starts the goroutines.
+// startServices opens the listeners for other instances and operators, and starts the goroutines.
 func (i *Instance) startServices(certificates *keys.Reloader) error {
 	l, err := net.Listen("tcp", i.cfg.Peers.Listen)
 	if err != nil {
-		return fmt.Errorf("the peers' address: %w", err)
+		return fmt.Errorf("listen on peers.listen: %w", err)
 	}
 	server := i.env.network.Server()
 	i.onStop("the peer service", func() error { server.Stop(); _ = l.Close(); return nil })
@@ -223,7 +222,7 @@
 	return nil
 }
 
-// zone is where this instance is; empty: its settings name no zones.
+// zone returns this instance's zone, or an empty string if its settings name no zones.
 func (i *Instance) zone() string {
 	zones, own := i.names.Zones, i.configurator.local.Zone
 	if own >= len(zones) {
--- a/internal/node/outliers.go
+++ b/internal/node/outliers.go
@@ -16,23 +16,22 @@
 	"moorstack/internal/schema"
 )
 
-// outlierReportInterval is how often instances send each other what they have observed of workers, where
-// there is anything.
+// outlierReportInterval is how often instances send each other their reports on workers, if they have any.
 const outlierReportInterval = 250 * time.Millisecond
 
-// outlierDriver drives the quorum on outliers of package placement: instances report failing workers to each
-// other, and eject one that several have seen fail. All but the counter belongs to the node's loop. A front's
-// workers are its own, and so is what was observed of them; only the platform's are reported.
+// outlierDriver drives the outlier quorum of package placement: instances report failing workers to each
+// other, and eject a worker that several of them have seen fail. All but the counter is confined to the
+// node's loop. Each front has separate workers and observations; only the platform front's are reported.
 type outlierDriver struct {
 	env      *environment
 	log      logrus.FieldLogger
 	enabled  bool
-	reported bool // the last message had reports in it
+	reported bool // the last message contained reports
 	session  placement.Session
 	view     placement.View
 	quorum   *placement.OutlierQuorum
 	ejected  map[string]bool
-	count    atomic.Int64 // of those ejected
+	count    atomic.Int64 // number of ejected workers
 	timer    *eventloop.Timer
 }
 
@@ -40,7 +39,7 @@
 	return &outlierDriver{env: env, log: env.component("outliers"), quorum: placement.NewOutlierQuorum()}
 }
 
-// placementPolicy reads the section of a document that has been validated.
+// placementPolicy parses the section of a validated document.
 func placementPolicy(d *clusterstate.Document) placement.Policy {
 	p, _ := placement.ParsePolicy(d.Sections[placement.Section])
 	return p
@@ -77,7 +76,7 @@
 	o.tick()
 }
 
-// broker is the platform front's.
+// broker returns the platform front's broker.
 func (o *outlierDriver) broker() *frontBroker { return &o.env.node.brokers[0] }
 
 // ClusterChanged implements driver.
@@ -86,8 +85,8 @@
 }
 
 func (o *outlierDriver) setView(v consensus.ClusterView) {
-	// Hazard: this comes with every lease, and who owns what takes thousands of hashes to work out, on the
-	// loop.
+	// This is called at every lease renewal, and building the placement table takes thousands of hashes on
+	// the loop.
 	if len(v.Views) == 0 && v.Session == o.session {
 		return
 	}
@@ -98,7 +97,7 @@
 	o.quorum.SetView(placement.NewTable(o.view), o.session)
 }
 
-// observe takes the result of an attempt at a worker.
+// observe records the result of an attempt at a worker.
 func (o *outlierDriver) observe(worker string, result balancer.Result) {
 	switch result {
 	case balancer.OK, balancer.ServerError, balancer.TimedOut, balancer.ConnectFailed,
@@ -107,11 +106,11 @@
 	}
 }
 
-// tick sends this instance's reports, and ejects by those of all.
+// tick sends this instance's reports, and ejects workers according to the reports of all instances.
 func (o *outlierDriver) tick() {
 	o.timer = o.env.loop().After(outlierReportInterval, o.tick)
 	now := consensus.BootTime()
-	// After the last report an empty message takes it back.
+	// An empty message after the last report withdraws it.
 	if reports := o.quorum.Reports(now); len(reports) > 0 || o.reported {
 		o.reported = len(reports) > 0
 		o.send(reports)
@@ -148,7 +147,7 @@
 		Warn("ejected workers changed by outlier reports of several instances")
 }
 
-// receive takes another instance's reports. It is called on a goroutine of the transport.
+// receive handles another instance's reports. It is called on a goroutine of the transport.
 func (o *outlierDriver) receive(from uint64, m *schema.WitnessMessage) {
 	reports := make([]placement.OutlierReport, 0, len(m.Words))
 	for _, x := range m.Words {
@@ -156,7 +155,7 @@
 			Attempts: int(x.All)})
 	}
 	o.env.loop().Post(func() {
-		// Hazard: reports of a session that has expired, which came late.
+		// Late reports of a session that has expired are dropped.
 		if o.enabled && slices.ContainsFunc(o.view.Members, func(x placement.Member) bool {
 			return x.Member == from && x.Epoch == m.FromEpoch
 		}) {
--- a/internal/node/preview.go
+++ b/internal/node/preview.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// maxPreviewNames is how many triggers, or accounts, a preview names.
+	// maxPreviewNames is how many triggers, or accounts, a preview lists.
 	maxPreviewNames = 50
-	// previewOccurrences is how many occurrences of a trigger it shows.
+	// previewOccurrences is how many occurrences of each trigger a preview shows.
 	previewOccurrences = 5
 )
 
-// PreviewTriggers implements controlapi.Host: what a document would do, a line each: the next occurrences of
-// triggers, the rates of accounts, and what would get other owners.
+// PreviewTriggers implements controlapi.Host. It describes the effects of a document, one per line: the next
+// occurrences of triggers, the rates of accounts, and how many accounts and triggers would change owner.
 func (i *Instance) PreviewTriggers(d *clusterstate.Document, from time.Time) ([]string, error) {
 	triggers, err := previewTriggers(d, i.zones, from)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return slices.Concat(triggers, previewAccounts(d), previewOwners(d, view)), nil
 }
 
-// previewAccounts is the rates of accounts, and what each instance may admit of them by itself.
+// previewAccounts returns the rates of accounts, and how much of them each instance may admit by itself.
 func previewAccounts(d *clusterstate.Document) (lines []string) {
 	p := rateLimitPolicy(d)
 	names := slices.Sorted(maps.Keys(p.AccountLimits))
@@ -39,7 +39,7 @@
 		lines = append(lines, fmt.Sprintf("account %s: %s", name, p.Describe(p.AccountLimits[name])))
 	}
 	if n := len(names) - maxPreviewNames; n > 0 {
-		lines = append(lines, fmt.Sprintf("and %d accounts more", n))
+		lines = append(lines, fmt.Sprintf("and %d more accounts", n))
 	}
 	if p.DefaultLimit != nil {
 		lines = append(lines, "any other account: "+p.Describe(*p.DefaultLimit))
@@ -47,7 +47,7 @@
 	return lines
 }
 
-// previewOwners is what would get other owners by a document's weights, among the instances of a view.
+// previewOwners returns how a document's weights would change ownership among the instances of a view.
 func previewOwners(d *clusterstate.Document, now placement.View) (lines []string) {
 	then := placement.View{Members: slices.Clone(now.Members)}
 	byName, _ := weights.Parse(d.Sections[weights.Section])
@@ -71,7 +71,7 @@
 	return append(lines, fmt.Sprintf("%.0f%% of them change hands", 100*before.MovedFraction(after)))
 }
 
-// previewTriggers is the next occurrences of each trigger.
+// previewTriggers returns the next occurrences of each trigger.
 func previewTriggers(d *clusterstate.Document, zones *calendar.ZoneDB, from time.Time) ([]string, error) {
 	p := schedulePolicy(d)
 	plans, err := p.Recurrences(zones)
--- a/internal/node/preview_test.go
+++ b/internal/node/preview_test.go
@@ -14,7 +14,7 @@
 	"moorstack/internal/cluster/weights"
 )
 
-// documentWith is a document of one class with one section.
+// documentWith returns a document with one class and one section.
 func documentWith(section string, values map[string]string) *clusterstate.Document {
 	return &clusterstate.Document{Classes: []clusterstate.Class{{Name: "once"}},
 		Sections: map[string]map[string]string{section: values}}
@@ -27,7 +27,7 @@
 	}
 	lines := previewAccounts(documentWith(ratelimit.Section, values))
 	if len(lines) != maxPreviewNames+2 || !strings.HasPrefix(lines[0], "account a000: ") ||
-		lines[maxPreviewNames] != "and 2 accounts more" ||
+		lines[maxPreviewNames] != "and 2 more accounts" ||
 		!strings.HasPrefix(lines[maxPreviewNames+1], "any other account: ") {
 		t.Errorf("%d lines: %q", len(lines), lines)
 	}
@@ -67,6 +67,6 @@
 		t.Errorf("%q", lines)
 	}
 	if view.Members[0].Weight != 0 {
-		t.Error("the view that holds now was changed")
+		t.Error("the current view was modified")
 	}
 }
--- a/internal/node/ratelimit.go
+++ b/internal/node/ratelimit.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	// maxAccountName is how many bytes of an account's name count: a name from a client is no place to
-	// store data.
+	// maxAccountName is how many bytes of an account's name are used. Without a bound, clients could store
+	// data here in the names that they send.
 	maxAccountName = 128
-	// rejectionLogInterval is the time between two log lines on rejections by rate.
+	// rejectionLogInterval is the minimum time between two log lines on rejections by rate.
 	rejectionLogInterval = 10 * time.Second
 	// maxRejectedAccounts is how many accounts are counted for one such line.
 	maxRejectedAccounts = 1000
 )
 
 // rateLimitDriver drives package ratelimit: this instance's local token buckets, and the buckets of the
-// accounts that it owns. All but the counter belongs to the node's loop: a job is admitted, and tokens are
-// granted, in the turn in which the clock was read.
+// accounts that it owns. All but the counter is confined to the node's loop: a job is admitted, and tokens
+// are granted, in the turn in which the clock was read.
 type rateLimitDriver struct {
 	env       *environment
 	log       logrus.FieldLogger
-	names     routing.KnownNames // of classes and tenants, by their numbers
+	names     routing.KnownNames // of classes and tenants, by index
 	limiter   *ratelimit.Limiter
 	authority *ratelimit.Authority
 	table     *placement.Table
 	view      consensus.ClusterView
-	session   placement.Session // as it was when the table was set
+	session   placement.Session // this instance's, as of the table
 	timer     *eventloop.Timer
 	rejected  atomic.Uint64
 	recent    rejections
@@ -56,7 +56,7 @@
 		recent: rejections{byKey: map[ratelimit.Key]uint64{}}}
 }
 
-// rateLimitPolicy reads the section of a document that has been validated.
+// rateLimitPolicy parses the section of a validated document.
 func rateLimitPolicy(d *clusterstate.Document) ratelimit.Policy {
 	p, _ := ratelimit.ParsePolicy(d.Sections[ratelimit.Section], classNames(d))
 	return p
@@ -109,7 +109,7 @@
 
 // ClusterChanged implements driver.
 func (r *rateLimitDriver) ClusterChanged(v consensus.ClusterView) {
-	// The tables take thousands of hashes: they are worked out here, and not on the loop.
+	// Building the tables takes thousands of hashes, so it is done here and not on the loop.
 	tables := make([]*placement.Table, len(v.Views))
 	for n, view := range v.Views {
 		tables[n] = placement.NewTable(view)
@@ -132,7 +132,7 @@
 
 func (r *rateLimitDriver) setTable(now time.Duration, t *placement.Table, v consensus.ClusterView,
 	skipped bool) {
-	var session placement.Session // the zero Session: this view does not have this instance
+	var session placement.Session // zero if this instance is not in the view
 	for _, m := range t.View.Members {
 		if m.Session == v.Session {
 			session = v.Session
@@ -173,18 +173,19 @@
 	return account[:min(len(account), maxAccountName)]
 }
 
-// tick sends what other instances are due, and serves this instance's own requests.
+// tick sends requests, transfers, confirmations and grants to other instances, and handles those of this
+// instance to itself.
 //
-// Hazard: the process may have been stalled before this turn. The lease is checked with the clock as it is
-// now, and tokens that are granted expire at their front by a time that the front read itself.
+// The process may have been stalled before this turn. Therefore the lease is checked against the current
+// time, and granted tokens expire by a time that the requesting front read itself.
 func (r *rateLimitDriver) tick() {
 	p := r.limiter.Policy()
 	r.timer = r.env.loop().After(p.TickInterval, r.tick)
 	now := consensus.BootTime()
 	requests, confirmations := r.limiter.Tick(now)
 	r.sendRequests(now, requests)
-	// Hazard: what an owner transfers must arrive before its confirmation that it has drained, which is based
-	// on less.
+	// An owner's transfer must arrive before its confirmation that it has drained, which is based on less
+	// information.
 	r.sendTransfers()
 	r.sendConfirmations(now, confirmations)
 	if now < r.view.ExpiresAt {
@@ -201,8 +202,7 @@
 	}
 }
 
-// log writes a line on the jobs rejected since the last one, if there are any, with the account that had
-// most.
+// log logs the jobs rejected since the last line, if there are any, with the account that has the most.
 func (r *rejections) log(now time.Duration, log logrus.FieldLogger) {
 	if len(r.byKey) == 0 {
 		return
@@ -214,7 +214,7 @@
 	r.logged = now
 }
 
-// summary is the bucket with the most rejections, and how many all have.
+// summary returns the bucket with the most rejections, and the total of all buckets.
 func (r *rejections) summary() (most ratelimit.Key, sum uint64) {
 	for k, n := range r.byKey {
 		if sum += n; n > r.byKey[most] {
--- a/internal/node/ratelimit_messages.go
+++ b/internal/node/ratelimit_messages.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// maxMessageBuckets is how many buckets a message names: one that is longer than the transport allows is
-	// lost whole.
+	// maxMessageBuckets is the maximum number of buckets in a message. A message that exceeds the transport's
+	// size limit would be lost as a whole.
 	maxMessageBuckets = 5000
-	// maxTokens bounds counts of tokens in a message: no front has so many.
+	// maxTokens bounds token counts in a message. No front has that many tokens.
 	maxTokens = 1 << 40
-	// maxConfirmedBuckets bounds the count of buckets in a drain confirmation.
+	// maxConfirmedBuckets bounds the number of buckets in a drain confirmation.
 	maxConfirmedBuckets = 1 << 30
 )
 
@@ -91,10 +91,10 @@
 	}
 }
 
-// receive takes another instance's message. It is called on a goroutine of the transport.
+// receive handles another instance's message. It is called on a goroutine of the transport.
 func (r *rateLimitDriver) receive(from uint64, m *schema.RateMessage) {
 	r.env.loop().Post(func() {
-		// Hazard: messages about another configuration's buckets, and from or for a session that has expired.
+		// Drop messages about another configuration's buckets, and those to a session that has expired.
 		if m.Version != r.limiter.Policy().Version || m.Version == 0 || m.ToEpoch != r.session.Epoch {
 			return
 		}
@@ -126,7 +126,7 @@
 		Kept: uint64(a.Remaining), Back: uint64(a.Returned), Want: uint64(a.Wanted), AskedNs: int64(a.SentAt)}
 }
 
-// decodeTokenRequest is false for a request with more tokens than any front has.
+// decodeTokenRequest returns false for a request with more tokens than any front has.
 func decodeTokenRequest(a *schema.RateAsk) (ratelimit.TokenRequest, bool) {
 	if a.Kept > maxTokens || a.Back > maxTokens || a.Want > maxTokens {
 		return ratelimit.TokenRequest{}, false
@@ -141,7 +141,7 @@
 		Jobs: uint64(g.Tokens), AskedNs: int64(g.RequestSentAt)}
 }
 
-// decodeGrant is false for a grant of more tokens than any owner has, and for one whose request was sent
+// decodeGrant returns false for a grant of more tokens than any owner has, and for one whose request was sent
 // after now.
 func decodeGrant(now time.Duration, view uint64, g *schema.RateGrant) (ratelimit.Grant, bool) {
 	if g.AskedNs > int64(now) || g.Jobs > maxTokens {
@@ -188,7 +188,7 @@
 	c := ratelimit.DrainConfirmation{View: m.View, Total: int(min(m.Total, maxConfirmedBuckets))}
 	for _, b := range m.Books {
 		bucket := decodeBucket(b)
-		bucket.Level = 0 // of no meaning in a confirmation
+		bucket.Level = 0 // a confirmation has no level
 		c.Buckets = append(c.Buckets, bucket)
 	}
 	return c
--- a/internal/node/ratelimit_test.go
+++ b/internal/node/ratelimit_test.go
@@ -81,6 +81,6 @@
 	}
 	bucket := decodeBucket(&schema.RateBook{Level: math.MaxUint64, Out: math.MaxUint64})
 	if bucket.Level != maxTokens || bucket.Outstanding != maxTokens {
-		t.Errorf("a bucket has %+v", bucket)
+		t.Errorf("bucket beyond the bounds became %+v", bucket)
 	}
 }
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -7,17 +7,17 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// RuntimeConfig is what a running node can take over: the classes and tenants of settings, and the rules by
-// which jobs are routed.
+// RuntimeConfig is the configuration that a running node can apply: the classes and tenants of settings, and
+// the routing rules.
 type RuntimeConfig struct {
 	Settings  balancer.Settings
 	Routes    *routing.Table // nil: the balancer chooses among all endpoints
-	OnApplied func()         // called on the loop, in the turn that takes them over; may be nil
+	OnApplied func()         // called on the loop, in the turn in which they are applied; may be nil
 }
 
-// Configure takes a configuration over, in all brokers and fronts as one whole between two events of the
-// loop. It may be called from any goroutine but the loop's, and returns when it is done: with an error if a
-// broker can't take it over, and then none has.
+// Configure applies a configuration to all brokers and fronts in one turn of the loop, and waits until that
+// is done. If a broker can't apply it, Configure returns an error and changes nothing. It may be called from
+// any goroutine but the loop's.
 func (n *Node) Configure(c RuntimeConfig) error {
 	done := make(chan error, 1)
 	n.loop.Post(func() { done <- n.configure(c) })
@@ -32,7 +32,7 @@
 	return <-done
 }
 
-// checkConfig is ValidateConfig on the loop, or before that runs.
+// checkConfig is ValidateConfig for callers on the loop, or before the loop runs.
 func (n *Node) checkConfig(cfg RuntimeConfig) error {
 	for _, c := range n.brokers {
 		if err := c.CanConfigure(c.fit(cfg.Settings)); err != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// configure is called on the loop, or before that runs.
+// configure is Configure for callers on the loop, or before the loop runs.
 func (n *Node) configure(cfg RuntimeConfig) error {
 	if err := n.checkConfig(cfg); err != nil {
 		return err
--- a/internal/node/rollingrestart.go
+++ b/internal/node/rollingrestart.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// restartCheckInterval is how often the controller of a rolling restart surveys the instances.
+	// restartCheckInterval is how often the controller of a rolling restart checks the instances' status.
 	restartCheckInterval = 100 * time.Millisecond
-	// describeTimeout is how long the instances may take to answer one survey.
+	// describeTimeout bounds the time in which the instances must describe themselves.
 	describeTimeout = time.Second
 )
 
-// restartTask drives package rollingrestart: it takes the instances out one after another.
+// restartTask drives package rollingrestart: it has the instances restart one after another.
 type restartTask struct {
 	env *environment
 	log logrus.FieldLogger
@@ -31,14 +31,14 @@
 	return &restartTask{env: env, log: env.component("rollingrestart")}
 }
 
-// run is a taskFunc.
+// run implements taskFunc.
 func (t *restartTask) run(ctx context.Context, r *taskRun) error {
 	controller := rollingrestart.NewController()
 	return repeat(ctx, restartCheckInterval, func() error { return t.step(ctx, r, controller) })
 }
 
-// step records the next action of the plan, if there is one. It counts once it is agreed on: the instance
-// that is to restart reads it there (selfRestart), and goes by that.
+// step records the next action of the plan, if there is one, in the task's note. The action takes effect once
+// it is committed: the instance that must restart reads the committed plan (selfRestart).
 func (t *restartTask) step(ctx context.Context, r *taskRun, controller *rollingrestart.Controller) error {
 	lease := r.current()
 	plan, err := rollingrestart.DecodePlan(lease.Note)
@@ -47,7 +47,7 @@
 	}
 	observed, err := t.survey(ctx)
 	if err != nil {
-		return nil // the runner ends, or the lease does
+		return nil // the runner or the lease is ending
 	}
 	next, changed := controller.Reconcile(consensus.BootTime(), plan, observed)
 	if !changed || !r.Valid(consensus.BootTime()) {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// survey observes all instances: their sessions in the agreed state, and how each describes itself.
+// survey returns the status of all instances, from their sessions in the agreed state and their descriptions.
 func (t *restartTask) survey(ctx context.Context) ([]rollingrestart.InstanceStatus, error) {
 	st := t.env.runner.Status()
 	var observed []rollingrestart.InstanceStatus
@@ -93,7 +93,7 @@
 	return observed, nil
 }
 
-// describe requests the description of an instance, and completes what was observed of it.
+// describe requests the description of an instance, and completes its status.
 func (t *restartTask) describe(ctx context.Context, m clusterstate.Member, newest uint64,
 	o *rollingrestart.InstanceStatus) {
 	d, err := t.env.network.Describe(ctx, m)
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -11,20 +11,20 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// RoutesSection is the section of the agreed document that holds the rules, as the text of a file under the
-// key "toml".
+// RoutesSection is the section of the agreed document that holds the routing rules, as the text of a TOML
+// file under the key "toml".
 const RoutesSection = "routes"
 
 // routesKey is that section's only key.
 const routesKey = "toml"
 
-// DocumentRules are what all instances check documents by. Zones and kinds are each instance's own, and not
-// checked here.
+// DocumentRules returns the rules by which all instances check documents. Zones and kinds differ between
+// instances, and are not checked here.
 func DocumentRules() clusterstate.Rules {
 	return clusterstate.Rules{Sections: map[string]clusterstate.SectionValidator{RoutesSection: checkRoutes}}
 }
 
-// checkRoutes is RoutesSection's rule: it returns what is wrong with the section.
+// checkRoutes validates RoutesSection and returns its problems.
 func checkRoutes(d *clusterstate.Document, values map[string]string) []string {
 	var wrong []string
 	for key := range values {
@@ -47,12 +47,12 @@
 // routeRules compiles routing rules for this instance.
 type routeRules struct {
 	names routing.KnownNames
-	file  string // of this instance's own rules; empty: it has none
+	file  string // path of this instance's own rules; empty: none
 	log   logrus.FieldLogger
 }
 
-// tableFor compiles the rules of an agreed document, or this instance's own where the group has agreed on
-// none. A nil table routes nothing.
+// tableFor compiles the rules of an agreed document, or this instance's own if the document has none. A nil
+// table means that there are no rules.
 func (r *routeRules) tableFor(d *clusterstate.Document) (*routing.Table, error) {
 	section, ok := d.Sections[RoutesSection]
 	if !ok {
@@ -61,7 +61,7 @@
 	return r.compile(RoutesSection, []byte(section[routesKey]))
 }
 
-// localTable compiles this instance's own rules. A nil table routes nothing.
+// localTable compiles this instance's own rules. A nil table means that there are none.
 func (r *routeRules) localTable() (*routing.Table, error) {
 	if r.file == "" {
 		return nil, nil
--- a/internal/node/schedule.go
+++ b/internal/node/schedule.go
@@ -21,39 +21,39 @@
 )
 
 const (
-	// maxFiringsPerTurn is how many occurrences are begun in one turn of the loop.
+	// maxFiringsPerTurn is how many occurrences are fired in one turn of the loop.
 	maxFiringsPerTurn = 200
 	// firingInterval is the time between two such turns.
 	firingInterval = 5 * time.Millisecond
-	// minFiringBackoff is the least time before a rejected occurrence is fired again.
+	// minFiringBackoff is the minimum time before a rejected occurrence is fired again.
 	minFiringBackoff = 200 * time.Millisecond
 	// maxScheduleDrain bounds the wait for open occurrences in a graceful shutdown.
 	maxScheduleDrain = 20 * time.Second
 )
 
-// scheduleDriver drives package schedule: it fires the occurrences of triggers that this instance has
-// recorded as its intent. All but the counter belongs to the node's loop: a job is begun in the turn in which
+// scheduleDriver drives package schedule: it fires the occurrences that this instance has recorded its intent
+// to fire. All but the counter is confined to the node's loop: an occurrence is fired in the turn in which
 // the clock was read.
 type scheduleDriver struct {
 	env      *environment
 	log      logrus.FieldLogger
-	names    routing.KnownNames // of classes and tenants, by their numbers
+	names    routing.KnownNames // of classes and tenants, by index
 	zones    *calendar.ZoneDB
 	policy   *schedule.Policy
 	deadline map[string]time.Duration // by class
 	view     consensus.ClusterView
 	clock    schedule.ClusterClock
-	pending  map[uint64]*occurrence  // by number, until the outcome is handed to the runner
-	queue    []*occurrence           // to be begun, the first first
-	outcomes []schedule.FiringResult // to be handed to the runner
+	pending  map[uint64]*occurrence  // by number, until the outcome is known
+	queue    []*occurrence           // to be fired, in order
+	outcomes []schedule.FiringResult // to be passed to the runner
 	begun    atomic.Uint64
 	woken    bool   // a turn is scheduled
-	draining bool   // in graceful shutdown: what has not begun is released
+	draining bool   // in graceful shutdown: occurrences that were not fired are released
 	drained  func() // called once when nothing is pending; nil: nobody waits
 }
 
-// occurrence is one that this instance is to fire, until its outcome is known. It is the broker's client for
-// the job.
+// occurrence is an occurrence that this instance must fire, until its outcome is known. It is the broker's
+// client for the job.
 type occurrence struct {
 	schedule.Firing
 	driver   *scheduleDriver
@@ -67,7 +67,7 @@
 		policy: &schedule.Policy{}, pending: map[uint64]*occurrence{}}
 }
 
-// schedulePolicy reads the section of a document that has been validated.
+// schedulePolicy parses the section of a validated document.
 func schedulePolicy(d *clusterstate.Document) schedule.Policy {
 	p, _ := schedule.ParsePolicy(d.Sections[schedule.Section], schedule.KnownNames{Classes: classNames(d),
 		Tenants: tenantNames(d)})
@@ -82,7 +82,7 @@
 	return names
 }
 
-// Supports implements driver: the machine's zone rules must know the zones of all triggers.
+// Supports implements driver: the machine's zone rules must include the zones of all triggers.
 func (s *scheduleDriver) Supports(d *clusterstate.Document) error {
 	p := schedulePolicy(d)
 	if _, err := p.Recurrences(s.zones); err != nil {
@@ -128,12 +128,12 @@
 	})
 }
 
-// clockChanged takes the cluster's clock. It is called on the runner's goroutine.
+// clockChanged sets the cluster's clock. It is called on the runner's goroutine.
 func (s *scheduleDriver) clockChanged(c schedule.ClusterClock) {
 	s.env.loop().Post(func() { s.clock = c })
 }
 
-// fire takes occurrences that this instance is to fire. It is called on the runner's goroutine.
+// fire queues occurrences for this instance to fire. It is called on the runner's goroutine.
 func (s *scheduleDriver) fire(items []schedule.Firing) {
 	s.env.loop().Post(func() {
 		for _, item := range items {
@@ -150,12 +150,12 @@
 		s.pending[item.Number] = o
 		s.queue = append(s.queue, o)
 	}
-	// Hazard: a session may have expired while the job was open, and the instance's next one has taken the
-	// occurrence over: the job that is open is the one.
+	// If a session expired while the job was open, this instance's next session may have taken the occurrence
+	// over. The open job then remains its only one.
 	o.Firing = item
 }
 
-// wake schedules a turn, if there is something to do and none is scheduled.
+// wake schedules a turn if there is work and no turn is scheduled.
 func (s *scheduleDriver) wake(after time.Duration) {
 	if len(s.queue) == 0 && len(s.outcomes) == 0 || s.woken {
 		return
@@ -167,7 +167,7 @@
 	})
 }
 
-// run hands over the outcomes, and begins what may be begun.
+// run passes the outcomes to the runner, and fires the occurrences that may be fired.
 func (s *scheduleDriver) run() {
 	if len(s.outcomes) > 0 {
 		s.env.runner.NotifyParticipant(schedule.Section, s.outcomes)
@@ -188,10 +188,10 @@
 	for _, o := range queue {
 		switch {
 		case o.Session != s.view.Session || s.draining:
-			// It surely never ran, and whoever owns it next should know.
+			// The job never ran, and the next owner must learn that.
 			s.finish(o, schedule.Released)
 		case begun >= maxFiringsPerTurn || now < o.notUntil || now >= s.view.ExpiresAt:
-			// Hazard: the process may have been stalled, and the next owner have the occurrence already.
+			// After a stall of this process, the next owner may have the occurrence already.
 			s.queue = append(s.queue, o)
 		default:
 			begun++
@@ -200,14 +200,14 @@
 	}
 }
 
-// drain begins a graceful shutdown: nothing more is begun, and what has not begun is released.
+// drain starts a graceful shutdown: nothing more is fired, and occurrences that were not fired are released.
 func (s *scheduleDriver) drain() {
 	s.draining = true
 	s.run()
 }
 
-// awaitDrained calls done once no occurrence's job is open here and the outcomes have been handed over, or
-// after maxScheduleDrain.
+// awaitDrained calls done once no occurrence's job is open here and the outcomes have been passed to the
+// runner, or after maxScheduleDrain.
 func (s *scheduleDriver) awaitDrained(done func()) {
 	called := false
 	s.drained = func() {
@@ -220,13 +220,13 @@
 	s.run()
 }
 
-// clusterTime is the cluster's time in Unix seconds; 0: it is not known.
+// clusterTime returns the cluster's time in Unix seconds, or 0 if it is unknown.
 func (s *scheduleDriver) clusterTime(now time.Duration) int64 {
 	return s.clock.TimeAt(now) / int64(time.Second)
 }
 
-// begin hands the job of an occurrence to the platform's front, unless its trigger was removed or it is too
-// late.
+// begin submits the job of an occurrence to the platform's front. It drops the occurrence if its trigger was
+// removed, or if it was rejected before and is now too late.
 func (s *scheduleDriver) begin(o *occurrence, now time.Duration) {
 	trigger := findTrigger(s.policy, o.Trigger)
 	if trigger == nil {
@@ -257,7 +257,7 @@
 	}
 }
 
-// findTrigger is the trigger of a name, or nil. A policy's triggers are sorted by name.
+// findTrigger returns the trigger with a name, or nil. A policy's triggers are sorted by name.
 func findTrigger(p *schedule.Policy, name string) *schedule.Trigger {
 	n, ok := slices.BinarySearchFunc(p.Triggers, name, func(t schedule.Trigger, name string) int {
 		return strings.Compare(t.Name, name)
@@ -287,7 +287,7 @@
 	s.wake(firingInterval)
 }
 
-// Respond implements broker.Client: the outcome of the job.
+// Respond implements broker.Client: it handles the outcome of the job.
 func (o *occurrence) Respond(a broker.Response) {
 	s := o.driver
 	o.open = false
@@ -295,7 +295,7 @@
 	switch a.Kind {
 	case broker.Served:
 		s.finish(o, schedule.Succeeded)
-	case broker.Rejected: // it surely never ran
+	case broker.Rejected: // the job never ran
 		s.retry(o, a.RetryAfter)
 	default:
 		s.log.WithField("occurrence", o.IdempotencyKey()).
@@ -304,7 +304,7 @@
 	}
 }
 
-// auditOutcomes are the audit log's spellings of outcomes.
+// auditOutcomes are the names of outcomes in the audit log.
 var auditOutcomes = map[broker.ResponseKind]string{broker.Served: "served", broker.Rejected: "busy",
 	broker.Failed: "failed"}
 
--- a/internal/node/schedule_test.go
+++ b/internal/node/schedule_test.go
@@ -12,6 +12,6 @@
 		t.Errorf("got %v", got)
 	}
 	if got := findTrigger(p, "c"); got != nil {
-		t.Errorf("got %v for a name that there is not", got)
+		t.Errorf("got %v for an unknown name", got)
 	}
 }
--- a/internal/node/selfrestart.go
+++ b/internal/node/selfrestart.go
@@ -12,28 +12,26 @@
 	"moorstack/internal/cluster/rollingrestart"
 )
 
-// The values of the setting duties.out: what becomes of a process that a rolling restart
-// takes out.
+// Values of the setting duties.out: how a rolling restart restarts the process.
 const (
-	restartByEnding   = "end"   // whoever runs the process starts the program again
+	restartByEnding   = "end"   // the process ends, and its supervisor starts the program again
 	restartByStarting = "start" // the process starts the program in its own place
 )
 
-// ErrRestart is returned by Instance.Run when the program is to be started again in the place of this
-// process.
-var ErrRestart = errors.New("the program is to be started again in the place of this process")
+// ErrRestart is returned by Instance.Run if the caller must start the program again in place of this process.
+var ErrRestart = errors.New("the program must be started again in place of this process")
 
-// signalBuffer is how many signals may wait: more than ever come at once.
+// signalBuffer is how many signals may be queued; fewer than this arrive at once.
 const signalBuffer = 4
 
-// selfRestart ends this instance's process when the agreed plan of a rolling restart orders it.
+// selfRestart ends this instance's process when the agreed plan of a rolling restart requires it.
 type selfRestart struct {
 	audit      *auditLog
 	log        logrus.FieldLogger
-	inPlace    bool // the program is to be started again in this process's place
+	inPlace    bool // the program must be started again in place of this process
 	signals    chan os.Signal
-	restarting atomic.Bool // by the plan
-	ordered    atomic.Bool // to end, from outside
+	restarting atomic.Bool // required by the plan
+	ordered    atomic.Bool // an external signal has ordered the process to end
 }
 
 func newSelfRestart(env *environment, setting string) *selfRestart {
@@ -41,9 +39,10 @@
 		inPlace: setting == restartByStarting, signals: make(chan os.Signal, signalBuffer)}
 }
 
-// planChanged takes the plan as it was agreed on. It is called on the runner's goroutine.
+// planChanged receives the agreed plan. It is called on the runner's goroutine.
 //
-// Hazard: the plan may be read late, or again after a start. A step is for one incarnation of the instance.
+// The plan may be read late, or again after a start, so a step applies to one incarnation of the instance
+// only.
 func (s *selfRestart) planChanged(n leasedtask.PlanChanged) {
 	plan, err := rollingrestart.DecodePlan(n.Note)
 	if err != nil || !plan.MustRestart(n.Member, n.Incarnation) || s.restarting.Swap(true) {
@@ -54,12 +53,12 @@
 	s.signals <- syscall.SIGTERM
 }
 
-// merge returns the signals from outside and those of the plan. The goroutine that it starts ends with the
-// process, or when the channel is closed.
+// merge returns a channel with the external signals and those of the plan. The goroutine that it starts ends
+// with the process, or when the channel of external signals is closed.
 func (s *selfRestart) merge(outside <-chan os.Signal) <-chan os.Signal {
 	go func() {
 		for sig := range outside {
-			// Hazard: whoever orders the process to end waits for its end, and not for another process in its
+			// Whoever orders the process to end waits for that, and does not expect another process in its
 			// place.
 			if sig != syscall.SIGHUP {
 				s.ordered.Store(true)
@@ -70,7 +69,7 @@
 	return s.signals
 }
 
-// restarts reports whether the program is to be started again in the place of this process.
+// restarts reports whether the program must be started again in place of this process.
 func (s *selfRestart) restarts() bool {
 	return s.restarting.Load() && !s.ordered.Load() && s.inPlace
 }
--- a/internal/node/selfrestart_test.go
+++ b/internal/node/selfrestart_test.go
@@ -22,7 +22,7 @@
 		name        string
 		incarnation uint64
 		setting     string
-		order       os.Signal // from outside
+		order       os.Signal // external
 		restarting  bool
 		restarts    bool
 	}{
@@ -41,10 +41,10 @@
 			if c.order != nil {
 				outside <- c.order
 				if got := <-signals; got != c.order {
-					t.Errorf("signal %v instead of %v", got, c.order)
+					t.Errorf("got signal %v, want %v", got, c.order)
 				}
 			}
-			for range 2 { // read again, it counts once
+			for range 2 { // the second time must have no effect
 				s.planChanged(leasedtask.PlanChanged{Note: note, Member: member, Incarnation: c.incarnation})
 			}
 			want := 0
--- a/internal/node/slowstart.go
+++ b/internal/node/slowstart.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// budgetCheckInterval is how often an instance checks that its lease, and with it its partition, holds.
+	// budgetCheckInterval is how often an instance checks whether its lease and thus its partition is valid.
 	budgetCheckInterval = 50 * time.Millisecond
-	// noBudgetFactor bounds an instance without a partition to nearly nothing: 0 would be no bound at all.
+	// noBudgetFactor limits an instance without a partition to nearly nothing: 0 would mean no limit.
 	noBudgetFactor = 1e-9
 )
 
-// partition is one instance's share of the slow-start budget of each worker, of count equal ones.
+// partition is this instance's share of each worker's slow-start budget: one of count equal shares.
 type partition struct {
 	state partitionState
 	index int
 	count int
 }
 
-// partitionState is what the balancer was given last.
+// partitionState is which partition the balancers were last configured with.
 type partitionState uint8
 
 const (
-	partitionUnset partitionState = iota // nothing: it goes by the settings as they are
+	partitionUnset partitionState = iota // none: the settings apply unchanged
 	partitionHeld
-	partitionNone // no share, and so no budget
+	partitionNone // no share, and therefore no budget
 )
 
-// slowStartDriver drives the partitioning of package placement: the slow-start budgets of warming-up workers
-// are divided among the instances. All of it belongs to the node's loop.
+// slowStartDriver drives the partitioning of package placement, which divides the slow-start budgets of
+// warming-up workers among the instances. It is confined to the node's loop.
 type slowStartDriver struct {
 	env        *environment
 	log        logrus.FieldLogger
 	enabled    bool
-	settings   balancer.Settings // as the fronts run them, partitions apart
+	settings   balancer.Settings // as the fronts run them, without a partition
 	view       consensus.ClusterView
 	partitions placement.Partitioning
-	partition  partition // as the decision modules were given it last
-	audited    string    // the audit log's last line on it
+	partition  partition // as last set in the balancers
+	audited    string    // the last line on it in the audit log
 	timer      *eventloop.Timer
 }
 
@@ -69,7 +69,7 @@
 	settings balancer.Settings
 }
 
-// Apply implements preparedChange. The fronts have just taken the settings over, without a partition.
+// Apply implements preparedChange. The fronts have just applied the settings, without a partition.
 func (c *slowStartChange) Apply() {
 	s := c.driver
 	s.enabled, s.settings, s.partition = c.enabled, c.settings, partition{}
@@ -85,17 +85,17 @@
 		now := consensus.BootTime()
 		s.view = v
 		for _, view := range v.Views {
-			// Others may act by the view before for a lease of theirs, by clocks at other paces.
+			// Others may act on the previous view until their leases expire, by clocks of other rates.
 			s.partitions.SetView(now, view, v.Session, rollout.ExpiryWait(v.LeaseDuration))
 		}
 		s.update()
 	})
 }
 
-// update gives the decision modules this instance's partition, where that has changed.
+// update sets this instance's partition in the balancers if it has changed.
 //
-// Hazard: an instance that is stalled or cut off learns nothing of others that have joined. Its partition
-// ends with its lease, so this is checked again and again.
+// An instance that is stalled or isolated does not learn that others have joined. Its partition therefore
+// ends with its lease, and update is repeated every budgetCheckInterval.
 func (s *slowStartDriver) update() {
 	s.timer.Stop()
 	if !s.enabled || len(s.settings.Classes) == 0 {
@@ -117,7 +117,7 @@
 	s.timer = s.env.loop().After(budgetCheckInterval, s.update)
 }
 
-// apply is the settings with a partition.
+// apply returns the settings with the partition.
 func (p partition) apply(set balancer.Settings) balancer.Settings {
 	if p.state == partitionHeld {
 		set.DispatcherIndex, set.DispatcherCount = p.index, p.count
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// audit writes which partition is this instance's, and until when, where that has changed.
+// audit writes this instance's partition and its expiry to the audit log if they have changed.
 func (s *slowStartDriver) audit(p partition) {
 	if !s.env.audit.enabled() {
 		return
@@ -154,7 +154,7 @@
 	}
 }
 
-// expire ends this instance's partition before a job that came while it was stalled is worked on.
+// expire ends an expired partition before a job that arrived while this instance was stalled is dispatched.
 func (s *slowStartDriver) expire(now time.Duration) {
 	if s.partition.state == partitionHeld && now >= s.view.ExpiresAt {
 		s.update()
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -9,15 +9,15 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// subsetDriver drives subsetting of package placement: each instance uses some of the workers only. All of it
-// belongs to the node's loop.
+// subsetDriver drives the subsetting of package placement: each instance uses only some of the workers. It is
+// confined to the node's loop.
 type subsetDriver struct {
 	env     *environment
 	log     logrus.FieldLogger
 	size    int // 0: all workers are used
 	session placement.Session
 	members []placement.Member // of the newest view
-	version int                // of the subset that is being worked out; an older one comes too late
+	version int                // of the newest computation; results of older ones are dropped
 }
 
 func newSubsetDriver(env *environment) *subsetDriver {
@@ -60,7 +60,7 @@
 	})
 }
 
-// choose works out which workers this instance uses, and has the brokers use them.
+// choose recomputes which workers this instance uses, and restricts the brokers to them.
 func (s *subsetDriver) choose() {
 	s.version++
 	for k := range s.env.node.brokers {
@@ -78,8 +78,8 @@
 		list = append(list, placement.Worker{Name: l.Name, Zone: l.Zone})
 	}
 	version, members, session, size := s.version, s.members, s.session, s.size
-	// Hazard: for hundreds of instances and thousands of workers this takes longer than a job may wait. The
-	// goroutine ends by itself, at the latest when the loop drops what is posted.
+	// For hundreds of instances and thousands of workers this takes longer than a job may wait, so it is not
+	// done on the loop. The goroutine ends by itself; a loop that has stopped drops its result.
 	go func() {
 		use := placement.Subset(members, session, list, size)
 		s.env.loop().Post(func() {
--- a/internal/node/testclocks.go
+++ b/internal/node/testclocks.go
@@ -10,15 +10,15 @@
 	"moorstack/internal/cluster/consensus"
 )
 
-// TestClocksEnv is the variable of the environment without which a configuration that names a test clock, or
-// other zone rules, is rejected. Its value is then "yes".
+// TestClocksEnv is the environment variable that must be "yes" for a configuration with a test clock or test
+// zone rules to be accepted.
 const TestClocksEnv = "MOORSTACK_TEST_CLOCKS"
 
-// maxClockRate bounds how fast a test clock runs.
+// maxClockRate bounds how fast a test clock runs, relative to the boot clock.
 const maxClockRate = 1e6
 
-// testClock is a wall clock that a test sets, by a file: at Boot on the boot clock, which nobody sets, it
-// shows Wall, and from there it runs Rate times as fast.
+// testClock is a wall clock that a test sets by a file. When the boot clock, which can't be set, shows Boot,
+// the test clock shows Wall. It runs Rate times as fast as the boot clock.
 type testClock struct {
 	Wall int64   `json:"wall_ns"` // Unix time
 	Boot int64   `json:"boot_ns"`
@@ -31,18 +31,18 @@
 		err = json.Unmarshal(raw, &c)
 	}
 	if err == nil && (c.Rate <= 0 || c.Rate > maxClockRate) {
-		err = fmt.Errorf("rate: %v is not above 0 and up to 1e6", c.Rate)
+		err = fmt.Errorf("rate must be above 0 and at most 1e6, got %v", c.Rate)
 	}
 	return c, err
 }
 
-// at is what the clock shows at a moment of the boot clock.
+// at returns the clock's time for a time on the boot clock.
 func (c testClock) at(boot time.Duration) time.Time {
 	passed := float64(int64(boot)-c.Boot) * c.Rate
 	return time.Unix(0, c.Wall+int64(passed))
 }
 
-// checkTestsAllowed explains how to allow what is for tests only, where it is not.
+// checkTestsAllowed returns nil if settings for tests are allowed, or an error that says how to allow them.
 func checkTestsAllowed(what string) error {
 	if os.Getenv(TestClocksEnv) == "yes" {
 		return nil
@@ -51,7 +51,7 @@
 		TestClocksEnv)
 }
 
-// zoneRules are the machine's, or for tests such that no other instance has.
+// zoneRules returns the machine's zone rules, or, for tests, rules that differ from those of other instances.
 func (c *ServeConfig) zoneRules() (*calendar.ZoneDB, error) {
 	if c.Test.Zones == "" {
 		return calendar.NewZoneDB(), nil
@@ -63,8 +63,8 @@
 	return calendar.NewZoneDBWithLoader(load), nil
 }
 
-// wallClock is the clock that the configuration names, or the machine's. It is called on the runner's
-// goroutine only.
+// wallClock returns the configured test clock, or the machine's clock. The result may be called on the
+// runner's goroutine only.
 func (c *ServeConfig) wallClock() (func() time.Time, error) {
 	if c.Test.Clock == "" {
 		return time.Now, nil
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	return func() time.Time {
-		// It is read each time: a test steps it. Half a file leaves the clock as it was.
+		// The file is read each time, because a test may step the clock. An incomplete file is ignored.
 		if now, err := readTestClock(c.Test.Clock); err == nil {
 			last = now
 		}
