--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -27,8 +27,8 @@
 	if err := a.checkListed(id); err != nil {
 		return err
 	}
-	for _, c := range a.node.brokers {
-		c.StartMaintenance(id)
+	for _, b := range a.node.brokers {
+		b.StartMaintenance(id)
 	}
 	a.node.hotRestart.sendMaintenance(id, true)
 	a.node.log.WithField("worker", id).Info("maintenance started by an operator")
@@ -42,8 +42,8 @@
 		return err
 	}
 	changed := false
-	for _, c := range a.node.brokers {
-		changed = c.EndMaintenance(id) || changed
+	for _, b := range a.node.brokers {
+		changed = b.EndMaintenance(id) || changed
 	}
 	a.node.hotRestart.sendMaintenance(id, false)
 	if changed {
@@ -53,8 +53,8 @@
 }
 
 func (a adminCommands) checkListed(id string) error {
-	for _, c := range a.node.brokers {
-		if c.EverListed(id) {
+	for _, b := range a.node.brokers {
+		if b.EverListed(id) {
 			return nil
 		}
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -157,11 +157,11 @@
 func (c *ServeConfig) checkValues() error {
 	restart := &c.LeasedTasks.Restart
 	if *restart == "" {
-		*restart = restartByEnding
+		*restart = restartByExit
 	}
-	if *restart != restartByEnding && *restart != restartByStarting {
-		return c.errorAt("duties.out", "must be %[2]q or %[3]q, got %[1]q", *restart, restartByEnding,
-			restartByStarting)
+	if *restart != restartByExit && *restart != restartInPlace {
+		return c.errorAt("duties.out", "must be %[2]q or %[3]q, got %[1]q", *restart, restartByExit,
+			restartInPlace)
 	}
 	if c.Peers.Tick == 0 {
 		c.Peers.Tick = duration(defaultTick)
@@ -172,11 +172,11 @@
 	return nil
 }
 
-func (c *ServeConfig) resolvePaths(folder string) {
+func (c *ServeConfig) resolvePaths(dir string) {
 	for _, p := range []*string{&c.Data, &c.Front.Platform, &c.Front.Faktory, &c.Front.Routes, &c.Keys.CA,
 		&c.Keys.Cert, &c.Keys.Key, &c.Control.Socket, &c.AuditLog, &c.LeasedTasks.Backups, &c.Test.Clock} {
 		if *p != "" && !filepath.IsAbs(*p) {
-			*p = filepath.Join(folder, *p)
+			*p = filepath.Join(dir, *p)
 		}
 	}
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -38,14 +38,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	folder := filepath.Dir(path)
+	dir := filepath.Dir(path)
 	for _, x := range []struct{ name, got, want string }{
-		{"data", c.Data, filepath.Join(folder, "data")},
-		{"keys.ca", c.Keys.CA, filepath.Join(folder, "ca.pem")},
+		{"data", c.Data, filepath.Join(dir, "data")},
+		{"keys.ca", c.Keys.CA, filepath.Join(dir, "ca.pem")},
 		{"keys.cert", c.Keys.Cert, "/etc/cert.pem"},
 		{"audit", c.AuditLog, ""},
 		{"peers.advertise", c.Peers.Advertise, "127.0.0.1:7000"},
-		{"duties.out", c.LeasedTasks.Restart, restartByEnding},
+		{"duties.out", c.LeasedTasks.Restart, restartByExit},
 		{"peers.tick", time.Duration(c.Peers.Tick).String(), defaultTick.String()},
 	} {
 		if x.got != x.want {
--- a/internal/node/configurator.go
+++ b/internal/node/configurator.go
@@ -47,16 +47,16 @@
 
 // revisionCommitted queues a revision that comes into force, and changeProposed a change to be staged. They
 // are called on the runner's goroutine and never block.
-func (c *configurator) revisionCommitted(r clusterstate.Revision) { replaceNewest(c.committed, r) }
-func (c *configurator) changeProposed(r clusterstate.Revision)    { replaceNewest(c.proposed, r) }
+func (c *configurator) revisionCommitted(r clusterstate.Revision) { sendNewest(c.committed, r) }
+func (c *configurator) changeProposed(r clusterstate.Revision)    { sendNewest(c.proposed, r) }
 
 // clusterChanged passes a new view of the group's sessions to the drivers. It is called on the runner's
 // goroutine.
 func (c *configurator) clusterChanged(v consensus.ClusterView) { c.drivers.ClusterChanged(v) }
 
-// replaceNewest sends a revision without blocking, in place of one that has not been received yet. The
+// sendNewest sends a revision without blocking, in place of one that has not been received yet. The
 // channel's capacity is 1.
-func replaceNewest(ch chan clusterstate.Revision, r clusterstate.Revision) {
+func sendNewest(ch chan clusterstate.Revision, r clusterstate.Revision) {
 	for {
 		select {
 		case ch <- r:
@@ -201,7 +201,7 @@
 		return err
 	}
 	for k := range c.env.node.brokers {
-		c.env.node.brokers[k].route(t)
+		c.env.node.brokers[k].applyRoutes(t)
 	}
 	c.env.log.Info("routing rules loaded")
 	return nil
--- a/internal/node/configurator_test.go
+++ b/internal/node/configurator_test.go
@@ -9,7 +9,7 @@
 func TestNewestRevisionReplacesOlder(t *testing.T) {
 	ch := make(chan clusterstate.Revision, 1)
 	for n := range uint64(3) {
-		replaceNewest(ch, clusterstate.Revision{Number: n})
+		sendNewest(ch, clusterstate.Revision{Number: n})
 	}
 	if got := <-ch; got.Number != 2 || len(ch) != 0 {
 		t.Errorf("got revision %d, and %d more", got.Number, len(ch))
--- a/internal/node/drivers.go
+++ b/internal/node/drivers.go
@@ -15,7 +15,7 @@
 	Supports(d *clusterstate.Document) error
 	// Prepare reads the driver's section of a document that will be applied, together with the settings that
 	// the fronts get from it. It changes nothing yet.
-	Prepare(d *clusterstate.Document, set balancer.Settings) preparedChange
+	Prepare(d *clusterstate.Document, settings balancer.Settings) preparedChange
 	// ClusterChanged receives a new view of the group's sessions. It is called on the runner's goroutine and
 	// must not block.
 	ClusterChanged(v consensus.ClusterView)
@@ -33,8 +33,8 @@
 
 // Supports implements driver: it returns the first driver's error.
 func (s driverSet) Supports(d *clusterstate.Document) error {
-	for _, one := range s {
-		if err := one.Supports(d); err != nil {
+	for _, drv := range s {
+		if err := drv.Supports(d); err != nil {
 			return err
 		}
 	}
@@ -42,18 +42,18 @@
 }
 
 // Prepare implements driver.
-func (s driverSet) Prepare(d *clusterstate.Document, set balancer.Settings) preparedChange {
+func (s driverSet) Prepare(d *clusterstate.Document, settings balancer.Settings) preparedChange {
 	changes := make(preparedChanges, len(s))
-	for n, one := range s {
-		changes[n] = one.Prepare(d, set)
+	for n, drv := range s {
+		changes[n] = drv.Prepare(d, settings)
 	}
 	return changes
 }
 
 // ClusterChanged implements driver.
 func (s driverSet) ClusterChanged(v consensus.ClusterView) {
-	for _, one := range s {
-		one.ClusterChanged(v)
+	for _, drv := range s {
+		drv.ClusterChanged(v)
 	}
 }
 
@@ -62,16 +62,16 @@
 
 // Apply implements preparedChange.
 func (p preparedChanges) Apply() {
-	for _, one := range p {
-		one.Apply()
+	for _, change := range p {
+		change.Apply()
 	}
 }
 
 var _ driver = driverSet(nil)
 
-// notified passes a notification of a replicated state machine to its driver. It is called on the runner's
-// goroutine.
-func (i *Instance) notified(notification any) {
+// dispatchNotification passes a notification of a replicated state machine to its driver. It is called on the
+// runner's goroutine.
+func (i *Instance) dispatchNotification(notification any) {
 	switch n := notification.(type) {
 	case leasedtask.PlanChanged:
 		i.restart.planChanged(n)
--- a/internal/node/explainroute.go
+++ b/internal/node/explainroute.go
@@ -19,17 +19,17 @@
 }
 
 func (x *routeExplainer) explain(in *schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error) {
-	c, err := x.frontBroker(in.Front)
+	b, err := x.frontBroker(in.Front)
 	if err != nil {
 		return nil, err
 	}
-	job, err := x.jobOf(c.front, in)
+	job, err := x.jobOf(b.front, in)
 	if err != nil {
 		return nil, err
 	}
 	d := routing.Decision{Class: job.Class}
-	if c.table != nil {
-		d = c.table.Decide(job)
+	if b.table != nil {
+		d = b.table.Decide(job)
 	}
 	out := &schema.ExplainRouteReply{Refused: d.RejectReason}
 	if d.Rule != nil {
@@ -39,7 +39,7 @@
 		return out, nil
 	}
 	out.Class = x.names.Classes[d.Class]
-	out.Tiers = x.explainTiers(c, job, d)
+	out.Tiers = x.explainTiers(b, job, d)
 	return out, nil
 }
 
@@ -47,11 +47,11 @@
 	if front == "" {
 		front = routing.FrontHTTP
 	}
-	at := slices.IndexFunc(x.node.brokers, func(c frontBroker) bool { return c.front == front })
-	if at < 0 {
+	index := slices.IndexFunc(x.node.brokers, func(b frontBroker) bool { return b.front == front })
+	if index < 0 {
 		return nil, fmt.Errorf("this instance has no front %q", front)
 	}
-	return &x.node.brokers[at], nil
+	return &x.node.brokers[index], nil
 }
 
 func (x *routeExplainer) jobOf(front string, in *schema.ExplainRouteRequest) (*routing.Job, error) {
@@ -78,7 +78,7 @@
 
 // explainTiers returns the pools in the order in which they are tried, and for each which workers could get
 // the job now and why the others could not.
-func (x *routeExplainer) explainTiers(c *frontBroker, job *routing.Job,
+func (x *routeExplainer) explainTiers(b *frontBroker, job *routing.Job,
 	d routing.Decision) (tiers []*schema.Tier) {
 	pools := []string{"any worker"}
 	if r, ok := d.Route.(*routing.Route); ok && r != nil {
@@ -89,7 +89,7 @@
 		MaxAttempts: d.MaxAttempts, Timeout: x.local.Classes[d.Class].Timeout}
 	for n, pool := range pools {
 		tier := &schema.Tier{Pool: pool, Out: map[string]string{}}
-		for worker, verdict := range c.Explain(request, n) {
+		for worker, verdict := range b.Explain(request, n) {
 			if verdict.Reason == "" {
 				tier.Left = append(tier.Left, worker)
 			} else {
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -48,13 +48,13 @@
 	}
 	c["jobs_refused_by_sessions"] = i.admission.rejected.Load()
 	c["jobs_refused_by_rates"] = i.rateLimit.rejected.Load()
-	c["occurrences_begun"] = i.schedule.begun.Load()
-	c["workers_shunned"] = uint64(i.outliers.count.Load())
+	c["occurrences_begun"] = i.schedule.submitted.Load()
+	c["workers_shunned"] = uint64(i.outliers.ejectedCount.Load())
 	return c
 }
 
 // HeldTasks implements controlapi.Host.
-func (i *Instance) HeldTasks() []leasedtask.Lease { return i.tasks.held() }
+func (i *Instance) HeldTasks() []leasedtask.Lease { return i.tasks.heldLeases() }
 
 // MemberState implements controlapi.Host.
 func (i *Instance) MemberState(member uint64) (controlapi.MemberState, bool) {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -27,34 +27,34 @@
 // parent, while the node serves. It is confined to the node's loop. A nil hotRestart means that hot restart
 // is off.
 type hotRestart struct {
-	node     *Node
-	log      logrus.FieldLogger
-	place    hotrestart.SocketPath
-	machine  *hotrestart.Machine
-	link     *hotrestart.Link    // to the other process; nil: none
-	listener *eventloop.Listener // to which a child connects; nil: not open
-	inFlight map[string]float64  // by endpoint, as last sent to the child
+	node       *Node
+	log        logrus.FieldLogger
+	socketPath hotrestart.SocketPath
+	machine    *hotrestart.Machine
+	link       *hotrestart.Link    // to the other process; nil: none
+	listener   *eventloop.Listener // to which a child connects; nil: not open
+	inFlight   map[string]float64  // by endpoint, as last sent to the child
 }
 
 var _ platform.PeerProcess = (*hotRestart)(nil)
 
 // parentProcess is what joinParent found of a process to take over from.
 type parentProcess struct {
-	place   hotrestart.SocketPath
-	offered *hotrestart.Inheritance // nil: the parent passes no state on
-	serves  bool                    // the parent serves on, and this process serves on a separate socket
+	socketPath   hotrestart.SocketPath
+	inheritance  *hotrestart.Inheritance // nil: the parent passes no state on
+	parentServes bool                    // the parent serves on, and this process serves on a separate socket
 }
 
 // joinParent looks for a process to take over from. If there is none, this process serves alone. If the
 // takeover fails, it still starts, on a separate socket.
 func joinParent(cfg *platform.Config, log logrus.FieldLogger) parentProcess {
-	p := parentProcess{place: hotrestart.SocketFor(os.Getenv("TMPDIR"), cfg.ListenAddress)}
+	p := parentProcess{socketPath: hotrestart.SocketFor(os.Getenv("TMPDIR"), cfg.ListenAddress)}
 	var err error
-	p.offered, err = p.place.Join(cfg.Name, cfg.ListenAddress)
+	p.inheritance, err = p.socketPath.Join(cfg.Name, cfg.ListenAddress)
 	switch {
 	case errors.Is(err, hotrestart.ErrNoParent):
 	case err != nil:
-		p.serves = true
+		p.parentServes = true
 		log.WithError(err).Warn("hot restart failed: serving beside the parent process")
 	default:
 		log.Info("hot restart: taking over from the parent process")
@@ -63,26 +63,28 @@
 }
 
 // openFromParent opens the platform's front with the state and the socket of the parent.
-func (n *Node) openFromParent(cfg *platform.Config, c *broker.Broker, offered *hotrestart.Inheritance) error {
-	cfg.InheritDiscovery(offered.State.DiscoveryAddress, offered.State.ConfiguredDiscovery)
-	offered.State.RebaseTimes(n.loop.Now())
-	return n.front.OpenInherited(c, offered.ListenerFD, offered.State, decodeBrokerState(offered.State))
+func (n *Node) openFromParent(cfg *platform.Config, b *broker.Broker,
+	inherited *hotrestart.Inheritance) error {
+	cfg.InheritDiscovery(inherited.State.DiscoveryAddress, inherited.State.ConfiguredDiscovery)
+	inherited.State.RebaseTimes(n.loop.Now())
+	return n.front.OpenInherited(b, inherited.ListenerFD, inherited.State, decodeBrokerState(inherited.State))
 }
 
 // startHotRestart starts the exchange with the parent, or listens for a child.
-func (n *Node) startHotRestart(p parentProcess, began time.Duration) error {
-	h := &hotRestart{node: n, log: n.log, place: p.place, machine: hotrestart.NewWithoutParent()}
+func (n *Node) startHotRestart(p parentProcess, startedAt time.Duration) error {
+	h := &hotRestart{node: n, log: n.log, socketPath: p.socketPath, machine: hotrestart.NewWithoutParent()}
 	n.hotRestart = h
-	if p.offered == nil {
+	if p.inheritance == nil {
 		h.listen()
 		return nil
 	}
-	h.machine = hotrestart.NewChild(began)
+	h.machine = hotrestart.NewChild(startedAt)
 	var err error
-	if h.link, err = hotrestart.ConnectLink(n.loop, p.offered.ConnFD, h.receive, h.disconnected); err != nil {
+	if h.link, err = hotrestart.ConnectLink(n.loop, p.inheritance.ConnFD, h.receive,
+		h.disconnected); err != nil {
 		return err
 	}
-	h.shareLimits(true)
+	h.setLimitSharing(true)
 	h.link.Send(hotrestart.Message{Type: hotrestart.TypeChildServes})
 	n.loop.After(hotrestart.ReleaseTimeout, func() {
 		if h.machine.Phase() == hotrestart.TakingOver {
@@ -106,7 +108,7 @@
 		h.listener.Close()
 	}
 	var err error
-	if h.listener, err = h.place.Listen(h.node.loop, h.accept); err != nil {
+	if h.listener, err = h.socketPath.Listen(h.node.loop, h.accept); err != nil {
 		h.log.WithError(err).Warn("hot restart not possible: its socket can't be opened")
 	}
 }
@@ -120,14 +122,14 @@
 // broker returns the platform front's broker: a node with several fronts has no hot restart.
 func (h *hotRestart) broker() *broker.Broker { return h.node.brokers[0].Broker }
 
-// shareLimits divides the node's limits between two processes, or gives this process all of them.
-func (h *hotRestart) shareLimits(two bool) {
-	var with platform.PeerProcess
+// setLimitSharing divides the node's limits between two processes, or gives this process all of them.
+func (h *hotRestart) setLimitSharing(shared bool) {
+	var peer platform.PeerProcess
 	processes := int64(1)
-	if two {
-		with, processes = h, 2
+	if shared {
+		peer, processes = h, 2
 	}
-	h.node.front.SetPeerProcess(with)
+	h.node.front.SetPeerProcess(peer)
 	debug.SetMemoryLimit(h.node.memoryLimit / processes)
 }
 
@@ -165,7 +167,7 @@
 	case hotrestart.TypeRequestsBegun:
 		h.node.front.AddPeerRequests(m.RequestIDs)
 	case hotrestart.TypeMigratedRequest:
-		h.handleJob(l, m)
+		h.adoptRequest(l, m)
 	case hotrestart.TypeInFlight:
 		h.broker().SetOtherInFlight(m.InFlight)
 	case hotrestart.TypeMaintenance:
@@ -175,7 +177,7 @@
 
 // handleHello handles a takeover request: it sends the state, or rejects the request.
 func (h *hotRestart) handleHello(l *hotrestart.Link) {
-	before := h.link
+	previous := h.link
 	for _, effect := range h.machine.Step(hotrestart.TakeoverRequested) {
 		if effect == hotrestart.RejectRequest {
 			l.Reject("the process is " + h.machine.Phase().String())
@@ -187,7 +189,7 @@
 			h.step(hotrestart.PeerLost)
 			return
 		}
-		h.shareLimits(true)
+		h.setLimitSharing(true)
 		h.node.loop.After(hotrestart.ChildServesTimeout, func() {
 			if h.link == l && h.machine.Phase() == hotrestart.Offering {
 				h.log.Warn("hot restart failed: the child process does not serve in time")
@@ -195,8 +197,8 @@
 			}
 		})
 	}
-	if before != nil && h.link != before {
-		before.Close()
+	if previous != nil && h.link != previous {
+		previous.Close()
 	}
 }
 
@@ -206,8 +208,8 @@
 	h.link.Send(hotrestart.Message{Type: hotrestart.TypeCallBackHandled, CallBackNumber: m.CallBackNumber})
 }
 
-// handleJob takes over an open request, with its client's connection.
-func (h *hotRestart) handleJob(l *hotrestart.Link, m *hotrestart.Message) {
+// adoptRequest takes over an open request, with its client's connection.
+func (h *hotRestart) adoptRequest(l *hotrestart.Link, m *hotrestart.Message) {
 	fd, ok := l.PopFD()
 	if !ok {
 		h.log.Error("hot restart: migrated request without its client's connection")
@@ -219,19 +221,19 @@
 }
 
 // handleMaintenance applies an operator's command that was given to the other process.
-func (h *hotRestart) handleMaintenance(b *hotrestart.Maintenance) {
-	for _, c := range h.node.brokers {
-		if b.Active {
-			c.StartMaintenance(b.Endpoint)
+func (h *hotRestart) handleMaintenance(m *hotrestart.Maintenance) {
+	for _, b := range h.node.brokers {
+		if m.Active {
+			b.StartMaintenance(m.Endpoint)
 		} else {
-			c.EndMaintenance(b.Endpoint)
+			b.EndMaintenance(m.Endpoint)
 		}
 	}
 }
 
 // step passes an event to the state machine and carries out its effects.
 func (h *hotRestart) step(event hotrestart.Event) {
-	before := h.machine.Phase()
+	previous := h.machine.Phase()
 	for _, effect := range h.machine.Step(event) {
 		switch effect {
 		case hotrestart.StopAccepting:
@@ -242,7 +244,7 @@
 		case hotrestart.ResumeAccepting:
 			h.node.front.ResumeAccepting()
 		case hotrestart.RestoreLimits:
-			h.shareLimits(false)
+			h.setLimitSharing(false)
 			h.broker().SetOtherInFlight(nil)
 		case hotrestart.ListenForChild:
 			h.listen()
@@ -253,8 +255,8 @@
 			}
 		}
 	}
-	if now := h.machine.Phase(); now != before {
-		h.log.WithField("phase", now.String()).Info("hot restart phase changed")
+	if phase := h.machine.Phase(); phase != previous {
+		h.log.WithField("phase", phase.String()).Info("hot restart phase changed")
 	}
 }
 
@@ -296,9 +298,9 @@
 }
 
 // sendMaintenance passes an operator's command on to the other process, because both still dispatch jobs.
-func (h *hotRestart) sendMaintenance(id string, on bool) {
+func (h *hotRestart) sendMaintenance(id string, active bool) {
 	if h != nil && h.link != nil {
 		h.link.Send(hotrestart.Message{Type: hotrestart.TypeMaintenance,
-			Maintenance: &hotrestart.Maintenance{Endpoint: id, Active: on}})
+			Maintenance: &hotrestart.Maintenance{Endpoint: id, Active: active}})
 	}
 }
--- a/internal/node/hotrestart_state.go
+++ b/internal/node/hotrestart_state.go
@@ -42,12 +42,12 @@
 func decodeBrokerState(s *hotrestart.State) broker.ProcessState {
 	p := broker.ProcessState{KnownNames: s.KnownEndpoints, UnderMaintenance: map[string]time.Duration{},
 		ReturnedFromMaintenance: map[string]broker.MaintenancePeriod{}, Balancer: s.Balancer}
-	for _, b := range s.Maintenance {
-		if b.Active {
-			p.UnderMaintenance[b.Endpoint] = b.StartedAt
+	for _, m := range s.Maintenance {
+		if m.Active {
+			p.UnderMaintenance[m.Endpoint] = m.StartedAt
 		} else {
-			p.ReturnedFromMaintenance[b.Endpoint] = broker.MaintenancePeriod{
-				Since: b.StartedAt, Ended: b.EndedAt}
+			p.ReturnedFromMaintenance[m.Endpoint] = broker.MaintenancePeriod{
+				Since: m.StartedAt, Ended: m.EndedAt}
 		}
 	}
 	return p
--- a/internal/node/instance.go
+++ b/internal/node/instance.go
@@ -77,8 +77,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go i.configurator.run(ctx)
-	err := errors.Join(i.env.node.Run(i.restart.merge(signals)), i.stop())
-	if err == nil && i.restart.restarts() {
+	err := errors.Join(i.env.node.Run(i.restart.mergeSignals(signals)), i.stop())
+	if err == nil && i.restart.shouldRestart() {
 		return ErrRestart
 	}
 	return err
--- a/internal/node/leasedtasks.go
+++ b/internal/node/leasedtasks.go
@@ -47,8 +47,8 @@
 	runs     map[string]*taskRun // by task name
 	sequence uint64              // number of this process's last command
 
-	standby       atomic.Bool // ordered by an operator
-	standbyReport sync.Mutex  // held while standby is reported to the group
+	standby   atomic.Bool // ordered by an operator
+	standbyMu sync.Mutex  // held while standby is reported to the group
 }
 
 // taskRun is the work under one lease, from its start to the release.
@@ -129,8 +129,8 @@
 	}
 }
 
-// held returns the leases that this instance holds.
-func (d *taskDriver) held() []leasedtask.Lease {
+// heldLeases returns the leases that this instance holds.
+func (d *taskDriver) heldLeases() []leasedtask.Lease {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leases
@@ -180,7 +180,7 @@
 	log := d.log.WithFields(logrus.Fields{"task": r.task, "fencing_token": r.token})
 	log.Info("lease acquired")
 	d.env.audit.write("hold %s %d", r.task, r.token)
-	err := d.workOf(r.task)(ctx, r)
+	err := d.taskFuncFor(r.task)(ctx, r)
 	reason := r.end()
 	d.env.audit.write("leave %s %d", r.task, r.token)
 	if err != nil {
@@ -216,7 +216,7 @@
 }
 
 func (d *taskDriver) holds(task string, token uint64) bool {
-	for _, lease := range d.held() {
+	for _, lease := range d.heldLeases() {
 		if lease.Task == task && lease.FencingToken == token {
 			return true
 		}
@@ -236,15 +236,15 @@
 
 // setStandby starts or ends standby on an operator's order. The group grants no leases to an instance on
 // standby, and transfers those that it holds if another instance can hold them. It does not block.
-func (d *taskDriver) setStandby(on bool) {
-	d.standby.Store(on)
+func (d *taskDriver) setStandby(standby bool) {
+	d.standby.Store(standby)
 	go d.reportStandby()
 }
 
 func (d *taskDriver) reportStandby() {
 	// Concurrent calls may arrive here in a different order, so each reports the newest state.
-	d.standbyReport.Lock()
-	defer d.standbyReport.Unlock()
+	d.standbyMu.Lock()
+	defer d.standbyMu.Unlock()
 	ctx, stop := context.WithTimeout(context.Background(), transferTimeout)
 	defer stop()
 	if err := d.env.runner.SetDeparting(ctx, d.standby.Load()); err != nil {
@@ -272,7 +272,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), transferTimeout)
 	defer stop()
 	d.drain()
-	for len(d.held()) > 0 && ctx.Err() == nil {
+	for len(d.heldLeases()) > 0 && ctx.Err() == nil {
 		time.Sleep(transferPollInterval)
 	}
 	close(d.closing)
@@ -280,8 +280,8 @@
 	return nil
 }
 
-// workOf returns the work of a task.
-func (d *taskDriver) workOf(task string) taskFunc {
+// taskFuncFor returns the work of a task.
+func (d *taskDriver) taskFuncFor(task string) taskFunc {
 	var n int
 	if _, err := fmt.Sscanf(task, leasedtask.DrillTaskFormat, &n); err == nil {
 		return d.drill
--- a/internal/node/leasedtasks_test.go
+++ b/internal/node/leasedtasks_test.go
@@ -32,10 +32,10 @@
 	env, _ := testEnvironment(t)
 	known := func(context.Context, *taskRun) error { return nil }
 	d := newTaskDriver(env, map[string]taskFunc{"known": known})
-	if err := d.workOf("known")(t.Context(), nil); err != nil {
+	if err := d.taskFuncFor("known")(t.Context(), nil); err != nil {
 		t.Error(err)
 	}
-	if err := d.workOf("other")(t.Context(), nil); err == nil {
+	if err := d.taskFuncFor("other")(t.Context(), nil); err == nil {
 		t.Error("an unknown task succeeded")
 	}
 }
--- a/internal/node/listfollower.go
+++ b/internal/node/listfollower.go
@@ -30,12 +30,12 @@
 // listFollower receives the endpoint list from the instance that relays it, and polls discovery directly
 // while that fails. Its work is done by the goroutine of run, which ends with close.
 type listFollower struct {
-	env    *environment
-	log    logrus.FieldLogger
-	rules  *listrelay.Subscriber
-	polls  bool // this instance polls discovery directly
-	cancel context.CancelFunc
-	closed chan struct{} // closed once run has ended
+	env        *environment
+	log        logrus.FieldLogger
+	subscriber *listrelay.Subscriber
+	polling    bool // this instance polls discovery directly
+	cancel     context.CancelFunc
+	closed     chan struct{} // closed once run has ended
 }
 
 // relay is the instance that relays the list, with the fencing token of its lease.
@@ -45,8 +45,9 @@
 }
 
 func newListFollower(env *environment) *listFollower {
-	return &listFollower{env: env, log: env.component("listrelay"), polls: true, closed: make(chan struct{}),
-		rules: listrelay.NewSubscriber(consensus.BootTime(), rand.Float64())}
+	return &listFollower{env: env, log: env.component("listrelay"), polling: true,
+		closed:     make(chan struct{}),
+		subscriber: listrelay.NewSubscriber(consensus.BootTime(), rand.Float64())}
 }
 
 // start starts the follower's goroutine; close ends it.
@@ -67,13 +68,13 @@
 	for ctx.Err() == nil {
 		from, ok := f.currentRelay(ctx)
 		if ok {
-			f.rules.ObserveFencingToken(from.token)
+			f.subscriber.ObserveFencingToken(from.token)
 			// subscribe also returns when the relay has sent nothing for too long.
 			err := f.subscribe(ctx, from)
 			f.log.WithError(err).WithField("instance", from.Name).
 				Debug("subscription to the endpoint list ended")
 		}
-		f.fallBack(ctx, !ok)
+		f.fallBackToPolling(ctx, !ok)
 		select {
 		case <-ctx.Done():
 		case <-time.After(resubscribeBackoff):
@@ -81,14 +82,15 @@
 	}
 }
 
-// fallBack returns to polling discovery directly when that is due: at once if no instance relays the list.
-func (f *listFollower) fallBack(ctx context.Context, noRelay bool) {
-	if f.polls || !noRelay && !f.rules.ShouldPoll(consensus.BootTime()) {
+// fallBackToPolling returns to polling discovery directly when that is due: at once if no instance relays the
+// list.
+func (f *listFollower) fallBackToPolling(ctx context.Context, noRelay bool) {
+	if f.polling || !noRelay && !f.subscriber.ShouldPoll(consensus.BootTime()) {
 		return
 	}
-	f.rules.Invalidate()
+	f.subscriber.Invalidate()
 	if f.env.onLoop(ctx, func() { f.env.node.front.SetFedByPeer(false) }) == nil {
-		f.polls = true
+		f.polling = true
 		f.log.Info("polling discovery directly")
 	}
 }
@@ -137,26 +139,26 @@
 }
 
 func (f *listFollower) receive(ctx context.Context, from relay, update listrelay.EndpointListUpdate) error {
-	accepted, err := f.rules.Receive(consensus.BootTime(), update)
-	if err != nil || !accepted && !f.polls {
+	accepted, err := f.subscriber.Receive(consensus.BootTime(), update)
+	if err != nil || !accepted && !f.polling {
 		return err
 	}
-	if bad := f.env.onLoop(ctx, func() {
+	if loopErr := f.env.onLoop(ctx, func() {
 		if accepted {
 			err = f.env.node.front.ApplyList(update.Payload)
 		}
 		if err == nil {
 			f.env.node.front.SetFedByPeer(true)
 		}
-	}); bad != nil {
-		f.rules.Invalidate()
-		return bad // the function posted to the loop may still write err
+	}); loopErr != nil {
+		f.subscriber.Invalidate()
+		return loopErr // the function posted to the loop may still write err
 	}
 	if err != nil {
-		f.rules.Invalidate()
+		f.subscriber.Invalidate()
 		return err
 	}
-	if f.polls = false; update.Complete {
+	if f.polling = false; update.Complete {
 		f.log.WithFields(logrus.Fields{"instance": from.Name, "generation": update.Generation}).
 			Info("endpoint list received from another instance")
 	}
--- a/internal/node/listrelay.go
+++ b/internal/node/listrelay.go
@@ -29,7 +29,7 @@
 	stale       atomic.Bool // this instance's own watch of discovery is down
 	mu          sync.Mutex
 	run         *taskRun // of the task; nil: its lease is not held here
-	relay       listrelay.Publisher
+	publisher   listrelay.Publisher
 	subscribers map[chan listrelay.EndpointListUpdate]bool
 }
 
@@ -40,7 +40,7 @@
 // runTask implements taskFunc: it publishes what discovery sends to this instance.
 func (s *listServer) runTask(ctx context.Context, r *taskRun) error {
 	s.mu.Lock()
-	s.run, s.relay = r, listrelay.Publisher{}
+	s.run, s.publisher = r, listrelay.Publisher{}
 	s.mu.Unlock()
 	s.stale.Store(true) // until discovery has sent something
 	front := s.env.node.front
@@ -91,13 +91,13 @@
 
 // publish sends discovery's text to the subscribers. It is called on the loop and never blocks: a subscriber
 // that is too slow is dropped.
-func (s *listServer) publish(generation int64, whole bool, text []byte) {
+func (s *listServer) publish(generation int64, complete bool, payload []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.run == nil {
 		return
 	}
-	update := s.relay.Publish(generation, whole, append([]byte{}, text...))
+	update := s.publisher.Publish(generation, complete, append([]byte{}, payload...))
 	update.FencingToken = s.run.token
 	for c := range s.subscribers {
 		select {
@@ -111,10 +111,10 @@
 
 // subscription is another instance's subscription to the endpoint list.
 type subscription struct {
-	server  *listServer
-	run     *taskRun
-	updates chan listrelay.EndpointListUpdate
-	newest  int64 // the last generation that was sent
+	server         *listServer
+	run            *taskRun
+	updates        chan listrelay.EndpointListUpdate
+	lastGeneration int64 // the last generation that was sent
 }
 
 // serve sends another instance the list and its changes until this instance stops relaying it. It is called
@@ -134,9 +134,9 @@
 	var first listrelay.EndpointListUpdate
 	var err error
 	// The list is read and the subscription registered in one turn, so that no change in between is missed.
-	if bad := s.env.onLoop(ctx, func() { first, err = s.register(sub) }); bad != nil {
+	if loopErr := s.env.onLoop(ctx, func() { first, err = s.register(sub) }); loopErr != nil {
 		// The function posted to the loop may still write first and err.
-		return nil, listrelay.EndpointListUpdate{}, bad
+		return nil, listrelay.EndpointListUpdate{}, loopErr
 	}
 	return sub, first, err
 }
@@ -177,7 +177,7 @@
 		if err := send(encodeListUpdate(update)); err != nil {
 			return err
 		}
-		sub.newest = update.Generation
+		sub.lastGeneration = update.Generation
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -186,8 +186,8 @@
 			if sub.server.stale.Load() {
 				return errNotRelayed
 			}
-			update = listrelay.EndpointListUpdate{FencingToken: sub.run.token, Generation: sub.newest,
-				PreviousGeneration: sub.newest}
+			update = listrelay.EndpointListUpdate{FencingToken: sub.run.token, Generation: sub.lastGeneration,
+				PreviousGeneration: sub.lastGeneration}
 		}
 	}
 }
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -178,10 +178,10 @@
 		m.logEvents(m.detector.PopEvents())
 	}
 	m.mu.Lock()
-	same := sameStates(m.states, states)
+	unchanged := sameStates(m.states, states)
 	m.states = states
 	m.mu.Unlock()
-	if !same {
+	if !unchanged {
 		m.sequence++
 		m.env.runner.NotifyParticipant(leasedtask.Section, leasedtask.Suspicions{Sequence: m.sequence,
 			Members: suspected(states)})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -56,17 +56,17 @@
 	*broker.Broker
 	front string         // the front's name
 	table *routing.Table // the front's routing rules; nil: none
-	// fit adapts the node's settings to the front.
-	fit func(balancer.Settings) balancer.Settings
+	// adaptSettings adapts the node's settings to the front.
+	adaptSettings func(balancer.Settings) balancer.Settings
 	// configureFront, if set, is called with settings that the broker has applied.
 	configureFront func(balancer.Settings)
 	setRoutes      func(*routing.Table)
 }
 
-// route sets the front's routing rules.
-func (c *frontBroker) route(t *routing.Table) {
-	c.table = t
-	c.setRoutes(t)
+// applyRoutes sets the front's routing rules.
+func (b *frontBroker) applyRoutes(t *routing.Table) {
+	b.table = t
+	b.setRoutes(t)
 }
 
 // clock adapts the loop's clock to broker.Clock.
@@ -78,26 +78,26 @@
 // New builds a node and opens its fronts. Nothing is served until Run is called.
 func New(o Options) (*Node, error) {
 	cfg := o.Platform
-	set, err := cfg.Settings.Balancer()
+	settings, err := cfg.Settings.Balancer()
 	if err != nil {
 		return nil, err
 	}
-	memoryLimit := limitProcess(o)
+	memoryLimit := setProcessLimits(o)
 	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{loop: loop, log: o.Log, memoryLimit: memoryLimit}
-	if err := n.openPlatform(o, set); err != nil {
+	if err := n.openPlatform(o, settings); err != nil {
 		return nil, err
 	}
 	n.drain = n.front.BeginShutdown
 	if o.Faktory != nil {
-		other, err := n.openFaktory(o, set)
+		faktoryFront, err := n.openFaktory(o, settings)
 		if err != nil {
 			return nil, err
 		}
-		n.drain = func(done func()) { other.Drain(func() { n.front.BeginShutdown(done) }) }
+		n.drain = func(done func()) { faktoryFront.Drain(func() { n.front.BeginShutdown(done) }) }
 	}
 	if cfg.AdminAddress != "" {
 		if _, err := adminproto.Listen(loop, cfg.AdminAddress, adminCommands{n}); err != nil {
@@ -108,8 +108,8 @@
 	return n, nil
 }
 
-// limitProcess sets GOMAXPROCS and the garbage collector's memory limit, which it returns in bytes.
-func limitProcess(o Options) (memoryLimit int64) {
+// setProcessLimits sets GOMAXPROCS and the garbage collector's memory limit, which it returns in bytes.
+func setProcessLimits(o Options) (memoryLimit int64) {
 	// One goroutine does all the work of the fronts.
 	runtime.GOMAXPROCS(max(o.MaxProcs, 1))
 	// At 60% of the memory limit, beyond which the node is killed, the collector starts to work harder.
@@ -120,44 +120,45 @@
 
 // openPlatform opens the platform's front. If a parent process passes its state on, the front takes over from
 // it.
-func (n *Node) openPlatform(o Options, set balancer.Settings) error {
-	cfg, began := o.Platform, n.loop.Now()
+func (n *Node) openPlatform(o Options, settings balancer.Settings) error {
+	cfg, startedAt := o.Platform, n.loop.Now()
 	restartable := cfg.HotRestartEnabled() && o.Faktory == nil
 	var p parentProcess
 	if restartable {
 		p = joinParent(cfg, o.Log)
 	}
 	if o.Faktory != nil {
-		limitFaktory(o)
+		boundFaktoryLimits(o)
 	}
 	n.front = platform.New(n.loop, cfg, o.Log)
-	c, err := broker.New(set, cfg.SeedValue(), clock{n.loop}, n.front.EndpointSource(), o.Log)
+	b, err := broker.New(settings, cfg.SeedValue(), clock{n.loop}, n.front.EndpointSource(), o.Log)
 	if err != nil {
 		return err
 	}
-	c.SetAdmissionController(o.Admission)
-	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontHTTP,
-		setRoutes: n.front.SetRoutes, fit: func(s balancer.Settings) balancer.Settings { return s }})
-	if p.offered == nil {
-		err = n.front.Open(c)
+	b.SetAdmissionController(o.Admission)
+	n.brokers = append(n.brokers, frontBroker{Broker: b, front: routing.FrontHTTP,
+		setRoutes:     n.front.SetRoutes,
+		adaptSettings: func(s balancer.Settings) balancer.Settings { return s }})
+	if p.inheritance == nil {
+		err = n.front.Open(b)
 	} else {
-		err = n.openFromParent(cfg, c, p.offered)
+		err = n.openFromParent(cfg, b, p.inheritance)
 	}
 	if err != nil {
 		return err
 	}
-	if p.serves {
+	if p.parentServes {
 		n.front.ExpectUnknownPeer()
 	}
 	if restartable {
-		return n.startHotRestart(p, began)
+		return n.startHotRestart(p, startedAt)
 	}
 	return nil
 }
 
-// limitFaktory bounds the Faktory front's share of the node's sockets and memory: its configuration file may
-// allow more than the node has.
-func limitFaktory(o Options) {
+// boundFaktoryLimits bounds the Faktory front's share of the node's sockets and memory: its configuration
+// file may allow more than the node has.
+func boundFaktoryLimits(o Options) {
 	limits := &o.Platform.Limits
 	o.Faktory.MaxConnections = min(o.Faktory.MaxConnections, limits.Sockets/4)
 	o.Faktory.MaxJobBytes = min(o.Faktory.MaxJobBytes, int(limits.MemoryMB<<20/4))
@@ -166,23 +167,23 @@
 
 // openFaktory opens the Faktory front. It has a separate endpoint list and therefore a separate broker:
 // workers of one protocol can't run jobs of the other.
-func (n *Node) openFaktory(o Options, set balancer.Settings) (*faktory.Front, error) {
-	set = faktory.AdaptSettings(set)
+func (n *Node) openFaktory(o Options, settings balancer.Settings) (*faktory.Front, error) {
+	settings = faktory.AdaptSettings(settings)
 	log := n.log.WithField("front", routing.FrontFaktory)
-	front, err := faktory.New(n.loop, o.Faktory, set, log)
+	front, err := faktory.New(n.loop, o.Faktory, settings, log)
 	if err != nil {
 		return nil, err
 	}
-	c, err := broker.New(set, o.Platform.SeedValue(), clock{n.loop}, nil, log)
+	b, err := broker.New(settings, o.Platform.SeedValue(), clock{n.loop}, nil, log)
 	if err != nil {
 		return nil, err
 	}
-	c.SetAdmissionController(o.Admission)
-	if err := front.Open(c); err != nil {
+	b.SetAdmissionController(o.Admission)
+	if err := front.Open(b); err != nil {
 		return nil, err
 	}
-	n.brokers = append(n.brokers, frontBroker{Broker: c, front: routing.FrontFaktory,
-		fit:            faktory.AdaptSettings,
+	n.brokers = append(n.brokers, frontBroker{Broker: b, front: routing.FrontFaktory,
+		adaptSettings:  faktory.AdaptSettings,
 		configureFront: front.ApplySettings, setRoutes: front.SetRoutingTable})
 	log.WithField("address", o.Faktory.Listen).Info("serving")
 	return front, nil
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	if err := i.readLocal(platformConfig); err != nil {
+	if err := i.readLocalConfig(platformConfig); err != nil {
 		return err
 	}
 	i.env.network = transport.New(certificates, i.cfg.Name, i.cfg.Peers.Advertise, i.cfg.Peers.From,
@@ -41,7 +41,7 @@
 	if err := i.openNode(platformConfig, faktoryConfig); err != nil {
 		return err
 	}
-	i.makeDrivers()
+	i.createDrivers()
 	if err := i.applyCommitted(); err != nil {
 		return err
 	}
@@ -63,9 +63,9 @@
 	return certificates, nil
 }
 
-// readLocal reads this instance's own settings and checks its routing rules. The fronts run them until the
-// group has agreed on a configuration.
-func (i *Instance) readLocal(cfg *platform.Config) error {
+// readLocalConfig reads this instance's own settings and checks its routing rules. The fronts run them until
+// the group has agreed on a configuration.
+func (i *Instance) readLocalConfig(cfg *platform.Config) error {
 	local, err := cfg.Settings.Balancer()
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 		OnStage:        i.configurator.changeProposed,
 		OnPermit:       i.admission.permitChanged,
 		OnClusterView:  i.configurator.clusterChanged,
-		OnNotification: i.notified})
+		OnNotification: i.dispatchNotification})
 	if err != nil {
 		return err
 	}
@@ -138,8 +138,8 @@
 	return err
 }
 
-// makeDrivers creates the drivers, which need the node and the runner.
-func (i *Instance) makeDrivers() {
+// createDrivers creates the drivers, which need the node and the runner.
+func (i *Instance) createDrivers() {
 	i.rateLimit = newRateLimitDriver(i.env, i.names)
 	i.schedule = newScheduleDriver(i.env, i.names, i.zones)
 	i.membership = newMembershipDriver(i.env)
--- a/internal/node/outliers.go
+++ b/internal/node/outliers.go
@@ -23,16 +23,16 @@
 // other, and eject a worker that several of them have seen fail. All but the counter is confined to the
 // node's loop. Each front has separate workers and observations; only the platform front's are reported.
 type outlierDriver struct {
-	env      *environment
-	log      logrus.FieldLogger
-	enabled  bool
-	reported bool // the last message contained reports
-	session  placement.Session
-	view     placement.View
-	quorum   *placement.OutlierQuorum
-	ejected  map[string]bool
-	count    atomic.Int64 // number of ejected workers
-	timer    *eventloop.Timer
+	env            *environment
+	log            logrus.FieldLogger
+	enabled        bool
+	lastHadReports bool // the last message contained reports
+	session        placement.Session
+	view           placement.View
+	quorum         *placement.OutlierQuorum
+	ejected        map[string]bool
+	ejectedCount   atomic.Int64 // number of ejected workers
+	timer          *eventloop.Timer
 }
 
 func newOutlierDriver(env *environment) *outlierDriver {
@@ -111,8 +111,8 @@
 	o.timer = o.env.loop().After(outlierReportInterval, o.tick)
 	now := consensus.BootTime()
 	// An empty message after the last report withdraws it.
-	if reports := o.quorum.Reports(now); len(reports) > 0 || o.reported {
-		o.reported = len(reports) > 0
+	if reports := o.quorum.Reports(now); len(reports) > 0 || o.lastHadReports {
+		o.lastHadReports = len(reports) > 0
 		o.send(reports)
 	}
 	var listed []string
@@ -140,7 +140,7 @@
 		return
 	}
 	o.ejected = workers
-	o.count.Store(int64(len(workers)))
+	o.ejectedCount.Store(int64(len(workers)))
 	o.broker().SetEjected(workers)
 	o.env.audit.write("shuns %d", len(workers))
 	o.log.WithFields(logrus.Fields{"count": len(workers), "worker": slices.Sorted(maps.Keys(workers))}).
--- a/internal/node/preview.go
+++ b/internal/node/preview.go
@@ -48,23 +48,23 @@
 }
 
 // previewOwners returns how a document's weights would change ownership among the instances of a view.
-func previewOwners(d *clusterstate.Document, now placement.View) (lines []string) {
-	then := placement.View{Members: slices.Clone(now.Members)}
+func previewOwners(d *clusterstate.Document, current placement.View) (lines []string) {
+	proposed := placement.View{Members: slices.Clone(current.Members)}
 	byName, _ := weights.Parse(d.Sections[weights.Section])
-	for k := range then.Members {
-		m := &then.Members[k]
+	for k := range proposed.Members {
+		m := &proposed.Members[k]
 		m.Weight = byName[m.Name]
 		delete(byName, m.Name)
 	}
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		lines = append(lines, fmt.Sprintf("weight.%s: no instance of that name has a session now", name))
 	}
-	if slices.Equal(now.Members, then.Members) {
+	if slices.Equal(current.Members, proposed.Members) {
 		return lines
 	}
-	before, after := placement.NewTable(now), placement.NewTable(then)
+	before, after := placement.NewTable(current), placement.NewTable(proposed)
 	ownedBefore, ownedAfter := before.OwnedFractions(), after.OwnedFractions()
-	for _, m := range then.Members {
+	for _, m := range proposed.Members {
 		lines = append(lines, fmt.Sprintf("%s owns %.0f%% of accounts and triggers, %.0f%% now", m.Name,
 			100*ownedAfter[m.Member], 100*ownedBefore[m.Member]))
 	}
@@ -74,28 +74,28 @@
 // previewTriggers returns the next occurrences of each trigger.
 func previewTriggers(d *clusterstate.Document, zones *calendar.ZoneDB, from time.Time) ([]string, error) {
 	p := schedulePolicy(d)
-	plans, err := p.Recurrences(zones)
-	if err != nil || len(plans) == 0 {
+	recurrences, err := p.Recurrences(zones)
+	if err != nil || len(recurrences) == 0 {
 		return nil, err
 	}
 	lines := []string{fmt.Sprintf("zone rules here: zones = \"%016x\"", zones.RulesVersion(p.ZoneNames()))}
-	for k, plan := range plans[:min(len(plans), maxPreviewNames)] {
-		lines = append(lines, previewTrigger(&p.Triggers[k], plan, from))
+	for k, recurrence := range recurrences[:min(len(recurrences), maxPreviewNames)] {
+		lines = append(lines, previewTrigger(&p.Triggers[k], recurrence, from))
 	}
-	if n := len(plans) - maxPreviewNames; n > 0 {
+	if n := len(recurrences) - maxPreviewNames; n > 0 {
 		lines = append(lines, fmt.Sprintf("and %d more", n))
 	}
 	return lines, nil
 }
 
-func previewTrigger(t *schedule.Trigger, plan *calendar.Recurrence, from time.Time) string {
+func previewTrigger(t *schedule.Trigger, recurrence *calendar.Recurrence, from time.Time) string {
 	if t.Paused {
 		return t.Name + ": paused"
 	}
 	line := t.Name + " (" + t.Zone + "):"
 	at := from.Unix()
 	for range previewOccurrences {
-		o, ok := plan.Next(at)
+		o, ok := recurrence.Next(at)
 		if !ok {
 			break
 		}
--- a/internal/node/ratelimit.go
+++ b/internal/node/ratelimit.go
@@ -31,17 +31,17 @@
 // accounts that it owns. All but the counter is confined to the node's loop: a job is admitted, and tokens
 // are granted, in the turn in which the clock was read.
 type rateLimitDriver struct {
-	env       *environment
-	log       logrus.FieldLogger
-	names     routing.KnownNames // of classes and tenants, by index
-	limiter   *ratelimit.Limiter
-	authority *ratelimit.Authority
-	table     *placement.Table
-	view      consensus.ClusterView
-	session   placement.Session // this instance's, as of the table
-	timer     *eventloop.Timer
-	rejected  atomic.Uint64
-	recent    rejections
+	env              *environment
+	log              logrus.FieldLogger
+	names            routing.KnownNames // of classes and tenants, by index
+	limiter          *ratelimit.Limiter
+	authority        *ratelimit.Authority
+	table            *placement.Table
+	view             consensus.ClusterView
+	session          placement.Session // this instance's, as of the table
+	timer            *eventloop.Timer
+	rejected         atomic.Uint64
+	recentRejections rejections
 }
 
 // rejections counts rejected jobs by bucket since the last log line.
@@ -53,7 +53,7 @@
 func newRateLimitDriver(env *environment, names routing.KnownNames) *rateLimitDriver {
 	return &rateLimitDriver{env: env, log: env.component("ratelimit"), names: names,
 		authority: ratelimit.NewAuthority(), limiter: ratelimit.NewLimiter(consensus.BootTime()),
-		recent: rejections{byKey: map[ratelimit.Key]uint64{}}}
+		recentRejections: rejections{byKey: map[ratelimit.Key]uint64{}}}
 }
 
 // rateLimitPolicy parses the section of a validated document.
@@ -158,7 +158,7 @@
 		return broker.Rejection{}, true
 	}
 	r.rejected.Add(1)
-	r.recent.add(rejection.Key)
+	r.recentRejections.add(rejection.Key)
 	return broker.Rejection{Reason: fmt.Sprintf("account %q has used its rate", rejection.Key),
 		RetryAfter: rejection.RetryAfter}, false
 }
@@ -191,8 +191,8 @@
 	if now < r.view.ExpiresAt {
 		r.sendGrants(now)
 	}
-	if now-r.recent.logged > rejectionLogInterval {
-		r.recent.log(now, r.log)
+	if now-r.recentRejections.logged > rejectionLogInterval {
+		r.recentRejections.log(now, r.log)
 	}
 }
 
@@ -207,19 +207,19 @@
 	if len(r.byKey) == 0 {
 		return
 	}
-	most, sum := r.summary()
-	log.WithFields(logrus.Fields{"count": sum, "accounts": len(r.byKey), "account": most.String(),
-		"account_count": r.byKey[most]}).Info("jobs are rejected by rate limits")
+	top, total := r.summary()
+	log.WithFields(logrus.Fields{"count": total, "accounts": len(r.byKey), "account": top.String(),
+		"account_count": r.byKey[top]}).Info("jobs are rejected by rate limits")
 	clear(r.byKey)
 	r.logged = now
 }
 
 // summary returns the bucket with the most rejections, and the total of all buckets.
-func (r *rejections) summary() (most ratelimit.Key, sum uint64) {
+func (r *rejections) summary() (top ratelimit.Key, total uint64) {
 	for k, n := range r.byKey {
-		if sum += n; n > r.byKey[most] {
-			most = k
+		if total += n; n > r.byKey[top] {
+			top = k
 		}
 	}
-	return most, sum
+	return top, total
 }
--- a/internal/node/ratelimit_messages.go
+++ b/internal/node/ratelimit_messages.go
@@ -166,8 +166,8 @@
 
 func decodeTransfer(from placement.Session, m *schema.RateCession) *ratelimit.Transfer {
 	t := &ratelimit.Transfer{From: from, View: m.View, Shards: map[int]ratelimit.TransferredShard{}}
-	for shard, lent := range m.Shards {
-		t.Shards[int(shard)] = ratelimit.TransferredShard{FilledFor: time.Duration(lent)}
+	for shard, filledFor := range m.Shards {
+		t.Shards[int(shard)] = ratelimit.TransferredShard{FilledFor: time.Duration(filledFor)}
 	}
 	for _, b := range m.Books {
 		t.Buckets = append(t.Buckets, decodeBucket(b))
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -28,14 +28,14 @@
 // but the loop's.
 func (n *Node) ValidateConfig(c RuntimeConfig) error {
 	done := make(chan error, 1)
-	n.loop.Post(func() { done <- n.checkConfig(c) })
+	n.loop.Post(func() { done <- n.validateConfig(c) })
 	return <-done
 }
 
-// checkConfig is ValidateConfig for callers on the loop, or before the loop runs.
-func (n *Node) checkConfig(cfg RuntimeConfig) error {
-	for _, c := range n.brokers {
-		if err := c.CanConfigure(c.fit(cfg.Settings)); err != nil {
+// validateConfig is ValidateConfig for callers on the loop, or before the loop runs.
+func (n *Node) validateConfig(cfg RuntimeConfig) error {
+	for _, b := range n.brokers {
+		if err := b.CanConfigure(b.adaptSettings(cfg.Settings)); err != nil {
 			return fmt.Errorf("the settings can't be taken over: %w", err)
 		}
 	}
@@ -44,17 +44,17 @@
 
 // configure is Configure for callers on the loop, or before the loop runs.
 func (n *Node) configure(cfg RuntimeConfig) error {
-	if err := n.checkConfig(cfg); err != nil {
+	if err := n.validateConfig(cfg); err != nil {
 		return err
 	}
 	for i := range n.brokers {
-		c := &n.brokers[i]
-		set := c.fit(cfg.Settings)
-		c.Configure(set)
-		if c.configureFront != nil {
-			c.configureFront(set)
+		b := &n.brokers[i]
+		settings := b.adaptSettings(cfg.Settings)
+		b.Configure(settings)
+		if b.configureFront != nil {
+			b.configureFront(settings)
 		}
-		c.route(cfg.Routes)
+		b.applyRoutes(cfg.Routes)
 	}
 	if cfg.OnApplied != nil {
 		cfg.OnApplied()
--- a/internal/node/rollingrestart.go
+++ b/internal/node/rollingrestart.go
@@ -68,16 +68,16 @@
 func (t *restartTask) survey(ctx context.Context) ([]rollingrestart.InstanceStatus, error) {
 	st := t.env.runner.Status()
 	var observed []rollingrestart.InstanceStatus
-	var newest uint64
+	var currentRevision uint64
 	err := t.env.runner.View(ctx, func(s *clusterstate.State) {
-		newest = s.CurrentRevision().Number
+		currentRevision = s.CurrentRevision().Number
 		for _, m := range st.Members {
-			one := rollingrestart.InstanceStatus{Member: m.ID, Name: m.Name, Voter: m.Voter,
+			instance := rollingrestart.InstanceStatus{Member: m.ID, Name: m.Name, Voter: m.Voter,
 				RestartLast: m.ID == st.ID || m.ID == st.Leader}
 			if x := s.Rollout().Sessions[m.ID]; x.Open {
-				one.Incarnation = x.Incarnation
+				instance.Incarnation = x.Incarnation
 			}
-			observed = append(observed, one)
+			observed = append(observed, instance)
 		}
 	})
 	if err != nil {
@@ -87,30 +87,31 @@
 	defer stop()
 	var calls sync.WaitGroup
 	for n := range observed {
-		calls.Go(func() { t.describe(ctx, st.Members[n].Member, newest, &observed[n]) })
+		calls.Go(func() { t.describe(ctx, st.Members[n].Member, currentRevision, &observed[n]) })
 	}
 	calls.Wait()
 	return observed, nil
 }
 
 // describe requests the description of an instance, and completes its status.
-func (t *restartTask) describe(ctx context.Context, m clusterstate.Member, newest uint64,
-	o *rollingrestart.InstanceStatus) {
+func (t *restartTask) describe(ctx context.Context, m clusterstate.Member, currentRevision uint64,
+	observed *rollingrestart.InstanceStatus) {
 	d, err := t.env.network.Describe(ctx, m)
 	if err != nil {
-		o.Reason = "it does not answer: " + status.Convert(err).Message()
+		observed.Reason = "it does not answer: " + status.Convert(err).Message()
 		return
 	}
-	o.Zone = d.Zone
+	observed.Zone = d.Zone
 	switch {
-	case o.Incarnation == 0:
-		o.Reason = "it has no session"
-	case d.Life != o.Incarnation:
-		o.Reason = "its process has no session yet"
-	case d.Running != newest:
-		o.Reason = fmt.Sprintf("its fronts run revision %d, and %d is in force", d.Running, newest)
+	case observed.Incarnation == 0:
+		observed.Reason = "it has no session"
+	case d.Life != observed.Incarnation:
+		observed.Reason = "its process has no session yet"
+	case d.Running != currentRevision:
+		observed.Reason = fmt.Sprintf("its fronts run revision %d, and %d is in force", d.Running,
+			currentRevision)
 	default:
-		o.Reason = d.Why
+		observed.Reason = d.Why
 	}
-	o.Healthy = o.Reason == ""
+	observed.Healthy = observed.Reason == ""
 }
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -26,22 +26,22 @@
 
 // checkRoutes validates RoutesSection and returns its problems.
 func checkRoutes(d *clusterstate.Document, values map[string]string) []string {
-	var wrong []string
+	var problems []string
 	for key := range values {
 		if key != routesKey {
-			wrong = append(wrong, fmt.Sprintf("%q is no key of this section; toml is", key))
+			problems = append(problems, fmt.Sprintf("%q is no key of this section; toml is", key))
 		}
 	}
-	slices.Sort(wrong)
+	slices.Sort(problems)
 	names := routing.KnownNames{Classes: classNames(d), Tenants: tenantNames(d)}
 	f, err := routing.Parse(RoutesSection, []byte(values[routesKey]))
 	if err == nil {
 		_, _, err = routing.Compile(f, names)
 	}
 	if err != nil {
-		wrong = append(wrong, err.Error())
+		problems = append(problems, err.Error())
 	}
-	return wrong
+	return problems
 }
 
 // routeRules compiles routing rules for this instance.
--- a/internal/node/schedule.go
+++ b/internal/node/schedule.go
@@ -35,31 +35,31 @@
 // to fire. All but the counter is confined to the node's loop: an occurrence is fired in the turn in which
 // the clock was read.
 type scheduleDriver struct {
-	env      *environment
-	log      logrus.FieldLogger
-	names    routing.KnownNames // of classes and tenants, by index
-	zones    *calendar.ZoneDB
-	policy   *schedule.Policy
-	deadline map[string]time.Duration // by class
-	view     consensus.ClusterView
-	clock    schedule.ClusterClock
-	pending  map[uint64]*occurrence  // by number, until the outcome is known
-	queue    []*occurrence           // to be fired, in order
-	outcomes []schedule.FiringResult // to be passed to the runner
-	begun    atomic.Uint64
-	woken    bool   // a turn is scheduled
-	draining bool   // in graceful shutdown: occurrences that were not fired are released
-	drained  func() // called once when nothing is pending; nil: nobody waits
+	env           *environment
+	log           logrus.FieldLogger
+	names         routing.KnownNames // of classes and tenants, by index
+	zones         *calendar.ZoneDB
+	policy        *schedule.Policy
+	deadline      map[string]time.Duration // by class
+	view          consensus.ClusterView
+	clock         schedule.ClusterClock
+	pending       map[uint64]*occurrence  // by number, until the outcome is known
+	queue         []*occurrence           // to be fired, in order
+	outcomes      []schedule.FiringResult // to be passed to the runner
+	submitted     atomic.Uint64
+	turnScheduled bool   // a turn is scheduled
+	draining      bool   // in graceful shutdown: occurrences that were not fired are released
+	onDrained     func() // called once when nothing is pending; nil: nobody waits
 }
 
 // occurrence is an occurrence that this instance must fire, until its outcome is known. It is the broker's
 // client for the job.
 type occurrence struct {
 	schedule.Firing
-	driver   *scheduleDriver
-	open     bool          // the broker has the job
-	notUntil time.Duration // on the boot clock
-	attempts int
+	driver    *scheduleDriver
+	open      bool          // the broker has the job
+	notBefore time.Duration // on the boot clock
+	attempts  int
 }
 
 func newScheduleDriver(env *environment, names routing.KnownNames, zones *calendar.ZoneDB) *scheduleDriver {
@@ -134,35 +134,35 @@
 }
 
 // fire queues occurrences for this instance to fire. It is called on the runner's goroutine.
-func (s *scheduleDriver) fire(items []schedule.Firing) {
+func (s *scheduleDriver) fire(firings []schedule.Firing) {
 	s.env.loop().Post(func() {
-		for _, item := range items {
-			s.enqueue(item)
+		for _, firing := range firings {
+			s.enqueue(firing)
 		}
 		s.run()
 	})
 }
 
-func (s *scheduleDriver) enqueue(item schedule.Firing) {
-	o := s.pending[item.Number]
+func (s *scheduleDriver) enqueue(firing schedule.Firing) {
+	o := s.pending[firing.Number]
 	if o == nil {
 		o = &occurrence{driver: s}
-		s.pending[item.Number] = o
+		s.pending[firing.Number] = o
 		s.queue = append(s.queue, o)
 	}
 	// If a session expired while the job was open, this instance's next session may have taken the occurrence
 	// over. The open job then remains its only one.
-	o.Firing = item
+	o.Firing = firing
 }
 
 // wake schedules a turn if there is work and no turn is scheduled.
 func (s *scheduleDriver) wake(after time.Duration) {
-	if len(s.queue) == 0 && len(s.outcomes) == 0 || s.woken {
+	if len(s.queue) == 0 && len(s.outcomes) == 0 || s.turnScheduled {
 		return
 	}
-	s.woken = true
+	s.turnScheduled = true
 	s.env.loop().After(after, func() {
-		s.woken = false
+		s.turnScheduled = false
 		s.run()
 	})
 }
@@ -173,16 +173,16 @@
 		s.env.runner.NotifyParticipant(schedule.Section, s.outcomes)
 		s.outcomes = nil
 	}
-	s.beginQueued(consensus.BootTime())
-	if s.drained != nil && len(s.pending) == 0 && len(s.outcomes) == 0 {
-		s.drained()
-		s.drained = nil
+	s.submitQueued(consensus.BootTime())
+	if s.onDrained != nil && len(s.pending) == 0 && len(s.outcomes) == 0 {
+		s.onDrained()
+		s.onDrained = nil
 	}
 	s.wake(firingInterval)
 }
 
-func (s *scheduleDriver) beginQueued(now time.Duration) {
-	begun := 0
+func (s *scheduleDriver) submitQueued(now time.Duration) {
+	submitted := 0
 	queue := s.queue
 	s.queue = nil
 	for _, o := range queue {
@@ -190,12 +190,12 @@
 		case o.Session != s.view.Session || s.draining:
 			// The job never ran, and the next owner must learn that.
 			s.finish(o, schedule.Released)
-		case begun >= maxFiringsPerTurn || now < o.notUntil || now >= s.view.ExpiresAt:
+		case submitted >= maxFiringsPerTurn || now < o.notBefore || now >= s.view.ExpiresAt:
 			// After a stall of this process, the next owner may have the occurrence already.
 			s.queue = append(s.queue, o)
 		default:
-			begun++
-			s.begin(o, now)
+			submitted++
+			s.submit(o, now)
 		}
 	}
 }
@@ -210,13 +210,13 @@
 // runner, or after maxScheduleDrain.
 func (s *scheduleDriver) awaitDrained(done func()) {
 	called := false
-	s.drained = func() {
+	s.onDrained = func() {
 		if !called {
 			called = true
 			done()
 		}
 	}
-	s.env.loop().After(maxScheduleDrain, s.drained)
+	s.env.loop().After(maxScheduleDrain, s.onDrained)
 	s.run()
 }
 
@@ -225,17 +225,17 @@
 	return s.clock.TimeAt(now) / int64(time.Second)
 }
 
-// begin submits the job of an occurrence to the platform's front. It drops the occurrence if its trigger was
+// submit submits the job of an occurrence to the platform's front. It drops the occurrence if its trigger was
 // removed, or if it was rejected before and is now too late.
-func (s *scheduleDriver) begin(o *occurrence, now time.Duration) {
+func (s *scheduleDriver) submit(o *occurrence, now time.Duration) {
 	trigger := findTrigger(s.policy, o.Trigger)
 	if trigger == nil {
 		s.log.WithField("occurrence", o.IdempotencyKey()).Warn("occurrence dropped: its trigger was removed")
 		s.finish(o, schedule.Rejected)
 		return
 	}
-	latest := int64((trigger.StartingDeadline + trigger.MaxJitter) / time.Second)
-	if o.attempts > 0 && s.clusterTime(now)-o.At > latest {
+	maxDelay := int64((trigger.StartingDeadline + trigger.MaxJitter) / time.Second)
+	if o.attempts > 0 && s.clusterTime(now)-o.At > maxDelay {
 		s.log.WithField("occurrence", o.IdempotencyKey()).
 			Error("occurrence dropped: rejected until it was too late")
 		s.finish(o, schedule.Rejected)
@@ -243,7 +243,7 @@
 	}
 	o.open = true
 	o.attempts++
-	s.begun.Add(1)
+	s.submitted.Add(1)
 	s.env.audit.write("fire %q %d %d %d %v", o.IdempotencyKey(), o.Number, o.Session.Epoch, o.At,
 		o.Redelivered)
 	if err := s.env.node.front.SubmitScheduled(s.jobOf(o, trigger), o); err != nil {
@@ -276,7 +276,7 @@
 }
 
 func (s *scheduleDriver) retry(o *occurrence, after time.Duration) {
-	o.notUntil = consensus.BootTime() + max(after, minFiringBackoff)
+	o.notBefore = consensus.BootTime() + max(after, minFiringBackoff)
 	s.queue = append(s.queue, o)
 	s.wake(firingInterval)
 }
--- a/internal/node/selfrestart.go
+++ b/internal/node/selfrestart.go
@@ -14,8 +14,8 @@
 
 // Values of the setting duties.out: how a rolling restart restarts the process.
 const (
-	restartByEnding   = "end"   // the process ends, and its supervisor starts the program again
-	restartByStarting = "start" // the process starts the program in its own place
+	restartByExit  = "end"   // the process ends, and its supervisor starts the program again
+	restartInPlace = "start" // the process starts the program in its own place
 )
 
 // ErrRestart is returned by Instance.Run if the caller must start the program again in place of this process.
@@ -26,17 +26,17 @@
 
 // selfRestart ends this instance's process when the agreed plan of a rolling restart requires it.
 type selfRestart struct {
-	audit      *auditLog
-	log        logrus.FieldLogger
-	inPlace    bool // the program must be started again in place of this process
-	signals    chan os.Signal
-	restarting atomic.Bool // required by the plan
-	ordered    atomic.Bool // an external signal has ordered the process to end
+	audit       *auditLog
+	log         logrus.FieldLogger
+	inPlace     bool // the program must be started again in place of this process
+	signals     chan os.Signal
+	restarting  atomic.Bool // required by the plan
+	stopOrdered atomic.Bool // an external signal has ordered the process to end
 }
 
 func newSelfRestart(env *environment, setting string) *selfRestart {
 	return &selfRestart{audit: env.audit, log: env.component("rollingrestart"),
-		inPlace: setting == restartByStarting, signals: make(chan os.Signal, signalBuffer)}
+		inPlace: setting == restartInPlace, signals: make(chan os.Signal, signalBuffer)}
 }
 
 // planChanged receives the agreed plan. It is called on the runner's goroutine.
@@ -53,15 +53,15 @@
 	s.signals <- syscall.SIGTERM
 }
 
-// merge returns a channel with the external signals and those of the plan. The goroutine that it starts ends
-// with the process, or when the channel of external signals is closed.
-func (s *selfRestart) merge(outside <-chan os.Signal) <-chan os.Signal {
+// mergeSignals returns a channel with the external signals and those of the plan. The goroutine that it
+// starts ends with the process, or when the channel of external signals is closed.
+func (s *selfRestart) mergeSignals(external <-chan os.Signal) <-chan os.Signal {
 	go func() {
-		for sig := range outside {
+		for sig := range external {
 			// Whoever orders the process to end waits for that, and does not expect another process in its
 			// place.
 			if sig != syscall.SIGHUP {
-				s.ordered.Store(true)
+				s.stopOrdered.Store(true)
 			}
 			s.signals <- sig
 		}
@@ -69,7 +69,7 @@
 	return s.signals
 }
 
-// restarts reports whether the program must be started again in place of this process.
-func (s *selfRestart) restarts() bool {
-	return s.restarting.Load() && !s.ordered.Load() && s.inPlace
+// shouldRestart reports whether the program must be started again in place of this process.
+func (s *selfRestart) shouldRestart() bool {
+	return s.restarting.Load() && !s.stopOrdered.Load() && s.inPlace
 }
--- a/internal/node/selfrestart_test.go
+++ b/internal/node/selfrestart_test.go
@@ -22,37 +22,37 @@
 		name        string
 		incarnation uint64
 		setting     string
-		order       os.Signal // external
-		restarting  bool
-		restarts    bool
+		signal      os.Signal // external
+		wantSignal  bool
+		wantRestart bool
 	}{
-		{"its step, in place", incarnation, restartByStarting, nil, true, true},
-		{"its step, by ending", incarnation, restartByEnding, nil, true, false},
-		{"the step of the incarnation before", incarnation + 1, restartByStarting, nil, false, false},
-		{"ordered to end as well", incarnation, restartByStarting, syscall.SIGTERM, true, false},
-		{"ordered to reload as well", incarnation, restartByStarting, syscall.SIGHUP, true, true},
+		{"its step, in place", incarnation, restartInPlace, nil, true, true},
+		{"its step, by ending", incarnation, restartByExit, nil, true, false},
+		{"the step of the incarnation before", incarnation + 1, restartInPlace, nil, false, false},
+		{"ordered to end as well", incarnation, restartInPlace, syscall.SIGTERM, true, false},
+		{"ordered to reload as well", incarnation, restartInPlace, syscall.SIGHUP, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			env, _ := testEnvironment(t)
 			s := newSelfRestart(env, c.setting)
-			outside := make(chan os.Signal)
-			defer close(outside)
-			signals := s.merge(outside)
-			if c.order != nil {
-				outside <- c.order
-				if got := <-signals; got != c.order {
-					t.Errorf("got signal %v, want %v", got, c.order)
+			external := make(chan os.Signal)
+			defer close(external)
+			signals := s.mergeSignals(external)
+			if c.signal != nil {
+				external <- c.signal
+				if got := <-signals; got != c.signal {
+					t.Errorf("got signal %v, want %v", got, c.signal)
 				}
 			}
 			for range 2 { // the second time must have no effect
 				s.planChanged(leasedtask.PlanChanged{Note: note, Member: member, Incarnation: c.incarnation})
 			}
 			want := 0
-			if c.restarting {
+			if c.wantSignal {
 				want = 1
 			}
-			if len(signals) != want || s.restarts() != c.restarts {
-				t.Errorf("%d signals, want %d; restarts %v", len(signals), want, s.restarts())
+			if len(signals) != want || s.shouldRestart() != c.wantRestart {
+				t.Errorf("%d signals, want %d; restarts %v", len(signals), want, s.shouldRestart())
 			}
 		})
 	}
--- a/internal/node/slowstart.go
+++ b/internal/node/slowstart.go
@@ -40,15 +40,15 @@
 // slowStartDriver drives the partitioning of package placement, which divides the slow-start budgets of
 // warming-up workers among the instances. It is confined to the node's loop.
 type slowStartDriver struct {
-	env        *environment
-	log        logrus.FieldLogger
-	enabled    bool
-	settings   balancer.Settings // as the fronts run them, without a partition
-	view       consensus.ClusterView
-	partitions placement.Partitioning
-	partition  partition // as last set in the balancers
-	audited    string    // the last line on it in the audit log
-	timer      *eventloop.Timer
+	env         *environment
+	log         logrus.FieldLogger
+	enabled     bool
+	settings    balancer.Settings // as the fronts run them, without a partition
+	view        consensus.ClusterView
+	partitions  placement.Partitioning
+	partition   partition // as last set in the balancers
+	lastAudited string    // the last line on it in the audit log
+	timer       *eventloop.Timer
 }
 
 func newSlowStartDriver(env *environment) *slowStartDriver {
@@ -59,8 +59,8 @@
 func (s *slowStartDriver) Supports(*clusterstate.Document) error { return nil }
 
 // Prepare implements driver.
-func (s *slowStartDriver) Prepare(d *clusterstate.Document, set balancer.Settings) preparedChange {
-	return &slowStartChange{driver: s, enabled: placementPolicy(d).SlowStartPartitions, settings: set}
+func (s *slowStartDriver) Prepare(d *clusterstate.Document, settings balancer.Settings) preparedChange {
+	return &slowStartChange{driver: s, enabled: placementPolicy(d).SlowStartPartitions, settings: settings}
 }
 
 type slowStartChange struct {
@@ -118,23 +118,23 @@
 }
 
 // apply returns the settings with the partition.
-func (p partition) apply(set balancer.Settings) balancer.Settings {
+func (p partition) apply(settings balancer.Settings) balancer.Settings {
 	if p.state == partitionHeld {
-		set.DispatcherIndex, set.DispatcherCount = p.index, p.count
+		settings.DispatcherIndex, settings.DispatcherCount = p.index, p.count
 	} else {
-		set.Rules.OverloadFactor = min(set.Rules.OverloadFactor, noBudgetFactor)
+		settings.Rules.OverloadFactor = min(settings.Rules.OverloadFactor, noBudgetFactor)
 	}
-	return set
+	return settings
 }
 
-func (s *slowStartDriver) configure(set balancer.Settings) error {
+func (s *slowStartDriver) configure(settings balancer.Settings) error {
 	for k := range s.env.node.brokers {
-		c := &s.env.node.brokers[k]
-		fitted := c.fit(set)
-		if err := c.CanConfigure(fitted); err != nil {
+		b := &s.env.node.brokers[k]
+		adapted := b.adaptSettings(settings)
+		if err := b.CanConfigure(adapted); err != nil {
 			return err
 		}
-		c.Configure(fitted)
+		b.Configure(adapted)
 	}
 	return nil
 }
@@ -148,8 +148,8 @@
 	if p.state == partitionHeld {
 		line = fmt.Sprintf("part %d %d %d", p.index, p.count, s.view.ExpiresAt)
 	}
-	if line != s.audited {
-		s.audited = line
+	if line != s.lastAudited {
+		s.lastAudited = line
 		s.env.audit.write("%s", line)
 	}
 }
--- a/internal/node/slowstart_test.go
+++ b/internal/node/slowstart_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestPartitionBoundsSlowStartBudget(t *testing.T) {
-	var set balancer.Settings
-	set.Rules.OverloadFactor = 2
-	held := partition{partitionHeld, 1, 3}.apply(set)
+	var base balancer.Settings
+	base.Rules.OverloadFactor = 2
+	held := partition{partitionHeld, 1, 3}.apply(base)
 	if held.DispatcherIndex != 1 || held.DispatcherCount != 3 || held.Rules.OverloadFactor != 2 {
 		t.Errorf("held: %d of %d, factor %v", held.DispatcherIndex, held.DispatcherCount,
 			held.Rules.OverloadFactor)
 	}
-	if none := (partition{state: partitionNone}).apply(set); none.Rules.OverloadFactor != noBudgetFactor {
+	if none := (partition{state: partitionNone}).apply(base); none.Rules.OverloadFactor != noBudgetFactor {
 		t.Errorf("none: factor %v", none.Rules.OverloadFactor)
 	}
 }
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -68,26 +68,26 @@
 	}
 }
 
-func (s *subsetDriver) chooseFor(c *frontBroker) {
+func (s *subsetDriver) chooseFor(b *frontBroker) {
 	if s.size == 0 || s.session == (placement.Session{}) {
-		c.SetSubset(nil)
+		b.SetSubset(nil)
 		return
 	}
 	var list []placement.Worker
-	for _, l := range c.ListedEndpoints() {
+	for _, l := range b.ListedEndpoints() {
 		list = append(list, placement.Worker{Name: l.Name, Zone: l.Zone})
 	}
 	version, members, session, size := s.version, s.members, s.session, s.size
 	// For hundreds of instances and thousands of workers this takes longer than a job may wait, so it is not
 	// done on the loop. The goroutine ends by itself; a loop that has stopped drops its result.
 	go func() {
-		use := placement.Subset(members, session, list, size)
+		subset := placement.Subset(members, session, list, size)
 		s.env.loop().Post(func() {
 			if s.version != version {
 				return
 			}
-			c.SetSubset(use)
-			s.env.audit.write("uses %d of %d", c.SubsetSize(), len(list))
+			b.SetSubset(subset)
+			s.env.audit.write("uses %d of %d", b.SubsetSize(), len(list))
 		})
 	}()
 }
--- a/internal/node/testclocks.go
+++ b/internal/node/testclocks.go
@@ -38,16 +38,16 @@
 
 // at returns the clock's time for a time on the boot clock.
 func (c testClock) at(boot time.Duration) time.Time {
-	passed := float64(int64(boot)-c.Boot) * c.Rate
-	return time.Unix(0, c.Wall+int64(passed))
+	elapsed := float64(int64(boot)-c.Boot) * c.Rate
+	return time.Unix(0, c.Wall+int64(elapsed))
 }
 
 // checkTestsAllowed returns nil if settings for tests are allowed, or an error that says how to allow them.
-func checkTestsAllowed(what string) error {
+func checkTestsAllowed(subject string) error {
 	if os.Getenv(TestClocksEnv) == "yes" {
 		return nil
 	}
-	return fmt.Errorf("%s for tests: take the line out, or start the program with %s=yes", what,
+	return fmt.Errorf("%s for tests: take the line out, or start the program with %s=yes", subject,
 		TestClocksEnv)
 }
 
