--- a/internal/node/drivers.go
+++ b/internal/node/drivers.go
@@ -28,7 +28,7 @@
 	Apply()
 }
 
-// driverSet is all drivers, in the order in which they are called.
+// driverSet holds all drivers, in the order in which they are called.
 type driverSet []driver
 
 // Supports implements driver: it returns the first driver's error.
--- a/internal/node/explainroute.go
+++ b/internal/node/explainroute.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	job, err := x.jobOf(b.front, in)
+	job, err := x.parseJob(b.front, in)
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 	return &x.node.brokers[index], nil
 }
 
-func (x *routeExplainer) jobOf(front string, in *schema.ExplainRouteRequest) (*routing.Job, error) {
+func (x *routeExplainer) parseJob(front string, in *schema.ExplainRouteRequest) (*routing.Job, error) {
 	job := &routing.Job{
 		Front:        front,
 		Class:        slices.Index(x.names.Classes, in.Class),
--- a/internal/node/explainroute_test.go
+++ b/internal/node/explainroute_test.go
@@ -32,7 +32,7 @@
 			b, err := x.frontBroker(c.in.Front)
 			var job *routing.Job
 			if err == nil {
-				job, err = x.jobOf(b.front, c.in)
+				job, err = x.parseJob(b.front, c.in)
 			}
 			switch {
 			case c.err != "":
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -290,7 +290,8 @@
 
 // RequestBegun implements platform.PeerProcess: it reports a request that the other process must not start.
 func (h *hotRestart) RequestBegun(id string) {
-	// Nothing is reported before the open ids are sent, which is after the state: they include this one.
+	// In earlier phases nothing is reported: the ids of open requests are sent after the state, and include
+	// the requests begun until then.
 	if p := h.machine.Phase(); p == hotrestart.ParentDraining || p == hotrestart.ServingAlongsideParent ||
 		p == hotrestart.TakingOver {
 		h.link.Send(hotrestart.Message{Type: hotrestart.TypeRequestsBegun, RequestIDs: []string{id}})
--- a/internal/node/ratelimit.go
+++ b/internal/node/ratelimit.go
@@ -23,7 +23,7 @@
 	maxAccountName = 128
 	// rejectionLogInterval is the minimum time between two log lines on rejections by rate.
 	rejectionLogInterval = 10 * time.Second
-	// maxRejectedAccounts is how many accounts are counted for one such line.
+	// maxRejectedAccounts is how many buckets of accounts are counted for one such line.
 	maxRejectedAccounts = 1000
 )
 
--- a/internal/node/schedule.go
+++ b/internal/node/schedule.go
@@ -191,7 +191,8 @@
 			// The job never ran, and the next owner must learn that.
 			s.finish(o, schedule.Released)
 		case submitted >= maxFiringsPerTurn || now < o.notBefore || now >= s.view.ExpiresAt:
-			// After a stall of this process, the next owner may have the occurrence already.
+			// Once the lease has expired, as in a stall of this process, the next owner may have the occurrence
+			// already.
 			s.queue = append(s.queue, o)
 		default:
 			submitted++
@@ -246,7 +247,7 @@
 	s.submitted.Add(1)
 	s.env.audit.write("fire %q %d %d %d %v", o.IdempotencyKey(), o.Number, o.Session.Epoch, o.At,
 		o.Redelivered)
-	if err := s.env.node.front.SubmitScheduled(s.jobOf(o, trigger), o); err != nil {
+	if err := s.env.node.front.SubmitScheduled(s.buildRequest(o, trigger), o); err != nil {
 		o.open = false
 		if !errors.Is(err, broker.ErrDuplicateID) {
 			s.log.WithError(err).WithField("occurrence", o.IdempotencyKey()).
@@ -268,7 +269,7 @@
 	return &p.Triggers[n]
 }
 
-func (s *scheduleDriver) jobOf(o *occurrence, t *schedule.Trigger) platform.ScheduledRequest {
+func (s *scheduleDriver) buildRequest(o *occurrence, t *schedule.Trigger) platform.ScheduledRequest {
 	return platform.ScheduledRequest{ID: o.IdempotencyKey(), Class: slices.Index(s.names.Classes, t.Class),
 		Tenant: max(slices.Index(s.names.Tenants, t.Tenant), 0), Account: t.Account, Path: t.Path,
 		Body: t.Body, ExpectedWork: t.ExpectedWork, Timeout: s.deadline[t.Class],
