--- a/internal/node/schedule.go
+++ b/internal/node/schedule.go
@@ -191,8 +191,8 @@
 			// The job never ran, and the next owner must learn that.
 			s.finish(o, schedule.Released)
 		case submitted >= maxFiringsPerTurn || now < o.notBefore || now >= s.view.ExpiresAt:
-			// Once the lease has expired, as in a stall of this process, the next owner may have the occurrence
-			// already.
+			// Once the lease has expired, as in a stall of this process, the next owner may already have the
+			// occurrence.
 			s.queue = append(s.queue, o)
 		default:
 			submitted++
