--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -5,7 +5,7 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// adminCommands carries out the commands of the second address. All of it runs on the node's loop.
+// adminCommands carries out the commands of the admin address. It is confined to the node's loop.
 type adminCommands struct{ node *Node }
 
 var _ adminproto.Handler = adminCommands{}
@@ -13,8 +13,8 @@
 // AppendMetrics implements adminproto.Handler.
 func (a adminCommands) AppendMetrics(dst []byte) []byte { return a.node.front.AppendMetrics(dst) }
 
-// Ready implements adminproto.Handler for this process: while another one takes its place, one of the two is
-// not ready.
+// Ready implements adminproto.Handler for this process. During a hot restart one of the two processes is not
+// ready.
 func (a adminCommands) Ready() error {
 	if err := a.node.front.Ready(); err != nil {
 		return err
@@ -22,29 +22,28 @@
 	return a.node.hotRestart.ready()
 }
 
-// StartMaintenance implements adminproto.Handler: it excludes an endpoint at all brokers, whichever front it
-// belongs to.
+// StartMaintenance implements adminproto.Handler: it excludes an endpoint in the brokers of all fronts.
 func (a adminCommands) StartMaintenance(id string) error {
 	if err := a.checkListed(id); err != nil {
 		return err
 	}
-	for _, c := range a.node.brokers {
-		c.StartMaintenance(id)
+	for _, b := range a.node.brokers {
+		b.StartMaintenance(id)
 	}
 	a.node.hotRestart.sendMaintenance(id, true)
 	a.node.log.WithField("worker", id).Info("maintenance started by an operator")
 	return nil
 }
 
-// EndMaintenance implements adminproto.Handler. For an endpoint that is not under maintenance it changes
-// nothing, and is no error.
+// EndMaintenance implements adminproto.Handler. For an endpoint that is not under maintenance it does nothing
+// and returns no error.
 func (a adminCommands) EndMaintenance(id string) error {
 	if err := a.checkListed(id); err != nil {
 		return err
 	}
 	changed := false
-	for _, c := range a.node.brokers {
-		changed = c.EndMaintenance(id) || changed
+	for _, b := range a.node.brokers {
+		changed = b.EndMaintenance(id) || changed
 	}
 	a.node.hotRestart.sendMaintenance(id, false)
 	if changed {
@@ -54,8 +53,8 @@
 }
 
 func (a adminCommands) checkListed(id string) error {
-	for _, c := range a.node.brokers {
-		if c.EverListed(id) {
+	for _, b := range a.node.brokers {
+		if b.EverListed(id) {
 			return nil
 		}
 	}
--- a/internal/node/explainroute.go
+++ b/internal/node/explainroute.go
@@ -11,25 +11,25 @@
 	"moorstack/internal/schema"
 )
 
-// routeExplainer explains where a job would go, by the running brokers. It belongs to the node's loop.
+// routeExplainer explains where the running brokers would send a job. It is confined to the node's loop.
 type routeExplainer struct {
 	node  *Node
 	names routing.KnownNames
-	local balancer.Settings // this instance's own
+	local balancer.Settings // from this instance's platform file
 }
 
 func (x *routeExplainer) explain(in *schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error) {
-	c, err := x.frontBroker(in.Front)
+	b, err := x.frontBroker(in.Front)
 	if err != nil {
 		return nil, err
 	}
-	job, err := x.jobOf(c.front, in)
+	job, err := x.parseJob(b.front, in)
 	if err != nil {
 		return nil, err
 	}
 	d := routing.Decision{Class: job.Class}
-	if c.table != nil {
-		d = c.table.Decide(job)
+	if b.table != nil {
+		d = b.table.Decide(job)
 	}
 	out := &schema.ExplainRouteReply{Refused: d.RejectReason}
 	if d.Rule != nil {
@@ -39,7 +39,7 @@
 		return out, nil
 	}
 	out.Class = x.names.Classes[d.Class]
-	out.Tiers = x.explainTiers(c, job, d)
+	out.Tiers = x.explainTiers(b, job, d)
 	return out, nil
 }
 
@@ -47,14 +47,14 @@
 	if front == "" {
 		front = routing.FrontHTTP
 	}
-	at := slices.IndexFunc(x.node.brokers, func(c frontBroker) bool { return c.front == front })
-	if at < 0 {
+	index := slices.IndexFunc(x.node.brokers, func(b frontBroker) bool { return b.front == front })
+	if index < 0 {
 		return nil, fmt.Errorf("this instance has no front %q", front)
 	}
-	return &x.node.brokers[at], nil
+	return &x.node.brokers[index], nil
 }
 
-func (x *routeExplainer) jobOf(front string, in *schema.ExplainRouteRequest) (*routing.Job, error) {
+func (x *routeExplainer) parseJob(front string, in *schema.ExplainRouteRequest) (*routing.Job, error) {
 	job := &routing.Job{
 		Front:        front,
 		Class:        slices.Index(x.names.Classes, in.Class),
@@ -68,17 +68,17 @@
 		ExpectedWork: time.Duration(in.CostUs) * time.Microsecond,
 	}
 	if in.Class != "" && job.Class < 0 {
-		return nil, fmt.Errorf("there is no class %q", in.Class)
+		return nil, fmt.Errorf("unknown class %q", in.Class)
 	}
 	if in.Tenant != "" && job.Tenant < 0 {
-		return nil, fmt.Errorf("there is no tenant %q", in.Tenant)
+		return nil, fmt.Errorf("unknown tenant %q", in.Tenant)
 	}
 	return job, nil
 }
 
-// explainTiers returns the pools in the order in which they are tried, and which workers of each could have
-// the job now.
-func (x *routeExplainer) explainTiers(c *frontBroker, job *routing.Job,
+// explainTiers returns the pools in the order in which they are tried, and for each which workers could get
+// the job now and why the others could not.
+func (x *routeExplainer) explainTiers(b *frontBroker, job *routing.Job,
 	d routing.Decision) (tiers []*schema.Tier) {
 	pools := []string{"any worker"}
 	if r, ok := d.Route.(*routing.Route); ok && r != nil {
@@ -89,7 +89,7 @@
 		MaxAttempts: d.MaxAttempts, Timeout: x.local.Classes[d.Class].Timeout}
 	for n, pool := range pools {
 		tier := &schema.Tier{Pool: pool, Out: map[string]string{}}
-		for worker, verdict := range c.Explain(request, n) {
+		for worker, verdict := range b.Explain(request, n) {
 			if verdict.Reason == "" {
 				tier.Left = append(tier.Left, worker)
 			} else {
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -48,20 +48,20 @@
 	}
 	c["jobs_refused_by_sessions"] = i.admission.rejected.Load()
 	c["jobs_refused_by_rates"] = i.rateLimit.rejected.Load()
-	c["occurrences_begun"] = i.schedule.begun.Load()
-	c["workers_shunned"] = uint64(i.outliers.count.Load())
+	c["occurrences_begun"] = i.schedule.submitted.Load()
+	c["workers_shunned"] = uint64(i.outliers.ejectedCount.Load())
 	return c
 }
 
 // HeldTasks implements controlapi.Host.
-func (i *Instance) HeldTasks() []leasedtask.Lease { return i.tasks.held() }
+func (i *Instance) HeldTasks() []leasedtask.Lease { return i.tasks.heldLeases() }
 
 // MemberState implements controlapi.Host.
 func (i *Instance) MemberState(member uint64) (controlapi.MemberState, bool) {
 	return i.membership.memberState(member)
 }
 
-// ExplainRoute implements controlapi.Host: the running broker explains, on its loop.
+// ExplainRoute implements controlapi.Host. The explanation is computed on the node's loop.
 func (i *Instance) ExplainRoute(in *schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error) {
 	type result struct {
 		reply *schema.ExplainRouteReply
@@ -77,14 +77,14 @@
 	return r.reply, r.err
 }
 
-// describeFronts describes this instance's fronts to another one: where they are, which revision they run,
-// and why they admit nothing. It is called on a goroutine of the transport.
+// describeFronts describes this instance's fronts to another instance: their zone, the revision that they
+// run, and why they admit no jobs. It is called on a goroutine of the transport.
 func (i *Instance) describeFronts(d *schema.Description) {
 	d.Zone = i.zone()
 	if d.Running, d.Why = i.configurator.status(); d.Why != "" {
 		return
 	}
-	// The fronts' own loop answers whether it admits: it may be stalled while the rest answers.
+	// The loop itself must answer whether jobs are admitted: it may be stalled while other goroutines run.
 	reason := make(chan string, 1)
 	i.env.loop().Post(func() {
 		if i.admission.permit.Admits(consensus.BootTime(), i.admission.running) {
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -7,17 +7,17 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// RuntimeConfig is what a running node can take over: the classes and tenants of settings, and the rules by
-// which jobs are routed.
+// RuntimeConfig is the configuration that a running node can apply: the classes and tenants of settings, and
+// the routing rules.
 type RuntimeConfig struct {
 	Settings  balancer.Settings
 	Routes    *routing.Table // nil: the balancer chooses among all endpoints
-	OnApplied func()         // called on the loop, in the turn that takes them over; may be nil
+	OnApplied func()         // called on the loop, in the turn in which they are applied; may be nil
 }
 
-// Configure takes a configuration over, in all brokers and fronts as one whole between two events of the
-// loop. It may be called from any goroutine but the loop's, and returns when it is done: with an error if a
-// broker can't take it over, and then none has.
+// Configure applies a configuration to all brokers and fronts in one turn of the loop, and waits until that
+// is done. If a broker can't apply it, Configure returns an error and changes nothing. It may be called from
+// any goroutine but the loop's.
 func (n *Node) Configure(c RuntimeConfig) error {
 	done := make(chan error, 1)
 	n.loop.Post(func() { done <- n.configure(c) })
@@ -28,33 +28,33 @@
 // but the loop's.
 func (n *Node) ValidateConfig(c RuntimeConfig) error {
 	done := make(chan error, 1)
-	n.loop.Post(func() { done <- n.checkConfig(c) })
+	n.loop.Post(func() { done <- n.validateConfig(c) })
 	return <-done
 }
 
-// checkConfig is ValidateConfig on the loop, or before that runs.
-func (n *Node) checkConfig(cfg RuntimeConfig) error {
-	for _, c := range n.brokers {
-		if err := c.CanConfigure(c.fit(cfg.Settings)); err != nil {
+// validateConfig is ValidateConfig for callers on the loop, or before the loop runs.
+func (n *Node) validateConfig(cfg RuntimeConfig) error {
+	for _, b := range n.brokers {
+		if err := b.CanConfigure(b.adaptSettings(cfg.Settings)); err != nil {
 			return fmt.Errorf("the settings can't be taken over: %w", err)
 		}
 	}
 	return nil
 }
 
-// configure is called on the loop, or before that runs.
+// configure is Configure for callers on the loop, or before the loop runs.
 func (n *Node) configure(cfg RuntimeConfig) error {
-	if err := n.checkConfig(cfg); err != nil {
+	if err := n.validateConfig(cfg); err != nil {
 		return err
 	}
 	for i := range n.brokers {
-		c := &n.brokers[i]
-		set := c.fit(cfg.Settings)
-		c.Configure(set)
-		if c.configureFront != nil {
-			c.configureFront(set)
+		b := &n.brokers[i]
+		settings := b.adaptSettings(cfg.Settings)
+		b.Configure(settings)
+		if b.configureFront != nil {
+			b.configureFront(settings)
 		}
-		c.route(cfg.Routes)
+		b.applyRoutes(cfg.Routes)
 	}
 	if cfg.OnApplied != nil {
 		cfg.OnApplied()
--- a/internal/node/rollingrestart.go
+++ b/internal/node/rollingrestart.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// restartCheckInterval is how often the controller of a rolling restart surveys the instances.
+	// restartCheckInterval is how often the controller of a rolling restart checks the instances' status.
 	restartCheckInterval = 100 * time.Millisecond
-	// describeTimeout is how long the instances may take to answer one survey.
+	// describeTimeout bounds the time in which the instances must describe themselves.
 	describeTimeout = time.Second
 )
 
-// restartTask drives package rollingrestart: it takes the instances out one after another.
+// restartTask drives package rollingrestart: it has the instances restart one after another.
 type restartTask struct {
 	env *environment
 	log logrus.FieldLogger
@@ -31,14 +31,14 @@
 	return &restartTask{env: env, log: env.component("rollingrestart")}
 }
 
-// run is a taskFunc.
+// run implements taskFunc.
 func (t *restartTask) run(ctx context.Context, r *taskRun) error {
 	controller := rollingrestart.NewController()
 	return repeat(ctx, restartCheckInterval, func() error { return t.step(ctx, r, controller) })
 }
 
-// step records the next action of the plan, if there is one. It counts once it is agreed on: the instance
-// that is to restart reads it there (selfRestart), and goes by that.
+// step records the next action of the plan, if there is one, in the task's note. The action takes effect once
+// it is committed: the instance that must restart reads the committed plan (selfRestart).
 func (t *restartTask) step(ctx context.Context, r *taskRun, controller *rollingrestart.Controller) error {
 	lease := r.current()
 	plan, err := rollingrestart.DecodePlan(lease.Note)
@@ -47,7 +47,7 @@
 	}
 	observed, err := t.survey(ctx)
 	if err != nil {
-		return nil // the runner ends, or the lease does
+		return nil // the runner or the lease is ending
 	}
 	next, changed := controller.Reconcile(consensus.BootTime(), plan, observed)
 	if !changed || !r.Valid(consensus.BootTime()) {
@@ -64,20 +64,20 @@
 	return nil
 }
 
-// survey observes all instances: their sessions in the agreed state, and how each describes itself.
+// survey returns the status of all instances, from their sessions in the agreed state and their descriptions.
 func (t *restartTask) survey(ctx context.Context) ([]rollingrestart.InstanceStatus, error) {
 	st := t.env.runner.Status()
 	var observed []rollingrestart.InstanceStatus
-	var newest uint64
+	var currentRevision uint64
 	err := t.env.runner.View(ctx, func(s *clusterstate.State) {
-		newest = s.CurrentRevision().Number
+		currentRevision = s.CurrentRevision().Number
 		for _, m := range st.Members {
-			one := rollingrestart.InstanceStatus{Member: m.ID, Name: m.Name, Voter: m.Voter,
+			instance := rollingrestart.InstanceStatus{Member: m.ID, Name: m.Name, Voter: m.Voter,
 				RestartLast: m.ID == st.ID || m.ID == st.Leader}
 			if x := s.Rollout().Sessions[m.ID]; x.Open {
-				one.Incarnation = x.Incarnation
+				instance.Incarnation = x.Incarnation
 			}
-			observed = append(observed, one)
+			observed = append(observed, instance)
 		}
 	})
 	if err != nil {
@@ -87,30 +87,31 @@
 	defer stop()
 	var calls sync.WaitGroup
 	for n := range observed {
-		calls.Go(func() { t.describe(ctx, st.Members[n].Member, newest, &observed[n]) })
+		calls.Go(func() { t.describe(ctx, st.Members[n].Member, currentRevision, &observed[n]) })
 	}
 	calls.Wait()
 	return observed, nil
 }
 
-// describe requests the description of an instance, and completes what was observed of it.
-func (t *restartTask) describe(ctx context.Context, m clusterstate.Member, newest uint64,
-	o *rollingrestart.InstanceStatus) {
+// describe requests the description of an instance, and completes its status.
+func (t *restartTask) describe(ctx context.Context, m clusterstate.Member, currentRevision uint64,
+	observed *rollingrestart.InstanceStatus) {
 	d, err := t.env.network.Describe(ctx, m)
 	if err != nil {
-		o.Reason = "it does not answer: " + status.Convert(err).Message()
+		observed.Reason = "it does not answer: " + status.Convert(err).Message()
 		return
 	}
-	o.Zone = d.Zone
+	observed.Zone = d.Zone
 	switch {
-	case o.Incarnation == 0:
-		o.Reason = "it has no session"
-	case d.Life != o.Incarnation:
-		o.Reason = "its process has no session yet"
-	case d.Running != newest:
-		o.Reason = fmt.Sprintf("its fronts run revision %d, and %d is in force", d.Running, newest)
+	case observed.Incarnation == 0:
+		observed.Reason = "it has no session"
+	case d.Life != observed.Incarnation:
+		observed.Reason = "its process has no session yet"
+	case d.Running != currentRevision:
+		observed.Reason = fmt.Sprintf("its fronts run revision %d, and %d is in force", d.Running,
+			currentRevision)
 	default:
-		o.Reason = d.Why
+		observed.Reason = d.Why
 	}
-	o.Healthy = o.Reason == ""
+	observed.Healthy = observed.Reason == ""
 }
--- a/internal/node/schedule.go
+++ b/internal/node/schedule.go
@@ -21,45 +21,45 @@
 )
 
 const (
-	// maxFiringsPerTurn is how many occurrences are begun in one turn of the loop.
+	// maxFiringsPerTurn is how many occurrences are fired in one turn of the loop.
 	maxFiringsPerTurn = 200
 	// firingInterval is the time between two such turns.
 	firingInterval = 5 * time.Millisecond
-	// minFiringBackoff is the least time before a rejected occurrence is fired again.
+	// minFiringBackoff is the minimum time before a rejected occurrence is fired again.
 	minFiringBackoff = 200 * time.Millisecond
 	// maxScheduleDrain bounds the wait for open occurrences in a graceful shutdown.
 	maxScheduleDrain = 20 * time.Second
 )
 
-// scheduleDriver drives package schedule: it fires the occurrences of triggers that this instance has
-// recorded as its intent. All but the counter belongs to the node's loop: a job is begun in the turn in which
+// scheduleDriver drives package schedule: it fires the occurrences that this instance has recorded its intent
+// to fire. All but the counter is confined to the node's loop: an occurrence is fired in the turn in which
 // the clock was read.
 type scheduleDriver struct {
-	env      *environment
-	log      logrus.FieldLogger
-	names    routing.KnownNames // of classes and tenants, by their numbers
-	zones    *calendar.ZoneDB
-	policy   *schedule.Policy
-	deadline map[string]time.Duration // by class
-	view     consensus.ClusterView
-	clock    schedule.ClusterClock
-	pending  map[uint64]*occurrence  // by number, until the outcome is handed to the runner
-	queue    []*occurrence           // to be begun, the first first
-	outcomes []schedule.FiringResult // to be handed to the runner
-	begun    atomic.Uint64
-	woken    bool   // a turn is scheduled
-	draining bool   // in graceful shutdown: what has not begun is released
-	drained  func() // called once when nothing is pending; nil: nobody waits
+	env           *environment
+	log           logrus.FieldLogger
+	names         routing.KnownNames // of classes and tenants, by index
+	zones         *calendar.ZoneDB
+	policy        *schedule.Policy
+	deadline      map[string]time.Duration // by class
+	view          consensus.ClusterView
+	clock         schedule.ClusterClock
+	pending       map[uint64]*occurrence  // by number, until the outcome is known
+	queue         []*occurrence           // to be fired, in order
+	outcomes      []schedule.FiringResult // to be passed to the runner
+	submitted     atomic.Uint64
+	turnScheduled bool   // a turn is scheduled
+	draining      bool   // in graceful shutdown: occurrences that were not fired are released
+	onDrained     func() // called once when nothing is pending; nil: nobody waits
 }
 
-// occurrence is one that this instance is to fire, until its outcome is known. It is the broker's client for
-// the job.
+// occurrence is an occurrence that this instance must fire, until its outcome is known. It is the broker's
+// client for the job.
 type occurrence struct {
 	schedule.Firing
-	driver   *scheduleDriver
-	open     bool          // the broker has the job
-	notUntil time.Duration // on the boot clock
-	attempts int
+	driver    *scheduleDriver
+	open      bool          // the broker has the job
+	notBefore time.Duration // on the boot clock
+	attempts  int
 }
 
 func newScheduleDriver(env *environment, names routing.KnownNames, zones *calendar.ZoneDB) *scheduleDriver {
@@ -67,7 +67,7 @@
 		policy: &schedule.Policy{}, pending: map[uint64]*occurrence{}}
 }
 
-// schedulePolicy reads the section of a document that has been validated.
+// schedulePolicy parses the section of a validated document.
 func schedulePolicy(d *clusterstate.Document) schedule.Policy {
 	p, _ := schedule.ParsePolicy(d.Sections[schedule.Section], schedule.KnownNames{Classes: classNames(d),
 		Tenants: tenantNames(d)})
@@ -82,7 +82,7 @@
 	return names
 }
 
-// Supports implements driver: the machine's zone rules must know the zones of all triggers.
+// Supports implements driver: the machine's zone rules must include the zones of all triggers.
 func (s *scheduleDriver) Supports(d *clusterstate.Document) error {
 	p := schedulePolicy(d)
 	if _, err := p.Recurrences(s.zones); err != nil {
@@ -128,114 +128,115 @@
 	})
 }
 
-// clockChanged takes the cluster's clock. It is called on the runner's goroutine.
+// clockChanged sets the cluster's clock. It is called on the runner's goroutine.
 func (s *scheduleDriver) clockChanged(c schedule.ClusterClock) {
 	s.env.loop().Post(func() { s.clock = c })
 }
 
-// fire takes occurrences that this instance is to fire. It is called on the runner's goroutine.
-func (s *scheduleDriver) fire(items []schedule.Firing) {
+// fire queues occurrences for this instance to fire. It is called on the runner's goroutine.
+func (s *scheduleDriver) fire(firings []schedule.Firing) {
 	s.env.loop().Post(func() {
-		for _, item := range items {
-			s.enqueue(item)
+		for _, firing := range firings {
+			s.enqueue(firing)
 		}
 		s.run()
 	})
 }
 
-func (s *scheduleDriver) enqueue(item schedule.Firing) {
-	o := s.pending[item.Number]
+func (s *scheduleDriver) enqueue(firing schedule.Firing) {
+	o := s.pending[firing.Number]
 	if o == nil {
 		o = &occurrence{driver: s}
-		s.pending[item.Number] = o
+		s.pending[firing.Number] = o
 		s.queue = append(s.queue, o)
 	}
-	// Hazard: a session may have expired while the job was open, and the instance's next one has taken the
-	// occurrence over: the job that is open is the one.
-	o.Firing = item
+	// If a session expired while the job was open, this instance's next session may have taken the occurrence
+	// over. The open job then remains its only one.
+	o.Firing = firing
 }
 
-// wake schedules a turn, if there is something to do and none is scheduled.
+// wake schedules a turn if there is work and no turn is scheduled.
 func (s *scheduleDriver) wake(after time.Duration) {
-	if len(s.queue) == 0 && len(s.outcomes) == 0 || s.woken {
+	if len(s.queue) == 0 && len(s.outcomes) == 0 || s.turnScheduled {
 		return
 	}
-	s.woken = true
+	s.turnScheduled = true
 	s.env.loop().After(after, func() {
-		s.woken = false
+		s.turnScheduled = false
 		s.run()
 	})
 }
 
-// run hands over the outcomes, and begins what may be begun.
+// run passes the outcomes to the runner, and fires the occurrences that may be fired.
 func (s *scheduleDriver) run() {
 	if len(s.outcomes) > 0 {
 		s.env.runner.NotifyParticipant(schedule.Section, s.outcomes)
 		s.outcomes = nil
 	}
-	s.beginQueued(consensus.BootTime())
-	if s.drained != nil && len(s.pending) == 0 && len(s.outcomes) == 0 {
-		s.drained()
-		s.drained = nil
+	s.submitQueued(consensus.BootTime())
+	if s.onDrained != nil && len(s.pending) == 0 && len(s.outcomes) == 0 {
+		s.onDrained()
+		s.onDrained = nil
 	}
 	s.wake(firingInterval)
 }
 
-func (s *scheduleDriver) beginQueued(now time.Duration) {
-	begun := 0
+func (s *scheduleDriver) submitQueued(now time.Duration) {
+	submitted := 0
 	queue := s.queue
 	s.queue = nil
 	for _, o := range queue {
 		switch {
 		case o.Session != s.view.Session || s.draining:
-			// It surely never ran, and whoever owns it next should know.
+			// The job never ran, and the next owner must learn that.
 			s.finish(o, schedule.Released)
-		case begun >= maxFiringsPerTurn || now < o.notUntil || now >= s.view.ExpiresAt:
-			// Hazard: the process may have been stalled, and the next owner have the occurrence already.
+		case submitted >= maxFiringsPerTurn || now < o.notBefore || now >= s.view.ExpiresAt:
+			// Once the lease has expired, as in a stall of this process, the next owner may already have the
+			// occurrence.
 			s.queue = append(s.queue, o)
 		default:
-			begun++
-			s.begin(o, now)
+			submitted++
+			s.submit(o, now)
 		}
 	}
 }
 
-// drain begins a graceful shutdown: nothing more is begun, and what has not begun is released.
+// drain starts a graceful shutdown: nothing more is fired, and occurrences that were not fired are released.
 func (s *scheduleDriver) drain() {
 	s.draining = true
 	s.run()
 }
 
-// awaitDrained calls done once no occurrence's job is open here and the outcomes have been handed over, or
-// after maxScheduleDrain.
+// awaitDrained calls done once no occurrence's job is open here and the outcomes have been passed to the
+// runner, or after maxScheduleDrain.
 func (s *scheduleDriver) awaitDrained(done func()) {
 	called := false
-	s.drained = func() {
+	s.onDrained = func() {
 		if !called {
 			called = true
 			done()
 		}
 	}
-	s.env.loop().After(maxScheduleDrain, s.drained)
+	s.env.loop().After(maxScheduleDrain, s.onDrained)
 	s.run()
 }
 
-// clusterTime is the cluster's time in Unix seconds; 0: it is not known.
+// clusterTime returns the cluster's time in Unix seconds, or 0 if it is unknown.
 func (s *scheduleDriver) clusterTime(now time.Duration) int64 {
 	return s.clock.TimeAt(now) / int64(time.Second)
 }
 
-// begin hands the job of an occurrence to the platform's front, unless its trigger was removed or it is too
-// late.
-func (s *scheduleDriver) begin(o *occurrence, now time.Duration) {
+// submit submits the job of an occurrence to the platform's front. It drops the occurrence if its trigger was
+// removed, or if it was rejected before and is now too late.
+func (s *scheduleDriver) submit(o *occurrence, now time.Duration) {
 	trigger := findTrigger(s.policy, o.Trigger)
 	if trigger == nil {
 		s.log.WithField("occurrence", o.IdempotencyKey()).Warn("occurrence dropped: its trigger was removed")
 		s.finish(o, schedule.Rejected)
 		return
 	}
-	latest := int64((trigger.StartingDeadline + trigger.MaxJitter) / time.Second)
-	if o.attempts > 0 && s.clusterTime(now)-o.At > latest {
+	maxDelay := int64((trigger.StartingDeadline + trigger.MaxJitter) / time.Second)
+	if o.attempts > 0 && s.clusterTime(now)-o.At > maxDelay {
 		s.log.WithField("occurrence", o.IdempotencyKey()).
 			Error("occurrence dropped: rejected until it was too late")
 		s.finish(o, schedule.Rejected)
@@ -243,10 +244,10 @@
 	}
 	o.open = true
 	o.attempts++
-	s.begun.Add(1)
+	s.submitted.Add(1)
 	s.env.audit.write("fire %q %d %d %d %v", o.IdempotencyKey(), o.Number, o.Session.Epoch, o.At,
 		o.Redelivered)
-	if err := s.env.node.front.SubmitScheduled(s.jobOf(o, trigger), o); err != nil {
+	if err := s.env.node.front.SubmitScheduled(s.buildRequest(o, trigger), o); err != nil {
 		o.open = false
 		if !errors.Is(err, broker.ErrDuplicateID) {
 			s.log.WithError(err).WithField("occurrence", o.IdempotencyKey()).
@@ -257,7 +258,7 @@
 	}
 }
 
-// findTrigger is the trigger of a name, or nil. A policy's triggers are sorted by name.
+// findTrigger returns the trigger with a name, or nil. A policy's triggers are sorted by name.
 func findTrigger(p *schedule.Policy, name string) *schedule.Trigger {
 	n, ok := slices.BinarySearchFunc(p.Triggers, name, func(t schedule.Trigger, name string) int {
 		return strings.Compare(t.Name, name)
@@ -268,7 +269,7 @@
 	return &p.Triggers[n]
 }
 
-func (s *scheduleDriver) jobOf(o *occurrence, t *schedule.Trigger) platform.ScheduledRequest {
+func (s *scheduleDriver) buildRequest(o *occurrence, t *schedule.Trigger) platform.ScheduledRequest {
 	return platform.ScheduledRequest{ID: o.IdempotencyKey(), Class: slices.Index(s.names.Classes, t.Class),
 		Tenant: max(slices.Index(s.names.Tenants, t.Tenant), 0), Account: t.Account, Path: t.Path,
 		Body: t.Body, ExpectedWork: t.ExpectedWork, Timeout: s.deadline[t.Class],
@@ -276,7 +277,7 @@
 }
 
 func (s *scheduleDriver) retry(o *occurrence, after time.Duration) {
-	o.notUntil = consensus.BootTime() + max(after, minFiringBackoff)
+	o.notBefore = consensus.BootTime() + max(after, minFiringBackoff)
 	s.queue = append(s.queue, o)
 	s.wake(firingInterval)
 }
@@ -287,7 +288,7 @@
 	s.wake(firingInterval)
 }
 
-// Respond implements broker.Client: the outcome of the job.
+// Respond implements broker.Client: it handles the outcome of the job.
 func (o *occurrence) Respond(a broker.Response) {
 	s := o.driver
 	o.open = false
@@ -295,7 +296,7 @@
 	switch a.Kind {
 	case broker.Served:
 		s.finish(o, schedule.Succeeded)
-	case broker.Rejected: // it surely never ran
+	case broker.Rejected: // the job never ran
 		s.retry(o, a.RetryAfter)
 	default:
 		s.log.WithField("occurrence", o.IdempotencyKey()).
@@ -304,7 +305,7 @@
 	}
 }
 
-// auditOutcomes are the audit log's spellings of outcomes.
+// auditOutcomes are the names of outcomes in the audit log.
 var auditOutcomes = map[broker.ResponseKind]string{broker.Served: "served", broker.Rejected: "busy",
 	broker.Failed: "failed"}
 
