--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -11,84 +11,86 @@
 )
 
 const (
-	// maxUnreadBytes is how much input a connection may hold that was not discarded: a head, a body of 64 KiB
-	// in small chunks, and some. Beyond it nothing is read.
+	// maxUnreadBytes is how much undiscarded input a connection may buffer before it stops reading. It has
+	// room for a head and a body of 64 KiB in small chunks, with a margin.
 	maxUnreadBytes = 1 << 18
 
-	// maxIdleBufferBytes is the largest buffer that an idle connection keeps.
+	// maxIdleBufferBytes is the largest capacity that the buffer of an idle connection may keep.
 	maxIdleBufferBytes = 16 << 10
 
 	// lingerTimeout is how long a peer may take to close after CloseAfterFlush, and maxLingerBytes how much
-	// it may send meanwhile. Hazard: some peers send on for ever; to read it all costs the CPU of others.
+	// it may send meanwhile. Some peers never stop sending, and reading all of it would take CPU time from
+	// other connections.
 	lingerTimeout  = time.Second
 	maxLingerBytes = 256 << 10
 )
 
-// A peer that connects, or begins a message, must send it whole in time. Hazard: connections that send
-// nothing, or stop half-way, hold the descriptors that others need. One that is slow but goes on sending is
-// let go on.
+// Time limits for receiving a complete message on an accepted connection. Without them, connections that
+// send nothing, or stop in the middle of a message, would hold descriptors that others need. A peer that is
+// slow but keeps sending gets more time.
 const (
-	messageTimeout = 2500 * time.Millisecond // from its connecting, or its first byte
-	stallTimeout   = time.Second             // longer than messageTimeout, if something comes this often
-	maxMessageTime = 20 * time.Second        // never longer than this
+	messageTimeout = 2500 * time.Millisecond // since the connection was accepted, or the first byte
+	stallTimeout   = time.Second             // past messageTimeout: longest pause between two reads
+	maxMessageTime = 20 * time.Second        // upper bound, even if the peer keeps sending
 )
 
-// Why a listener's connection was closed by this side.
+// Reasons passed to OnClose when this side closes an accepted connection.
 var (
-	errMessageTimeout = errors.New("the message did not come whole in time")
-	errEvicted        = errors.New("others need the room")
+	errMessageTimeout = errors.New("message not complete before its timeout")
+	errEvicted        = errors.New("connection evicted to free resources for others")
 )
 
-// Handler handles the events of a connection, on the loop. None of it is called after Close.
+// Handler handles the events of a connection. Its methods run on the loop, and never after Conn.Close.
 type Handler interface {
-	OnConnect(c *Conn)          // a dialled connection has come up
-	OnData(c *Conn)             // Input has grown
-	OnClose(c *Conn, err error) // the peer, the network or a limit has ended it; it is closed already
+	OnConnect(c *Conn)          // a dialled connection is established
+	OnData(c *Conn)             // more input was received
+	OnClose(c *Conn, err error) // the peer, an error or a limit closed the connection
 }
 
-// connState is what a connection is to its listener. The lowest are evicted first.
+// connState is the state of an accepted connection. Connections of the lowest state are evicted first.
 type connState uint8
 
 const (
 	stateClosing    connState = iota // CloseAfterFlush was called
-	stateNew                         // it has not sent a whole message yet
-	stateIdle                        // between two messages
-	stateProcessing                  // its message is being processed; never evicted
+	stateNew                         // no complete message received yet
+	stateIdle                        // between messages
+	stateProcessing                  // a message is being processed; never evicted
 )
 
-// Conn is a connection with one buffer, which grows as needed and is compacted in place: first input that was
-// not discarded, then output that the kernel has not taken yet. Nothing is read while output waits, so that
-// the two never cross, and a peer that doesn't read can't have more than a turn's output buffered.
+// Conn is a connection with one buffer, which grows as needed and is compacted in place. The buffer holds the
+// undiscarded input, followed by the output that the kernel has not accepted yet. Nothing is read while
+// output is pending: so the two never overlap, and a peer that doesn't read can't make this side buffer more
+// output than one turn of the loop produces.
 type Conn struct {
 	Handler Handler
 
-	// OnSent, if set, is called once when the kernel has taken all that was written.
+	// OnSent, if set, is called once, when the kernel has accepted all output.
 	OnSent func()
 
-	// ReceiveFDs has descriptors that come along on a Unix socket be kept for PopFD.
+	// ReceiveFDs makes reads on a Unix socket keep the descriptors sent with the data, for PopFD.
 	ReceiveFDs  bool
 	receivedFDs []int
 
 	loop     *Loop
-	listener *Listener // nil: it was dialled
+	listener *Listener // nil for a dialled connection
 	fd       int
 	id       slotmap.ID
 	buf      []byte
 	inputEnd int // input is buf[:inputEnd], output is buf[inputEnd:]
 
 	state        connState
-	messageStart time.Duration // when it connected, or its message began
-	lastActivity time.Duration // when something came last, or its last message was processed
-	messageTimer *Timer        // by which the message must be whole
-	countedBytes int           // what the listener counts for its buffer
+	messageStart time.Duration // when it was accepted, or its current message began
+	lastActivity time.Duration // of the last read, or of the end of processing the last message
+	messageTimer *Timer        // closes the connection if the message is not complete
+	countedBytes int           // capacity of buf as included in listener.bufferBytes
 
 	connecting, closed, finishing bool
 
 	interest       uint32 // the events that epoll reports
-	paused         bool   // epoll reports nothing: the kernel had no room for the last call
-	inputBlocked   bool   // there was no room for what is pipelined behind the message being processed
-	unsentAtClose  int    // bytes of output that the kernel had not taken when the connection closed
-	discardedBytes int    // input that came after CloseAfterFlush
+	paused         bool   // epoll reports nothing until a retry: the kernel was out of a resource
+	inputBlocked   bool   // no buffer space for input pipelined behind the message being processed
+	unsentAtClose  int    // bytes of output that the kernel had not accepted at Close
+	discardedBytes int    // input received after CloseAfterFlush
 }
 
 func (l *Loop) newConn(fd int, connecting bool) (*Conn, error) {
@@ -100,18 +102,18 @@
 	return c, err
 }
 
-// Dial begins a connection to an IPv4 address and port. The handler's OnConnect is called when it is
-// up; after an error here it never will be.
+// Dial starts to connect to an IPv4 address and port. The handler's OnConnect is called when the connection
+// is established, and never if Dial returns an error.
 func (l *Loop) Dial(address string, h Handler) (*Conn, error) {
 	fd, addr, err := l.newSocket(address)
 	if isResourceExhausted(err) && l.freeDescriptor(evictForDescriptor) {
-		fd, addr, err = l.newSocket(address) // outgoing connections must not wait for incoming ones
+		fd, addr, err = l.newSocket(address) // outgoing connections take precedence over incoming ones
 	}
 	if err != nil {
 		return nil, err
 	}
 	err = l.system.Connect(fd, addr)
-	// A connect that a signal interrupts goes on, as one that does not block.
+	// A connect that a signal interrupts continues in the background, like a non-blocking one.
 	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) {
 		_ = l.system.Close(fd)
 		return nil, fmt.Errorf("connecting to %s: %w", address, err)
@@ -125,8 +127,8 @@
 	return c, nil
 }
 
-// Adopt makes a connection of a connected stream socket, which is the connection's from here on unless an
-// error is returned.
+// Adopt returns a connection on a stream socket that is already connected. It takes over ownership of the
+// descriptor unless it returns an error.
 func (l *Loop) Adopt(fd int, h Handler) (*Conn, error) {
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, err
@@ -139,7 +141,7 @@
 	return c, nil
 }
 
-// Input is the input that was not discarded. It is valid until the next Write, Discard or return to the loop.
+// Input returns the undiscarded input. It is valid until the next Write, Discard or return to the loop.
 func (c *Conn) Input() []byte { return c.buf[:c.inputEnd] }
 
 // Discard drops the first n bytes of the input.
@@ -147,13 +149,13 @@
 	c.buf = c.buf[:copy(c.buf, c.buf[n:])]
 	c.inputEnd -= n
 	if len(c.buf) == 0 && cap(c.buf) > maxIdleBufferBytes {
-		c.buf = nil // hundreds of idle connections must not keep buffers of their largest message
+		c.buf = nil // hundreds of idle connections must not keep a buffer as large as their largest message
 		c.updateBufferCount()
 	}
 	c.updateInterest()
 }
 
-// BeginProcessing records that a whole message has come and is processed: the connection is not evicted until
+// BeginProcessing records that a complete message was received. The connection is not evicted until
 // EndProcessing.
 func (c *Conn) BeginProcessing() {
 	c.state = stateProcessing
@@ -161,7 +163,7 @@
 	c.messageTimer = nil
 }
 
-// EndProcessing records that the message is processed: the connection may be evicted from here on.
+// EndProcessing records that the message has been processed. The connection may be evicted from now on.
 func (c *Conn) EndProcessing() {
 	c.inputBlocked = false
 	if c.state = stateIdle; c.finishing {
@@ -174,11 +176,11 @@
 	}
 	c.updateInterest()
 	if c.listener != nil {
-		c.listener.setPaused(false) // it can be evicted now for one that waits
+		c.listener.setPaused(false) // this connection can now be evicted for one in the kernel's queue
 	}
 }
 
-// startMessageTimer sets the time by which the message that begins now must be whole.
+// startMessageTimer starts the timeout for receiving the message that begins now.
 func (c *Conn) startMessageTimer() {
 	if c.listener != nil && c.messageTimer == nil && !c.closed {
 		c.messageStart = c.loop.Now()
@@ -199,7 +201,7 @@
 	c.terminate(errMessageTimeout)
 }
 
-// updateBufferCount updates the listener's count of what its connections' buffers take.
+// updateBufferCount updates the listener's total of its connections' buffer capacities.
 func (c *Conn) updateBufferCount() {
 	if c.listener != nil {
 		c.listener.bufferBytes += cap(c.buf) - c.countedBytes
@@ -207,7 +209,7 @@
 	}
 }
 
-// UnsentBytes is how many bytes of output the kernel has not taken, or had not when the connection closed.
+// UnsentBytes returns the bytes of output that the kernel has not accepted, or had not accepted at Close.
 func (c *Conn) UnsentBytes() int {
 	if c.closed {
 		return c.unsentAtClose
@@ -215,22 +217,23 @@
 	return len(c.buf) - c.inputEnd
 }
 
-// Connecting reports whether the connection is not up yet.
+// Connecting reports whether a dialled connection is not established yet.
 func (c *Conn) Connecting() bool { return c.connecting }
 
-// LastActivity is when something came last or, if no input is pending, when the last message was processed.
+// LastActivity returns the time of the last read, or of EndProcessing if no input was pending then.
 func (c *Conn) LastActivity() time.Duration { return c.lastActivity }
 
-// Closed reports whether the connection has ended, from whichever side.
+// Closed reports whether the connection was closed by either side.
 func (c *Conn) Closed() bool { return c.closed }
 
-// InputFull reports whether nothing more is read until some input is discarded.
+// InputFull reports whether the input has reached its limit: nothing is read until some is discarded.
 func (c *Conn) InputFull() bool { return c.inputEnd >= maxUnreadBytes }
 
 // Finishing reports whether CloseAfterFlush was called.
 func (c *Conn) Finishing() bool { return c.finishing }
 
-// Write sends p, as the peer takes it. After CloseAfterFlush and Close it does nothing.
+// Write sends p and buffers the part that the kernel does not accept yet. It does nothing after
+// CloseAfterFlush or Close.
 func (c *Conn) Write(p []byte) {
 	if c.closed || c.finishing {
 		return
@@ -238,7 +241,7 @@
 	if c.UnsentBytes() == 0 && !c.connecting {
 		n, err := c.loop.system.Write(c.fd, p)
 		if err != nil {
-			n = 0 // the loop tries again, or reports the error, with these bytes unsent
+			n = 0 // nothing was sent; the loop retries the write or reports the error
 		}
 		p = p[n:]
 	}
@@ -255,8 +258,8 @@
 	}
 }
 
-// Close closes the connection at once, without a call of OnClose, and drops output that waits. The
-// input stays readable.
+// Close closes the connection immediately and drops pending output. It does not call OnClose. Input that was
+// already read stays available.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -266,7 +269,7 @@
 		c.listener.lingering--
 	}
 	c.loop.sources.Remove(c.id)
-	_ = c.loop.system.Close(c.fd) // this takes it out of the epoll set, too
+	_ = c.loop.system.Close(c.fd) // this also removes it from the epoll set
 	for _, fd := range c.receivedFDs {
 		unix.Close(fd)
 	}
@@ -279,9 +282,9 @@
 	}
 }
 
-// CloseAfterFlush closes the connection once its output is sent and the peer has closed, too: the
-// sending side first, so that input which has not been read does not make the kernel drop the response.
-// OnClose is not called.
+// CloseAfterFlush sends the pending output, shuts down the sending side, and closes the connection when the
+// peer has closed too. Closing both sides at once while input is unread would make the kernel reset the
+// connection and drop the response. OnClose is not called.
 func (c *Conn) CloseAfterFlush() {
 	if c.listener != nil && !c.finishing && !c.closed {
 		c.listener.lingering++
@@ -294,13 +297,13 @@
 	}
 }
 
-// linger closes the sending side and reads on until the peer has closed too, for lingerTimeout at most.
+// linger shuts down the sending side and discards input until the peer closes, for at most lingerTimeout.
 func (c *Conn) linger() {
 	_ = c.loop.system.Shutdown(c.fd)
 	c.loop.After(lingerTimeout, c.Close)
 }
 
-// terminate closes the connection for the handler: the peer, the network or a limit has ended it.
+// terminate closes the connection because of the peer, an error or a limit, and informs the handler.
 func (c *Conn) terminate(err error) {
 	if c.Close(); !c.finishing {
 		c.Handler.OnClose(c, err)
--- a/internal/netio/eventloop/conn_events.go
+++ b/internal/netio/eventloop/conn_events.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	minReadSpace  = 1024 // a buffer with less room grows before a read
+	minReadSpace  = 1024 // a buffer with less free space grows before a read
 	minBufferSize = 2048
 )
 
-// wantedEvents returns the events that epoll should report now.
+// wantedEvents returns the events that epoll should report in the connection's current state.
 func (c *Conn) wantedEvents() uint32 {
 	switch {
 	case c.connecting || c.UnsentBytes() > 0:
 		return unix.EPOLLOUT
 	case c.InputFull() || c.state == stateProcessing && c.inputBlocked:
-		// Hazard: a close that is not reported would keep the message in processing.
+		// Without EPOLLRDHUP the peer's close would go unnoticed and its message would stay in processing.
 		return unix.EPOLLRDHUP
 	}
 	return unix.EPOLLIN | unix.EPOLLRDHUP
 }
 
-// updateInterest has epoll report the wanted events.
+// updateInterest registers the wanted events with epoll if they have changed.
 func (c *Conn) updateInterest() {
 	if w := c.wantedEvents(); !c.closed && !c.paused && w != c.interest {
 		c.setInterest(unix.EPOLL_CTL_MOD, w)
@@ -32,7 +32,7 @@
 
 func (c *Conn) setInterest(operation int, events uint32) {
 	if err := c.loop.system.EpollCtl(c.loop.epoll, operation, c.fd, epollEvent(events, c.id)); err != nil {
-		// Hazard: with its events unreported, the connection would stay open for ever.
+		// Without this retry no event would be reported and the connection would stay open forever.
 		c.paused = true
 		c.loop.After(retryDelay, c.resumeEvents)
 		return
@@ -40,9 +40,9 @@
 	c.interest = events
 }
 
-// pauseEvents takes the connection out of epoll for retryDelay: the kernel has no room for a call.
-//
-// Hazard: some events can't be masked, and would spin the loop meanwhile.
+// pauseEvents removes the connection from the epoll set for retryDelay, after a call that failed because the
+// kernel is out of a resource. Masking the events is not enough: EPOLLERR and EPOLLHUP can't be masked, and
+// would make the loop spin meanwhile.
 func (c *Conn) pauseEvents() {
 	c.setInterest(unix.EPOLL_CTL_DEL, 0)
 	if !c.paused {
@@ -57,7 +57,7 @@
 	}
 	operation := unix.EPOLL_CTL_ADD
 	if c.interest != 0 {
-		operation = unix.EPOLL_CTL_MOD // it was never taken out
+		operation = unix.EPOLL_CTL_MOD // the removal failed, so it is still in the set
 	}
 	c.paused = false
 	c.setInterest(operation, c.wantedEvents())
@@ -75,7 +75,7 @@
 	}
 	switch {
 	case events&unix.EPOLLRDHUP != 0 && c.interest&unix.EPOLLIN == 0:
-		c.terminate(io.EOF) // pipelined input is not read: nobody waits for the responses
+		c.terminate(io.EOF) // the peer no longer waits for responses, so pipelined input is dropped unread
 	case events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0:
 		c.read()
 	case events&(unix.EPOLLERR|unix.EPOLLHUP) != 0:
@@ -83,7 +83,7 @@
 	}
 }
 
-// connected handles the end of a connect, and reports whether the connection is open after it.
+// connected handles the outcome of a connect and reports whether the connection is open afterwards.
 func (c *Conn) connected() bool {
 	if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
 		c.terminate(unix.Errno(code))
@@ -95,7 +95,7 @@
 	return !c.closed
 }
 
-// flush writes output that waits.
+// flush writes pending output.
 func (c *Conn) flush() {
 	n, err := c.loop.system.Write(c.fd, c.buf[c.inputEnd:])
 	switch {
@@ -117,7 +117,7 @@
 	}
 }
 
-// read reads what has come.
+// read reads available input and passes it to the handler.
 func (c *Conn) read() {
 	if !c.growBuffer() {
 		return
@@ -131,7 +131,7 @@
 		c.terminate(err)
 	case n == 0:
 		c.terminate(io.EOF)
-	case c.finishing: // input is not wanted any more
+	case c.finishing: // discard input after CloseAfterFlush
 		if c.discardedBytes += n; c.discardedBytes > maxLingerBytes {
 			c.Close()
 		}
@@ -147,8 +147,8 @@
 	}
 }
 
-// growBuffer makes room to read, and reports whether there is some. Without, it blocks the input of a
-// connection whose message is processed, and evicts any other.
+// growBuffer makes sure that the buffer has space for a read and reports whether it has. At the listener's
+// buffer limit it blocks the input of a connection whose message is being processed, and closes any other.
 func (c *Conn) growBuffer() bool {
 	if cap(c.buf)-c.inputEnd >= minReadSpace {
 		return true
@@ -156,7 +156,8 @@
 	size := max(minBufferSize, 2*cap(c.buf))
 	if c.listener != nil && !c.listener.reserveBuffer(size-cap(c.buf), c) {
 		if c.state == stateProcessing {
-			// Hazard: its message is owed a response. What is pipelined behind it waits.
+			// The message must still get its response, so the connection stays open. Input that is pipelined
+			// behind the message stays in the kernel until EndProcessing.
 			c.inputBlocked = true
 			c.updateInterest()
 			return false
--- a/internal/netio/eventloop/conn_test.go
+++ b/internal/netio/eventloop/conn_test.go
@@ -13,11 +13,12 @@
 	"moorstack/internal/netio/kernel"
 )
 
-// lineServer takes a line as a message, and responds at once or, if deferred, when the test calls respond.
+// lineServer treats each line as a message. It responds immediately or, if deferred, when the test calls
+// respond.
 type lineServer struct {
 	conn       *Conn
 	processing bool // a message is being processed
-	deferred   bool // respond is called by the test
+	deferred   bool // the test calls respond
 	closed     chan error
 }
 
@@ -42,7 +43,7 @@
 
 func (e *lineServer) OnClose(_ *Conn, err error) { e.closed <- err }
 
-// listenOn listens with the limits on a running loop of its own on the system.
+// listenOn starts a loop on the system and listens on it with the limits.
 func listenOn(t *testing.T, system kernel.System, limits Limits,
 	accept func(*Conn)) (loop *Loop, ln *Listener, address string) {
 	t.Helper()
@@ -54,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := unix.Getsockname(ln.FD())
+	sockaddr, err := unix.Getsockname(ln.FD())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,10 +68,10 @@
 		}
 		ln.Close()
 	})
-	return loop, ln, fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
+	return loop, ln, fmt.Sprintf("127.0.0.1:%d", sockaddr.(*unix.SockaddrInet4).Port)
 }
 
-// listenLines listens with the limits and has a lineServer for each connection; conns receives them.
+// listenLines listens with the limits and serves each connection with a lineServer, which it sends to conns.
 func listenLines(t *testing.T, limits Limits, deferred bool) (loop *Loop, ln *Listener, address string,
 	conns chan *lineServer) {
 	t.Helper()
@@ -109,8 +110,8 @@
 	<-done
 }
 
-// There is no room for what a client pipelines: its message that is being processed gets its response all the
-// same, and what was pipelined is read after it.
+// Without buffer space for pipelined input, the message being processed must still get its response. The
+// pipelined input is read afterwards.
 func TestPipelinedInputWaitsWhenBuffersAreFull(t *testing.T) {
 	loop, _, address, conns := listenLines(
 		t,
@@ -120,23 +121,23 @@
 	c := dial(t, address)
 	fmt.Fprintln(c, "first")
 	e := <-conns
-	for works := false; !works; runOn(loop, func() { works = e.processing }) {
+	for processing := false; !processing; runOn(loop, func() { processing = e.processing }) {
 		time.Sleep(time.Millisecond)
 	}
-	pipelined := bytes.Repeat([]byte("x"), 2500) // a buffer for it would have 4,096 bytes
+	pipelined := bytes.Repeat([]byte("x"), 2500) // would need a buffer of 4,096 bytes
 	if _, err := c.Write(append(pipelined, '\n')); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case err := <-e.closed:
-		t.Fatalf("the connection is closed while its message is processed: %v", err)
+		t.Fatalf("the connection was closed while its message was being processed: %v", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	runOn(loop, e.respond)
 	requireOK(t, c, "the message that was processed")
 }
 
-// The close of a client that has pipelined more than is read is reported all the same.
+// A close is reported even if the client has pipelined more input than the connection reads.
 func TestCloseBehindFullInputIsReported(t *testing.T) {
 	_, _, address, conns := listenLines(
 		t,
@@ -153,12 +154,12 @@
 	select {
 	case <-e.closed:
 	case <-time.After(time.Second):
-		t.Error("the close is not reported within a second")
+		t.Error("the close was not reported within a second")
 	}
 }
 
-// A connection comes at the limit, and a request on an idle one has not been read yet: the idle one is not
-// evicted.
+// A new connection arrives at the limit while an idle connection has an unread request: the idle one must not
+// be evicted, because its request would be lost.
 func TestIdleConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	loop, _, address, conns := listenLines(
 		t,
@@ -178,11 +179,11 @@
 	fmt.Fprintln(c, "second")
 	time.Sleep(20 * time.Millisecond)
 	close(unblock)
-	requireOK(t, c, "the request that had come")
+	requireOK(t, c, "the unread request")
 	requireOK(t, second, "the new connection's request")
 }
 
-// A connection that is being closed is counted until the peer has closed, too.
+// A connection that is being closed is counted as lingering until the peer has closed too.
 func TestLingeringConnectionsAreCountedUntilPeerCloses(t *testing.T) {
 	loop, ln, address, conns := listenLines(t, Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20}, false)
 	c := dial(t, address)
@@ -203,7 +204,7 @@
 	}
 }
 
-// What is in the kernel's queue can be accepted within a turn of the loop.
+// AcceptPending accepts queued connections within the current turn of the loop.
 func TestAcceptPendingAcceptsWithinTurn(t *testing.T) {
 	loop, ln, address, conns := listenLines(t, Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20}, false)
 	blocked, unblock := make(chan struct{}), make(chan struct{})
@@ -222,8 +223,8 @@
 	}
 }
 
-// A message comes whole while the loop is blocked, beyond the time by which it had to come: it is read before
-// its timer runs.
+// A complete message arrives while the loop is blocked until after the message timeout: it must be read
+// before its timer runs, or the connection would be closed although the message arrived in time.
 func TestUnreadInputIsReadBeforeItsTimer(t *testing.T) {
 	limits := Limits{MaxConnections: 8, MaxBufferBytes: 1 << 20, MessageTimeout: 100 * time.Millisecond}
 	loop, _, address, conns := listenLines(t, limits, false)
@@ -232,13 +233,13 @@
 	blocked, unblock := make(chan struct{}), make(chan struct{})
 	loop.Post(func() { close(blocked); <-unblock })
 	<-blocked
-	fmt.Fprintln(c, "late, but here")
-	time.Sleep(stallTimeout + 100*time.Millisecond) // the message may stall for that long
+	fmt.Fprintln(c, "arrived in time")
+	time.Sleep(stallTimeout + 100*time.Millisecond) // messageTimerFired allows this pause after the last read
 	close(unblock)
 	requireOK(t, c, "the unread message")
 }
 
-// More sources are ready than one poll returns, and a timer is due: it runs after all of them are handled.
+// If more sources are ready than one poll returns, a due timer must still run after all of them are handled.
 func TestAllReadySourcesAreHandledBeforeTimers(t *testing.T) {
 	loop, _, address, conns := listenLines(
 		t,
@@ -266,9 +267,9 @@
 		}
 		unread <- n
 	}
-	loop.At(loop.Now(), countUnread) // the loop's goroutine is blocked, and touches nothing meanwhile
+	loop.At(loop.Now(), countUnread) // safe: the loop's goroutine is blocked
 	close(unblock)
 	if n := <-unread; n > 0 {
-		t.Errorf("%d messages are unread when the timer runs", n)
+		t.Errorf("%d messages were unread when the timer ran", n)
 	}
 }
--- a/internal/netio/eventloop/descriptors.go
+++ b/internal/netio/eventloop/descriptors.go
@@ -6,16 +6,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// The functions here pass descriptors between processes (SCM_RIGHTS).
+// The functions in this file pass file descriptors between processes (SCM_RIGHTS).
 
-// maxControlBytes is the room for control messages of one read: a few descriptors.
+// maxControlBytes is the size of the control message buffer of one read: enough for a few descriptors.
 const maxControlBytes = 64
 
-// errOutputPending is the error where output waits, before which descriptors would be sent.
-var errOutputPending = errors.New("the connection can't take descriptors now")
+// errOutputPending is returned if earlier output is pending, which the descriptors would overtake.
+var errOutputPending = errors.New("can't send descriptors: the connection is closed or has unsent output")
 
-// WriteFDs sends p with descriptors, which the peer receives as its own. The connection must be a Unix socket
-// on which no output waits.
+// WriteFDs sends p together with descriptors, which are duplicated into the peer's process. The connection
+// must be a Unix socket without pending output.
 func (c *Conn) WriteFDs(p []byte, fds ...int) error {
 	if c.closed || c.UnsentBytes() > 0 {
 		return errOutputPending
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// receive reads, and keeps the descriptors that come along if ReceiveFDs is set.
+// receive reads input and, if ReceiveFDs is set, keeps the descriptors sent with it.
 func (c *Conn) receive(p []byte) (int, error) {
 	if !c.ReceiveFDs {
 		return c.loop.system.Read(c.fd, p)
@@ -47,7 +47,7 @@
 	return n, err
 }
 
-// PopFD returns the descriptor that was received first and not taken yet; the caller owns it.
+// PopFD removes and returns the oldest received descriptor. The caller owns it.
 func (c *Conn) PopFD() (fd int, ok bool) {
 	if len(c.receivedFDs) == 0 {
 		return -1, false
@@ -57,14 +57,14 @@
 	return fd, true
 }
 
-// FD is the connection's socket, to be sent to another process. It stays the connection's.
+// FD returns the connection's socket, for sending it to another process. The connection keeps ownership.
 func (c *Conn) FD() int { return c.fd }
 
-// Detach closes this process's descriptor alone: the connection stays open in another process.
+// Detach closes this process's descriptor of a connection that stays open in another process.
 func (c *Conn) Detach() {
 	if !c.closed {
-		// Hazard: a descriptor closed here stays in the epoll set for as long as the other process has it
-		// open.
+		// Without this, the closed descriptor would stay in the epoll set for as long as the other process
+		// has it open.
 		_ = unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_DEL, c.fd, nil)
 		c.Close()
 	}
--- a/internal/netio/eventloop/doc.go
+++ b/internal/netio/eventloop/doc.go
@@ -1,9 +1,10 @@
 // Package eventloop is the program's network I/O: one epoll loop that owns every socket and every timer,
-// listeners with limits, and connections with one buffer each. Package http1 parses what comes on them.
+// listeners with limits, and connections with one buffer each. Package http1 parses the bytes they receive.
 //
-// All of it runs on the goroutine that calls Loop.Run, and nothing may be called from another one but
-// Loop.Post. Handlers and timer callbacks are called there too, and must not block.
+// Everything runs on the goroutine that calls Loop.Run. Only Loop.Post may be called from another goroutine.
+// Handlers and timer callbacks run on the loop's goroutine too, and must not block.
 //
-// System calls go through kernel.System, so that tests can have them fail. What fails for want of something
-// that the kernel may have again soon is retried after a delay; what breaks a connection closes it, once.
+// System calls go through kernel.System, so that tests can make them fail. A call that fails because the
+// kernel is temporarily out of a resource is retried after a delay. An error that breaks a connection closes
+// it, and OnClose is called at most once.
 package eventloop
--- a/internal/netio/eventloop/errno.go
+++ b/internal/netio/eventloop/errno.go
@@ -7,23 +7,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// retryDelay is how long a system call is not repeated that failed for want of something that the kernel may
-// have again soon.
-//
-// Hazard: events are level-triggered, and would be reported again and again meanwhile.
+// retryDelay is the pause before a system call is retried that failed because the kernel was temporarily out
+// of a resource. Events are level-triggered, so without the pause the loop would spin.
 const retryDelay = 20 * time.Millisecond
 
-// isRetryable reports whether a call did nothing and may be repeated at the next event.
+// isRetryable reports whether a call had no effect and may be repeated at the next event.
 func isRetryable(err error) bool { return errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) }
 
-// isResourceExhausted reports whether descriptors, or the kernel's memory, have run out.
+// isResourceExhausted reports whether the kernel is out of file descriptors or memory.
 func isResourceExhausted(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) || errors.Is(err, unix.ENOBUFS) ||
 		errors.Is(err, unix.ENOMEM)
 }
 
-// isAbortedAccept reports whether only the connection broke that would have been accepted, as accept(2) lists
-// the errors.
+// isAbortedAccept reports whether accept failed only because the connection being accepted broke. The errors
+// are those listed in accept(2).
 func isAbortedAccept(err error) bool {
 	for _, e := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENOPROTOOPT,
 		unix.ENETDOWN, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.ENETUNREACH,
--- a/internal/netio/eventloop/eviction.go
+++ b/internal/netio/eventloop/eviction.go
@@ -5,42 +5,45 @@
 	"time"
 )
 
-// evictionReason is what a connection is evicted for.
+// evictionReason is the resource for which a connection is evicted.
 type evictionReason uint8
 
 const (
-	// evictForConnection: another connection, or a buffer, takes its room.
+	// evictForConnection frees a connection or buffer space within the listener's limits.
 	evictForConnection evictionReason = iota
-	// evictForDescriptor: descriptors have run out. A first message that is unread, or on its way, is spared.
+	// evictForDescriptor frees a file descriptor. It spares connections whose first message is unread or may
+	// still be on its way.
 	evictForDescriptor
 )
 
-// newConnGrace is how long a connection counts as just opened. Hazard: a client whose every connection is
-// evicted before its request comes is never served.
+// newConnGrace is how long a new connection is protected while its first request may be on its way. Without
+// it, a client whose connections are all evicted before their request arrives would never be served.
 const newConnGrace = 100 * time.Millisecond
 
-// evictionCandidate returns the connection to evict first: of the lowest state, the one that has been quiet
-// longest. It is nil if all are being processed, or spared.
+// evictionCandidate returns the connection to evict next: among those of the lowest state, the one that has
+// been idle longest. It returns nil if none may be evicted.
 //
-// Hazard: those who open connections and send nothing, or send one request and stay, keep out clients and
-// the call-backs of workers.
-func (ln *Listener) evictionCandidate(except *Conn, reason evictionReason) (first *Conn) {
+// Without eviction, peers that open connections and send nothing, or stay connected after one request, would
+// lock out clients and the call-backs of workers.
+func (ln *Listener) evictionCandidate(except *Conn, reason evictionReason) (candidate *Conn) {
 	now := ln.loop.Now()
 	for _, s := range ln.loop.sources.All {
 		c, ok := s.(*Conn)
-		if ok && c.listener == ln && c != except && (first == nil || c.evictedBefore(first)) &&
+		if ok && c.listener == ln && c != except && (candidate == nil || c.evictedBefore(candidate)) &&
 			c.evictable(now, reason) {
-			first = c
+			candidate = c
 		}
 	}
-	if reason == evictForDescriptor && first != nil && first.state == stateNew &&
-		now-first.messageStart < newConnGrace {
-		return nil // its first message is on its way; nor is one evicted for it that has sent a message
+	if reason == evictForDescriptor && candidate != nil && candidate.state == stateNew &&
+		now-candidate.messageStart < newConnGrace {
+		// Its first message may be on its way. Connections that have sent a message are not evicted in its
+		// place either.
+		return nil
 	}
-	return first
+	return candidate
 }
 
-// evictedBefore reports whether a connection is evicted before another.
+// evictedBefore reports whether c is evicted before other.
 func (c *Conn) evictedBefore(other *Conn) bool {
 	if c.state != other.state {
 		return c.state < other.state
@@ -48,23 +51,23 @@
 	return c.lastActivity < other.lastActivity
 }
 
-// evictable reports whether a connection may be evicted.
+// evictable reports whether c may be evicted for the given reason.
 func (c *Conn) evictable(now time.Duration, reason evictionReason) bool {
 	if c.UnsentBytes() > 0 && now-c.lastActivity < maxMessageTime {
-		return false // a response is on its way
+		return false // a response is being sent
 	}
 	switch c.state {
 	case stateNew:
 		return reason == evictForConnection || !c.HasUnreadInput()
 	case stateIdle:
-		return !c.HasPendingInput() // hazard: a request that has come, and would be lost unread
+		return !c.HasPendingInput() // a request that has arrived must not be lost unread
 	case stateProcessing:
 		return false
 	}
 	return true
 }
 
-// evictOne evicts one connection and reports whether there was one to evict.
+// evictOne evicts one connection other than except, and reports whether there was one to evict.
 func (ln *Listener) evictOne(except *Conn, reason evictionReason) bool {
 	c := ln.evictionCandidate(except, reason)
 	if c != nil {
@@ -73,12 +76,13 @@
 	return c != nil
 }
 
-// freeDescriptor evicts a connection of any listener, and reports whether there was one to evict.
+// freeDescriptor evicts one connection of any listener, and reports whether there was one to evict.
 func (l *Loop) freeDescriptor(reason evictionReason) bool {
 	return slices.ContainsFunc(l.listeners, func(ln *Listener) bool { return ln.evictOne(nil, reason) })
 }
 
-// reserveBuffer makes room for that many more bytes of buffers, by evicting connections if need be.
+// reserveBuffer makes sure that buffers may grow by the given number of bytes, evicting connections other
+// than except if needed. It reports whether they may.
 func (ln *Listener) reserveBuffer(bytes int, except *Conn) bool {
 	for ln.bufferBytes+bytes > ln.limits.MaxBufferBytes {
 		if !ln.evictOne(except, evictForConnection) {
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -11,44 +11,45 @@
 )
 
 const (
-	listenBacklog     = 1024 // connections that the kernel keeps until they are accepted
-	maxAcceptsPerTurn = 64   // then other sources have their turn
+	listenBacklog     = 1024 // connections that the kernel queues until they are accepted
+	maxAcceptsPerTurn = 64   // accepts before other event sources are handled
 )
 
-// Limits are what the connections of a listener may take together.
+// Limits are the limits of a listener and of all its connections together.
 type Limits struct {
-	MaxConnections int // open at a time
-	MaxBufferBytes int // of their buffers
+	MaxConnections int // open connections
+	MaxBufferBytes int // sum of the connections' buffer capacities
 
-	MessageTimeout time.Duration // for a message to come whole; 0: the default, for clients
-	ReusePort      bool          // another process may listen at the same address
+	MessageTimeout time.Duration // for receiving a complete message; 0: messageTimeout
+	ReusePort      bool          // another process may listen on the same address
 }
 
-// Listener accepts connections.
+// Listener accepts connections on a socket, within its limits.
 type Listener struct {
 	loop        *Loop
 	fd          int // -1 once closed
 	id          slotmap.ID
 	limits      Limits
 	openConns   int
-	bufferBytes int  // of the connections' buffers
-	lingering   int  // connections that CloseAfterFlush has begun to close
-	paused      bool // nothing is accepted until there is room
+	bufferBytes int  // sum of the connections' buffer capacities
+	lingering   int  // connections that CloseAfterFlush is closing
+	paused      bool // nothing is accepted: at a limit, or after an error
 	suspended   bool // nothing is accepted until SetSuspended(false)
 	onAccept    func(*Conn)
 }
 
-// Listen listens on an IPv4 address and port; onAccept is called on the loop for each connection, and sets
-// its Handler. At a limit an idle connection is evicted for the new one; while there is none, further ones
-// wait in the kernel's queue. It fails if the address is invalid or in use.
+// Listen listens on an IPv4 address and port. onAccept is called on the loop for each connection and must set
+// its Handler. At the connection limit an existing connection is evicted for the new one; while none may be
+// evicted, new ones wait in the kernel's queue. Listen fails if the address is invalid or in use.
 func (l *Loop) Listen(address string, limits Limits, onAccept func(*Conn)) (*Listener, error) {
 	fd, addr, err := l.newSocket(address)
 	if err != nil {
 		return nil, err
 	}
-	// A restart must not wait for the connections of the process before it, nor a process that takes this
-	// one's place for its end. Hazard: without need, two nodes that were given one address by mistake would
-	// share its clients in silence.
+	// SO_REUSEADDR: a restarted process must not wait for the old process's connections to expire.
+	// SO_REUSEPORT: in a hot restart the new process listens before the old one has exited. It is set only
+	// on request: otherwise two nodes configured with the same address by mistake would silently share its
+	// clients.
 	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err == nil && limits.ReusePort {
 		err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
@@ -66,8 +67,8 @@
 	return l.ListenFD(fd, limits, onAccept)
 }
 
-// ListenFD is Listen on a socket that listens already, and which is the Listener's from here on, also if an
-// error is returned.
+// ListenFD is like Listen, but uses a socket that is already listening. It takes over ownership of the
+// descriptor, even if it returns an error.
 func (l *Loop) ListenFD(fd int, limits Limits, onAccept func(*Conn)) (*Listener, error) {
 	ln := &Listener{loop: l, fd: fd, limits: limits, onAccept: onAccept}
 	var err error
@@ -79,7 +80,7 @@
 	return ln, nil
 }
 
-// Adopt takes over a connection that another process accepted, while its message is processed.
+// Adopt takes over a connection that another process has accepted and whose message is being processed.
 func (ln *Listener) Adopt(fd int, h Handler) (*Conn, error) {
 	c, err := ln.loop.Adopt(fd, h)
 	if err != nil {
@@ -90,31 +91,31 @@
 	return c, nil
 }
 
-// FD is the listening socket, to be sent to another process. It stays the Listener's.
+// FD returns the listening socket, for sending it to another process. The Listener keeps ownership.
 func (ln *Listener) FD() int { return ln.fd }
 
-// SetSuspended sets whether connections are left in the kernel's queue, for another process that listens on
-// the same socket.
+// SetSuspended sets whether new connections stay in the kernel's queue, for another process that listens on
+// the same socket to accept.
 func (ln *Listener) SetSuspended(on bool) {
 	ln.suspended = false
 	ln.setPaused(on)
 	ln.suspended = on
 }
 
-// SetLimits sets new limits. Connections and buffers beyond them are kept.
+// SetLimits changes the limits. Open connections and their buffers are kept even if they exceed them.
 func (ln *Listener) SetLimits(limits Limits) {
 	ln.limits = limits
 	ln.setPaused(false)
 }
 
-// LingeringCount is the number of connections that are being closed: what was written last may still be on
-// its way.
+// LingeringCount returns the number of connections that CloseAfterFlush is closing: their last output may not
+// have reached the peer yet.
 func (ln *Listener) LingeringCount() int { return ln.lingering }
 
-// OpenCount is the number of open connections.
+// OpenCount returns the number of open connections.
 func (ln *Listener) OpenCount() int { return ln.openConns }
 
-// AcceptPending accepts what is in the kernel's queue now, rather than at the next event.
+// AcceptPending accepts the connections in the kernel's queue immediately, without waiting for an event.
 func (ln *Listener) AcceptPending() {
 	if !ln.suspended && ln.fd >= 0 {
 		ln.handleEvents(0)
@@ -138,8 +139,8 @@
 		case isResourceExhausted(err) &&
 			(ln.evictOne(nil, evictForDescriptor) || ln.loop.freeDescriptor(evictForDescriptor)):
 		default:
-			// The connection stays in the queue. Some descriptors may be free soon; an error that persists
-			// must not spin the loop either.
+			// The connection stays in the queue. Descriptors may become free soon. The delay also keeps a
+			// persistent error from making the loop spin.
 			ln.setPaused(true)
 			ln.loop.After(retryDelay, func() { ln.setPaused(false) })
 			return
@@ -147,7 +148,7 @@
 	}
 }
 
-// accepted makes a connection of an accepted socket, and evicts another one for it if the listener is full.
+// accepted sets up a connection on an accepted socket, and evicts another one if the listener was full.
 func (ln *Listener) accepted(fd int, full bool) {
 	c, err := ln.loop.newConn(fd, false)
 	if err != nil {
@@ -171,7 +172,7 @@
 	ln.updateInterest()
 }
 
-// updateInterest has epoll report new connections, or not while the listener is paused.
+// updateInterest makes epoll report new connections, except while the listener is paused.
 func (ln *Listener) updateInterest() {
 	if ln.fd < 0 {
 		return
@@ -181,7 +182,7 @@
 		events = 0
 	}
 	if ln.loop.system.EpollCtl(ln.loop.epoll, unix.EPOLL_CTL_MOD, ln.fd, epollEvent(events, ln.id)) != nil {
-		ln.loop.After(retryDelay, ln.updateInterest) // hazard: unreported, connections would wait for ever
+		ln.loop.After(retryDelay, ln.updateInterest) // otherwise connections could wait forever, unreported
 	}
 }
 
@@ -189,8 +190,8 @@
 func (ln *Listener) Close() {
 	if ln.fd >= 0 {
 		ln.loop.sources.Remove(ln.id)
-		// Hazard: where another process has the socket open too, closing it here doesn't take it out of the
-		// epoll set, which would report it for ever.
+		// While another process has the socket open too, closing it here doesn't remove it from the epoll
+		// set, which would keep reporting its events.
 		_ = unix.EpollCtl(ln.loop.epoll, unix.EPOLL_CTL_DEL, ln.fd, nil)
 		unix.Close(ln.fd)
 		ln.fd = -1
--- a/internal/netio/eventloop/loop.go
+++ b/internal/netio/eventloop/loop.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	maxEventsPerPoll = 128 // how many events one epoll_wait may return
-	maxPollsPerTurn  = 8   // how often more events are fetched before timers have their turn
+	maxEventsPerPoll = 128 // events that one epoll_wait may return
+	maxPollsPerTurn  = 8   // consecutive epoll_wait calls before timers run
 
-	maxPollMillis = 60_000 // how long one epoll_wait may block
+	maxPollMillis = 60_000 // longest time that one epoll_wait may block
 )
 
-// eventSource is what epoll reports events of: a connection, a listener or the wake-up descriptor.
+// eventSource handles the events of one descriptor: a connection, a listener or the wake-up descriptor.
 type eventSource interface{ handleEvents(events uint32) }
 
-// Loop is the event loop. Make one with New.
+// Loop is an event loop on epoll. Create one with New.
 type Loop struct {
 	system        kernel.System
-	epoll, wakeup int // descriptors
+	epoll, wakeup int // file descriptors
 	sources       slotmap.Map[eventSource]
 	listeners     []*Listener
 	timers        timerHeap
 	started       time.Time
-	origin        time.Duration // the loop's clock at started
+	origin        time.Duration // value of the loop's clock at started
 	stopped       bool
 	events        [maxEventsPerPoll]unix.EpollEvent
 
@@ -40,10 +40,10 @@
 	posted []func()
 }
 
-// New makes a loop on the Linux kernel. It fails if descriptors have run out.
+// New returns a loop on the Linux kernel. It fails if the process has no free file descriptors.
 func New() (*Loop, error) { return NewWithSystem(kernel.Linux{}) }
 
-// NewWithSystem is New with another system in the kernel's place.
+// NewWithSystem is like New, but makes its system calls through the given system.
 func NewWithSystem(system kernel.System) (*Loop, error) {
 	now := time.Now()
 	l := &Loop{system: system, started: now, origin: time.Duration(now.UnixNano())}
@@ -58,20 +58,20 @@
 	return l, err
 }
 
-// Now is the loop's clock. It began at the Unix time of New and goes on by the monotonic clock, so that it
-// never goes back.
+// Now returns the loop's clock: the Unix time at which the loop was created plus the monotonic time since
+// then, so that it never goes backwards.
 func (l *Loop) Now() time.Duration { return l.origin + time.Since(l.started) }
 
-// Post runs f on the loop. It may be called from any goroutine, and does not wait.
+// Post schedules f to run on the loop and returns immediately. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	// It can only fail when the counter is full, and then the loop wakes anyway.
+	// The write fails only if the eventfd counter is full, and then the loop wakes up anyway.
 	_, _ = unix.Write(l.wakeup, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-// wakeupSource runs what was posted.
+// wakeupSource runs the functions passed to Post.
 type wakeupSource struct{ loop *Loop }
 
 func (w wakeupSource) handleEvents(uint32) {
@@ -86,13 +86,13 @@
 	}
 }
 
-// Stop ends Run after the current callback.
+// Stop makes Run return after the current callback.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run handles events and timers until Stop. It fails if epoll does.
+// Run handles events and timers until Stop is called. It returns an error if epoll_wait fails.
 //
-// Hazard: the process is held up, and a response or a request lies unread when a timer for it is due. So all
-// that had come by the time at which timers are judged is read before they run.
+// After the process was stalled, a request or response may be unread while its timeout is already due. So
+// before timers run, Run polls once more and reads all input that had arrived when they became due.
 func (l *Loop) Run() error {
 	for !l.stopped {
 		if err := l.pollEvents(l.pollTimeout()); err != nil {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// pollEvents waits so many milliseconds for events, and has their sources handle them, with all that are
-// there already.
+// pollEvents waits up to the given number of milliseconds for events and dispatches them. If a poll returns
+// a full batch, it polls again without waiting, at most maxPollsPerTurn times in all.
 func (l *Loop) pollEvents(millis int) error {
 	for range maxPollsPerTurn {
 		n, err := l.system.EpollWait(l.epoll, l.events[:], millis)
@@ -131,29 +131,30 @@
 	return nil
 }
 
-// dispatch has the source of an event handle it.
+// dispatch passes an event to its source.
 func (l *Loop) dispatch(e *unix.EpollEvent) {
-	// An earlier event of this batch may have closed the source of this one, and its slot may be in use
-	// again: then the generation differs.
+	// An earlier event of this batch may have closed this event's source, and its slot may have been
+	// reused. The generation differs then.
 	if s, ok := l.sources.Get(slotmap.MakeID(uint32(e.Fd), uint32(e.Pad))); ok {
 		s.handleEvents(e.Events)
 	}
 }
 
-// pollTimeout is how long epoll_wait may block, in milliseconds, rounded up so as not to spin; -1: for ever.
+// pollTimeout returns how long epoll_wait may block, in milliseconds; -1 means without a limit. It rounds up,
+// because rounding down would make the loop spin until the timer is due.
 func (l *Loop) pollTimeout() int {
 	if len(l.timers) == 0 {
 		return -1
 	}
-	rest := l.timers[0].deadline - l.Now()
-	return int(min(max(rest+time.Millisecond-1, 0)/time.Millisecond, maxPollMillis))
+	remaining := l.timers[0].deadline - l.Now()
+	return int(min(max(remaining+time.Millisecond-1, 0)/time.Millisecond, maxPollMillis))
 }
 
 func epollEvent(events uint32, id slotmap.ID) *unix.EpollEvent {
 	return &unix.EpollEvent{Events: events, Fd: int32(id.Index()), Pad: int32(id.Generation())}
 }
 
-// register has epoll report a descriptor's events to the source.
+// register adds a descriptor to the epoll set; its events go to the source.
 func (l *Loop) register(fd int, events uint32, s eventSource) (slotmap.ID, error) {
 	id := l.sources.Add(s)
 	if err := l.system.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, epollEvent(events, id)); err != nil {
@@ -163,7 +164,7 @@
 	return id, nil
 }
 
-// newSocket makes a socket for the address, to be bound or connected.
+// newSocket creates a socket for the address. The caller binds or connects it.
 func (l *Loop) newSocket(address string) (int, unix.Sockaddr, error) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/netio/eventloop/peek.go
+++ b/internal/netio/eventloop/peek.go
@@ -6,12 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// The functions here query the kernel about a connection, without waiting for the loop to report an event.
+// The functions in this file query the kernel about a connection without waiting for the loop to report an
+// event.
 
-// HasPendingInput reports whether input has come that was not discarded, whether read by the loop or not.
+// HasPendingInput reports whether there is undiscarded input, in the connection's or the kernel's buffer.
 func (c *Conn) HasPendingInput() bool { return c.inputEnd > 0 || c.HasUnreadInput() }
 
-// HasUnreadInput reports whether input lies in the kernel's buffer.
+// HasUnreadInput reports whether there is input in the kernel's buffer.
 func (c *Conn) HasUnreadInput() bool {
 	if c.closed {
 		return false
@@ -20,7 +21,7 @@
 	return n > 0
 }
 
-// peek reads without consuming: n is more than 0 if there is input.
+// peek reads without consuming. n is greater than 0 if there is input.
 func (c *Conn) peek() (n int, err error) {
 	var one [1]byte
 	for {
@@ -30,7 +31,7 @@
 	}
 }
 
-// PeerClosed reports whether the peer has closed the connection, whatever input lies before the end.
+// PeerClosed reports whether the peer has closed the connection, even if input before the close is unread.
 func (c *Conn) PeerClosed() bool {
 	if c.closed {
 		return true
@@ -41,7 +42,7 @@
 	return err == nil && n > 0 && state[0].Revents&closedEvents != 0
 }
 
-// Stale reports whether a connection that should be idle has ended, or holds input that nobody requested.
+// Stale reports whether a connection that should be idle was closed or has unsolicited input.
 func (c *Conn) Stale() bool {
 	if c.closed || c.inputEnd > 0 {
 		return true
--- a/internal/netio/eventloop/syscall_faults_test.go
+++ b/internal/netio/eventloop/syscall_faults_test.go
@@ -17,7 +17,7 @@
 	"moorstack/internal/netio/faultnet"
 )
 
-// immediateLineServer responds to each line that comes.
+// immediateLineServer responds to each line as soon as it is received.
 type immediateLineServer struct{}
 
 func (immediateLineServer) OnConnect(*Conn)      {}
@@ -31,15 +31,15 @@
 	}
 }
 
-// listenFaulty responds to lines on a system whose calls fail.
+// listenFaulty serves lines on a system whose calls can fail.
 func listenFaulty(t *testing.T, system *faultnet.System, limits Limits) (loop *Loop, address string) {
 	t.Helper()
 	loop, _, address = listenOn(t, system, limits, func(c *Conn) { c.Handler = immediateLineServer{} })
 	return loop, address
 }
 
-// requireExchanges has clients send lines, some in pieces and some pipelined, and fails without a response to
-// each.
+// requireExchanges makes clients send lines, some in pieces and some pipelined, and fails the test unless
+// each line gets its response.
 func requireExchanges(t *testing.T, address string) {
 	t.Helper()
 	for i := range 8 {
@@ -62,7 +62,7 @@
 	}
 }
 
-// openDescriptors returns how many descriptors this process has open.
+// openDescriptors returns the number of descriptors that this process has open.
 func openDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
@@ -72,8 +72,8 @@
 	return len(all)
 }
 
-// Calls fail for want of something that the kernel has again soon, or are interrupted: every message gets its
-// response all the same, no descriptor is leaked and the loop doesn't spin.
+// Calls are interrupted, or fail because the kernel is temporarily out of a resource: every message must
+// still get its response, and no descriptor may leak.
 func TestTransientSystemCallFailures(t *testing.T) {
 	for call, failures := range map[faultnet.Syscall][]error{
 		faultnet.Accept: {unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
@@ -102,8 +102,8 @@
 	}
 }
 
-// The kernel has no room to change what epoll reports just when that matters: for a connection with
-// output that waits, and a listener that is paused.
+// epoll_ctl fails just when a change of the reported events is needed: for a connection with pending output,
+// and for a paused listener.
 func TestEpollCtlFailures(t *testing.T) {
 	for call, err := range map[faultnet.Syscall]error{faultnet.Write: unix.EAGAIN,
 		faultnet.Accept: unix.EIO} {
@@ -120,7 +120,7 @@
 	}
 }
 
-// A peek at unread input is interrupted: it is repeated.
+// A peek at unread input that is interrupted by a signal is repeated.
 func TestInterruptedPeekIsRepeated(t *testing.T) {
 	system := faultnet.New(faultnet.FailSometimes(faultnet.Peek, unix.EINTR))
 	loop, _ := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
@@ -148,7 +148,8 @@
 	})
 }
 
-// awaitClosed waits until the connections of disconnected clients are closed, and counts descriptors.
+// awaitClosed waits until the connections of disconnected clients are closed, and returns the number of open
+// descriptors.
 func awaitClosed(t *testing.T, system *faultnet.System) int {
 	t.Helper()
 	for began := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -157,12 +158,12 @@
 			return openDescriptors(t)
 		}
 		if time.Since(began) > 5*time.Second {
-			t.Fatalf("%d connections are open still", open)
+			t.Fatalf("%d connections are still open", open)
 		}
 	}
 }
 
-// A call that goes on failing is not repeated without a delay.
+// A call that keeps failing is repeated only after a delay.
 func TestPersistentFailuresDoNotSpin(t *testing.T) {
 	for call, err := range map[faultnet.Syscall]error{faultnet.Accept: unix.EIO, faultnet.Read: unix.ENOMEM,
 		faultnet.Write: unix.ENOBUFS} {
@@ -185,19 +186,19 @@
 			fmt.Fprintln(c, "while")
 			time.Sleep(10 * retryDelay)
 			if n := system.CallCount(faultnet.EpollWait); n > 200 {
-				t.Errorf("the loop went round %d times in %v", n, 10*retryDelay)
+				t.Errorf("epoll_wait was called %d times in %v", n, 10*retryDelay)
 			}
 			if n := system.CallCount(call); n == 0 {
 				t.Error("the call was not made at all")
 			}
 			system.SetScript(nil)
 			requireOK(t, other, "a new connection, once calls succeed again")
-			requireOK(t, c, "the one that was there")
+			requireOK(t, c, "the existing connection")
 		})
 	}
 }
 
-// Reads and writes take a byte at a time.
+// Every message gets its response although each read and write transfers one byte only.
 func TestShortReadsAndWrites(t *testing.T) {
 	system := faultnet.New(nil)
 	system.OneByteIO = true
@@ -205,7 +206,7 @@
 	requireExchanges(t, address)
 }
 
-// A connection that breaks is closed, once, and others stay open.
+// A connection that breaks is closed exactly once, and others stay open.
 func TestBrokenConnectionClosesOnce(t *testing.T) {
 	for _, call := range []faultnet.Syscall{faultnet.Read, faultnet.Write} {
 		for _, err := range []error{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE,
@@ -224,14 +225,14 @@
 					if made == call {
 						once.Do(func() { fault = err })
 						if call == faultnet.Write && fault == nil && n == 2 {
-							fault = unix.EPIPE // as a write meets after a break
+							fault = unix.EPIPE // the error of a write after the connection broke
 						}
 					}
 					return fault
 				})
 				fmt.Fprintln(c, "while it breaks")
 				if n, err := c.Read(make([]byte, 1)); err == nil {
-					t.Fatalf("%d bytes of a response", n)
+					t.Fatalf("read %d bytes of a response from a broken connection", n)
 				}
 				fmt.Fprintln(other, "after")
 				requireOK(t, other, "another connection")
@@ -240,15 +241,15 @@
 	}
 }
 
-// dialHandler reports what becomes of a dialled connection.
+// dialHandler reports whether a dialled connection is established or closed.
 type dialHandler struct{ connected, closed chan error }
 
 func (d *dialHandler) OnConnect(*Conn)            { d.connected <- nil }
 func (d *dialHandler) OnData(*Conn)               {}
 func (d *dialHandler) OnClose(_ *Conn, err error) { d.closed <- err }
 
-// A connection that can't be begun is an error at once, and no descriptor is leaked; one whose connect is
-// interrupted by a signal comes up.
+// Dial returns an error immediately if the connection can't be started, and leaks no descriptor. A connection
+// whose connect is interrupted by a signal is still established.
 func TestDialFailures(t *testing.T) {
 	system := faultnet.New(nil)
 	loop, address := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
@@ -287,11 +288,11 @@
 	case err := <-d.closed:
 		t.Errorf("interrupted: %v", err)
 	case <-time.After(5 * time.Second):
-		t.Error("an interrupted connection never came up")
+		t.Error("interrupted: the connection was not established within 5 s")
 	}
 }
 
-// What came before a connection's close is read though reads fail meanwhile.
+// Input sent before the peer's close is read completely although reads fail temporarily.
 func TestInputBeforeCloseIsReadThroughReadFailures(t *testing.T) {
 	system := faultnet.New(nil)
 	loop, address := listenFaulty(t, system, Limits{MaxConnections: 32, MaxBufferBytes: 1 << 20})
@@ -313,12 +314,12 @@
 	fmt.Fprint(c, "all of it")
 	c.Close()
 	if text := <-got.complete; text != "all of it" {
-		t.Errorf("%q came", text)
+		t.Errorf("got %q, want \"all of it\"", text)
 	}
 	_ = address
 }
 
-// collector collects all that comes, and reports it at the close.
+// collector collects all input and sends it to complete when the connection closes.
 type collector struct {
 	text     bytes.Buffer
 	complete chan string
@@ -331,8 +332,8 @@
 }
 func (c *collector) OnClose(*Conn, error) { c.complete <- c.text.String() }
 
-// Descriptors have run out when a connection comes, and the first message of another one, opened a while ago,
-// is unread: that one is not evicted.
+// Accept fails because descriptors have run out, while the first message of an older connection is unread:
+// that connection must not be evicted, because its message would be lost.
 func TestUnreadFirstMessageSurvivesDescriptorExhaustion(t *testing.T) {
 	system := faultnet.New(nil)
 	loop, address := listenFaulty(
@@ -360,5 +361,5 @@
 	fmt.Fprintln(c, "first")
 	close(unblock)
 	requireOK(t, c, "the unread message")
-	requireOK(t, newer, "the new connection's")
+	requireOK(t, newer, "the new connection's message")
 }
--- a/internal/netio/eventloop/timer.go
+++ b/internal/netio/eventloop/timer.go
@@ -8,19 +8,19 @@
 // Timer is a callback that the loop runs at a deadline.
 type Timer struct {
 	loop      *Loop
-	deadline  time.Duration // by the loop's clock
-	heapIndex int           // -1 when it has run or was stopped
+	deadline  time.Duration // on the loop's clock
+	heapIndex int           // -1 once it has run or was stopped
 	callback  func()
 }
 
-// At runs f on the loop at the given time of its clock, never before At has returned.
+// At schedules f to run on the loop at the given time of its clock. f never runs before At returns.
 func (l *Loop) At(deadline time.Duration, f func()) *Timer {
 	t := &Timer{loop: l, deadline: deadline, callback: f}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// After runs f on the loop after d, never before After has returned.
+// After schedules f to run on the loop after d. f never runs before After returns.
 func (l *Loop) After(d time.Duration, f func()) *Timer { return l.At(l.Now()+d, f) }
 
 // Stop cancels the timer. It does nothing if the timer is nil or has run.
@@ -30,12 +30,12 @@
 	}
 }
 
-// timerDue reports whether the first deadline has come by the given time.
+// timerDue reports whether a timer is due at the given time.
 func (l *Loop) timerDue(now time.Duration) bool {
 	return len(l.timers) > 0 && l.timers[0].deadline <= now
 }
 
-// timerHeap holds the timers, the first deadline at index 0.
+// timerHeap is a min-heap of timers: the earliest deadline is at index 0.
 type timerHeap []*Timer
 
 var _ heap.Interface = (*timerHeap)(nil)
--- a/internal/netio/faultnet/faultnet.go
+++ b/internal/netio/faultnet/faultnet.go
@@ -1,5 +1,5 @@
-// Package faultnet is a kernel.System for tests whose system calls fail by a script, in the ways that Linux
-// documents. Its functions may be called from any goroutine.
+// Package faultnet provides a kernel.System for tests that makes system calls fail as a script says, with
+// errors that Linux documents. Its functions may be called from any goroutine.
 package faultnet
 
 import (
@@ -15,7 +15,7 @@
 // Syscall names a system call.
 type Syscall string
 
-// The calls that can fail.
+// The calls that a script can make fail.
 const (
 	Socket    Syscall = "socket"
 	Connect   Syscall = "connect"
@@ -29,23 +29,24 @@
 	Close     Syscall = "close"
 )
 
-// Script returns the error with which the n-th call of its kind fails, counted from 1; nil: it succeeds.
+// Script returns the error of the n-th call of a system call, counted from 1, or nil if it is to succeed.
 type Script func(call Syscall, n int) error
 
-// System is a kernel whose calls fail by a script. Make one with New.
+// System makes system calls on Linux, except those that its script makes fail. Create one with New.
 type System struct {
 	kernel.Linux
-	OneByteIO bool // reads and writes take a byte at a time
+	OneByteIO bool // each read and write transfers at most one byte
 
 	mu        sync.Mutex
 	script    Script
 	calls     map[Syscall]int
-	openConns int // connections that were accepted, less what was closed
+	openConns int // accepted connections minus closed descriptors
 }
 
 var _ kernel.System = (*System)(nil)
 
-// OpenConns returns how many connections were accepted and not closed. It is right only if none was dialled.
+// OpenConns returns the number of accepted connections that were not closed. The number is wrong if dialled
+// connections were closed, because Close does not distinguish them.
 func (s *System) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +59,7 @@
 	s.openConns += n
 }
 
-// New makes a system whose calls fail by the script; nil: none fails.
+// New returns a system whose calls fail as the script says. With a nil script none fails.
 func New(script Script) *System { return &System{script: script, calls: map[Syscall]int{}} }
 
 func (s *System) nextFault(call Syscall) error {
@@ -71,14 +72,14 @@
 	return s.script(call, s.calls[call])
 }
 
-// SetScript sets what fails from now on, and resets the counts of calls.
+// SetScript replaces the script and resets the call counts.
 func (s *System) SetScript(script Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script, s.calls = script, map[Syscall]int{}
 }
 
-// CallCount returns how often a call has been made since the script was set.
+// CallCount returns the number of calls of a system call since the script was set.
 func (s *System) CallCount(call Syscall) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 func (s *System) Connect(fd int, to unix.Sockaddr) error {
 	if err := s.nextFault(Connect); err != nil {
 		if errors.Is(err, unix.EINTR) {
-			_ = s.Linux.Connect(fd, to) // it goes on all the same
+			_ = s.Linux.Connect(fd, to) // an interrupted connect continues in the background
 		}
 		return err
 	}
@@ -179,7 +180,8 @@
 	return cmp.Or(s.nextFault(Close), err)
 }
 
-// FailSometimes returns a script that fails a call the first five times, and then one time in three.
+// FailSometimes returns a script that makes a system call fail the first five times and every third time
+// after that.
 func FailSometimes(call Syscall, err error) Script {
 	return func(made Syscall, n int) error {
 		if made == call && (n <= 5 || n%3 == 0) {
--- a/internal/netio/http1/parser.go
+++ b/internal/netio/http1/parser.go
@@ -6,48 +6,48 @@
 	"strings"
 )
 
-// The limits of a message. A message beyond them is a ProtocolError.
+// The limits of a message. A message that exceeds them causes a ProtocolError.
 const (
 	maxHeadBytes      = 16 << 10
-	maxBodyBytes      = 64 << 10 // without the chunked framing; of a streamed body there is no limit
-	maxChunkLineBytes = 256      // of a chunk's size, with its extensions
-	maxFieldLines     = 100      // in the head, and in the trailer
+	maxBodyBytes      = 64 << 10 // without the chunked framing; streamed bodies have no limit
+	maxChunkLineBytes = 256      // for a line of the chunked framing: a chunk size with extensions
+	maxFieldLines     = 100      // in the head, and again in the trailer
 )
 
-// parseState is the part of the message that is read next.
+// parseState is the part of the message that is parsed next.
 type parseState uint8
 
 const (
 	parsingHead      parseState = iota
-	parsingBody                 // remaining more bytes of it
+	parsingBody                 // remaining bytes left
 	parsingChunkSize            // at a chunk's size line
-	parsingChunk                // remaining more bytes of a chunk
-	parsingChunkEnd             // at the line end after a chunk
+	parsingChunk                // remaining bytes of the chunk left
+	parsingChunkEnd             // at the line ending after a chunk
 	parsingTrailer
 	parsingToEOF // the body ends with the connection
 	parsingDone
 )
 
-// Parser reads one message at a time from the front of a buffer that grows. It keeps its position between
-// calls, so that input in small pieces costs no more, and removes the framing of a chunked body in place.
-// The zero value reads requests.
+// Parser parses one message at a time from the front of a growing buffer. It keeps its position between
+// calls, so that a body that arrives in small pieces costs no more to parse, and removes the framing of a
+// chunked body in place. The zero value parses requests.
 type Parser struct {
-	ReadsResponses bool // else it reads requests
-	StreamsBody    bool // the body has no limit; NextBodyChunk returns what has come of it
+	ReadsResponses bool // parse responses instead of requests
+	StreamsBody    bool // the body has no limit and is read with NextBodyChunk
 
 	Message
 	state     parseState
 	bodyStart int // offset in the buffer where the body begins
-	bodyEnd   int // offset where the body that has been read ends
-	position  int // offset where parsing goes on
-	remaining int // bytes of the body, or of the chunk, still to come; in a trailer, its lines so far
+	bodyEnd   int // offset where the part of the body that was parsed so far ends
+	position  int // offset where parsing continues
+	remaining int // bytes left of the body or the chunk; in a trailer, the number of lines so far
 }
 
-// HeadComplete reports whether the head has been read.
+// HeadComplete reports whether the head has been parsed.
 func (p *Parser) HeadComplete() bool { return p.state > parsingHead }
 
-// Feed parses on in buf, which must begin where it began at the last call. It reports whether the message is
-// complete. An error is a *ProtocolError.
+// Feed continues parsing in buf, which must begin at the same position of the input as in the previous call.
+// It reports whether the message is complete. Any error is a *ProtocolError.
 func (p *Parser) Feed(buf []byte) (complete bool, err error) {
 	for {
 		state, position := p.state, p.position
@@ -63,20 +63,20 @@
 	}
 }
 
-// Body returns the whole body. It lies in the buffer that Feed was given.
+// Body returns the complete body, a slice of the buffer that was passed to Feed.
 func (p *Parser) Body(buf []byte) []byte { return buf[p.bodyStart:p.bodyEnd] }
 
-// MessageSize returns how many bytes of the buffer the whole message takes.
+// MessageSize returns the size in bytes of the complete message in the buffer.
 func (p *Parser) MessageSize() int { return p.position }
 
-// Reset makes the parser ready for the message after this one.
+// Reset prepares the parser for the next message.
 func (p *Parser) Reset() { *p = Parser{ReadsResponses: p.ReadsResponses, StreamsBody: p.StreamsBody} }
 
-// CompleteAtEOF reports whether the end of the connection completes the message.
+// CompleteAtEOF reports whether the message is complete if the peer closes the connection now.
 func (p *Parser) CompleteAtEOF() bool { return p.state == parsingToEOF }
 
-// NextBodyChunk returns what has come of a streamed body since the last call. The caller discards the first
-// used bytes of the buffer before the next call of Feed.
+// NextBodyChunk returns the part of a streamed body that was parsed since the last call. The caller must
+// discard the first used bytes of the buffer before it calls Feed again.
 func (p *Parser) NextBodyChunk(buf []byte) (body []byte, used int) {
 	body = buf[p.bodyStart:p.bodyEnd]
 	used = p.position
@@ -84,25 +84,26 @@
 	return body, used
 }
 
-// step parses one part of the message, if it has come.
+// step parses the next part of the message from the input received so far.
 func (p *Parser) step(buf []byte) error {
 	switch p.state {
 	case parsingHead:
-		return p.head(buf)
+		return p.parseHead(buf)
 	case parsingBody, parsingToEOF, parsingChunk:
-		return p.bodyBytes(buf)
+		return p.parseBody(buf)
 	case parsingChunkSize, parsingChunkEnd, parsingTrailer:
-		line, ok, err := p.chunkLine(buf)
+		line, ok, err := p.nextChunkLine(buf)
 		if !ok || err != nil {
 			return err
 		}
-		return p.chunkFraming(line)
+		return p.parseChunkFraming(line)
 	}
 	return nil
 }
 
-// bodyBytes takes what has come of the body, moved to where the body that was read before ends.
-func (p *Parser) bodyBytes(buf []byte) error {
+// parseBody consumes the body bytes in the buffer and moves them directly behind the previous ones, which
+// removes the chunked framing between them.
+func (p *Parser) parseBody(buf []byte) error {
 	n := len(buf) - p.position
 	if p.state != parsingToEOF {
 		n = min(n, p.remaining)
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// checkBodySize fails if n more bytes make the body too large.
+// checkBodySize returns an error if n more bytes would make the body too large.
 func (p *Parser) checkBodySize(n int) error {
 	if !p.StreamsBody && p.bodyEnd-p.bodyStart+n > maxBodyBytes {
 		return &ProtocolError{413, "the body is too large"}
@@ -132,8 +133,8 @@
 	return nil
 }
 
-// chunkLine returns the next line of the chunked framing, if it has come whole.
-func (p *Parser) chunkLine(buf []byte) (line []byte, ok bool, err error) {
+// nextChunkLine returns the next line of the chunked framing. ok is false if it is still incomplete.
+func (p *Parser) nextChunkLine(buf []byte) (line []byte, ok bool, err error) {
 	rest := buf[p.position:]
 	i := bytes.IndexByte(rest, '\n')
 	if i < 0 && len(rest) > maxChunkLineBytes || i > maxChunkLineBytes {
@@ -146,8 +147,8 @@
 	return bytes.TrimSuffix(rest[:i], []byte("\r")), true, nil
 }
 
-// chunkFraming interprets a line of the chunked framing.
-func (p *Parser) chunkFraming(line []byte) error {
+// parseChunkFraming parses a line of the chunked framing or the trailer.
+func (p *Parser) parseChunkFraming(line []byte) error {
 	switch p.state {
 	case parsingChunkEnd:
 		if len(line) > 0 {
@@ -155,7 +156,7 @@
 		}
 		p.state = parsingChunkSize
 	case parsingChunkSize:
-		return p.chunkSize(line)
+		return p.parseChunkSize(line)
 	case parsingTrailer:
 		if p.remaining++; p.remaining > maxFieldLines {
 			return &ProtocolError{431, "too many trailer lines"}
@@ -167,7 +168,7 @@
 	return nil
 }
 
-func (p *Parser) chunkSize(line []byte) error {
+func (p *Parser) parseChunkSize(line []byte) error {
 	text, _, _ := bytes.Cut(line, []byte(";"))
 	text = bytes.TrimRight(text, " \t")
 	n, err := strconv.ParseUint(string(text), 16, 31)
@@ -185,11 +186,11 @@
 
 var headEnd = []byte("\r\n\r\n")
 
-// head parses the head, once it has come whole.
-func (p *Parser) head(buf []byte) error {
+// parseHead parses the head once it is complete.
+func (p *Parser) parseHead(buf []byte) error {
 	start := 0
 	for bytes.HasPrefix(buf[start:], []byte("\r\n")) {
-		start += 2 // some clients send an empty line after a body
+		start += 2 // some clients send an empty line after a body; RFC 9112 says to ignore it
 	}
 	n := bytes.Index(buf[start:], headEnd)
 	if n > maxHeadBytes || n < 0 && len(buf) > maxHeadBytes {
@@ -205,18 +206,18 @@
 	p.Message = Message{Fields: make([]Field, 0, len(lines)-1)}
 	p.bodyStart = start + n + len(headEnd)
 	p.bodyEnd, p.position = p.bodyStart, p.bodyStart
-	minor, err := p.startLine(lines[0])
+	minor, err := p.parseStartLine(lines[0])
 	if err != nil {
 		return err
 	}
 	if len(lines) > maxFieldLines {
 		return &ProtocolError{431, "too many header lines"}
 	}
-	return p.fieldLines(lines[1:], minor)
+	return p.parseFieldLines(lines[1:], minor)
 }
 
-// startLine parses the first line and returns the digit of the minor version.
-func (p *Parser) startLine(line string) (minor byte, err error) {
+// parseStartLine parses the request line or status line and returns the digit of the minor version.
+func (p *Parser) parseStartLine(line string) (minor byte, err error) {
 	first, rest, ok := strings.Cut(line, " ")
 	version := first
 	if p.ReadsResponses {
@@ -235,15 +236,15 @@
 	return version[7], nil
 }
 
-// framing is by what a head's fields frame the message, and whether the connection ends after it.
+// framing is how the fields of a head delimit the body, and whether the connection stays open afterwards.
 type framing struct {
-	contentLength int // -1: not given
+	contentLength int // -1: no Content-Length field
 	chunked       bool
 	keepAlive     bool
 }
 
-// fieldLines parses the field lines of the head, and chooses how the body is read.
-func (p *Parser) fieldLines(lines []string, minor byte) error {
+// parseFieldLines parses the field lines of the head and determines how the body is read.
+func (p *Parser) parseFieldLines(lines []string, minor byte) error {
 	f := framing{contentLength: -1, keepAlive: minor == '1'}
 	for _, line := range lines {
 		name, value, ok := strings.Cut(line, ":")
@@ -255,7 +256,7 @@
 		if strings.EqualFold(name, "Expect") {
 			p.ExpectsContinue = strings.EqualFold(value, "100-continue")
 		}
-		if err := f.observe(name, value); err != nil {
+		if err := f.addField(name, value); err != nil {
 			return err
 		}
 	}
@@ -263,12 +264,12 @@
 	return p.beginBody(f)
 }
 
-// observe takes in a field, if it is one of the framing.
-func (f *framing) observe(name, value string) error {
+// addField updates the framing if the field is Content-Length, Transfer-Encoding or Connection.
+func (f *framing) addField(name, value string) error {
 	switch strings.ToLower(name) {
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 31)
-		// Hazard: two different lengths let a peer hide a second message in the body of the first (request
+		// Two different lengths would let a peer hide a second message in the body of the first (request
 		// smuggling).
 		if err != nil || value[0] == '+' || f.contentLength >= 0 && f.contentLength != int(n) {
 			return badRequest("content length %.60q", value)
@@ -292,7 +293,7 @@
 	return nil
 }
 
-// beginBody sets the state in which the body is read.
+// beginBody sets the state for reading the body, or completes a message that has none.
 func (p *Parser) beginBody(f framing) error {
 	switch {
 	case f.chunked && f.contentLength >= 0:
--- a/internal/netio/http1/parser_test.go
+++ b/internal/netio/http1/parser_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// corpus are well-formed and malformed messages, as peers send them.
+// corpus has well-formed and malformed messages.
 var corpus = []struct {
 	response bool
 	text     string
@@ -26,8 +26,8 @@
 	{true, "HTTP/1.1 abc\r\n\r\n"},
 }
 
-// outcome describes all that a parser makes of an input that comes in these pieces.
-func outcome(response bool, pieces ...string) string {
+// parseResult returns a description of the parsed message, or of the error, for an input received in pieces.
+func parseResult(response bool, pieces ...string) string {
 	p := Parser{ReadsResponses: response}
 	var buf []byte
 	for _, piece := range pieces {
@@ -44,24 +44,24 @@
 	return "incomplete"
 }
 
-// A message parses alike, in whatever pieces it comes.
+// The result of parsing must not depend on how the input is split into reads.
 func TestMessageParsesAlikeInAnyPieces(t *testing.T) {
 	for _, c := range corpus {
-		want := outcome(c.response, c.text)
+		want := parseResult(c.response, c.text)
 		if want == "incomplete" {
 			t.Errorf("%q: incomplete", c.text)
 		}
 		for i := 1; i < len(c.text); i++ {
-			if got := outcome(c.response, c.text[:i], c.text[i:]); got != want {
+			if got := parseResult(c.response, c.text[:i], c.text[i:]); got != want {
 				t.Errorf("%q cut at %d: %s, want %s", c.text, i, got, want)
 			}
 			for j := i + 1; j < len(c.text); j++ {
-				if got := outcome(c.response, c.text[:i], c.text[i:j], c.text[j:]); got != want {
+				if got := parseResult(c.response, c.text[:i], c.text[i:j], c.text[j:]); got != want {
 					t.Fatalf("%q cut at %d and %d: %s, want %s", c.text, i, j, got, want)
 				}
 			}
 		}
-		if got := outcome(c.response, strings.Split(c.text, "")...); got != want {
+		if got := parseResult(c.response, strings.Split(c.text, "")...); got != want {
 			t.Errorf("%q byte by byte: %s, want %s", c.text, got, want)
 		}
 	}
--- a/internal/netio/kernel/kernel.go
+++ b/internal/netio/kernel/kernel.go
@@ -1,37 +1,37 @@
-// Package kernel has the system calls that an event loop makes for its sockets behind one interface, so that
-// tests can have them fail.
+// Package kernel defines an interface for the system calls that an event loop makes on its sockets, so that
+// tests can make them fail.
 package kernel
 
 import (
 	"golang.org/x/sys/unix"
 )
 
-// System is the kernel as an event loop calls it. Its calls return the errors that Linux documents. In tests
-// package faultnet takes its place.
+// System is the set of system calls of an event loop. The methods return the errors that Linux documents for
+// the calls. Package faultnet implements it for tests.
 type System interface {
-	// Socket makes a non-blocking TCP socket.
+	// Socket creates a non-blocking IPv4 TCP socket.
 	Socket() (fd int, err error)
-	// Connect begins a connection.
+	// Connect starts to connect a socket.
 	Connect(fd int, to unix.Sockaddr) error
-	// Accept accepts a connection from the queue, as a non-blocking socket.
+	// Accept accepts a queued connection and returns its non-blocking socket.
 	Accept(fd int) (int, error)
-	// EpollWait waits for events; -1 milliseconds: for ever.
+	// EpollWait waits for events up to the given time; -1 milliseconds means without a limit.
 	EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error)
-	// EpollCtl changes which events of a descriptor are reported.
+	// EpollCtl adds, changes or removes the events that are reported for a descriptor.
 	EpollCtl(epoll, operation, fd int, event *unix.EpollEvent) error
-	// Read reads what has come.
+	// Read reads available input.
 	Read(fd int, p []byte) (int, error)
-	// Peek reads what has come without consuming it, and never blocks.
+	// Peek reads available input without consuming it. It never blocks.
 	Peek(fd int, p []byte) (int, error)
-	// Write writes what the kernel has room for.
+	// Write writes as much as the kernel accepts.
 	Write(fd int, p []byte) (int, error)
-	// Shutdown closes the sending side.
+	// Shutdown closes the sending side of a connection.
 	Shutdown(fd int) error
-	// Close closes a descriptor. On Linux it is closed whatever is returned.
+	// Close closes a descriptor. On Linux it is closed even if an error is returned.
 	Close(fd int) error
 }
 
-// Linux is the System that makes the calls. It may be used by several goroutines.
+// Linux is the System that makes the real calls. It may be used by several goroutines.
 type Linux struct{}
 
 var _ System = Linux{}
