--- a/internal/operate/adminproto/command.go
+++ b/internal/operate/adminproto/command.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// Handler carries out the commands. All of it is called on the node's loop, and what a command requests is in
-// force when its method returns. The error of a method becomes the text of the NAK.
+// Handler executes the commands. Its methods are called on the node's loop, and a command has taken effect
+// when its method returns. The error of a method becomes the text after NAK.
 type Handler interface {
-	// Ready is nil while this process is ready to serve, or reports why it is not.
+	// Ready returns nil if this process is ready to serve, otherwise the reason why it is not.
 	Ready() error
-	// AppendMetrics appends the metrics to dst, as one line of JSON without its end.
+	// AppendMetrics appends the metrics to dst as one line of JSON without a line ending.
 	AppendMetrics(dst []byte) []byte
-	// StartMaintenance takes the endpoint of an id out, EndMaintenance puts it back.
+	// StartMaintenance excludes the endpoint with the ID from new jobs, EndMaintenance readmits it.
 	StartMaintenance(id string) error
 	EndMaintenance(id string) error
-	// Standby drains the node, EndStandby ends that.
+	// Standby drains the node, EndStandby makes it serve again.
 	Standby() error
 	EndStandby() error
 }
 
-// maxLineBytes is the length of the longest command that is read, without the line's end.
+// maxLineBytes is the maximum length of a command line, without its line ending.
 const maxLineBytes = 512
 
 var (
@@ -31,14 +31,14 @@
 	errTooLong = fmt.Errorf("the call is longer than %d bytes", maxLineBytes)
 )
 
-// statsCommand is the one command whose reply is not an ACK.
+// statsCommand is the only command that replies with metrics instead of an ACK.
 const statsCommand = "stats"
 
-// command is one of the commands.
+// command describes an admin command.
 type command struct {
-	name    string
-	takesID bool // of an endpoint
-	run     func(h Handler, id string) error
+	name       string
+	requiresID bool // the argument is the ID of an endpoint
+	run        func(h Handler, id string) error
 }
 
 var commands = [...]command{
@@ -50,7 +50,7 @@
 	{"active", false, func(h Handler, _ string) error { return h.EndStandby() }},
 }
 
-// HandleLine carries out the command in a line, which comes without its end, and appends the reply to dst.
+// HandleLine executes the command in a line without line ending, and appends the reply to dst.
 func HandleLine(dst, line []byte, h Handler) []byte {
 	c, id, err := parse(line)
 	if err == nil {
@@ -64,20 +64,20 @@
 	}
 	dst = append(dst, "ACK "...)
 	dst = append(dst, c.name...)
-	if c.takesID {
+	if c.requiresID {
 		dst = append(append(dst, ' '), id...)
 	}
 	return append(dst, '\n')
 }
 
-// appendNAK appends the reply to a command that has failed. What the error quotes must not end the reply
-// early.
+// appendNAK appends the reply to a failed command. It replaces line breaks in the error's text, which would
+// end the reply early.
 func appendNAK(dst []byte, err error) []byte {
 	return append(fmt.Appendf(dst, "NAK %s", strings.ReplaceAll(err.Error(), "\n", " ")), '\n')
 }
 
-// parse reads a command. An id is what stands between blanks: whether an endpoint has it is for the handler
-// to check.
+// parse parses a command line. It accepts any word as an ID; the handler checks whether an endpoint has that
+// ID.
 func parse(line []byte) (c *command, id string, err error) {
 	for _, b := range line {
 		if b != '\t' && (b < ' ' || b > '~') {
@@ -97,12 +97,13 @@
 	return nil, "", fmt.Errorf("%q is no call; there are %s", fields[0], usage())
 }
 
-// argument is the id among a line's fields, of which the first is the command's name.
+// argument returns the ID in the fields of a line, the first of which is the command's name. It returns an
+// error if the number of arguments is wrong.
 func (c *command) argument(fields [][]byte) (id string, err error) {
 	switch {
-	case c.takesID && len(fields) == 1:
+	case c.requiresID && len(fields) == 1:
 		return "", fmt.Errorf("%s wants the id of a trip worker: %s ID", c.name, c.name)
-	case c.takesID && len(fields) == 2:
+	case c.requiresID && len(fields) == 2:
 		return string(fields[1]), nil
 	case len(fields) > 1:
 		return "", fmt.Errorf("%s takes nothing after %q", c.name, fields[len(fields)-2])
@@ -110,11 +111,11 @@
 	return "", nil
 }
 
-// usage names the commands for an operator who has mistyped one.
+// usage lists the commands, for the reply to an unknown one.
 func usage() string {
 	names := make([]string, 0, len(commands))
 	for _, c := range commands {
-		if c.takesID {
+		if c.requiresID {
 			names = append(names, c.name+" ID")
 			continue
 		}
--- a/internal/operate/adminproto/command_test.go
+++ b/internal/operate/adminproto/command_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// recorder is a handler that records its calls.
+// recorder is a Handler that records its calls and returns err from them.
 type recorder struct {
 	calls []string
 	err   error
--- a/internal/operate/adminproto/doc.go
+++ b/internal/operate/adminproto/doc.go
@@ -1,4 +1,5 @@
-// Package adminproto is the protocol of the second address, at which operators give commands: one line a
-// connection, one reply that begins with ACK or NAK, or the metrics. It parses a command, has a Handler carry
-// it out, and writes the reply. It keeps no state and decides nothing. All of it runs on the node's loop.
+// Package adminproto implements the protocol of the admin address, where operators send commands. Each
+// connection carries one command line and one reply: a line that begins with ACK or NAK, or the metrics. The
+// package parses the command, calls the Handler and writes the reply. It is stateless and runs on the node's
+// event loop.
 package adminproto
--- a/internal/operate/adminproto/server.go
+++ b/internal/operate/adminproto/server.go
@@ -7,26 +7,26 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// maxConnections is how many operators may be connected at once. Their connections are no part of what
-// clients may have, nor the other way round.
+// maxConnections is the maximum number of simultaneous admin connections. It is separate from the limit for
+// clients, so that neither can exhaust the other.
 //
-// Hazard: operators that connect and send nothing would keep out those who have something to send. The oldest
-// silent connection is closed for a new one.
+// At the limit the oldest silent connection is closed for a new one. Otherwise operators that connect and
+// send nothing would lock out those with a command to send.
 const maxConnections = 8
 
 const (
-	maxBuffered    = maxConnections * 4096 // bytes of all connections
-	commandTimeout = 6 * time.Second       // for a command to arrive complete
+	maxBufferBytes = maxConnections * 4096 // buffer bytes of all connections together
+	commandTimeout = 6 * time.Second       // for receiving a complete command
 )
 
-// Listen opens the second address, and has a handler carry out the commands, on the loop.
+// Listen listens on the admin address and passes the commands to the handler, on the loop.
 func Listen(loop *eventloop.Loop, address string, h Handler) (*eventloop.Listener, error) {
-	limits := eventloop.Limits{MaxConnections: maxConnections, MaxBufferBytes: maxBuffered,
+	limits := eventloop.Limits{MaxConnections: maxConnections, MaxBufferBytes: maxBufferBytes,
 		MessageTimeout: commandTimeout}
 	return loop.Listen(address, limits, func(c *eventloop.Conn) { c.Handler = &session{handler: h} })
 }
 
-// session is a connection to the second address.
+// session handles one connection to the admin address.
 type session struct {
 	handler Handler
 	replied bool
@@ -40,8 +40,8 @@
 // OnClose implements eventloop.Handler.
 func (*session) OnClose(*eventloop.Conn, error) {}
 
-// OnData implements eventloop.Handler: it replies once the line is complete, in however many pieces it came,
-// and closes.
+// OnData implements eventloop.Handler: it replies once the line is complete, even if it arrived in pieces,
+// and closes the connection.
 func (s *session) OnData(conn *eventloop.Conn) {
 	if s.replied {
 		return
@@ -49,7 +49,7 @@
 	line, _, complete := bytes.Cut(conn.Input(), []byte("\n"))
 	var reply []byte
 	switch {
-	case len(line) > maxLineBytes: // Hazard: a line without an end would be read for ever.
+	case len(line) > maxLineBytes: // without this limit, a line that never ends would be read forever
 		reply = appendNAK(nil, errTooLong)
 	case !complete:
 		return
--- a/internal/operate/adminproto/server_test.go
+++ b/internal/operate/adminproto/server_test.go
@@ -13,10 +13,10 @@
 	"moorstack/internal/netio/eventloop"
 )
 
-// testTimeout bounds each exchange of a test.
+// testTimeout limits the duration of each exchange.
 const testTimeout = 10 * time.Second
 
-// serve listens with a handler on a running loop, which ends with the test, and returns the address.
+// serve starts a loop that serves the handler until the test ends, and returns the address.
 func serve(t *testing.T, h Handler) string {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := unix.Getsockname(l.FD())
+	sockaddr, err := unix.Getsockname(l.FD())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,10 +39,10 @@
 			t.Error(err)
 		}
 	})
-	return fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
+	return fmt.Sprintf("127.0.0.1:%d", sockaddr.(*unix.SockaddrInet4).Port)
 }
 
-// connect connects to an address until the test ends.
+// connect opens a connection that is closed when the test ends.
 func connect(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", address, testTimeout)
@@ -56,7 +56,7 @@
 	return c
 }
 
-// exchange sends a command in pieces, and returns all that comes back until the connection is closed.
+// exchange sends a command in pieces and returns everything received until the connection is closed.
 func exchange(t *testing.T, c net.Conn, pieces ...string) string {
 	t.Helper()
 	for _, piece := range pieces {
--- a/internal/operate/backups/backups.go
+++ b/internal/operate/backups/backups.go
@@ -1,9 +1,9 @@
-// Package backups keeps backup files in a directory that several instances may write to, one at a
-// time.
+// Package backups stores backup files in a directory that several instances may share. A file lock
+// (flock) allows one writer at a time.
 //
-// The directory remembers the newest fencing token that has written there, under a lock of the
-// kernel's: an instance that no longer holds the task's lease, and was stopped between its check and
-// its write, is rejected.
+// The directory stores, per task, the newest fencing token that was used to write to it, and rejects
+// older ones. Otherwise an instance that lost the task's lease while it was stalled between its check
+// and its write could still write.
 package backups
 
 import (
@@ -19,52 +19,52 @@
 	"time"
 )
 
-// The files of a directory.
+// File names, modes and limits of a backup directory.
 const (
 	filePrefix       = "agreed-"
 	fileSuffix       = ".backup"
-	periodLayout     = "20060102T150405Z" // of the time in a file's name, in UTC
+	periodLayout     = "20060102T150405Z" // format of the period in a file name, in UTC
 	fenceFile        = "fence.json"
 	lockFile         = "lock"
 	temporarySuffix  = ".tmp"
-	directoryMode    = 0o700 // backups are for their owner alone
+	directoryMode    = 0o700 // only the owner may read backups
 	fileMode         = 0o600
-	minimumRetention = 1 // backups that stay, whatever is requested
+	minimumRetention = 1 // backups that are kept even if fewer are requested
 )
 
-// ErrLeaseExpired means that the requester's lease ended before the backup was written.
-var ErrLeaseExpired = errors.New("the lease is over")
+// ErrLeaseExpired means that the requester's lease expired before the backup was written.
+var ErrLeaseExpired = errors.New("the lease has expired")
 
 // Dir is a directory of backups. Its methods may be called from any goroutine and any process.
 type Dir struct {
 	Path   string
-	Verify func([]byte) error // fails unless a file's content is a complete backup
+	Verify func([]byte) error // returns an error unless the content of a file is a complete backup
 }
 
-// WriteRequest is a request for the backup of a period.
+// WriteRequest is a request to write the backup of a period.
 type WriteRequest struct {
-	Group        string // the group's identity; a directory belongs to one group
+	Group        string // ID of the group; a directory belongs to one group
 	Task         string // the leased task under which the request is made
 	FencingToken uint64 // of the task's lease
 	Period       time.Time
 	Content      []byte
-	Retain       int         // how many backups stay
-	LeaseValid   func() bool // checked once more under the lock
+	Retain       int         // number of backups to keep
+	LeaseValid   func() bool // checked once more while the lock is held
 }
 
-// Result is the backup of a period, as the leased task's state records it.
+// Result describes the backup of a period, in the form in which the leased task's state records it.
 type Result struct {
 	Period time.Time `json:"period"`
-	File   string    `json:"file"`   // its name in the directory
-	SHA256 string    `json:"sha256"` // of its content, in hexadecimal
+	File   string    `json:"file"`   // name of the file in the directory
+	SHA256 string    `json:"sha256"` // hash of its content, in hexadecimal
 }
 
-// Write writes the backup of a period, verifies what it has written, and removes the oldest ones. A
-// valid backup of the period that exists already stays and is the result: its writer may have
-// stopped before it could record it.
+// Write writes the backup of a period, verifies the file, and removes the oldest backups beyond
+// Retain. If a valid backup of the period exists already, Write keeps and returns it: its writer may
+// have stopped before it could record it.
 //
-// It waits for other writers. It fails with a *leasedtask.StaleTokenError if a newer fencing token has
-// written here, and with ErrLeaseExpired if the lease has ended.
+// Write waits for other writers. It fails with a *leasedtask.StaleTokenError if a newer fencing token
+// was used in this directory, and with ErrLeaseExpired if the lease has expired.
 func (d Dir) Write(r WriteRequest) (Result, error) {
 	unlock, err := d.lock()
 	if err != nil {
@@ -74,7 +74,7 @@
 	if err := d.admit(r); err != nil {
 		return Result{}, err
 	}
-	// Hazard: it may have waited for the lock, or stood still, for longer than its lease.
+	// This process may have waited for the lock, or been stalled, until after its lease expired.
 	if !r.LeaseValid() {
 		return Result{}, ErrLeaseExpired
 	}
@@ -91,12 +91,12 @@
 		err = d.Verify(written)
 	}
 	if err != nil {
-		return Result{}, fmt.Errorf("%s can't be read back: %w", path, err)
+		return Result{}, fmt.Errorf("%s can't be read back after the write: %w", path, err)
 	}
 	return Result{r.Period, name, digest(written)}, d.removeOldest(r.Retain)
 }
 
-// lock makes the directory if there is none, and waits until no other process writes to it.
+// lock creates the directory if it does not exist, and waits for the lock that excludes other writers.
 func (d Dir) lock() (unlock func(), err error) {
 	if err := os.MkdirAll(d.Path, directoryMode); err != nil {
 		return nil, err
@@ -109,16 +109,17 @@
 		f.Close()
 		return nil, fmt.Errorf("locking %s: %w", d.Path, err)
 	}
-	return func() { f.Close() }, nil // the kernel releases the lock with the descriptor
+	return func() { f.Close() }, nil // closing the descriptor releases the lock
 }
 
-// digest returns a content's SHA-256 in hexadecimal.
+// digest returns the SHA-256 of b in hexadecimal.
 func digest(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
 }
 
-// replaceFile puts a complete file in the place of the one of that name, or leaves that unchanged.
+// replaceFile atomically creates or replaces a file. If it fails, the file has its old or its complete
+// new content.
 func (d Dir) replaceFile(name string, b []byte) error {
 	tmp := filepath.Join(d.Path, name+temporarySuffix)
 	f, err := os.OpenFile(tmp, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
@@ -144,7 +145,7 @@
 	return dir.Sync()
 }
 
-// List returns the names of the backups in the directory, oldest first.
+// List returns the file names of the backups in the directory, oldest first.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(d.Path)
 	if err != nil {
@@ -160,7 +161,7 @@
 	return list, nil
 }
 
-// isBackup reports whether a file has the name of a backup.
+// isBackup reports whether a file name is that of a backup.
 func isBackup(name string) bool {
 	period, hasSuffix := strings.CutSuffix(name, fileSuffix)
 	period, hasPrefix := strings.CutPrefix(period, filePrefix)
@@ -171,7 +172,7 @@
 	return err == nil
 }
 
-// removeOldest removes the oldest backups. Files with other names are left alone.
+// removeOldest removes the oldest backups until retain are left. It does not touch other files.
 func (d Dir) removeOldest(retain int) error {
 	list, err := d.List()
 	if err != nil {
--- a/internal/operate/backups/backups_test.go
+++ b/internal/operate/backups/backups_test.go
@@ -16,9 +16,9 @@
 
 func newDir(t *testing.T) Dir {
 	t.Helper()
-	return Dir{Path: filepath.Join(t.TempDir(), "kept"), Verify: func(b []byte) error {
-		if !bytes.HasPrefix(b, []byte("whole")) {
-			return errors.New("it is not whole")
+	return Dir{Path: filepath.Join(t.TempDir(), "backups"), Verify: func(b []byte) error {
+		if !bytes.HasPrefix(b, []byte("complete")) {
+			return errors.New("the backup is incomplete")
 		}
 		return nil
 	}}
@@ -29,51 +29,52 @@
 		Content: []byte(content), Retain: 3, LeaseValid: func() bool { return true }}
 }
 
-// One directory from creation on: writes are fenced, verified and pruned.
+// In one directory from its creation on: stale writers are rejected, files are verified, and the oldest
+// backups are removed.
 func TestWritesAreFencedVerifiedAndPruned(t *testing.T) {
 	d := newDir(t)
-	first, err := d.Write(request(7, 1, "whole 1"))
+	first, err := d.Write(request(7, 1, "complete 1"))
 	if err != nil || first.File != "agreed-20261201T010000Z.backup" {
 		t.Fatalf("%+v %v", first, err)
 	}
-	// The backup of a period stays: its writer may have stopped before it recorded it.
-	again, err := d.Write(request(8, 1, "whole 1, of another"))
+	// An existing backup of the period is kept: its writer may have stopped before it recorded it.
+	again, err := d.Write(request(8, 1, "complete 1, of another"))
 	if err != nil || again != first {
 		t.Errorf("%+v %v", again, err)
 	}
-	// A writer that was stalled between its check and its write is rejected, and changes nothing.
+	// A writer that was stalled until after its lease has a stale token. It is rejected and writes nothing.
 	var stale *leasedtask.StaleTokenError
-	if _, err := d.Write(request(7, 2, "whole 2")); !errors.As(err, &stale) || stale.NewestToken != 8 {
-		t.Errorf("an old fencing token writes: %v", err)
+	if _, err := d.Write(request(7, 2, "complete 2")); !errors.As(err, &stale) || stale.NewestToken != 8 {
+		t.Errorf("write with a stale fencing token: %v", err)
 	}
-	expired := request(9, 2, "whole")
+	expired := request(9, 2, "complete")
 	expired.LeaseValid = func() bool { return false }
 	if _, err := d.Write(expired); !errors.Is(err, ErrLeaseExpired) {
-		t.Errorf("it writes after its lease: %v", err)
+		t.Errorf("write after the lease expired: %v", err)
 	}
 	if _, err := d.Write(request(9, 3, "half")); err == nil ||
 		!strings.Contains(err.Error(), "can't be read back") {
-		t.Errorf("an incomplete backup is kept: %v", err)
+		t.Errorf("write of an incomplete backup: %v", err)
 	}
-	// A damaged backup is written again; another group's directory, and one that can't be, are errors.
+	// A damaged backup is replaced. Writing to the directory of another group is an error.
 	if err := os.WriteFile(filepath.Join(d.Path, first.File), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if again, err = d.Write(request(9, 1, "whole 1")); err != nil || again != first {
+	if again, err = d.Write(request(9, 1, "complete 1")); err != nil || again != first {
 		t.Errorf("%+v %v", again, err)
 	}
 	other := request(99, 4, "")
 	other.Group = "h"
 	if _, err := d.Write(other); err == nil || !strings.Contains(err.Error(), "is of the group g, not h") {
-		t.Errorf("another group writes: %v", err)
+		t.Errorf("write by another group: %v", err)
 	}
-	// The oldest are removed; a file that is not a backup stays.
+	// The oldest backups are removed; a file that is not a backup is kept.
 	foreign := filepath.Join(d.Path, "agreed-of-old.backup")
 	if err := os.WriteFile(foreign, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for hour := 3; hour < 9; hour++ {
-		if _, err := d.Write(request(10, hour, "whole")); err != nil {
+		if _, err := d.Write(request(10, hour, "complete")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -82,9 +83,9 @@
 		t.Errorf("%v %v", list, err)
 	}
 	if _, err := os.Stat(foreign); err != nil {
-		t.Error("a file that is not a backup is removed")
+		t.Error("a file that is not a backup was removed")
 	}
 	if _, err := (Dir{Path: "/dev/null/x", Verify: d.Verify}).Write(other); err == nil {
-		t.Error("written where nothing can be")
+		t.Error("write to a directory that can't be created succeeded")
 	}
 }
--- a/internal/operate/backups/fence.go
+++ b/internal/operate/backups/fence.go
@@ -10,13 +10,13 @@
 	"moorstack/internal/cluster/leasedtask"
 )
 
-// fence is what the directory remembers of its writers.
+// fence is the content of the fence file: the group and the fencing tokens of a directory's writers.
 type fence struct {
 	Group  string            `json:"group"`
-	Tokens map[string]uint64 `json:"numbers"` // the newest fencing token, by task
+	Tokens map[string]uint64 `json:"numbers"` // newest fencing token by task
 }
 
-// admit rejects an old fencing token, and stores a new one before anything is written under it.
+// admit rejects a stale fencing token, and stores a new one before the first write with that token.
 func (d Dir) admit(r WriteRequest) error {
 	stored, err := d.readFence(r.Group)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return d.replaceFile(fenceFile, raw)
 }
 
-// readFence reads what the directory remembers; an empty fence if there is none. It fails if the
+// readFence reads the fence file, or returns an empty fence if there is no file. It fails if the
 // directory belongs to another group.
 func (d Dir) readFence(group string) (fence, error) {
 	path := filepath.Join(d.Path, fenceFile)
@@ -46,11 +46,11 @@
 		err = json.Unmarshal(raw, &f)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return f, fmt.Errorf("%s: %w; if no other group writes here, remove it", path, err)
+		return f, fmt.Errorf("%s: %w; if no other group uses the directory, remove the file", path, err)
 	}
 	if f.Group != "" && f.Group != group {
-		return f, fmt.Errorf("%s is of the group %s, not %s; give each its own directory, or remove it", path,
-			f.Group, group)
+		return f, fmt.Errorf("%s is of the group %s, not %s; use one directory per group, or remove the file",
+			path, f.Group, group)
 	}
 	return f, nil
 }
--- a/internal/operate/controlapi/authorize.go
+++ b/internal/operate/controlapi/authorize.go
@@ -13,10 +13,10 @@
 	"moorstack/internal/schema"
 )
 
-// socketCaller is the name of a caller on the unix socket.
+// socketCaller is the name under which callers on the unix socket are recorded.
 const socketCaller = "socket"
 
-// readerMethods are the methods that readers may call. All others are for operators.
+// readerMethods are the methods that readers may call. All others require an operator.
 var readerMethods = map[string]bool{
 	schema.Control_GetConfig_FullMethodName:    true,
 	schema.Control_History_FullMethodName:      true,
@@ -27,7 +27,7 @@
 	schema.Control_ExplainRoute_FullMethodName: true,
 }
 
-// callerOf returns a caller's name and role; empty: it is not known.
+// callerOf returns the caller's name and role, both empty if unknown.
 func callerOf(ctx context.Context) (name string, role keys.Role) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
@@ -38,12 +38,12 @@
 		return certificate.Subject.CommonName, keys.RoleOf(certificate)
 	}
 	if p.Addr.Network() == "unix" {
-		return socketCaller, keys.RoleOperator // who may open the file may do everything
+		return socketCaller, keys.RoleOperator // permission to open the socket file grants all methods
 	}
 	return "", ""
 }
 
-// authorize returns an error unless the caller may call a method.
+// authorize returns an error unless the caller may call the method.
 func (s *Server) authorize(ctx context.Context, method string) error {
 	name, role := callerOf(ctx)
 	if role == keys.RoleOperator || role == keys.RoleReader && readerMethods[method] {
@@ -51,5 +51,5 @@
 	}
 	s.log.WithFields(logrus.Fields{"caller": name, "role": role, "method": method}).Warn("call rejected")
 	return status.Errorf(codes.PermissionDenied,
-		"%s is for operators; the certificate of %q is of the role %q", method, name, role)
+		"%s is for operators; the certificate of %q has the role %q", method, name, role)
 }
--- a/internal/operate/controlapi/backup_test.go
+++ b/internal/operate/controlapi/backup_test.go
@@ -7,24 +7,24 @@
 	"moorstack/internal/cluster/clusterstate"
 )
 
-// A backup that is read is the one that was written. Any other content is rejected, with the reason.
+// Decoding returns what was encoded. Damaged or other content is rejected with the reason.
 func TestDamagedBackupsAreRejected(t *testing.T) {
 	document := &clusterstate.Document{}
-	whole := EncodeBackup("c1", []clusterstate.Revision{{Number: 7, Document: document}})
-	b, err := DecodeBackup(whole)
+	encoded := EncodeBackup("c1", []clusterstate.Revision{{Number: 7, Document: document}})
+	b, err := DecodeBackup(encoded)
 	if err != nil || b.Cluster != "c1" || len(b.Revisions) != 1 || b.Revisions[0].Number != 7 {
 		t.Fatalf("%+v: %v", b, err)
 	}
 	flipped := func(at int) []byte {
-		out := append([]byte{}, whole...)
+		out := append([]byte{}, encoded...)
 		out[at] ^= 1
 		return out
 	}
 	for want, content := range map[string][]byte{
-		"no backup":     flipped(0),
+		"not a backup":  flipped(0),
 		"has format 0":  flipped(backupFormatAt),
 		"damaged":       flipped(backupBodyAt),
-		"checksum":      whole[:len(whole)-1],
+		"checksum":      encoded[:len(encoded)-1],
 		"configuration": EncodeBackup("c1", nil),
 	} {
 		if _, err := DecodeBackup(content); err == nil || !strings.Contains(err.Error(), want) {
@@ -32,8 +32,8 @@
 		}
 	}
 	for size := range backupBodyAt {
-		if _, err := DecodeBackup(whole[:size]); err == nil {
-			t.Errorf("%d bytes of a backup are accepted", size)
+		if _, err := DecodeBackup(encoded[:size]); err == nil {
+			t.Errorf("the first %d bytes of a backup were accepted", size)
 		}
 	}
 }
--- a/internal/operate/controlapi/client.go
+++ b/internal/operate/controlapi/client.go
@@ -16,16 +16,16 @@
 	"moorstack/internal/schema"
 )
 
-// Target is a control service, and how a client authenticates: either a socket, or an address with the name
-// of the instance that must be there and the caller's keys.
+// Target identifies a control service and the client's credentials: either a socket, or an address with the
+// name of the instance expected there and the caller's certificates.
 type Target struct {
 	Socket       string // path of a unix socket
-	Address      string // host and port
+	Address      string // host:port
 	InstanceName string
 	Keys         keys.Files
 }
 
-// How a client connects again. A command waits for its call, and so the times are short.
+// Parameters for connecting again after a failure. The times are short because a command waits meanwhile.
 const (
 	connectBackoff       = 50 * time.Millisecond
 	maxConnectBackoff    = time.Second
@@ -33,10 +33,10 @@
 	minConnectTimeout    = 2 * time.Second
 )
 
-// callMargin is how much longer a command waits than the service takes for a call.
+// callMargin is how much longer a command waits than callTimeout, the time limit of the service.
 const callMargin = 5 * time.Second
 
-// Dial makes a client, and returns what closes it. Nothing is sent before its first call.
+// Dial returns a client and the function that closes it. It connects at the first call.
 func Dial(t Target) (schema.ControlClient, func() error, error) {
 	address, transport, err := t.resolve()
 	if err != nil {
@@ -59,36 +59,37 @@
 		),
 	)
 	if err != nil {
-		return nil, nil, fmt.Errorf("the control service: %w", err)
+		return nil, nil, fmt.Errorf("creating the control service client: %w", err)
 	}
 	return schema.NewControlClient(connection), connection.Close, nil
 }
 
-// resolve returns the target as gRPC spells it, and the credentials for it.
+// resolve returns the target in gRPC's syntax and the credentials for it.
 func (t Target) resolve() (string, credentials.TransportCredentials, error) {
 	switch {
 	case t.Socket != "" && t.Address != "":
-		return "", nil, errors.New("either a socket or an address, not both")
+		return "", nil, errors.New("both a socket and an address are given, want only one of them")
 	case t.Socket != "":
 		return "unix:" + t.Socket, insecure.NewCredentials(), nil
 	case t.Address == "":
 		return "", nil, errors.New("neither a socket nor an address is given")
 	case t.InstanceName == "":
-		return "", nil, errors.New("an address needs the name of the instance that must be there")
+		return "", nil, errors.New("an address requires the name of the instance expected there")
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
-	k, err := keys.NewReloader(t.Keys, log)
+	reloader, err := keys.NewReloader(t.Keys, log)
 	if err != nil {
 		return "", nil, err
 	}
-	return "passthrough:///" + t.Address, credentials.NewTLS(k.ClientTLSConfig(t.InstanceName)), nil
+	return "passthrough:///" + t.Address, credentials.NewTLS(reloader.ClientTLSConfig(t.InstanceName)), nil
 }
 
-// NewChangeID draws the id of a new change. To repeat a change, its id is repeated.
+// NewChangeID returns a random ID for a new change. A repeated proposal of the same change must use the same
+// ID.
 func NewChangeID() (string, error) { return newID() }
 
-// WithCallTimeout bounds a command's call.
+// WithCallTimeout returns a context with the timeout for a command's call.
 func WithCallTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, callTimeout+callMargin)
 }
--- a/internal/operate/controlapi/config.go
+++ b/internal/operate/controlapi/config.go
@@ -15,7 +15,7 @@
 	"moorstack/internal/schema"
 )
 
-// describeRevision is a revision without its document.
+// describeRevision returns a revision without its document.
 func describeRevision(r clusterstate.Revision) *schema.Revision {
 	return &schema.Revision{
 		Revision: r.Number,
@@ -27,21 +27,21 @@
 	}
 }
 
-// encodeRevision is a revision with its document.
+// encodeRevision returns a revision with its document.
 func encodeRevision(r clusterstate.Revision) *schema.Revision {
 	out := describeRevision(r)
 	out.Document = r.Document.Encode()
 	return out
 }
 
-// GetConfig implements schema.ControlServer: it returns one revision, the newest if none is named.
+// GetConfig implements schema.ControlServer: it returns the requested revision, by default the newest.
 func (s *Server) GetConfig(ctx context.Context, in *schema.GetConfigRequest) (*schema.Revision, error) {
-	ctx, stop := context.WithTimeout(ctx, callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	runner := s.host.Runner()
 	if !in.Local {
 		if err := runner.Barrier(ctx); err != nil {
-			return nil, statusError(fmt.Errorf("%w; --local gives what this instance has", err))
+			return nil, statusError(fmt.Errorf("%w; use --local to read the copy of this instance", err))
 		}
 	}
 	var out *schema.Revision
@@ -66,15 +66,15 @@
 	return out, nil
 }
 
-// sinceContact is how long ago the leader was in contact, to a tick.
+// sinceContact returns the time since the last contact with the leader, with a resolution of one tick.
 func (s *Server) sinceContact(st consensus.Status) time.Duration {
 	return time.Duration(st.TicksSinceContact) * s.host.TickInterval()
 }
 
-// History implements schema.ControlServer: it lists revisions without documents, the newest first.
+// History implements schema.ControlServer: it lists revisions without documents, newest first.
 func (s *Server) History(ctx context.Context, in *schema.HistoryRequest) (*schema.HistoryReply, error) {
-	ctx, stop := context.WithTimeout(ctx, callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	out := &schema.HistoryReply{}
 	err := s.host.Runner().View(ctx, func(state *clusterstate.State) {
 		revisions := state.Revisions()
@@ -86,11 +86,12 @@
 	return out, statusError(err)
 }
 
-// Watch implements schema.ControlServer: it sends each revision from the named one on, or from the newest.
+// Watch implements schema.ControlServer: it sends all revisions from the requested one on, by default from
+// the newest.
 func (s *Server) Watch(in *schema.WatchRequest, stream grpc.ServerStreamingServer[schema.Revision]) error {
 	runner := s.host.Runner()
-	changed, end := runner.Watch()
-	defer end()
+	changed, stopWatching := runner.Watch()
+	defer stopWatching()
 	next := in.From
 	for {
 		select {
@@ -116,7 +117,7 @@
 	}
 }
 
-// revisionsFrom returns all revisions from a number on; 0: the newest only.
+// revisionsFrom returns all revisions from number first on, or only the newest if first is 0.
 func revisionsFrom(ctx context.Context, runner *consensus.Runner,
 	first uint64) (revisions []*schema.Revision, err error) {
 	oldest := uint64(0)
@@ -139,7 +140,7 @@
 		return nil, statusError(err)
 	}
 	if first < oldest {
-		return nil, status.Errorf(codes.OutOfRange, "revision %d is not kept any more; the oldest is %d",
+		return nil, status.Errorf(codes.OutOfRange, "revision %d is no longer kept; the oldest is %d",
 			first, oldest)
 	}
 	return revisions, nil
--- a/internal/operate/controlapi/doc.go
+++ b/internal/operate/controlapi/doc.go
@@ -1,7 +1,7 @@
-// Package controlapi is the operators' gRPC service: on a unix socket, whose file's owner is an operator,
-// and where configured on an address under TLS, with certificates of two roles, reader and operator. It also
-// has the client's side, and the file format of backups.
+// Package controlapi implements the operators' gRPC service, its client, and the file format of backups. The
+// service listens on a unix socket, where callers have the role operator, and optionally on a TCP address
+// with TLS, where the role in the caller's certificate must be reader or operator.
 //
-// Each call runs on a goroutine of the gRPC server. A call has no state of its own: it reads and proposes
-// through consensus.Runner, and through the Host for what only the instance knows.
+// Each call runs on a goroutine of the gRPC server and keeps no state between calls. It reads state and
+// proposes changes through consensus.Runner, and gets instance-specific data from the Host.
 package controlapi
--- a/internal/operate/controlapi/group.go
+++ b/internal/operate/controlapi/group.go
@@ -11,10 +11,10 @@
 	"moorstack/internal/schema"
 )
 
-// Init implements schema.ControlServer: it makes a new group of this instance alone.
+// Init implements schema.ControlServer: it creates a new group with this instance as its only member.
 func (s *Server) Init(ctx context.Context, in *schema.InitRequest) (*schema.StatusReply, error) {
-	ctx, stop := context.WithTimeout(ctx, callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	document, after, err := s.initialDocument(in)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
@@ -34,8 +34,9 @@
 	return s.Status(ctx, nil)
 }
 
-// initialDocument is what a new group begins with, and the revision that its first one comes after: those of
-// a backup, or the instance's own settings.
+// initialDocument returns the first configuration of a new group, and the revision after which its numbering
+// continues. Both are from the backup, if there is one; otherwise from the instance's settings, with revision
+// 0.
 func (s *Server) initialDocument(in *schema.InitRequest) (*clusterstate.Document, uint64, error) {
 	if len(in.Backup) == 0 {
 		document, err := s.host.InitialDocument()
@@ -71,14 +72,14 @@
 		return nil, statusError(err)
 	}
 	st := s.host.Runner().Status()
-	return &schema.Operated{Text: fmt.Sprintf("the log of %s begins anew after entry %d", st.Name,
+	return &schema.Operated{Text: fmt.Sprintf("the log of %s is compacted up to entry %d", st.Name,
 		st.Applied)}, nil
 }
 
 // Backup implements schema.ControlServer: it returns the configuration with its history as a backup file.
 func (s *Server) Backup(ctx context.Context, _ *schema.BackupRequest) (*schema.BackupReply, error) {
-	ctx, stop := context.WithTimeout(ctx, callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	runner := s.host.Runner()
 	if err := runner.Barrier(ctx); err != nil {
 		return nil, statusError(err)
--- a/internal/operate/controlapi/host.go
+++ b/internal/operate/controlapi/host.go
@@ -10,38 +10,40 @@
 	"moorstack/internal/schema"
 )
 
-// Host is the instance that the service speaks for. Its methods are called by several goroutines.
+// Host is the instance that the service belongs to. Its methods are called by several goroutines.
 type Host interface {
-	// Runner is the instance's side of the group.
+	// Runner returns the instance's consensus runner.
 	Runner() *consensus.Runner
-	// Operate carries out an operation on the group, at the leader.
+	// Operate executes an operation on the group at the leader.
 	Operate(context.Context, *schema.Operation) (*schema.Operated, error)
-	// RunningRevision is the revision that the fronts run, and why that is not the agreed one.
+	// RunningRevision returns the revision that the fronts run, and why it is not the agreed one, if so.
 	RunningRevision() (revision uint64, problem string)
-	// InitialDocument is the configuration that a new group begins with, by this instance's own settings.
+	// InitialDocument returns the first configuration of a new group, built from this instance's settings.
 	InitialDocument() (*clusterstate.Document, error)
-	// Address is where other instances reach this one.
+	// Address returns the address at which other instances reach this one.
 	Address() string
-	// Program is the version of the program.
+	// Program returns the version of the program.
 	Program() string
-	// Counters are the counts of events for operators, by name.
+	// Counters returns the event counts shown to operators, by name.
 	Counters() map[string]uint64
-	// TickInterval is the time between two ticks of consensus.
+	// TickInterval returns the time between two ticks of consensus.
 	TickInterval() time.Duration
-	// ExplainRoute explains which rule and workers a job would get.
+	// ExplainRoute returns which rule would match a job and which workers it could use.
 	ExplainRoute(*schema.ExplainRouteRequest) (*schema.ExplainRouteReply, error)
-	// PreviewTriggers returns a line on each trigger and limit of a document, as of a time.
+	// PreviewTriggers returns a line about each trigger and limit of a document, as of the given time.
 	PreviewTriggers(*clusterstate.Document, time.Time) ([]string, error)
-	// HeldTasks are the leased tasks that this instance holds, as far as it knows.
+	// HeldTasks returns the leased tasks that this instance believes it holds. Another one may hold them by
+	// now.
 	HeldTasks() []leasedtask.Lease
-	// MemberState is what the failure detector knows of a member, if instances probe each other.
+	// MemberState returns the failure detector's estimate of a member. It returns false if there is none,
+	// for example because instances do not probe each other.
 	MemberState(member uint64) (MemberState, bool)
 }
 
-// MemberState is what the instance's failure detector estimates of another instance.
+// MemberState is the failure detector's estimate of the state of another instance.
 type MemberState struct {
 	State          string
-	Duration       time.Duration // since the state changed
+	Duration       time.Duration // time since the state changed
 	SuspectedBy    []uint64      // member numbers
-	UnreachableFor time.Duration // since this instance's own probes are not answered; 0: they are
+	UnreachableFor time.Duration // how long this instance's probes have had no answer; 0: they have one
 }
--- a/internal/operate/controlapi/ownership.go
+++ b/internal/operate/controlapi/ownership.go
@@ -9,15 +9,15 @@
 	"moorstack/internal/schema"
 )
 
-// ownershipCache keeps what each member owns in one view: that takes thousands of hashes to compute, and
-// views change seldom.
+// ownershipCache caches the fraction of the shards that each member owns in the latest view. Computing it
+// takes thousands of hashes, and views rarely change.
 type ownershipCache struct {
 	mu        sync.Mutex
 	view      placement.View
 	fractions map[uint64]float64 // by member
 }
 
-func (c *ownershipCache) of(v placement.View) map[uint64]float64 {
+func (c *ownershipCache) ownedFractions(v placement.View) map[uint64]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fractions == nil || c.view.Number != v.Number || !slices.Equal(c.view.Members, v.Members) {
@@ -26,9 +26,9 @@
 	return c.fractions
 }
 
-// describeOwnership fills in which fraction of the shards each member owns.
+// describeOwnership fills in each member's weight and the fraction of the shards that it owns.
 func (s *Server) describeOwnership(out *schema.StatusReply, st consensus.Status) {
-	fractions := s.ownership.of(st.PlacementView)
+	fractions := s.ownership.ownedFractions(st.PlacementView)
 	weights := map[uint64]float64{}
 	for _, m := range st.PlacementView.Members {
 		weights[m.Member] = m.Weight
--- a/internal/operate/controlapi/propose.go
+++ b/internal/operate/controlapi/propose.go
@@ -24,12 +24,12 @@
 	clusterstate.Withdrawn: schema.ProposeReply_WITHDRAWN,
 }
 
-// Propose implements schema.ControlServer: it proposes a change of the configuration, or checks it only. The
-// outcome is in the reply; an error means that nothing was proposed. The log bounds how long a change may
-// take, and the caller how long it waits.
+// Propose implements schema.ControlServer: it proposes a change of the configuration, or only checks it on a
+// dry run. The reply has the outcome; an error means that nothing was proposed. There is no timeout here: the
+// log limits how long a change may take, and the caller how long it waits.
 func (s *Server) Propose(ctx context.Context, in *schema.ProposeRequest) (*schema.ProposeReply, error) {
 	if len(in.Document) > clusterstate.MaxDocumentBytes {
-		problem := fmt.Sprintf("the document has %d bytes, %d are allowed", len(in.Document),
+		problem := fmt.Sprintf("the document has %d bytes, the limit is %d", len(in.Document),
 			clusterstate.MaxDocumentBytes)
 		return &schema.ProposeReply{Code: schema.ProposeReply_TOO_LARGE, Problems: []string{problem}}, nil
 	}
@@ -73,7 +73,7 @@
 	return out, nil
 }
 
-// currentRevision is the group's newest revision; 0: there is no leader to confirm it.
+// currentRevision returns the group's newest revision, or 0 if there is no leader to confirm it.
 func currentRevision(ctx context.Context, runner *consensus.Runner) (number uint64) {
 	if err := runner.Barrier(ctx); err != nil {
 		return 0
@@ -82,7 +82,7 @@
 	return number
 }
 
-// checkChange checks a change without proposing it, and adds what its triggers would do to the reply.
+// checkChange checks a change without proposing it, and adds a preview of its triggers to the reply.
 func (s *Server) checkChange(ctx context.Context, c clusterstate.Change,
 	out *schema.ProposeReply) (clusterstate.Outcome, error) {
 	outcome, err := s.host.Runner().CheckChange(ctx, c)
@@ -96,7 +96,7 @@
 	return outcome, nil
 }
 
-// describeOutcome fills in what became of a change.
+// describeOutcome fills in the outcome of a change.
 func describeOutcome(ctx context.Context, out *schema.ProposeReply, runner *consensus.Runner,
 	c clusterstate.Change, in *schema.ProposeRequest, outcome clusterstate.Outcome) {
 	out.Code, out.Revision, out.Problems = replyCodes[outcome.Code], outcome.Revision, outcome.Problems
@@ -106,12 +106,12 @@
 			out.Code = schema.ProposeReply_BEGUN
 		}
 	case clusterstate.Conflict:
-		// Another change may have come first only now.
+		// The conflicting change may have been applied only after the first comparison.
 		_ = runner.View(ctx, func(state *clusterstate.State) { compareWithBase(out, state, c) })
 	}
 }
 
-// describeFailure fills in why the outcome of a change is not known, or why there is none.
+// describeFailure fills in why a change was not accepted or why its outcome is unknown.
 func describeFailure(out *schema.ProposeReply, runner *consensus.Runner, err error) {
 	var rejected *consensus.RejectedError
 	switch {
@@ -126,7 +126,8 @@
 	}
 }
 
-// compareWithBase fills in what a change changes, and what other changes have changed since its base.
+// compareWithBase fills in the differences that a change makes to its base revision, and those that other
+// changes have made since that revision.
 func compareWithBase(out *schema.ProposeReply, state *clusterstate.State, c clusterstate.Change) {
 	out.Changes, out.Meanwhile = nil, nil
 	base, ok := state.RevisionByNumber(c.BaseRevision)
--- a/internal/operate/controlapi/rollout.go
+++ b/internal/operate/controlapi/rollout.go
@@ -18,7 +18,8 @@
 	"moorstack/internal/schema"
 )
 
-// Pending implements schema.ControlServer: it returns the change that is neither in force nor withdrawn.
+// Pending implements schema.ControlServer: it returns the pending change, which is neither in force nor
+// withdrawn.
 func (s *Server) Pending(context.Context, *schema.PendingRequest) (*schema.PendingReply, error) {
 	return describePending(s.host.Runner().Status()), nil
 }
@@ -40,10 +41,11 @@
 	return out
 }
 
-// describeRollout fills in whether this instance admits jobs, and the members' sessions.
+// describeRollout fills in whether this instance admits jobs, and the state of the members' sessions.
 func describeRollout(out *schema.StatusReply, st consensus.Status) {
 	r := st.Rollout
-	// Hazard: the status may be old, of a consensus that has halted; the lease goes on expiring.
+	// The status may be old if consensus has halted, but the lease keeps running out. So the remaining time
+	// is computed from the clock.
 	if r.Permit.Open && !r.Permit.NoExpiry {
 		r.LeaseRemaining = max(r.Permit.ExpiresAt-consensus.BootTime(), 0)
 	}
@@ -76,7 +78,7 @@
 	}
 }
 
-// Withdraw implements schema.ControlServer: it withdraws a change, the pending one if none is named.
+// Withdraw implements schema.ControlServer: it withdraws the requested change, by default the pending one.
 func (s *Server) Withdraw(ctx context.Context, in *schema.WithdrawRequest) (*schema.Operated, error) {
 	id := in.Change
 	if pending := s.host.Runner().Status().Rollout.Pending; id == "" && pending != nil {
@@ -94,11 +96,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &schema.Operated{Text: fmt.Sprintf("change %s is withdrawn: it is in force nowhere", id)}, nil
+	return &schema.Operated{Text: fmt.Sprintf("change %s is withdrawn and in force on no instance", id)}, nil
 }
 
-// SetAside implements schema.ControlServer: it closes the session of an instance, for which changes then do
-// not wait.
+// SetAside implements schema.ControlServer: it closes the session of an instance, so that changes do not wait
+// for that instance.
 func (s *Server) SetAside(ctx context.Context, in *schema.SetAsideRequest) (*schema.Operated, error) {
 	sessions := s.host.Runner().Status().Rollout.Sessions
 	i := slices.IndexFunc(sessions, func(session rollout.Session) bool { return session.Name == in.Name })
@@ -110,14 +112,14 @@
 		return nil, err
 	}
 	return &schema.Operated{Text: fmt.Sprintf(
-		"%s is set aside: changes do not wait for it, and it must hear from the group before it serves",
+		"%s is set aside: changes do not wait for it, and it needs a new session before it serves",
 		in.Name)}, nil
 }
 
-// proposeCommand has the group agree on an operator's command, and returns when that is applied.
+// proposeCommand proposes an operator's command to the group and waits until it is applied.
 func (s *Server) proposeCommand(ctx context.Context, c rollout.Command) error {
-	ctx, stop := context.WithTimeout(ctx, callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	var err error
 	if c.ID, err = newID(); err != nil {
 		return statusError(err)
@@ -128,7 +130,7 @@
 		return statusError(err)
 	}
 	if outcome.Code != clusterstate.Accepted {
-		return statusError(rejection(outcome))
+		return statusError(rejectionError(outcome))
 	}
 	caller, _ := callerOf(ctx)
 	s.log.WithFields(logrus.Fields{"caller": caller, "command": c.Kind.String(), "change": c.Change}).
@@ -136,8 +138,8 @@
 	return nil
 }
 
-// rejection is the error of an outcome: its problems, or its code if there are none.
-func rejection(outcome clusterstate.Outcome) error {
+// rejectionError returns an error with the problems of an outcome, or with its code if there are none.
+func rejectionError(outcome clusterstate.Outcome) error {
 	problems := outcome.Problems
 	if len(problems) == 0 {
 		problems = []string{outcome.Code.String()}
--- a/internal/operate/controlapi/schedule.go
+++ b/internal/operate/controlapi/schedule.go
@@ -9,10 +9,10 @@
 	"moorstack/internal/schema"
 )
 
-// maxFailures is how many failures of triggers a status lists.
+// maxFailures is the maximum number of trigger failures that a status lists.
 const maxFailures = 10
 
-// describeSchedule fills in the state of the triggers, if there are any.
+// describeSchedule fills in the state of the triggers, if the consensus status has any.
 func describeSchedule(out *schema.StatusReply, st consensus.Status) {
 	triggers, ok := st.Participants[schedule.Section].(*schedule.Status)
 	if !ok {
--- a/internal/operate/controlapi/server.go
+++ b/internal/operate/controlapi/server.go
@@ -20,56 +20,56 @@
 	"moorstack/internal/schema"
 )
 
-// maxMessageBytes bounds a message of the service in both directions. The largest is a backup.
+// maxMessageBytes limits the size of messages in both directions. The largest messages are backups.
 const maxMessageBytes = 64 << 20
 
-// callTimeout is how long a call may take, but for one that waits for a change.
+// callTimeout is the time limit of a call, except for calls that wait for a change.
 const callTimeout = 10 * time.Second
 
-// Server implements the service, on any number of listeners.
+// Server implements the control service on one or more listeners.
 type Server struct {
 	schema.UnimplementedControlServer
 	host    Host
 	log     logrus.FieldLogger
-	servers []*grpc.Server // one a listener
+	servers []*grpc.Server // one per listener
 	serving sync.WaitGroup
 
 	ownership ownershipCache
 }
 
-// New makes the service of a host. It serves nothing yet.
+// New returns a service for the host. It serves only after ServeSocket or ServeTLS.
 func New(host Host, log logrus.FieldLogger) *Server { return &Server{host: host, log: log} }
 
-// ServeSocket serves on a unix socket that only its file's owner can open, until Stop.
+// ServeSocket serves on a unix socket, which only the owner of its file can open, until Stop.
 func (s *Server) ServeSocket(path string) error {
-	// Hazard: a socket's file outlives a process that was killed, and blocks the next one. The lock on the
-	// instance's directory has made sure that there is no other process.
+	// The socket file of a killed process remains and would make the next Listen fail. Removing it is safe:
+	// the lock on the instance's directory has ensured that no other process runs.
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("removing the file of an earlier control socket: %w", err)
+		return fmt.Errorf("removing a stale control socket: %w", err)
 	}
 	l, err := net.Listen("unix", path)
 	if err != nil {
-		return fmt.Errorf("the control socket: %w", err)
+		return fmt.Errorf("opening the control socket: %w", err)
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		return errors.Join(fmt.Errorf("the control socket: %w", err), l.Close())
+		return errors.Join(fmt.Errorf("setting the mode of the control socket: %w", err), l.Close())
 	}
 	s.serve(l)
 	return nil
 }
 
-// ServeTLS serves on an address to holders of operators' and readers' certificates, until Stop.
-func (s *Server) ServeTLS(address string, k *keys.Reloader) error {
+// ServeTLS serves on a TCP address, to callers with an operator's or reader's certificate, until Stop.
+func (s *Server) ServeTLS(address string, reloader *keys.Reloader) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("the control address: %w", err)
+		return fmt.Errorf("opening the control address: %w", err)
 	}
-	config := k.ServerTLSConfig(keys.RoleOperator, keys.RoleReader)
+	config := reloader.ServerTLSConfig(keys.RoleOperator, keys.RoleReader)
 	s.serve(l, grpc.Creds(credentials.NewTLS(config)))
 	return nil
 }
 
-// serve serves on a listener by a goroutine of its own, which Stop ends.
+// serve starts a goroutine that serves on the listener until Stop.
 func (s *Server) serve(l net.Listener, options ...grpc.ServerOption) {
 	server := grpc.NewServer(append(options,
 		grpc.MaxRecvMsgSize(maxMessageBytes),
@@ -81,7 +81,7 @@
 	s.servers = append(s.servers, server)
 	s.serving.Go(func() {
 		if err := server.Serve(l); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
-			s.log.WithError(err).WithField("address", l.Addr().String()).Error("control service ended")
+			s.log.WithError(err).WithField("address", l.Addr().String()).Error("control service failed")
 		}
 	})
 }
@@ -102,7 +102,7 @@
 	return handle(server, stream)
 }
 
-// Stop ends all calls and listeners, and returns when they have ended.
+// Stop closes all listeners, cancels all calls and waits until the listeners' goroutines have ended.
 func (s *Server) Stop() {
 	for _, server := range s.servers {
 		server.Stop()
@@ -110,7 +110,7 @@
 	s.serving.Wait()
 }
 
-// statusError gives an error its gRPC status: whether a call may be repeated goes by that.
+// statusError converts an error to a gRPC status. Callers decide by the status code whether to repeat a call.
 func statusError(err error) error {
 	var rejected *consensus.RejectedError
 	switch {
--- a/internal/operate/controlapi/server_test.go
+++ b/internal/operate/controlapi/server_test.go
@@ -24,7 +24,7 @@
 	"moorstack/internal/schema"
 )
 
-// routeHost explains routes only. It fails for a job without a class.
+// routeHost implements only ExplainRoute, which fails for a job without a class.
 type routeHost struct{ Host }
 
 var errNoClass = errors.New("the job has no class")
@@ -36,7 +36,7 @@
 	return &schema.ExplainRouteReply{}, nil
 }
 
-// serveSocket serves on a socket for the test, and returns a client of it.
+// serveSocket serves on a socket until the test ends, and returns a client.
 func serveSocket(t *testing.T, path string) schema.ControlClient {
 	t.Helper()
 	log, _ := test.NewNullLogger()
@@ -45,16 +45,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Stop)
-	client, end, err := Dial(Target{Socket: path})
+	client, closeClient, err := Dial(Target{Socket: path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { end() })
+	t.Cleanup(func() { closeClient() })
 	return client
 }
 
-// The socket takes the place of one that a killed process has left, is for its owner only, and its caller is
-// an operator.
+// The socket replaces the file that a killed process has left, only its owner can open it, and its callers
+// have the role operator.
 func TestSocketReplacesAStaleFileAndIsForItsOwner(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control.sock")
 	if err := os.WriteFile(path, nil, 0o666); err != nil {
@@ -68,15 +68,15 @@
 	if info.Mode().Perm() != 0o600 {
 		t.Errorf("the socket's mode is %v", info.Mode())
 	}
-	ctx, stop := WithCallTimeout(t.Context())
-	defer stop()
+	ctx, cancel := WithCallTimeout(t.Context())
+	defer cancel()
 	_, err = client.ExplainRoute(ctx, &schema.ExplainRouteRequest{})
 	if status.Code(err) != codes.InvalidArgument || status.Convert(err).Message() != errNoClass.Error() {
 		t.Errorf("%v", err)
 	}
 }
 
-// Stop ends the goroutines that serve, and the socket with them.
+// Stop ends the serving goroutines and closes the socket.
 func TestStopEndsTheListeners(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control.sock")
 	log, hook := test.NewNullLogger()
@@ -90,11 +90,11 @@
 		t.Error("the socket is open after the service has stopped")
 	}
 	if len(hook.AllEntries()) > 0 {
-		t.Errorf("it logs %v", hook.LastEntry().Message)
+		t.Errorf("Stop logged %q", hook.LastEntry().Message)
 	}
 }
 
-// withCertificate is the context of a caller with a certificate of a role.
+// withCertificate returns the context of a caller whose certificate has the role.
 func withCertificate(role keys.Role) context.Context {
 	subject := pkix.Name{CommonName: "someone", OrganizationalUnit: []string{string(role)}}
 	state := tls.ConnectionState{PeerCertificates: []*x509.Certificate{{Subject: subject}}}
@@ -104,7 +104,7 @@
 	})
 }
 
-// Operators may call everything, readers what reads only, and others nothing.
+// Operators may call all methods, readers only those that read, and others none.
 func TestMethodsAreForRoles(t *testing.T) {
 	onSocket := peer.NewContext(context.Background(), &peer.Peer{Addr: &net.UnixAddr{Net: "unix"}})
 	onTCP := peer.NewContext(context.Background(), &peer.Peer{Addr: &net.TCPAddr{}})
@@ -133,13 +133,13 @@
 			}
 			if rejected := hook.LastEntry(); (rejected == nil) != want ||
 				rejected != nil && rejected.Level != logrus.WarnLevel {
-				t.Errorf("%s: %s: it logs %v", name, full, rejected)
+				t.Errorf("%s: %s: logged %v", name, full, rejected)
 			}
 		}
 	}
 }
 
-// Each error has the status by which a caller knows whether anything was done.
+// Each kind of error has its own status code, which tells the caller whether anything was done.
 func TestErrorsHaveTheStatusOfTheirKind(t *testing.T) {
 	for want, err := range map[codes.Code]error{
 		codes.OK:                 nil,
@@ -156,7 +156,7 @@
 	}
 }
 
-// A target names a socket, or an address with the instance that must be there.
+// A target needs a socket, or an address with an instance name and keys.
 func TestDialRejectsIncompleteTargets(t *testing.T) {
 	for name, target := range map[string]Target{
 		"nothing":     {},
@@ -165,12 +165,12 @@
 		"no keys":     {Address: "127.0.0.1:1", InstanceName: "n1"},
 	} {
 		if _, _, err := Dial(target); err == nil {
-			t.Errorf("%s: it is accepted", name)
+			t.Errorf("%s: the target was accepted", name)
 		}
 	}
 }
 
-// Ids are drawn: two differ.
+// IDs are random: two of them differ.
 func TestChangeIDsDiffer(t *testing.T) {
 	first, err := NewChangeID()
 	if err != nil {
@@ -181,12 +181,12 @@
 	}
 }
 
-// A command waits longer than the service takes.
+// A command's timeout is longer than the service's.
 func TestCommandsWaitLongerThanTheService(t *testing.T) {
-	ctx, stop := WithCallTimeout(t.Context())
-	defer stop()
+	ctx, cancel := WithCallTimeout(t.Context())
+	defer cancel()
 	deadline, ok := ctx.Deadline()
 	if !ok || time.Until(deadline) <= callTimeout {
-		t.Errorf("it waits until %v", deadline)
+		t.Errorf("the deadline of the command is %v", deadline)
 	}
 }
--- a/internal/operate/controlapi/status.go
+++ b/internal/operate/controlapi/status.go
@@ -8,10 +8,10 @@
 	"moorstack/internal/schema"
 )
 
-// roleStopped is the role of an instance whose consensus has ended.
+// roleStopped is the role shown for an instance whose consensus has stopped or halted.
 const roleStopped = "stopped"
 
-// Status implements schema.ControlServer. It answers also without a leader, and after consensus has halted.
+// Status implements schema.ControlServer. It also works without a leader and after consensus has halted.
 func (s *Server) Status(context.Context, *schema.StatusRequest) (*schema.StatusReply, error) {
 	st := s.host.Runner().Status()
 	out := &schema.StatusReply{
@@ -30,7 +30,7 @@
 		Program:  s.host.Program(),
 	}
 	out.Running, out.RunningProblem = s.host.RunningRevision()
-	s.describeEnd(out, st)
+	s.describeHalt(out, st)
 	for _, m := range st.Members {
 		if m.ID == st.Leader {
 			out.Leader = m.Name
@@ -52,8 +52,8 @@
 	return out, nil
 }
 
-// describeEnd fills in why consensus has ended, if it has.
-func (s *Server) describeEnd(out *schema.StatusReply, st consensus.Status) {
+// describeHalt fills in that consensus has stopped or halted, and the reason, if it has.
+func (s *Server) describeHalt(out *schema.StatusReply, st consensus.Status) {
 	runner := s.host.Runner()
 	select {
 	case <-runner.Done():
@@ -68,7 +68,7 @@
 	}
 }
 
-// describeMembership fills in what the failure detector knows of each member.
+// describeMembership fills in the failure detector's estimate of each member.
 func (s *Server) describeMembership(out *schema.StatusReply) {
 	for _, m := range out.Members {
 		state, known := s.host.MemberState(m.Id)
--- a/internal/operate/controlapi/tasks.go
+++ b/internal/operate/controlapi/tasks.go
@@ -12,7 +12,7 @@
 	"moorstack/internal/schema"
 )
 
-// Duties implements schema.ControlServer: it lists the leased tasks. It answers also without a leader.
+// Duties implements schema.ControlServer: it lists the leased tasks. It also works without a leader.
 func (s *Server) Duties(ctx context.Context, _ *schema.DutiesRequest) (*schema.DutiesReply, error) {
 	runner := s.host.Runner()
 	out := &schema.DutiesReply{CutOff: runner.Status().NoLeader}
@@ -62,10 +62,10 @@
 	return out
 }
 
-// memberName is a member's name, or its number if it was removed from the group.
+// memberName returns a member's name, or its ID if it was removed from the group.
 func memberName(state *clusterstate.State, member uint64) string {
 	if m, ok := state.Member(member); ok {
 		return m.Name
 	}
-	return fmt.Sprintf("%x, which is gone", member)
+	return fmt.Sprintf("%x (removed)", member)
 }
--- a/internal/operate/keys/certificate.go
+++ b/internal/operate/keys/certificate.go
@@ -1,10 +1,10 @@
-// Package keys makes and reads the certificates by which instances and operators authenticate each
-// other: a small certificate authority (CA) of the group's own and, issued by it, a certificate for
-// each.
+// Package keys creates and loads the certificates with which instances and operators authenticate each
+// other. Each group has its own certificate authority (CA), which issues a certificate to every instance
+// and operator.
 //
-// A certificate names its holder in the common name and the holder's role in the organizational
-// unit: instance, operator or reader. An instance's certificate also has its name as a DNS name, so
-// that one instance can't impersonate another.
+// A certificate has the holder's name as its common name and the holder's role as its organizational
+// unit: instance, operator or reader. An instance's certificate also has the name as a DNS name, which
+// clients verify, so that one instance can't impersonate another.
 package keys
 
 import (
@@ -23,10 +23,10 @@
 	"time"
 )
 
-// Role is what the holder of a certificate may do.
+// Role determines what the holder of a certificate may do.
 type Role string
 
-// The roles. An operator may do all that a reader may.
+// The roles. An operator may do everything that a reader may do.
 const (
 	RoleInstance Role = "instance"
 	RoleOperator Role = "operator"
@@ -40,11 +40,11 @@
 )
 
 const (
-	backdate   = 5 * time.Minute // a certificate is valid from before it is made, since clocks differ
-	serialBits = 120             // of the random serial numbers
+	backdate   = 5 * time.Minute // validity begins this long before the issue, because clocks differ
+	serialBits = 120             // size of the random serial numbers
 )
 
-// The access to what KeyPair.Write writes.
+// The modes of the directory and files that KeyPair.Write creates.
 const (
 	directoryMode   = 0o700
 	keyMode         = 0o600
@@ -53,22 +53,22 @@
 
 var validName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// ValidateName returns why a certificate can't be issued for a name, or nil.
+// ValidateName returns an error if a certificate can't be issued for the name.
 func ValidateName(name string) error {
 	if !validName.MatchString(name) {
-		return fmt.Errorf("%q is no name: small letters, digits and hyphens, up to 63", name)
+		return fmt.Errorf("invalid name %q: want 1 to 63 lowercase letters, digits and inner hyphens", name)
 	}
 	return nil
 }
 
-// KeyPair is a certificate and its private key, in PEM.
+// KeyPair is a PEM-encoded certificate with its private key.
 type KeyPair struct{ Cert, Key []byte }
 
 func newSerialNumber() (*big.Int, error) {
 	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 }
 
-// NewCA makes a certificate authority that is valid for a time from now on.
+// NewCA creates a certificate authority that is valid until now plus validity.
 func NewCA(name string, now time.Time, validity time.Duration) (*KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -95,25 +95,25 @@
 	return encodePair(der, key)
 }
 
-// Issue makes a certificate for a holder. It is valid for a time from now on, but not longer than the
-// authority itself. It fails if the name or role is not valid or the pair is no authority's.
+// Issue issues a certificate for a holder. It is valid until now plus validity, but not longer than the
+// CA certificate p. It fails if the name or role is invalid or p is not a CA certificate.
 func (p *KeyPair) Issue(name string, role Role, now time.Time, validity time.Duration) (*KeyPair, error) {
 	if err := ValidateName(name); err != nil {
 		return nil, err
 	}
 	if role != RoleInstance && role != RoleOperator && role != RoleReader {
-		return nil, fmt.Errorf("%q is no role: instance, operator or reader", role)
+		return nil, fmt.Errorf("role %q must be instance, operator or reader", role)
 	}
-	authority, err := p.Certificate()
+	ca, err := p.Certificate()
 	if err != nil {
 		return nil, err
 	}
-	authorityKey, err := p.privateKey()
+	caKey, err := p.privateKey()
 	if err != nil {
 		return nil, err
 	}
-	if !authority.IsCA {
-		return nil, fmt.Errorf("the certificate of %q is no authority's", authority.Subject.CommonName)
+	if !ca.IsCA {
+		return nil, fmt.Errorf("the certificate of %q is not a CA certificate", ca.Subject.CommonName)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -124,17 +124,17 @@
 		return nil, err
 	}
 	template.NotBefore, template.NotAfter = now.Add(-backdate), now.Add(validity)
-	if template.NotAfter.After(authority.NotAfter) {
-		template.NotAfter = authority.NotAfter
+	if template.NotAfter.After(ca.NotAfter) {
+		template.NotAfter = ca.NotAfter
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, authority, &key.PublicKey, authorityKey)
+	der, err := x509.CreateCertificate(rand.Reader, template, ca, &key.PublicKey, caKey)
 	if err != nil {
 		return nil, err
 	}
 	return encodePair(der, key)
 }
 
-// leafTemplate returns a holder's certificate without its times.
+// leafTemplate returns the template of a holder's certificate without its validity period.
 func leafTemplate(name string, role Role) (*x509.Certificate, error) {
 	serial, err := newSerialNumber()
 	if err != nil {
@@ -168,7 +168,7 @@
 func (p *KeyPair) Certificate() (*x509.Certificate, error) {
 	block, _ := pem.Decode(p.Cert)
 	if block == nil || block.Type != certificateBlock {
-		return nil, errors.New("there is no certificate in PEM")
+		return nil, errors.New("no PEM certificate found")
 	}
 	return x509.ParseCertificate(block.Bytes)
 }
@@ -176,13 +176,13 @@
 func (p *KeyPair) privateKey() (any, error) {
 	block, _ := pem.Decode(p.Key)
 	if block == nil || block.Type != privateKeyBlock {
-		return nil, errors.New("there is no private key in PEM")
+		return nil, errors.New("no PEM private key found")
 	}
 	return x509.ParsePKCS8PrivateKey(block.Bytes)
 }
 
-// Write writes name.crt, and name.key for its owner alone, and makes the directory if there is none.
-// Existing files are replaced only on request; otherwise they are an error.
+// Write writes name.crt, and name.key readable by its owner only, and creates the directory if needed.
+// If a file exists, Write replaces it if replace is set and otherwise fails.
 func (p *KeyPair) Write(dir, name string, replace bool) error {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return err
@@ -196,9 +196,10 @@
 		{filepath.Join(dir, name+".crt"), certificateMode, p.Cert},
 	} {
 		if _, err := os.Stat(f.path); err == nil && !replace {
-			return fmt.Errorf("%s is there already; --replace writes over it", f.path)
+			return fmt.Errorf("%s already exists; use --replace to overwrite it", f.path)
 		}
-		// Hazard: a running instance reads these files at any time, so none is there in part.
+		// The rename makes the change atomic: a running instance may read the files at any time and must
+		// not see a partial one.
 		tmp := f.path + ".tmp"
 		if err := os.WriteFile(tmp, f.content, f.mode); err != nil {
 			return err
@@ -210,7 +211,7 @@
 	return nil
 }
 
-// ReadKeyPair reads the files that Write wrote.
+// ReadKeyPair reads the files that KeyPair.Write has written.
 func ReadKeyPair(certPath, keyPath string) (*KeyPair, error) {
 	cert, err := os.ReadFile(certPath)
 	if err != nil {
@@ -223,7 +224,7 @@
 	return &KeyPair{cert, key}, nil
 }
 
-// RoleOf returns the role in a verified certificate; empty: it names none, or several.
+// RoleOf returns the role in a verified certificate, or an empty role if it has none or several.
 func RoleOf(c *x509.Certificate) Role {
 	if len(c.Subject.OrganizationalUnit) != 1 {
 		return ""
--- a/internal/operate/keys/keys_test.go
+++ b/internal/operate/keys/keys_test.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-func quietLog() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -28,7 +28,7 @@
 	return ca
 }
 
-// newLeaf issues a certificate, valid for an hour, and opens its files.
+// newLeaf issues a certificate that is valid for an hour, writes its files and loads them.
 func newLeaf(t *testing.T, ca *KeyPair, name string, role Role, now time.Time) *Reloader {
 	t.Helper()
 	dir := t.TempDir()
@@ -47,14 +47,15 @@
 		CA:   caPath,
 		Cert: filepath.Join(dir, name+".crt"),
 		Key:  filepath.Join(dir, name+".key"),
-	}, quietLog())
+	}, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// connect has a client call the instance of a name, and returns the first error of either side.
+// connect connects the client to the server as the named instance. It returns the client's error, or the
+// server's if the client has none.
 func connect(t *testing.T, server, client *Reloader, name string) error {
 	t.Helper()
 	serverConn, clientConn := connPair(t)
@@ -71,7 +72,7 @@
 	c := tls.Client(clientConn, client.ClientTLSConfig(name))
 	err := c.Handshake()
 	if err == nil {
-		// Under TLS 1.3 the client learns of a rejection with its first read.
+		// In TLS 1.3 the client sees a rejection of its certificate only at its first read.
 		_, err = c.Read(make([]byte, 1))
 	}
 	clientConn.Close()
@@ -81,8 +82,8 @@
 	return err
 }
 
-// connPair makes a connection over loopback. It is no net.Pipe: there, an alert that nobody reads yet
-// blocks both sides.
+// connPair returns the two ends of a loopback TCP connection. net.Pipe has no buffer: a TLS alert that
+// the other side does not read yet would block both sides.
 func connPair(t *testing.T) (server, client net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,7 +131,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			if err := connect(t, c.server, c.client, c.name); err == nil {
-				t.Error("the connection is accepted")
+				t.Error("the connection was accepted")
 			}
 		})
 	}
@@ -141,11 +142,11 @@
 	ca := newCA(t, "a", now, time.Hour)
 	for _, name := range []string{"", "N1", "n 1", "-n", "n1.example", strings.Repeat("n", 64), "../n1"} {
 		if _, err := ca.Issue(name, RoleInstance, now, time.Hour); err == nil {
-			t.Errorf("%q is issued", name)
+			t.Errorf("a certificate was issued for the invalid name %q", name)
 		}
 	}
 	if _, err := ca.Issue("n1", "king", now, time.Hour); err == nil {
-		t.Error("an unknown role is issued")
+		t.Error("a certificate was issued for an unknown role")
 	}
 	p, err := ca.Issue("n1", RoleInstance, now, 100*time.Hour)
 	if err != nil {
@@ -153,17 +154,17 @@
 	}
 	c, err := p.Certificate()
 	if err != nil || c.NotAfter.After(now.Add(time.Hour+time.Second)) {
-		t.Errorf("it outlives its authority: %v %v", c.NotAfter, err)
+		t.Errorf("the certificate is valid for longer than its CA: %v %v", c.NotAfter, err)
 	}
 	if _, err := p.Issue("n2", RoleInstance, now, time.Hour); err == nil {
-		t.Error("an instance issues certificates")
+		t.Error("an instance's certificate was used to issue another one")
 	}
 	dir := t.TempDir()
 	if err := p.Write(dir, "n1", false); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Write(dir, "n1", false); err == nil {
-		t.Error("existing files are replaced without a request")
+		t.Error("existing files were replaced without replace")
 	}
 	if info, err := os.Stat(filepath.Join(dir, "n1.key")); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the key's mode is %v, %v", info.Mode(), err)
--- a/internal/operate/keys/reloader.go
+++ b/internal/operate/keys/reloader.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// checkInterval is how often the files are read, at most.
+	// checkInterval is the minimum time between two reads of the files.
 	checkInterval = time.Second
-	// expiryWarning is how long before a certificate's end its expiry is logged.
+	// expiryWarning is how long before a certificate expires a warning is logged.
 	expiryWarning = 14 * 24 * time.Hour
 )
 
-// Files are the paths of a holder's certificates and key.
+// Files has the paths of a holder's certificate and key and of the trusted CA certificates.
 type Files struct {
 	CA   string `toml:"ca"`
 	Cert string `toml:"cert"`
 	Key  string `toml:"key"`
 }
 
-// Reloader reads a holder's certificates, and reads them again when the files change, so that they
-// are rotated without a restart. Files that are not valid change nothing, and are logged. Its
+// Reloader loads a holder's certificates and reloads them when the files change, so that they can be
+// rotated without a restart. Invalid files are logged, and the previous certificates stay in use. Its
 // methods may be called from any goroutine.
 type Reloader struct {
 	files Files
@@ -39,26 +39,26 @@
 	current   identity
 }
 
-// fileContent is what the files held when they were read.
+// fileContent is the content of the files when they were last loaded.
 type fileContent struct{ ca, cert, key []byte }
 
 func (c fileContent) equal(other fileContent) bool {
 	return bytes.Equal(c.ca, other.ca) && bytes.Equal(c.cert, other.cert) && bytes.Equal(c.key, other.key)
 }
 
-// identity is a holder's certificate, and the authorities that it trusts.
+// identity is a holder's certificate with the CA certificates that the holder trusts.
 type identity struct {
-	cert        *tls.Certificate
-	authorities *x509.CertPool
+	cert   *tls.Certificate
+	caPool *x509.CertPool
 }
 
-// NewReloader reads the files. It fails if they are not valid.
+// NewReloader loads the files. It fails if they are invalid.
 func NewReloader(files Files, log logrus.FieldLogger) (*Reloader, error) {
 	r := &Reloader{files: files, log: log}
 	return r, r.reload()
 }
 
-// reload reads the files, and uses them if they have changed and are valid.
+// reload reads the files and starts to use them if they have changed and are valid.
 func (r *Reloader) reload() error {
 	content, err := r.files.read()
 	if err != nil {
@@ -92,37 +92,38 @@
 		content *[]byte
 	}{{f.CA, &c.ca}, {f.Cert, &c.cert}, {f.Key, &c.key}} {
 		if *file.content, err = os.ReadFile(file.path); err != nil {
-			return c, fmt.Errorf("reading the keys: %w", err)
+			return c, fmt.Errorf("reading certificates and key: %w", err)
 		}
 	}
 	return c, nil
 }
 
-// parse checks that the files belong together.
+// parse parses the files and checks that they match each other.
 func (f Files) parse(c fileContent) (identity, error) {
 	cert, err := tls.X509KeyPair(c.cert, c.key)
 	if err != nil {
 		return identity{}, fmt.Errorf("%s and %s: %w", f.Cert, f.Key, err)
 	}
-	// All authorities in the file are trusted, so that one can replace another.
-	authorities := x509.NewCertPool()
-	if !authorities.AppendCertsFromPEM(c.ca) {
-		return identity{}, fmt.Errorf("%s: there is no certificate in PEM", f.CA)
+	// All CA certificates in the file are trusted, so that a new CA can replace an old one.
+	caPool := x509.NewCertPool()
+	if !caPool.AppendCertsFromPEM(c.ca) {
+		return identity{}, fmt.Errorf("%s: no PEM certificate found", f.CA)
 	}
-	// Only the files' own consistency is checked here: one that has expired must be reported to the other
-	// side, and to the operators, by the connection that fails.
+	// This checks only that the files match. An expired certificate is not rejected here: the connection
+	// that fails because of it reports it to the other side and to the operators.
 	_, err = cert.Leaf.Verify(x509.VerifyOptions{
-		Roots:       authorities,
+		Roots:       caPool,
 		CurrentTime: cert.Leaf.NotBefore.Add(time.Second),
 		KeyUsages:   []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	if err != nil {
-		return identity{}, fmt.Errorf("%s is not of the authority in %s: %w", f.Cert, f.CA, err)
+		return identity{}, fmt.Errorf("%s was not issued by a CA in %s: %w", f.Cert, f.CA, err)
 	}
-	return identity{&cert, authorities}, nil
+	return identity{&cert, caPool}, nil
 }
 
-// latest returns the certificates as they are now in the files, or were when those were last valid.
+// latest returns the certificates in the files, or the last valid ones. It reads the files at most once
+// per checkInterval.
 func (r *Reloader) latest() identity {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads the TOML files that people write for the program, in which an unknown key
-// is an error. Every error names the file, and the line and key where there is one.
+// Package tomlfile reads TOML configuration files strictly: an unknown key is an error. Every error names
+// the file and, if known, the line and the key.
 package tomlfile
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Error is what is wrong with a file.
+// Error describes an invalid file.
 type Error struct {
 	Path    string
-	Line    int    // from 1; 0: the whole file
-	Key     string // with its tables' names before it; empty: no certain one
+	Line    int    // from 1; 0 if unknown
+	Key     string // full dotted key with its tables; empty if unknown
 	Message string
 }
 
-// Error formats the error as path:line: key: message.
+// Error returns the error as "path:line: key: message". The line and the key are omitted if unknown.
 func (e *Error) Error() string {
 	where := e.Path
 	if e.Line > 0 {
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("%s: %s", where, e.Message)
 }
 
-// Read decodes a file into v. It fails with an *Error if the content is wrong.
+// Read decodes a file into v. It fails with an *Error if the content is invalid.
 func Read(path string, v any) error {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return Decode(path, content, v)
 }
 
-// Decode decodes a file's content into v. It fails with an *Error if the content is wrong.
+// Decode decodes the content of a file into v. It fails with an *Error if the content is invalid.
 func Decode(path string, content []byte, v any) error {
 	meta, err := toml.Decode(string(content), v)
 	if err != nil {
@@ -56,13 +56,14 @@
 	return nil
 }
 
-// ErrorAt returns an error about a key of a file's content.
+// ErrorAt returns an *Error about a key, with the line that sets the key.
 func ErrorAt(path string, content []byte, key, format string, args ...any) error {
 	return &Error{Path: path, Line: lineOfKey(content, key), Key: key, Message: fmt.Sprintf(format, args...)}
 }
 
-// lineOfKey returns the first line, from 1, that sets a key, given with its tables' names before it.
-// It is 0 where the key is not written in one of the usual ways.
+// lineOfKey returns the first line, counted from 1, that sets a key, given as a full dotted key. It
+// returns 0 if no line sets it in the form "key = value" or as a table header; it does not find keys of
+// inline tables, for example.
 func lineOfKey(content []byte, key string) int {
 	table := ""
 	for i, line := range strings.Split(string(content), "\n") {
@@ -90,8 +91,8 @@
 	return 0
 }
 
-// LineOfTable returns the line, from 1, of the nth table, from 0, of an array of tables; 0: there is
-// none.
+// LineOfTable returns the line, counted from 1, of the header of the nth table, counted from 0, of an
+// array of tables. It returns 0 if there is no such table.
 func LineOfTable(content []byte, array string, n int) int {
 	for i, line := range strings.Split(string(content), "\n") {
 		if strings.TrimSpace(line) == "[["+array+"]]" {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -32,7 +32,7 @@
 				Limits limits `toml:"limits"`
 			}
 			if err := Decode("f.toml", []byte(c.content), &v); err == nil || err.Error() != c.want {
-				t.Errorf("%v, wanted %s", err, c.want)
+				t.Errorf("got %v, want %s", err, c.want)
 			}
 		})
 	}
@@ -43,12 +43,12 @@
 		"name": 1, "comment": 0, "limits": 4, "limits.jobs": 5, "jobs": 0, "rule.class": 8, "rule": 7,
 	} {
 		if got := lineOfKey([]byte(content), key); got != want {
-			t.Errorf("%s is found on line %d, wanted %d", key, got, want)
+			t.Errorf("%s: got line %d, want %d", key, got, want)
 		}
 	}
 	for n, want := range []int{7, 10, 0} {
 		if got := LineOfTable([]byte(content), "rule", n); got != want {
-			t.Errorf("rule %d is found on line %d, wanted %d", n, got, want)
+			t.Errorf("rule %d: got line %d, want %d", n, got, want)
 		}
 	}
 }
