--- a/cmd/moorstack-lab/demo.go
+++ b/cmd/moorstack-lab/demo.go
@@ -17,7 +17,7 @@
 	"moorstack/internal/verify/load"
 )
 
-// demoSettings are the deployment's, as the demo's node reads them.
+// demoSettings are the deployment's settings for the demo's node.
 const demoSettings = `{"az":0,"me":0,"fleet_size":1,"granularity":5000000,` +
 	`"worth_by":"work","kinds":["any"],` +
 	`"zones":["ruwi"],"membership_mode":"on_request","classes":[` +
@@ -38,15 +38,15 @@
 	var rate float64
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "A real node, ten modelled workers, clients, and two workers that die: in half a minute",
-		Long: `demo starts the real node on loopback with ten workers of the model behind sockets, sends
-it jobs, kills two workers at a third of the time and brings them back, cold, at two
-thirds. It prints a line a second and a table, and leaves nothing behind.`,
+		Short: "Run a real node with ten modelled workers, clients and two crashes, in half a minute",
+		Long: `demo starts a real node on loopback with ten modelled workers behind sockets, and sends it
+jobs. After one third of the time two workers crash; after two thirds they are back, cold.
+It prints a line every second and a table at the end, and leaves nothing behind.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return demo(cmd, length, rate) },
 	}
-	cmd.Flags().DurationVar(&length, "for", 18*time.Second, "how long jobs are sent")
-	cmd.Flags().Float64Var(&rate, "rate", 60, "jobs a second")
+	cmd.Flags().DurationVar(&length, "for", 18*time.Second, "for how long jobs are sent")
+	cmd.Flags().Float64Var(&rate, "rate", 60, "jobs per second")
 	return cmd
 }
 
@@ -59,7 +59,7 @@
 	return l.Addr().String(), nil
 }
 
-// demoWorker is what each of the demo's workers is like.
+// demoWorker is the model of each of the demo's workers.
 var demoWorker = emulate.WorkerSpec{
 	Cores:             4,
 	Slots:             4,
@@ -94,14 +94,14 @@
 	if err := waitReady(address); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "a node at %s, ten workers, %.0f jobs a second for %v\n", address, rate, length)
+	fmt.Fprintf(out, "node at %s, ten workers, %.0f jobs per second for %v\n", address, rate, length)
 	crash := time.AfterFunc(length/3, func() {
-		fmt.Fprintln(out, "two workers die")
+		fmt.Fprintln(out, "two workers crash")
 		_ = workers.CrashWorker(0)
 		_ = workers.CrashWorker(1)
 	})
 	back := time.AfterFunc(length*2/3, func() {
-		fmt.Fprintln(out, "they are back, cold")
+		fmt.Fprintln(out, "the two workers are back, cold")
 		_ = workers.RestartWorker(0)
 		_ = workers.RestartWorker(1)
 	})
@@ -119,7 +119,7 @@
 	return printLoad(out, r, "table")
 }
 
-// printSecond prints what has become of jobs since it was called before.
+// printSecond returns a function that prints the outcomes of jobs since its previous call.
 func printSecond(out io.Writer) func(load.Result) {
 	type counts struct{ served, refused, failed int }
 	before := counts{}
@@ -136,7 +136,7 @@
 	}
 }
 
-// startNode starts the node beside this program, with the demo's deployment.
+// startNode starts the program moorstack, next to this one, as a node with the demo's settings.
 func startNode(address, discovery string) (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -163,12 +163,12 @@
 	}
 	node.Stderr = os.Stderr
 	if err := node.Start(); err != nil {
-		return nil, fmt.Errorf("the node beside this program can't be started: %w; make build makes it", err)
+		return nil, fmt.Errorf("starting the node next to this program: %w; \"make build\" builds it", err)
 	}
 	return node, waitReady(address)
 }
 
-// waitReady waits until the node answers a health check.
+// waitReady waits up to ten seconds until the node answers a health check.
 func waitReady(address string) error {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		c, err := net.Dial("tcp", address)
@@ -184,5 +184,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no node is ready at %s", address)
+	return fmt.Errorf("the node at %s was not ready within 10s", address)
 }
--- a/cmd/moorstack-lab/experiment.go
+++ b/cmd/moorstack-lab/experiment.go
@@ -18,10 +18,10 @@
 func newExperiment() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "experiment",
-		Short: "Run plans of emulated worlds, keep what is measured, and say which differences are real",
-		Long: `experiment runs a plan: a scenario, factors with levels, seeds. What is measured is kept as
-Parquet (runs.parquet, seconds.parquet) with the plan's hash, the program and the seeds.
-An interrupted run keeps what is finished, and the same command goes on.`,
+		Short: "Run experiments in emulated environments, and report significant differences",
+		Long: `experiment runs a plan: a scenario, factors with levels, and seeds. The measurements are
+stored as Parquet (runs.parquet, seconds.parquet) with the plan's hash, the program's version
+and the seeds. An interrupted run keeps what is finished; the same command continues it.`,
 	}
 	cmd.AddCommand(newRun(), newTable(), newReport(), newCompare())
 	return cmd
@@ -32,7 +32,7 @@
 	var workers int
 	cmd := &cobra.Command{
 		Use:     "run PLAN",
-		Short:   "Run a plan, or what is not finished of it",
+		Short:   "Run a plan, or the unfinished rest of it",
 		Example: "  moorstack experiment run experiments/crash.toml --out found/crash",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -54,13 +54,13 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d runs (%d finished before) in %s\n", r.Runs, r.Resumed, out)
 			if len(r.Violations) > 0 {
-				return fmt.Errorf("%w:\n%s", errBroken, strings.Join(r.Violations, "\n"))
+				return fmt.Errorf("%w:\n%s", errRulesViolated, strings.Join(r.Violations, "\n"))
 			}
 			return printTable(cmd, out, "table")
 		},
 	}
-	cmd.Flags().StringVar(&out, "out", "", "the `directory` of the results; found/NAME, if not given")
-	cmd.Flags().IntVar(&workers, "workers", runtime.NumCPU(), "runs at once")
+	cmd.Flags().StringVar(&out, "out", "", "the `directory` for the results; found/NAME if empty")
+	cmd.Flags().IntVar(&workers, "workers", runtime.NumCPU(), "maximum number of concurrent runs")
 	return cmd
 }
 
@@ -87,11 +87,11 @@
 	var output string
 	cmd := &cobra.Command{
 		Use:   "table DIR",
-		Short: "Print the figures of a directory of results",
+		Short: "Print the results of an experiment",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return printTable(cmd, args[0], output) },
 	}
-	cmd.Flags().StringVar(&output, "output", "table", "form of the answer: table or json")
+	cmd.Flags().StringVar(&output, "output", "table", "output format: table or json")
 	return cmd
 }
 
@@ -99,7 +99,7 @@
 	var out string
 	cmd := &cobra.Command{
 		Use:   "report DIR",
-		Short: "Make one page with charts and tables, in HTML",
+		Short: "Write an HTML report with charts and tables",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if out == "" {
@@ -112,7 +112,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&out, "out", "", "the page's `file`; report.html in the directory, if not given")
+	cmd.Flags().StringVar(&out, "out", "", "the report's `file`; report.html in DIR if empty")
 	return cmd
 }
 
@@ -120,7 +120,7 @@
 	var output string
 	cmd := &cobra.Command{
 		Use:   "compare A B",
-		Short: "Say how B differs from A, seed by seed, and which differences are real",
+		Short: "Compare the results B with A, seed by seed, and mark significant differences",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := experiment.ReadRuns(args[0])
@@ -151,6 +151,6 @@
 			return tw.Flush()
 		},
 	}
-	cmd.Flags().StringVar(&output, "output", "table", "form of the answer: table or json")
+	cmd.Flags().StringVar(&output, "output", "table", "output format: table or json")
 	return cmd
 }
--- a/cmd/moorstack-lab/frozen_test.go
+++ b/cmd/moorstack-lab/frozen_test.go
@@ -6,8 +6,8 @@
 	"moorstack/internal/frozen/golden"
 )
 
-// Scripts and the operators' pages call the commands as they are: none is removed, and no flag changes its
-// name, type or default.
+// Scripts and the operators' pages depend on the commands: no command may be removed, and no flag may change
+// its name, type or default.
 func TestCommandsAreFrozen(t *testing.T) {
 	t.Parallel()
 	golden.Compare(t, "commands.txt", golden.Commands(newRoot()))
--- a/cmd/moorstack-lab/load.go
+++ b/cmd/moorstack-lab/load.go
@@ -28,15 +28,15 @@
 	f := &loadFlags{class: load.Class{Weight: 1}}
 	cmd := &cobra.Command{
 		Use:   "load ADDRESS",
-		Short: "Send jobs to a node on loopback at a steady rate, and measure",
+		Short: "Send jobs to a node on loopback at a steady rate, and measure the results",
 		Long: `load sends jobs to the node at ADDRESS, which must be on loopback, at random times with the
-given mean rate, whatever the node does. Latency counts from the time at which a job was
-meant to be sent. It is bounded in time and number and ends by itself.
+given mean rate, regardless of the node's responses (open loop). Latency is measured from the
+time at which a job was scheduled to be sent. The run is bounded in time and number of jobs.
 
-With --find-max it looks for the highest rate that the node bears: from --rate on it
-doubles, then halves what is left, and runs for --for at each. A rate is borne if 99% of
-what is served comes within --p99 and no more than --unkept of the jobs are refused, fail,
-are lost or could not be sent in time.`,
+With --find-max it searches for the highest rate that the node sustains: starting at --rate
+it doubles the rate, then bisects the remaining interval, and runs for --for at each rate. A
+rate is sustained if 99% of the served jobs are answered within --p99, and at most the share
+--unkept of the jobs are refused, fail, are lost or could not be sent in time.`,
 		Example: `  moorstack load 127.0.0.1:7070 --class trip-quote --rate 200 --for 30s --size 0.01
   moorstack load 127.0.0.1:7070 --find-max --p99 50ms --rate 100 --for 5s --size 0.001`,
 		Args: cobra.ExactArgs(1),
@@ -70,25 +70,27 @@
 
 func (f *loadFlags) add(cmd *cobra.Command) {
 	fl := cmd.Flags()
-	fl.Float64Var(&f.options.Rate, "rate", 100, "jobs a second")
-	fl.DurationVar(&f.options.Duration, "for", 10*time.Second, "how long")
-	fl.Uint64Var(&f.options.Seed, "seed", 1, "of the times and sizes")
+	fl.Float64Var(&f.options.Rate, "rate", 100, "jobs per second")
+	fl.DurationVar(&f.options.Duration, "for", 10*time.Second, "how long jobs are sent")
+	fl.Uint64Var(&f.options.Seed, "seed", 1, "seed of the times and sizes of the jobs")
 	fl.IntVar(&f.options.MaxInFlight, "most", 4096,
-		"jobs out at once; one that is due beyond it is counted as not sent")
-	fl.StringSliceVar(&f.options.Tenants, "tenant", nil, "teams, alike often; none, if not given")
-	fl.StringVar(&f.class.Name, "class", "trip-quote", "the jobs' class")
-	fl.BoolVar(&f.class.HasIdempotencyKey, "keyed", false, "the class's jobs carry a key")
+		"maximum number of jobs in flight; a job due beyond it counts as not sent")
+	fl.StringSliceVar(&f.options.Tenants, "tenant", nil,
+		"tenants of the jobs, in equal shares; none if empty")
+	fl.StringVar(&f.class.Name, "class", "trip-quote", "class of the jobs")
+	fl.BoolVar(&f.class.HasIdempotencyKey, "keyed", false, "send an idempotency key with each job")
 	fl.Float64Var(&f.class.MeanWork, "size", 0.01,
-		"mean seconds of work, told as the cost hint and in the body")
+		"mean seconds of work, sent as the cost hint and in the body")
 	fl.DurationVar(&f.class.Timeout, "timeout", 5*time.Second, "how long a client waits")
-	fl.BoolVar(&f.findMax, "find-max", false, "look for the highest rate that the node bears")
-	fl.DurationVar(&f.objective.P99, "p99", 50*time.Millisecond, "with --find-max: the bound on latency")
+	fl.BoolVar(&f.findMax, "find-max", false, "search for the highest rate that the node sustains")
+	fl.DurationVar(&f.objective.P99, "p99", 50*time.Millisecond,
+		"with --find-max: maximum latency of 99% of the served jobs")
 	fl.Float64Var(&f.objective.MaxErrorShare, "unkept", 0.001,
-		"with --find-max: the share of jobs that may not be served")
-	fl.StringVar(&f.output, "output", "table", "form of the answer: table or json")
+		"with --find-max: maximum share of jobs that are not served")
+	fl.StringVar(&f.output, "output", "table", "output format: table or json")
 }
 
-// findMax prints each rate that is tried, and the highest that was borne.
+// findMax prints each rate that is tried, and the highest sustained one.
 func findMax(cmd *cobra.Command, o load.Options, b load.Objective, output string) error {
 	o.OnProgress = nil
 	steps := []load.Step{}
@@ -99,7 +101,7 @@
 	rate, err := load.FindMaxRate(cmd.Context(), o, b, 0.05, func(s load.Step) {
 		if steps = append(steps, s); output != "json" {
 			fmt.Fprintf(tw, "%.0f\t%.1f\t%.2f\t%v\t\n", s.Rate, s.P99, 100*s.ErrorShare, s.Sustained)
-			_ = tw.Flush() // a row as soon as it is known; what can't be written now fails at the end
+			_ = tw.Flush() // print each row at once; a write error shows at the final Fprintf
 		}
 	})
 	if err != nil {
@@ -108,7 +110,7 @@
 	if output == "json" {
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(map[string]any{"rate": rate, "steps": steps})
 	}
-	_, err = fmt.Fprintf(cmd.OutOrStdout(), "%.0f jobs a second are borne\n", rate)
+	_, err = fmt.Fprintf(cmd.OutOrStdout(), "the node sustains %.0f jobs per second\n", rate)
 	return err
 }
 
@@ -132,7 +134,7 @@
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "%d jobs in %.1f s; %d were due and not sent\n", r.Scheduled, r.Seconds,
+	_, err := fmt.Fprintf(w, "%d jobs in %.1f s; %d were due but not sent\n", r.Scheduled, r.Seconds,
 		r.NotSent)
 	return err
 }
--- a/cmd/moorstack-lab/main.go
+++ b/cmd/moorstack-lab/main.go
@@ -1,5 +1,6 @@
-// Moorstack-lab is the part of moorstack that the node must not carry: experiments, with their
-// tables and charts. `moorstack experiment` starts it; it need not be called by hand.
+// Moorstack-lab contains the commands of moorstack whose libraries must not be linked into the node:
+// experiments with their tables and charts, the demo and the load generator. The program moorstack starts it,
+// for example for `moorstack experiment`; it need not be called directly.
 package main
 
 import (
@@ -13,11 +14,11 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the program's; a release sets it at link time.
+// version is the program's version. A release build sets it at link time.
 var version = "dev"
 
-// errBroken says that something was found that must not be: exit code 1, not 2.
-var errBroken = errors.New("rules are broken")
+// errRulesViolated means that a run has violated the rules. The exit code is 1, not 2.
+var errRulesViolated = errors.New("violations of the rules")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -27,13 +28,13 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "moorstack:", err)
-	if errors.Is(err, errBroken) || errors.Is(err, context.Canceled) {
+	if errors.Is(err, errRulesViolated) || errors.Is(err, context.Canceled) {
 		os.Exit(1)
 	}
 	os.Exit(2)
 }
 
-// newRoot is the command that holds the others. It bears the name of the program that starts this one.
+// newRoot returns the root command. It has the name of the program that starts this one.
 func newRoot() *cobra.Command {
 	root := &cobra.Command{Use: "moorstack", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(newExperiment(), newDemo(), newLoad(), newPaper())
--- a/cmd/moorstack-lab/paper.go
+++ b/cmd/moorstack-lab/paper.go
@@ -16,7 +16,7 @@
 	"moorstack/internal/verify/experiment"
 )
 
-// paperRow is a point of the paper's claim.
+// paperRow is one point of the comparison: a number of servers, a load and a number of draws.
 type paperRow struct {
 	N     int     `json:"n"`
 	Load  string  `json:"load"`
@@ -32,11 +32,12 @@
 	var output, chart string
 	cmd := &cobra.Command{
 		Use:   "paper",
-		Short: "Waits against the number of servers, for 1, 2, d(N) and all draws",
-		Long: `paper plays the textbook's world (one dispatcher that sees every queue, exponential work,
-one slot a server) and shows what the design rests on: at d(N) = ceil(sqrt(N) ln N) draws
-the waits are near those with full sight of all N queues, at one and two they are not.
-Loads: 0.7, 0.9, and Halfin-Whitt (1 - 1/sqrt(N)). Waits are in mean service times.`,
+		Short: "Compare waiting times by the number of servers, for 1, 2, d(N) and all draws",
+		Long: `paper emulates the model of the literature (one dispatcher that sees every queue,
+exponential work, one slot per server) and shows the basis of the design: with
+d(N) = ceil(sqrt(N) ln N) draws, waiting times are close to those with knowledge of all N
+queues; with one or two draws they are not. The loads are 0.7, 0.9, and Halfin-Whitt
+(1 - 1/sqrt(N)). Waiting times are in mean service times.`,
 		Example: "  moorstack emulate paper --sizes 10,100,1000 --chart waits.svg",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -62,23 +63,24 @@
 	}
 	f := cmd.Flags()
 	f.IntSliceVar(&sizes, "sizes", []int{10, 30, 100, 300, 1000}, "numbers of servers")
-	f.IntVar(&seeds, "seeds", 3, "runs of each point, of which the mean is told")
-	f.IntVar(&jobs, "jobs", 100_000, "jobs counted in a run; 200 a server at the least, 2000 at few draws")
-	f.StringVar(&output, "output", "table", "form of the answer: table or json")
-	f.StringVar(&chart, "chart", "", "also draw the waits into this SVG `file`")
+	f.IntVar(&seeds, "seeds", 3, "runs for each point; the mean is printed")
+	f.IntVar(&jobs, "jobs", 100_000,
+		"jobs measured in a run; at least 200 per server, 2000 with one or two draws")
+	f.StringVar(&output, "output", "table", "output format: table or json")
+	f.StringVar(&chart, "chart", "", "also draw the waiting times in this SVG `file`")
 	return cmd
 }
 
-// runPaper emulates each point of the claim, on all cores.
+// runPaper emulates each point of the comparison, on all cores.
 func runPaper(sizes []int, seeds, jobs int) ([]paperRow, error) {
 	if seeds < 1 || jobs < 1000 {
-		return nil, fmt.Errorf("--seeds and --jobs: at least 1 seed and 1000 jobs are wanted")
+		return nil, fmt.Errorf("--seeds must be at least 1, and --jobs at least 1000")
 	}
 	var rows []paperRow
 	for _, load := range []string{"0.7", "0.9", "1-1/sqrt(N)"} {
 		for _, n := range sizes {
 			if n < 2 || n > 10_000 {
-				return nil, fmt.Errorf("--sizes: %d is not from 2 to 10000", n)
+				return nil, fmt.Errorf("--sizes must be between 2 and 10000, got %d", n)
 			}
 			for _, d := range []struct {
 				name string
@@ -96,8 +98,8 @@
 				r := &rows[i]
 				halfinWhitt := 1 - 1/math.Sqrt(float64(r.N))
 				load := map[string]float64{"0.7": 0.7, "0.9": 0.9, "1-1/sqrt(N)": halfinWhitt}[r.Load]
-				// From empty queues it takes some hundred service times, at few draws, until they
-				// are as usual.
+				// The queues start empty. With one or two draws it takes some hundred service times
+				// until they are in steady state.
 				least := 200 * r.N
 				if r.D <= 2 {
 					least = 2000 * r.N
@@ -124,13 +126,13 @@
 	return rows, nil
 }
 
-// drawPaper draws the waits at load 0.9, both axes logarithmic.
+// drawPaper draws the waiting times at load 0.9, with two logarithmic axes.
 func drawPaper(rows []paperRow, path string) error {
 	lines := map[string][]experiment.Point{}
 	var order []string
 	for _, r := range rows {
 		if r.Load != "0.9" || r.Wait <= 0 {
-			continue // there is no logarithm of nothing
+			continue // log(0) is undefined
 		}
 		name := r.Draws + " draws"
 		if r.Draws == "1" {
@@ -146,7 +148,7 @@
 		return err
 	}
 	if !strings.HasSuffix(path, ".svg") {
-		return fmt.Errorf("--chart: %s does not end in .svg", path)
+		return fmt.Errorf("--chart must be a file that ends in .svg, got %q", path)
 	}
 	return os.WriteFile(path, svg, 0o644)
 }
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -8,13 +8,13 @@
 	"github.com/go-faster/jx"
 )
 
-// decoder reads lines into an event that it reuses.
+// decoder decodes lines into an event that is reused for every line.
 type decoder struct {
 	jx jx.Decoder
 	ev event
 }
 
-// decode reads one line. The event is valid until the next call.
+// decode decodes one line. The event is valid until the next call.
 func (d *decoder) decode(line []byte) (*event, error) {
 	d.jx.ResetBytes(line)
 	ev := &d.ev
@@ -40,16 +40,16 @@
 	if d.jx.Next() != jx.Object {
 		return nil, fmt.Errorf("%s: fields are not an object", kind.name)
 	}
-	if err := d.fields(ev); err != nil {
+	if err := d.decodeFields(ev); err != nil {
 		return nil, fmt.Errorf("%s: %w", kind.name, err)
 	}
 	if it.Next() {
-		return nil, errors.New("more than one event in a line")
+		return nil, errors.New("a line has more than one event")
 	}
 	if err := it.Err(); err != nil {
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
-	if err := d.end(); err != nil {
+	if err := d.expectEnd(); err != nil {
 		return nil, err
 	}
 	if name := ev.present.firstMissing(kind.required); name != "" {
@@ -58,16 +58,16 @@
 	return ev, nil
 }
 
-// end checks that nothing follows the object.
-func (d *decoder) end() error {
+// expectEnd returns an error if anything follows the object.
+func (d *decoder) expectEnd() error {
 	if err := d.jx.Skip(); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil
 	}
-	return errors.New("text after the event")
+	return errors.New("unexpected text after the event")
 }
 
-// fields reads the fields of an event. Those that are not known are skipped.
-func (d *decoder) fields(ev *event) error {
+// decodeFields decodes the fields of an event. Unknown fields are skipped.
+func (d *decoder) decodeFields(ev *event) error {
 	return readObject(&d.jx, func(key []byte) error {
 		i, ok := fieldIndex[string(key)]
 		if !ok {
--- a/cmd/simadapter/dispatcher.go
+++ b/cmd/simadapter/dispatcher.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/proxy/settings"
 )
 
-// dispatcher is the host of one balancer: it writes the balancer's actions as lines.
+// dispatcher hosts one balancer and writes its actions as lines of output.
 type dispatcher struct {
 	name         string
 	out          *jx.Writer
@@ -20,109 +20,109 @@
 
 var _ balancer.Actions = (*dispatcher)(nil)
 
-// begin opens an action's line, up to and with the dispatcher's name.
-func (d *dispatcher) begin(action string) {
+// beginAction writes the start of an action's line, up to and including the dispatcher's name.
+func (d *dispatcher) beginAction(action string) {
 	d.out.RawStr(`{"`)
 	d.out.RawStr(action)
 	d.out.RawStr(`":{"who":`)
 	d.out.StrEscape(d.name)
 }
 
-func (d *dispatcher) end() { d.out.RawStr("}}\n") }
+func (d *dispatcher) endAction() { d.out.RawStr("}}\n") }
 
-func (d *dispatcher) request(id balancer.RequestID) {
+func (d *dispatcher) requestField(id balancer.RequestID) {
 	d.out.RawStr(`,"handle":`)
 	d.out.StrEscape(string(id))
 }
 
-// number writes a field. Its name comes with the punctuation before and after it.
-func (d *dispatcher) number(name string, n int64) {
+// intField writes a numeric field. The name includes the punctuation before and after it.
+func (d *dispatcher) intField(name string, n int64) {
 	d.out.RawStr(name)
 	d.out.Int64(n)
 }
 
 // Send implements balancer.Actions.
 func (d *dispatcher) Send(id balancer.RequestID, w balancer.WorkerID) {
-	d.begin("route")
-	d.request(id)
-	d.number(`,"worker":`, int64(w))
-	d.end()
+	d.beginAction("route")
+	d.requestField(id)
+	d.intField(`,"worker":`, int64(w))
+	d.endAction()
 }
 
 // Reject implements balancer.Actions.
 func (d *dispatcher) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	d.begin("overload_reply")
-	d.request(id)
+	d.beginAction("overload_reply")
+	d.requestField(id)
 	if retryAfter > 0 {
-		d.number(`,"backoff":`, int64(retryAfter))
+		d.intField(`,"backoff":`, int64(retryAfter))
 	}
-	d.end()
+	d.endAction()
 }
 
 // Fail implements balancer.Actions.
 func (d *dispatcher) Fail(id balancer.RequestID) {
-	d.begin("drop_request")
-	d.request(id)
-	d.end()
+	d.beginAction("drop_request")
+	d.requestField(id)
+	d.endAction()
 }
 
 // Cancel implements balancer.Actions.
 func (d *dispatcher) Cancel(id balancer.RequestID, attempt int) {
-	d.begin("withdraw")
-	d.request(id)
-	d.number(`,"go":`, int64(attempt))
-	d.end()
+	d.beginAction("withdraw")
+	d.requestField(id)
+	d.intField(`,"go":`, int64(attempt))
+	d.endAction()
 }
 
 // CheckHealth implements balancer.Actions.
 func (d *dispatcher) CheckHealth(w balancer.WorkerID) {
-	d.begin("sample")
-	d.number(`,"worker":`, int64(w))
-	d.end()
+	d.beginAction("sample")
+	d.intField(`,"worker":`, int64(w))
+	d.endAction()
 }
 
 // WatchList implements balancer.Actions.
 func (d *dispatcher) WatchList(on bool) {
-	d.begin("watch")
+	d.beginAction("watch")
 	d.out.RawStr(`,"enable":`)
 	d.out.Bool(on)
-	d.end()
+	d.endAction()
 }
 
-// SetTimer implements balancer.Actions. The token is decimal text.
+// SetTimer implements balancer.Actions. The token is written as decimal text.
 func (d *dispatcher) SetTimer(after time.Duration, token uint64) {
-	d.begin("after")
-	d.number(`,"delay":`, int64(after))
+	d.beginAction("after")
+	d.intField(`,"delay":`, int64(after))
 	d.out.RawStr(`,"mark":"`)
 	d.out.UInt64(token)
 	d.out.RawStr(`"`)
-	d.end()
+	d.endAction()
 }
 
-// parseToken reads a token that SetTimer has written.
+// parseToken parses a token written by SetTimer.
 func parseToken(text []byte) (uint64, error) { return strconv.ParseUint(string(text), 10, 64) }
 
 // SendPeer implements balancer.Actions.
 func (d *dispatcher) SendPeer(peer int, data []byte) {
-	d.begin("signal")
-	d.number(`,"dest":`, int64(peer))
+	d.beginAction("signal")
+	d.intField(`,"dest":`, int64(peer))
 	d.out.RawStr(`,"raw":`)
 	d.out.Base64(data)
-	d.end()
+	d.endAction()
 }
 
 // Log implements balancer.Actions.
 func (d *dispatcher) Log(text string) {
-	d.begin("trace")
+	d.beginAction("trace")
 	d.out.RawStr(`,"message":`)
 	d.out.StrEscape(text)
-	d.end()
+	d.endAction()
 }
 
-// bailOut says that the decision code has failed.
+// bailOut reports that the balancer has failed.
 func (d *dispatcher) bailOut(text string) {
-	d.begin("bail_out")
+	d.beginAction("bail_out")
 	d.out.RawStr(`,"message":`)
 	d.out.StrEscape(text)
-	d.end()
+	d.endAction()
 }
--- a/cmd/simadapter/fields.go
+++ b/cmd/simadapter/fields.go
@@ -11,7 +11,7 @@
 	"moorstack/internal/proxy/settings"
 )
 
-// event is one decoded line: the union of the fields of all kinds of event. The byte slices point into the
+// event is one decoded line. It has the fields of all kinds of event. The byte slices refer to memory of the
 // line.
 type event struct {
 	kind    *eventKind
@@ -45,13 +45,13 @@
 	report     []reportValue
 }
 
-// reportValue is one value of a load report, by its name on the wire.
+// reportValue is one value of a load report, with its name on the wire.
 type reportValue struct {
 	name  string
 	value float64
 }
 
-// loadReport gives the event's load report. The settings say what its free values hold.
+// loadReport returns the event's load report. The settings define the meaning of the custom values x0 and x1.
 func (ev *event) loadReport(fields settings.LoadReportFields) balancer.LoadReport {
 	r := balancer.NoLoadReport
 	for _, v := range ev.report {
@@ -60,13 +60,13 @@
 	return r
 }
 
-// eventField is a field of events: its name on the wire, and how its value is read.
+// eventField is a field of events: its name on the wire, and the function that decodes its value.
 type eventField struct {
 	name string
 	read func(*jx.Decoder, *event) error
 }
 
-// eventFields are all fields that are read. A field's place is its bit in a fieldSet.
+// eventFields are all known fields. The index of a field is its bit in a fieldSet.
 var eventFields = [...]eventField{
 	{"who", func(j *jx.Decoder, ev *event) (err error) { ev.dispatcher, err = j.StrBytes(); return }},
 	{"handle", func(j *jx.Decoder, ev *event) (err error) { ev.request, err = j.StrBytes(); return }},
@@ -96,7 +96,7 @@
 	{"level", func(j *jx.Decoder, ev *event) (err error) { ev.fraction, err = j.Float64(); return }},
 }
 
-// fieldIndex gives the place of a field by its name.
+// fieldIndex maps a field's name to its index in eventFields.
 var fieldIndex = func() map[string]int {
 	m := make(map[string]int, len(eventFields))
 	for i, f := range eventFields {
@@ -105,14 +105,14 @@
 	return m
 }()
 
-// fieldSet is a set of event fields: a bit for each.
+// fieldSet is a set of event fields, with one bit for each field.
 type fieldSet uint32
 
-// slotField is the field that names a list.
-var slotField = fields("slot")
+// slotField is the field that says which list of workers an event refers to.
+var slotField = fieldSetOf("slot")
 
-// fields is the set of the named fields. It panics for a name that is none.
-func fields(names ...string) (set fieldSet) {
+// fieldSetOf returns the set of the named fields. It panics if a name is unknown.
+func fieldSetOf(names ...string) (set fieldSet) {
 	for _, name := range names {
 		i, ok := fieldIndex[name]
 		if !ok {
@@ -126,7 +126,7 @@
 // has reports whether all fields of o are in the set.
 func (s fieldSet) has(o fieldSet) bool { return o&^s == 0 }
 
-// firstMissing gives the name of the first field of required that is not in the set; empty: all are.
+// firstMissing returns the name of the first required field that is not in the set, or "".
 func (s fieldSet) firstMissing(required fieldSet) string {
 	if s.has(required) {
 		return ""
@@ -145,7 +145,7 @@
 	return err
 }
 
-// readSeed reads any integer, wrapped to 64 bits.
+// readSeed reads a signed or unsigned 64-bit integer; a negative one is converted to its two's complement.
 func readSeed(j *jx.Decoder, ev *event) error {
 	n, err := j.Num()
 	if err != nil {
@@ -165,7 +165,7 @@
 	return err
 }
 
-// readLoadReport reads the numbers of a load report, and passes over all else in it.
+// readLoadReport reads the numbers of a load report and skips its other values.
 func readLoadReport(j *jx.Decoder, ev *event) error {
 	it, err := j.ObjIter()
 	if err != nil {
@@ -194,7 +194,7 @@
 	read     func(*jx.Decoder, *balancer.Worker) error
 }
 
-// workerFields are all fields of an entry that are read.
+// workerFields are all known fields of an entry.
 var workerFields = [...]workerField{
 	{name: "worker", required: true, read: readEntryID},
 	{name: "health", required: true, read: readState},
@@ -211,7 +211,7 @@
 	return err
 }
 
-// readState reads the number that the simulator has for a worker's state.
+// readState reads a worker's state from its number in the simulator.
 func readState(j *jx.Decoder, w *balancer.Worker) error {
 	health, err := j.Int()
 	switch health {
@@ -268,7 +268,7 @@
 	return it.Err()
 }
 
-// errEntryIncomplete is the error of a worker's entry without one of the required fields.
+// errEntryIncomplete means that a worker's entry lacks a required field.
 var errEntryIncomplete = errors.New("field \"worker\" or \"health\" is missing")
 
 func readWorker(j *jx.Decoder, w *balancer.Worker) error {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Simadapter connects balancers to the simulator: batches of events on standard input, one JSON value a line,
-// and the balancers' actions on standard output. It decodes and encodes; every decision is package
-// balancer's.
+// Simadapter connects balancers to the simulator. It reads batches of events from standard input, one JSON
+// value a line, and writes the balancers' actions to standard output. It only decodes and encodes; package
+// balancer makes all decisions.
 package main
 
 import (
@@ -13,15 +13,14 @@
 	"runtime/debug"
 )
 
-// inputBuffer is the length of the reader's buffer, in bytes. Longer lines are put together from several
-// reads.
+// inputBuffer is the size of the reader's buffer, in bytes. Longer lines are assembled from several reads.
 const inputBuffer = 1 << 18
 
-// gcPercent keeps the garbage collector from running often: the simulator counts CPU time.
+// gcPercent makes the garbage collector run less often, because the simulator counts CPU time.
 const gcPercent = 400
 
 func main() {
-	// One goroutine does all the work; the collector is kept off the other processors.
+	// One goroutine does all the work. With more processors, the garbage collector would run on the others.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -30,8 +29,8 @@
 	}
 }
 
-// run handles the events of in, and writes the actions to out after each batch, until the input ends. Its
-// errors name the line that they came from.
+// run handles the events of in until the input ends, and writes the actions to out after each batch. Errors
+// name the line of input that caused them.
 func run(in io.Reader, out io.Writer) error {
 	s := newServer()
 	lines := lineReader{r: bufio.NewReaderSize(in, inputBuffer)}
@@ -43,7 +42,7 @@
 		if len(line) == 0 {
 			return nil
 		}
-		if err := s.line(line); err != nil {
+		if err := s.handleLine(line); err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if !s.inBatch {
@@ -61,7 +60,8 @@
 	long []byte // a line that is longer than the reader's buffer
 }
 
-// next gives the next line with its end. It is valid until the next call, and empty at the end of the input.
+// next returns the next line including its line break, or an empty one at the end of the input. It is valid
+// until the next call.
 func (l *lineReader) next() ([]byte, error) {
 	line, err := l.r.ReadSlice('\n')
 	l.long = l.long[:0]
--- a/cmd/simadapter/server.go
+++ b/cmd/simadapter/server.go
@@ -11,7 +11,7 @@
 	"moorstack/internal/proxy/settings"
 )
 
-// server is the state of the process: its dispatchers, and the lists of workers that they share.
+// server is the state of the process: the dispatchers, and the lists of workers that they share.
 type server struct {
 	out         jx.Writer
 	decoder     decoder
@@ -25,8 +25,9 @@
 	return &server{dispatchers: map[string]*dispatcher{}, lists: map[int][]balancer.Worker{}}
 }
 
-// line handles one line of input. After the last one of a batch the reply is in out, and inBatch is false.
-func (s *server) line(line []byte) error {
+// handleLine handles one line of input. After the last line of a batch, out contains the reply and inBatch
+// is false.
+func (s *server) handleLine(line []byte) error {
 	ev, err := s.decoder.decode(line)
 	if err != nil {
 		return err
@@ -46,8 +47,8 @@
 	return nil
 }
 
-// deliver passes an event to the dispatcher that it names. A panic of the balancer ends the simulated day
-// with the panic's text.
+// deliver passes an event to the dispatcher that it names. A panic of the balancer is reported by the action
+// bail_out with the panic's text, which ends the simulated day.
 func (s *server) deliver(ev *event) error {
 	d := s.dispatchers[string(ev.dispatcher)]
 	if d == nil {
@@ -63,7 +64,7 @@
 
 func (s *server) beginBatch(ev *event) error {
 	if s.inBatch {
-		return errors.New("the one before it has no commit")
+		return errors.New("the previous batch has no commit")
 	}
 	s.now, s.inBatch = time.Duration(ev.moment), true
 	return nil
@@ -75,13 +76,13 @@
 	return nil
 }
 
-// setList takes over a list of workers, under the number of a slot that later events name.
+// setList stores a list of workers under the number of a slot, which later events refer to.
 func (s *server) setList(ev *event) error {
 	s.lists[ev.slot] = ev.workers
 	return nil
 }
 
-// startDispatcher makes a dispatcher with its balancer. One of the same name is replaced.
+// startDispatcher creates a dispatcher with its balancer, and replaces an existing one of the same name.
 func (s *server) startDispatcher(ev *event) error {
 	params, err := settings.Parse(ev.params)
 	if err != nil {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// listUpdateKinds are the kinds of list update, by the number that the simulator has for them.
+// listUpdateKinds are the kinds of list update, indexed by their numbers in the simulator.
 var listUpdateKinds = []balancer.ListUpdateKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached,
 	balancer.ListUnavailable}
 
@@ -150,7 +151,7 @@
 }
 
 func (s *server) attemptEnded(d *dispatcher, ev *event) error {
-	result, err := resultOf(ev.result)
+	result, err := parseResult(ev.result)
 	if err != nil {
 		return err
 	}
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// startNotice is the sort of a progress report that says that a request has started to run.
+// startNotice is the sort of a progress report which says that a request has started to run.
 const startNotice = 1
 
 func (s *server) attemptProgressed(d *dispatcher, ev *event) error {
@@ -178,7 +179,7 @@
 }
 
 func (s *server) healthChecked(d *dispatcher, ev *event) error {
-	result, err := resultOf(ev.result)
+	result, err := parseResult(ev.result)
 	if err != nil {
 		return err
 	}
@@ -194,18 +195,18 @@
 func (s *server) timerFired(d *dispatcher, ev *event) error {
 	token, err := parseToken(ev.token)
 	if err != nil {
-		return fmt.Errorf("mark %q is none of ours", ev.token)
+		return fmt.Errorf("mark %q is not the token of a timer", ev.token)
 	}
 	d.balancer.TimerFired(s.now, token)
 	return nil
 }
 
-// results are the results of attempts and health checks, by the number that the simulator has for them.
+// results are the results of attempts and health checks, by their numbers in the simulator.
 var results = map[int]balancer.Result{10: balancer.OK, 20: balancer.ServerError, 30: balancer.WorkerFull,
 	40: balancer.TimedOut, 50: balancer.ConnectFailed, 60: balancer.ConnectionReset, 70: balancer.Cancelled,
 	80: balancer.NotSent}
 
-func resultOf(number int) (balancer.Result, error) {
+func parseResult(number int) (balancer.Result, error) {
 	result, ok := results[number]
 	if !ok {
 		return 0, fmt.Errorf("unknown result %d", number)
--- a/cmd/simadapter/simadapter_test.go
+++ b/cmd/simadapter/simadapter_test.go
@@ -17,11 +17,11 @@
 	return fmt.Sprintf(`{"spawn":{"who":%q,"entropy":7,"params":%s}}`, who, testParams)
 }
 
-// list and cached give a dispatcher two workers.
-const list = `{"snapshot_rows":{"slot":3,"rows_in":[{"worker":11,"rack_zone":0,"sku":0,"block":0,` +
+// snapshotRows stores a list of two workers, and cachedSync passes it to a dispatcher.
+const snapshotRows = `{"snapshot_rows":{"slot":3,"rows_in":[{"worker":11,"rack_zone":0,"sku":0,"block":0,` +
 	`"health":2,"size":1,"up_since":null},{"worker":4294967295,"health":2,"extra":{}}]}}`
 
-func cached(who string) string {
+func cachedSync(who string) string {
 	return fmt.Sprintf(`{"sync":{"who":%q,"form":2,"slot":3,"version":41}}`, who)
 }
 
@@ -52,7 +52,7 @@
 }
 
 func TestTranscript(t *testing.T) {
-	out := replies(t, batch(1000, spawn("dispatcher/3"), list, cached("dispatcher/3"),
+	out := replies(t, batch(1000, spawn("dispatcher/3"), snapshotRows, cachedSync("dispatcher/3"),
 		newRequest("dispatcher/3", "r-a"))+
 		batch(2000, `{"elapsed":{"who":"dispatcher/3","mark":"0"}}`))
 	for _, want := range []string{
@@ -69,7 +69,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	began := batch(1, spawn("dispatcher/3"), list, cached("dispatcher/3"))
+	began := batch(1, spawn("dispatcher/3"), snapshotRows, cachedSync("dispatcher/3"))
 	in := func(line string) string { return began + "{\"batch\":{\"moment\":2}}\n" + line + "\n" }
 	for _, c := range []struct{ name, in, want string }{
 		{"not JSON", in("hello"), "line 7: not a JSON object"},
@@ -85,7 +85,7 @@
 		{"not started", in(newRequest("dispatcher/8", "r")), `"dispatcher/8" was never started`},
 		{"unknown result", in(`{"probe_done":{"who":"dispatcher/3","worker":11,"result":99}}`),
 			"unknown result 99"},
-		{"foreign mark", in(`{"elapsed":{"who":"dispatcher/3","mark":"sweep"}}`), "none of ours"},
+		{"foreign mark", in(`{"elapsed":{"who":"dispatcher/3","mark":"sweep"}}`), "not the token of a timer"},
 		{"outside a batch", newRequest("dispatcher/3", "r") + "\n", "outside a batch"},
 		{"batch in a batch", in(`{"batch":{"moment":3}}`), "no commit"},
 		{"bad settings", batch(1, `{"spawn":{"who":"d","entropy":1,"params":{}}}`), "Classes: none given"},
@@ -104,10 +104,10 @@
 	}
 }
 
-// Two dispatchers in one process act as each does alone.
+// Two dispatchers in one process must produce the same actions as each one alone in a process.
 func TestDispatchersShareNothing(t *testing.T) {
 	events := func(who string) []string {
-		lines := []string{spawn(who), list, cached(who)}
+		lines := []string{spawn(who), snapshotRows, cachedSync(who)}
 		for i := range 20 {
 			lines = append(lines, newRequest(who, fmt.Sprintf("r-%s-%d", who, i)))
 		}
@@ -123,22 +123,22 @@
 	}
 }
 
-// A dispatcher that was stopped is forgotten; one of the same name starts empty.
+// A dispatcher that is started after one of the same name was stopped must know no workers.
 func TestStoppedDispatcherStartsEmpty(t *testing.T) {
-	out := replies(t, batch(1, spawn("d"), list, cached("d"), `{"kill":{"who":"d"}}`, spawn("d"),
+	out := replies(t, batch(1, spawn("d"), snapshotRows, cachedSync("d"), `{"kill":{"who":"d"}}`, spawn("d"),
 		newRequest("d", "r-a")))
 	if !strings.Contains(out, `{"overload_reply":{"who":"d","handle":"r-a"`) {
-		t.Errorf("want a rejection for want of workers:\n%s", out)
+		t.Errorf("no rejection although there are no workers:\n%s", out)
 	}
 }
 
-// A panic of the balancer becomes a bail_out, and the reply is still complete.
+// A panic of the balancer must produce the action bail_out and leave the reply complete.
 func TestPanicBailsOut(t *testing.T) {
 	s := newServer()
 	s.dispatchers["d"] = &dispatcher{name: "d", out: &s.out} // without a balancer every call panics
 	for _, l := range []string{`{"batch":{"moment":1}}`, `{"aborted":{"who":"d","handle":"r"}}`,
 		`{"commit":{}}`} {
-		if err := s.line([]byte(l)); err != nil {
+		if err := s.handleLine([]byte(l)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -152,13 +152,13 @@
 	s := newServer()
 	feed := func(text string) {
 		for l := range strings.Lines(text) {
-			if err := s.line([]byte(l)); err != nil {
+			if err := s.handleLine([]byte(l)); err != nil {
 				b.Fatal(err)
 			}
 		}
 		s.out.Reset()
 	}
-	feed(batch(1, spawn("d"), list, cached("d")))
+	feed(batch(1, spawn("d"), snapshotRows, cachedSync("d")))
 	i := 0
 	for b.Loop() {
 		i++
