--- a/cmd/moorstack-lab/demo.go
+++ b/cmd/moorstack-lab/demo.go
@@ -43,7 +43,7 @@
 jobs. After one third of the time two workers crash; after two thirds they are back, cold.
 It prints a line every second and a table at the end, and leaves nothing behind.`,
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return demo(cmd, length, rate) },
+		RunE: func(cmd *cobra.Command, _ []string) error { return runDemo(cmd, length, rate) },
 	}
 	cmd.Flags().DurationVar(&length, "for", 18*time.Second, "for how long jobs are sent")
 	cmd.Flags().Float64Var(&rate, "rate", 60, "jobs per second")
@@ -71,7 +71,7 @@
 	ReportNoise:       0.05,
 }
 
-func demo(cmd *cobra.Command, length time.Duration, rate float64) error {
+func runDemo(cmd *cobra.Command, length time.Duration, rate float64) error {
 	out := cmd.OutOrStdout()
 	address, err := freeAddress()
 	if err != nil {
@@ -112,15 +112,15 @@
 			{Name: "trip-quote", Weight: 2, MeanWork: 0.25, Timeout: 5 * time.Second},
 			{Name: "dialysis-book", Weight: 1, MeanWork: 0.8, Timeout: 15 * time.Second,
 				HasIdempotencyKey: true}},
-		OnProgress: printSecond(out)})
+		OnProgress: progressPrinter(out)})
 	if err != nil {
 		return err
 	}
 	return printLoad(out, r, "table")
 }
 
-// printSecond returns a function that prints the outcomes of jobs since its previous call.
-func printSecond(out io.Writer) func(load.Result) {
+// progressPrinter returns a function that prints the outcomes of the jobs since its previous call.
+func progressPrinter(out io.Writer) func(load.Result) {
 	type counts struct{ served, refused, failed int }
 	before := counts{}
 	return func(r load.Result) {
--- a/cmd/moorstack-lab/paper.go
+++ b/cmd/moorstack-lab/paper.go
@@ -18,12 +18,12 @@
 
 // paperRow is one point of the comparison: a number of servers, a load and a number of draws.
 type paperRow struct {
-	N     int     `json:"n"`
-	Load  string  `json:"load"`
-	Draws string  `json:"draws"`
-	D     int     `json:"d"`
-	Wait  float64 `json:"wait"`
-	Waits float64 `json:"waits"`
+	N            int     `json:"n"`
+	Load         string  `json:"load"`
+	Draws        string  `json:"draws"`
+	D            int     `json:"d"`
+	MeanWait     float64 `json:"wait"`
+	WaitingShare float64 `json:"waits"`
 }
 
 func newPaper() *cobra.Command {
@@ -56,7 +56,8 @@
 			tw := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(tw, "LOAD\tN\tDRAWS\tD\tMEAN WAIT\tSHARE THAT WAITS")
 			for _, r := range rows {
-				fmt.Fprintf(tw, "%s\t%d\t%s\t%d\t%.5f\t%.5f\n", r.Load, r.N, r.Draws, r.D, r.Wait, r.Waits)
+				fmt.Fprintf(tw, "%s\t%d\t%s\t%d\t%.5f\t%.5f\n", r.Load, r.N, r.Draws, r.D, r.MeanWait,
+					r.WaitingShare)
 			}
 			return tw.Flush()
 		},
@@ -112,8 +113,8 @@
 						Seed: uint64(seed + 1),
 						Jobs: max(jobs, least),
 					}.Run()
-					r.Wait += got.MeanWait / float64(seeds)
-					r.Waits += got.WaitingShare / float64(seeds)
+					r.MeanWait += got.MeanWait / float64(seeds)
+					r.WaitingShare += got.WaitingShare / float64(seeds)
 				}
 			}
 		})
@@ -131,7 +132,7 @@
 	lines := map[string][]experiment.Point{}
 	var order []string
 	for _, r := range rows {
-		if r.Load != "0.9" || r.Wait <= 0 {
+		if r.Load != "0.9" || r.MeanWait <= 0 {
 			continue // log(0) is undefined
 		}
 		name := r.Draws + " draws"
@@ -141,7 +142,7 @@
 		if lines[name] == nil {
 			order = append(order, name)
 		}
-		lines[name] = append(lines[name], experiment.Point{X: float64(r.N), Y: r.Wait})
+		lines[name] = append(lines[name], experiment.Point{X: float64(r.N), Y: r.MeanWait})
 	}
 	svg, err := experiment.LogLogChart("servers", "mean wait at load 0.9 (service times)", order, lines)
 	if err != nil {
--- a/cmd/moorstack/cluster_roll.go
+++ b/cmd/moorstack/cluster_roll.go
@@ -49,13 +49,13 @@
 		newRollOperation(g, r, schema.Operation_ROLL_RESUME, "resume",
 			"Continue a rolling restart that was stopped or has halted", ""),
 		newRollOperation(g, r, schema.Operation_ROLL_UNDO, "undo",
-			"Restart the instances that were taken out once more, the last one first",
+			"Restart once more the instances that were taken out, the last one first",
 			rollUndoHelp),
 		newRollShow(g, r))
 	return cmd
 }
 
-const rollUndoHelp = "undo restarts each instance that a rolling restart has taken out once more, so that " +
+const rollUndoHelp = "undo restarts once more each instance that a rolling restart has taken out, so that " +
 	"its service manager\ncan start the previous program; the other instances stay as they are."
 
 func newRollStart(g *globalFlags, r *controlFlags) *cobra.Command {
--- a/cmd/moorstack/config_propose.go
+++ b/cmd/moorstack/config_propose.go
@@ -91,7 +91,7 @@
 type proposal struct {
 	base     uint64 // the revision that it is based on
 	document *clusterstate.Document
-	locate   func(problem string) string // adds a problem's position in a file; nil: there is no file
+	locate   func(problem string) string // prefixes a problem with its file and line; nil: no file
 }
 
 // propose proposes the change that prepare returns, and prints its outcome.
--- a/cmd/moorstack/config_set.go
+++ b/cmd/moorstack/config_set.go
@@ -15,7 +15,7 @@
 		Use:   "set SECTION KEY FILE",
 		Short: "Set a key of a section to a file's text, at all instances or at none",
 		Long: `set changes one key of the newest configuration. The routing rules are the key toml of the
-section routes; they take precedence over the rule files of the single instances.`,
+section routes; they take precedence over the rule files of individual instances.`,
 		Example: "  moorstack config set routes toml routes.toml --expect sunday.toml --config n1.toml",
 		Args:    cobra.ExactArgs(3),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/moorstack/keys.go
+++ b/cmd/moorstack/keys.go
@@ -37,7 +37,7 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if days < 1 {
-				return fmt.Errorf("--days: %d is not a number of days", days)
+				return fmt.Errorf("--days must be at least 1, got %d", days)
 			}
 			ca, err := keys.NewCA(name, time.Now(), time.Duration(days)*day)
 			if err == nil {
@@ -70,7 +70,7 @@
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if days < 1 {
-				return fmt.Errorf("--days: %d is not a number of days", days)
+				return fmt.Errorf("--days must be at least 1, got %d", days)
 			}
 			ca, err := keys.ReadKeyPair(filepath.Join(dir, "ca.crt"), filepath.Join(dir, "ca.key"))
 			if err != nil {
--- a/cmd/moorstack/prove_cluster.go
+++ b/cmd/moorstack/prove_cluster.go
@@ -19,10 +19,10 @@
 		Short: "Test a group of real processes under faults of processes and of links",
 		Long: `cluster starts real instances on loopback, with a link for each ordered pair, and runs a
 story, which is a schedule of faults of links and processes, while the configuration is changed
-and jobs run. It then audits, in the order of the clock that all processes share, that no job was
+and jobs run. It then audits, by the clock that all processes share, that no job was
 admitted anywhere under a policy after another job had been admitted under a later one; that no
 change is lost, partly in force or applied twice; and that all instances agree and admit jobs
-again after the faults have ended.
+again once the faults have ended.
 
 A story is drawn from the seed, or read from a file with one fault a line, ordered by time:
 
