--- a/internal/verify/emulate/client.go
+++ b/internal/verify/emulate/client.go
@@ -9,18 +9,18 @@
 	"moorstack/balancer"
 )
 
-// clientGroup is the clients of one team in one zone.
+// clientGroup generates the jobs of one team's clients in one zone.
 type clientGroup struct {
 	world    *World
 	spec     *ClientGroup
-	tenant   int // below 0: the team is none of the settings
+	tenant   int // index of the team's tenant in the settings; -1 if it has none
 	mixTotal float64
-	stopped  bool // the scenario is over: no more jobs arrive
+	stopped  bool // set at the end of the scenario: no more jobs arrive
 
-	// One source a concern: to draw more from one shifts no other.
+	// Each concern has its own source, so additional draws from one do not change the others.
 	arrivalRandom, sizeRandom, behaviorRandom *rand.Rand
 
-	// Faults. A rate factor of 0 is none.
+	// Active faults. A rateFactor of 0 leaves the rate unchanged.
 	rateFactor              float64
 	heavyShare, heavyFactor float64
 }
@@ -41,7 +41,7 @@
 	return g
 }
 
-// scheduleArrival has the next job arrive, and the ones after it.
+// scheduleArrival schedules the next arrival, which in turn schedules the one after it.
 func (g *clientGroup) scheduleArrival() {
 	rate := g.spec.Rate
 	if g.rateFactor > 0 {
@@ -56,7 +56,7 @@
 	})
 }
 
-// drawClass picks a class by the group's mix, as an index of the scenario's classes.
+// drawClass draws a class by the weights of the group's mix and returns its index in the scenario.
 func (g *clientGroup) drawClass() int {
 	at, pick := g.behaviorRandom.Float64()*g.mixTotal, 0
 	for pick < len(g.spec.Mix)-1 && at >= g.spec.Mix[pick] {
@@ -67,7 +67,7 @@
 	return slices.IndexFunc(g.world.scenario.Classes, isPick)
 }
 
-// createJob has a job arrive, and its client submit it.
+// createJob creates a job and submits it.
 func (g *clientGroup) createJob() {
 	w := g.world
 	index := g.drawClass()
--- a/internal/verify/emulate/clock.go
+++ b/internal/verify/emulate/clock.go
@@ -8,26 +8,27 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// Clock is virtual time: a queue of events, in order of time and then of their scheduling. The zero Clock
-// begins at 0 and is ready for use, by one goroutine.
+// Clock is a virtual clock: a queue of events ordered by time, then by the order of scheduling. The zero
+// Clock starts at time 0 and is ready to use. It is not safe for concurrent use.
 type Clock struct {
 	now      time.Duration
-	queue    []*event // a heap with four children a node: fewer levels, and they share cache lines
-	sequence uint64   // of the last event scheduled
+	queue    []*event // 4-ary heap: fewer levels than a binary one, and siblings share cache lines
+	sequence uint64   // number of the last event scheduled
 	free     []*event
-	count    uint64 // of the events that have run
+	count    uint64 // number of events that have run
 }
 
-// event is a pending call, or a free one to be used again.
+// event is a pending call, or an entry of the free list.
 type event struct {
 	at         time.Duration
 	sequence   uint64
 	run        func()
-	index      int    // in the queue; below 0: it has run or was stopped
-	generation uint32 // grows each time that it is used again
+	index      int    // in the queue; -1 after it has run or was stopped
+	generation uint32 // incremented on each reuse
 }
 
-// eventTimer stops an event, and nothing that has used it again since. The zero eventTimer stops nothing.
+// eventTimer stops one use of an event: it does nothing once the event has been reused. The zero eventTimer
+// stops nothing.
 type eventTimer struct {
 	clock      *Clock
 	event      *event
@@ -44,13 +45,13 @@
 // Now implements broker.Clock.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// EventCount is how many events have run.
+// EventCount returns the number of events that have run.
 func (c *Clock) EventCount() uint64 { return c.count }
 
-// At implements broker.Clock: f runs at the time, or next if that is past.
+// At implements broker.Clock. A time in the past is treated as the current time.
 func (c *Clock) At(at time.Duration, f func()) broker.Timer { return c.schedule(at, f) }
 
-// After runs f after d.
+// After schedules f to run after d.
 func (c *Clock) After(d time.Duration, f func()) broker.Timer { return c.schedule(c.now+d, f) }
 
 func (c *Clock) schedule(at time.Duration, f func()) eventTimer {
@@ -64,7 +65,7 @@
 	e.at, e.sequence, e.run, e.index = max(at, c.now), c.sequence, f, len(c.queue)
 	e.generation++
 	c.queue = append(c.queue, e)
-	c.up(e.index)
+	c.siftUp(e.index)
 	return eventTimer{c, e, e.generation}
 }
 
@@ -78,14 +79,14 @@
 	c.queue[i].index, c.queue[j].index = i, j
 }
 
-func (c *Clock) up(i int) {
+func (c *Clock) siftUp(i int) {
 	for i > 0 && c.less(i, (i-1)/4) {
 		c.swap(i, (i-1)/4)
 		i = (i - 1) / 4
 	}
 }
 
-func (c *Clock) down(i int) {
+func (c *Clock) siftDown(i int) {
 	for {
 		least := i
 		for k := 4*i + 1; k <= 4*i+4 && k < len(c.queue); k++ {
@@ -101,21 +102,21 @@
 	}
 }
 
-// remove takes an event out, to be used again.
+// remove takes an event out of the queue and adds it to the free list.
 func (c *Clock) remove(e *event) {
 	i, last := e.index, len(c.queue)-1
 	c.swap(i, last)
 	c.queue[last] = nil
 	c.queue = c.queue[:last]
 	if i < last {
-		c.down(i)
-		c.up(i)
+		c.siftDown(i)
+		c.siftUp(i)
 	}
 	e.index, e.run = -1, nil
 	c.free = append(c.free, e)
 }
 
-// Run runs the events that are due up to a time, and leaves the clock there.
+// Run executes the events due up to and including the given time, and leaves the clock at that time.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := c.queue[0]
@@ -128,10 +129,12 @@
 	c.now = max(c.now, until)
 }
 
-// RandomStreams are random sources, one a concern: to draw more from one shifts no other.
+// RandomStreams derives independent random sources from one seed, one for each concern, so additional draws
+// from one do not change the others.
 type RandomStreams struct{ Seed uint64 }
 
-// Source gives the source of a concern, and of one thing among many where there are many.
+// Source returns the source of the n-th instance of a concern. The same seed, concern and n give the same
+// source.
 func (s RandomStreams) Source(concern string, n int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(concern))
--- a/internal/verify/emulate/discovery.go
+++ b/internal/verify/emulate/discovery.go
@@ -8,24 +8,25 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// How the endpoint list comes to nodes, in the scenario's words.
+// The values of Scenario.ListDelivery.
 const (
-	listPolled = "asked"  // each node has a watch at a service for all
-	listPushed = "pushed" // an agent beside each node has it
+	listPolled = "asked"  // each node watches a central service
+	listPushed = "pushed" // an agent next to each node holds the list
 )
 
-// silentWatchLimit is after how long a node counts as having received what its silent watch did not bring.
+// silentWatchLimit is the time after which a node is held responsible for updates that its silent watch did
+// not deliver: it should have reopened the watch by then.
 const silentWatchLimit = 6 * time.Second
 
-// discoveryService sends the nodes the endpoint list: late, only workers that run or drain, and nothing
-// while it is down.
+// discoveryService delivers the endpoint list to the nodes: with a delay, containing only running and
+// draining workers, and not at all while it is down.
 type discoveryService struct {
 	world      *World
 	byName     map[string]*Worker
 	down       bool
-	extraDelay time.Duration // a fault: so much later
+	extraDelay time.Duration // added to the scenario's list delay by a fault
 	version    int
-	lastChange map[string]int // by worker: the version of its last change
+	lastChange map[string]int // version of each worker's last change
 	watches    []*listClient
 }
 
@@ -39,7 +40,7 @@
 
 func (s *discoveryService) pushes() bool { return s.world.scenario.ListDelivery == listPushed }
 
-// entry is a worker's entry of the list, as it is now.
+// entry returns a worker's current list entry.
 func (s *discoveryService) entry(k *Worker) broker.ListEntry {
 	e := broker.ListEntry{Name: k.Name, Zone: k.Zone, Kind: k.Kind, Cell: k.Cell, State: balancer.Ready,
 		Size: float64(k.Spec.Cores) * k.Spec.Speed}
@@ -55,7 +56,7 @@
 	return e
 }
 
-// snapshot is the whole list as it is now.
+// snapshot returns the current list.
 func (s *discoveryService) snapshot() []broker.ListEntry {
 	var list []broker.ListEntry
 	for _, k := range s.world.workers {
@@ -66,7 +67,8 @@
 	return list
 }
 
-// workerChanged follows a worker's start, drain or end. Watches receive it late.
+// workerChanged records that a worker started, began to drain or stopped, and publishes the change after the
+// list delay.
 func (s *discoveryService) workerChanged(k *Worker) {
 	s.version++
 	e, version := s.entry(k), s.version
@@ -75,7 +77,7 @@
 	s.world.Clock.schedule(s.world.Clock.now+delay, func() { s.publish(e, version) })
 }
 
-// publish sends an entry to all watches. The silent ones do not receive it.
+// publish sends an entry to all watches that are not silent.
 func (s *discoveryService) publish(e broker.ListEntry, version int) {
 	for _, c := range s.watches {
 		if c.silent {
@@ -89,7 +91,7 @@
 	}
 }
 
-// agentsUpdated has every node count as having received what the agent beside it has.
+// agentsUpdated records that every running node has received the entries through its agent.
 func (s *discoveryService) agentsUpdated(entries []broker.ListEntry) {
 	for _, n := range s.world.nodes {
 		if !n.down {
@@ -98,11 +100,11 @@
 	}
 }
 
-// countAsReceived has a node count as having received, after silentWatchLimit, what its silent watch did not
-// bring, if that still holds then.
+// countAsReceived records that a node has received an entry once its watch has been silent for
+// silentWatchLimit, unless the node has restarted or the worker has changed again by then.
 func (s *discoveryService) countAsReceived(c *listClient, version int, e broker.ListEntry) {
 	if s.pushes() {
-		return // it counts already
+		return // agentsUpdated has recorded it
 	}
 	n, incarnation := c.node, c.incarnation
 	s.world.Clock.schedule(max(c.silentSince+silentWatchLimit, s.world.Clock.now), func() {
@@ -112,11 +114,11 @@
 	})
 }
 
-// setDown ends all watches, or lets them come again.
+// setDown stops the service and ends all watches, or starts it again.
 func (s *discoveryService) setDown(down bool) {
 	s.down = down
 	if !down {
-		if s.pushes() { // what the agents receive at the return counts at once
+		if s.pushes() { // the agents receive the current list at once
 			s.agentsUpdated(s.snapshot())
 		}
 		return
@@ -128,7 +130,7 @@
 	}
 }
 
-// silenceWatches has a fraction of the open watches send nothing more, though they stay open.
+// silenceWatches makes a random fraction of the open watches stop delivering updates while they stay open.
 func (s *discoveryService) silenceWatches(fraction float64, random *rand.Rand) {
 	clock := &s.world.Clock
 	for _, c := range s.watches {
--- a/internal/verify/emulate/discovery_test.go
+++ b/internal/verify/emulate/discovery_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Drains are kept to whatever becomes of watches: where lists are pushed, from the moment that the agent has
-// them, and where they are polled, from 6 s after a watch fell silent.
+// Drains are observed although watches fall silent and the discovery service goes down: where lists are
+// pushed, from when the agent has the update, and where they are polled, from 6 s after the watch fell
+// silent.
 func TestDrainsAreKeptWhileWatchesAreSilent(t *testing.T) {
 	faults := []Fault{
 		newFault("deaf", 2500*time.Millisecond, time.Second, 1),
@@ -23,7 +24,7 @@
 			t.Run(fmt.Sprintf("%s, %v", delivery, grace), func(t *testing.T) {
 				attempts := 0
 				for seed := range uint64(8) {
-					sc := small(seed).withFaults(seed, faults)
+					sc := smallScenario(seed).withFaults(seed, faults)
 					sc.ListDelivery, sc.DrainGrace = delivery, Duration(grace)
 					sc.Duration = Duration(25 * time.Second)
 					r, err := RunScenario(sc)
@@ -36,7 +37,7 @@
 					attempts += r.Attempts
 				}
 				if attempts == 0 {
-					t.Error("nothing was sent, and so nothing shown")
+					t.Error("no attempts were sent, so the runs check nothing")
 				}
 			})
 		}
--- a/internal/verify/emulate/doc.go
+++ b/internal/verify/emulate/doc.go
@@ -1,7 +1,7 @@
-// Package emulate is a model world in virtual time: workers, a discovery service, clients and faults round
-// real nodes, which are the real broker, balancer and rules through their interfaces. The same scenario and
-// seed give the same run, event by event.
+// Package emulate simulates a complete system in virtual time: modelled workers, discovery, clients and
+// faults around real nodes, which run the production broker and balancer through their interfaces. A scenario
+// and a seed determine a run, event by event.
 //
-// A World and all in it belong to the goroutine that runs it; worlds share nothing, and so many may run at
-// once. docs/emulator.md says what is modelled, what is not, and how it can mislead.
+// A World and everything in it belong to the goroutine that runs it. Worlds share no state, so several can
+// run concurrently. docs/emulator.md describes what is modelled, what is not, and where results can mislead.
 package emulate
--- a/internal/verify/emulate/fault.go
+++ b/internal/verify/emulate/fault.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Fault is something that fails for a while.
+// Fault is a temporary failure or overload.
 type Fault struct {
 	Kind      string   `json:"Kind" toml:"kind"`
 	Start     Duration `json:"At" toml:"at"`
 	Length    Duration `json:"For" toml:"for"`
-	Fraction  float64  `json:"Part" toml:"part"` // of the workers, of the nodes or of the jobs, by the kind
-	Magnitude float64  `json:"Size" toml:"size"` // what it means depends on the kind
-	Zone      string   `json:"Zone" toml:"zone"` // of the workers; empty: of any
-	Team      string   `json:"Team" toml:"team"` // of the clients; empty: all
+	Fraction  float64  `json:"Part" toml:"part"` // of workers, nodes, watches or jobs, depending on the kind
+	Magnitude float64  `json:"Size" toml:"size"` // see faultKind.magnitude
+	Zone      string   `json:"Zone" toml:"zone"` // of the affected workers; empty: any
+	Team      string   `json:"Team" toml:"team"` // of the affected clients; empty: all
 	Class     string   `json:"Class" toml:"class"`
 }
 
-// The kinds that the drawing and the checks treat by themselves, in the scenario's words.
+// Fault kinds that validation or random generation treats specially, by their names in scenario files.
 const (
 	faultSlowClass = "grey"
 	faultHeavyJobs = "heavy"
@@ -27,57 +27,58 @@
 	faultZoneLost  = "zone-lost"
 )
 
-// faultKind is a kind of fault.
+// faultKind describes a kind of fault.
 type faultKind struct {
-	magnitude string // what Fault.Magnitude means; empty: nothing
-	// start begins the fault. What it returns ends it; nil: it ends by itself.
+	magnitude string // meaning of Fault.Magnitude; empty: unused
+	// start begins the fault and returns the function that ends it, or nil if the fault ends by itself.
 	start func(w *World, f *Fault, random *rand.Rand) (end func())
 }
 
-// faultKinds are the kinds by their names in a scenario.
+// faultKinds maps the names used in scenario files to fault kinds.
 var faultKinds = map[string]faultKind{
 	"crash":        {"", (*World).crashWorkers},
-	"slow":         {"how many times slower", (*World).slowWorkers},
-	"errors":       {"the share of jobs that fail", (*World).failJobs},
+	"slow":         {"slowdown factor", (*World).slowWorkers},
+	"errors":       {"share of jobs that fail", (*World).failJobs},
 	"cut":          {"", (*World).partitionWorkers},
 	"drain":        {"", (*World).drainWorkers},
 	"restart":      {"", (*World).restartNodes},
 	"stale":        {"seconds of added delay", (*World).delayList},
 	"list-down":    {"", (*World).stopDiscovery},
 	"deaf":         {"", (*World).silenceWatches},
-	faultHeavyJobs: {"how many times a usual job", (*World).sendHeavyJobs},
-	faultFlood:     {"how many times the usual rate", (*World).floodWithJobs},
-	faultSlowClass: {"how many times slower", (*World).slowOneClass},
+	faultHeavyJobs: {"factor on the job size", (*World).sendHeavyJobs},
+	faultFlood:     {"factor on the job rate", (*World).floodWithJobs},
+	faultSlowClass: {"slowdown factor", (*World).slowOneClass},
 	"maintain":     {"", (*World).maintainWorkers},
 	"replace":      {"", (*World).hotRestartNodes},
 	faultZoneLost:  {"", (*World).crashWorkers},
-	"retry-storm":  {"retries for each client", (*World).ignoreRetryAfter},
+	"retry-storm":  {"retries per job", (*World).ignoreRetryAfter},
 }
 
 func (s *Scenario) validateFault(i int) error {
 	f := &s.Faults[i]
 	kind, known := faultKinds[f.Kind]
 	if !known {
-		return s.errorAt("trouble", i, "%q is no kind of trouble; there are %v", f.Kind,
+		return s.errorAt("trouble", i, "unknown kind %q, must be one of %v", f.Kind,
 			slices.Sorted(maps.Keys(faultKinds)))
 	}
 	if f.Start < 0 || f.Length <= 0 || f.Fraction < 0 || f.Fraction > 1 {
-		return s.errorAt("trouble", i, "%s: at and for must be times, and part from 0 to 1", f.Kind)
+		return s.errorAt("trouble", i,
+			"%s: at must not be negative, for must be above 0 and part between 0 and 1", f.Kind)
 	}
 	if kind.magnitude != "" && !(f.Magnitude > 0) {
 		return s.errorAt("trouble", i, "%s: size must be above 0: %s", f.Kind, kind.magnitude)
 	}
 	if f.Kind == faultZoneLost && !slices.Contains(s.Zones, f.Zone) {
-		return s.errorAt("trouble", i, "zone-lost: there is no zone %q", f.Zone)
+		return s.errorAt("trouble", i, "zone-lost: unknown zone %q", f.Zone)
 	}
 	named := func(c ClassSpec) bool { return c.Name == f.Class }
 	if f.Kind == faultSlowClass && !slices.ContainsFunc(s.Classes, named) {
-		return s.errorAt("trouble", i, "grey: there is no class %q", f.Class)
+		return s.errorAt("trouble", i, "grey: unknown class %q", f.Class)
 	}
 	return nil
 }
 
-// scheduleFault has a fault begin and end at its times.
+// scheduleFault schedules the start and the end of a fault.
 func (w *World) scheduleFault(f *Fault, number int) {
 	random := w.streams.Source("troubles", number)
 	w.Clock.At(time.Duration(f.Start), func() {
@@ -87,60 +88,62 @@
 	})
 }
 
-// share is how many a fraction of some is, one at the least.
-func share(fraction float64, of int) int { return min(max(int(fraction*float64(of)+0.5), 1), of) }
+// countOf returns the number of items in a fraction of n, rounded, and at least 1.
+func countOf(fraction float64, n int) int { return min(max(int(fraction*float64(n)+0.5), 1), n) }
 
-// selectWorkers draws the fault's fraction of the workers.
+// selectWorkers draws the workers that the fault affects.
 func (w *World) selectWorkers(f *Fault, random *rand.Rand) []*Worker {
-	var from []*Worker
+	var eligible []*Worker
 	for _, k := range w.workers {
 		if f.Zone == "" || w.scenario.Zones[k.Zone] == f.Zone {
-			from = append(from, k)
+			eligible = append(eligible, k)
 		}
 	}
 	if f.Kind == faultZoneLost {
-		return from
+		return eligible
 	}
-	random.Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
-	return from[:share(f.Fraction, len(from))]
+	random.Shuffle(len(eligible), func(i, j int) { eligible[i], eligible[j] = eligible[j], eligible[i] })
+	return eligible[:countOf(f.Fraction, len(eligible))]
 }
 
-// onWorkers draws the fault's workers and has begin and end done to each.
-func (w *World) onWorkers(f *Fault, random *rand.Rand, begin, end func(*Worker)) func() {
-	hit := w.selectWorkers(f, random)
-	for _, k := range hit {
+// applyToWorkers calls begin with each worker that the fault affects, and returns a function that calls end
+// with each of them.
+func (w *World) applyToWorkers(f *Fault, random *rand.Rand, begin, end func(*Worker)) func() {
+	affected := w.selectWorkers(f, random)
+	for _, k := range affected {
 		begin(k)
 	}
 	return func() {
-		for _, k := range hit {
+		for _, k := range affected {
 			end(k)
 		}
 	}
 }
 
-// onClientGroups has begin and end done to each group of the fault's team.
-func (w *World) onClientGroups(f *Fault, begin, end func(*clientGroup)) func() {
-	var hit []*clientGroup
+// applyToClientGroups calls begin with each client group of the fault's team, and returns a function that
+// calls end with each of them.
+func (w *World) applyToClientGroups(f *Fault, begin, end func(*clientGroup)) func() {
+	var affected []*clientGroup
 	for _, g := range w.groups {
 		if f.Team == "" || g.spec.Team == f.Team {
-			hit = append(hit, g)
+			affected = append(affected, g)
 			begin(g)
 		}
 	}
 	return func() {
-		for _, g := range hit {
+		for _, g := range affected {
 			end(g)
 		}
 	}
 }
 
-// staggerNodes does something to the fault's fraction of the nodes, if they run, one after another over its
-// length.
+// staggerNodes calls do with a random fraction of the nodes, evenly spread over the fault's length. Nodes
+// that are down when their turn comes are skipped.
 func (w *World) staggerNodes(f *Fault, random *rand.Rand, do func(n *Node)) {
 	order := random.Perm(len(w.nodes))
-	hit := order[:share(f.Fraction, len(order))]
-	for i, number := range hit {
-		at := time.Duration(float64(f.Length) * float64(i) / float64(len(hit)))
+	affected := order[:countOf(f.Fraction, len(order))]
+	for i, number := range affected {
+		at := time.Duration(float64(f.Length) * float64(i) / float64(len(affected)))
 		w.Clock.After(at, func() {
 			if n := w.nodes[number]; !n.down {
 				do(n)
--- a/internal/verify/emulate/fault_handlers.go
+++ b/internal/verify/emulate/fault_handlers.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// nodeRestartTime is for how long a node is down that restarts.
+	// nodeRestartTime is how long a restarting node is down.
 	nodeRestartTime = time.Second
-	// stormBackoff is the clients' wait before a retry where they ignore Retry-After.
+	// stormBackoff is the backoff before a retry of clients that ignore Retry-After.
 	stormBackoff = 10 * time.Millisecond
 )
 
@@ -18,7 +18,7 @@
 	w.discovery.workerChanged(k)
 }
 
-// restartWorker starts a worker again, unless it collapsed in slow start: then it stays down.
+// restartWorker starts a worker again. A worker that collapsed in slow start stays down.
 func (w *World) restartWorker(k *Worker) {
 	if !k.collapsed {
 		k.Restart()
@@ -26,35 +26,35 @@
 	}
 }
 
-// crashWorkers has workers die, and come back in slow start.
+// crashWorkers crashes workers and restarts them, in slow start, at the end of the fault.
 func (w *World) crashWorkers(f *Fault, random *rand.Rand) func() {
-	return w.onWorkers(f, random, w.crashWorker, w.restartWorker)
+	return w.applyToWorkers(f, random, w.crashWorker, w.restartWorker)
 }
 
-// slowWorkers has workers run slower.
+// slowWorkers slows workers down.
 func (w *World) slowWorkers(f *Fault, random *rand.Rand) func() {
-	return w.onWorkers(f, random,
+	return w.applyToWorkers(f, random,
 		func(k *Worker) { k.SetSlowdown(f.Magnitude) },
 		func(k *Worker) { k.SetSlowdown(1) })
 }
 
-// failJobs has workers fail a share of the jobs at once.
+// failJobs makes workers fail a share of their jobs immediately.
 func (w *World) failJobs(f *Fault, random *rand.Rand) func() {
-	return w.onWorkers(f, random,
+	return w.applyToWorkers(f, random,
 		func(k *Worker) { k.failureShare = f.Magnitude },
 		func(k *Worker) { k.failureShare = 0 })
 }
 
-// partitionWorkers cuts workers off from the nodes, and nothing reports it.
+// partitionWorkers cuts workers off from the nodes without any report of it.
 func (w *World) partitionWorkers(f *Fault, random *rand.Rand) func() {
-	return w.onWorkers(f, random,
+	return w.applyToWorkers(f, random,
 		func(k *Worker) { k.partitioned = true },
 		func(k *Worker) { k.partitioned = false })
 }
 
-// drainWorkers has workers drain, and come back as other ones.
+// drainWorkers makes workers drain, and restarts them at the end of the fault.
 func (w *World) drainWorkers(f *Fault, random *rand.Rand) func() {
-	return w.onWorkers(f, random, func(k *Worker) {
+	return w.applyToWorkers(f, random, func(k *Worker) {
 		k.draining = true
 		w.discovery.workerChanged(k)
 	}, func(k *Worker) {
@@ -64,20 +64,21 @@
 	})
 }
 
-// slowOneClass has workers run one class slower, while their load reports look healthy.
+// slowOneClass makes workers process one class more slowly while their load reports look healthy.
 func (w *World) slowOneClass(f *Fault, random *rand.Rand) func() {
-	return w.onWorkers(f, random,
+	return w.applyToWorkers(f, random,
 		func(k *Worker) { k.slowClass, k.slowClassFactor = f.Class, f.Magnitude },
 		func(k *Worker) { k.slowClass = "" })
 }
 
-// hotRestartNodes has nodes replaced by another process while they serve.
+// hotRestartNodes replaces the processes of nodes while they serve.
 func (w *World) hotRestartNodes(f *Fault, random *rand.Rand) func() {
 	w.staggerNodes(f, random, w.hotRestart)
 	return nil
 }
 
-// restartNodes has nodes die, each to come back a moment later with nothing but the list that there was.
+// restartNodes kills nodes. Each restarts after nodeRestartTime with only the endpoint list as it was when it
+// was killed.
 func (w *World) restartNodes(f *Fault, random *rand.Rand) func() {
 	w.staggerNodes(f, random, func(n *Node) {
 		cached := w.discovery.snapshot()
@@ -87,46 +88,46 @@
 	return nil
 }
 
-// delayList has the endpoint list come later than usual.
+// delayList adds a delay to updates of the endpoint list.
 func (w *World) delayList(f *Fault, _ *rand.Rand) func() {
 	w.discovery.extraDelay = time.Duration(f.Magnitude * 1e9)
 	return func() { w.discovery.extraDelay = 0 }
 }
 
-// stopDiscovery has the discovery service down.
+// stopDiscovery takes the discovery service down.
 func (w *World) stopDiscovery(*Fault, *rand.Rand) func() {
 	w.discovery.setDown(true)
 	return func() { w.discovery.setDown(false) }
 }
 
-// silenceWatches has some of the nodes' open watches bring nothing more.
+// silenceWatches makes a fraction of the nodes' open watches stop delivering updates.
 func (w *World) silenceWatches(f *Fault, random *rand.Rand) func() {
 	w.discovery.silenceWatches(f.Fraction, random)
 	return nil
 }
 
-// sendHeavyJobs has a fraction of the jobs be larger than usual.
+// sendHeavyJobs makes a fraction of the jobs larger.
 func (w *World) sendHeavyJobs(f *Fault, _ *rand.Rand) func() {
-	return w.onClientGroups(f,
+	return w.applyToClientGroups(f,
 		func(g *clientGroup) { g.heavyShare, g.heavyFactor = f.Fraction, f.Magnitude },
 		func(g *clientGroup) { g.heavyShare = 0 })
 }
 
-// floodWithJobs has clients send more jobs than usual.
+// floodWithJobs raises the rate at which clients send jobs.
 func (w *World) floodWithJobs(f *Fault, _ *rand.Rand) func() {
-	return w.onClientGroups(f,
+	return w.applyToClientGroups(f,
 		func(g *clientGroup) { g.rateFactor = f.Magnitude },
 		func(g *clientGroup) { g.rateFactor = 0 })
 }
 
-// ignoreRetryAfter has clients retry at once, whatever Retry-After they were given.
+// ignoreRetryAfter makes clients retry after stormBackoff, whatever Retry-After says.
 func (w *World) ignoreRetryAfter(f *Fault, _ *rand.Rand) func() {
 	for i := range w.scenario.Clients {
 		spec := w.scenario.Clients[i]
 		w.groups[i].spec = &spec
 	}
 	before := make([]ClientGroup, len(w.groups))
-	return w.onClientGroups(f, func(g *clientGroup) {
+	return w.applyToClientGroups(f, func(g *clientGroup) {
 		before[slices.Index(w.groups, g)] = *g.spec
 		g.spec.Retries, g.spec.IgnoreRetryAfter = int(f.Magnitude), true
 		g.spec.Backoff = Duration(stormBackoff)
--- a/internal/verify/emulate/fault_storm.go
+++ b/internal/verify/emulate/fault_storm.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// span is what a value is drawn from, evenly.
-type span struct{ low, high float64 }
+// valueRange is an interval from which values are drawn uniformly.
+type valueRange struct{ low, high float64 }
 
-func (s span) draw(random *rand.Rand) float64 { return s.low + (s.high-s.low)*random.Float64() }
+func (s valueRange) draw(random *rand.Rand) float64 { return s.low + (s.high-s.low)*random.Float64() }
 
-// randomMagnitudes are what a random fault's magnitude is drawn from, by kind.
-var randomMagnitudes = map[string]span{
+// randomMagnitudes are the ranges of the magnitudes of random faults, by kind.
+var randomMagnitudes = map[string]valueRange{
 	"slow":         {2, 10},
 	"errors":       {0.3, 1},
 	"stale":        {2, 10},
@@ -25,15 +25,16 @@
 	"retry-storm":  {2, 6},
 }
 
-// minFaultLength is the length below which Shrink doesn't halve a fault.
+// minFaultLength is the minimum length to which Shrink shortens a fault.
 const minFaultLength = 100 * time.Millisecond
 
-// RandomFaults draws one to most faults that fit the scenario, the same for a seed.
-func RandomFaults(sc *Scenario, seed uint64, most int) []Fault {
+// RandomFaults draws between 1 and maxFaults faults that are valid for the scenario. They depend only on the
+// scenario and the seed.
+func RandomFaults(sc *Scenario, seed uint64, maxFaults int) []Fault {
 	random := RandomStreams{seed}.Source("random troubles", 0)
 	kinds := slices.Sorted(maps.Keys(faultKinds))
 	var list []Fault
-	for range 1 + random.IntN(max(most, 1)) {
+	for range 1 + random.IntN(max(maxFaults, 1)) {
 		list = append(list, randomFault(sc, kinds[random.IntN(len(kinds))], random))
 	}
 	return list
@@ -63,27 +64,27 @@
 	return f
 }
 
-// FaultStorm is a seed's random faults and the result of a run under them.
+// FaultStorm holds the random faults of a seed and the result of a run under them.
 type FaultStorm struct {
 	Seed          uint64   `json:"seed"`
 	Faults        []Fault  `json:"troubles"`
 	EarnedShare   float64  `json:"worth"` // as in Result
 	Jobs          int      `json:"jobs"`
 	Violations    []string `json:"violations,omitempty"`
-	MinimalFaults []Fault  `json:"small,omitempty"` // where there are violations: as few as still give some
+	MinimalFaults []Fault  `json:"small,omitempty"` // a minimal set that still causes a violation
 }
 
-// withFaults is the scenario with other faults and another seed.
+// withFaults returns a copy of the scenario with the given seed and faults.
 func (s *Scenario) withFaults(seed uint64, faults []Fault) *Scenario {
 	c := *s
 	c.Seed, c.Faults = seed, slices.Clone(faults)
-	// A world writes into these: see validate.
+	// NewWorld fills in defaults in these slices: see validate.
 	c.Workers, c.Clients = slices.Clone(s.Workers), slices.Clone(s.Clients)
 	c.Classes = slices.Clone(s.Classes)
 	return &c
 }
 
-// RunScenario runs a scenario in a world of its own.
+// RunScenario runs a scenario in a new world.
 func RunScenario(sc *Scenario) (*Result, error) {
 	w, err := NewWorld(sc)
 	if err != nil {
@@ -92,10 +93,10 @@
 	return w.Run(), nil
 }
 
-// runFaultStorm runs a scenario under the random faults of a seed, and shrinks the faults if there are
-// violations.
-func runFaultStorm(base *Scenario, seed uint64, most int) (FaultStorm, error) {
-	s := FaultStorm{Seed: seed, Faults: RandomFaults(base, seed, most)}
+// runFaultStorm runs a scenario under the random faults of a seed. If there are violations, it also shrinks
+// the faults.
+func runFaultStorm(base *Scenario, seed uint64, maxFaults int) (FaultStorm, error) {
+	s := FaultStorm{Seed: seed, Faults: RandomFaults(base, seed, maxFaults)}
 	r, err := RunScenario(base.withFaults(seed, s.Faults))
 	if err != nil {
 		return s, err
@@ -110,9 +111,10 @@
 	return s, nil
 }
 
-// RunFaultStorms runs a scenario under the random faults of seeds from first on, on all cores, and calls
-// report on the caller's goroutine with each in the order of the seeds. An error ends it at that seed.
-func RunFaultStorms(base *Scenario, first uint64, count, most int, report func(FaultStorm)) error {
+// RunFaultStorms runs a scenario under the random faults of count consecutive seeds starting at first, on all
+// cores, and calls report on the caller's goroutine with each result in the order of the seeds. It returns
+// the error of the first seed that cannot be run, without reporting later seeds.
+func RunFaultStorms(base *Scenario, first uint64, count, maxFaults int, report func(FaultStorm)) error {
 	type outcome struct {
 		storm FaultStorm
 		err   error
@@ -126,7 +128,7 @@
 	for range runtime.NumCPU() {
 		running.Go(func() {
 			for i := range next {
-				storm, err := runFaultStorm(base, first+uint64(i), most)
+				storm, err := runFaultStorm(base, first+uint64(i), maxFaults)
 				outcomes[i] <- outcome{storm, err}
 			}
 		})
@@ -148,8 +150,8 @@
 	return nil
 }
 
-// Shrink gives as few and as short faults as still fail: it leaves each out in turn, halves its length, and
-// keeps what still fails, until nothing more can be taken.
+// Shrink reduces the faults to a small set for which fails still returns true: it repeatedly removes single
+// faults and halves their lengths, until neither is possible any more.
 func Shrink(faults []Fault, fails func([]Fault) bool) []Fault {
 	faults = slices.Clone(faults)
 	for shrunk := true; shrunk; {
--- a/internal/verify/emulate/fault_test.go
+++ b/internal/verify/emulate/fault_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// newFault makes a fault of a fraction of the workers or nodes.
+// newFault returns a fault that affects a fraction of the workers or nodes.
 func newFault(kind string, start, length time.Duration, fraction float64) Fault {
 	return Fault{Kind: kind, Start: Duration(start), Length: Duration(length), Fraction: fraction}
 }
 
-// Under each kind of fault the real broker and balancer keep the rules, and all jobs come to an end.
+// Under each kind of fault the production broker and balancer satisfy the rules, and all jobs end.
 func TestRulesHoldUnderEveryFault(t *testing.T) {
 	magnitudes := map[string]float64{"slow": 6, "errors": 0.7, "stale": 5, "heavy": 15, "flood": 4,
 		"retry-storm": 5, "grey": 8}
 	for kind := range faultKinds {
 		for seed := range uint64(6) {
-			sc := small(seed)
+			sc := smallScenario(seed)
 			f := newFault(kind, 8*time.Second, 10*time.Second, 0.3)
 			f.Magnitude, f.Class = magnitudes[kind], sc.Classes[0].Name
 			if kind == faultZoneLost {
@@ -32,17 +32,18 @@
 				t.Errorf("%s, seed %d: %v", kind, seed, r.Violations)
 			}
 			if r.Jobs < 1000 || r.EarnedShare < 0.1 {
-				t.Errorf("%s, seed %d: %d jobs, %.3f of their weight", kind, seed, r.Jobs, r.EarnedShare)
+				t.Errorf("%s, seed %d: %d jobs, earned share %.3f; want at least 1000 and 0.1",
+					kind, seed, r.Jobs, r.EarnedShare)
 			}
 		}
 	}
 }
 
-// Maintenance holds while nodes hot restart and the list is late, and workers that come back from it in slow
-// start are not overloaded by two processes of a node.
+// Maintenance is observed while nodes hot restart and list updates are late, and workers that return from it
+// in slow start are not overloaded by two processes of the same node.
 func TestMaintenanceHoldsDuringHotRestarts(t *testing.T) {
 	for seed := range uint64(12) {
-		sc := small(seed)
+		sc := smallScenario(seed)
 		stale := newFault("stale", 5*time.Second, 8*time.Second, 0)
 		stale.Magnitude = 4
 		sc.Faults = []Fault{
@@ -58,24 +59,24 @@
 	}
 }
 
-// The rules hold under many faults at once, drawn at random.
+// The rules hold under several random faults at once.
 func TestRulesHoldInFaultStorms(t *testing.T) {
 	worst := 1.0
-	err := RunFaultStorms(small(0), 100, 40, 6, func(s FaultStorm) {
+	err := RunFaultStorms(smallScenario(0), 100, 40, 6, func(s FaultStorm) {
 		worst = min(worst, s.EarnedShare)
 		if len(s.Violations) > 0 {
-			t.Errorf("seed %d: %v by %+v", s.Seed, s.Violations[0], s.MinimalFaults)
+			t.Errorf("seed %d: %v caused by %+v", s.Seed, s.Violations[0], s.MinimalFaults)
 		}
 	})
 	if err != nil || worst > 0.95 {
-		t.Errorf("%v; the worst storm left %.3f of the weight", err, worst)
+		t.Errorf("error %v; the worst storm earned a share of %.3f, want at most 0.95", err, worst)
 	}
 }
 
-// Twelve nodes share the slow-start budget of each worker, and have time slots in it. The first eight storms
-// overloaded a worker, by an older and narrower rule, while the slots and the others' steady shares did not
-// fit into a window together. The others do, by the rule of today, where slots are not kept or each node's
-// share is three times as much.
+// Twelve nodes share the slow-start budget of each worker by time slots. The first eight seeds overloaded a
+// worker, under an older and narrower rule, when the slots and the steady shares of the other nodes did not
+// fit into one window together. The other seeds do so under the current rule if nodes ignore their slots or
+// if each node's share is three times as large.
 func TestRulesHoldInFaultStormsOfManyNodes(t *testing.T) {
 	const file = "../../../experiments/small.toml"
 	raw, err := os.ReadFile(file)
@@ -100,7 +101,7 @@
 }
 
 func TestShrinkKeepsWhatStillFails(t *testing.T) {
-	faults := RandomFaults(small(0), 5, 6)
+	faults := RandomFaults(smallScenario(0), 5, 6)
 	for len(faults) < 6 {
 		faults = append(faults, Fault{Kind: "slow", Length: Duration(8 * time.Second)})
 	}
--- a/internal/verify/emulate/invariants.go
+++ b/internal/verify/emulate/invariants.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// maxViolations is how many violations a run keeps.
+	// maxViolations is the maximum number of violations recorded for a run.
 	maxViolations = 5
-	// maintenanceGrace is for how long a worker under maintenance may still be sent jobs.
+	// maintenanceGrace is how long a worker may still receive jobs after its maintenance has started.
 	maintenanceGrace = time.Second
 )
 
-// invariantChecker holds every run to the rules: one final response for each submission, before its client's
-// deadline; attempts within the limit, and more than one only as the class allows; nothing new to a worker
-// later than the grace after the node received that it drains or is removed, or is under maintenance; no
-// worker in slow start overloaded by nodes that knew of its start. The first violations are in the result,
-// with the job.
+// invariantChecker checks the rules that every run must satisfy: each submission gets exactly one final
+// response, before its client's deadline; the number of attempts stays within the limit, and only classes
+// that allow it get more than one; a worker gets no new job once the grace period has passed since the node
+// learned of its draining, removal or maintenance; no worker in slow start is overloaded by nodes that knew
+// of its start. The result contains the first violations, each with its job.
 type invariantChecker struct {
 	world            *World
-	drainingSince    map[observation]time.Duration // when a node received that a worker drains or is removed
-	knownStarts      map[observation]time.Duration // the last start of a worker that a node received
+	drainingSince    map[observation]time.Duration // when a node learned that a worker drains or is removed
+	knownStarts      map[observation]time.Duration // start time of a worker as last received by a node
 	maintenanceSince map[nodeWorker]time.Duration
 	violations       []string
 }
 
-// observation is what an incarnation of a node has received of a worker.
+// observation identifies the knowledge that one incarnation of a node has of a worker.
 type observation struct {
 	node, incarnation int
 	worker            string
@@ -38,7 +38,7 @@
 	return observation{n.number, n.incarnation, worker}
 }
 
-// nodeWorker is a worker at a node, whichever process that is.
+// nodeWorker identifies a worker at a node, across the node's processes.
 type nodeWorker struct {
 	node   int
 	worker string
@@ -49,14 +49,14 @@
 		knownStarts: map[observation]time.Duration{}, maintenanceSince: map[nodeWorker]time.Duration{}}
 }
 
-// violate keeps a violation. The job may be nil.
-func (c *invariantChecker) violate(j *job, format string, args ...any) {
+// addViolation records a violation. The job may be nil.
+func (c *invariantChecker) addViolation(j *job, format string, args ...any) {
 	if len(c.violations) >= maxViolations {
 		return
 	}
 	text := fmt.Sprintf("%.3f s: ", c.world.Clock.now.Seconds()) + fmt.Sprintf(format, args...)
 	if j != nil {
-		text += fmt.Sprintf(" (job %s, class %s, try %d, came at %.3f s, %d attempts out)",
+		text += fmt.Sprintf(" (job %s, class %s, submission %d, arrived at %.3f s, %d attempts)",
 			j.key, j.class.Name, j.submissions, j.arrivedAt.Seconds(), j.attempts)
 	}
 	c.violations = append(c.violations, text)
@@ -73,7 +73,7 @@
 	delete(c.maintenanceSince, nodeWorker{n.number, worker})
 }
 
-// nodeDied ends the maintenance at a node that dies, unless another process has taken its place.
+// nodeDied forgets the maintenance at a node that died, unless another process has replaced it.
 func (c *invariantChecker) nodeDied(n *Node) {
 	for at := range c.maintenanceSince {
 		if at.node == n.number && !n.replaced {
@@ -82,7 +82,7 @@
 	}
 }
 
-// nodeReplaced has the process that takes a node's place be held to what the old one received, and when.
+// nodeReplaced copies what the old process had received, and when, to the process that replaces it.
 func (c *invariantChecker) nodeReplaced(from, to *Node) {
 	for _, k := range c.world.workers {
 		if since, ok := c.drainingSince[observationOf(from, k.Name)]; ok {
@@ -91,7 +91,7 @@
 	}
 }
 
-// listReceived follows what a node has received of the endpoint list.
+// listReceived records the entries of the endpoint list that a node has received.
 func (c *invariantChecker) listReceived(n *Node, entries []broker.ListEntry) {
 	for _, e := range entries {
 		at := observationOf(n, e.Name)
@@ -104,54 +104,55 @@
 	}
 }
 
-// knowsStart says whether a node has received a worker's last start.
+// knowsStart reports whether a node has received a worker's last start.
 func (c *invariantChecker) knowsStart(n *Node, k *Worker) bool {
 	return k.startedAt == 0 || c.knownStarts[observationOf(n, k.Name)] == k.startedAt+epoch
 }
 
-// attemptStarted checks an attempt as it is sent.
+// attemptStarted checks an attempt when it is sent.
 func (c *invariantChecker) attemptStarted(n *Node, k *Worker, j *job) {
 	now, set := c.world.Clock.now, &c.world.settings
 	c.world.metrics.attempts++
 	if since, ok := c.drainingSince[observationOf(n, k.Name)]; ok && now-since > set.Rules.DrainGrace {
-		c.violate(j, "node %d sends to %s, told %.3f s ago that it drains or is gone",
+		c.addViolation(j, "node %d sent a job to %s, %.3f s after learning that it drains or is removed",
 			n.number, k.Name, (now - since).Seconds())
 	}
 	if since, ok := c.maintenanceSince[nodeWorker{n.number, k.Name}]; ok && now-since > maintenanceGrace {
-		c.violate(j, "node %d sends to %s, which operators have out for %.3f s",
+		c.addViolation(j, "node %d sent a job to %s, which has been under maintenance for %.3f s",
 			n.number, k.Name, (now - since).Seconds())
 	}
 	if j.attempts >= set.Limits.MaxAttempts {
-		c.violate(j, "attempt %d", j.attempts+1)
+		c.addViolation(j, "attempt %d exceeds the limit", j.attempts+1)
 	}
 	if j.class.Idempotency == nonIdempotent && j.attempts > 0 && j.runs > 0 {
-		c.violate(j, "a job that must not run twice goes out again, and it has run")
+		c.addViolation(j, "a non-idempotent job was sent again after it had run")
 	}
 	j.attempts++
 }
 
-// jobRan follows a job that a worker has run to its end.
+// jobRan records that a worker has completed a job.
 func (c *invariantChecker) jobRan(j *job) {
 	if j.runs++; j.runs > 1 && j.class.Idempotency == nonIdempotent {
-		c.violate(j, "a job that must not run twice has run twice")
+		c.addViolation(j, "a non-idempotent job has run twice")
 	}
 }
 
-// responded checks that a submission has one final response, and in time.
+// responded checks that a submission gets a single final response, in time.
 func (c *invariantChecker) responded(s *submission, response broker.Response) {
 	j, now := s.job, c.world.Clock.now
 	if s.responses++; s.responses > 1 {
-		c.violate(j, "a second final answer")
+		c.addViolation(j, "second final response")
 	}
 	if now > j.deadline+responseGrace {
-		c.violate(j, "answered %.3f s after the client gave up", (now - j.deadline).Seconds())
+		c.addViolation(j, "response %.3f s after the client's deadline", (now - j.deadline).Seconds())
 	}
 	if response.Kind == broker.Served && j.runs == 0 {
-		c.violate(j, "served, and no worker has run it")
+		c.addViolation(j, "served although no worker has run the job")
 	}
 }
 
-// checkEnd checks that every job that arrived has ended or is open, and the workers' slow starts.
+// checkEnd checks at the end of a run that every job is accounted for and that no worker was overloaded in
+// slow start.
 func (c *invariantChecker) checkEnd() {
 	arrived, ended := 0, 0
 	for _, t := range c.world.metrics.classes {
@@ -159,11 +160,11 @@
 		ended += t.Served + t.Rejected + t.Failed
 	}
 	if arrived != ended+c.world.openJobs {
-		c.violate(nil, "%d jobs came, %d ended and %d are open", arrived, ended, c.world.openJobs)
+		c.addViolation(nil, "%d jobs arrived, but %d ended and %d are open", arrived, ended, c.world.openJobs)
 	}
 	for _, k := range c.world.workers {
 		if k.slowStartViolated {
-			c.violate(nil, "%s was cold and pushed over", k.Name)
+			c.addViolation(nil, "%s was overloaded in slow start", k.Name)
 		}
 	}
 }
--- a/internal/verify/emulate/invariants_test.go
+++ b/internal/verify/emulate/invariants_test.go
@@ -9,7 +9,7 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// A checker that finds nothing proves nothing: each violation is found, and named.
+// Guards against a checker that reports nothing: each kind of violation is found and described.
 func TestEveryViolationIsFound(t *testing.T) {
 	w := newWorld(t, 1)
 	w.Clock.Run(time.Second)
@@ -29,23 +29,23 @@
 			c.responded(s, served)
 			c.responded(s, served)
 		},
-		"gave up": func(j *job) { j.runs = 1; c.responded(&submission{job: j, node: n}, served) },
+		"client's deadline": func(j *job) { j.runs = 1; c.responded(&submission{job: j, node: n}, served) },
 		"no worker": func(j *job) {
 			j.deadline = time.Hour
 			c.responded(&submission{job: j, node: n}, served)
 		},
-		"jobs came,": func(*job) { w.openJobs += 7; c.checkEnd(); w.openJobs -= 7 },
+		"jobs arrived,": func(*job) { w.openJobs += 7; c.checkEnd(); w.openJobs -= 7 },
 	} {
 		c.violations = nil
 		violate(&job{world: w, class: &w.scenario.Classes[0], key: "k"})
 		if len(c.violations) != 1 || !strings.Contains(c.violations[0], want) {
-			t.Errorf("%s: found %q", want, c.violations)
+			t.Errorf("want one violation with %q, got %q", want, c.violations)
 		}
 	}
 }
 
-// A worker in slow start collapses when it is sent too much, and that violates the rule only if the senders
-// had received its start.
+// A worker in slow start collapses when it is overloaded. This violates the rule only if the senders had
+// received its start.
 func TestWorkerCollapsesWhenOverloadedInSlowStart(t *testing.T) {
 	for _, knewStart := range []bool{true, false} {
 		w := newWorld(t, 1)
@@ -63,8 +63,8 @@
 	}
 }
 
-// An attempt at a worker under maintenance is found, also from the process that has taken over; the
-// maintenance at a node that dies alone ends with it.
+// An attempt at a worker under maintenance is found even when it comes from the process that replaced the one
+// at which maintenance was started. If a node dies without a replacement, its maintenance ends.
 func TestAttemptDuringMaintenanceIsFoundAcrossHotRestart(t *testing.T) {
 	w := newWorld(t, 1)
 	old, k := w.nodes[0], w.workers[0]
@@ -75,15 +75,15 @@
 	w.Clock.now += maintenanceGrace - 100*time.Millisecond
 	w.invariants.attemptStarted(next, k, j)
 	if len(w.invariants.violations) > 0 {
-		t.Fatal("within the second that the rule gives")
+		t.Fatal("an attempt within the grace period counts as a violation")
 	}
 	w.Clock.now += 200 * time.Millisecond
 	w.invariants.attemptStarted(next, k, j)
 	if len(w.invariants.violations) != 1 {
-		t.Fatalf("an attempt at a worker under maintenance: %v", w.invariants.violations)
+		t.Fatalf("want one violation for an attempt during maintenance, got %v", w.invariants.violations)
 	}
 	next.kill()
 	if len(w.invariants.maintenanceSince) > 0 {
-		t.Error("the maintenance has outlived the node")
+		t.Error("the maintenance was kept after the node died")
 	}
 }
--- a/internal/verify/emulate/job.go
+++ b/internal/verify/emulate/job.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// responseGrace is what a response at the last moment takes to arrive: the slack that nodes
-	// have, and the way.
+	// responseGrace is how long after the deadline a response sent at the last moment may arrive: the nodes'
+	// response slack plus the network latency.
 	responseGrace = 40 * time.Millisecond
-	// deadNodeDetection is for how long the load balancer before the nodes sends to a dead one.
+	// deadNodeDetection is how long the load balancer in front of the nodes keeps sending to a dead node.
 	deadNodeDetection = 2 * time.Second
-	// readmissionDelay is for how long it leaves out a node that is back.
+	// readmissionDelay is how long that load balancer leaves out a node that is up again.
 	readmissionDelay = time.Second
 )
 
-// outcome is what became of a job.
+// outcome is the final result of a job for its client.
 type outcome int
 
 const (
@@ -27,14 +27,14 @@
 	outcomeFailed
 )
 
-// job is a client's job over all its submissions.
+// job is a client's job, over all its submissions.
 type job struct {
 	world           *World
 	group           *clientGroup
 	class           *ClassSpec
 	classIndex      int
-	id              string // of the last submission
-	key             string // the same for all of them
+	id              string // request ID of the last submission
+	key             string // idempotency key, the same for all submissions
 	size            float64
 	arrivedAt       time.Duration
 	deadline        time.Duration
@@ -42,7 +42,7 @@
 	node            *Node // of the last submission
 	nodeIncarnation int
 	ended           bool
-	runs            int // times that a worker has run it to its end
+	runs            int // times that a worker has completed it
 	attempts        int // of the last submission
 }
 
@@ -72,8 +72,8 @@
 	})
 }
 
-// candidateNodes are the nodes of the client's zone that the load balancer before the nodes takes for alive;
-// of any zone, where there are none.
+// candidateNodes returns the nodes that the load balancer in front of them considers alive: those of the
+// client's zone, or all if that zone has none.
 func (j *job) candidateNodes() []*Node {
 	w := j.world
 	var near, all []*Node
@@ -94,7 +94,7 @@
 	return near
 }
 
-// arriveAt is the arrival of a submission at its node.
+// arriveAt handles the arrival of a submission at its node.
 func (j *job) arriveAt(n *Node, number int, timeout time.Duration) {
 	j.nodeIncarnation = n.incarnation
 	j.id = fmt.Sprintf("%s.%d", j.key, number)
@@ -103,7 +103,7 @@
 	request := broker.Request{ID: j.id, Class: j.classIndex, Tenant: max(j.group.tenant, 0), Timeout: timeout,
 		ExpectedWork: time.Duration(j.size * 1e9), Slots: 1, IsRetry: number > 1, Payload: j}
 	if err := n.broker.Submit(request, s); err != nil {
-		j.world.invariants.violate(j, "a new id is said to be open: %v", err)
+		j.world.invariants.addViolation(j, "a new request ID was refused as already open: %v", err)
 	}
 	n.submissions = append(n.submissions, s)
 	if len(n.submissions) > 2*n.broker.PendingCount()+64 {
@@ -111,7 +111,8 @@
 	}
 }
 
-// retry submits the job once more, where the client does. The wait is Retry-After's; 0: none was given.
+// retry submits the job again if the client's retries and deadline allow it. The delay is that of
+// Retry-After, or 0 if none was given.
 func (j *job) retry(retryAfter time.Duration) {
 	if j.ended {
 		return
@@ -131,8 +132,8 @@
 	j.world.Clock.After(retryAfter, j.submit)
 }
 
-// nodeFailed is the end of the node that had the job. It may have run: only an idempotent one is
-// submitted again.
+// nodeFailed handles the failure of the node that had the job. The job may have run, so only an idempotent
+// one is submitted again.
 func (j *job) nodeFailed() {
 	if j.class.Idempotency == idempotent {
 		j.retry(0)
@@ -141,13 +142,13 @@
 	j.finish(outcomeFailed)
 }
 
-// timeOut is the job's deadline, as its client sees it.
+// timeOut handles the client's deadline.
 func (j *job) timeOut(number int) {
 	if j.ended || j.submissions != number {
 		return
 	}
 	if n := j.node; n != nil && !n.down && n.incarnation == j.nodeIncarnation {
-		j.world.invariants.violate(j, "no final answer before the client gave up")
+		j.world.invariants.addViolation(j, "no final response before the client's deadline")
 		n.broker.ClientDisconnected(j.id)
 	}
 	j.finish(outcomeFailed)
@@ -159,7 +160,7 @@
 	j.world.metrics.finished(j, o)
 }
 
-// submission is a client that waits for a node's response to one submission of a job.
+// submission is one submission of a job, waiting for the node's response.
 type submission struct {
 	job       *job
 	number    int
@@ -167,7 +168,7 @@
 	responses int
 }
 
-// done says whether nobody waits any more.
+// done reports whether no client waits for the submission any more.
 func (s *submission) done() bool {
 	return s.responses > 0 || s.job.ended || s.job.submissions != s.number
 }
--- a/internal/verify/emulate/jsq.go
+++ b/internal/verify/emulate/jsq.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// JSQ is the textbook's world: one dispatcher that sees every queue, N servers of one slot, exponential work
-// of mean 1 s, Poisson arrivals, and each job joining the shortest of D queues drawn at random. It is there
-// to hold the emulator against closed forms, and to show what the design's d(N) rests on (Mukherjee, Borst,
-// van Leeuwaarden, Whiting).
+// JSQ is the standard join-the-shortest-queue model: one dispatcher that sees every queue, N single-slot
+// servers, exponential work with a mean of 1 s, Poisson arrivals, and each job joining the shortest of D
+// queues drawn at random. It serves to validate the emulator against closed forms, and to show the result
+// behind the sample size d(N) (Mukherjee, Borst, van Leeuwaarden, Whiting).
 type JSQ struct {
 	N    int     // servers
-	D    int     // queues drawn for a job; N: all of them
-	Load float64 // arrivals a second for each server, below 1
+	D    int     // queues drawn for each job; N: all of them
+	Load float64 // arrivals per second and server, below 1
 	Seed uint64
-	Jobs int // counted, after as many as a third of them to warm up
+	Jobs int // number of jobs measured, after a warm-up of a third as many
 }
 
-// JSQResult is what was measured.
+// JSQResult holds the measurements of a run.
 type JSQResult struct {
-	MeanWait     float64 `json:"wait"`  // in mean service times
-	WaitingShare float64 `json:"waits"` // of jobs that wait at all
-	// Tails are, for k from 0, the share of the servers with k jobs or more, as arriving jobs find them.
+	MeanWait     float64 `json:"wait"`  // in units of the mean service time
+	WaitingShare float64 `json:"waits"` // share of the jobs that have to wait
+	// Tails[k] is the share of the servers with k or more jobs, as seen by arriving jobs.
 	Tails []float64 `json:"tails"`
 }
 
-// maxTail is the largest k of JSQResult.Tails.
+// maxTail is the highest index of JSQResult.Tails.
 const maxTail = 12
 
-// SampleSize is d(N) as the design has it: min(N, max(2, ceil(sqrt(N) ln N))).
+// SampleSize returns d(N), the number of workers to sample out of n: min(n, max(2, ceil(sqrt(n) ln n))).
 func SampleSize(n int) int {
 	return min(n, max(2, int(math.Ceil(math.Sqrt(float64(n))*math.Log(float64(n))))))
 }
 
-// jsqRun is a run of a JSQ.
+// jsqRun is the state of a run of a JSQ.
 type jsqRun struct {
 	JSQ
-	clock                  Clock
-	arrivals, sizes, draws *rand.Rand
-	queues                 [][]time.Duration // the jobs' sizes; the first is being served
-	order                  []int32           // of the queues, for draws without repeats
-	atLeast                []int             // k: servers with k jobs or more
-	inside, idle           int               // jobs, and servers without any
-	warmUp, made, counted  int               // jobs
-	waiting                float64           // sum over the counted of the jobs that wait
-	result                 JSQResult
+	clock                    Clock
+	arrivals, sizes, draws   *rand.Rand
+	queues                   [][]time.Duration // the sizes of each server's jobs; the first is in service
+	order                    []int32           // permutation of the servers, for draws without replacement
+	atLeast                  []int             // atLeast[k]: number of servers with k or more jobs
+	inSystem, idle           int               // jobs in the system, and idle servers
+	warmUp, created, counted int               // jobs for the warm-up, created and measured
+	waiting                  float64           // sum of the queued jobs that the measured jobs find
+	result                   JSQResult
 }
 
-// Run runs it.
+// Run simulates the model and returns its measurements.
 func (j JSQ) Run() JSQResult {
 	s := RandomStreams{j.Seed}
 	r := &jsqRun{JSQ: j, arrivals: s.Source("arrivals", 0), sizes: s.Source("sizes", 0),
@@ -69,16 +69,16 @@
 	return r.result
 }
 
-// arrive is a job's arrival, which schedules the next one.
+// arrive handles the arrival of a job and schedules the next one.
 func (r *jsqRun) arrive() {
-	r.made++
-	q := r.shortest()
+	r.created++
+	q := r.drawShortest()
 	size := time.Duration(r.sizes.ExpFloat64() * 1e9)
-	if r.made > r.warmUp {
-		r.count(q)
+	if r.created > r.warmUp {
+		r.measure(q)
 	}
 	r.queues[q] = append(r.queues[q], size)
-	r.inside++
+	r.inSystem++
 	if n := len(r.queues[q]); n <= maxTail {
 		r.atLeast[n]++
 	}
@@ -86,15 +86,15 @@
 		r.idle--
 		r.clock.After(size, func() { r.depart(q) })
 	}
-	if r.made < r.warmUp+r.Jobs {
+	if r.created < r.warmUp+r.Jobs {
 		r.clock.After(time.Duration(r.arrivals.ExpFloat64()/(r.Load*float64(r.N))*1e9), r.arrive)
 	}
 }
 
-// count measures what a job finds that joins a queue.
-func (r *jsqRun) count(q int) {
+// measure records the state that a job finds when it joins the queue of server q.
+func (r *jsqRun) measure(q int) {
 	r.counted++
-	r.waiting += float64(r.inside - (r.N - r.idle))
+	r.waiting += float64(r.inSystem - (r.N - r.idle))
 	for k, n := range r.atLeast {
 		r.result.Tails[k] += float64(n) / float64(r.N)
 	}
@@ -103,13 +103,13 @@
 	}
 }
 
-// depart is the end of the job that a queue's server has served.
+// depart handles the departure of the job in service at server q.
 func (r *jsqRun) depart(q int) {
 	if n := len(r.queues[q]); n <= maxTail {
 		r.atLeast[n]--
 	}
 	r.queues[q] = append(r.queues[q][:0], r.queues[q][1:]...)
-	r.inside--
+	r.inSystem--
 	if len(r.queues[q]) == 0 {
 		r.idle++
 	} else {
@@ -117,9 +117,9 @@
 	}
 }
 
-// shortest draws D distinct queues and gives the shortest, ties at random: the draw's order is random, and
-// the first of equals is taken.
-func (r *jsqRun) shortest() int {
+// drawShortest draws D distinct servers and returns the one with the shortest queue. Ties are broken at
+// random: the order of the draws is random, and the first of equals wins.
+func (r *jsqRun) drawShortest() int {
 	best := -1
 	for i := range r.D {
 		k := i + r.draws.IntN(r.N-i)
@@ -132,8 +132,8 @@
 	return best
 }
 
-// MeanFieldTail is the limit of the tails for many servers: the share with k jobs or more, for D fixed
-// (Vvedenskaya, Dobrushin, Karpelevich 1996; Mitzenmacher 1996).
+// MeanFieldTail is the limit of Tails[k] for many servers and a fixed D (Vvedenskaya, Dobrushin, Karpelevich
+// 1996; Mitzenmacher 1996).
 func MeanFieldTail(load float64, d, k int) float64 {
 	if d == 1 {
 		return math.Pow(load, float64(k))
--- a/internal/verify/emulate/link.go
+++ b/internal/verify/emulate/link.go
@@ -7,7 +7,7 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// link is a node's way to a worker, for one incarnation of the node.
+// link is the network path from one incarnation of a node to a worker.
 type link struct {
 	node        *Node
 	incarnation int
@@ -18,11 +18,11 @@
 
 func (l *link) current() bool { return l.node.incarnation == l.incarnation && !l.node.down }
 
-// attempt is an attempt on its way, at the worker, or on its way back.
+// attempt is an attempt in transit to the worker, at the worker, or in transit back.
 type attempt struct {
 	link    *link
 	request broker.Attempt
-	cancel  func() // nil: it has not arrived
+	cancel  func() // nil until the attempt arrives at the worker
 	ended   bool
 }
 
@@ -37,7 +37,7 @@
 	knewStart := w.invariants.knowsStart(l.node, l.worker)
 	w.Clock.schedule(w.Clock.now+w.latency(l.node.zone, l.worker.Zone), func() {
 		if a.ended || l.worker.partitioned {
-			return // cancelled on its way, or lost where nothing comes in
+			return // cancelled in transit, or lost because the worker is partitioned
 		}
 		key := ""
 		if j.class.HasIdempotencyKey() {
@@ -49,7 +49,7 @@
 	return a
 }
 
-// sendResult is the end of the job at the worker, which the node observes a little later.
+// sendResult reports the result of the job to the node, after the network latency.
 func (a *attempt) sendResult(result balancer.Result) {
 	l := a.link
 	w := l.node.world
@@ -68,7 +68,7 @@
 	})
 }
 
-// Abandon implements broker.RunningAttempt: the worker receives the cancellation a little later.
+// Abandon implements broker.RunningAttempt. The cancellation reaches the worker after the network latency.
 func (a *attempt) Abandon() {
 	if a.ended {
 		return
--- a/internal/verify/emulate/list_client.go
+++ b/internal/verify/emulate/list_client.go
@@ -9,23 +9,24 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// listClient is a node's way to the discovery service, for one incarnation of the node.
+// listClient is the connection of one incarnation of a node to the discovery service.
 type listClient struct {
 	node        *Node
 	incarnation int
 	watching    bool
-	silent      bool          // its watch is open and brings nothing
-	silentSince time.Duration // when that began
+	silent      bool          // its watch is open but delivers nothing
+	silentSince time.Duration // when the watch became silent
 }
 
 var _ broker.EndpointSource = (*listClient)(nil)
 
 func (c *listClient) current() bool { return c.node.incarnation == c.incarnation && !c.node.down }
 
-// afterCrossing calls f after messages have crossed between zones so many times, if the node still runs.
-func (c *listClient) afterCrossing(times int, f func()) {
+// afterCrossings calls f after the latency of the given number of messages between zones, if the node still
+// runs.
+func (c *listClient) afterCrossings(count int, f func()) {
 	w := c.node.world
-	delay := time.Duration(w.scenario.CrossZoneLatency) * time.Duration(times)
+	delay := time.Duration(w.scenario.CrossZoneLatency) * time.Duration(count)
 	w.Clock.schedule(w.Clock.now+delay, func() {
 		if c.current() {
 			f()
@@ -33,7 +34,7 @@
 	})
 }
 
-// refreshPolicy is how fresh the list is kept, as the real frontend has it.
+// refreshPolicy returns the policy by which the production frontend refreshes the list.
 func (c *listClient) refreshPolicy() discovery.RefreshPolicy {
 	set := &c.node.world.settings
 	return discovery.RefreshPolicy{
@@ -44,27 +45,28 @@
 	}
 }
 
-// start begins to follow a list that is pushed, as the real frontend does.
+// start opens the watch and starts polling if the list is pushed by a local agent, as the production frontend
+// does.
 func (c *listClient) start() {
 	if !c.refreshPolicy().LocalAgent {
 		return
 	}
 	w := c.node.world
-	if !w.discovery.down { // a new process counts as having received it from its first moment
+	if !w.discovery.down { // a new process can read the agent's list from the start
 		w.invariants.listReceived(c.node, w.discovery.snapshot())
 	}
 	c.WatchList(true)
 	c.poll()
 }
 
-// poll requests the list from the agent beside the node, and again after a while.
+// poll requests the list from the node's local agent, and schedules the next poll.
 func (c *listClient) poll() {
 	if !c.current() {
 		return
 	}
 	w := c.node.world
 	if !w.discovery.down {
-		c.afterCrossing(2, func() {
+		c.afterCrossings(2, func() {
 			if !w.discovery.down {
 				c.receive(balancer.ListFull, w.discovery.snapshot())
 			}
@@ -84,7 +86,7 @@
 		c.watchFailed()
 		return
 	}
-	c.afterCrossing(2, func() {
+	c.afterCrossings(2, func() {
 		if s.down {
 			c.watchFailed()
 			return
@@ -94,7 +96,7 @@
 	})
 }
 
-// restartSilentWatch begins another watch in place of one that has been silent for too long.
+// restartSilentWatch replaces a watch that has been silent until its timeout.
 func (c *listClient) restartSilentWatch() {
 	if !c.current() || !c.silent {
 		return
@@ -105,7 +107,7 @@
 	c.WatchList(true)
 }
 
-// receive hands the node what its watch or its poll has brought.
+// receive passes an update from the watch or a poll to the node.
 func (c *listClient) receive(kind balancer.ListUpdateKind, entries []broker.ListEntry) {
 	if !c.current() {
 		return
@@ -115,22 +117,22 @@
 	if kind != balancer.ListDelta {
 		clear(n.knownList)
 	}
-	n.rememberList(entries)
+	n.updateKnownList(entries)
 	n.world.invariants.listReceived(n, entries)
 	n.broker.UpdateEndpoints(kind, n.withLinks(entries))
 }
 
-// watchFailed is the end of a watch, or of the try to open one.
+// watchFailed handles the end of a watch, or a failure to open one.
 func (c *listClient) watchFailed() {
 	c.silent = false
-	c.afterCrossing(1, func() {
+	c.afterCrossings(1, func() {
 		c.watching = false
 		policy := c.refreshPolicy()
 		if !policy.LocalAgent {
 			c.node.broker.UpdateEndpoints(balancer.ListUnavailable, nil)
 			return
 		}
-		// It is opened again soon, and the broker has no part in it.
+		// With a local agent the watch is reopened after the poll interval, without the broker.
 		clock := &c.node.world.Clock
 		clock.schedule(clock.now+policy.PollInterval(), func() {
 			if c.current() {
--- a/internal/verify/emulate/loopback/discovery.go
+++ b/internal/verify/emulate/loopback/discovery.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// watchBuffer is how many events may wait for a watch's connection.
+	// watchBuffer is the number of events that may be queued for a watch's connection.
 	watchBuffer = 64
-	// keepAliveInterval is how often an idle watch sends an empty line.
+	// keepAliveInterval is the interval at which an idle watch sends an empty line.
 	keepAliveInterval = 2 * time.Second
 )
 
-// lifecycle is a worker's state, in the list's words.
+// lifecycle is a worker's state in the endpoint list.
 type lifecycle string
 
 const (
@@ -22,7 +22,7 @@
 	deleted lifecycle = "DELETED"
 )
 
-// instance is a worker's entry of the list.
+// instance is a worker's entry in the endpoint list.
 type instance struct {
 	ID          string    `json:"instanceId"`
 	Address     string    `json:"hostPort"`
@@ -34,37 +34,37 @@
 	StartedAtMS int64     `json:"startedAtMs"`
 }
 
-// listUpdate is the whole list, where Reset is set, or a watch event.
+// listUpdate is the complete list if Reset is set, and otherwise a watch event.
 type listUpdate struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
 }
 
-// instance needs the platform's lock.
+// instance returns the worker's entry. The caller must hold the platform's lock.
 func (w *worker) instance() instance {
 	o := &w.platform.options
 	return instance{ID: w.name, Address: w.address, Zone: o.Zone, Kind: o.Kind, Cell: 1,
 		Lifecycle: w.lifecycle, Weight: 1, StartedAtMS: w.startedAtMS}
 }
 
-// notifyWatches sends all watches a worker's entry.
+// notifyWatches sends a worker's entry to all watches.
 func (p *Platform) notifyWatches(w *worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
-	event, _ := json.Marshal(listUpdate{p.version, false, []instance{w.instance()}}) // it can't fail
+	event, _ := json.Marshal(listUpdate{p.version, false, []instance{w.instance()}}) // cannot fail
 	for watch := range p.watches {
 		select {
 		case watch <- event:
-		default: // who doesn't read is sent the whole list when it comes again
+		default: // a client too slow to read receives the complete list when it reconnects
 			close(watch)
 			delete(p.watches, watch)
 		}
 	}
 }
 
-// snapshot is the whole list. If stream is set, a watch on what comes after it is opened.
+// snapshot returns the complete list. If stream is set, it also opens a watch for later changes.
 func (p *Platform) snapshot(stream bool) (all listUpdate, watch chan []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,7 @@
 	delete(p.watches, watch)
 }
 
-// serveDiscovery is the discovery service's side of the platform's protocol.
+// serveDiscovery implements the discovery service's side of the platform's protocol.
 func (p *Platform) serveDiscovery(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		rw.WriteHeader(http.StatusNotFound)
@@ -129,7 +129,7 @@
 	}
 	f, ok := rw.(http.Flusher)
 	if !ok {
-		return errors.New("no flushing")
+		return errors.New("response writer does not support flushing")
 	}
 	f.Flush()
 	return nil
--- a/internal/verify/emulate/loopback/platform.go
+++ b/internal/verify/emulate/loopback/platform.go
@@ -1,6 +1,6 @@
-// Package loopback is a stand-in for the platform round a real node: the emulator's workers and a discovery
-// service over loopback sockets, in real time. The model of a worker is the same as in virtual time; it
-// speaks the platform's protocol.
+// Package loopback emulates the platform around a real node: the emulator's workers and a discovery service,
+// over loopback sockets and in real time. It uses the same worker model as virtual time, and speaks the
+// platform's protocol.
 package loopback
 
 import (
@@ -16,33 +16,35 @@
 )
 
 const (
-	// clockInterval is how often the model's clock catches up with the real one.
+	// clockInterval is the interval at which the model's clock is advanced to real time.
 	clockInterval = time.Millisecond
-	// headerTimeout is for a request's header, at each server.
+	// headerTimeout limits the reading of a request's header at each server.
 	headerTimeout = 5 * time.Second
-	// callBackTimeout is for one try of a call-back.
+	// callBackTimeout limits each try of a call-back.
 	callBackTimeout = 2 * time.Second
 	anyLoopbackPort = "127.0.0.1:0"
 )
 
-// Options are what a platform consists of.
+// Options configure a platform.
 type Options struct {
-	Node    string // the node's address, for call-backs
-	Listen  string // of the discovery service; a free port, if empty
+	Node    string // address of the node that receives the call-backs
+	Listen  string // address of the discovery service; empty: a free loopback port
 	Workers int
 	Spec    emulate.WorkerSpec
 	Zone    string
 	Kind    string
 	Seed    uint64
-	// OnJob, where it is set, is called with each job that a worker is sent: the worker and the request's
-	// id. It is called on many goroutines and must not block.
+	// OnJob, if set, is called for each job sent to a worker, with the worker's name and the request ID. It
+	// may be called concurrently and must not block.
 	OnJob func(worker, id string)
-	// FailJob, where it is set, says whether a worker fails a job at once. Likewise.
+	// FailJob, if set, reports whether a worker fails a job at once. It may be called concurrently and must
+	// not block.
 	FailJob func(worker string) bool
 }
 
-// Platform is workers and a discovery service that listen. Its methods are safe for use by many goroutines,
-// but for Close, CrashWorker and RestartWorker, which are for one.
+// Platform is a set of workers and a discovery service that listen on loopback. Its methods are safe for
+// concurrent use, except that Close, CrashWorker and RestartWorker must not be called concurrently with each
+// other.
 type Platform struct {
 	options          Options
 	startedAt        time.Time
@@ -51,27 +53,27 @@
 	discoveryAddress string
 	client           *http.Client // for call-backs
 	stop             context.CancelFunc
-	running          sync.WaitGroup // the clock's goroutine
+	running          sync.WaitGroup // the goroutine of runClock
 
-	mu      sync.Mutex // over all below, and the workers' models and states
+	mu      sync.Mutex // guards the fields below, and the workers' models and states
 	clock   emulate.Clock
 	watches map[chan []byte]bool
 	version int64 // of the endpoint list
 }
 
-// CheckAddress fails for an address that is not of this machine's loopback interface.
+// CheckAddress returns an error if the address is not an IP address and port on loopback.
 func CheckAddress(address string) error {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return fmt.Errorf("%q is not an address and a port", address)
+		return fmt.Errorf("%q is not an IP address and port", address)
 	}
 	if !at.Addr().Unmap().IsLoopback() {
-		return fmt.Errorf("%s is not on loopback; nothing is sent to other machines", address)
+		return fmt.Errorf("%s is not on loopback; requests to other machines are not allowed", address)
 	}
 	return nil
 }
 
-// Start makes a platform and has it listen. The caller must close it.
+// Start starts a platform. The caller must close it.
 func Start(o Options) (*Platform, error) {
 	if err := CheckAddress(o.Node); err != nil {
 		return nil, err
@@ -91,7 +93,7 @@
 	return p, nil
 }
 
-// listen starts the workers' servers and the discovery service's.
+// listen starts the servers of the workers and of the discovery service.
 func (p *Platform) listen() error {
 	streams := emulate.RandomStreams{Seed: p.options.Seed}
 	for i := range p.options.Workers {
@@ -112,17 +114,17 @@
 	return nil
 }
 
-// serve serves on a goroutine that ends when the server is closed.
+// serve serves a listener on a new goroutine, which ends when the server is closed.
 func serve(l net.Listener, h http.Handler) *http.Server {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	go server.Serve(l)
 	return server
 }
 
-// DiscoveryAddress is where the discovery service listens.
+// DiscoveryAddress returns the address of the discovery service.
 func (p *Platform) DiscoveryAddress() string { return p.discoveryAddress }
 
-// runClock has the model's clock follow the real one.
+// runClock keeps the model's clock at real time until the context ends.
 func (p *Platform) runClock(ctx context.Context) {
 	tick := time.NewTicker(clockInterval)
 	defer tick.Stop()
@@ -131,20 +133,20 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			p.atPresent(func() {})
+			p.atCurrentTime(func() {})
 		}
 	}
 }
 
-// atPresent brings the model's clock to the present and calls f, both under the lock.
-func (p *Platform) atPresent(f func()) {
+// atCurrentTime advances the model's clock to real time and calls f, holding the lock.
+func (p *Platform) atCurrentTime(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.clock.Run(time.Since(p.startedAt))
 	f()
 }
 
-// Close ends the clock and closes all servers. Call-backs that are on their way end by themselves.
+// Close stops the clock and closes all servers. It does not wait for call-backs in progress.
 func (p *Platform) Close() {
 	if p.stop != nil {
 		p.stop()
@@ -160,22 +162,22 @@
 	}
 }
 
-// worker gives the worker of a number.
+// worker returns the worker with a number.
 func (p *Platform) worker(number int) (*worker, error) {
 	if number < 0 || number >= len(p.workers) {
-		return nil, fmt.Errorf("there is no worker %d", number)
+		return nil, fmt.Errorf("worker %d does not exist", number)
 	}
 	return p.workers[number], nil
 }
 
-// CrashWorker has a worker die: its connections are reset, its jobs lost.
+// CrashWorker crashes a worker: its connections are reset and its jobs are lost.
 func (p *Platform) CrashWorker(number int) error {
 	w, err := p.worker(number)
 	if err != nil {
 		return err
 	}
 	w.server.Close()
-	p.atPresent(func() {
+	p.atCurrentTime(func() {
 		w.model.Crash()
 		w.lifecycle = deleted
 	})
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// RestartWorker starts a worker again at its address, in slow start.
+// RestartWorker starts a crashed worker again at the same address, in slow start.
 func (p *Platform) RestartWorker(number int) error {
 	w, err := p.worker(number)
 	if err != nil {
@@ -192,7 +194,7 @@
 	if err := w.listen(w.address); err != nil {
 		return err
 	}
-	p.atPresent(func() {
+	p.atCurrentTime(func() {
 		w.model.Restart()
 		w.lifecycle, w.startedAtMS = serving, time.Now().UnixMilli()
 	})
--- a/internal/verify/emulate/loopback/platform_test.go
+++ b/internal/verify/emulate/loopback/platform_test.go
@@ -20,8 +20,8 @@
 	Result string `json:"result"`
 }
 
-// startPlatform starts a platform round a server in place of a node, and gives the call-backs that it
-// receives. Its workers have one slot and a queue of one.
+// startPlatform starts a platform with a test server as its node, and returns the call-backs that the server
+// receives. The platform has two workers with one slot and a queue of one.
 func startPlatform(t *testing.T, o Options) (*Platform, <-chan event) {
 	t.Helper()
 	events := make(chan event, 16)
@@ -44,8 +44,8 @@
 	return p, events
 }
 
-// call sends a worker a request and gives the status and the header.
-func call(t *testing.T, w *worker, method, path, id, body string) (int, http.Header) {
+// send sends a request to a worker and returns the status and header of the response.
+func send(t *testing.T, w *worker, method, path, id, body string) (int, http.Header) {
 	t.Helper()
 	url := "http://" + w.address + path
 	r, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -63,14 +63,14 @@
 	return resp.StatusCode, resp.Header
 }
 
-// next is the next call-back.
-func next(t *testing.T, events <-chan event) event {
+// nextEvent waits for the next call-back.
+func nextEvent(t *testing.T, events <-chan event) event {
 	t.Helper()
 	select {
 	case e := <-events:
 		return e
 	case <-time.After(10 * time.Second):
-		t.Fatal("no call-back came")
+		t.Fatal("no call-back within 10 s")
 		return event{}
 	}
 }
@@ -78,15 +78,15 @@
 func TestJobIsAcceptedAndItsEndCalledBack(t *testing.T) {
 	p, events := startPlatform(t, Options{})
 	w := p.workers[0]
-	if status, _ := call(t, w, http.MethodPost, "/", "j1", "size=0.01"); status != http.StatusAccepted {
+	if status, _ := send(t, w, http.MethodPost, "/", "j1", "size=0.01"); status != http.StatusAccepted {
 		t.Fatalf("status %d", status)
 	}
 	want := event{ID: "j1", From: w.name, State: "done", Result: "done by " + w.name}
-	if e := next(t, events); e != want {
+	if e := nextEvent(t, events); e != want {
 		t.Errorf("%+v, want %+v", e, want)
 	}
-	if status, _ := call(t, w, http.MethodPost, "/", "", "size=0.01"); status != http.StatusNotFound {
-		t.Errorf("a job without an id: status %d", status)
+	if status, _ := send(t, w, http.MethodPost, "/", "", "size=0.01"); status != http.StatusNotFound {
+		t.Errorf("job without a request ID: status %d, want 404", status)
 	}
 }
 
@@ -94,16 +94,16 @@
 	p, _ := startPlatform(t, Options{})
 	w := p.workers[0]
 	for _, id := range []string{"running", "queued"} {
-		if status, _ := call(t, w, http.MethodPost, "/", id, "size=1000"); status != http.StatusAccepted {
+		if status, _ := send(t, w, http.MethodPost, "/", id, "size=1000"); status != http.StatusAccepted {
 			t.Fatalf("%s: status %d", id, status)
 		}
 	}
-	status, header := call(t, w, http.MethodPost, "/", "third", "size=1000")
+	status, header := send(t, w, http.MethodPost, "/", "third", "size=1000")
 	if status != http.StatusServiceUnavailable || header.Get("X-Not-Processed") != "1" {
 		t.Errorf("status %d, %v", status, header)
 	}
-	call(t, w, http.MethodDelete, "/jobs/running", "", "")
-	if status, _ := call(t, w, http.MethodPost, "/", "fourth", "size=1000"); status != http.StatusAccepted {
+	send(t, w, http.MethodDelete, "/jobs/running", "", "")
+	if status, _ := send(t, w, http.MethodPost, "/", "fourth", "size=1000"); status != http.StatusAccepted {
 		t.Errorf("after the cancellation: status %d", status)
 	}
 }
@@ -121,7 +121,7 @@
 		t.Helper()
 		for lines.Scan() {
 			if len(lines.Bytes()) == 0 {
-				continue // an idle watch's line
+				continue // keep-alive of an idle watch
 			}
 			var u listUpdate
 			if err := json.Unmarshal(lines.Bytes(), &u); err != nil {
@@ -129,31 +129,31 @@
 			}
 			return u
 		}
-		t.Fatal("the watch has ended: ", lines.Err())
+		t.Fatal("the watch ended: ", lines.Err())
 		return listUpdate{}
 	}
 	if u := receive(); !u.Reset || len(u.Instances) != 2 || u.Instances[1].Lifecycle != serving {
-		t.Errorf("the whole list: %+v", u)
+		t.Errorf("initial list: %+v", u)
 	}
-	call(t, w, http.MethodPost, "/", "j1", "size=1000")
+	send(t, w, http.MethodPost, "/", "j1", "size=1000")
 	if err := p.CrashWorker(1); err != nil {
 		t.Fatal(err)
 	}
-	if e := next(t, events); e.ID != "j1" || e.State != "lost" {
+	if e := nextEvent(t, events); e.ID != "j1" || e.State != "lost" {
 		t.Errorf("%+v", e)
 	}
 	if u := receive(); u.Reset || len(u.Instances) != 1 || u.Instances[0].Lifecycle != deleted {
-		t.Errorf("the crash: %+v", u)
+		t.Errorf("update after the crash: %+v", u)
 	}
 	if err := p.RestartWorker(1); err != nil {
 		t.Fatal(err)
 	}
 	u := receive()
 	if len(u.Instances) != 1 || u.Instances[0].Lifecycle != serving || u.Instances[0].StartedAtMS == 0 {
-		t.Errorf("the restart: %+v", u)
+		t.Errorf("update after the restart: %+v", u)
 	}
 	if p.CrashWorker(2) == nil || p.RestartWorker(-1) == nil {
-		t.Error("a worker that is not there is crashed or restarted")
+		t.Error("crashing or restarting a worker that does not exist did not fail")
 	}
 }
 
@@ -163,13 +163,13 @@
 		OnJob:   func(worker, id string) { ids <- worker + " " + id },
 		FailJob: func(worker string) bool { return worker == "w00001" },
 	})
-	status, _ := call(t, p.workers[1], http.MethodPost, "/", "j1", "")
+	status, _ := send(t, p.workers[1], http.MethodPost, "/", "j1", "")
 	if status != http.StatusInternalServerError {
-		t.Errorf("a job that fails: status %d", status)
+		t.Errorf("job failed by FailJob: status %d, want 500", status)
 	}
-	call(t, p.workers[0], http.MethodPost, "/", "j2", "")
+	send(t, p.workers[0], http.MethodPost, "/", "j2", "")
 	if got := <-ids; got != "w00000 j2" {
-		t.Errorf("observed %q", got)
+		t.Errorf("OnJob observed %q, want \"w00000 j2\"", got)
 	}
 }
 
--- a/internal/verify/emulate/loopback/worker.go
+++ b/internal/verify/emulate/loopback/worker.go
@@ -17,16 +17,16 @@
 
 const (
 	maxBodyBytes = 64 << 10
-	// defaultSize and maxSize are a job's work in seconds: where its body gives none, and the most that it
-	// may.
+	// defaultSize and maxSize are the work of a job in seconds: the default if its body gives none, and the
+	// limit.
 	defaultSize = 0.001
 	maxSize     = 3600
-	// A call-back is tried callBackTries times, callBackInterval apart.
+	// A failed call-back is repeated every callBackInterval, up to callBackTries tries in total.
 	callBackTries    = 10
 	callBackInterval = 50 * time.Millisecond
 )
 
-// worker is a modelled worker behind a socket.
+// worker is a modelled worker that listens on a socket.
 type worker struct {
 	platform *Platform
 	name     string
@@ -34,10 +34,10 @@
 	address  string
 	server   *http.Server
 
-	// Under the platform's lock.
-	cancel      map[string]func() // of the jobs that have not ended, by request id
+	// Guarded by the platform's lock.
+	cancel      map[string]func() // of the jobs that have not ended, by request ID
 	lifecycle   lifecycle
-	startedAtMS int64 // Unix time; 0: long ago
+	startedAtMS int64 // Unix time; 0: unknown, long ago
 }
 
 func (w *worker) listen(address string) error {
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// ServeHTTP is the worker's side of the platform's protocol.
+// ServeHTTP implements the worker's side of the platform's protocol.
 func (w *worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/_load":
 		var report balancer.LoadReport
-		w.platform.atPresent(func() { report = w.model.LoadReport() })
+		w.platform.atCurrentTime(func() { report = w.model.LoadReport() })
 		fmt.Fprintf(rw, "TEXT pending=%.2f, x0=%.2f", report.QueueLength, report.FreeSlots)
 	case r.Method == http.MethodDelete && strings.HasPrefix(r.URL.Path, "/jobs/"):
 		w.cancelJob(strings.TrimPrefix(r.URL.Path, "/jobs/"))
@@ -67,7 +67,7 @@
 }
 
 func (w *worker) cancelJob(id string) {
-	w.platform.atPresent(func() {
+	w.platform.atCurrentTime(func() {
 		if cancel := w.cancel[id]; cancel != nil {
 			delete(w.cancel, id)
 			cancel()
@@ -75,7 +75,7 @@
 	})
 }
 
-// handleJob starts a job whose body says "size=SECONDS".
+// handleJob starts a job whose body gives its work as "size=SECONDS".
 func (w *worker) handleJob(rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	id := r.Header.Get("X-Request-ID")
@@ -115,10 +115,10 @@
 	return defaultSize
 }
 
-// startJob starts a job in the model. It says whether the job has ended at once, with its result; the result
-// of one that ends later is called back.
+// startJob starts a job in the model. If the job ends at once, it returns the result and true. The result of
+// a job that ends later is sent by call-back.
 func (w *worker) startJob(id string, job emulate.JobRequest) (result balancer.Result, ended bool) {
-	w.platform.atPresent(func() {
+	w.platform.atCurrentTime(func() {
 		starting := true
 		cancel := w.model.StartJob(job, func(r balancer.Result) {
 			if starting {
@@ -135,7 +135,7 @@
 	return result, ended
 }
 
-// callBack sends the node a job's result, and again until the node has it or the tries are used up.
+// callBack sends a job's result to the node, until the node accepts it or the tries are used up.
 func (w *worker) callBack(id string, result balancer.Result) {
 	event := map[string]string{"id": id, "from": w.name, "state": "failed"}
 	switch result {
--- a/internal/verify/emulate/metrics.go
+++ b/internal/verify/emulate/metrics.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// metrics is what is measured during a run.
+// metrics collects the measurements of a run.
 type metrics struct {
 	classes, teams []Tally
 	seconds        []Second
@@ -27,13 +27,13 @@
 	}
 }
 
-// tallies are those that a job counts in: its class's and its team's.
+// tallies returns the tallies of the job's class and of its team.
 func (m *metrics) tallies(j *job) [2]*Tally {
 	team := slices.IndexFunc(m.teams, func(t Tally) bool { return t.Name == j.group.spec.Team })
 	return [2]*Tally{&m.classes[j.classIndex], &m.teams[team]}
 }
 
-// second is the row of the present second. The first call in a second samples the workers.
+// second returns the row of the current second. The first call within a second samples the workers.
 func (m *metrics) second(w *World) *Second {
 	at := int(w.Clock.now / time.Second)
 	for len(m.seconds) <= at {
--- a/internal/verify/emulate/node.go
+++ b/internal/verify/emulate/node.go
@@ -10,10 +10,11 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// epoch is what nodes' clocks are ahead of the world's: a start time of 0 means long ago.
+// epoch is the offset of the nodes' clocks from the world's clock. It keeps their times above 0, because a
+// start time of 0 means an unknown time long ago.
 const epoch = 24 * time.Hour
 
-// Node is a process of a node: the real broker and balancer, reached by model links.
+// Node is one process of a node. It runs the production broker and balancer over modelled links.
 type Node struct {
 	world       *World
 	number      int
@@ -24,21 +25,21 @@
 	links       map[string]*link // by worker
 	down        bool
 	replaced    bool          // another process has taken its place
-	upSince     time.Duration // when it last came up: clients observe that later
+	upSince     time.Duration // when it last came up; clients notice later
 	downSince   time.Duration // when it last went down
 
-	submissions []*submission               // clients that wait here, and some that do no more
-	knownList   map[string]broker.ListEntry // the endpoint list as it was received, by worker
+	submissions []*submission               // sent here; finished ones are removed from time to time
+	knownList   map[string]broker.ListEntry // the endpoint list as last received, by worker
 }
 
-// nodeClock is the world's clock for one incarnation of a node: what an earlier one scheduled is void.
+// nodeClock is the world's clock for one incarnation of a node. Timers of earlier incarnations do not fire.
 type nodeClock struct {
 	clock       *Clock
 	node        *Node
 	incarnation int
 }
 
-// Now implements broker.Clock. A broker's clock must not begin at 0, which means long ago.
+// Now implements broker.Clock. It never returns 0, which brokers interpret as a time long ago.
 func (c *nodeClock) Now() time.Duration { return c.clock.now + epoch }
 
 // At implements broker.Clock.
@@ -50,7 +51,7 @@
 	})
 }
 
-// start begins an incarnation of the node with the endpoint list that it has cached.
+// start begins a new incarnation of the node with a cached endpoint list.
 func (n *Node) start(cached []broker.ListEntry) {
 	w := n.world
 	n.incarnation++
@@ -59,24 +60,24 @@
 	n.links = map[string]*link{}
 	set := w.settings
 	set.DispatcherIndex, set.Zone = n.number, n.zone
-	// The seed differs from incarnation to incarnation, as a real node's does.
+	// Each incarnation has a different seed, like each process of a production node.
 	seed := w.streams.Source("node", n.number<<16+n.incarnation).Uint64()
 	list := &listClient{node: n, incarnation: n.incarnation}
 	var err error
 	if n.broker, err = broker.New(set, seed, n.clock, list, w.log); err != nil {
-		panic(fmt.Sprintf("emulate: a node can't be made: %v", err)) // validate has checked the settings
+		panic(fmt.Sprintf("emulate: creating a broker: %v", err)) // the scenario has been validated
 	}
 	if w.scenario.SubsetSize > 0 {
 		n.broker.OnListUpdate(n.chooseSubset)
 	}
 	n.knownList = map[string]broker.ListEntry{}
-	n.rememberList(cached)
+	n.updateKnownList(cached)
 	w.invariants.listReceived(n, cached)
 	n.broker.UpdateEndpoints(balancer.ListCached, n.withLinks(cached))
 	list.start()
 }
 
-// chooseSubset has the node use its subset of the workers that it knows.
+// chooseSubset computes the node's subset of the workers that it knows and sets it.
 func (n *Node) chooseSubset() {
 	var members []placement.Member
 	for k := range n.world.scenario.Nodes {
@@ -90,8 +91,8 @@
 	n.broker.SetSubset(placement.Subset(members, members[n.number].Session, workers, size))
 }
 
-// rememberList caches what the node received of the endpoint list.
-func (n *Node) rememberList(entries []broker.ListEntry) {
+// updateKnownList applies received entries of the endpoint list to knownList.
+func (n *Node) updateKnownList(entries []broker.ListEntry) {
 	for _, e := range entries {
 		if n.knownList[e.Name] = e; e.State == balancer.Removed {
 			delete(n.knownList, e.Name)
@@ -99,7 +100,7 @@
 	}
 }
 
-// withLinks gives the entries of a list the links of this node.
+// withLinks returns a copy of the entries with this node's links as endpoints.
 func (n *Node) withLinks(entries []broker.ListEntry) []broker.ListEntry {
 	out := slices.Clone(entries)
 	for i := range out {
@@ -117,7 +118,7 @@
 	return out
 }
 
-// kill ends the node's incarnation: its jobs are the clients' to submit again.
+// kill ends the node's incarnation. Its clients see their connections reset and may submit their jobs again.
 func (n *Node) kill() {
 	w := n.world
 	n.down, n.downSince = true, w.Clock.now
--- a/internal/verify/emulate/operations.go
+++ b/internal/verify/emulate/operations.go
@@ -10,43 +10,43 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// What operators and the platform do to a node that serves: workers under maintenance, and one process of a
-// node in place of another.
+// This file models operations on serving nodes: maintenance of workers and hot restarts.
 
-// maintenanceSpread is over how long the operators' calls to the nodes are spread.
+// maintenanceSpread is the period over which the operators' calls to the nodes are randomly spread.
 const maintenanceSpread = 200 * time.Millisecond
 
-// maintainWorkers has operators take workers out of service at every node, restart them meanwhile, and put
-// them back. They call the nodes one by one.
+// maintainWorkers puts workers under maintenance at every node, restarts them meanwhile, and ends the
+// maintenance. The operators call the nodes one by one.
 func (w *World) maintainWorkers(f *Fault, random *rand.Rand) (end func()) {
-	hit := w.selectWorkers(f, random)
+	affected := w.selectWorkers(f, random)
 	for i := range w.nodes {
 		w.Clock.After(time.Duration(random.Int64N(int64(maintenanceSpread))), func() {
-			for _, k := range hit {
+			for _, k := range affected {
 				w.nodes[i].startMaintenance(k.Name)
 			}
 		})
 	}
 	w.Clock.After(time.Duration(f.Length)/2, func() {
-		for _, k := range hit {
+		for _, k := range affected {
 			w.crashWorker(k)
 		}
 	})
 	w.Clock.After(time.Duration(f.Length)*3/4, func() {
-		for _, k := range hit {
+		for _, k := range affected {
 			w.restartWorker(k)
 		}
 	})
 	return func() {
 		for _, n := range w.nodes {
-			for _, k := range hit {
+			for _, k := range affected {
 				n.endMaintenance(k.Name)
 			}
 		}
 	}
 }
 
-// startMaintenance takes a worker out of service at a node that runs and has had it in its list.
+// startMaintenance starts a worker's maintenance at the node if the node runs and has ever had the worker in
+// its list.
 func (n *Node) startMaintenance(worker string) {
 	if !n.down && n.broker.EverListed(worker) {
 		n.broker.StartMaintenance(worker)
@@ -61,21 +61,22 @@
 	}
 }
 
-// The time line of a node's hot restart, from the start of the new process.
+// Times in a node's hot restart, relative to the start of the new process.
 const (
-	// readyDelay is after how long the new process may serve alone.
+	// readyDelay is when the new process may start to serve alone.
 	readyDelay = 3500 * time.Millisecond
-	// killDelay is after how long the old one is killed, where it still runs.
+	// killDelay is when the old process is killed if it still runs.
 	killDelay = readyDelay + 3700*time.Millisecond
-	// inFlightInterval is how often the old one reports what it has in flight.
+	// inFlightInterval is the interval at which the old process reports its jobs in flight.
 	inFlightInterval = 20 * time.Millisecond
 )
 
-// hotRestart starts a process beside a node's, which takes its place: with its list, its maintenance and what
-// its balancer has learned. New jobs are the new one's; the old one finishes what it has.
+// hotRestart starts a new process that replaces a node's current one and inherits its endpoint list, its
+// maintenance and the learned state of its balancer. New jobs go to the new process; the old one finishes the
+// jobs it has.
 func (w *World) hotRestart(old *Node) {
 	if old.replaced {
-		return // by another one, which has not settled yet
+		return // the previous hot restart has not completed
 	}
 	old.replaced = true
 	n := &Node{world: w, number: old.number, zone: old.zone, incarnation: old.incarnation}
@@ -85,13 +86,14 @@
 	})
 	state := old.broker.ExportState()
 	n.start(cached)
-	n.upSince = old.upSince // the load balancer before the nodes does not notice
+	n.upSince = old.upSince // the load balancer in front of the nodes does not notice
 	n.broker.ImportState(state)
 	w.invariants.nodeReplaced(old, n)
 	w.handOver(old, n, w.Clock.now)
 }
 
-// handOver has the old process report what it has in flight, until it has finished or is killed.
+// handOver reports the old process's jobs in flight to the new one, until the old one has finished them or is
+// killed.
 func (w *World) handOver(old, n *Node, startedAt time.Duration) {
 	if n.down || old.down {
 		return
--- a/internal/verify/emulate/pod.go
+++ b/internal/verify/emulate/pod.go
@@ -6,22 +6,22 @@
 	"moorstack/balancer"
 )
 
-// pod is a group of workers that run a job with an idempotency key once within a window. A nil pod, and a job
-// without a key, drop nothing.
+// pod is a group of workers that run a job with a given idempotency key only once within a window. A nil pod
+// drops no duplicates, and jobs without a key are never duplicates.
 type pod struct {
 	window time.Duration
 	byKey  map[string]*keyedJob
 }
 
-// keyedJob is a job that runs in a pod, or has.
+// keyedJob is a job that was started in the pod.
 type keyedJob struct {
 	startedAt  time.Duration
 	finished   bool
-	duplicates []func(balancer.Result) // that have its result when it has finished
+	duplicates []func(balancer.Result) // called with the job's result when it finishes
 }
 
-// dropDuplicate says whether the key's job has been started within the window. If so, done is called with
-// that job's result.
+// dropDuplicate reports whether a job with the key was started within the window. If so, it passes that job's
+// result to done, now or when it finishes.
 func (p *pod) dropDuplicate(key string, now time.Duration, done func(balancer.Result)) bool {
 	if p == nil || key == "" {
 		return false
@@ -38,14 +38,14 @@
 	return true
 }
 
-// begin follows a job that a worker of the pod starts.
+// begin records that a worker of the pod starts a job.
 func (p *pod) begin(key string, now time.Duration) {
 	if p != nil && key != "" {
 		p.byKey[key] = &keyedJob{startedAt: now}
 	}
 }
 
-// finish follows a job that a worker of the pod has run to its end.
+// finish records that a worker of the pod has completed a job.
 func (p *pod) finish(key string) {
 	if p == nil || key == "" {
 		return
@@ -59,7 +59,8 @@
 	}
 }
 
-// forget follows a job that was cancelled or lost: it may run again. Its duplicates have no result.
+// forget removes a job that was cancelled or lost, so that it may run again. Its waiting duplicates get no
+// result.
 func (p *pod) forget(key string) {
 	if p != nil && key != "" {
 		delete(p.byKey, key)
--- a/internal/verify/emulate/result.go
+++ b/internal/verify/emulate/result.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// Tally is what became of the jobs of a class or team.
+// Tally counts the results of the jobs of a class or team.
 type Tally struct {
 	Name          string  `json:"name"`
 	Arrived       int     `json:"came"`
 	Served        int     `json:"served"`
-	InTime        int     `json:"in_time"` // of the served: within the latency objective
+	InTime        int     `json:"in_time"` // served within the latency objective
 	Rejected      int     `json:"refused"`
 	Failed        int     `json:"failed"`
-	OfferedWeight float64 `json:"worth"`  // of all jobs, by their class's priority weight and their size
-	EarnedWeight  float64 `json:"earned"` // of the served: in time in full, late in part
-	P50           float64 `json:"p50_ms"` // latency of the served in milliseconds, from their arrival
+	OfferedWeight float64 `json:"worth"`  // of all jobs: the class's priority weight times the job's size
+	EarnedWeight  float64 `json:"earned"` // of the served jobs: in full if in time, in part if late
+	P50           float64 `json:"p50_ms"` // latency of the served jobs in milliseconds, from their arrival
 	P99           float64 `json:"p99_ms"`
 
 	latencies []float64 // in seconds
 }
 
-// served counts a job that was served.
+// served counts a served job.
 func (t *Tally) served(j *job, latency float64, inTime bool) {
 	t.Served++
 	t.latencies = append(t.latencies, latency)
@@ -33,7 +33,7 @@
 	}
 }
 
-// Second is a second of a run.
+// Second holds the measurements of one second of a run.
 type Second struct {
 	At       int `json:"at"`
 	Arrived  int `json:"came"`
@@ -41,11 +41,11 @@
 	InTime   int `json:"in_time"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
-	Queued   int `json:"waiting"` // jobs in the workers' queues at its beginning
-	Running  int `json:"busy"`    // and at work
+	Queued   int `json:"waiting"` // jobs in the workers' queues at the start of the second
+	Running  int `json:"busy"`    // jobs running at workers at the start of the second
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Seed         uint64   `json:"seed"`
 	Classes      []Tally  `json:"classes"`
@@ -54,11 +54,11 @@
 	Jobs         int      `json:"jobs"`
 	Attempts     int      `json:"attempts"`
 	HealthChecks int      `json:"probes"`
-	ListEntries  int      `json:"list_lines"` // that nodes received
-	Rejections   int      `json:"refusals"`   // of single submissions, also where a retry was served
+	ListEntries  int      `json:"list_lines"` // received by nodes
+	Rejections   int      `json:"refusals"`   // of single submissions, even if a retry was served
 	Retries      int      `json:"retries"`    // by clients
 	Events       uint64   `json:"events"`     // of the clock
-	EarnedShare  float64  `json:"worth"`      // earned weight of all classes, as a share of the offered
+	EarnedShare  float64  `json:"worth"`      // earned weight of all classes as a share of the offered weight
 	Violations   []string `json:"violations,omitempty"`
 }
 
@@ -95,7 +95,7 @@
 	return r
 }
 
-// quantile is of sorted values; 0 where there are none.
+// quantile returns a quantile of sorted values, or 0 if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/verify/emulate/scenario.go
+++ b/internal/verify/emulate/scenario.go
@@ -9,37 +9,37 @@
 	"moorstack/internal/tomlfile"
 )
 
-// Duration is a time span, written as in "1.5s".
+// Duration is a time.Duration written as in "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads a time span.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return err
 }
 
-// Scenario is a world and what happens in it.
+// Scenario describes a world and the events in it.
 type Scenario struct {
 	Seed     uint64   `toml:"seed"`
-	Duration Duration `toml:"duration"` // for which jobs arrive
-	Nodes    int      `toml:"nodes"`    // 1, if not given
+	Duration Duration `toml:"duration"` // jobs arrive during this time
+	Nodes    int      `toml:"nodes"`    // default 1
 	Zones    []string `toml:"zones"`
 
-	SameZoneLatency  Duration `toml:"near"`    // one way within a zone; 0.2 ms, if not given
-	CrossZoneLatency Duration `toml:"far"`     // one way between two zones; 0.6 ms, if not given
-	ConnectTimeout   Duration `toml:"connect"` // of a health check at a silent worker; 250 ms, if not given
+	SameZoneLatency  Duration `toml:"near"`    // one way within a zone; default 0.2 ms
+	CrossZoneLatency Duration `toml:"far"`     // one way between zones; default 0.6 ms
+	ConnectTimeout   Duration `toml:"connect"` // of health checks at unresponsive workers; default 250 ms
 
-	// ListDelay is how late changes of the endpoint list come; 1 s, if not given.
+	// ListDelay is the delay of changes of the endpoint list; default 1 s.
 	ListDelay Duration `toml:"list_delay"`
-	// ListDelivery is how the endpoint list comes: asked (each node has a watch at a service for all) or
-	// pushed (an agent beside each node has it, and what it has counts as received); asked, if not given.
+	// ListDelivery is how nodes receive the endpoint list: asked (the default; each node watches a central
+	// service) or pushed (an agent next to each node holds the list, and what it holds counts as received).
 	ListDelivery string `toml:"list"`
-	// DrainGrace is how long new work may go to a worker that is listed as draining; 1 s, if not given.
+	// DrainGrace is how long new work may be sent to a worker after it is listed as draining; default 1 s.
 	DrainGrace Duration `toml:"drain_grace"`
-	// SubsetSize is how many of the workers each node uses; 0: all.
+	// SubsetSize is the number of workers that each node uses; 0: all.
 	SubsetSize int `toml:"subset"`
-	// HealthChecks says whether nodes read load reports by health checks; yes, if not given.
+	// HealthChecks enables health checks, by which nodes read load reports; default true.
 	HealthChecks *bool `toml:"probes"`
 
 	Classes []ClassSpec   `toml:"class"`
@@ -51,27 +51,27 @@
 	raw  []byte
 }
 
-// The values of ClassSpec.Idempotency, in the scenario's words.
+// The values of ClassSpec.Idempotency.
 const (
 	idempotent      = "retryable"
 	idempotentByKey = "dedup"
 	nonIdempotent   = "fragile"
 )
 
-// ClassSpec is a class of jobs and the sizes that its jobs have.
+// ClassSpec is a class of jobs with the distribution of their sizes.
 type ClassSpec struct {
 	Name             string   `toml:"name"`
-	Idempotency      string   `toml:"effect"`      // retryable, dedup or fragile; retryable, if not given
-	KeyWindow        Duration `toml:"window"`      // for which workers drop duplicates, by the key
-	LatencyObjective Duration `toml:"aim"`         // the timeout, if not given
-	ObjectiveStretch float64  `toml:"aim_stretch"` // added to the objective for each second of a job's size
-	Timeout          Duration `toml:"give_up"`     // of the clients; 10 s, if not given
-	PriorityWeight   float64  `toml:"worth"`       // of a second of work; 1, if not given
-	LateShare        float64  `toml:"late_share"`  // of the weight, for a response after the objective
+	Idempotency      string   `toml:"effect"`      // retryable (the default), dedup or fragile
+	KeyWindow        Duration `toml:"window"`      // time for which workers drop duplicates by key
+	LatencyObjective Duration `toml:"aim"`         // default: the timeout
+	ObjectiveStretch float64  `toml:"aim_stretch"` // added to the objective per second of a job's size
+	Timeout          Duration `toml:"give_up"`     // of the clients; default 10 s
+	PriorityWeight   float64  `toml:"worth"`       // of a second of work; default 1
+	LateShare        float64  `toml:"late_share"`  // share of the weight earned by a late response
 	Size             SizeSpec `toml:"size"`
 }
 
-// HasIdempotencyKey says whether jobs of the class carry a key.
+// HasIdempotencyKey reports whether jobs of the class carry an idempotency key.
 func (c *ClassSpec) HasIdempotencyKey() bool { return c.Idempotency == idempotentByKey }
 
 // The values of SizeSpec.Dist.
@@ -82,12 +82,12 @@
 	distPareto      = "pareto"
 )
 
-// SizeSpec is a distribution of work, in seconds on a core of speed 1.
+// SizeSpec is a distribution of job sizes, in seconds of work on a core of speed 1.
 type SizeSpec struct {
-	Dist  string  `toml:"dist"` // exponential (if not given), constant, lognormal or pareto
+	Dist  string  `toml:"dist"` // exponential (the default), constant, lognormal or pareto
 	Mean  float64 `toml:"mean"`
-	Sigma float64 `toml:"sigma"` // of lognormal: of the logarithm
-	Alpha float64 `toml:"alpha"` // of pareto: above 1
+	Sigma float64 `toml:"sigma"` // lognormal: standard deviation of the logarithm
+	Alpha float64 `toml:"alpha"` // pareto: shape, above 1
 }
 
 func (s *SizeSpec) draw(random *rand.Rand) float64 {
@@ -97,44 +97,44 @@
 	case distLogNormal:
 		return s.Mean * math.Exp(s.Sigma*random.NormFloat64()-s.Sigma*s.Sigma/2)
 	case distPareto:
-		least := s.Mean * (s.Alpha - 1) / s.Alpha
-		return least / math.Pow(1-random.Float64(), 1/s.Alpha)
+		minimum := s.Mean * (s.Alpha - 1) / s.Alpha
+		return minimum / math.Pow(1-random.Float64(), 1/s.Alpha)
 	}
 	return s.Mean * random.ExpFloat64()
 }
 
-// WorkerGroup is workers of one kind in one zone.
+// WorkerGroup is a group of workers of one kind in one zone.
 type WorkerGroup struct {
 	Count             int      `toml:"count"`
-	Zone              string   `toml:"zone"`       // the first, if not given
-	Cores             int      `toml:"cores"`      // 1, if not given
-	Slots             int      `toml:"slots"`      // as many as cores, if not given
-	QueueCapacity     int      `toml:"room"`       // 64, if not given; -1: none
-	Speed             float64  `toml:"speed"`      // 1, if not given
-	SlowStartWindow   Duration `toml:"cold"`       // 20 s, if not given
-	SlowStartMinShare float64  `toml:"cold_share"` // 0.12, if not given
-	ReportInterval    Duration `toml:"refresh"`    // 100 ms, if not given
+	Zone              string   `toml:"zone"`       // default: the first zone
+	Cores             int      `toml:"cores"`      // default 1
+	Slots             int      `toml:"slots"`      // default: the number of cores
+	QueueCapacity     int      `toml:"room"`       // default 64; -1: no queue
+	Speed             float64  `toml:"speed"`      // default 1
+	SlowStartWindow   Duration `toml:"cold"`       // default 20 s
+	SlowStartMinShare float64  `toml:"cold_share"` // default 0.12
+	ReportInterval    Duration `toml:"refresh"`    // default 100 ms
 	ReportNoise       float64  `toml:"noise"`
-	PodSize           int      `toml:"pod_size"` // workers that drop each other's duplicates; 1, if not given
+	PodSize           int      `toml:"pod_size"` // workers that share duplicate detection; default 1
 
-	// WorkerSpec is made of the others when the scenario is checked.
+	// WorkerSpec is set from the other fields when the scenario is validated.
 	WorkerSpec WorkerSpec `toml:"-"`
 }
 
-// ClientGroup is clients of one team in one zone.
+// ClientGroup is a group of one team's clients in one zone.
 type ClientGroup struct {
 	Team             string    `toml:"team"`
-	Zone             string    `toml:"zone"`    // one after the other of the scenario's, if not given
-	Rate             float64   `toml:"rate"`    // jobs a second, arriving at random (Poisson)
-	Classes          []string  `toml:"classes"` // all, if not given
-	Mix              []float64 `toml:"mix"`     // how often each; alike, if not given
-	Retries          int       `toml:"retries"` // of what was rejected or lost with a node
-	Backoff          Duration  `toml:"backoff"` // before a retry without Retry-After; 500 ms, if not given
+	Zone             string    `toml:"zone"`    // default: the scenario's zones in turn
+	Rate             float64   `toml:"rate"`    // jobs per second, Poisson arrivals
+	Classes          []string  `toml:"classes"` // default: all
+	Mix              []float64 `toml:"mix"`     // weights of the classes; default: equal
+	Retries          int       `toml:"retries"` // retries per job that is rejected or lost with a node
+	Backoff          Duration  `toml:"backoff"` // before a retry without Retry-After; default 500 ms
 	IgnoreRetryAfter bool      `toml:"blind"`
 }
 
-// ParseScenario reads a scenario and checks it. The path is for errors, which are of *tomlfile.Error and name
-// the line.
+// ParseScenario parses and validates a scenario. The path is used in errors, which have the type
+// *tomlfile.Error and name the line.
 func ParseScenario(path string, raw []byte) (*Scenario, error) {
 	sc := &Scenario{path: path, raw: raw}
 	if err := tomlfile.Decode(path, raw, sc); err != nil {
--- a/internal/verify/emulate/scenario_settings.go
+++ b/internal/verify/emulate/scenario_settings.go
@@ -7,13 +7,13 @@
 	"moorstack/balancer"
 )
 
-// Slow start as the platform has it, for workers that don't say otherwise.
+// The platform's slow start, for worker groups that do not set their own.
 const (
 	defaultSlowStartWindow   = 20 * time.Second
 	defaultSlowStartMinShare = 0.12
 )
 
-// settings are the settings of each node.
+// settings returns the settings of each node.
 func (s *Scenario) settings() balancer.Settings {
 	healthChecks := s.HealthChecks == nil || *s.HealthChecks
 	set := balancer.Settings{
@@ -55,7 +55,7 @@
 	return set
 }
 
-// rules are the rules of each node. Slow start is as the slowest workers have it.
+// rules returns the rules of each node. Slow start is set for the workers that warm up most slowly.
 func (s *Scenario) rules() balancer.Rules {
 	rules := balancer.Rules{
 		ResponseSlack:     20 * time.Millisecond,
@@ -73,7 +73,7 @@
 	return rules
 }
 
-// settings are the class as the nodes have it.
+// settings returns the class in the nodes' settings.
 func (c *ClassSpec) settings() balancer.Class {
 	return balancer.Class{
 		Name:             c.Name,
--- a/internal/verify/emulate/scenario_validate.go
+++ b/internal/verify/emulate/scenario_validate.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/tomlfile"
 )
 
-// Bounds of a scenario.
+// Limits on scenarios.
 const (
 	maxDuration = 48 * time.Hour
 	maxNodes    = 10_000
@@ -22,10 +22,10 @@
 	nonIdempotent:   balancer.NonIdempotent,
 }
 
-// orDefault is a time span, or the default where none is given.
-func orDefault(d Duration, otherwise time.Duration) Duration { return cmp.Or(d, Duration(otherwise)) }
+// orDefault returns d, or the fallback if d is 0.
+func orDefault(d Duration, fallback time.Duration) Duration { return cmp.Or(d, Duration(fallback)) }
 
-// errorAt is an error in the n-th table of an array.
+// errorAt returns an error located in the n-th table of an array.
 func (s *Scenario) errorAt(array string, n int, format string, args ...any) error {
 	return &tomlfile.Error{
 		Path:    s.path,
@@ -35,7 +35,7 @@
 	}
 }
 
-// validate fills in what is not given, and checks the scenario. It changes nothing the second time.
+// validate fills in defaults and checks the scenario. Repeated calls change nothing.
 func (s *Scenario) validate() error {
 	if err := s.validateWorld(); err != nil {
 		return err
@@ -79,15 +79,15 @@
 	}
 	switch {
 	case s.Duration <= 0 || time.Duration(s.Duration) > maxDuration:
-		return invalid("duration", "%v is not above 0 and up to 48h", time.Duration(s.Duration))
+		return invalid("duration", "must be above 0 and at most 48h, got %v", time.Duration(s.Duration))
 	case s.ListDelivery != listPolled && s.ListDelivery != listPushed:
 		return invalid("list", "%q is neither %s nor %s", s.ListDelivery, listPolled, listPushed)
 	case s.DrainGrace < 0:
-		return invalid("drain_grace", "%v is below 0", time.Duration(s.DrainGrace))
+		return invalid("drain_grace", "must not be negative, got %v", time.Duration(s.DrainGrace))
 	case s.Nodes < 1 || s.Nodes > maxNodes:
-		return invalid("nodes", "%d is not from 1 to 10000", s.Nodes)
+		return invalid("nodes", "must be between 1 and 10000, got %d", s.Nodes)
 	case len(s.Classes) == 0 || len(s.Workers) == 0 || len(s.Clients) == 0:
-		return invalid("duration", "there must be a class, workers and clients")
+		return invalid("duration", "at least one class, one worker group and one client group are required")
 	}
 	return nil
 }
@@ -100,20 +100,22 @@
 	c.PriorityWeight = cmp.Or(c.PriorityWeight, 1)
 	_, known := idempotencyByName[c.Idempotency]
 	size := &c.Size
-	dists := []string{"", distExponential, distConstant, distLogNormal, distPareto}
+	distributions := []string{"", distExponential, distConstant, distLogNormal, distPareto}
 	switch {
 	case c.Name == "" || !known || c.Timeout < 0 || c.LatencyObjective < 0 || c.PriorityWeight < 0:
 		return s.errorAt("class", i,
-			"%q: a name, an effect (retryable, dedup, fragile) and times above 0 are wanted", c.Name)
+			"%q: name must not be empty, effect must be retryable, dedup or fragile, "+
+				"and give_up, aim and worth must not be negative", c.Name)
 	case c.HasIdempotencyKey() && c.KeyWindow <= 0:
-		return s.errorAt("class", i, "%s: a dedup class has a window", c.Name)
+		return s.errorAt("class", i, "%s: window must be above 0 in a dedup class", c.Name)
 	case !(size.Mean > 0):
 		return s.errorAt("class", i, "%s: size.mean must be above 0", c.Name)
-	case !slices.Contains(dists, size.Dist):
-		return s.errorAt("class", i, "%s: size.dist: %q is not exponential, constant, lognormal or pareto",
-			c.Name, size.Dist)
+	case !slices.Contains(distributions, size.Dist):
+		return s.errorAt("class", i,
+			"%s: size.dist must be exponential, constant, lognormal or pareto, got %q", c.Name, size.Dist)
 	case size.Dist == distPareto && !(size.Alpha > 1):
-		return s.errorAt("class", i, "%s: size.alpha must be above 1, else there is no mean", c.Name)
+		return s.errorAt("class", i,
+			"%s: size.alpha must be above 1, otherwise the distribution has no mean", c.Name)
 	}
 	return nil
 }
@@ -130,7 +132,8 @@
 	g.ReportInterval = orDefault(g.ReportInterval, 100*time.Millisecond)
 	if g.Count < 1 || g.Cores < 1 || g.Slots < 1 || !(g.Speed > 0) || g.QueueCapacity < -1 ||
 		!slices.Contains(s.Zones, g.Zone) {
-		return s.errorAt("workers", i, "count, cores, slots and speed must be above 0, and the zone known")
+		return s.errorAt("workers", i, "count, cores, slots and speed must be above 0, "+
+			"room at least -1, and zone one of the scenario's zones")
 	}
 	g.WorkerSpec = WorkerSpec{
 		Cores:             g.Cores,
@@ -160,11 +163,12 @@
 	}
 	g.Backoff = orDefault(g.Backoff, 500*time.Millisecond)
 	if !(g.Rate > 0) || len(g.Mix) != len(g.Classes) || g.Retries < 0 || !slices.Contains(s.Zones, g.Zone) {
-		return s.errorAt("clients", i, "the rate must be above 0, the zone known, and mix as long as classes")
+		return s.errorAt("clients", i, "rate must be above 0, retries must not be negative, "+
+			"zone must be one of the scenario's zones, and mix must be as long as classes")
 	}
 	for _, name := range g.Classes {
 		if !slices.ContainsFunc(s.Classes, func(c ClassSpec) bool { return c.Name == name }) {
-			return s.errorAt("clients", i, "there is no class %q", name)
+			return s.errorAt("clients", i, "unknown class %q", name)
 		}
 	}
 	return nil
--- a/internal/verify/emulate/slow_start.go
+++ b/internal/verify/emulate/slow_start.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// The rule on workers in slow start: one that is sent over overloadFactor times what it can do at that
-// moment, within overloadWindow, collapses.
+// The overload rule for slow start: a worker collapses if it is sent more than overloadFactor times its
+// current capacity within overloadWindow.
 const (
 	overloadFactor = 3
 	overloadWindow = time.Second
 )
 
-// slowStartArrival is a job that a worker was sent in slow start.
+// slowStartArrival is a job sent to a worker in slow start.
 type slowStartArrival struct {
 	at        time.Duration
 	work      float64
-	knewStart bool // whoever sent it had received the start
+	knewStart bool // the sender had received the worker's start
 }
 
-// workMean is the mean work of the jobs that workers were sent.
+// workMean accumulates the mean work of the jobs sent to workers.
 type workMean struct{ work, count float64 }
 
 func (m *workMean) add(work float64) {
@@ -27,7 +27,7 @@
 	m.count++
 }
 
-// warmUpFactor is the part of its capacity that the worker has now.
+// warmUpFactor returns the share of the worker's full capacity that is currently available.
 func (w *Worker) warmUpFactor() float64 {
 	if w.startedAt == 0 || w.Spec.SlowStartWindow <= 0 {
 		return 1
@@ -36,8 +36,8 @@
 	return math.Min(1, w.Spec.SlowStartMinShare+(1-w.Spec.SlowStartMinShare)*age)
 }
 
-// slowStartAllowance is how many jobs of mean work a worker can be sent in a window for which the rule
-// allows so many: the rest is left for chance.
+// slowStartAllowance returns how many jobs of mean work a worker may be sent within a window if the rule
+// allows the given number on average. The margin of 2 to 3 standard deviations covers random variation.
 func slowStartAllowance(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -45,9 +45,9 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// checkSlowStart counts what a worker in slow start is sent, and has it collapse where that is too much, in
-// jobs of mean work or in that much work. That violates the rule if two thirds of it came from nodes that
-// had received the worker's start.
+// checkSlowStart records a job sent to a worker in slow start. The worker collapses if the number of recent
+// jobs, or their work in units of the mean, exceeds the allowance. This violates the rule if at least two
+// thirds of the work came from nodes that had received the worker's start.
 func (w *Worker) checkSlowStart(size float64, knewStart bool) {
 	if w.warmUpFactor() >= 1 {
 		w.slowStartArrivals = w.slowStartArrivals[:0]
--- a/internal/verify/emulate/worker.go
+++ b/internal/verify/emulate/worker.go
@@ -9,70 +9,70 @@
 	"moorstack/balancer"
 )
 
-// WorkerSpec is a kind of worker.
+// WorkerSpec describes a kind of worker.
 type WorkerSpec struct {
-	Cores             int           // that compute at once
-	Slots             int           // jobs that run at once; more than Cores share them
-	QueueCapacity     int           // jobs that may wait; beyond it a worker is full
-	Speed             float64       // of a core: a job of size 1 s runs 1/Speed seconds on one
-	SlowStartWindow   time.Duration // from its start until it is warmed up
-	SlowStartMinShare float64       // of its capacity at its start
-	ReportInterval    time.Duration // how often its load report is updated
-	ReportNoise       float64       // relative, of a report's values
+	Cores             int           // cores that compute in parallel
+	Slots             int           // jobs that run concurrently; if more than Cores, they share the cores
+	QueueCapacity     int           // jobs that may be queued; beyond that the worker is full
+	Speed             float64       // of a core: a job of size 1 s runs for 1/Speed seconds on one
+	SlowStartWindow   time.Duration // from the start until the worker is warm
+	SlowStartMinShare float64       // share of its capacity available at the start
+	ReportInterval    time.Duration // interval at which its load report is updated
+	ReportNoise       float64       // relative noise of a report's values
 }
 
-// Worker is a model of a worker: a bounded queue in order of arrival before slots that share cores. It runs
-// under its clock, on the goroutine that runs the clock.
+// Worker is a model of a worker: a bounded FIFO queue in front of slots that share cores. It is driven by its
+// clock, on the goroutine that runs the clock.
 type Worker struct {
 	Name             string
-	Zone, Kind, Cell int // indexes of the scenario's zones and worker groups, and the pod's number
+	Zone, Kind, Cell int // index of its zone, index of its worker group, and number of its pod
 	Spec             WorkerSpec
 
 	clock           *Clock
 	random          *rand.Rand
-	queue           []*task // from queueHead on
+	queue           []*task // entries before queueHead have been removed
 	queueHead       int
 	running         taskHeap
-	workPerJob      float64       // seconds of work that each running job has had since the worker's start
-	workUpdatedAt   time.Duration // when that was so
+	workPerJob      float64       // seconds of work that each running job has received since the start
+	workUpdatedAt   time.Duration // when workPerJob was last updated
 	completionTimer eventTimer
 	startedAt       time.Duration // 0: long ago
-	incarnation     int           // grows with each start: what an earlier one was sent is lost
+	incarnation     int           // incremented on each crash; jobs of earlier incarnations are lost
 	down            bool
 	draining        bool
 	report          balancer.LoadReport
 	reportedAt      time.Duration
-	pod             *pod // nil: it drops no duplicates
+	pod             *pod // nil: it does not drop duplicates
 
-	meanWork          *workMean // of all workers of its world
+	meanWork          *workMean // shared by all workers of the world
 	slowStartArrivals []slowStartArrival
 	collapsed         bool // it was overloaded in slow start
-	slowStartViolated bool // and two thirds of that came from nodes that knew of its start
+	slowStartViolated bool // at least two thirds of the overload came from nodes that knew of its start
 
-	// Faults.
-	slowdown        float64 // how many times slower; 1: none
-	slowClass       string  // the class that it runs slowClassFactor times slower
+	// Active faults.
+	slowdown        float64 // factor by which it is slower; 1: none
+	slowClass       string  // class whose jobs take slowClassFactor times as long; empty: none
 	slowClassFactor float64
-	failureShare    float64 // the share of jobs that fail at once
-	partitioned     bool    // nothing comes in or goes out
+	failureShare    float64 // share of the jobs that fail at once
+	partitioned     bool    // all messages to and from it are lost
 }
 
-// NewWorker makes a worker that has been up for long.
+// NewWorker returns a warm worker.
 func NewWorker(clock *Clock, random *rand.Rand, name string, spec WorkerSpec) *Worker {
 	return &Worker{Name: name, Spec: spec, clock: clock, random: random, slowdown: 1,
 		report: balancer.NoLoadReport, meanWork: &workMean{}}
 }
 
-// JobRequest is a job as a worker is sent it.
+// JobRequest is a job as sent to a worker.
 type JobRequest struct {
 	Key       string // the idempotency key; empty: none
 	Class     string
 	Size      float64 // seconds of work on a core of speed 1
-	KnewStart bool    // whoever sends it has received the worker's last start
+	KnewStart bool    // the sender has received the worker's last start
 }
 
-// StartJob accepts a job, or rejects it by a call of done with balancer.WorkerFull or another result. Done is
-// called once, maybe before StartJob returns, unless cancel is called before.
+// StartJob accepts a job, or rejects it by calling done with balancer.WorkerFull or another result. It calls
+// done once, possibly before it returns, unless cancel is called first.
 func (w *Worker) StartJob(r JobRequest, done func(balancer.Result)) (cancel func()) {
 	none := func() {}
 	if w.down || w.collapsed {
@@ -95,7 +95,7 @@
 	w.pod.begin(r.Key, w.clock.now)
 	t := &task{key: r.Key, size: r.Size, done: done, index: -1}
 	if w.slowClass != "" && w.slowClass == r.Class {
-		t.size *= w.slowClassFactor // it takes longer; what the rule on slow start counts is no more
+		t.size *= w.slowClassFactor // extends the service time, but does not count towards the overload rule
 	}
 	w.updateWork()
 	w.queue = append(w.queue, t)
@@ -105,7 +105,7 @@
 	return func() { w.cancel(t, incarnation) }
 }
 
-// cancel takes out a job that nobody waits for, queued or running.
+// cancel removes a queued or running job.
 func (w *Worker) cancel(t *task, incarnation int) {
 	if t.dropped || incarnation != w.incarnation {
 		return
@@ -120,7 +120,7 @@
 	}
 }
 
-// Crash ends the worker's incarnation: its jobs are lost.
+// Crash ends the worker's incarnation. Its jobs are lost.
 func (w *Worker) Crash() {
 	if w.down {
 		return
@@ -140,26 +140,26 @@
 	}
 }
 
-// Restart begins an incarnation, in slow start.
+// Restart begins a new incarnation, in slow start.
 func (w *Worker) Restart() {
 	w.down, w.collapsed, w.startedAt, w.draining = false, false, max(w.clock.now, 1), false
 	w.workPerJob, w.workUpdatedAt, w.slowStartArrivals = 0, w.clock.now, w.slowStartArrivals[:0]
 }
 
-// SetSlowdown has the worker run so many times slower; 1 is its own speed.
-func (w *Worker) SetSlowdown(times float64) {
+// SetSlowdown divides the worker's speed by a factor; 1 restores its normal speed.
+func (w *Worker) SetSlowdown(factor float64) {
 	w.updateWork()
-	w.slowdown = times
+	w.slowdown = factor
 	w.scheduleCompletion()
 }
 
-// QueueLength is the number of jobs that wait.
+// QueueLength returns the number of queued jobs.
 func (w *Worker) QueueLength() int { return len(w.queue) - w.queueHead }
 
-// RunningCount is the number of jobs that run.
+// RunningCount returns the number of running jobs.
 func (w *Worker) RunningCount() int { return len(w.running) }
 
-// LoadReport is the load as a health check reads it: as it was when it was last updated, with noise.
+// LoadReport returns the load as a health check reads it: updated every ReportInterval, with noise.
 func (w *Worker) LoadReport() balancer.LoadReport {
 	if !w.report.Received || w.clock.now-w.reportedAt >= w.Spec.ReportInterval {
 		noisy := func(v float64) float64 {
--- a/internal/verify/emulate/worker_cores.go
+++ b/internal/verify/emulate/worker_cores.go
@@ -13,12 +13,12 @@
 	key        string
 	size       float64 // seconds at speed 1
 	done       func(balancer.Result)
-	finishWork float64 // of Worker.workPerJob, at which it ends
-	index      int     // in the heap
+	finishWork float64 // value of Worker.workPerJob at which it ends
+	index      int     // in the heap; -1 while it is queued
 	dropped    bool
 }
 
-// taskHeap has the running job that ends first on top.
+// taskHeap is a min-heap of the running jobs, ordered by when they end.
 type taskHeap []*task
 
 func (t taskHeap) Len() int           { return len(t) }
@@ -40,7 +40,7 @@
 	return last
 }
 
-// rate is the work that each running job has done in a second.
+// rate returns the work that each running job receives per second.
 func (w *Worker) rate() float64 {
 	if len(w.running) == 0 {
 		return 0
@@ -49,13 +49,14 @@
 	return w.Spec.Speed * share / w.slowdown
 }
 
-// updateWork brings the running jobs up to now. It must come before anything that changes the rate.
+// updateWork advances the running jobs to the current time. It must be called before any change that affects
+// the rate.
 func (w *Worker) updateWork() {
 	w.workPerJob += w.rate() * (w.clock.now - w.workUpdatedAt).Seconds()
 	w.workUpdatedAt = w.clock.now
 }
 
-// scheduleCompletion sets the time at which the next running job ends.
+// scheduleCompletion schedules the completion of the next running job.
 func (w *Worker) scheduleCompletion() {
 	w.completionTimer.Stop()
 	if len(w.running) == 0 || w.down {
@@ -65,13 +66,13 @@
 	left := math.Max(0, w.running[0].finishWork-w.workPerJob) / rate
 	d := time.Duration(math.Ceil(left * 1e9))
 	if w.warmUpFactor() < 1 {
-		// The rate grows while the worker warms up: it is computed again in a while.
+		// The rate grows while the worker warms up, so it is recomputed before the job ends.
 		d = min(d, w.Spec.SlowStartWindow/50)
 	}
 	w.completionTimer = w.clock.schedule(w.clock.now+d, w.completeJobs)
 }
 
-// completeJobs ends the jobs that have had their work.
+// completeJobs completes the running jobs that have received all their work.
 func (w *Worker) completeJobs() {
 	w.updateWork()
 	for len(w.running) > 0 && w.running[0].finishWork <= w.workPerJob+1e-9 {
@@ -83,7 +84,7 @@
 	w.scheduleCompletion()
 }
 
-// startQueued moves queued jobs into free slots, in their order.
+// startQueued moves queued jobs into free slots, in FIFO order.
 func (w *Worker) startQueued() {
 	for len(w.running) < w.Spec.Slots && w.queueHead < len(w.queue) {
 		t := w.queue[w.queueHead]
--- a/internal/verify/emulate/world.go
+++ b/internal/verify/emulate/world.go
@@ -14,25 +14,25 @@
 
 // World is a run of a scenario.
 type World struct {
-	Clock Clock // what is due; Run drives it
+	Clock Clock // event queue of the run, driven by Run
 
 	scenario      *Scenario
 	streams       RandomStreams
 	settings      balancer.Settings // of every node
 	workers       []*Worker
-	meanWork      workMean // of the jobs that any worker was sent
+	meanWork      workMean // mean work of the jobs sent to any worker
 	discovery     *discoveryService
-	nodes         []*Node // by number: the process that serves
+	nodes         []*Node // by number: the process that currently serves
 	groups        []*clientGroup
 	networkRandom *rand.Rand
-	log           *logrus.Logger // of the nodes; goes nowhere
+	log           *logrus.Logger // of the nodes; its output is discarded
 	invariants    *invariantChecker
 	metrics       metrics
 	jobCount      uint64 // arrived so far
-	openJobs      int    // jobs whose clients still wait
+	openJobs      int    // jobs that have not ended for their clients
 }
 
-// NewWorld makes the world of a scenario, at its beginning. It fails on a scenario that is not valid.
+// NewWorld creates a world at the start of a scenario. It returns an error if the scenario is invalid.
 func NewWorld(sc *Scenario) (*World, error) {
 	if err := sc.validate(); err != nil {
 		return nil, err
@@ -82,11 +82,11 @@
 	}
 }
 
-// Run runs the scenario to its end and gives what was measured.
+// Run runs the scenario to its end and returns the measurements.
 func (w *World) Run() *Result {
 	length := time.Duration(w.scenario.Duration)
 	w.Clock.Run(length)
-	// Jobs that arrived before the end are run to theirs.
+	// Jobs that arrived before the end are still completed.
 	for _, g := range w.groups {
 		g.stopped = true
 	}
@@ -94,7 +94,7 @@
 	return w.result()
 }
 
-// latency draws the time that a message takes from a zone to another.
+// latency draws the latency of a message between two zones.
 func (w *World) latency(from, to int) time.Duration {
 	d := time.Duration(w.scenario.SameZoneLatency)
 	if from != to {
--- a/internal/verify/emulate/world_test.go
+++ b/internal/verify/emulate/world_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// newWorld makes the world of small.
+// newWorld returns a world of smallScenario.
 func newWorld(t *testing.T, seed uint64) *World {
 	t.Helper()
-	w, err := NewWorld(small(seed))
+	w, err := NewWorld(smallScenario(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
-// small is a scenario of ten workers in two zones, with a class of each idempotency.
-func small(seed uint64) *Scenario {
+// smallScenario has ten workers in two zones, and a class of each idempotency.
+func smallScenario(seed uint64) *Scenario {
 	return &Scenario{
 		Seed: seed, Duration: Duration(30 * time.Second), Nodes: 2, Zones: []string{"a", "b"},
 		Classes: []ClassSpec{
@@ -69,10 +69,10 @@
 		return string(b)
 	}
 	if first, second := run(3), run(3); first != second {
-		t.Error("one seed gives two runs")
+		t.Error("two runs with the same seed differ")
 	}
 	if run(3) == run(4) {
-		t.Error("two seeds give one run")
+		t.Error("runs with different seeds are the same")
 	}
 }
 
@@ -81,7 +81,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			events, jobs := 0.0, 0.0
 			for b.Loop() {
-				sc := small(1)
+				sc := smallScenario(1)
 				sc.Workers = []WorkerGroup{{Count: n, Zone: "a", Cores: 6}}
 				sc.Clients = []ClientGroup{{Team: "t", Zone: "a", Rate: 5 * float64(n)}}
 				sc.Nodes, sc.Zones = 1, []string{"a"}
--- a/internal/verify/experiment/chart.go
+++ b/internal/verify/experiment/chart.go
@@ -14,20 +14,21 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// palette is of colours that people with any sight tell apart (Okabe and Ito, 2008).
+// palette is a set of colours that remain distinguishable with colour-vision deficiencies (Okabe and Ito,
+// 2008).
 var palette = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
 	{230, 159, 0, 255}, {86, 180, 233, 255}, {0, 0, 0, 255}}
 
-// chart is a chart of the page.
+// chart is a chart of the report.
 type chart struct {
 	Title, Caption string
 	SVG            template.HTML
 }
 
-// lineWidth is of all lines.
+// lineWidth is the width of all lines.
 const lineWidth = 1.5 // points
 
-// A chart's size, and the space that a legend takes beside the names, in their places.
+// The size of a chart, and the width of a bar chart's legend in units of a name's place on the X axis.
 const (
 	pageWidth, pageHeight = 24 * vg.Centimeter, 9 * vg.Centimeter
 	legendPlaces          = 0.9
@@ -35,7 +36,8 @@
 
 func colorOf(i int) color.RGBA { return palette[i%len(palette)] }
 
-// render draws a plot as SVG. What goes into the page is our own drawing, with texts escaped by the library.
+// render draws a plot as SVG. The SVG may be embedded unescaped, because the plot library generates it and
+// escapes all texts.
 func render(p *plot.Plot, title, caption string) (chart, error) {
 	p.BackgroundColor = color.White
 	c := vgsvg.New(pageWidth, pageHeight)
@@ -46,12 +48,12 @@
 	}
 	svg := b.Bytes()
 	if i := bytes.Index(svg, []byte("<svg")); i > 0 {
-		svg = svg[i:] // no XML head within a page
+		svg = svg[i:] // drop the XML declaration, which is invalid inside a page
 	}
 	return chart{title, caption, template.HTML(svg)}, nil
 }
 
-// earnedChart has a bar for each class or team and combination, with its confidence interval.
+// earnedChart draws a bar with its confidence interval for each class or team and each combination.
 func earnedChart(table []Summary, scope string) (chart, error) {
 	var names, factors []string
 	for _, s := range table {
@@ -66,9 +68,9 @@
 		}
 	}
 	p := plot.New()
-	p.Y.Label.Text = "worth earned (part of what was asked)"
+	p.Y.Label.Text = "worth earned (share of the offered worth)"
 	p.Legend.Top = true
-	// A name's bars share its place, and the legend has a place of its own beside them.
+	// The bars of a name share its place on the X axis; the legend has a place to the right of them.
 	step := 0.8 / float64(len(factors))
 	places := float64(len(names)) + legendPlaces
 	width := vg.Length(step/places) * (pageWidth - 2*vg.Centimeter)
@@ -91,10 +93,11 @@
 	p.NominalX(names...)
 	p.X.Min, p.X.Max = -0.5, places-0.5
 	p.Y.Min, p.Y.Max = 0, 1
-	return render(p, "Worth earned by "+scope, "Means over the seeds, with intervals of 95 % by bootstrap.")
+	return render(p, "Worth earned by "+scope,
+		"Means over the seeds with 95 % bootstrap confidence intervals.")
 }
 
-// earnedBars are the bars of a combination, one a name, at an offset from the names' places.
+// earnedBars returns the bars of a combination, one for each name, at an offset from the names' places.
 func earnedBars(table []Summary, scope, factors string, names []string,
 	offset float64) (values plotter.Values, intervals errorBars) {
 	values = make(plotter.Values, len(names))
@@ -112,13 +115,14 @@
 	return values, intervals
 }
 
-// errorBars are confidence intervals round points.
+// errorBars are confidence intervals around points.
 type errorBars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// timeChart has the share of each second's jobs that was served in time, by combination, over all seeds.
+// timeChart draws, for each combination over all seeds, the share of the jobs ending in each second that were
+// served in time.
 func timeChart(rows []Row, seconds []SecondRow) (chart, error) {
 	factorsOf := map[int32]string{} // by run
 	var order []string
@@ -140,7 +144,7 @@
 		at.inTime += float64(s.InTime)
 	}
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "time (s)", "ended in time (part of those that ended)"
+	p.X.Label.Text, p.Y.Label.Text = "time (s)", "served in time (share of the jobs that ended)"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Add(plotter.NewGrid())
 	for i, f := range order {
@@ -152,25 +156,25 @@
 		}
 		l, err := plotter.NewLine(line)
 		if err != nil {
-			return chart{}, fmt.Errorf("the time line of %s: %w", f, err)
+			return chart{}, fmt.Errorf("time chart of %s: %w", f, err)
 		}
 		l.Color, l.Width = colorOf(i), vg.Points(lineWidth)
 		p.Add(l)
 		p.Legend.Add(f, l)
 	}
 	p.X.Max *= 1.3 // space for the legend
-	return render(p, "Served in time, second by second",
-		"All seeds together; jobs count in the second in which they end.")
+	return render(p, "Share served in time per second",
+		"All seeds combined; each job counts in the second in which it ends.")
 }
 
-// Point is a point of a line.
+// Point is a point of a line in a chart.
 type Point struct{ X, Y float64 }
 
-// LogLogChart draws lines, by their names in the given order, over two logarithmic axes, as SVG. It fails on
-// a value that is not above 0.
-func LogLogChart(x, y string, order []string, lines map[string][]Point) ([]byte, error) {
+// LogLogChart draws lines with logarithmic axes as SVG. Lines are identified by name and drawn in the given
+// order. It returns an error if a value is not above 0.
+func LogLogChart(xLabel, yLabel string, order []string, lines map[string][]Point) ([]byte, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = x, y
+	p.X.Label.Text, p.Y.Label.Text = xLabel, yLabel
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	p.Add(plotter.NewGrid())
@@ -178,7 +182,7 @@
 		var points plotter.XYs
 		for _, v := range lines[name] {
 			if v.X <= 0 || v.Y <= 0 {
-				return nil, fmt.Errorf("%s: there is no logarithm of %v", name, v)
+				return nil, fmt.Errorf("%s: coordinates must be above 0 on logarithmic axes, got %v", name, v)
 			}
 			points = append(points, plotter.XY(v))
 		}
--- a/internal/verify/experiment/doc.go
+++ b/internal/verify/experiment/doc.go
@@ -1,3 +1,3 @@
-// Package experiment runs a plan of emulated worlds (a scenario, factors with levels, seeds), keeps what was
-// measured as tables, and says which differences are significant.
+// Package experiment runs series of emulated worlds according to a plan (a scenario, factors with levels, and
+// seeds), stores the measurements as tables, and determines which differences are statistically significant.
 package experiment
--- a/internal/verify/experiment/experiment_test.go
+++ b/internal/verify/experiment/experiment_test.go
@@ -42,8 +42,8 @@
 levels = [4, 6]
 `
 
-// files writes a plan and its scenario, and gives the plan's path.
-func files(t *testing.T, text string) string {
+// writePlanFiles writes a plan and its scenario, and returns the plan's path.
+func writePlanFiles(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, content := range map[string]string{"s.toml": scenario, "p.toml": text} {
@@ -54,8 +54,8 @@
 	return filepath.Join(dir, "p.toml")
 }
 
-// tables are the bytes of both tables of a directory.
-func tables(t *testing.T, dir string) []byte {
+// readTables returns the bytes of both tables in a directory.
+func readTables(t *testing.T, dir string) []byte {
 	t.Helper()
 	var all []byte
 	for _, name := range []string{runsFile, secondsFile} {
@@ -71,7 +71,7 @@
 // readPlan writes a plan and its scenario, and reads it.
 func readPlan(t *testing.T, text string) *Plan {
 	t.Helper()
-	p, err := ReadPlan(files(t, text))
+	p, err := ReadPlan(writePlanFiles(t, text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,28 +96,28 @@
 			t.Fatal(r)
 		}
 	}
-	if !bytes.Equal(tables(t, one), tables(t, four)) {
-		t.Error("one and four runs at once give different tables")
+	if !bytes.Equal(readTables(t, one), readTables(t, four)) {
+		t.Error("tables differ between one and four concurrent runs")
 	}
 }
 
-// The tables are the same to the byte after an interruption that cut the journal's last line short.
+// The tables are identical byte for byte after an interruption that cut the journal's last line short.
 func TestTablesAreTheSameAfterInterruption(t *testing.T) {
 	p := readPlan(t, plan)
-	whole, cut := t.TempDir(), t.TempDir()
-	runPlan(t, p, Options{Dir: whole, Workers: 4, ProgramVersion: "x"})
+	uninterrupted, resumed := t.TempDir(), t.TempDir()
+	runPlan(t, p, Options{Dir: uninterrupted, Workers: 4, ProgramVersion: "x"})
 	interrupted, stop := context.WithCancel(t.Context())
 	stopAfterFive := func(finished, _ int) {
 		if finished == 5 {
 			stop()
 		}
 	}
-	o := Options{Dir: cut, Workers: 1, ProgramVersion: "x", Progress: stopAfterFive}
+	o := Options{Dir: resumed, Workers: 1, ProgramVersion: "x", Progress: stopAfterFive}
 	_, err := Run(interrupted, p, o)
 	if !errors.Is(err, context.Canceled) {
-		t.Fatalf("it was not interrupted: %v", err)
+		t.Fatalf("want context.Canceled, got %v", err)
 	}
-	path := filepath.Join(cut, journalFile)
+	path := filepath.Join(resumed, journalFile)
 	b, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -125,33 +125,33 @@
 	if err := os.WriteFile(path, b[:len(b)-20], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r := runPlan(t, p, Options{Dir: cut, Workers: 2, ProgramVersion: "x"})
+	r := runPlan(t, p, Options{Dir: resumed, Workers: 2, ProgramVersion: "x"})
 	if r.Resumed < 4 || r.Resumed > 11 {
 		t.Fatal(r)
 	}
-	if !bytes.Equal(tables(t, whole), tables(t, cut)) {
-		t.Error("an interruption shows in the tables")
+	if !bytes.Equal(readTables(t, uninterrupted), readTables(t, resumed)) {
+		t.Error("the interruption changed the tables")
 	}
 	// Results of a plan that has changed are not mixed with its own.
 	changed := readPlan(t, strings.Replace(plan, "seeds = 3", "seeds = 4", 1))
-	if _, err := Run(t.Context(), changed, Options{Dir: cut, Workers: 1}); err == nil {
-		t.Error("a changed plan goes on with old results")
+	if _, err := Run(t.Context(), changed, Options{Dir: resumed, Workers: 1}); err == nil {
+		t.Error("a changed plan was accepted with the results of the old one")
 	}
 }
 
 func TestInvalidPlanIsNamed(t *testing.T) {
 	for _, c := range []struct{ want, old, with string }{
-		{`there is no "clints"`, "clients.*.rate", "clints.*.rate"},
-		{`"9" is none of its 1 entries`, "workers.0.count", "workers.9.count"},
-		{`is no number in the scenario`, "clients.*.rate", "clients.*.team"},
+		{`unknown key "clints"`, "clients.*.rate", "clints.*.rate"},
+		{`"9" is not the index of one of the 1 tables`, "workers.0.count", "workers.9.count"},
+		{`is not a number in the scenario`, "clients.*.rate", "clients.*.team"},
 		{`p.toml:7: factor.scal`, "scale", "scal"},
-		{`either levels or scale are wanted`, "levels = [4, 6]", ""},
+		{`either levels or scale must be set`, "levels = [4, 6]", ""},
 		{`count, cores, slots and speed must`, "levels = [4, 6]", "levels = [4, -1]"},
-		{`p.toml:3: seeds: 0 is not a number`, "seeds = 3", "seeds = 0"},
-		{`there would be over 100000 runs`, "seeds = 3", "seeds = 90000"},
-		{`p.toml:1: name: a plan has a name`, `name = "p"`, `name = ""`},
+		{`p.toml:3: seeds: must be at least 1, got 0`, "seeds = 3", "seeds = 0"},
+		{`would have more than 100000 runs`, "seeds = 3", "seeds = 90000"},
+		{`p.toml:1: name: a plan must have a name`, `name = "p"`, `name = ""`},
 	} {
-		_, err := ReadPlan(files(t, strings.Replace(plan, c.old, c.with, 1)))
+		_, err := ReadPlan(writePlanFiles(t, strings.Replace(plan, c.old, c.with, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("want %q, got %v", c.want, err)
 		}
@@ -171,7 +171,7 @@
 	}
 	for _, d := range same {
 		if d.Significant || d.Change.Mean != 0 {
-			t.Errorf("a table differs from itself: %+v", d)
+			t.Errorf("difference between a table and itself: %+v", d)
 		}
 	}
 	b := append([]Row(nil), a...)
@@ -184,11 +184,11 @@
 	}
 	for _, d := range less {
 		if d.Metric == earnedShare.name && (!d.Significant || d.Change.High > -0.09) {
-			t.Errorf("a tenth less is not found: %+v", d)
+			t.Errorf("a decrease by 0.1 was not found: %+v", d)
 		}
 	}
 	if _, err := Compare(a, nil); err == nil {
-		t.Error("tables with nothing in common are compared")
+		t.Error("comparing tables with nothing in common did not fail")
 	}
 }
 
@@ -203,16 +203,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"12 runs", "program x&lt;y", "No rule was broken", "<svg",
+	for _, want := range []string{"12 runs", "program x&lt;y", "No rule violations", "<svg",
 		"rate x3, workers 6", "worth earned"} {
 		if !bytes.Contains(html, []byte(want)) {
-			t.Errorf("the page has no %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	for _, not := range []string{"<script", "http://", "src="} {
 		if i := bytes.Index(html, []byte(not)); i >= 0 &&
 			!bytes.Contains(html[i:i+40], []byte("www.w3.org")) {
-			t.Errorf("the page has %q", html[i:min(i+60, len(html))])
+			t.Errorf("the page contains %q", html[i:min(i+60, len(html))])
 		}
 	}
 }
--- a/internal/verify/experiment/journal.go
+++ b/internal/verify/experiment/journal.go
@@ -9,10 +9,11 @@
 	"path/filepath"
 )
 
-// journalFile is the journal of finished runs in a directory of results, a line of JSON each.
+// journalFile is the name of the journal of finished runs in a results directory. It has one JSON object per
+// line.
 const journalFile = "finished.jsonl"
 
-// finishedRun is a line of the journal.
+// finishedRun is an entry of the journal.
 type finishedRun struct {
 	Hash       string      `json:"hash"` // of the plan
 	Run        int         `json:"run"`
@@ -21,14 +22,14 @@
 	Violations []string    `json:"broken,omitempty"`
 }
 
-// journal is the journal of a directory, open for more. It is for one goroutine.
+// journal is an open journal. It is not safe for concurrent use.
 type journal struct {
 	file     *os.File
 	finished map[int]*finishedRun // by run
 }
 
-// openJournal reads what is finished of a plan. A line that an end in mid-write cut short is taken out; one
-// of another plan is an error.
+// openJournal opens the journal in dir and reads the finished runs of the plan. A last line cut short by an
+// interrupted write is removed. Entries of another plan are an error.
 func openJournal(p *Plan, dir string) (*journal, error) {
 	path := filepath.Join(dir, journalFile)
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o644)
@@ -43,7 +44,7 @@
 }
 
 func (j *journal) read(p *Plan) error {
-	whole := int64(0)
+	validBytes := int64(0)
 	in := bufio.NewReader(j.file)
 	for {
 		line, err := in.ReadBytes('\n')
@@ -55,16 +56,16 @@
 			break
 		}
 		if r.Hash != p.Hash {
-			return fmt.Errorf("%s is of another plan, or of one that has changed since; "+
-				"name another directory", j.file.Name())
+			return fmt.Errorf("%s belongs to another plan, or the plan has changed since; "+
+				"use another directory", j.file.Name())
 		}
 		j.finished[r.Run] = r
-		whole += int64(len(line))
+		validBytes += int64(len(line))
 	}
-	return j.file.Truncate(whole)
+	return j.file.Truncate(validBytes)
 }
 
-// append adds a finished run.
+// append adds a finished run to the journal.
 func (j *journal) append(r *finishedRun) error {
 	j.finished[r.Run] = r
 	line, err := json.Marshal(r)
--- a/internal/verify/experiment/plan.go
+++ b/internal/verify/experiment/plan.go
@@ -16,32 +16,32 @@
 	"moorstack/internal/verify/emulate"
 )
 
-// Plan is an experiment as people write it.
+// Plan describes an experiment.
 type Plan struct {
 	Name      string   `toml:"name"`
-	Base      string   `toml:"base"`  // the scenario's file, from the plan's folder
-	Seeds     int      `toml:"seeds"` // how many; 1, if not given
+	Base      string   `toml:"base"`  // path of the scenario file, relative to the plan's folder
+	Seeds     int      `toml:"seeds"` // number of seeds; default 1
 	FirstSeed uint64   `toml:"first_seed"`
 	Factors   []Factor `toml:"factor"`
 
-	Path string         `toml:"-"` // of the plan's file
-	Hash string         `toml:"-"` // of the plan and the scenario: their results are not mixed with others'
+	Path string         `toml:"-"` // of the plan file
+	Hash string         `toml:"-"` // of the plan and the scenario; prevents mixing results of different plans
 	base map[string]any // the scenario
 }
 
-// Factor is what is varied: a key of the scenario, and the levels that it has.
+// Factor varies one key of the scenario over several levels.
 type Factor struct {
 	Name   string    `toml:"name"`
-	Key    string    `toml:"key"` // as in "clients.*.rate" or "workers.0.count"; * is each of an array
+	Key    string    `toml:"key"` // as in "clients.*.rate" or "workers.0.count"; * is each table of an array
 	Levels []any     `toml:"levels"`
-	Scale  []float64 `toml:"scale"` // in place of levels: the scenario's own value, times these
+	Scale  []float64 `toml:"scale"` // instead of levels: factors applied to the scenario's value
 }
 
-// maxRuns bounds a plan.
+// maxRuns is the maximum number of runs of a plan.
 const maxRuns = 100_000
 
-// ReadPlan reads a plan, and tries every combination of its levels: a plan that can't be run to its end is
-// rejected before anything runs.
+// ReadPlan reads a plan and validates the scenario of every combination of levels, so that an invalid plan is
+// rejected before any run starts.
 func ReadPlan(path string) (*Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -52,10 +52,11 @@
 		return nil, err
 	}
 	if p.Base == "" || p.Name == "" {
-		return nil, tomlfile.ErrorAt(path, raw, "name", "a plan has a name and a base, the scenario's file")
+		return nil, tomlfile.ErrorAt(path, raw, "name",
+			"a plan must have a name and a base, the path of the scenario file")
 	}
 	if p.Seeds < 1 {
-		return nil, tomlfile.ErrorAt(path, raw, "seeds", "%d is not a number of seeds", p.Seeds)
+		return nil, tomlfile.ErrorAt(path, raw, "seeds", "must be at least 1, got %d", p.Seeds)
 	}
 	scenario, err := p.readBase()
 	if err != nil {
@@ -75,7 +76,7 @@
 	return p, nil
 }
 
-// readBase reads the scenario, and checks it by itself.
+// readBase reads and validates the base scenario.
 func (p *Plan) readBase() (raw []byte, err error) {
 	path := filepath.Join(filepath.Dir(p.Path), p.Base)
 	if raw, err = os.ReadFile(path); err != nil {
@@ -98,10 +99,10 @@
 				Message: fmt.Sprintf(format, args...)}
 		}
 		if f.Name == "" || f.Key == "" || (len(f.Levels) == 0) == (len(f.Scale) == 0) {
-			return invalid("%q: a name, a key, and either levels or scale are wanted", f.Name)
+			return invalid("%q: name, key and either levels or scale must be set", f.Name)
 		}
 		if runs *= f.levelCount(); runs > maxRuns {
-			return invalid("%s: there would be over %d runs", f.Name, maxRuns)
+			return invalid("%s: the plan would have more than %d runs", f.Name, maxRuns)
 		}
 	}
 	return nil
@@ -109,7 +110,7 @@
 
 func (f *Factor) levelCount() int { return max(len(f.Levels), len(f.Scale)) }
 
-// change is what a level does to the scenario's value.
+// change returns the change that a level makes to the scenario's value.
 func (f *Factor) change(level int) change {
 	if len(f.Scale) > 0 {
 		return change{scale: f.Scale[level]}
@@ -124,7 +125,7 @@
 	return fmt.Sprint(f.Levels[level])
 }
 
-// CombinationCount is how many combinations of levels there are.
+// CombinationCount returns the number of combinations of levels.
 func (p *Plan) CombinationCount() int {
 	n := 1
 	for i := range p.Factors {
@@ -133,10 +134,10 @@
 	return n
 }
 
-// RunCount is how many runs there are.
+// RunCount returns the number of runs.
 func (p *Plan) RunCount() int { return p.CombinationCount() * p.Seeds }
 
-// levels gives the level of each factor in a combination.
+// levels returns the level of each factor in a combination.
 func (p *Plan) levels(combination int) []int {
 	levels := make([]int, len(p.Factors))
 	for i := len(p.Factors) - 1; i >= 0; i-- {
@@ -146,7 +147,7 @@
 	return levels
 }
 
-// Labels describes a combination, a label for each factor.
+// Labels describes a combination with one label for each factor.
 func (p *Plan) Labels(combination int) []string {
 	var labels []string
 	for i, level := range p.levels(combination) {
@@ -158,8 +159,8 @@
 	return labels
 }
 
-// Scenario makes the scenario of a combination and a seed. It fails where a factor's key is not in the base,
-// or a level makes the scenario invalid.
+// Scenario returns the scenario of a combination and a seed. It returns an error if a factor's key does not
+// exist in the base scenario, or if a level makes the scenario invalid.
 func (p *Plan) Scenario(combination int, seed uint64) (*emulate.Scenario, error) {
 	tree := copyTree(p.base).(map[string]any)
 	for i, level := range p.levels(combination) {
--- a/internal/verify/experiment/report.go
+++ b/internal/verify/experiment/report.go
@@ -11,7 +11,7 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// WriteReport writes one page with charts and tables of a directory's results, which needs no other file.
+// WriteReport writes a self-contained HTML page with charts and tables of the results in dir.
 func WriteReport(dir, path string) error {
 	rows, err := ReadRuns(dir)
 	if err != nil {
@@ -22,7 +22,7 @@
 		return err
 	}
 	if len(rows) == 0 {
-		return errors.New("there are no runs")
+		return errors.New("the table of runs is empty")
 	}
 	page := struct {
 		Plan, Hash, Program string
@@ -56,12 +56,12 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// reportPage is the page. Its fields are those of WriteReport's page and of Summary.
+// reportPage is the template of the report. Its fields are those of page in WriteReport and of Summary.
 var reportPage = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(v float64) string { return fmt.Sprintf("%.1f %%", 100*v) },
 	"ms": func(v float64) string {
 		if v == 0 {
-			return "" // there is none of all classes together
+			return "" // no latency is computed over all classes together
 		}
 		return fmt.Sprintf("%.0f", v)
 	},
@@ -79,10 +79,10 @@
 </style></head><body>
 <h1>{{.Plan}}</h1>
 <p>{{.Runs}} runs in virtual time; plan {{.Hash}}, program {{.Program}}.
-{{if .Violations}}<span class="bad">{{.Violations}} rules were broken.</span>{{else -}}
-No rule was broken.{{end}}</p>
+{{if .Violations}}<span class="bad">{{.Violations}} rule violations.</span>{{else -}}
+No rule violations.{{end}}</p>
 {{range .Charts}}<h2>{{.Title}}</h2><p class="note">{{.Caption}}</p>{{.SVG}}{{end}}
-<h2>Figures</h2><p class="note">Means over the seeds, with intervals of 95 % by bootstrap.</p>
+<h2>Results</h2><p class="note">Means over the seeds with 95 % bootstrap confidence intervals.</p>
 <table><tr><th>factors</th><th>of</th><th>name</th><th>worth earned</th><th>95 %</th>
 <th>in time</th><th>95 %</th><th>p99, ms</th></tr>
 {{range .Table}}<tr><td>{{.Factors}}</td><td>{{.Scope}}</td><td>{{.Name}}</td>
--- a/internal/verify/experiment/run.go
+++ b/internal/verify/experiment/run.go
@@ -12,25 +12,25 @@
 	"moorstack/internal/verify/emulate"
 )
 
-// Options are how a plan is run.
+// Options configure the execution of a plan.
 type Options struct {
-	Dir            string // of the results
-	Workers        int    // runs at once
-	ProgramVersion string // for the tables
-	// Progress, where it is set, is called after each run, on the goroutine that called Run.
-	Progress func(finished, of int)
+	Dir            string // directory of the results
+	Workers        int    // number of concurrent runs
+	ProgramVersion string // recorded in the tables
+	// Progress, if set, is called after each run, on the goroutine that called Run.
+	Progress func(finished, total int)
 }
 
-// Outcome is what running a plan came to.
+// Outcome summarizes the execution of a plan.
 type Outcome struct {
 	Runs       int      `json:"runs"`
-	Resumed    int      `json:"resumed"` // that were finished before
+	Resumed    int      `json:"resumed"` // runs finished in earlier executions
 	Violations []string `json:"broken,omitempty"`
 }
 
-// Run runs what of a plan is not finished in the directory yet, and writes the tables. The tables are the
-// same, byte for byte, however many runs go on at once and however often it was interrupted. If the context
-// ends, Run fails once the runs that go on have finished, and what is finished is kept.
+// Run executes the runs of a plan that are not finished in the directory, and writes the tables. The tables
+// are identical byte for byte, regardless of concurrency and of interruptions. If the context ends, Run waits
+// for the runs in progress, keeps their results, and returns an error.
 func Run(ctx context.Context, p *Plan, o Options) (*Outcome, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
@@ -44,13 +44,13 @@
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("interrupted after %d of %d runs; the same command goes on: %w",
+		return nil, fmt.Errorf("interrupted after %d of %d runs; repeat the command to continue: %w",
 			len(j.finished), p.RunCount(), err)
 	}
 	return out, out.writeTables(o.Dir, j.finished)
 }
 
-// writeTables writes the tables of all runs, and gathers the violations.
+// writeTables writes the tables of all runs and collects the violations.
 func (o *Outcome) writeTables(dir string, finished map[int]*finishedRun) error {
 	var rows []Row
 	var seconds []SecondRow
@@ -67,10 +67,10 @@
 		writeTable(filepath.Join(dir, secondsFile), seconds))
 }
 
-// runMissing runs what is not in the journal, on o.Workers goroutines, until the context ends. All have ended
-// when it returns.
+// runMissing executes the runs that are not in the journal on o.Workers goroutines, until the context ends.
+// It returns after all goroutines have ended.
 func runMissing(ctx context.Context, p *Plan, o Options, j *journal) error {
-	var missing []int // found before results are added to the journal by another goroutine
+	var missing []int // collected first: the loop below adds results to the journal meanwhile
 	for run := range p.RunCount() {
 		if j.finished[run] == nil {
 			missing = append(missing, run)
@@ -116,7 +116,7 @@
 	return failed
 }
 
-// run runs one world of the plan.
+// run executes one run of the plan.
 func (p *Plan) run(number int, programVersion string) (*finishedRun, error) {
 	combination, seed := number/p.Seeds, p.FirstSeed+uint64(number%p.Seeds)
 	sc, err := p.Scenario(combination, seed)
@@ -137,19 +137,19 @@
 		Factors:     strings.Join(p.Labels(combination), ", "),
 		Seed:        int64(seed),
 	}
-	rows := []Row{common.ofAll(r)}
+	rows := []Row{common.withTotals(r)}
 	for _, t := range r.Classes {
-		rows = append(rows, common.ofTally(scopeClass, t))
+		rows = append(rows, common.withTally(scopeClass, t))
 	}
 	for _, t := range r.Teams {
-		rows = append(rows, common.ofTally(scopeTeam, t))
+		rows = append(rows, common.withTally(scopeTeam, t))
 	}
 	return &finishedRun{Hash: p.Hash, Run: number, Rows: rows, Seconds: secondRows(number, r.Seconds),
 		Violations: r.Violations}, nil
 }
 
-// ofTally is the row of a class or team.
-func (r Row) ofTally(scope string, t emulate.Tally) Row {
+// withTally returns the row of a class or team.
+func (r Row) withTally(scope string, t emulate.Tally) Row {
 	r.Scope, r.Name = scope, t.Name
 	r.Arrived, r.Served, r.InTime = int64(t.Arrived), int64(t.Served), int64(t.InTime)
 	r.Rejected, r.Failed, r.P50, r.P99 = int64(t.Rejected), int64(t.Failed), t.P50, t.P99
@@ -159,8 +159,8 @@
 	return r
 }
 
-// ofAll is the row of all classes together.
-func (r Row) ofAll(result *emulate.Result) Row {
+// withTotals returns the row of all classes together.
+func (r Row) withTotals(result *emulate.Result) Row {
 	r.Scope, r.EarnedShare, r.Violations = scopeAll, result.EarnedShare, int64(len(result.Violations))
 	r.Attempts, r.HealthChecks = int64(result.Attempts), int64(result.HealthChecks)
 	r.Retries, r.Events = int64(result.Retries), int64(result.Events)
--- a/internal/verify/experiment/scenario_tree.go
+++ b/internal/verify/experiment/scenario_tree.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// copyTree copies a decoded TOML file, down to its values.
+// copyTree returns a deep copy of the tables of a decoded TOML file.
 func copyTree(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -24,13 +24,13 @@
 	return v
 }
 
-// change is what a factor's level does to a value of the scenario.
+// change is the change that a factor's level makes to a value of the scenario.
 type change struct {
-	value any     // nil: the value is multiplied
-	scale float64 // by this
+	value any // new value; nil: the old one is multiplied by scale
+	scale float64
 }
 
-// apply is the value after the change. The value is nil where the scenario has none.
+// apply returns the changed value. The given value is nil if the scenario has none.
 func (c change) apply(key string, value any) (any, error) {
 	if c.value != nil {
 		return c.value, nil
@@ -41,7 +41,7 @@
 	case float64:
 		return value * c.scale, nil
 	}
-	return nil, fmt.Errorf("%q is no number in the scenario, so there is nothing to multiply", key)
+	return nil, fmt.Errorf("%q is not a number in the scenario and cannot be scaled", key)
 }
 
 // changeAt changes the value at a path of a tree.
@@ -52,10 +52,10 @@
 	case map[string]any:
 		return changeInTable(node, path, c)
 	}
-	return fmt.Errorf("there is nothing below %q", path[0])
+	return fmt.Errorf("%q is below a value that is neither a table nor an array of tables", path[0])
 }
 
-// changeInArray changes the value in one table of an array, or in each of them.
+// changeInArray changes the value in one table of an array, or in all of them if the index is "*".
 func changeInArray(array []map[string]any, path []string, c change) error {
 	if path[0] == "*" {
 		for _, table := range array {
@@ -67,7 +67,7 @@
 	}
 	i, err := strconv.Atoi(path[0])
 	if err != nil || i < 0 || i >= len(array) {
-		return fmt.Errorf("%q is none of its %d entries", path[0], len(array))
+		return fmt.Errorf("%q is not the index of one of the %d tables", path[0], len(array))
 	}
 	return changeAt(array[i], path[1:], c)
 }
@@ -77,7 +77,7 @@
 	if len(path) > 1 {
 		next, ok := table[key]
 		if !ok {
-			return fmt.Errorf("there is no %q", key)
+			return fmt.Errorf("unknown key %q", key)
 		}
 		return changeAt(next, path[1:], c)
 	}
--- a/internal/verify/experiment/stats.go
+++ b/internal/verify/experiment/stats.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Estimate is a mean over seeds with a confidence interval of 95%, by bootstrap.
+// Estimate is the mean of values with a 95% bootstrap confidence interval.
 type Estimate struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
@@ -14,11 +14,11 @@
 	N    int     `json:"n"`
 }
 
-// resamples is how often the bootstrap draws; its seed is fixed, so that a table is the same each time it is
-// made.
+// resamples is the number of bootstrap resamples. The bootstrap uses a fixed seed, so the same table always
+// gives the same estimates.
 const resamples = 2000
 
-// Bootstrap estimates the mean of values. Of no values it is the zero Estimate.
+// Bootstrap estimates the mean of values. Without values it returns the zero Estimate.
 func Bootstrap(values []float64) Estimate {
 	n := len(values)
 	if n == 0 {
@@ -39,7 +39,7 @@
 	return Estimate{mean, means[resamples*25/1000], means[resamples*975/1000], n}
 }
 
-// Summary is a combination of levels in a table, for a class, a team or all.
+// Summary summarizes the runs of a combination for a class, a team or all classes together.
 type Summary struct {
 	Factors     string   `json:"factors"`
 	Scope       string   `json:"of"` // as Row.Scope
@@ -49,12 +49,12 @@
 	P99         Estimate `json:"p99_ms"`
 }
 
-// group is the runs of a combination, for a class, a team or all.
+// group identifies the runs of a combination for a class, a team or all classes together.
 type group struct{ factors, scope, name string }
 
 func groupOf(r Row) group { return group{r.Factors, r.Scope, r.Name} }
 
-// groupRows gives the groups in the order of their first rows, and the rows of each.
+// groupRows returns the groups in the order of their first rows, and the rows of each group.
 func groupRows(rows []Row) (order []group, byGroup map[group][]Row) {
 	byGroup = map[group][]Row{}
 	for _, r := range rows {
@@ -67,7 +67,7 @@
 	return order, byGroup
 }
 
-// metric is what is estimated and compared.
+// metric is a value of a row that is estimated and compared.
 type metric struct {
 	name  string
 	value func(Row) float64
@@ -89,7 +89,7 @@
 	return Bootstrap(values)
 }
 
-// Summarize summarizes a table of runs over the seeds.
+// Summarize returns estimates over the seeds for each group of a table of runs.
 func Summarize(rows []Row) []Summary {
 	order, byGroup := groupRows(rows)
 	var list []Summary
@@ -101,7 +101,7 @@
 	return list
 }
 
-// Difference is how a metric differs between two tables, seed by seed.
+// Difference is the difference of a metric between two tables, paired by seed.
 type Difference struct {
 	Factors     string   `json:"factors"`
 	Scope       string   `json:"of"` // as Row.Scope
@@ -109,12 +109,12 @@
 	Metric      string   `json:"metric"`
 	A           float64  `json:"a"`
 	B           float64  `json:"b"`
-	Change      Estimate `json:"by"`   // B less A
-	Significant bool     `json:"real"` // the interval is all on one side of 0
+	Change      Estimate `json:"by"`   // B minus A
+	Significant bool     `json:"real"` // the interval does not contain 0
 }
 
-// Compare pairs the runs of two tables by their levels and seeds. Chance that both share falls out of the
-// difference. It fails where they have no levels and seeds in common.
+// Compare pairs the runs of two tables by their levels and seeds, so that random effects common to both
+// cancel out. It returns an error if no levels and seeds are common to both.
 func Compare(a, b []Row) ([]Difference, error) {
 	type key struct {
 		group
@@ -141,12 +141,12 @@
 		}
 	}
 	if len(list) == 0 {
-		return nil, errors.New("the two have no levels and seeds in common")
+		return nil, errors.New("the tables have no levels and seeds in common")
 	}
 	return list, nil
 }
 
-// difference compares runs in pairs.
+// difference estimates the paired difference of a metric.
 func (g group) difference(m metric, a, b []Row) Difference {
 	changes := make([]float64, len(a))
 	for i := range a {
--- a/internal/verify/experiment/table.go
+++ b/internal/verify/experiment/table.go
@@ -9,11 +9,11 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// SchemaVersion is the version of the tables' columns. Readers reject a newer one; columns are only ever
-// added within a version.
+// SchemaVersion is the version of the tables' columns. Readers reject newer versions; within a version,
+// columns may be added but not changed or removed.
 const SchemaVersion = 1
 
-// The tables' files in a directory of results.
+// The files of the tables in a results directory.
 const (
 	runsFile    = "runs.parquet"
 	secondsFile = "seconds.parquet"
@@ -26,34 +26,35 @@
 	scopeAll   = "all"
 )
 
-// Row is a run in the table of runs: one for each class, for each team, and for all.
+// Row is a row of the table of runs. Each run has one for each class, one for each team, and one for all
+// classes together.
 type Row struct {
 	Schema       int32   `parquet:"schema" json:"schema"`
 	Plan         string  `parquet:"plan,dict" json:"plan"`
 	Hash         string  `parquet:"plan_hash,dict" json:"plan_hash"`
-	Program      string  `parquet:"program,dict" json:"program"` // its version
+	Program      string  `parquet:"program,dict" json:"program"` // version of the program
 	Run          int32   `parquet:"run" json:"run"`
-	Combination  int32   `parquet:"cell" json:"cell"` // of the factors' levels
+	Combination  int32   `parquet:"cell" json:"cell"` // number of the combination of levels
 	Factors      string  `parquet:"factors,dict" json:"factors"`
 	Seed         int64   `parquet:"seed" json:"seed"`
 	Scope        string  `parquet:"of,dict" json:"of"`     // class, team or all
-	Name         string  `parquet:"name,dict" json:"name"` // of the class or team
+	Name         string  `parquet:"name,dict" json:"name"` // of the class or team; empty: all
 	Arrived      int64   `parquet:"came" json:"came"`
 	Served       int64   `parquet:"served" json:"served"`
 	InTime       int64   `parquet:"in_time" json:"in_time"`
 	Rejected     int64   `parquet:"refused" json:"refused"`
 	Failed       int64   `parquet:"failed" json:"failed"`
-	EarnedShare  float64 `parquet:"earned" json:"earned"` // of the offered weight
+	EarnedShare  float64 `parquet:"earned" json:"earned"` // share of the offered weight
 	P50          float64 `parquet:"p50_ms" json:"p50_ms"`
 	P99          float64 `parquet:"p99_ms" json:"p99_ms"`
-	Attempts     int64   `parquet:"attempts" json:"attempts"` // in rows of all only, as the rest
+	Attempts     int64   `parquet:"attempts" json:"attempts"` // this and the rest: only in rows of scope all
 	HealthChecks int64   `parquet:"probes" json:"probes"`
 	Retries      int64   `parquet:"retries" json:"retries"`
 	Events       int64   `parquet:"events" json:"events"`
 	Violations   int64   `parquet:"violations" json:"violations"`
 }
 
-// SecondRow is a second of a run, in the table of seconds.
+// SecondRow is a row of the table of seconds: one second of a run.
 type SecondRow struct {
 	Schema   int32 `parquet:"schema" json:"schema"`
 	Run      int32 `parquet:"run" json:"run"`
@@ -67,7 +68,7 @@
 	Running  int32 `parquet:"busy" json:"busy"`
 }
 
-// writeTable writes a table whole or not at all.
+// writeTable writes a table atomically.
 func writeTable[T any](path string, rows []T) error {
 	tmp := path + ".tmp"
 	f, err := os.Create(tmp)
@@ -83,7 +84,7 @@
 	return os.Rename(tmp, path)
 }
 
-// ReadRuns reads the table of runs of a directory. It fails where the columns are of a newer version.
+// ReadRuns reads the table of runs in a directory. It returns an error if the columns have a newer version.
 func ReadRuns(dir string) ([]Row, error) {
 	rows, err := parquet.ReadFile[Row](filepath.Join(dir, runsFile))
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 	for _, r := range rows {
 		if r.Schema > SchemaVersion {
-			return nil, fmt.Errorf("%s: its columns are of version %d, this program reads %d",
+			return nil, fmt.Errorf("%s: the table has schema version %d, this program supports up to %d",
 				dir, r.Schema, SchemaVersion)
 		}
 	}
--- a/internal/verify/load/load_test.go
+++ b/internal/verify/load/load_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// startServer starts a server in place of a node and gives its address.
+// startServer starts a test server as the node and returns its address.
 func startServer(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handle)
@@ -22,7 +22,7 @@
 		Classes: []Class{{Name: "c", Weight: 1, Timeout: 3 * time.Second}}}
 }
 
-// runOneClass runs against a server in place of a node.
+// runOneClass runs the generator against a test server with one class of jobs.
 func runOneClass(t *testing.T, handle http.HandlerFunc) (*Result, *ClassResult) {
 	t.Helper()
 	r, err := Run(t.Context(), options(startServer(t, handle)))
@@ -32,8 +32,8 @@
 	return r, r.Classes["c"]
 }
 
-// A server that stops once for 600 ms: in a closed loop one job would have waited. Here all that were due
-// meanwhile have, and that is counted.
+// Guards against coordinated omission: a server stalls once for 600 ms. A closed-loop generator would record
+// one slow job; the open loop must record the delay of every job that was due during the stall.
 func TestStallCountsForAllJobsDueInIt(t *testing.T) {
 	var n atomic.Int32
 	var until atomic.Int64
@@ -50,9 +50,11 @@
 	if c.Served < 100 || c.Failed+c.Unanswered+c.Rejected > 0 || c.Served+r.NotSent != r.Scheduled {
 		t.Fatalf("%+v of %d", c, r.Scheduled)
 	}
-	// At 200 a second some 120 were due in the stall: over a tenth of all waited 100 ms or more.
+	// At 200 jobs per second about 120 were due in the stall, so more than a tenth of all jobs waited 100 ms
+	// or more.
 	if waited := c.histogram.ValueAtQuantile(85); waited < 100_000 {
-		t.Errorf("of those that were due in the stall nothing shows: 85%% within %d us", waited)
+		t.Errorf("the delays of the jobs due in the stall are missing: p85 is %d us, want 100000 or more",
+			waited)
 	}
 }
 
@@ -77,16 +79,16 @@
 
 func TestOptionsOutOfBoundsAreRejected(t *testing.T) {
 	for want, change := range map[string]func(*Options){
-		"not on loopback": func(o *Options) { o.Address = "192.0.2.1:80" },
-		"a rate of":       func(o *Options) { o.Rate = 1e9 },
-		"is not above 0":  func(o *Options) { o.Duration = 0 },
-		"no class":        func(o *Options) { o.Classes = nil },
-		"over 50000000":   func(o *Options) { o.Rate, o.Duration = 100_000, time.Hour },
+		"not on loopback":          func(o *Options) { o.Address = "192.0.2.1:80" },
+		"rate must be":             func(o *Options) { o.Rate = 1e9 },
+		"duration must be":         func(o *Options) { o.Duration = 0 },
+		"at least one class":       func(o *Options) { o.Classes = nil },
+		"must not exceed 50000000": func(o *Options) { o.Rate, o.Duration = 100_000, time.Hour },
 	} {
 		o := options("127.0.0.1:1")
 		change(&o)
 		if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
 }
--- a/internal/verify/load/run.go
+++ b/internal/verify/load/run.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// progressInterval is the least time between two calls of Options.OnProgress.
+	// progressInterval is the minimum time between two calls of Options.OnProgress.
 	progressInterval = time.Second
-	// responseGrace is how long after a job's timeout its response is still waited for.
+	// responseGrace is how long the generator waits for a response after the job's timeout.
 	responseGrace = time.Second
 )
 
-// run is a run of the generator. One goroutine schedules; each job in flight has one of its own, which ends
-// with the job.
+// run is a run of the generator. One goroutine schedules the jobs; each job in flight has its own goroutine,
+// which ends with the job.
 type run struct {
 	Options
-	client    *http.Client
-	random    *rand.Rand
-	weights   float64 // of all classes
-	idPrefix  string
-	startedAt time.Time
-	slots     chan struct{}  // one for each job in flight
-	inFlight  sync.WaitGroup // the jobs' goroutines
+	client      *http.Client
+	random      *rand.Rand
+	totalWeight float64 // sum of the classes' weights
+	idPrefix    string
+	startedAt   time.Time
+	slots       chan struct{}  // one entry for each job in flight
+	inFlight    sync.WaitGroup // the jobs' goroutines
 
-	mu     sync.Mutex // over the classes' results
+	mu     sync.Mutex // guards the classes' results
 	result *Result
 }
 
-// job is a job that is due.
+// job is a scheduled job.
 type job struct {
 	id          string
 	class       *Class
@@ -43,8 +43,8 @@
 	scheduledAt time.Time
 }
 
-// Run sends jobs and waits for their responses. If the context ends it sends no more, and gives what it has
-// measured together with the context's error.
+// Run sends jobs and waits for their responses. If the context ends, it stops sending and returns the
+// measurements so far together with the context's error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -77,13 +77,13 @@
 		result:    &Result{Classes: map[string]*ClassResult{}},
 	}
 	for _, c := range o.Classes {
-		r.weights += c.Weight
+		r.totalWeight += c.Weight
 		r.result.Classes[c.Name] = &ClassResult{histogram: newHistogram()}
 	}
 	return r
 }
 
-// schedule starts each job at its time, until the run's end.
+// schedule starts each job when it is due, until the end of the run.
 func (r *run) schedule(ctx context.Context) {
 	due, progressAt := r.startedAt, r.startedAt
 	for n := 0; ; n++ {
@@ -102,9 +102,9 @@
 	}
 }
 
-// draw makes the n-th job.
+// draw creates the n-th job.
 func (r *run) draw(n int, due time.Time) job {
-	at := r.random.Float64() * r.weights
+	at := r.random.Float64() * r.totalWeight
 	pick := 0
 	for pick < len(r.Classes)-1 && at >= r.Classes[pick].Weight {
 		at -= r.Classes[pick].Weight
@@ -118,7 +118,7 @@
 	return j
 }
 
-// start sends a job on a goroutine of its own, unless too many are in flight.
+// start sends a job on its own goroutine, or counts it as not sent if too many are in flight.
 func (r *run) start(ctx context.Context, j job) {
 	r.result.Scheduled++
 	select {
@@ -173,7 +173,7 @@
 	return resp.StatusCode, err
 }
 
-// count counts a job's end.
+// count records the result of a job.
 func (c *ClassResult) count(status int, err error, latency time.Duration) {
 	switch {
 	case err != nil:
@@ -188,7 +188,7 @@
 	}
 }
 
-// summarize computes the latencies, in milliseconds.
+// summarize computes the latency quantiles in milliseconds.
 func (c *ClassResult) summarize() {
 	c.Latency = map[string]any{}
 	for name, q := range map[string]float64{"p50": 50, "p90": 90, "p99": 99, "p99.9": 99.9, "max": 100} {
--- a/internal/verify/load/search.go
+++ b/internal/verify/load/search.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
-// Objective is what a run must keep to for its rate to count as sustained.
+// Objective is what a run must achieve for its rate to count as sustained.
 type Objective struct {
-	P99           time.Duration // of the latency of the served
-	MaxErrorShare float64       // of the jobs: rejected, failed, without a response or not sent
+	P99           time.Duration // limit on the p99 latency of the served jobs
+	MaxErrorShare float64       // limit on the share of jobs rejected, failed, without a response or not sent
 }
 
-// Step is one rate that was tried.
+// Step is the result of one tried rate.
 type Step struct {
-	Rate          float64 `json:"rate"`       // jobs a second
-	SentPerSecond float64 `json:"per_second"` // that were due, as drawn
-	P99           float64 `json:"p99_ms"`
-	ErrorShare    float64 `json:"unkept"`
-	Sustained     bool    `json:"borne"`
+	Rate               float64 `json:"rate"`       // jobs per second
+	ScheduledPerSecond float64 `json:"per_second"` // jobs per second that were due; random, near Rate
+	P99                float64 `json:"p99_ms"`
+	ErrorShare         float64 `json:"unkept"`
+	Sustained          bool    `json:"borne"`
 }
 
-// RateSearch finds the highest sustained rate: it doubles until one is not, then halves the interval between
-// the two. It knows no node and no clock, and is for one goroutine.
+// RateSearch finds the highest sustained rate: it doubles the rate until one is not sustained, then bisects
+// the interval. It depends on neither node nor clock, and is not safe for concurrent use.
 type RateSearch struct {
-	sustained   float64 // the highest rate that was; 0: none yet
-	unsustained float64 // the lowest that was not; 0: none yet
+	sustained   float64 // highest sustained rate; 0: none yet
+	unsustained float64 // lowest rate that was not sustained; 0: none yet
 	next        float64
-	tolerance   float64 // how near the two must be, as a share of the lower one
+	tolerance   float64 // width of the interval at which the search ends, as a share of sustained
 	steps       int
 }
 
-// maxSteps bounds a search: from 1 to MaxRate by doubling is 18, to a hundredth of that 7 more.
+// maxSteps bounds a search. Doubling from 1 to MaxRate takes 18 steps, and narrowing the interval to a
+// hundredth 7 more.
 const maxSteps = 32
 
-// NewRateSearch begins at a rate and ends when the highest sustained one is known within a share of it.
-func NewRateSearch(from, within float64) *RateSearch {
-	return &RateSearch{next: from, tolerance: within}
+// NewRateSearch returns a search that begins at the rate start and ends when the highest sustained rate is
+// known within the given relative tolerance.
+func NewRateSearch(start, tolerance float64) *RateSearch {
+	return &RateSearch{next: start, tolerance: tolerance}
 }
 
-// Next is the rate to be tried now; false once the search has ended.
+// Next returns the rate to be tried next, or false if the search has ended.
 func (s *RateSearch) Next() (float64, bool) {
 	switch {
 	case s.steps >= maxSteps, s.sustained >= MaxRate, s.unsustained > 0 && s.unsustained < 1:
@@ -51,10 +53,10 @@
 	return s.next, true
 }
 
-// Record takes whether the rate that Next gave was sustained.
+// Record records whether the rate returned by Next was sustained.
 //
-// Hazard: on a noisy machine a rate may be sustained above one that was not. What was not sustained once
-// counts as such, and the search goes on below it.
+// On a noisy machine a rate may be sustained although a lower one was not. A rate that was not sustained once
+// counts as unsustained, and the search continues below it.
 func (s *RateSearch) Record(sustained bool) {
 	s.steps++
 	if sustained {
@@ -72,19 +74,21 @@
 	}
 }
 
-// Sustained is the highest rate that was sustained; 0: none.
+// Sustained returns the highest rate that was sustained, or 0 if there is none.
 func (s *RateSearch) Sustained() float64 { return s.sustained }
 
-// FindMaxRate searches for the highest rate at which a node keeps to the objective, one run of o.Duration
-// after the other, beginning at o.Rate, until it is known within a share of it. OnStep, where it is not nil,
-// is called with each. With an error it gives the highest rate that was sustained before.
-func FindMaxRate(ctx context.Context, o Options, objective Objective, within float64,
+// FindMaxRate searches for the highest rate at which a node meets the objective, to within the given relative
+// tolerance. It starts at o.Rate and runs for o.Duration at each rate, with a new seed. OnStep, if not nil,
+// is called after each step. If a run fails, FindMaxRate returns the highest rate sustained before and the
+// error.
+func FindMaxRate(ctx context.Context, o Options, objective Objective, tolerance float64,
 	onStep func(Step)) (float64, error) {
 	if objective.P99 <= 0 || objective.MaxErrorShare < 0 || objective.MaxErrorShare >= 1 ||
-		!(within > 0 && within < 1) {
-		return 0, errors.New("the bound wants a p99 above 0 and shares from 0 to under 1")
+		!(tolerance > 0 && tolerance < 1) {
+		return 0, errors.New("the p99 limit must be above 0, the error share at least 0 and below 1, " +
+			"and the tolerance above 0 and below 1")
 	}
-	s := NewRateSearch(o.Rate, within)
+	s := NewRateSearch(o.Rate, tolerance)
 	for {
 		rate, more := s.Next()
 		if !more {
@@ -93,11 +97,11 @@
 		o.Rate, o.Seed = rate, o.Seed+1
 		r, err := Run(ctx, o)
 		if err != nil {
-			return s.Sustained(), fmt.Errorf("at %.1f a second: %w", rate, err)
+			return s.Sustained(), fmt.Errorf("at %.1f jobs per second: %w", rate, err)
 		}
 		step := objective.evaluate(r)
 		step.Rate = rate
-		step.SentPerSecond = float64(r.Scheduled) / o.Duration.Seconds()
+		step.ScheduledPerSecond = float64(r.Scheduled) / o.Duration.Seconds()
 		s.Record(step.Sustained)
 		if onStep != nil {
 			onStep(step)
@@ -105,10 +109,10 @@
 	}
 }
 
-// evaluate says whether a run kept to the objective.
+// evaluate compares a run with the objective.
 //
-// Hazard: a sender that falls behind counts its own lateness as the node's; it shows as latency and as jobs
-// not sent, and so ends the search too early rather than too late.
+// If the generator falls behind, its own delay counts as the node's: it appears as latency and as jobs not
+// sent. The search then underestimates the maximum rate rather than overestimating it.
 func (o Objective) evaluate(r *Result) Step {
 	all := newHistogram()
 	errorCount := r.NotSent
--- a/internal/verify/load/search_test.go
+++ b/internal/verify/load/search_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Whatever rate a node sustains and wherever the search begins, it ends near that rate, from below.
+// Whatever rate a node sustains and wherever the search starts, the result is close to that rate and not
+// above it.
 func TestRateSearchEndsNearTheLimit(t *testing.T) {
 	for _, limit := range []float64{0, 1.5, 37, 800, 12_345, 199_000, 1e9} {
 		for _, from := range []float64{1, 100, 50_000} {
@@ -23,13 +24,13 @@
 			}
 			want := math.Min(limit, MaxRate)
 			if got := s.Sustained(); got > want || got < want/1.06 || steps > maxSteps {
-				t.Errorf("a node that sustains %v, from %v: found %v in %d steps", limit, from, got, steps)
+				t.Errorf("limit %v, search from %v: found %v in %d steps", limit, from, got, steps)
 			}
 		}
 	}
 }
 
-// A server that serves 200 jobs a second and rejects the rest: about that rate is found.
+// A server that serves 200 jobs per second and rejects the rest: the search finds about that rate.
 func TestFindMaxRateOfServerWithLimit(t *testing.T) {
 	var mu sync.Mutex
 	var window time.Time
@@ -49,10 +50,10 @@
 	objective := Objective{P99: 5 * time.Second, MaxErrorShare: 0.02}
 	got, err := FindMaxRate(t.Context(), o, objective, 0.2, func(s Step) { steps = append(steps, s) })
 	if err != nil || got < 50 || got > 400 {
-		t.Errorf("found %v, %v: %+v", got, err, steps)
+		t.Errorf("found rate %v, error %v, steps %+v", got, err, steps)
 	}
 	if len(steps) < 3 || !steps[0].Sustained || steps[len(steps)-1].P99 <= 0 {
-		t.Errorf("the steps: %+v", steps)
+		t.Errorf("steps: %+v", steps)
 	}
 }
 
