--- a/internal/verify/emulate/fault_test.go
+++ b/internal/verify/emulate/fault_test.go
@@ -29,7 +29,7 @@
 				t.Fatal(err)
 			}
 			if len(r.Violations) > 0 {
-				t.Errorf("%s, seed %d: %v", kind, seed, r.Violations)
+				t.Errorf("%s, seed %d: violations %v", kind, seed, r.Violations)
 			}
 			if r.Jobs < 1000 || r.EarnedShare < 0.1 {
 				t.Errorf("%s, seed %d: %d jobs, earned share %.3f; want at least 1000 and 0.1",
@@ -54,7 +54,7 @@
 		}
 		r, err := RunScenario(sc)
 		if err != nil || len(r.Violations) > 0 || r.EarnedShare < 0.3 {
-			t.Errorf("seed %d: %v, %+v", seed, err, r)
+			t.Errorf("seed %d: error %v, result %+v", seed, err, r)
 		}
 	}
 }
@@ -116,6 +116,6 @@
 	})
 	if len(got) != 2 || got[0].Kind != "cut" || got[0].Length != Duration(time.Second) ||
 		got[1].Kind != "drain" {
-		t.Errorf("%+v", got)
+		t.Errorf("want a cut of 1 s and a drain, got %+v", got)
 	}
 }
--- a/internal/verify/emulate/loopback/platform_test.go
+++ b/internal/verify/emulate/loopback/platform_test.go
@@ -79,11 +79,11 @@
 	p, events := startPlatform(t, Options{})
 	w := p.workers[0]
 	if status, _ := send(t, w, http.MethodPost, "/", "j1", "size=0.01"); status != http.StatusAccepted {
-		t.Fatalf("status %d", status)
+		t.Fatalf("job: status %d, want 202", status)
 	}
 	want := event{ID: "j1", From: w.name, State: "done", Result: "done by " + w.name}
 	if e := nextEvent(t, events); e != want {
-		t.Errorf("%+v, want %+v", e, want)
+		t.Errorf("call-back %+v, want %+v", e, want)
 	}
 	if status, _ := send(t, w, http.MethodPost, "/", "", "size=0.01"); status != http.StatusNotFound {
 		t.Errorf("job without a request ID: status %d, want 404", status)
@@ -95,16 +95,16 @@
 	w := p.workers[0]
 	for _, id := range []string{"running", "queued"} {
 		if status, _ := send(t, w, http.MethodPost, "/", id, "size=1000"); status != http.StatusAccepted {
-			t.Fatalf("%s: status %d", id, status)
+			t.Fatalf("job %s: status %d, want 202", id, status)
 		}
 	}
 	status, header := send(t, w, http.MethodPost, "/", "third", "size=1000")
 	if status != http.StatusServiceUnavailable || header.Get("X-Not-Processed") != "1" {
-		t.Errorf("status %d, %v", status, header)
+		t.Errorf("full worker: status %d and header %v, want 503 with X-Not-Processed: 1", status, header)
 	}
 	send(t, w, http.MethodDelete, "/jobs/running", "", "")
 	if status, _ := send(t, w, http.MethodPost, "/", "fourth", "size=1000"); status != http.StatusAccepted {
-		t.Errorf("after the cancellation: status %d", status)
+		t.Errorf("job after the cancellation: status %d, want 202", status)
 	}
 }
 
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	if e := nextEvent(t, events); e.ID != "j1" || e.State != "lost" {
-		t.Errorf("%+v", e)
+		t.Errorf("want a call-back that j1 is lost, got %+v", e)
 	}
 	if u := receive(); u.Reset || len(u.Instances) != 1 || u.Instances[0].Lifecycle != deleted {
 		t.Errorf("update after the crash: %+v", u)
@@ -179,7 +179,7 @@
 		"192.0.2.1:80": false, "localhost:80": false, "127.0.0.1": false, "": false,
 	} {
 		if err := CheckAddress(address); (err == nil) != ok {
-			t.Errorf("%q: %v", address, err)
+			t.Errorf("address %q: unexpected result, error %v", address, err)
 		}
 	}
 }
--- a/internal/verify/emulate/queueing_test.go
+++ b/internal/verify/emulate/queueing_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Waits with d(N) draws are close to those with full information (at most twice as long), while two draws
-// give waits at least 50 times as long.
+// Checks the choice of d(N) at a size that can be simulated: waits with d(N) draws are close to those with
+// full information (at most twice as long), while two draws give waits at least 50 times as long.
 func TestSampleSizeOfTheDesignIsNearFullInformation(t *testing.T) {
 	run := func(d int) float64 { return JSQ{N: 300, D: d, Load: 0.9, Seed: 1, Jobs: 100_000}.Run().MeanWait }
 	size := SampleSize(300)
--- a/internal/verify/emulate/worker.go
+++ b/internal/verify/emulate/worker.go
@@ -57,7 +57,7 @@
 	partitioned     bool    // all messages to and from it are lost
 }
 
-// NewWorker returns a warm worker.
+// NewWorker returns a worker that has been running for a long time, so that it is warm.
 func NewWorker(clock *Clock, random *rand.Rand, name string, spec WorkerSpec) *Worker {
 	return &Worker{Name: name, Spec: spec, clock: clock, random: random, slowdown: 1,
 		report: balancer.NoLoadReport, meanWork: &workMean{}}
--- a/internal/verify/experiment/experiment_test.go
+++ b/internal/verify/experiment/experiment_test.go
@@ -220,9 +220,9 @@
 func TestBootstrapInterval(t *testing.T) {
 	e := Bootstrap([]float64{1, 2, 3, 4, 5})
 	if e.Mean != 3 || e.Low < 1 || e.Low > 2.2 || e.High < 3.8 || e.High > 5 {
-		t.Errorf("%+v", e)
+		t.Errorf("estimate %+v, want a mean of 3 and an interval within 1 to 5", e)
 	}
 	if e := Bootstrap(nil); e.N != 0 {
-		t.Errorf("%+v", e)
+		t.Errorf("want the zero Estimate without values, got %+v", e)
 	}
 }
--- a/internal/verify/load/load_test.go
+++ b/internal/verify/load/load_test.go
@@ -48,7 +48,7 @@
 		time.Sleep(time.Until(time.Unix(0, until.Load())))
 	})
 	if c.Served < 100 || c.Failed+c.Unanswered+c.Rejected > 0 || c.Served+r.NotSent != r.Scheduled {
-		t.Fatalf("%+v of %d", c, r.Scheduled)
+		t.Fatalf("want every sent job served, got %+v of %d", c, r.Scheduled)
 	}
 	// At 200 jobs per second about 120 were due in the stall, so more than a tenth of all jobs waited 100 ms
 	// or more.
@@ -73,7 +73,7 @@
 	})
 	if c.Served == 0 || c.Rejected == 0 || c.Failed == 0 || c.Unanswered == 0 ||
 		c.Served+c.Rejected+c.Failed+c.Unanswered != r.Scheduled {
-		t.Errorf("%+v of %d", c, r.Scheduled)
+		t.Errorf("want each outcome and a total of all jobs, got %+v of %d", c, r.Scheduled)
 	}
 }
 
--- a/internal/verify/load/search_test.go
+++ b/internal/verify/load/search_test.go
@@ -60,7 +60,7 @@
 func TestInvalidObjectiveIsRejected(t *testing.T) {
 	for _, objective := range []Objective{{}, {P99: time.Second, MaxErrorShare: 1}, {P99: -1}} {
 		if _, err := FindMaxRate(t.Context(), options("127.0.0.1:1"), objective, 0.1, nil); err == nil {
-			t.Errorf("%+v was accepted", objective)
+			t.Errorf("invalid objective %+v was accepted", objective)
 		}
 	}
 }
