--- a/internal/frozen/backup_test.go
+++ b/internal/frozen/backup_test.go
@@ -16,7 +16,8 @@
 	"moorstack/internal/operate/controlapi"
 )
 
-// A backup is written as before, byte for byte, and one of before is read.
+// The encoding of a backup is unchanged, byte for byte, a backup written by an earlier version is read, and a
+// corrupt or truncated one is rejected.
 func TestBackupOfBeforeIsRead(t *testing.T) {
 	s := newLog(t).state(t)
 	golden.Compare(t, "backup.txt", base64Lines(controlapi.EncodeBackup(s.ClusterID(), s.Revisions())))
@@ -29,55 +30,55 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "backup.json", indented(t, text))
+	golden.Compare(t, "backup.json", indentJSON(t, text))
 	for at := range raw {
 		bad := bytes.Clone(raw)
 		bad[at] ^= 1 << (at % 8)
 		if _, err := controlapi.DecodeBackup(bad); err == nil {
-			t.Fatalf("a backup with byte %d flipped was read", at)
+			t.Fatalf("a backup with a flipped bit in byte %d was accepted", at)
 		}
 	}
 	for _, size := range []int{0, 8, 15, len(raw) - 1} {
 		if _, err := controlapi.DecodeBackup(raw[:size]); err == nil {
-			t.Errorf("%d bytes of a backup were read", size)
+			t.Errorf("a backup truncated to %d bytes was accepted", size)
 		}
 	}
 }
 
-// The directory of backups has the files that it had, and what is noted of a backup is what it was. The
-// fence that a program of before has left there holds.
+// The files of the backup directory and the encoded result of a backup are unchanged, and the fencing tokens
+// in a fence file of an earlier version are enforced.
 func TestBackupDirectoryIsAsBefore(t *testing.T) {
 	dir := backups.Dir{Path: t.TempDir(), Verify: func([]byte) error { return nil }}
-	keep := func(number uint64) (backups.Result, error) {
+	writeBackup := func(number uint64) (backups.Result, error) {
 		return dir.Write(backups.WriteRequest{Group: "g", Task: "backup", FencingToken: number,
 			Period:  time.Date(2026, 12, 1, 1, 0, 0, 0, time.UTC),
 			Content: []byte("content"), Retain: 2, LeaseValid: func() bool { return true }})
 	}
-	kept, err := keep(7)
+	result, err := writeBackup(7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	note, err := json.Marshal(kept)
+	encoded, err := json.Marshal(result)
 	const want = `{"period":"2026-12-01T01:00:00Z","file":"agreed-20261201T010000Z.backup","sha256":` +
 		`"ed7002b439e9ac845f22357d822bac1444730fbdb6016d3ec9432297b9ec9f73"}`
-	if err != nil || string(note) != want {
-		t.Errorf("the note is %s, %v; want %s", note, err, want)
+	if err != nil || string(encoded) != want {
+		t.Errorf("got the result %s, %v; want %s", encoded, err, want)
 	}
 	const fence = `{"group":"g","numbers":{"backup":7}}`
 	if got, err := os.ReadFile(filepath.Join(dir.Path, "fence.json")); err != nil || string(got) != fence {
-		t.Errorf("the fence is %s, %v; want %s", got, err, fence)
+		t.Errorf("got the fence file %s, %v; want %s", got, err, fence)
 	}
 	older := []byte(`{"group":"g","numbers":{"backup":9,"other":3}}`)
 	if err := os.WriteFile(filepath.Join(dir.Path, "fence.json"), older, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var stale *leasedtask.StaleTokenError
-	if _, err := keep(8); !errors.As(err, &stale) || stale.NewestToken != 9 {
-		t.Errorf("a number older than the fence's writes: %v", err)
+	if _, err := writeBackup(8); !errors.As(err, &stale) || stale.NewestToken != 9 {
+		t.Errorf("a write with a stale fencing token: got %v, want a StaleTokenError with token 9", err)
 	}
 }
 
-// The note of a rolling restart is written and read as before.
+// The encoding of a rolling restart's plan, which is kept as the note of its leased task, is unchanged.
 func TestRollingRestartsNoteIsAsBefore(t *testing.T) {
 	for _, note := range []string{
 		`{"by":"ada","out":2,"within":300000000000,"alone":true,"undo":true,"standing":"halted",` +
@@ -114,10 +115,10 @@
 	if got, err := p.Encode(); err != nil || string(got) != want {
 		t.Errorf("got %s, %v\nwant %s", got, err, want)
 	}
-	// The standings and phases are compared by their words and numbers elsewhere.
+	// Other code compares statuses by their text and phases by their number.
 	if rollingrestart.Stopped != "stopped" || rollingrestart.Halted != "halted" ||
 		rollingrestart.Done != "done" ||
 		rollingrestart.Restarting != 1 {
-		t.Error("a standing or a phase has another word or number")
+		t.Error("a status has a different text or a phase a different number")
 	}
 }
--- a/internal/frozen/decisions_test.go
+++ b/internal/frozen/decisions_test.go
@@ -11,8 +11,8 @@
 	"moorstack/internal/frozen/golden"
 )
 
-// The balancing module gives the same actions for the same events, to the bit, as the program did whose
-// answers stand in testdata/decisions.txt: the first ones of each trace in text, all of them in a digest.
+// For the same events, the balancing module takes exactly the actions that an earlier version took.
+// testdata/decisions.txt holds the first actions of each trace as text and all of them as a digest.
 func TestDecisionsAreTheSameToTheBit(t *testing.T) {
 	var out strings.Builder
 	for _, c := range []struct {
@@ -20,29 +20,30 @@
 		set  balancer.Settings
 		opts traceOptions
 	}{
-		{"mixed", mixedSettings(), traceOptions{arrivals: 900, every: 9 * time.Millisecond, workers: 9,
-			spread: true}},
-		{"overload", mixedSettings(), traceOptions{arrivals: 1200, every: 2 * time.Millisecond, workers: 6}},
-		{"fleet", fleetSettings(), traceOptions{arrivals: 900, every: 12 * time.Millisecond, workers: 30,
-			spread: true}},
-		{"routed", routedSettings(), traceOptions{arrivals: 700, every: 10 * time.Millisecond, workers: 12,
+		{"mixed", mixedSettings(), traceOptions{arrivals: 900, interval: 9 * time.Millisecond, workers: 9,
+			mixedWorkers: true}},
+		{"overload", mixedSettings(), traceOptions{arrivals: 1200, interval: 2 * time.Millisecond,
+			workers: 6}},
+		{"fleet", fleetSettings(), traceOptions{arrivals: 900, interval: 12 * time.Millisecond, workers: 30,
+			mixedWorkers: true}},
+		{"routed", routedSettings(), traceOptions{arrivals: 700, interval: 10 * time.Millisecond, workers: 12,
 			routed: true}},
-		{"sparse", sparseSettings(), traceOptions{arrivals: 700, every: 40 * time.Millisecond, workers: 150,
-			spread: true, released: true}},
-		{"plain", plainSettings(), traceOptions{arrivals: 1200, every: 5 * time.Millisecond, workers: 4}},
+		{"sparse", sparseSettings(), traceOptions{arrivals: 700, interval: 40 * time.Millisecond,
+			workers: 150, mixedWorkers: true, justStarted: true}},
+		{"plain", plainSettings(), traceOptions{arrivals: 1200, interval: 5 * time.Millisecond, workers: 4}},
 	} {
 		for _, seed := range []uint64{1, 2, 77} {
 			tr := newTrace(t, c.set, c.opts, seed)
 			tr.run()
 			fmt.Fprintf(&out, "trace %s seed %d\n", c.name, seed)
-			for _, line := range tr.first {
+			for _, line := range tr.firstLines {
 				fmt.Fprintf(&out, "\t%s\n", line)
 			}
-			fmt.Fprintf(&out, "\t%d events, actions %v\n", tr.events, tr.counts) // in the order of their keys
+			fmt.Fprintf(&out, "\t%d events, actions %v\n", tr.events, tr.counts) // fmt sorts map keys
 			fmt.Fprintf(&out, "\tsha256 of all actions %s\n", hex.EncodeToString(tr.digest.Sum(nil)))
 			if tr.counts["send"] < 200 || tr.events < 2000 {
-				t.Errorf("%s, seed %d: %d events with %d attempts test little", c.name, seed, tr.events,
-					tr.counts["send"])
+				t.Errorf("%s, seed %d: got %d events with %d attempts, want at least 2000 with 200", c.name,
+					seed, tr.events, tr.counts["send"])
 			}
 		}
 	}
--- a/internal/frozen/doc.go
+++ b/internal/frozen/doc.go
@@ -1,7 +1,7 @@
-// Package frozen holds the tests of what a rename must never change: state on disk, what one process of a
-// node passes to the next, and the decisions of the balancing module, each against texts in testdata that an
-// earlier program wrote. It has no code of its own.
+// Package frozen holds tests of what refactoring must not change: state on disk, the messages that a process
+// sends to its successor in a hot restart, and the decisions of the balancing module. They compare it with
+// golden files in testdata that an earlier version wrote. The package contains only tests.
 //
-// The texts are rewritten by "go test ./internal/frozen -update". A change that needs that is no rename: it
-// is a change of a format or of a decision, and the commit has to say why older programs can live with it.
+// "go test ./internal/frozen -update" rewrites the golden files. A change that requires this changes a format
+// or a decision, and its commit message must say why older versions are compatible with it.
 package frozen
--- a/internal/frozen/encoded/defaults_test.go
+++ b/internal/frozen/encoded/defaults_test.go
@@ -19,8 +19,8 @@
 	"moorstack/internal/verify/experiment"
 )
 
-// What a configuration file leaves out has the values that it always had. Each file here holds the least
-// that is accepted.
+// The defaults of keys that a configuration file leaves out are unchanged. Each file here is a minimal valid
+// one.
 func TestDefaultsOfFilesAreFrozen(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -38,7 +38,7 @@
 			t.Fatal(name, err)
 		}
 		fmt.Fprintf(&b, "%s\n", name)
-		values(&b, "", format, reflect.ValueOf(v))
+		writeValues(&b, "", format, reflect.ValueOf(v))
 	}
 	p, err := platform.ReadConfigFile(write("platform.json", `{"discovery": "127.0.0.1:1", "settings": {
 "classes": [{"name": "c", "effect": "retryable", "give_up": 1000000000, "slo": 1000000000}],
@@ -57,7 +57,7 @@
 	r, err := routing.Parse("routes.toml",
 		[]byte("version = 1\n[[pool]]\nname = \"p\"\n[[rule]]\nname = \"r\"\n"))
 	section("routes file", "toml", r, err)
-	const least = `duration = "1s"
+	const minimalScenario = `duration = "1s"
 [[class]]
 name = "c"
 effect = "retryable"
@@ -71,21 +71,21 @@
 team = "t"
 rate = 1
 `
-	sc, err := emulate.ParseScenario("scenario.toml", []byte(least))
+	sc, err := emulate.ParseScenario("scenario.toml", []byte(minimalScenario))
 	section("scenario", "toml", sc, err)
-	write("scenario.toml", least)
+	write("scenario.toml", minimalScenario)
 	plan, err := experiment.ReadPlan(write("plan.toml",
 		"name = \"x\"\nbase = \"scenario.toml\"\n[[factor]]\nname = \"f\"\nkey = \"nodes\"\nlevels = [1]\n"))
 	section("plan", "toml", plan, err)
 	golden.Compare(t, "defaults.txt", b.String())
 }
 
-// values writes the keys and values of what a file was read into.
-func values(b *strings.Builder, path, format string, v reflect.Value) {
+// writeValues writes the keys and values of a decoded file.
+func writeValues(b *strings.Builder, path, format string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			values(b, path, format, v.Elem())
+			writeValues(b, path, format, v.Elem())
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
@@ -97,14 +97,14 @@
 			if name == "" {
 				name = strings.ToLower(f.Name)
 			}
-			values(b, strings.TrimPrefix(path+"."+name, "."), format, v.Field(i))
+			writeValues(b, strings.TrimPrefix(path+"."+name, "."), format, v.Field(i))
 		}
 	case reflect.Slice:
 		if v.Len() == 0 {
 			fmt.Fprintf(b, "  %s[] none\n", path)
 		}
 		for i := range v.Len() {
-			values(b, fmt.Sprintf("%s[%d]", path, i), format, v.Index(i))
+			writeValues(b, fmt.Sprintf("%s[%d]", path, i), format, v.Index(i))
 		}
 	default:
 		x := v.Interface()
--- a/internal/frozen/encoded/encoded_test.go
+++ b/internal/frozen/encoded/encoded_test.go
@@ -15,8 +15,8 @@
 
 var formats = []string{"json", "toml", "xml", "parquet"}
 
-// A Go name that is encoded without a tag, and a tag that a rename takes along, would change what files,
-// stored data, processes and scripts read. So the keys of all that is encoded are compared with a text.
+// The keys of all encoded types are unchanged. Renaming a Go field that is encoded without a tag, or changing
+// its tag, would otherwise change the keys that files, stored data, other processes and scripts use.
 func TestEncodedKeysAreFrozen(t *testing.T) {
 	t.Parallel()
 	all := packages(t)
@@ -27,20 +27,20 @@
 	}
 	for _, r := range encodedTypes(all) {
 		if s := seen[r.format]; s != nil {
-			blocks = add(blocks, r.format, s.describe(r.typ))
+			blocks = appendBlock(blocks, r.format, s.describe(r.typ))
 		} else {
-			t.Errorf("a value is encoded as %s, which is not frozen here", r.format)
+			t.Errorf("a value is encoded as %s, a format that this test does not cover", r.format)
 		}
 	}
-	// What is encoded where the types don't show it is found by its tags.
+	// Structs that are encoded in a way that encodedTypes does not find are found by their tags.
 	for _, c := range all {
-		if c.types.Name() == "schema" { // which has a text of its own
+		if c.types.Name() == "schema" { // it has its own golden file
 			continue
 		}
 		for _, f := range c.files {
 			ast.Inspect(f, func(n ast.Node) bool {
 				if e, ok := n.(ast.Expr); ok {
-					blocks = c.byTag(e, seen, blocks)
+					blocks = c.describeTagged(e, seen, blocks)
 				}
 				return true
 			})
@@ -50,15 +50,16 @@
 	golden.Compare(t, "keys.txt", strings.Join(slices.Compact(blocks), "\n")+"\n")
 }
 
-func add(blocks []string, format, lines string) []string {
+func appendBlock(blocks []string, format, lines string) []string {
 	if !strings.Contains(lines, "\n") && !strings.Contains(lines, ".") && strings.HasPrefix(lines, "    ") {
-		return blocks // a plain value
+		return blocks // a scalar without keys
 	}
 	return append(blocks, format+"\n"+lines)
 }
 
-// byTag describes a struct with tags that no encoder was seen to be given, and the keys of a map's literal.
-func (c *checked) byTag(e ast.Expr, seen map[string]*shapes, blocks []string) []string {
+// describeTagged describes an expression: a struct type with tags that has not been described yet, or the
+// constant keys of a map literal with values of an interface type.
+func (c *checkedPackage) describeTagged(e ast.Expr, seen map[string]*shapes, blocks []string) []string {
 	switch x := e.(type) {
 	case *ast.StructType:
 		u, ok := c.info.Types[x].Type.(*types.Struct)
@@ -67,8 +68,8 @@
 		}
 		for _, format := range formats {
 			s := seen[format]
-			if hasTag(u, format) && !s.seen[identity(c.named(x, u))] {
-				blocks = add(blocks, format, s.describe(u))
+			if hasTag(u, format) && !s.seen[identity(c.namedType(x, u))] {
+				blocks = appendBlock(blocks, format, s.describe(u))
 			}
 		}
 	case *ast.CompositeLit:
@@ -87,8 +88,8 @@
 	return blocks
 }
 
-// named is the type that a struct is declared as, or the struct.
-func (c *checked) named(x *ast.StructType, u *types.Struct) types.Type {
+// namedType returns the named type that has u as its underlying type, or u itself if there is none.
+func (c *checkedPackage) namedType(x *ast.StructType, u *types.Struct) types.Type {
 	for _, name := range c.types.Scope().Names() {
 		if tn, ok := c.types.Scope().Lookup(name).(*types.TypeName); ok && tn.Type().Underlying() == u {
 			return tn.Type()
@@ -107,21 +108,21 @@
 	return false
 }
 
-var variable = regexp.MustCompile(`^"[A-Z][A-Z0-9]*_[A-Z0-9_]+"$`)
+var environmentVariable = regexp.MustCompile(`^"[A-Z][A-Z0-9]*_[A-Z0-9_]+"$`)
 
-// The environment's variables are part of how others start the program.
+// The names of the environment variables are unchanged, because deployments set them.
 func TestEnvironmentIsFrozen(t *testing.T) {
 	t.Parallel()
 	var names []string
 	for _, c := range packages(t) {
-		if c.types.Name() == "schema" { // whose enumerations are written likewise
+		if c.types.Name() == "schema" { // its enum values look like environment variables
 			continue
 		}
 		for _, f := range c.files {
 			ast.Inspect(f, func(n ast.Node) bool {
 				switch x := n.(type) {
 				case *ast.BasicLit:
-					if variable.MatchString(x.Value) {
+					if environmentVariable.MatchString(x.Value) {
 						names = append(names, x.Value)
 					}
 				case *ast.CallExpr:
--- a/internal/frozen/encoded/load_test.go
+++ b/internal/frozen/encoded/load_test.go
@@ -19,31 +19,31 @@
 
 const module = "moorstack"
 
-// checked is a package of this module, with the types of all that its sources name.
-type checked struct {
+// checkedPackage is a type-checked package of this module.
+type checkedPackage struct {
 	files []*ast.File
 	types *types.Package
 	info  *types.Info
 }
 
-// listed is a package as the go command lists it.
-type listed struct {
+// listedPackage is a package in the output of go list.
+type listedPackage struct {
 	ImportPath, Dir, Export string
 	GoFiles                 []string
 }
 
-// packages checks the types of all packages of this module, without their tests, once.
-func packages(t *testing.T) []*checked {
+// packages returns all packages of this module, type-checked once and without their tests.
+func packages(t *testing.T) []*checkedPackage {
 	t.Helper()
-	all, err := load()
+	all, err := loadPackages()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return all
 }
 
-var load = sync.OnceValues(func() ([]*checked, error) {
-	own, export, err := list()
+var loadPackages = sync.OnceValues(func() ([]*checkedPackage, error) {
+	modulePackages, export, err := listPackages()
 	if err != nil {
 		return nil, err
 	}
@@ -51,12 +51,12 @@
 	imports := importer.ForCompiler(fset, "gc", func(path string) (io.ReadCloser, error) {
 		return os.Open(export[path])
 	})
-	var all []*checked
-	for _, p := range own {
-		c := &checked{info: &types.Info{Types: map[ast.Expr]types.TypeAndValue{},
+	var all []*checkedPackage
+	for _, p := range modulePackages {
+		c := &checkedPackage{info: &types.Info{Types: map[ast.Expr]types.TypeAndValue{},
 			Uses: map[*ast.Ident]types.Object{}, Defs: map[*ast.Ident]types.Object{}}}
-		// Hazard: go test would give a result from its cache though a file was added: it does not see what
-		// the go command reads, only folders that the test reads itself.
+		// Without these reads, go test would return a cached result although a file was added: its cache
+		// tracks only the folders that the test itself reads, not those that the go command reads.
 		for _, dir := range []string{p.Dir, filepath.Dir(p.Dir)} {
 			if _, err := os.ReadDir(dir); err != nil {
 				return nil, err
@@ -78,8 +78,9 @@
 	return all, nil
 })
 
-// list runs the go command to list the packages of this module, and the compiled ones that they import.
-func list() (own []listed, export map[string]string, err error) {
+// listPackages runs go list. It returns the packages of this module, and the export data files of these and
+// of the packages that they import.
+func listPackages() (modulePackages []listedPackage, export map[string]string, err error) {
 	cmd := exec.Command("go", "list", "-export", "-deps", "-json=ImportPath,Dir,Export,GoFiles",
 		module+"/...")
 	cmd.Stderr = os.Stderr
@@ -89,15 +90,15 @@
 	}
 	export = map[string]string{}
 	for in := json.NewDecoder(bytes.NewReader(out)); ; {
-		var p listed
+		var p listedPackage
 		if err := in.Decode(&p); errors.Is(err, io.EOF) {
-			return own, export, nil
+			return modulePackages, export, nil
 		} else if err != nil {
 			return nil, nil, err
 		}
 		export[p.ImportPath] = p.Export
-		if ours(p.ImportPath) {
-			own = append(own, p)
+		if inModule(p.ImportPath) {
+			modulePackages = append(modulePackages, p)
 		}
 	}
 }
--- a/internal/frozen/encoded/sections_test.go
+++ b/internal/frozen/encoded/sections_test.go
@@ -26,8 +26,8 @@
 share = 1
 `
 
-// keysOfSections are the keys of the agreed document's sections, each with a value that is accepted.
-var keysOfSections = map[string]map[string]string{
+// sectionKeys holds all keys of the cluster document's sections, each with a valid value.
+var sectionKeys = map[string]map[string]string{
 	"rollout": {"cut_off": "lease", "lease": "2s", "stage_within": "30s", "hold_within": "1s"},
 	"duties": {"list": "on", "roll": "on", "backup_every": "1h", "backup_keep": "3", "backup_prefer": "n1 n2",
 		"drill": "2"},
@@ -43,18 +43,18 @@
 	"of-no-part": {"any": "thing"},
 }
 
-// A document with all sections and keys is accepted. With an invalid value or an unknown key it is rejected
-// with the same texts, for those are kept in the group's agreed state.
+// A document with all sections and keys is accepted. The problems that are reported for an invalid value or
+// an unknown key are unchanged, because they are stored in the group's replicated state.
 func TestSectionsOfTheDocumentAreFrozen(t *testing.T) {
 	t.Parallel()
 	rules := node.DocumentRules()
-	judge := func(section, key, value string) []string {
+	validate := func(section, key, value string) []string {
 		var d clusterstate.Document
 		if err := tomlfile.Decode("document", []byte(document), &d); err != nil {
 			t.Fatal(err)
 		}
 		d.Sections = map[string]map[string]string{}
-		for name, values := range keysOfSections {
+		for name, values := range sectionKeys {
 			d.Sections[name] = maps.Clone(values)
 		}
 		if section != "" {
@@ -65,15 +65,15 @@
 	var b strings.Builder
 	write := func(section, key, value string) {
 		fmt.Fprintf(&b, "[%s] %s = %q\n", section, key, value)
-		for _, problem := range judge(section, key, value) {
+		for _, problem := range validate(section, key, value) {
 			fmt.Fprintf(&b, "  %s\n", strings.ReplaceAll(problem, "\n", "\\n"))
 		}
 	}
-	if wrong := judge("", "", ""); len(wrong) > 0 {
+	if wrong := validate("", "", ""); len(wrong) > 0 {
 		t.Errorf("the document with all keys is rejected: %q", wrong)
 	}
-	for _, section := range slices.Sorted(maps.Keys(keysOfSections)) {
-		for _, key := range append(slices.Sorted(maps.Keys(keysOfSections[section])), "no_such_key") {
+	for _, section := range slices.Sorted(maps.Keys(sectionKeys)) {
+		for _, key := range append(slices.Sorted(maps.Keys(sectionKeys[section])), "no_such_key") {
 			write(section, key, "?")
 		}
 	}
--- a/internal/frozen/encoded/shape_test.go
+++ b/internal/frozen/encoded/shape_test.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// shapes describes types by what their encoded form shows: keys, kinds and options. Names of Go types and
-// packages are no part of it.
+// shapes describes the encoded form of types: keys, kinds and options. The description leaves out the names
+// of Go types and packages of this module.
 type shapes struct {
 	format string
-	seen   map[string]bool // the module's own structs that have been described
+	seen   map[string]bool // structs of this module that have been described
 	stack  []string
 	lines  []string
 }
 
-// describe gives the lines of one type.
+// describe returns the description of a type, a line for each key.
 func (s *shapes) describe(t types.Type) string {
 	s.lines, s.stack = nil, nil
 	s.walk("", "", t)
@@ -30,11 +30,11 @@
 
 func (s *shapes) walk(path, options string, t types.Type) {
 	t = types.Unalias(t)
-	if name := ownForm(t); name != "" {
+	if name := customEncoding(t); name != "" {
 		s.add(path, options, name)
 		return
 	}
-	if n, ok := t.(*types.Named); ok && n.Obj().Pkg() != nil && !ours(n.Obj().Pkg().Path()) {
+	if n, ok := t.(*types.Named); ok && n.Obj().Pkg() != nil && !inModule(n.Obj().Pkg().Path()) {
 		s.add(path, options, n.Obj().Pkg().Path()+"."+n.Obj().Name())
 		return
 	}
@@ -50,7 +50,7 @@
 	case *types.Array:
 		s.walk(fmt.Sprintf("%s[%d]", path, u.Len()), options, u.Elem())
 	case *types.Map:
-		key := ownForm(u.Key())
+		key := customEncoding(u.Key())
 		if key == "" {
 			key = u.Key().Underlying().String()
 		}
@@ -58,13 +58,13 @@
 	case *types.Interface:
 		s.add(path, options, "any")
 	case *types.Struct:
-		s.structure(path, options, t, u)
+		s.walkStruct(path, options, t, u)
 	default:
 		s.add(path, options, t.Underlying().String())
 	}
 }
 
-func (s *shapes) structure(path, options string, t types.Type, u *types.Struct) {
+func (s *shapes) walkStruct(path, options string, t types.Type, u *types.Struct) {
 	id := identity(t)
 	s.seen[id] = true
 	if slices.Contains(s.stack, id) {
@@ -89,17 +89,18 @@
 		if name == "" {
 			name = f.Name()
 		}
-		if s.format == "toml" { // which is read in any case
+		if s.format == "toml" { // TOML keys are matched without regard to case
 			name = strings.ToLower(name)
 		}
 		s.walk(strings.TrimPrefix(path+"."+name, "."), more, f.Type())
 	}
 }
 
-// ownForm names the form of a type that encodes itself, or is empty.
-func ownForm(t types.Type) string {
+// customEncoding describes the encoding of a type of this module that encodes itself. It returns an empty
+// string for any other type.
+func customEncoding(t types.Type) string {
 	n, ok := types.Unalias(t).(*types.Named)
-	if !ok || !ours(n.Obj().Pkg().Path()) {
+	if !ok || !inModule(n.Obj().Pkg().Path()) {
 		return ""
 	}
 	methods := types.NewMethodSet(types.NewPointer(n))
@@ -118,7 +119,8 @@
 	return ""
 }
 
-func ours(path string) bool { return path == module || strings.HasPrefix(path, module+"/") }
+func inModule(path string) bool { return path == module || strings.HasPrefix(path, module+"/") }
 
-// identity names a struct type, whether read from sources or from what the compiler exports.
+// identity returns a name for a type that is the same whether the type was read from source or from export
+// data.
 func identity(t types.Type) string { return types.TypeString(t, nil) }
--- a/internal/frozen/encoded/sinks_test.go
+++ b/internal/frozen/encoded/sinks_test.go
@@ -5,14 +5,14 @@
 	"go/types"
 )
 
-// sink is a parameter whose values are encoded or decoded.
+// sink is a function parameter whose argument is encoded or decoded.
 type sink struct {
-	function string // as types.Func.FullName has it
+	function string // in the form of types.Func.FullName
 	param    int
 }
 
-// known are the functions of libraries that encode and decode, with the format's name.
-var known = map[sink]string{
+// librarySinks are the sinks of libraries, with the names of their formats.
+var librarySinks = map[sink]string{
 	{"encoding/json.Marshal", 0}:                            "json",
 	{"encoding/json.MarshalIndent", 0}:                      "json",
 	{"encoding/json.Unmarshal", 1}:                          "json",
@@ -34,18 +34,18 @@
 	{"(*github.com/parquet-go/parquet-go.Writer).Write", 0}: "parquet",
 }
 
-// root is a type that is encoded as a whole.
+// root is the type of a value that is passed to an encoder or decoder.
 type root struct {
 	format string
 	typ    types.Type
 }
 
-// encodedTypes finds the types of the values that reach an encoder or decoder, also through functions of
-// this module that hand on a parameter of theirs.
-func encodedTypes(all []*checked) []root {
+// encodedTypes returns the types of the values that reach an encoder or decoder, directly or through
+// functions of this module that pass a parameter on. It repeats until it finds no further sinks.
+func encodedTypes(all []*checkedPackage) []root {
 	var roots []root
 	sinks := map[sink]string{}
-	for s, format := range known {
+	for s, format := range librarySinks {
 		sinks[s] = format
 	}
 	for before := 0; before != len(sinks); {
@@ -54,7 +54,7 @@
 		for _, c := range all {
 			for _, f := range c.files {
 				for _, d := range f.Decls {
-					roots = c.calls(d, sinks, roots)
+					roots = c.addCalls(d, sinks, roots)
 				}
 			}
 		}
@@ -62,8 +62,9 @@
 	return roots
 }
 
-// calls adds the types that calls within a declaration pass to sinks, and the sinks that they make.
-func (c *checked) calls(d ast.Decl, sinks map[sink]string, roots []root) []root {
+// addCalls adds the types that the calls within a declaration pass to sinks to roots. If a call passes on a
+// parameter of the declared function, it adds that parameter to sinks.
+func (c *checkedPackage) addCalls(d ast.Decl, sinks map[sink]string, roots []root) []root {
 	params := map[types.Object]sink{}
 	if f, ok := d.(*ast.FuncDecl); ok {
 		fn := c.info.Defs[f.Name].(*types.Func)
@@ -73,7 +74,7 @@
 	}
 	ast.Inspect(d, func(n ast.Node) bool {
 		if literal, ok := n.(*ast.FuncLit); ok && c.returnsPrinted(literal) {
-			roots = c.printed(literal, roots)
+			roots = c.addPrinted(literal, roots)
 		}
 		call, ok := n.(*ast.CallExpr)
 		if !ok {
@@ -101,9 +102,9 @@
 	return roots
 }
 
-// returnsPrinted reports whether a function literal returns what a command prints: a value, which is encoded
-// as JSON by the command's caller, and the table in its place.
-func (c *checked) returnsPrinted(literal *ast.FuncLit) bool {
+// returnsPrinted reports whether a function literal returns the output of a command: a value, which the
+// caller encodes as JSON, and a table as the alternative output format.
+func (c *checkedPackage) returnsPrinted(literal *ast.FuncLit) bool {
 	signature, ok := c.info.Types[literal].Type.(*types.Signature)
 	if !ok || signature.Results().Len() != 3 {
 		return false
@@ -113,8 +114,8 @@
 	return ok && types.IsInterface(value) && named.Obj().Name() == "table"
 }
 
-// printed adds the types of the values that a function literal returns to be printed.
-func (c *checked) printed(literal *ast.FuncLit, roots []root) []root {
+// addPrinted adds the types of the values that a function literal returns as a command's output.
+func (c *checkedPackage) addPrinted(literal *ast.FuncLit, roots []root) []root {
 	ast.Inspect(literal.Body, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.FuncLit:
@@ -129,11 +130,11 @@
 	return roots
 }
 
-// callee is the function that a call names, or nil.
-func (c *checked) callee(call *ast.CallExpr) *types.Func {
+// callee returns the function that is called, or nil if it is not a named function.
+func (c *checkedPackage) callee(call *ast.CallExpr) *types.Func {
 	fun := ast.Unparen(call.Fun)
 	switch x := fun.(type) {
-	case *ast.IndexExpr: // with a type's name
+	case *ast.IndexExpr: // with a type argument
 		fun = x.X
 	case *ast.IndexListExpr:
 		fun = x.X
--- a/internal/frozen/golden/commands.go
+++ b/internal/frozen/golden/commands.go
@@ -8,15 +8,15 @@
 	"github.com/spf13/pflag"
 )
 
-// Commands describes a command and all below it.
+// Commands describes a command and all of its subcommands.
 func Commands(root *cobra.Command) string {
 	var b strings.Builder
 	writeCommands(&b, root)
 	return b.String()
 }
 
-// writeCommands writes a command and all below it: use line, aliases, hidden state and flags with
-// shorthand, type, default and hidden state. Help's wording is not frozen.
+// writeCommands writes a command and all of its subcommands: use line, aliases, hidden state and flags with
+// shorthand, type, default and hidden state. It leaves out help texts, whose wording may change.
 func writeCommands(b *strings.Builder, c *cobra.Command) {
 	c.InitDefaultHelpFlag()
 	fmt.Fprintf(b, "command %s\n  use %s\n", c.CommandPath(), c.Use)
@@ -26,7 +26,7 @@
 	}
 	c.NonInheritedFlags().VisitAll(func(f *pflag.Flag) {
 		value := f.DefValue
-		if f.Name == "workers" { // of the machine
+		if f.Name == "workers" { // the default depends on the machine
 			value = "(processors)"
 		}
 		fmt.Fprintf(b, "  flag --%s shorthand=%q type=%s default=%q alone=%q persistent=%t hidden=%t\n",
--- a/internal/frozen/golden/golden.go
+++ b/internal/frozen/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test finds with a text kept under testdata. The tests of
-// frozen interfaces use it: a difference is a change that callers, files or stored data would notice.
+// Package golden compares the output of a test with a golden file in testdata. Tests of frozen interfaces and
+// formats use it: a difference is a change that affects callers, files or stored data.
 package golden
 
 import (
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files with what is found now")
+var update = flag.Bool("update", false, "rewrite the golden files with the current output")
 
 // Updating reports whether the tests rewrite the golden files (-update).
 func Updating() bool { return *update }
 
-// Read is the golden file testdata/name. A file that can't be read ends the test.
+// Read returns the content of the golden file testdata/name. It fails the test if the file can't be read.
 func Read(t *testing.T, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", name))
@@ -25,8 +25,8 @@
 	return string(raw)
 }
 
-// Compare fails the test at the first line in which got differs from the golden file
-// testdata/name. With -update it writes the file instead.
+// Compare fails the test if got differs from the golden file testdata/name, and reports the first line that
+// differs. With -update it writes got to the file instead.
 func Compare(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -47,12 +47,12 @@
 	for i := range max(len(want), len(have)) {
 		w, h := lineAt(want, i), lineAt(have, i)
 		if w != h {
-			t.Fatalf("%s, line %d: the frozen line is\n\t%s\nand now it is\n\t%s", path, i+1, w, h)
+			t.Fatalf("%s, line %d differs: want\n\t%s\ngot\n\t%s", path, i+1, w, h)
 		}
 	}
 }
 
-// lineAt is a line of a text, or a mark that the text has ended.
+// lineAt returns the line with index i, or a placeholder after the last line.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
--- a/internal/frozen/hotrestart_test.go
+++ b/internal/frozen/hotrestart_test.go
@@ -13,7 +13,7 @@
 	"moorstack/internal/proxy/hotrestart"
 )
 
-// What a process of a node writes to the one that takes its place is what it was, line by line.
+// The encoding of the messages that a process sends to its successor is unchanged, line by line.
 func TestUpgradeMessagesAreWrittenAsBefore(t *testing.T) {
 	var out []byte
 	for _, m := range upgradeMessages() {
@@ -22,7 +22,8 @@
 	golden.Compare(t, "handover.txt", string(out))
 }
 
-// What a process of before wrote is read whole: written once more it is the same.
+// Messages of an earlier version are decoded without loss: encoding them again gives the same text. Malformed
+// messages are rejected.
 func TestUpgradeMessagesOfBeforeAreRead(t *testing.T) {
 	var got []byte
 	want := golden.Read(t, "handover.txt")
@@ -34,17 +35,17 @@
 		got = m.Append(got)
 	}
 	if string(got) != want {
-		t.Errorf("what was read, written again:\n%s\nwant\n%s", got, want)
+		t.Errorf("decoded and encoded again, got\n%s\nwant\n%s", got, want)
 	}
 	for _, bad := range []string{`{"t":"hello","v":2}`, `{"t":"state","v":1}`, `{"t":"ban"}`, `{"t":"job"}`,
 		`{"t":`, `{"t":"take","n":"x"}`} {
 		if m, err := hotrestart.ParseMessage([]byte(bad)); err == nil {
-			t.Errorf("%s was read as %+v", bad, m)
+			t.Errorf("%s was decoded as %+v, want an error", bad, m)
 		}
 	}
 }
 
-// A process from before some fields were there says less, and what it says is taken.
+// The state message of an earlier version, which lacks newer fields, is accepted.
 func TestUpgradeStateOfAnOlderProcessIsRead(t *testing.T) {
 	const older = `{"t":"state","v":1,"state":{"generation":7,"instances":[],"discovery":"d","written":"w",` +
 		`"known":["a"],"bans":[],"module":{"Loads":[[1,2]],"Tallies":null,"Slots":[3],"Paces":[1],` +
@@ -56,10 +57,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "handover-older.json", indented(t, m.Append(nil)))
+	golden.Compare(t, "handover-older.json", indentJSON(t, m.Append(nil)))
 }
 
-// The processes of a node meet at the socket that those of before look for.
+// The processes of a node connect to each other at a socket whose name is the same in all versions.
 func TestUpgradeSocketHasItsName(t *testing.T) {
 	dir := t.TempDir()
 	loop, err := eventloop.New()
@@ -73,11 +74,11 @@
 	defer l.Close()
 	entries, err := os.ReadDir(dir)
 	if err != nil || len(entries) != 1 || entries[0].Name() != "moorstack-1cf0caae52b457cc.sock" {
-		t.Errorf("the folder holds %v, %v", entries, err)
+		t.Errorf("got the folder entries %v, %v; want moorstack-1cf0caae52b457cc.sock", entries, err)
 	}
 }
 
-// upgradeMessages has a message of each type, with every field that it may have.
+// upgradeMessages returns a message of each type with all of its fields set.
 func upgradeMessages() []hotrestart.Message {
 	return []hotrestart.Message{
 		{
--- a/internal/frozen/log_entries_test.go
+++ b/internal/frozen/log_entries_test.go
@@ -10,12 +10,12 @@
 	"moorstack/internal/schema"
 )
 
-// taskCommand keeps the lines of the entries short.
+// taskCommand is a short alias.
 type taskCommand = leasedtask.Command
 
-// leaseEntries have leases begin, be transferred and expire.
+// leaseEntries adds entries by which leases begin, are transferred, are released and expire.
 func (l *logWriter) leaseEntries() {
-	n1, n2 := leasedtask.Session(l.seat(77)), leasedtask.Session(l.seat(78))
+	n1, n2 := leasedtask.Session(l.memberSession(77)), leasedtask.Session(l.memberSession(78))
 	l.task(taskCommand{Kind: leasedtask.DeclareTasks, Term: term,
 		Tasks: []string{"backup", "drill-1", "list", "roll"}})
 	l.task(taskCommand{Kind: leasedtask.Assign, Term: term, Task: "list", Session: n1, Name: "n1",
@@ -41,9 +41,9 @@
 		Reason: "it failed", AtMS: 7002})
 }
 
-// operatorEntries have operators pause, resume and transfer tasks, where that is possible and where not.
+// operatorEntries adds entries by which operators pause, resume and transfer tasks, some of them invalid.
 func (l *logWriter) operatorEntries() {
-	n1, n2 := leasedtask.Session(l.seat(77)), leasedtask.Session(l.seat(78))
+	n1, n2 := leasedtask.Session(l.memberSession(77)), leasedtask.Session(l.memberSession(78))
 	l.task(taskCommand{Kind: leasedtask.Assign, Term: term, Task: "backup", Session: n2, Name: "n2",
 		AtMS: 7003})
 	l.task(taskCommand{Kind: leasedtask.UpdateNote, Task: "backup", FencingToken: 4, Note: []byte(
@@ -118,7 +118,7 @@
 	l.command("set aside, of a closed one", &schema.Command{Kind: 7, Id: "op13", Member: 79})
 	l.command("withdraw, of another change", &schema.Command{Kind: 6, Id: "op14", Change: "c3"})
 	l.command("lapse", &schema.Command{Kind: 2, Term: term, AtMs: 8000, Seats: []*schema.Seat{
-		{Member: 79, Epoch: l.seat(79).Epoch}, {Member: 78, Epoch: l.seat(78).Epoch}}})
+		{Member: 79, Epoch: l.memberSession(79).Epoch}, {Member: 78, Epoch: l.memberSession(78).Epoch}}})
 	l.members("drop n3", raftpb.ConfChangeRemoveNode, &schema.MembersChange{Change: "m3", Drop: []uint64{79}})
 	l.command("open anew", &schema.Command{Kind: 1, Term: term, Member: 77, Name: "n1", Nonce: 5, AtMs: 9000})
 	l.entry("empty, of a new leader", raftpb.EntryNormal, nil)
--- a/internal/frozen/log_writer_test.go
+++ b/internal/frozen/log_writer_test.go
@@ -18,16 +18,16 @@
 	"moorstack/internal/storage/store"
 )
 
-// logWriter makes a store's records: an identity, the snapshot that a group of format 1 began with, and
-// entries of each kind.
+// logWriter builds the records of a store: an identity, the first snapshot of a group with format 1, and
+// entries of every kind.
 type logWriter struct {
 	t       *testing.T
 	names   []string
 	entries []*raftpb.Entry
 }
 
-// first is the log up to an entry.
-func (l *logWriter) first(n int) *logWriter {
+// prefix returns a log with the n oldest entries.
+func (l *logWriter) prefix(n int) *logWriter {
 	return &logWriter{l.t, l.names[:n], l.entries[:n]}
 }
 
@@ -68,7 +68,7 @@
 		Context: marshal(l.t, m)}))
 }
 
-// write writes the records as an instance does, and closes the store.
+// write writes the records to a store in the order in which an instance does, and closes it.
 func (l *logWriter) write(t *testing.T) *faultfs.FS {
 	t.Helper()
 	fs := faultfs.New(1)
@@ -81,7 +81,7 @@
 			t.Fatal(err)
 		}
 	}
-	put(recordSnapshot, &raftpb.Snapshot{Data: []byte(firstState), Metadata: &raftpb.SnapshotMetadata{
+	put(recordSnapshot, &raftpb.Snapshot{Data: []byte(initialState), Metadata: &raftpb.SnapshotMetadata{
 		Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{77}}}})
 	put(recordIdentity, &schema.Identity{Id: 77, Name: "n1", Cluster: "g"})
 	for _, e := range l.entries {
@@ -95,28 +95,28 @@
 	return fs
 }
 
-// state is the agreed state after the log's last entry.
+// state returns the replicated state after the last entry of the log.
 func (l *logWriter) state(t *testing.T) *clusterstate.State {
 	t.Helper()
 	i, log := openStore(t, l.write(t))
 	defer log.Close()
 	if st := i.Status(); st.Halted != nil || i.Applied() != uint64(len(l.entries)+1) {
-		t.Fatalf("%d of %d entries are applied: %v", i.Applied(), len(l.entries)+1, st.Halted)
+		t.Fatalf("%d of %d entries are applied, halted: %v", i.Applied(), len(l.entries)+1, st.Halted)
 	}
 	return i.State()
 }
 
-const firstState = `{"format":1,"cluster":"g","history":[{"revision":1,"id":"first","at_ms":0,"document":` +
-	firstDocument + `}],"ids":null,"members":[{"id":77,"name":"n1","address":"127.0.0.1:7001"}]}`
+const initialState = `{"format":1,"cluster":"g","history":[{"revision":1,"id":"first","at_ms":0,"document":` +
+	baseDocument + `}],"ids":null,"members":[{"id":77,"name":"n1","address":"127.0.0.1:7001"}]}`
 
-const firstDocument = `{"class":[{"name":"quote","effect":"retryable","give_up":"5s","aim":"1s","worth":5},` +
+const baseDocument = `{"class":[{"name":"quote","effect":"retryable","give_up":"5s","aim":"1s","worth":5},` +
 	`{"name":"book","effect":"dedup","key_scope":"cell","window":"25s","give_up":"15s","aim":"1s",` +
 	`"aim_stretch":1.5,"worth":15,"late_share":0.25,"attempts":3}],` +
 	`"tenant":[{"name":"muscat","share":0.47},{"name":"batinah","share":0.27,"allowance_per_s":9}]}`
 
-// document is the first one with sections.
+// document returns the initial document with the given sections.
 func document(sections string) []byte {
-	return []byte(strings.TrimSuffix(firstDocument, "}") + `,"section":` + sections + "}")
+	return []byte(strings.TrimSuffix(baseDocument, "}") + `,"section":` + sections + "}")
 }
 
 const allSections = `{"duties":{"backup_every":"1h","backup_keep":"3","drill":"1","list":"on","roll":"on"},` +
@@ -127,7 +127,8 @@
 	`late=1h missed=last body=x y","trigger.c":"*/5 * * * * class=quote spread=10s","zone":"UTC"},` +
 	`"workers":{"cold_parts":"group","subset":"20","witnesses":"on"}}`
 
-// newLog makes a log with each kind of entry, and most of the ways in which one counts or does not.
+// newLog returns a log with every kind of entry and most of the ways in which entries are accepted or
+// ignored.
 func newLog(t *testing.T) *logWriter {
 	t.Helper()
 	l := &logWriter{t: t}
@@ -147,7 +148,7 @@
 			Format: 1, Document: document(`{"levels":{"a":"1"}}`)},
 	)
 	l.change("change on an old base", &schema.Change{Id: "c2", Base: 1, Format: 1,
-		Document: []byte(firstDocument)})
+		Document: []byte(baseDocument)})
 	l.members("add n2", raftpb.ConfChangeAddLearnerNode, &schema.MembersChange{Change: "m1",
 		Put: []*schema.Member{{Id: 78, Name: "n2", Address: "127.0.0.1:7002"}}})
 	l.members("add n3", raftpb.ConfChangeAddLearnerNode, &schema.MembersChange{Change: "m2",
@@ -170,7 +171,7 @@
 			Document: document(allSections)},
 	)
 	l.change("change while one is pending", &schema.Change{Id: "c4", Base: 2, Format: 7,
-		Document: []byte(firstDocument)})
+		Document: []byte(baseDocument)})
 	seats := l.seats()
 	l.command(
 		"hold, without one of the sessions",
@@ -193,7 +194,7 @@
 	)
 }
 
-// seats are the open sessions, as the log has them.
+// seats returns the open sessions as they are encoded in the log.
 func (l *logWriter) seats() (list []*schema.Seat) {
 	for _, s := range l.state(l.t).Rollout().OpenSessions() {
 		list = append(list, &schema.Seat{Member: s.Member, Epoch: s.Epoch})
@@ -201,8 +202,8 @@
 	return list
 }
 
-// seat is a member's session.
-func (l *logWriter) seat(member uint64) placement.Session {
+// memberSession returns the session of a member.
+func (l *logWriter) memberSession(member uint64) placement.Session {
 	s := l.state(l.t).Rollout().Sessions[member]
 	return placement.Session{Member: member, Epoch: s.Epoch}
 }
--- a/internal/frozen/state_test.go
+++ b/internal/frozen/state_test.go
@@ -25,7 +25,7 @@
 	"moorstack/internal/storage/store"
 )
 
-// The kinds of a store's records, as they stand on disk.
+// The kinds of a store's records on disk.
 const (
 	recordIdentity  = 1
 	recordHardState = 2
@@ -33,18 +33,18 @@
 	recordSnapshot  = 4
 )
 
-// storeDir is where the store is, on a disk in memory.
+// storeDir is the folder of the store in the in-memory file system.
 const storeDir = "/d"
 
-// term is that of all entries: what a leader has decided counts in its own term only.
+// term is the raft term of all entries. The decisions of a leader are valid only in its own term.
 const term = 3
 
-// A log with each kind of entry is written as it was, byte for byte.
+// The encoding of a log with every kind of entry is unchanged, byte for byte.
 func TestLogIsWrittenAsBefore(t *testing.T) {
-	golden.Compare(t, "log.txt", filesText(newLog(t).write(t)))
+	golden.Compare(t, "log.txt", encodeFiles(newLog(t).write(t)))
 }
 
-// The log of before is read, and each entry changes of the agreed state what it did.
+// A log of an earlier version is read, and the effect of each entry on the replicated state is unchanged.
 func TestLogOfBeforeIsReadEntryByEntry(t *testing.T) {
 	l := newLog(t)
 	var out strings.Builder
@@ -56,7 +56,7 @@
 			fmt.Fprintf(&out, "entry %d: %s\n", n, l.names[n-1])
 		}
 		after := map[string]json.RawMessage{}
-		if err := json.Unmarshal(l.first(n).state(t).Encode(), &after); err != nil {
+		if err := json.Unmarshal(l.prefix(n).state(t).Encode(), &after); err != nil {
 			t.Fatal(err)
 		}
 		for _, field := range slices.Sorted(maps.Keys(after)) {
@@ -74,40 +74,39 @@
 	golden.Compare(t, "entries.txt", out.String())
 }
 
-// The store that an earlier program wrote is opened, has the state that it had, and is made a snapshot of
-// as it was.
+// A store written by an earlier version opens with the same state, and its snapshot is unchanged.
 func TestStoreOfBeforeIsOpened(t *testing.T) {
 	if golden.Updating() {
-		golden.Compare(t, "log.txt", filesText(newLog(t).write(t)))
+		golden.Compare(t, "log.txt", encodeFiles(newLog(t).write(t)))
 	}
-	fs := filesOf(t, "log.txt")
+	fs := decodeFiles(t, "log.txt")
 	i, log := openStore(t, fs)
-	golden.Compare(t, "state.json", indented(t, i.State().Encode()))
+	golden.Compare(t, "state.json", indentJSON(t, i.State().Encode()))
 	i.Compact()
-	drive(t, i, log)
+	processReady(t, i, log)
 	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "snapshot.txt", filesText(fs))
+	golden.Compare(t, "snapshot.txt", encodeFiles(fs))
 }
 
-// The snapshot that an earlier program wrote gives the same state, and the same instance.
+// A snapshot written by an earlier version gives the same state and the same instance.
 func TestSnapshotOfBeforeIsOpened(t *testing.T) {
-	i, log := openStore(t, filesOf(t, "snapshot.txt"))
+	i, log := openStore(t, decodeFiles(t, "snapshot.txt"))
 	defer log.Close()
-	golden.Compare(t, "state.json", indented(t, i.State().Encode()))
+	golden.Compare(t, "state.json", indentJSON(t, i.State().Encode()))
 	st := i.Status()
 	if st.ID != 77 || st.Name != "n1" || st.Cluster != "g" || st.Halted != nil || i.Applied() == 0 {
-		t.Errorf("the instance is %+v, %d entries", st, i.Applied())
+		t.Errorf("got the instance status %+v with %d applied entries", st, i.Applied())
 	}
 	again, err := clusterstate.Restore(clusterstate.Rules{}, i.State().Encode())
 	if err != nil || !bytes.Equal(again.Encode(), i.State().Encode()) {
-		t.Errorf("the state is not what it is after it was written and read: %v", err)
+		t.Errorf("the state changes when it is encoded and restored: %v", err)
 	}
 }
 
-// What is wrong with a document is agreed on too, word for word: it is what became of the change, at every
-// instance the same.
+// The problems of an invalid document are unchanged, word for word: they are part of the change's outcome in
+// the replicated state, which must be the same at every instance.
 func TestProblemsAreNamedAsBefore(t *testing.T) {
 	s := newLog(t).state(t)
 	s.ApplyRollout(withdrawal)
@@ -171,26 +170,27 @@
 
 var withdrawal = rollout.Command{Kind: rollout.Withdraw, Change: "c8"}
 
-// A flipped bit is an error that names the file and the byte. The last record of the log is a seal that was
-// not synced, and no loss.
+// A flipped bit in a store is an error that names the file and the offset. The last record of a log, a seal
+// that was not synced, is not covered: a damaged one is no loss.
 func TestFlippedByteIsNamed(t *testing.T) {
 	for _, name := range []string{"log.txt", "snapshot.txt"} {
-		good := filesOf(t, name)
+		good := decodeFiles(t, name)
 		for _, file := range good.Paths() {
 			size := len(good.Content(file))
 			if strings.HasSuffix(file, ".log") {
 				if size -= 20; name == "snapshot.txt" {
-					continue // there is nothing in it but its head, which has been written again
+					continue // the log holds only its header, which has been rewritten
 				}
 			}
 			for at := 0; at < size; at += 3 {
-				fs := filesOf(t, name)
+				fs := decodeFiles(t, name)
 				fs.Content(file)[at] ^= 1 << (at % 8)
 				_, err := store.Open(storeDir, store.Options{FS: fs}, func([]byte) error { return nil }, nil)
 				var bad *store.CorruptError
 				if !errors.As(err, &bad) || bad.File != file || bad.Offset > int64(at) ||
 					!strings.Contains(err.Error(), path.Base(file)) {
-					t.Fatalf("%s with byte %d flipped: %v", file, at, err)
+					t.Fatalf("%s with a flipped bit in byte %d: got %v, want a CorruptError for it",
+						file, at, err)
 				}
 			}
 		}
@@ -210,11 +210,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	drive(t, i, log)
+	processReady(t, i, log)
 	return i, log
 }
 
-func drive(t *testing.T, i *consensus.Instance, log *store.Store) {
+func processReady(t *testing.T, i *consensus.Instance, log *store.Store) {
 	t.Helper()
 	clock := func() time.Duration { return 0 }
 	if err := consensus.ProcessReady(i, log, clock, func(consensus.Effects) {}); err != nil {
@@ -231,7 +231,7 @@
 	return b
 }
 
-func indented(t *testing.T, b []byte) string {
+func indentJSON(t *testing.T, b []byte) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := json.Indent(&out, b, "", "\t"); err != nil {
@@ -240,8 +240,8 @@
 	return out.String() + "\n"
 }
 
-// filesText writes the files of a disk in base64, for testdata.
-func filesText(fs *faultfs.FS) string {
+// encodeFiles returns the files of fs in base64, except lock files, in the form of the golden files.
+func encodeFiles(fs *faultfs.FS) string {
 	var out strings.Builder
 	for _, name := range fs.Paths() {
 		if strings.HasSuffix(name, "LOCK") {
@@ -269,8 +269,8 @@
 	return b
 }
 
-// filesOf is the disk that filesText wrote.
-func filesOf(t *testing.T, name string) *faultfs.FS {
+// decodeFiles returns the file system that encodeFiles wrote to a golden file.
+func decodeFiles(t *testing.T, name string) *faultfs.FS {
 	t.Helper()
 	fs := faultfs.New(1)
 	for _, part := range strings.Split(golden.Read(t, name), "file ")[1:] {
--- a/internal/frozen/test_names_test.go
+++ b/internal/frozen/test_names_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// testFunction is the declaration of a test, a fuzz target, a benchmark or an example.
+// testFunction matches the declaration of a test, a fuzz target, a benchmark or an example.
 var testFunction = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark|Example)\w*)\(`)
 
-// The tests of before the packages were moved and renamed stand under the names that test-names.txt gives: a
-// line for each, the package and name of then, and the package and name of now.
+// Every test that existed before the packages were moved and renamed still exists. Each line of
+// test-names.txt gives the package and name of a test at that time, and its current package and name.
 func TestEveryEarlierTestStays(t *testing.T) {
 	names, err := os.ReadFile("testdata/test-names.txt")
 	if err != nil {
@@ -21,14 +21,14 @@
 	lines := strings.Split(strings.TrimSpace(string(names)), "\n")
 	const earlierTests = 361
 	if len(lines) != earlierTests {
-		t.Errorf("%d tests are listed, there were %d", len(lines), earlierTests)
+		t.Errorf("%d tests are listed, want %d", len(lines), earlierTests)
 	}
 	declared := map[string]map[string]bool{}
 	for _, line := range lines {
 		_, now, found := strings.Cut(line, " -> ")
 		folder, name, _ := strings.Cut(now, " ")
 		if !found || name == "" {
-			t.Errorf("not two names: %q", line)
+			t.Errorf("malformed line %q, expected \"PACKAGE NAME -> PACKAGE NAME\"", line)
 			continue
 		}
 		if declared[folder] == nil {
@@ -40,7 +40,8 @@
 	}
 }
 
-// declaredTests are the test functions of a folder, which is named from the repository's root.
+// declaredTests returns the names of the test functions in a folder, whose path is relative to the
+// repository's root.
 func declaredTests(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("../..", folder, "*_test.go"))
--- a/internal/frozen/trace_actions_test.go
+++ b/internal/frozen/trace_actions_test.go
@@ -6,15 +6,15 @@
 	"moorstack/balancer"
 )
 
-// Send implements balancer.Actions: the attempt's end comes later.
+// Send implements balancer.Actions. It schedules the end of the attempt.
 func (tr *trace) Send(id balancer.RequestID, to balancer.WorkerID) {
-	tr.act("send %s %d 0", id, to) // the 0 is a time limit of the attempt's own, which was never set
-	q, w := tr.open[id], tr.workers[to]
+	tr.record("send %s %d 0", id, to) // the 0 is a former timeout of the attempt, which was never set
+	q, w := tr.requests[id], tr.workers[to]
 	a := &traceAttempt{to: to, sent: tr.now}
 	q.attempts = append(q.attempts, a)
 	n := len(q.attempts) - 1
 	w.inFlight++
-	took := time.Duration(w.slow*float64(tr.span(40*time.Millisecond))) +
+	took := time.Duration(w.slowdown*float64(tr.randomDuration(40*time.Millisecond))) +
 		time.Duration(w.inFlight)*5*time.Millisecond
 	result := balancer.OK
 	switch p := tr.rng.IntN(100); {
@@ -38,16 +38,16 @@
 	}
 	if tr.set.ReportsStart && result != balancer.WorkerFull && result != balancer.ConnectFailed &&
 		!w.unresponsive {
-		tr.after(took/4, func() { tr.progress(id, n, a, true, 0) })
-		tr.after(took/2, func() { tr.progress(id, n, a, false, 0.5) })
+		tr.schedule(took/4, func() { tr.progress(id, n, a, true, 0) })
+		tr.schedule(took/2, func() { tr.progress(id, n, a, false, 0.5) })
 	}
 	if n > 0 || tr.rng.IntN(20) == 0 {
-		tr.after(
+		tr.schedule(
 			took/3,
-			func() { tr.act("still allowed %s %d %t", id, n, tr.bal.MayStillSend(tr.now, id, n)) },
+			func() { tr.record("still allowed %s %d %t", id, n, tr.bal.MayStillSend(tr.now, id, n)) },
 		)
 	}
-	tr.after(took, func() { tr.end(id, n, a, result) })
+	tr.schedule(took, func() { tr.end(id, n, a, result) })
 }
 
 func (tr *trace) progress(id balancer.RequestID, n int, a *traceAttempt, started bool, done float64) {
@@ -66,16 +66,16 @@
 	}
 	a.ended = true
 	w.inFlight--
-	q := tr.open[id]
+	q := tr.requests[id]
 	if result == balancer.OK {
-		q.answered = true
+		q.completed = true
 	}
 	report := balancer.NoLoadReport
 	if !tr.set.LoadReportsByCheck && tr.rng.IntN(3) > 0 {
 		report = tr.report(a.to)
 	}
 	tr.bal.AttemptEnded(tr.now, balancer.AttemptOutcome{ID: id, Attempt: n, Worker: a.to, Result: result,
-		Took: tr.now - a.sent, Responded: q.answered, Report: report})
+		Took: tr.now - a.sent, Responded: q.completed, Report: report})
 }
 
 func (tr *trace) report(id balancer.WorkerID) balancer.LoadReport {
@@ -90,28 +90,28 @@
 
 // Reject implements balancer.Actions.
 func (tr *trace) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	tr.act("refuse %s %d", id, retryAfter)
-	tr.open[id].answered = true
+	tr.record("refuse %s %d", id, retryAfter)
+	tr.requests[id].completed = true
 }
 
 // Fail implements balancer.Actions.
 func (tr *trace) Fail(id balancer.RequestID) {
-	tr.act("fail %s", id)
-	tr.open[id].answered = true
+	tr.record("fail %s", id)
+	tr.requests[id].completed = true
 }
 
 // Cancel implements balancer.Actions.
 func (tr *trace) Cancel(id balancer.RequestID, n int) {
-	tr.act("cancel %s %d", id, n)
-	a := tr.open[id].attempts[n]
-	tr.after(time.Microsecond, func() { tr.end(id, n, a, balancer.Cancelled) })
+	tr.record("cancel %s %d", id, n)
+	a := tr.requests[id].attempts[n]
+	tr.schedule(time.Microsecond, func() { tr.end(id, n, a, balancer.Cancelled) })
 }
 
 // CheckHealth implements balancer.Actions.
 func (tr *trace) CheckHealth(w balancer.WorkerID) {
-	tr.act("probe %d", w)
-	took := tr.span(2 * time.Millisecond)
-	tr.after(took, func() {
+	tr.record("probe %d", w)
+	took := tr.randomDuration(2 * time.Millisecond)
+	tr.schedule(took, func() {
 		result, report := balancer.OK, tr.report(w)
 		if tr.workers[w].unresponsive {
 			result, report = balancer.TimedOut, balancer.NoLoadReport
@@ -122,8 +122,8 @@
 
 // WatchList implements balancer.Actions.
 func (tr *trace) WatchList(on bool) {
-	tr.act("watch %t", on)
-	tr.after(15*time.Millisecond, func() {
+	tr.record("watch %t", on)
+	tr.schedule(15*time.Millisecond, func() {
 		if tr.rng.IntN(4) == 0 {
 			tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil)
 			return
@@ -134,9 +134,9 @@
 
 // SetTimer implements balancer.Actions.
 func (tr *trace) SetTimer(d time.Duration, token uint64) {
-	tr.act("after %d %d", d, token)
+	tr.record("after %d %d", d, token)
 	bal := tr.bal
-	tr.after(d, func() {
+	tr.schedule(d, func() {
 		if bal == tr.bal || bal == nil {
 			tr.bal.TimerFired(tr.now, token)
 		}
@@ -144,7 +144,8 @@
 }
 
 // SendPeer implements balancer.Actions.
-func (tr *trace) SendPeer(peer int, data []byte) { tr.act("tell %d %x", peer, data) }
+func (tr *trace) SendPeer(peer int, data []byte) { tr.record("tell %d %x", peer, data) }
 
-// Log implements balancer.Actions. Its words are for people and may change; when it comes may not.
-func (tr *trace) Log(string) { tr.act("log") }
+// Log implements balancer.Actions. It records only that a message was logged: the wording may change, but not
+// when messages are logged.
+func (tr *trace) Log(string) { tr.record("log") }
--- a/internal/frozen/trace_test.go
+++ b/internal/frozen/trace_test.go
@@ -14,45 +14,46 @@
 	"moorstack/balancer"
 )
 
-// traceOptions say what happens in a trace beside its settings.
+// traceOptions configure a trace in addition to its balancer settings.
 type traceOptions struct {
-	arrivals int
-	every    time.Duration // the mean time between two arrivals
-	workers  int
-	spread   bool // workers differ in zone, kind, cell and size
-	routed   bool // requests have routes with tiers
-	released bool // half of the workers have just started
+	arrivals     int
+	interval     time.Duration // mean time between two arrivals
+	workers      int
+	mixedWorkers bool // workers differ in zone, kind, cell and size
+	routed       bool // requests have routes with tiers
+	justStarted  bool // the workers of kind 1 have just started
 }
 
-// trace drives a balancer by events that its seed alone decides, and digests what the balancer does.
+// trace drives a balancer with events that depend only on a seed, and computes a digest of the balancer's
+// actions.
 type trace struct {
-	t       *testing.T
-	bal     *balancer.Balancer
-	set     balancer.Settings
-	opts    traceOptions
-	rng     *rand.Rand
-	now     time.Duration
-	queue   []traceEvent
-	seq     int
-	open    map[balancer.RequestID]*traceRequest
-	workers map[balancer.WorkerID]*traceWorker
-	list    []balancer.Worker
-	digest  hash.Hash
-	first   []string
-	events  int
-	counts  map[string]int // of actions
+	t          *testing.T
+	bal        *balancer.Balancer
+	set        balancer.Settings
+	opts       traceOptions
+	rng        *rand.Rand
+	now        time.Duration
+	queue      []traceEvent
+	seq        int
+	requests   map[balancer.RequestID]*traceRequest
+	workers    map[balancer.WorkerID]*traceWorker
+	list       []balancer.Worker
+	digest     hash.Hash
+	firstLines []string
+	events     int
+	counts     map[string]int // of actions, by kind
 }
 
 type traceEvent struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
 type traceRequest struct {
-	deadline time.Duration
-	answered bool
-	attempts []*traceAttempt
+	deadline  time.Duration
+	completed bool
+	attempts  []*traceAttempt
 }
 
 type traceAttempt struct {
@@ -65,15 +66,15 @@
 	inFlight     int
 	failing      bool
 	unresponsive bool
-	slow         float64
+	slowdown     float64
 }
 
-const firstActions = 80 // of a trace, in text
+const maxFirstLines = 80 // number of a trace's actions that are kept as text
 
 func newTrace(t *testing.T, set balancer.Settings, opts traceOptions, seed uint64) *trace {
 	t.Helper()
 	tr := &trace{t: t, set: set, opts: opts, rng: rand.New(rand.NewPCG(seed, 40)), now: time.Hour,
-		open: map[balancer.RequestID]*traceRequest{}, workers: map[balancer.WorkerID]*traceWorker{},
+		requests: map[balancer.RequestID]*traceRequest{}, workers: map[balancer.WorkerID]*traceWorker{},
 		digest: sha256.New(), counts: map[string]int{}}
 	bal, err := balancer.New(set, seed*1000+7, tr)
 	if err != nil {
@@ -83,8 +84,8 @@
 	return tr
 }
 
-func (tr *trace) after(d time.Duration, do func()) {
-	e := traceEvent{at: tr.now + d, seq: tr.seq, do: do}
+func (tr *trace) schedule(d time.Duration, do func()) {
+	e := traceEvent{at: tr.now + d, seq: tr.seq, run: do}
 	tr.seq++
 	i := sort.Search(len(tr.queue), func(i int) bool { return tr.queue[i].at > e.at })
 	tr.queue = append(tr.queue, traceEvent{})
@@ -92,18 +93,18 @@
 	tr.queue[i] = e
 }
 
-// act digests an action or an answer of the balancer.
-func (tr *trace) act(format string, args ...any) {
+// record adds an action or a result of the balancer to the digest.
+func (tr *trace) record(format string, args ...any) {
 	line := fmt.Sprintf("%d ", tr.now-time.Hour) + fmt.Sprintf(format, args...)
 	tr.digest.Write([]byte(line + "\n"))
 	kind, _, _ := strings.Cut(format, " ")
 	tr.counts[kind]++
-	if len(tr.first) < firstActions {
-		tr.first = append(tr.first, line)
+	if len(tr.firstLines) < maxFirstLines {
+		tr.firstLines = append(tr.firstLines, line)
 	}
 }
 
-func (tr *trace) span(mean time.Duration) time.Duration {
+func (tr *trace) randomDuration(mean time.Duration) time.Duration {
 	return time.Duration(tr.rng.ExpFloat64()*float64(mean)) + time.Microsecond
 }
 
@@ -113,10 +114,10 @@
 	}
 	at := time.Duration(0)
 	if tr.set.ListOnRequest {
-		tr.after(0, func() { tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil) })
+		tr.schedule(0, func() { tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil) })
 		at = 30 * time.Millisecond
 	}
-	tr.after(
+	tr.schedule(
 		at,
 		func() {
 			tr.bal.UpdateWorkers(tr.now, balancer.ListFull, append([]balancer.Worker(nil),
@@ -125,28 +126,29 @@
 	)
 	end := 20 * time.Millisecond
 	for n := range tr.opts.arrivals {
-		end += tr.span(tr.opts.every)
-		tr.after(end, func() { tr.arrive(n) })
+		end += tr.randomDuration(tr.opts.interval)
+		tr.schedule(end, func() { tr.arrive(n) })
 	}
-	for at := 150 * time.Millisecond; at < end; at += 150*time.Millisecond + tr.span(100*time.Millisecond) {
-		tr.after(at, tr.disturb)
+	for at := 150 * time.Millisecond; at < end; at += 150*time.Millisecond +
+		tr.randomDuration(100*time.Millisecond) {
+		tr.schedule(at, tr.injectFault)
 	}
-	tr.after(end/2, tr.replace)
-	tr.after(end/3, tr.configure)
+	tr.schedule(end/2, tr.replaceBalancer)
+	tr.schedule(end/3, tr.reconfigure)
 	stop := tr.now + end + 5*time.Second
 	for len(tr.queue) > 0 && tr.queue[0].at <= stop {
 		e := tr.queue[0]
 		tr.queue = tr.queue[1:]
 		tr.now = e.at
 		tr.events++
-		e.do()
+		e.run()
 	}
-	tr.learned()
+	tr.recordLearned()
 }
 
 func (tr *trace) newWorker(id int, since time.Duration) balancer.Worker {
 	w := balancer.Worker{ID: balancer.WorkerID(id), State: balancer.Ready, Size: 4, StartedAt: since}
-	if tr.opts.spread {
+	if tr.opts.mixedWorkers {
 		w.Zone, w.Kind, w.Cell = id%2, id/2%2, id/3
 		w.Size = 2 + float64(id%5)
 	} else {
@@ -155,10 +157,10 @@
 	if tr.opts.routed {
 		w.Labels = []string{fmt.Sprint("tier", id%3)}
 	}
-	if tr.opts.released && w.Kind == 1 {
+	if tr.opts.justStarted && w.Kind == 1 {
 		w.StartedAt = tr.now
 	}
-	tr.workers[w.ID] = &traceWorker{slow: 0.5 + tr.rng.Float64()}
+	tr.workers[w.ID] = &traceWorker{slowdown: 0.5 + tr.rng.Float64()}
 	return w
 }
 
@@ -171,7 +173,7 @@
 		r.IsRetry = true
 	}
 	if tr.rng.IntN(3) > 0 {
-		r.ExpectedWork = tr.span(40 * time.Millisecond)
+		r.ExpectedWork = tr.randomDuration(40 * time.Millisecond)
 	}
 	if len(tr.set.Tenants) > 0 {
 		r.Tenant = min(tr.rng.IntN(5), len(tr.set.Tenants)-1)
@@ -180,28 +182,28 @@
 		r.Route = tierRoute{spills: tr.rng.IntN(2) == 0}
 		r.MaxAttempts = tr.rng.IntN(3)
 	}
-	tr.open[id] = &traceRequest{deadline: tr.now + r.Timeout}
+	tr.requests[id] = &traceRequest{deadline: tr.now + r.Timeout}
 	tr.bal.Submit(tr.now, r)
 	switch tr.rng.IntN(40) {
 	case 0:
-		tr.after(r.Timeout/4, func() {
-			if q := tr.open[id]; !q.answered {
-				q.answered = true
+		tr.schedule(r.Timeout/4, func() {
+			if q := tr.requests[id]; !q.completed {
+				q.completed = true
 				tr.bal.ClientDisconnected(id)
 			}
 		})
 	case 1:
-		tr.after(r.Timeout/8, func() {
-			q := tr.open[id]
-			if n := len(q.attempts); !q.answered && n > 0 && !q.attempts[n-1].ended {
-				q.answered = true
+		tr.schedule(r.Timeout/8, func() {
+			q := tr.requests[id]
+			if n := len(q.attempts); !q.completed && n > 0 && !q.attempts[n-1].ended {
+				q.completed = true
 				tr.bal.StreamStarted(id)
 			}
 		})
 	}
 }
 
-// tierRoute has three tiers by the worker's label, and leaves some workers out.
+// tierRoute has three tiers by the worker's label and excludes every seventh worker.
 type tierRoute struct{ spills bool }
 
 func (tierRoute) TierCount() int { return 3 }
@@ -215,8 +217,9 @@
 
 func (r tierRoute) SpillsOver(_ int, busy bool) bool { return r.spills || !busy }
 
-// disturb changes something about the workers, as faults, drains and restarts do.
-func (tr *trace) disturb() {
+// injectFault changes a worker's state as faults, drains and restarts do, and records the balancer's view of
+// the workers.
+func (tr *trace) injectFault() {
 	k := tr.rng.IntN(len(tr.list))
 	w := tr.workers[tr.list[k].ID]
 	switch tr.rng.IntN(9) {
@@ -247,15 +250,15 @@
 		tr.bal.SetPredecessorInFlight(tr.list[k].ID, float64(tr.rng.IntN(3)))
 		tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil)
 	}
-	tr.act("excluded %d", tr.bal.EjectedCount(tr.now))
+	tr.record("excluded %d", tr.bal.EjectedCount(tr.now))
 	for _, v := range tr.bal.Explain(tr.now, balancer.Request{ID: "x", Timeout: time.Second, Slots: 1}, 0) {
-		tr.act("explain %d %t", v.Worker.ID, v.Reason == "")
+		tr.record("explain %d %t", v.Worker.ID, v.Reason == "")
 	}
 }
 
-// replace has another balancer go on from what this one has learned, as in an upgrade.
-func (tr *trace) replace() {
-	raw := tr.learned()
+// replaceBalancer continues with a new balancer that restores the learned state, as in a hot restart.
+func (tr *trace) replaceBalancer() {
+	raw := tr.recordLearned()
 	inFlight := tr.bal.InFlight()
 	next, err := balancer.New(tr.set, 99, tr)
 	if err != nil {
@@ -266,8 +269,8 @@
 		tr.t.Fatal(err)
 	}
 	tr.bal = next
-	for _, q := range tr.open {
-		q.answered = true // the process before sees them out
+	for _, q := range tr.requests {
+		q.completed = true // the old process completes them
 		for _, a := range q.attempts {
 			a.ended = true
 		}
@@ -281,23 +284,23 @@
 	}
 }
 
-// learned digests what the balancer passes to the process after it.
-func (tr *trace) learned() []byte {
+// recordLearned records the state that the balancer passes to its successor, and returns it.
+func (tr *trace) recordLearned() []byte {
 	raw, err := json.Marshal(tr.bal.Learned())
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	tr.act("memory %s", raw)
-	tr.act("in flight %v", tr.bal.InFlight()) // maps are printed in the order of their keys
+	tr.record("memory %s", raw)
+	tr.record("in flight %v", tr.bal.InFlight()) // fmt sorts map keys
 	return raw
 }
 
-// configure has the balancer go on by other settings.
-func (tr *trace) configure() {
+// reconfigure changes the balancer's settings.
+func (tr *trace) reconfigure() {
 	set := tr.set
 	set.Classes = append([]balancer.Class(nil), set.Classes...)
 	set.Classes[0].PriorityWeight *= 1.5
 	set.Classes[0].LatencyObjective *= 2
-	tr.act("configure %v", tr.bal.CanConfigure(set) == nil)
+	tr.record("configure %v", tr.bal.CanConfigure(set) == nil)
 	tr.bal.Configure(set)
 }
--- a/internal/schema/doc.go
+++ b/internal/schema/doc.go
@@ -1,5 +1,5 @@
-// Package schema has the protobuf messages and gRPC services that cross a boundary: entries of the agreed
-// log, messages between instances, and the operators' control service. All of its other files are generated
-// from the .proto files beside them by make proto. Numbers, names and types of fields never change: older
-// programs read what newer ones write, and the reverse.
+// Package schema holds the protobuf messages and gRPC services that are stored or cross a process boundary:
+// entries of the replicated log, messages between instances, and the operators' control service. All other Go
+// files of the package are generated from its .proto files by "make proto". Numbers, names and types of
+// fields never change, because older and newer versions read each other's messages.
 package schema
--- a/internal/schema/frozen_test.go
+++ b/internal/schema/frozen_test.go
@@ -11,8 +11,8 @@
 	"moorstack/internal/schema"
 )
 
-// Instances of two versions run in one group, and saved state holds these messages: services,
-// methods, fields, their numbers, types and JSON names stay what they are.
+// Services, methods and fields with their numbers, types and JSON names are unchanged: instances of different
+// versions run in one group, and stored state contains these messages.
 func TestSchemasAreFrozen(t *testing.T) {
 	var b strings.Builder
 	for _, f := range []protoreflect.FileDescriptor{
--- a/internal/verify/compat/balancer_test.go
+++ b/internal/verify/compat/balancer_test.go
@@ -15,48 +15,50 @@
 	"testing"
 )
 
-// earlierModules are commits with earlier decision modules, by what they lack: the last before hedged
-// requests for jobs at a silent worker, and the last before slow-start budgets that go by what warm workers
-// take.
-var earlierModules = map[string]string{"no copies at silent workers": "730e886~1",
-	"other cold budgets": "66d5692~1"}
+// earlierModules maps a description of an earlier decision module to its commit: the last commit before
+// hedged requests for jobs at a silent worker, and the last before slow-start budgets that depend on the load
+// of warm workers.
+var earlierModules = map[string]string{"no hedging at silent workers": "730e886~1",
+	"other slow-start budgets": "66d5692~1"}
 
-// lastWithBrain is the last commit whose decision module is called brain. Earlier modules are built into its
-// program, for they know neither the new names nor the new folders; the program decides and emulates as then.
+// lastWithBrain is the last commit whose decision module is in the folder brain. Earlier modules are built
+// into the program of that commit, because they use neither the current names nor the current folders. Its
+// decisions and its simulation are those of that time.
 const lastWithBrain = "ed6dd0a"
 
-// scenarios are changes of the small scenario: a text and its replacement, and faults that are added.
+// scenarios are variants of the small scenario: a text and its replacement, and additional faults.
 var scenarios = map[string]struct {
 	replace, by string
 	faults      string
 }{
-	"a crash":    {},
-	"one by one": {faults: fault("drain", "10s", "4s", 0.3, 0) + fault("drain", "30s", "4s", 0.5, 0)},
-	"zone lost":  {faults: fault("zone-lost", "30s", "10s", 0, 0) + "zone = \"seeb\"\n"},
-	"cut off":    {faults: fault("cut", "8s", "10s", 0.3, 0) + fault("cut", "38s", "10s", 0.3, 0)},
-	"a flood":    {faults: fault("flood", "8s", "30s", 0, 2.5)},
-	"of twelve":  {"nodes = 2\n", "nodes = 12\n", fault("crash", "36s", "8s", 0.6, 0)},
+	"crash":        {},
+	"two drains":   {faults: fault("drain", "10s", "4s", 0.3, 0) + fault("drain", "30s", "4s", 0.5, 0)},
+	"zone loss":    {faults: fault("zone-lost", "30s", "10s", 0, 0) + "zone = \"seeb\"\n"},
+	"partition":    {faults: fault("cut", "8s", "10s", 0.3, 0) + fault("cut", "38s", "10s", 0.3, 0)},
+	"load surge":   {faults: fault("flood", "8s", "30s", 0, 2.5)},
+	"twelve nodes": {"nodes = 2\n", "nodes = 12\n", fault("crash", "36s", "8s", 0.6, 0)},
 }
 
-// fault is a fault as a scenario file declares it.
+// fault returns a fault in the form of a scenario file.
 func fault(kind, at, length string, part, size float64) string {
 	return fmt.Sprintf("\n[[trouble]]\nkind = %q\nat = %q\nfor = %q\npart = %v\nsize = %v\n", kind, at,
 		length, part, size)
 }
 
 const (
-	// maxLoss is how much less than with an earlier module today's may earn, as a fraction of all.
+	// maxLoss is how far the score of the current module may be below that of an earlier one.
 	maxLoss = 0.03
-	// significantErrors is from how many standard errors on a difference counts as real.
+	// significantErrors is the number of standard errors beyond which a difference is significant.
 	significantErrors = 3
 )
 
-// Today's decision module beside earlier ones on the same scenarios, paired seed by seed: a difference beyond
-// three standard errors is real, the rest chance. Today's may not earn less by a real difference of more than
-// three hundredths.
+// Compares the current decision module with earlier ones on the same scenarios, paired by seed. A difference
+// of more than three standard errors is significant. The score of the current module must not be
+// significantly lower by more than 0.03.
 //
-// It earns less where most workers come back at once in slow start before many nodes: their slow-start
-// budgets add up, and those of the module before spilled over.
+// The current module scores lower in scenarios in which most workers return at once, in slow start, to many
+// nodes: the slow-start budgets of the nodes add up there, while those of the earlier module overflowed to
+// other workers.
 func TestModulesOnPairedScenarios(t *testing.T) {
 	root, err := filepath.Abs("../../..")
 	if err != nil {
@@ -68,7 +70,7 @@
 	}
 	for _, commit := range append(slices.Collect(maps.Values(earlierModules)), lastWithBrain) {
 		if err := exec.Command("git", "-C", root, "cat-file", "-e", commit+"^{commit}").Run(); err != nil {
-			t.Skipf("the module of %s is not in this checkout: %v", commit, err)
+			t.Skipf("commit %s is not in this checkout: %v", commit, err)
 		}
 	}
 	dir := t.TempDir()
@@ -89,10 +91,11 @@
 	}
 }
 
-// program is a program with a decision module; its name is empty for today's.
+// program is an executable with a decision module. The name of the current one is empty.
 type program struct{ name, path string }
 
-// buildProgram builds the program of today, or the one of lastWithBrain with the module of an earlier commit.
+// buildProgram builds the current program or, with a commit, the program of lastWithBrain with the decision
+// module of that commit.
 func buildProgram(t *testing.T, root, commit, to string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -109,7 +112,7 @@
 	}
 }
 
-// writeScenario writes a scenario's file and returns its path.
+// writeScenario writes the file of a scenario to dir and returns its path.
 func writeScenario(t *testing.T, root, dir, name string) string {
 	t.Helper()
 	small, err := os.ReadFile(filepath.Join(root, "experiments/small.toml"))
@@ -118,7 +121,7 @@
 	}
 	text, change := string(small), scenarios[name]
 	if !strings.Contains(text, change.replace) {
-		t.Fatalf("%s: the small scenario has no %q any more", name, change.replace)
+		t.Fatalf("%s: the small scenario does not contain %q", name, change.replace)
 	}
 	if change.replace != "" {
 		text = strings.ReplaceAll(text, change.replace, change.by)
@@ -130,26 +133,27 @@
 	return file
 }
 
-// scenarioRuns are a program's runs of a scenario.
+// scenarioRuns holds the results of a program's runs of a scenario.
 type scenarioRuns struct {
-	earned     []float64 // by seed
-	violations int       // runs in which a rule was broken
+	scores     []float64 // by seed
+	violations int       // number of runs with a rule violation
 }
 
-// runPrograms runs each program on a scenario, side by side, and returns the runs by the program's name.
+// runPrograms runs all programs on a scenario concurrently and returns their runs by program name.
 func runPrograms(t *testing.T, programs []program, file string, seeds int) map[string]scenarioRuns {
 	t.Helper()
 	results := make([]scenarioRuns, len(programs))
 	var wg sync.WaitGroup
 	for k, p := range programs {
 		wg.Go(func() {
-			runs := scenarioRuns{earned: make([]float64, seeds)}
+			runs := scenarioRuns{scores: make([]float64, seeds)}
 			for seed := range seeds {
-				earned, violated, err := runScenario(p.path, file, seed+1)
+				score, violated, err := runScenario(p.path, file, seed+1)
 				if err != nil || violated && p.name == "" {
-					t.Errorf("%s, %s, seed %d: rule broken: %v, %v", file, p.name, seed+1, violated, err)
+					t.Errorf("%s, %s, seed %d: rule violation: %v, error: %v", file, p.name, seed+1, violated,
+						err)
 				}
-				if runs.earned[seed] = earned; violated {
+				if runs.scores[seed] = score; violated {
 					runs.violations++
 				}
 			}
@@ -164,9 +168,9 @@
 	return byName
 }
 
-// runScenario returns which fraction of the priority weight of all jobs a program earns, and whether it broke
-// a rule.
-func runScenario(path, file string, seed int) (earned float64, violated bool, err error) {
+// runScenario runs a program on a scenario. It returns the score, which is the fraction of the total priority
+// weight of all jobs that the program earned, and whether it violated a rule.
+func runScenario(path, file string, seed int) (score float64, violated bool, err error) {
 	out, err := exec.Command(path, "emulate", "run", file, "--seed", fmt.Sprint(seed), "--output",
 		"json").Output()
 	var exit *exec.ExitError
@@ -186,27 +190,27 @@
 	return sum / total, violated, err
 }
 
-// compareRuns compares today's runs with an earlier module's, seed by seed.
+// compareRuns compares the runs of the current module with those of an earlier one, paired by seed.
 func compareRuns(t *testing.T, scenario string, earlier program, today, before scenarioRuns) {
 	t.Helper()
-	seeds := len(today.earned)
+	seeds := len(today.scores)
 	mean, square, better := 0.0, 0.0, 0
 	for seed := range seeds {
-		d := today.earned[seed] - before.earned[seed]
+		d := today.scores[seed] - before.scores[seed]
 		mean, square = mean+d/float64(seeds), square+d*d
 		if d > 0 {
 			better++
 		}
 	}
 	standardError := math.Sqrt(max(square/float64(seeds)-mean*mean, 0) / float64(seeds-1))
-	isReal := math.Abs(mean) > significantErrors*standardError && mean != 0
-	verdict := "chance"
-	if isReal {
-		verdict = "real"
+	isSignificant := math.Abs(mean) > significantErrors*standardError && mean != 0
+	verdict := "not significant"
+	if isSignificant {
+		verdict = "significant"
 	}
-	t.Logf("%-12s beside %-28s %+.4f, standard error %.4f, better on %d of %d: %s; a rule broken on %d",
+	t.Logf("%-12s against %-28s %+.4f, standard error %.4f, better on %d of %d: %s; %d rule violations",
 		scenario, earlier.name, mean, standardError, better, seeds, verdict, before.violations)
-	if mean < -maxLoss && isReal {
-		t.Errorf("%s: today's module earns less than that with %s", scenario, earlier.name)
+	if mean < -maxLoss && isSignificant {
+		t.Errorf("%s: the current module scores lower than the module with %s", scenario, earlier.name)
 	}
 }
--- a/internal/verify/compat/calendar_test.go
+++ b/internal/verify/compat/calendar_test.go
@@ -29,7 +29,7 @@
 	return m
 }
 
-// expressions are expressions as cron and as a scanner read them.
+// expressions lists cron expressions and the scanners that match the same times.
 var expressions = []struct {
 	cron    string
 	scanner minuteScanner
@@ -48,8 +48,8 @@
 var ruleSets = []calendar.Rules{{}, {Gap: calendar.ShiftGap, Fold: calendar.BothFolds},
 	{Gap: calendar.SkipGap, Fold: calendar.SecondFold}}
 
-// remarkableZones are always compared: their clock changes are unusual.
-var remarkableZones = []string{"Africa/Cairo", "Africa/Casablanca", "Africa/Monrovia", "Asia/Beirut",
+// unusualZones are always compared because of their unusual clock changes.
+var unusualZones = []string{"Africa/Cairo", "Africa/Casablanca", "Africa/Monrovia", "Asia/Beirut",
 	"Australia/Lord_Howe", "Europe/Dublin", "Pacific/Apia", "Europe/Berlin"}
 
 func mustLookup(t testing.TB, name string) *calendar.Zone {
@@ -75,7 +75,7 @@
 	return time.Date(year, month, day, 0, 0, 0, 0, time.UTC).Unix()
 }
 
-// distinctZones are the zones of the tz database that differ from each other since 1970.
+// distinctZones returns one zone of the tz database for each different history of offsets since 1970.
 func distinctZones(t *testing.T) []*time.Location {
 	t.Helper()
 	root, err := exec.Command("go", "env", "GOROOT").Output()
@@ -85,7 +85,7 @@
 	path := filepath.Join(strings.TrimSpace(string(root)), "lib", "time", "zoneinfo.zip")
 	z, err := zip.OpenReader(path)
 	if err != nil {
-		t.Skipf("the list of zones is not there: %v", err)
+		t.Skipf("the list of zones can't be read: %v", err)
 	}
 	defer z.Close()
 	seen := map[string]bool{}
@@ -107,8 +107,8 @@
 	return list
 }
 
-// offsetChanges are the instants from 1970 to 2040 at which a zone's offset changes, found without its list
-// of periods.
+// offsetChanges returns the instants from 1970 to 2040 at which a zone's offset changes. It finds them by
+// searching, independently of the zone's list of periods.
 func offsetChanges(zone *calendar.Zone) (list []int64) {
 	const step = 6 * 3600
 	offset := func(at int64) int64 { return zone.WallClock(at) - at }
@@ -133,7 +133,7 @@
 // span is a time span [from, to), in Unix seconds.
 type span struct{ from, to int64 }
 
-// spansToCompare are the days around each change of offset of a zone, or all years.
+// spansToCompare returns the days around each change of a zone's offset or, with allMinutes, all years.
 func spansToCompare(zone *calendar.Zone, allMinutes bool) (spans []span) {
 	if allMinutes {
 		for year := 1970; year < 2040; year++ {
@@ -149,14 +149,14 @@
 	return spans
 }
 
-// scanComparison compares recurrences with a scanner, by several goroutines.
+// scanComparison compares recurrences with a scanner. It is safe for concurrent use.
 type scanComparison struct {
 	t                 *testing.T
-	all               bool // expressions in each span, and not one in ten
+	all               bool // compare all expressions in each span instead of one in ten
 	minutes, compared atomic.Int64
 }
 
-// compareZone compares the occurrences in the spans of a zone, up to the first difference.
+// compareZone compares the occurrences in the spans of a zone and stops at the first difference.
 func (c *scanComparison) compareZone(loc *time.Location, zone *calendar.Zone, spans []span) {
 	for k, sp := range spans {
 		for j, x := range expressions {
@@ -183,31 +183,33 @@
 	}
 }
 
-// compareOccurrences describes how a recurrence differs in a span from the occurrences that are wanted.
+// compareOccurrences describes the first difference between a recurrence's occurrences in a span and the
+// wanted ones. It returns an empty string if there is none.
 func compareOccurrences(r *calendar.Recurrence, want []scannedOccurrence, sp span) string {
 	at := sp.from - 1
 	for n := 0; ; n++ {
 		o, ok := r.Next(at)
 		if !ok || o.At >= sp.to {
 			if n < len(want) {
-				return fmt.Sprintf("%s at %d is left out", want[n].localTime, want[n].at)
+				return fmt.Sprintf("%s at %d is missing", want[n].localTime, want[n].at)
 			}
 			return ""
 		}
 		local := strings.TrimSuffix(o.LocalTime.String(), "~2")
 		got := scannedOccurrence{o.At, local, o.LocalTime.InSecondFold()}
 		if n >= len(want) {
-			return fmt.Sprintf("%+v is one too many", got)
+			return fmt.Sprintf("unexpected %+v", got)
 		}
 		if got != want[n] {
-			return fmt.Sprintf("%+v; wanted %+v", got, want[n])
+			return fmt.Sprintf("got %+v, want %+v", got, want[n])
 		}
 		at = o.At
 	}
 }
 
-// Around every change of offset of every zone from 1970 to 2040, or of some in CI, calendar finds what a scan
-// of every minute finds. VERSUS=all compares all zones, VERSUS=minutes every minute of them.
+// Around every change of a zone's offset from 1970 to 2040, package calendar finds the same occurrences as a
+// scan of every minute. By default the test compares a subset of the zones; VERSUS=all compares all zones,
+// and VERSUS=minutes every minute of all zones.
 func TestCalendarAgainstAMinuteScanner(t *testing.T) {
 	mode := os.Getenv("VERSUS")
 	c := scanComparison{t: t, all: mode != ""}
@@ -215,7 +217,7 @@
 	running := make(chan struct{}, runtime.NumCPU())
 	var wg sync.WaitGroup
 	for n, loc := range zones {
-		if mode == "" && n%80 != 0 && !slices.Contains(remarkableZones, loc.String()) {
+		if mode == "" && n%80 != 0 && !slices.Contains(unusualZones, loc.String()) {
 			continue
 		}
 		zone := mustLookup(t, loc.String())
@@ -227,10 +229,10 @@
 		})
 	}
 	wg.Wait()
-	t.Logf("%d zones of their own, %d minutes scanned, %d occurrences compared", len(zones), c.minutes.Load(),
+	t.Logf("%d distinct zones, %d minutes scanned, %d occurrences compared", len(zones), c.minutes.Load(),
 		c.compared.Load())
 	if c.compared.Load() < 10_000 {
-		t.Error("there was next to nothing to compare")
+		t.Error("fewer than 10000 occurrences were compared")
 	}
 }
 
@@ -246,7 +248,7 @@
 			b.Fatal(err)
 		}
 		begin := time.Date(2026, 1, 1, 0, 0, 0, 0, loc)
-		b.Run("ours/"+expression, func(b *testing.B) {
+		b.Run("calendar/"+expression, func(b *testing.B) {
 			at := begin.Unix()
 			for b.Loop() {
 				o, _ := recurrence.Next(at)
--- a/internal/verify/compat/doc.go
+++ b/internal/verify/compat/doc.go
@@ -1,3 +1,4 @@
-// Package compat compares two ways of doing one thing in its tests: what is built here beside a plain way, a
-// library's way, or the way of an earlier commit. A test reports what differs, and whether that is explained.
+// Package compat holds tests that compare this module's implementations with others: a straightforward
+// reference implementation, a library, or an earlier commit. The tests report the differences and fail on
+// unexplained ones.
 package compat
--- a/internal/verify/compat/placement_test.go
+++ b/internal/verify/compat/placement_test.go
@@ -13,14 +13,14 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// ownership returns which of n instances owns a shard.
+// ownership returns the index of the instance that owns a shard.
 type ownership func(shard int) int
 
-// placer assigns shards to n instances; in another draw their IDs are others. The last instance is the one
-// that joins.
+// placer assigns shards to n instances, whose IDs depend on draw. With the same draw, n+1 instances are the
+// same n instances and one that has joined.
 type placer func(n, draw int) ownership
 
-// virtualNodes is how many points an instance has on the ring.
+// virtualNodes is the number of points of each instance on the hash ring.
 const virtualNodes = 100
 
 func ringPlacer(n, draw int) ownership {
@@ -48,11 +48,11 @@
 	}
 }
 
-// tablePlacer is package placement's.
+// tablePlacer assigns shards by the table of package placement.
 func tablePlacer(n, draw int) ownership {
 	var v placement.View
 	for i := range n {
-		// Member numbers are drawn at random.
+		// Real member IDs are random numbers, so these are hashes.
 		session := placement.Session{Member: xxhash.Sum64String(fmt.Sprint(draw, "i", i)),
 			Epoch: uint64(i + 1)}
 		v.Members = append(v.Members, placement.Member{Session: session, Name: strconv.Itoa(i)})
@@ -68,11 +68,11 @@
 	}
 }
 
-// placementDraws is how many draws a placer is measured on.
+// placementDraws is the number of draws over which a placer is measured.
 const placementDraws = 5
 
-// measurePlacer returns the most shards that an instance owns, over the mean, in all draws; and how many
-// shards move when one more instance joins, over 1/(n+1), in the mean of the draws.
+// measurePlacer returns the largest number of shards that an instance owns in any draw, relative to the mean,
+// and the mean fraction of the shards that move when one more instance joins, relative to 1/(n+1).
 func measurePlacer(p placer, n int) (maxOverMean, moved float64) {
 	for draw := range placementDraws {
 		counts := make([]int, n)
@@ -91,19 +91,21 @@
 	return maxOverMean, moved
 }
 
-// Package placement beside a ring with virtual nodes and modulo, on the same shards and draws.
+// Compares package placement with a hash ring with virtual nodes and with hashing modulo n, on the same
+// shards and draws: it must balance at least as well as the ring and move no more shards than modulo.
 func TestPlacementBesideRingAndModulo(t *testing.T) {
 	for _, n := range []int{3, 5, 15, 40, 100, 400} {
-		ours, moved := measurePlacer(tablePlacer, n)
-		onRing, ringMoved := measurePlacer(ringPlacer, n)
+		tableMax, tableMoved := measurePlacer(tablePlacer, n)
+		ringMax, ringMoved := measurePlacer(ringPlacer, n)
 		_, moduloMoved := measurePlacer(moduloPlacer, n)
-		t.Logf("%4d instances: most over mean %.2f, moved %.2f; a ring %.2f, %.2f; modulo moves %.1f", n,
-			ours, moved, onRing, ringMoved, moduloMoved)
-		if ours > 1.2 || ours > onRing {
-			t.Errorf("%d instances: one has %.2f of its part, on a ring %.2f", n, ours, onRing)
+		t.Logf("%4d instances: maximum over mean %.2f, moved %.2f; ring %.2f, %.2f; modulo moves %.1f", n,
+			tableMax, tableMoved, ringMax, ringMoved, moduloMoved)
+		if tableMax > 1.2 || tableMax > ringMax {
+			t.Errorf("%d instances: one owns %.2f times the mean, on a ring %.2f", n, tableMax, ringMax)
 		}
-		if moved > 1.3 && n <= 40 || moved > moduloMoved {
-			t.Errorf("%d instances: one more moves %.2f times its part, modulo %.2f", n, moved, moduloMoved)
+		if tableMoved > 1.3 && n <= 40 || tableMoved > moduloMoved {
+			t.Errorf("%d instances: one more moves %.2f times its share, modulo %.2f", n, tableMoved,
+				moduloMoved)
 		}
 	}
 }
--- a/internal/verify/compat/robfig_test.go
+++ b/internal/verify/compat/robfig_test.go
@@ -10,23 +10,23 @@
 	"moorstack/internal/cluster/calendar"
 )
 
-// The kinds of difference from robfig's calendar that are explained.
+// The explained kinds of difference between package calendar and robfig's cron.
 const (
-	gapDifference  = "a time in a gap: here once after it, there left out"
-	onlyHere       = "near a change: here, not there"
-	onlyWithRobfig = "near a change: there, not here"
+	gapDifference    = "local time in a gap: calendar fires after the gap, robfig skips it"
+	onlyWithCalendar = "near a clock change: only in calendar"
+	onlyWithRobfig   = "near a clock change: only in robfig"
 )
 
-// What robfig's own calendar finds differs only where clocks change, and each difference is of a kind that is
-// known: it is what the rules are for.
+// Package calendar and robfig's cron differ only near clock changes, and each difference is of an explained
+// kind: it follows from the gap and fold rules, which robfig's cron does not have.
 func TestCalendarAgainstRobfig(t *testing.T) {
 	differences := map[string]int{}
 	for _, name := range []string{"Europe/Berlin", "Australia/Lord_Howe", "Africa/Cairo", "Asia/Beirut",
 		"Pacific/Apia", "Europe/Dublin", "Africa/Casablanca", "America/New_York", "Asia/Muscat", "UTC"} {
 		sp := span{unixDate(2000, 1, 1), unixDate(2038, 1, 1)}
 		if name == "Pacific/Apia" {
-			// Its search never ends where a day is skipped: 30 December 2011 begins on the 31st, again and
-			// again.
+			// robfig's search never ends where a day is skipped: it computes that 30 December 2011, which
+			// does not exist there, begins on the 31st, and so returns to the same day again and again.
 			sp.from = unixDate(2012, 2, 1)
 		}
 		for _, x := range expressions {
@@ -39,40 +39,41 @@
 		t.Logf("%5d %s", n, kind)
 	}
 	if differences[gapDifference] == 0 {
-		t.Error("no gap was met")
+		t.Error("no occurrence falls into a gap")
 	}
 }
 
-// compareWithRobfig compares an expression's occurrences in a span, and counts the differences by kind.
+// compareWithRobfig compares an expression's occurrences in a span and counts the explained differences by
+// kind.
 func compareWithRobfig(t *testing.T, zoneName, expression string, sp span, differences map[string]int) {
 	t.Helper()
 	zone := mustLookup(t, zoneName)
 	changes := offsetChanges(zone)
-	ours := ourOccurrences(mustParse(t, expression, zone, calendar.Rules{}), sp)
-	robfigs := robfigOccurrences(t, zoneName, expression, sp)
-	for at, adjustment := range ours {
+	calendarTimes := calendarOccurrences(mustParse(t, expression, zone, calendar.Rules{}), sp)
+	robfigTimes := robfigOccurrences(t, zoneName, expression, sp)
+	for at, adjustment := range calendarTimes {
 		switch {
-		case robfigs[at]:
+		case robfigTimes[at]:
 		case adjustment == calendar.AdjustedGap:
 			differences[gapDifference]++
 		case isNear(at, changes):
-			differences[onlyHere]++
+			differences[onlyWithCalendar]++
 		default:
-			t.Errorf("%s %q: %d is found here only, and no clock changes", zoneName, expression, at)
+			t.Errorf("%s %q: only calendar has %d, but no clock change is near", zoneName, expression, at)
 		}
 	}
-	for at := range robfigs {
-		if _, ok := ours[at]; ok {
+	for at := range robfigTimes {
+		if _, ok := calendarTimes[at]; ok {
 			continue
 		}
 		if !isNear(at, changes) {
-			t.Errorf("%s %q: %d is found there only, and no clock changes", zoneName, expression, at)
+			t.Errorf("%s %q: only robfig has %d, but no clock change is near", zoneName, expression, at)
 		}
 		differences[onlyWithRobfig]++
 	}
 }
 
-func ourOccurrences(r *calendar.Recurrence, sp span) map[int64]calendar.Adjustment {
+func calendarOccurrences(r *calendar.Recurrence, sp span) map[int64]calendar.Adjustment {
 	found := map[int64]calendar.Adjustment{}
 	for o, ok := r.Next(sp.from); ok && o.At < sp.to; o, ok = r.Next(o.At) {
 		found[o.At] = o.Adjustment
--- a/internal/verify/compat/scanner_test.go
+++ b/internal/verify/compat/scanner_test.go
@@ -6,14 +6,14 @@
 	"moorstack/internal/cluster/calendar"
 )
 
-// minuteScanner finds occurrences in the plainest way: it checks every minute. It shares nothing with package
-// calendar but the names of the rules.
+// minuteScanner is a reference implementation that finds occurrences by checking every minute. It uses
+// nothing of package calendar except the type and the constants of the rules.
 type minuteScanner struct {
 	minutes, hours, days, weekdays map[int]bool // nil: any
 	rules                          calendar.Rules
 }
 
-// scannedOccurrence is an instant, in Unix seconds, and the local time that the expression gave.
+// scannedOccurrence is an instant, in Unix seconds, and the local time that the expression matched.
 type scannedOccurrence struct {
 	at         int64
 	localTime  string
@@ -22,15 +22,15 @@
 
 const (
 	localTimeLayout = "2006-01-02T15:04"
-	// scanStep is the step of a scan, in seconds: half a minute, for a zone whose offset once was no whole
-	// number of minutes.
+	// scanStep is the step of a scan, in seconds: half a minute, because one zone once had an offset that was
+	// not a whole number of minutes.
 	scanStep = 30
-	// scanMargin is how far around a span clock changes matter, in seconds: more than a day, which is the
-	// largest.
+	// scanMargin is how far outside a span a clock change may affect it, in seconds. It is more than a day,
+	// the largest clock change.
 	scanMargin = 26 * 60 * 60
 )
 
-// matches reports whether a local time is one of the expression's.
+// matches reports whether the expression matches a local time.
 func (m *minuteScanner) matches(t time.Time) bool {
 	in := func(set map[int]bool, n int) bool { return set == nil || set[n] }
 	if !in(m.minutes, t.Minute()) || !in(m.hours, t.Hour()) {
@@ -42,7 +42,7 @@
 	return in(m.days, t.Day()) && in(m.weekdays, int(t.Weekday()))
 }
 
-// scan returns the occurrences from one instant to before another, in order.
+// scan returns the occurrences in [from, to), in order.
 func (m *minuteScanner) scan(loc *time.Location, from, to int64) []scannedOccurrence {
 	s := scan{minuteScanner: m, loc: loc, from: from, to: to, instants: map[int64][]int64{},
 		found: map[int64]scannedOccurrence{}}
@@ -52,7 +52,7 @@
 		}
 	}
 	for at := from; at < to; at += scanStep {
-		if o, ok := s.existing(at); ok {
+		if o, ok := s.occurrenceAt(at); ok {
 			s.found[at] = o
 		}
 	}
@@ -70,23 +70,23 @@
 	return list
 }
 
-// scan is a scan of a span.
+// scan is the state of a scan of a span.
 type scan struct {
 	*minuteScanner
 	loc      *time.Location
 	from, to int64
-	instants map[int64][]int64 // by civil minute: when local clocks show it
+	instants map[int64][]int64 // by civil minute: the instants at which local clocks show it
 	found    map[int64]scannedOccurrence
 }
 
-// civil is what local clocks show at an instant, as seconds since 1970 there.
+// civil returns the local time at an instant, in seconds since 1970-01-01T00:00 local time.
 func (s *scan) civil(at int64) int64 {
 	_, offset := time.Unix(at, 0).In(s.loc).Zone()
 	return at + int64(offset)
 }
 
-// existing returns the occurrence at an instant whose local time exists.
-func (s *scan) existing(at int64) (scannedOccurrence, bool) {
+// occurrenceAt returns the occurrence at an instant, if its local time matches and the fold rule selects it.
+func (s *scan) occurrenceAt(at int64) (scannedOccurrence, bool) {
 	c := s.civil(at)
 	if c%60 != 0 || !s.matches(time.Unix(c, 0).UTC()) {
 		return scannedOccurrence{}, false
@@ -100,7 +100,7 @@
 	return scannedOccurrence{at, time.Unix(c, 0).UTC().Format(localTimeLayout), isSecond}, true
 }
 
-// addFromGap adds the occurrences in the gap that ends at an instant, if one does.
+// addFromGap adds the occurrences whose local times are in the gap that ends at an instant, if there is one.
 func (s *scan) addFromGap(at int64) {
 	before, now := s.civil(at-scanStep), s.civil(at)
 	first := true
@@ -115,7 +115,7 @@
 			}
 			first = false
 		}
-		if _, taken := s.existing(occursAt); !taken && occursAt >= s.from && occursAt < s.to {
+		if _, taken := s.occurrenceAt(occursAt); !taken && occursAt >= s.from && occursAt < s.to {
 			local := time.Unix(c, 0).UTC().Format(localTimeLayout)
 			s.found[occursAt] = scannedOccurrence{occursAt, local, false}
 		}
--- a/internal/verify/expect/clock.go
+++ b/internal/verify/expect/clock.go
@@ -7,11 +7,12 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// virtualClock is a broker.Clock in virtual time: what is due runs in its order, and nothing waits.
+// virtualClock implements broker.Clock in virtual time: it runs callbacks in the order of their times and
+// never sleeps.
 type virtualClock struct {
 	now   time.Duration
 	queue timerQueue
-	seq   int // of the newest timer
+	seq   int // sequence number of the newest timer
 }
 
 type timer struct {
@@ -24,7 +25,7 @@
 // Stop implements broker.Timer.
 func (t *timer) Stop() { t.stopped = true }
 
-// timerQueue is a heap (container/heap) by time, and of one time by sequence.
+// timerQueue is a heap (container/heap) ordered by time, then by sequence number.
 type timerQueue []*timer
 
 func (q timerQueue) Len() int { return len(q) }
@@ -51,7 +52,7 @@
 	return t
 }
 
-// runUntil runs what is due up to a time, or until stop returns true.
+// runUntil runs the timers that are due up to end, or until stop returns true.
 func (c *virtualClock) runUntil(end time.Duration, stop func() bool) {
 	for len(c.queue) > 0 && c.queue[0].at <= end && !stop() {
 		t := heap.Pop(&c.queue).(*timer)
--- a/internal/verify/expect/compare.go
+++ b/internal/verify/expect/compare.go
@@ -6,16 +6,16 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// RoutingChange is a job that is routed differently by two files of rules.
+// RoutingChange is a job that two rules files route differently.
 type RoutingChange struct {
 	Job    string `json:"job"`
 	Before string `json:"Was"`
 	After  string `json:"Now"`
 }
 
-// CompareRules lists the jobs that are routed differently by two files of rules: one, as plain as possible,
-// for each pair of different decisions, and no more than limit. The jobs are made of all values that the
-// rules of both name, and of values that neither names. It also returns how many jobs were made.
+// CompareRules lists jobs that two rules files route differently: for each pair of different decisions the
+// simplest job, and at most limit jobs. It generates the jobs from all values that either file names and from
+// values that neither names, and also returns how many jobs it generated.
 func CompareRules(names routing.KnownNames, before, after *routing.File, limit int) (changes []RoutingChange,
 	jobs int, err error) {
 	tableBefore, _, err := routing.Compile(before, names)
@@ -33,7 +33,7 @@
 		p := pair{describeDecision(names, tableBefore.Decide(j)),
 			describeDecision(names, tableAfter.Decide(j))}
 		if p.before != p.after && !seen[p] {
-			// Jobs come from plain to special, so the first of a pair is the plainest.
+			// Jobs are enumerated from simple to specific, so the first job of a pair is the simplest.
 			seen[p] = true
 			changes = append(changes, RoutingChange{Job: routing.DescribeJob(names, j), Before: p.before,
 				After: p.after})
@@ -43,14 +43,14 @@
 	return changes, jobs, nil
 }
 
-// describeDecision describes where a decision sends a job. It does not name the rule, since two rules may
-// decide alike.
+// describeDecision describes where a decision sends a job. It does not name the rule, because two rules may
+// lead to the same decision.
 func describeDecision(names routing.KnownNames, d routing.Decision) string {
 	if d.RejectReason != "" {
-		return fmt.Sprintf("refused (%s), return after %v", d.RejectReason, d.RetryAfter)
+		return fmt.Sprintf("rejected (%s), retry after %v", d.RejectReason, d.RetryAfter)
 	}
 	if d.Class < 0 {
-		return "turned away: no class"
+		return "client error: no class"
 	}
 	text := names.Classes[d.Class] + " to "
 	if r, ok := d.Route.(*routing.Route); ok && r != nil {
--- a/internal/verify/expect/expect_test.go
+++ b/internal/verify/expect/expect_test.go
@@ -25,7 +25,7 @@
 	return string(raw)
 }
 
-// mustLoad loads a text in place of the deployed expectations.
+// mustLoad loads text as if it were the content of the deployed file of expectations.
 func mustLoad(t testing.TB, text string) *Suite {
 	t.Helper()
 	s, err := Load(deployedExpectations, []byte(text), os.ReadFile)
@@ -44,7 +44,7 @@
 	s := loadDeployed(t)
 	first := s.Run(nil)
 	if len(first) < 40 {
-		t.Errorf("only %d expectations", len(first))
+		t.Errorf("got %d expectations, want at least 40", len(first))
 	}
 	for _, r := range first {
 		if !r.Passed() {
@@ -52,11 +52,11 @@
 		}
 	}
 	if again := s.Run(nil); fmt.Sprint(again) != fmt.Sprint(first) {
-		t.Error("the same file has another result the second time")
+		t.Error("a second run of the same file has a different result")
 	}
 }
 
-// No descriptor is needed to check expectations: none can be had, and they hold.
+// Checking expectations opens no file descriptor: all expectations pass while the limit on descriptors is 0.
 func TestRunOpensNoDescriptor(t *testing.T) {
 	s := loadDeployed(t)
 	var limit unix.Rlimit
@@ -73,7 +73,7 @@
 	})
 	if fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0); err == nil {
 		unix.Close(fd)
-		t.Fatal("a socket can be had, so this test shows nothing")
+		t.Fatal("a socket could be opened although the limit on descriptors is 0")
 	}
 	for _, r := range s.Run(nil) {
 		if !r.Passed() {
@@ -82,7 +82,7 @@
 	}
 }
 
-// A broken rule fails the run, and the failure names it.
+// When a rule is broken, the failure names the rule, its position and the candidates that it leaves.
 func TestFailureNamesTheBrokenRule(t *testing.T) {
 	broken := strings.Replace(readFile(t, deployedRules), `prefer = ["seeb", "ruwi"]`,
 		`prefer = ["ruwi", "seeb"]`, 1)
@@ -99,13 +99,13 @@
 		trace := strings.Join(r.Trace, "\n")
 		if !strings.Contains(r.Rule, "rule 2 (dialysis-seeb)") ||
 			!strings.Contains(r.Rule, "routes.toml:36") ||
-			!strings.Contains(trace, "choice 1, ruwi: left r1") ||
+			!strings.Contains(trace, "tier 1, ruwi: candidates r1") ||
 			r.Line == 0 {
 			t.Errorf("%+v", r)
 		}
 	}
 	if failed != 1 {
-		t.Errorf("%d failed", failed)
+		t.Errorf("%d expectations failed, want 1", failed)
 	}
 }
 
@@ -117,11 +117,11 @@
 		{`there is no job "x"`, `job = "dialysis-seeb"`, `job = "x"`},
 		{`there is no roster "x"`, `roster = "no-seeb"`, `roster = "x"`},
 		{`can't be decided`, "within = 0.01", "within = 0.00001, share = 0.5"},
-		{`it expects nothing`, "tried_at_most = 2\nserved = false", ""},
+		{`it can't fail`, "tried_at_most = 2\nserved = false", ""},
 		{`there is no rule "dialysis-sib"`, `rule = "dialysis-seeb"`, `rule = "dialysis-sib"`},
 		{`the rules have no pool "fast"`, `pool = "quick"`, `pool = "fast"`},
 		{`goes_too: this key is not known here`, "goes_to", "goes_too"},
-		{`"PAUSED" is not SERVING`, `lifecycle = "DELETED"`, `lifecycle = "PAUSED"`},
+		{`SERVING, DRAINING or DELETED, got "PAUSED"`, `lifecycle = "DELETED"`, `lifecycle = "PAUSED"`},
 		{`the name "s1" is empty or in use`, `name = "s2"`, `name = "s1"`},
 	} {
 		changed := strings.ReplaceAll(text, c.replace, c.by)
@@ -142,7 +142,7 @@
 	}
 }
 
-// The samples bring an estimate within its tolerance with the stated confidence.
+// The required number of samples keeps the estimate of a share within the tolerance with a confidence of 99%.
 func TestRequiredSamplesReachTheTolerance(t *testing.T) {
 	for _, c := range []struct{ share, tolerance float64 }{{0.5, 0.05}, {1, 0.02}, {0.1, 0.03}} {
 		n := float64(requiredSamples(c.share, c.tolerance))
@@ -151,10 +151,11 @@
 			p = 1 - c.tolerance
 		}
 		if sd := math.Sqrt(p * (1 - p) / n); sd*normalQuantile99 > c.tolerance*1.001 {
-			t.Errorf("%v within %v: %v samples leave %v", c.share, c.tolerance, n, sd*normalQuantile99)
+			t.Errorf("share %v, tolerance %v: with %v samples the 99%% error is %v", c.share, c.tolerance, n,
+				sd*normalQuantile99)
 		}
 	}
 	if requiredSamples(0.5, 0.001) <= MaxSamples {
-		t.Error("a share within a thousandth is decided by few samples")
+		t.Error("a tolerance of 0.001 requires no more than MaxSamples samples")
 	}
 }
--- a/internal/verify/expect/file.go
+++ b/internal/verify/expect/file.go
@@ -6,15 +6,15 @@
 	"moorstack/balancer"
 )
 
-// fileVersion is the only version of the format.
+// fileVersion is the only supported version of the file format.
 const fileVersion = 1
 
 // File is a file of expectations.
 type File struct {
 	Version      int           `toml:"version"` // 1
 	Platform     string        `toml:"platform"`
-	Rules        string        `toml:"rules"` // empty: there are none, and the balancer alone decides
-	Zone         string        `toml:"zone"`  // of the node that has the jobs; empty: the platform file's
+	Rules        string        `toml:"rules"` // empty: no rules; the balancer alone decides
+	Zone         string        `toml:"zone"`  // of the receiving node; empty: the platform file's
 	Seed         uint64        `toml:"seed"`
 	Workers      []Worker      `toml:"worker"`
 	WorkerSets   []WorkerSet   `toml:"roster"`
@@ -22,7 +22,7 @@
 	Expectations []Expectation `toml:"expect"`
 }
 
-// Worker is a worker as the endpoint list and health checks describe it.
+// Worker describes a worker: its entry in the endpoint list and its responses to health checks.
 type Worker struct {
 	Name        string    `toml:"name"`
 	Zone        string    `toml:"zone"`
@@ -30,10 +30,10 @@
 	Cell        int       `toml:"cell"`
 	Labels      []string  `toml:"label"`
 	Lifecycle   Lifecycle `toml:"lifecycle"` // empty: LifecycleServing
-	Age         duration  `toml:"age"`       // since its start; 0: long ago
-	FreeSlots   float64   `toml:"free"`      // as a health check reports
-	QueueLength float64   `toml:"queue"`     // as a health check reports
-	Reachable   *bool     `toml:"reachable"` // false: neither health checks nor jobs get there
+	Age         duration  `toml:"age"`       // time since its start; 0: it started long ago
+	FreeSlots   float64   `toml:"free"`      // reported by health checks
+	QueueLength float64   `toml:"queue"`     // reported by health checks
+	Reachable   *bool     `toml:"reachable"` // nil: true; if false, health checks and jobs fail to connect
 }
 
 // Lifecycle is a worker's state in the endpoint list.
@@ -46,7 +46,7 @@
 	LifecycleDeleted  Lifecycle = "DELETED"
 )
 
-// workerState returns the balancer's state; false: there is no such lifecycle.
+// workerState converts l to the balancer's worker state. It returns false if l is not a known lifecycle.
 func (l Lifecycle) workerState() (balancer.WorkerState, bool) {
 	switch l {
 	case "", LifecycleServing:
@@ -59,16 +59,17 @@
 	return balancer.Removed, false
 }
 
-// WorkerSet is an endpoint list. A file without any has one of all its workers, whose name is empty.
+// WorkerSet is a named endpoint list. The set with the empty name is implicit: it holds all workers of the
+// file.
 type WorkerSet struct {
 	Name    string   `toml:"name"`
 	Workers []string `toml:"workers"`
 }
 
-// Job is a job that might come.
+// Job describes a job that is submitted to the simulation.
 type Job struct {
 	Name         string            `toml:"name"`
-	Front        string            `toml:"front"` // as package routing has them; empty: HTTP
+	Front        string            `toml:"front"` // routing.FrontHTTP or routing.FrontFaktory; empty: HTTP
 	Class        string            `toml:"class"`
 	Tenant       string            `toml:"tenant"`
 	Host         string            `toml:"host"`
@@ -78,46 +79,46 @@
 	ExpectedWork duration          `toml:"cost"`
 	Queue        string            `toml:"queue"`
 	JobType      string            `toml:"jobtype"`
-	Timeout      duration          `toml:"timeout"` // 0: the class's
+	Timeout      duration          `toml:"timeout"` // 0: the timeout of its class
 }
 
-// Expectation is what is expected of a job.
+// Expectation states what is expected of a job.
 type Expectation struct {
 	Name      string   `toml:"name"`
 	Job       string   `toml:"job"`
 	WorkerSet string   `toml:"roster"`
-	After     duration `toml:"after"` // from the endpoint list to the job; 0: defaultJobDelay
+	After     duration `toml:"after"` // delay from the endpoint list to the job; 0: defaultJobDelay
 	Events    []Event  `toml:"events"`
 
 	FirstAttempts  []AttemptShare   `toml:"goes_to"`
-	NoAttempts     []WorkerSelector `toml:"never"`         // where none goes
-	SecondAttempts []AttemptShare   `toml:"falls_back_to"` // of the jobs that have one
+	NoAttempts     []WorkerSelector `toml:"never"`         // workers that receive no attempt
+	SecondAttempts []AttemptShare   `toml:"falls_back_to"` // fractions of the jobs with a second attempt
 	Rejected       *Rejection       `toml:"refused"`
 	Served         *bool            `toml:"served"`
-	MaxAttempts    int              `toml:"tried_at_most"` // 0: any number
-	Rule           *string          `toml:"rule"`          // that decides; "": none
+	MaxAttempts    int              `toml:"tried_at_most"` // 0: unlimited
+	Rule           *string          `toml:"rule"`          // the rule that matches; "": no rule does
 }
 
-// Event is something that happens before or during the job.
+// Event is a change of a worker before or during the job.
 type Event struct {
-	At          duration    `toml:"at"` // counted from the endpoint list
+	At          duration    `toml:"at"` // time since the endpoint list
 	Worker      string      `toml:"worker"`
-	Lifecycle   Lifecycle   `toml:"lifecycle"` // that the endpoint list has from now on
+	Lifecycle   Lifecycle   `toml:"lifecycle"` // new lifecycle in the endpoint list; empty: unchanged
 	Reachable   *bool       `toml:"reachable"`
 	JobResponse JobResponse `toml:"answers"`
 }
 
-// JobResponse is how a worker responds to jobs.
+// JobResponse is the kind of response that a worker sends to jobs.
 type JobResponse string
 
 // The values of JobResponse.
 const (
 	RespondOK    JobResponse = "ok"
 	RespondError JobResponse = "error"
-	RespondFull  JobResponse = "full" // it has no room for the job
+	RespondFull  JobResponse = "full" // the worker has no free capacity for the job
 )
 
-// WorkerSelector is a set of workers: those that meet every condition that is given.
+// WorkerSelector selects the workers that meet all of its conditions. An empty condition matches any worker.
 type WorkerSelector struct {
 	Zone   string `toml:"zone"`
 	Kind   string `toml:"kind"`
@@ -125,19 +126,19 @@
 	Worker string `toml:"worker"`
 }
 
-// AttemptShare is the fraction of attempts that go to a set of workers.
+// AttemptShare is the expected fraction of attempts that go to the selected workers.
 type AttemptShare struct {
 	WorkerSelector
 	Fraction  *float64 `toml:"share"`  // nil: 1
 	Tolerance float64  `toml:"within"` // 0: defaultTolerance
 }
 
-// defaultTolerance is the tolerance of a share that gives none.
+// defaultTolerance is the tolerance of a share that does not set one.
 const defaultTolerance = 0.05
 
-// Rejection is what is expected of a rejected job's response.
+// Rejection states what is expected of the response to a rejected job.
 type Rejection struct {
-	Reason        string   `toml:"reason"` // that a rule gives; empty: any
+	Reason        string   `toml:"reason"` // reject reason set by a rule; empty: any
 	MinRetryAfter duration `toml:"after_least"`
 }
 
--- a/internal/verify/expect/mutation.go
+++ b/internal/verify/expect/mutation.go
@@ -7,15 +7,17 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// Mutant is the rules with one of them broken, and whether an expectation fails for it.
+// Mutant is the result of a mutation: a copy of the rules in which one rule was broken on purpose.
 type Mutant struct {
 	Mutation string `json:"what"`
 	Rule     string `json:"rule"`
-	// KilledBy is the expectation that fails, or why the rules don't compile; empty: the mutant survives.
+	// KilledBy is the expectation that fails, or the reason why the rules don't compile; empty: the mutant
+	// survives.
 	KilledBy string `json:"killed,omitempty"`
 }
 
-// Mutate breaks each rule in turn, in memory, and runs the expectations on each mutant.
+// Mutate applies all mutations to each rule, one at a time and in memory, and runs the expectations on each
+// mutant.
 func (s *Suite) Mutate() []Mutant {
 	if s.rules == nil {
 		return nil
@@ -29,7 +31,7 @@
 	return list
 }
 
-// runMutation runs the expectations on mutated rules, until one fails.
+// runMutation applies a mutation to a copy of the rules and reports the first expectation that fails.
 func (s *Suite) runMutation(m mutation, rule string) Mutant {
 	result := Mutant{Mutation: m.name, Rule: rule}
 	rules := *s.rules
@@ -38,7 +40,7 @@
 	table, _, err := routing.Compile(&rules, s.knownNames)
 	if err != nil {
 		firstLine, _, _ := strings.Cut(err.Error(), "\n")
-		result.KilledBy = "the rules are refused: " + firstLine
+		result.KilledBy = "the rules are invalid: " + firstLine
 		return result
 	}
 	mutant := *s
@@ -52,33 +54,33 @@
 	return result
 }
 
-// mutation is a way to break a rule.
+// mutation breaks a rule in one way.
 type mutation struct {
 	name  string
 	apply func(*routing.File)
 }
 
-// mutations are the mutations that apply to the nth rule.
+// mutations returns the mutations that apply to the nth rule.
 func (s *Suite) mutations(n int) []mutation {
 	return slices.Concat(s.ruleMutations(n), s.matchMutations(n), s.destinationMutations(n),
 		s.termMutations(n))
 }
 
-// ruleMutations break the rule as a whole.
+// ruleMutations returns the mutations that drop, disable or move the rule.
 func (s *Suite) ruleMutations(n int) []mutation {
 	list := []mutation{
 		{"dropped", func(f *routing.File) { f.Rules = slices.Delete(f.Rules, n, n+1) }},
 		{"matches nothing", func(f *routing.File) { f.Rules[n].Match.RouteKeyPrefix = "\x00" }},
 	}
 	if n+1 < len(s.rules.Rules) && mayOverlap(&s.rules.Rules[n].Match, &s.rules.Rules[n+1].Match) {
-		list = append(list, mutation{"after the next one", func(f *routing.File) {
+		list = append(list, mutation{"moved after the next rule", func(f *routing.File) {
 			f.Rules[n], f.Rules[n+1] = f.Rules[n+1], f.Rules[n]
 		}})
 	}
 	return list
 }
 
-// matchMutations invert or drop a condition of the rule.
+// matchMutations returns the mutations that invert or drop a condition of the rule.
 func (s *Suite) matchMutations(n int) (list []mutation) {
 	match := s.rules.Rules[n].Match
 	add := func(applies bool, name string, mutate func(*routing.MatchSpec)) {
@@ -100,7 +102,7 @@
 	return list
 }
 
-// destinationMutations change where the rule sends jobs.
+// destinationMutations returns the mutations that change the pools to which the rule sends jobs.
 func (s *Suite) destinationMutations(n int) (list []mutation) {
 	rule := s.rules.Rules[n]
 	pools := rule.PreferredPools
@@ -117,13 +119,13 @@
 		}})
 	}
 	if len(pools) > 1 {
-		list = append(list, mutation{"with its pools the other way round", func(f *routing.File) {
+		list = append(list, mutation{"with its pools in reverse order", func(f *routing.File) {
 			f.Rules[n].PreferredPools = slices.Clone(pools)
 			slices.Reverse(f.Rules[n].PreferredPools)
 		}})
 	}
 	if len(rule.Split) > 1 {
-		list = append(list, mutation{"with its parts exchanged", func(f *routing.File) {
+		list = append(list, mutation{"with the pools of its split exchanged", func(f *routing.File) {
 			split := slices.Clone(rule.Split)
 			split[0].Pool, split[1].Pool = split[1].Pool, split[0].Pool
 			f.Rules[n].Split = split
@@ -132,7 +134,7 @@
 	return list
 }
 
-// termMutations change the terms on which the rule sends or rejects jobs.
+// termMutations returns the mutations that change the rule's attempt limit, rejection or class.
 func (s *Suite) termMutations(n int) (list []mutation) {
 	rule := s.rules.Rules[n]
 	if rule.MaxAttempts > 0 {
@@ -141,25 +143,25 @@
 		}})
 	}
 	if rule.RejectReason != "" {
-		list = append(list, mutation{"without refusing", func(f *routing.File) {
+		list = append(list, mutation{"without rejecting", func(f *routing.File) {
 			f.Rules[n].RejectReason, f.Rules[n].RetryAfter = "", 0
-		}}, mutation{"with half the time to return", func(f *routing.File) { f.Rules[n].RetryAfter /= 2 }})
+		}}, mutation{"with half the retry delay", func(f *routing.File) { f.Rules[n].RetryAfter /= 2 }})
 	}
 	if rule.Class != "" {
-		list = append(list, mutation{"without giving a class", func(f *routing.File) {
+		list = append(list, mutation{"without setting a class", func(f *routing.File) {
 			f.Rules[n].Class = ""
 		}})
 	}
 	return list
 }
 
-// mayOverlap reports whether two rules may match the same job: only then their order matters.
+// mayOverlap reports whether two rules may match the same job. Only then does their order matter.
 func mayOverlap(a, b *routing.MatchSpec) bool {
 	intersect := func(x, y []string) bool {
 		return len(x) == 0 || len(y) == 0 ||
 			slices.ContainsFunc(x, func(v string) bool { return slices.Contains(y, v) })
 	}
-	// A job over Faktory has no headers.
+	// Jobs from the Faktory front have no headers.
 	headerless := func(m *routing.MatchSpec) bool {
 		return slices.Equal(m.Fronts, []string{routing.FrontFaktory})
 	}
@@ -170,7 +172,7 @@
 		intersect(a.Fronts, b.Fronts) && intersect(a.Queues, b.Queues)
 }
 
-// complement returns the known names, and the empty one, without some.
+// complement returns the known names and the empty name, except those in without.
 func complement(without, known []string) []string {
 	var rest []string
 	for _, name := range append(slices.Clone(known), "") {
--- a/internal/verify/expect/mutation_test.go
+++ b/internal/verify/expect/mutation_test.go
@@ -7,7 +7,8 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// A mutant that no expectation notices is reported: with one expectation only, there are some.
+// A mutant for which no expectation fails is reported as surviving. A file with a single expectation has such
+// mutants.
 func TestSurvivingMutantsAreReported(t *testing.T) {
 	const header = "[[expect]]"
 	text := readFile(t, deployedExpectations)
@@ -22,7 +23,7 @@
 		}
 	}
 	if killed == 0 || survived == 0 {
-		t.Errorf("%d killed, %d survive with one expectation", killed, survived)
+		t.Errorf("with one expectation, %d killed and %d surviving, want some of each", killed, survived)
 	}
 }
 
@@ -39,6 +40,6 @@
 		t.Errorf("%v %d %+v", err, jobs, changes)
 	}
 	if changes, _, _ := CompareRules(s.knownNames, s.rules, s.rules, 100); len(changes) > 0 {
-		t.Errorf("the same rules differ: %+v", changes)
+		t.Errorf("the same rules are reported as different: %+v", changes)
 	}
 }
--- a/internal/verify/expect/resolve.go
+++ b/internal/verify/expect/resolve.go
@@ -9,10 +9,10 @@
 	"moorstack/internal/tomlfile"
 )
 
-// maxDelay bounds when a job or an event comes.
+// maxDelay is the longest delay of a job or an event after the endpoint list.
 const maxDelay = time.Minute
 
-// resolveNames resolves the names in the file, sets defaults, and rejects what makes no sense.
+// resolveNames resolves the names in the file, sets defaults, and rejects invalid values.
 func (s *Suite) resolveNames() error {
 	if s.Zone != "" {
 		if s.settings.Zone = slices.Index(s.knownNames.Zones, s.Zone); s.settings.Zone < 0 {
@@ -54,9 +54,10 @@
 	case !s.hasKind(w.Kind):
 		return s.errorAt("worker", i, "%s: there is no kind %q", w.Name, w.Kind)
 	case !known || state == balancer.Removed:
-		return s.errorAt("worker", i, "%s: lifecycle: %q is not SERVING or DRAINING", w.Name, w.Lifecycle)
+		return s.errorAt("worker", i, "%s: lifecycle must be SERVING or DRAINING, got %q", w.Name,
+			w.Lifecycle)
 	case w.Age < 0 || w.FreeSlots < 0 || w.QueueLength < 0:
-		return s.errorAt("worker", i, "%s: age, free or queue is below 0", w.Name)
+		return s.errorAt("worker", i, "%s: age, free and queue must not be negative", w.Name)
 	}
 	s.workers[w.Name] = w
 	s.workerSets[""] = append(s.workerSets[""], w)
@@ -88,9 +89,9 @@
 	case j.Tenant != "" && !s.hasTenant(j.Tenant):
 		return s.errorAt("job", i, "%s: there is no tenant %q", j.Name, j.Tenant)
 	case j.Front != "" && j.Front != routing.FrontHTTP && j.Front != routing.FrontFaktory:
-		return s.errorAt("job", i, "%s: front: %q is not http or faktory", j.Name, j.Front)
+		return s.errorAt("job", i, "%s: front must be http or faktory, got %q", j.Name, j.Front)
 	case j.ExpectedWork < 0 || j.Timeout < 0:
-		return s.errorAt("job", i, "%s: cost or timeout is below 0", j.Name)
+		return s.errorAt("job", i, "%s: cost and timeout must not be negative", j.Name)
 	}
 	s.jobs[j.Name] = j
 	return nil
@@ -106,7 +107,7 @@
 	case s.workerSets[e.WorkerSet] == nil:
 		return s.errorAt("expect", i, "%s: there is no roster %q", e.Name, e.WorkerSet)
 	case !isDelay(e.After):
-		return s.errorAt("expect", i, "%s: after: %v is not from 0 to a minute", e.Name,
+		return s.errorAt("expect", i, "%s: after must be between 0s and 1m, got %v", e.Name,
 			time.Duration(e.After))
 	}
 	seen[e.Name] = true
@@ -127,7 +128,7 @@
 		return s.errorAt("expect", i, "%s: there is no rule %q", e.Name, *e.Rule)
 	}
 	if len(selectors) == 0 && e.Rejected == nil && e.Served == nil && e.MaxAttempts == 0 && e.Rule == nil {
-		return s.errorAt("expect", i, "%s: it expects nothing, and so can't fail", e.Name)
+		return s.errorAt("expect", i, "%s: the expectation states no condition, so it can't fail", e.Name)
 	}
 	return nil
 }
@@ -141,20 +142,20 @@
 		case s.workers[v.Worker] == nil:
 			return s.errorAt("expect", i, "%s: events: there is no worker %q", e.Name, v.Worker)
 		case !knownLifecycle:
-			return s.errorAt("expect", i, "%s: events: lifecycle: %q is not SERVING, DRAINING or DELETED",
-				e.Name, v.Lifecycle)
+			return s.errorAt("expect", i,
+				"%s: events: lifecycle must be SERVING, DRAINING or DELETED, got %q", e.Name, v.Lifecycle)
 		case !slices.Contains([]JobResponse{"", RespondOK, RespondError, RespondFull}, v.JobResponse):
-			return s.errorAt("expect", i, "%s: events: answers: %q is not ok, error or full", e.Name,
+			return s.errorAt("expect", i, "%s: events: answers must be ok, error or full, got %q", e.Name,
 				v.JobResponse)
 		case !isDelay(v.At):
-			return s.errorAt("expect", i, "%s: events: at: %v is not from 0 to a minute", e.Name,
+			return s.errorAt("expect", i, "%s: events: at must be between 0s and 1m, got %v", e.Name,
 				time.Duration(v.At))
 		}
 	}
 	return nil
 }
 
-// resolveShares sets the shares' defaults and returns their selectors.
+// resolveShares sets the defaults of the expected shares and returns their selectors.
 func (s *Suite) resolveShares(i int, e *Expectation) (selectors []WorkerSelector, err error) {
 	for _, list := range [][]AttemptShare{e.FirstAttempts, e.SecondAttempts} {
 		for k := range list {
@@ -169,12 +170,12 @@
 			fraction, tolerance := *share.Fraction, share.Tolerance
 			if !(fraction >= 0 && fraction <= 1) || !(tolerance > 0 && tolerance < 1) {
 				return nil, s.errorAt("expect", i,
-					"%s: a share is from 0 to 1, within above 0 and below 1", e.Name)
+					"%s: share must be between 0 and 1, within must be above 0 and below 1", e.Name)
 			}
 			if n := requiredSamples(fraction, tolerance); n > MaxSamples {
 				return nil, s.errorAt("expect", i,
-					"%s: a share of %v within %v takes %d draws, %d are allowed: it can't be decided", e.Name,
-					fraction, tolerance, n, MaxSamples)
+					"%s: a share of %v within %v can't be decided: it requires %d samples, the limit is %d",
+					e.Name, fraction, tolerance, n, MaxSamples)
 			}
 			selectors = append(selectors, share.WorkerSelector)
 		}
@@ -185,7 +186,7 @@
 func (s *Suite) checkSelector(i int, e *Expectation, w WorkerSelector) error {
 	switch {
 	case w == (WorkerSelector{}):
-		return s.errorAt("expect", i, "%s: say a zone, a kind, a pool or a worker", e.Name)
+		return s.errorAt("expect", i, "%s: a zone, a kind, a pool or a worker is required", e.Name)
 	case w.Zone != "" && !s.hasZone(w.Zone):
 		return s.errorAt("expect", i, "%s: there is no zone %q", e.Name, w.Zone)
 	case w.Kind != "" && !s.hasKind(w.Kind):
--- a/internal/verify/expect/run.go
+++ b/internal/verify/expect/run.go
@@ -11,15 +11,15 @@
 	"moorstack/internal/tomlfile"
 )
 
-// Result is the result of checking an expectation.
+// Result is the outcome of checking an expectation.
 type Result struct {
 	Name     string   `json:"name"`
 	File     string   `json:"file"`
 	Line     int      `json:"line"`
-	Rule     string   `json:"rule,omitempty"` // that decided, with its position
+	Rule     string   `json:"rule,omitempty"` // the rule that matched, with its position
 	Samples  int      `json:"draws"`
 	Failures []string `json:"failures,omitempty"`
-	Trace    []string `json:"trace,omitempty"` // of a failure: how the candidates were narrowed down
+	Trace    []string `json:"trace,omitempty"` // only with failures: how the candidates were narrowed down
 }
 
 // Passed reports whether the expectation holds.
@@ -29,8 +29,8 @@
 	r.Failures = append(r.Failures, fmt.Sprintf(format, args...))
 }
 
-// Run checks the expectations whose names the filter accepts (nil: all), on all cores, and returns the
-// results in the file's order.
+// Run checks the expectations whose names the filter accepts (nil: all), using all CPU cores. The results are
+// in the order of the file.
 func (s *Suite) Run(filter func(name string) bool) []Result {
 	var selected []int
 	for i := range s.Expectations {
@@ -74,9 +74,10 @@
 	case d.RejectReason != "":
 		r.checkRuleRejection(e, d)
 	case d.Class < 0:
-		// The frontend rejects it before the broker has it, which is no retryable rejection.
+		// The frontend responds with a client error, not with a retryable rejection, and the broker never
+		// receives the job.
 		if e.Served == nil || *e.Served || e.Rejected != nil {
-			r.failf("the job names no class, and no rule gives it one")
+			r.failf("the job names no class, and no rule sets one")
 		}
 	default:
 		counts, err := s.sample(e, j, d)
@@ -107,7 +108,7 @@
 	return s.table.Decide(s.routingJob(j))
 }
 
-// routingJob is the job as the rules see it.
+// routingJob converts a job to the form that the routing rules match.
 func (s *Suite) routingJob(j *Job) *routing.Job {
 	frontend := j.Front
 	if frontend == "" {
@@ -128,11 +129,11 @@
 	}
 }
 
-// checkRuleRejection checks a job that a rule rejects.
+// checkRuleRejection checks the expectation of a job that a rule rejects.
 func (r *Result) checkRuleRejection(e *Expectation, d routing.Decision) {
 	if e.Rejected == nil {
 		if len(e.FirstAttempts)+len(e.SecondAttempts) > 0 || e.Served != nil && *e.Served {
-			r.failf("expected to be sent, got refused by the rule: %s", d.RejectReason)
+			r.failf("expected attempts, but the rule rejects the job: %s", d.RejectReason)
 		}
 		return
 	}
@@ -140,6 +141,6 @@
 		r.failf("refused: expected the reason %q, got %q", e.Rejected.Reason, d.RejectReason)
 	}
 	if least := time.Duration(e.Rejected.MinRetryAfter); d.RetryAfter < least {
-		r.failf("refused: expected to return after %v at least, got %v", least, d.RetryAfter)
+		r.failf("refused: expected a retry after %v at least, got %v", least, d.RetryAfter)
 	}
 }
--- a/internal/verify/expect/sample.go
+++ b/internal/verify/expect/sample.go
@@ -8,21 +8,22 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// The balancer draws at random, so what is expected of shares is checked with a stated confidence: as many
-// samples are taken as bring the estimate within the tolerance with a probability of 99%. The samples' seeds
-// are fixed, so the verdict is the same each time.
+// The balancer makes random choices, so expected shares are checked statistically: the number of samples is
+// large enough for the estimate to be within the tolerance with a probability of 99%. The seeds of the
+// samples are fixed, so repeated runs give the same result.
 const (
 	// normalQuantile99 is the two-sided 99% quantile of the normal distribution.
 	normalQuantile99 = 2.576
-	// MaxSamples is the most that are taken: a share that needs more can't be decided.
+	// MaxSamples is the largest number of samples. An expected share that requires more is rejected.
 	MaxSamples = 20_000
-	// minSamples is for what must never be: a share of 1.5% shows with a probability of 99%.
+	// minSamples is the smallest number of samples. It detects an attempt that must never happen, but does in
+	// 1.5% of the cases, with a probability of 99%.
 	minSamples = 300
 )
 
-// requiredSamples returns how many samples it takes to know a share within a tolerance.
+// requiredSamples returns how many samples are required to estimate a share within a tolerance.
 func requiredSamples(share, tolerance float64) int {
-	worst := share // the variance is largest at the half
+	worst := share // the variance is largest at 0.5
 	for _, p := range []float64{share - tolerance, share + tolerance, 0.5} {
 		if p >= 0 && p <= 1 && math.Abs(p-share) <= tolerance*(1+1e-9) && p*(1-p) > worst*(1-worst) {
 			worst = p
@@ -32,21 +33,21 @@
 	return max(int(math.Ceil(n)), minSamples)
 }
 
-// sampleCounts are the outcomes of an expectation's samples.
+// sampleCounts counts the outcomes of an expectation's samples.
 type sampleCounts struct {
 	samples           int
 	firstAttempts     map[string]int // by worker
 	secondAttempts    map[string]int // by worker
 	withSecondAttempt int
-	attempted         map[string]int // by worker: samples with an attempt there
+	attempted         map[string]int // by worker: samples with at least one attempt there
 	served            int
 	rejected          int
 	failed            int
 	maxAttempts       int
-	minRetryAfter     time.Duration // of rejections; -1: there was none
+	minRetryAfter     time.Duration // the smallest of all rejections; -1: no job was rejected
 }
 
-// sample runs the job as often as the expectation needs, each time in a simulation of its own.
+// sample runs the job as often as the expectation requires, each time in a new simulation.
 func (s *Suite) sample(e *Expectation, j *Job, d routing.Decision) (*sampleCounts, error) {
 	n := minSamples
 	for _, list := range [][]AttemptShare{e.FirstAttempts, e.SecondAttempts} {
@@ -71,7 +72,7 @@
 	return counts, nil
 }
 
-// sampleSeed is the seed of the nth sample.
+// sampleSeed returns the seed of the nth sample.
 func (s *Suite) sampleSeed(n int) uint64 { return s.Seed<<32 + uint64(n) }
 
 func (c *sampleCounts) add(sim *simulation) {
--- a/internal/verify/expect/simulation.go
+++ b/internal/verify/expect/simulation.go
@@ -12,31 +12,31 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// startTime is the time at which a simulation begins: ages reach back from it without a start time of 0,
-// which means long ago.
+// startTime is the virtual time at which a simulation begins. It is large because a worker's start time is
+// startTime minus its age, and a start time of 0 means that the worker started long ago.
 const startTime = 1_000 * time.Hour
 
 const (
-	healthCheckLatency = time.Millisecond       // of a worker that is reachable
-	connectTimeout     = 250 * time.Millisecond // of an attempt at a worker that is not
-	errorLatency       = 5 * time.Millisecond   // until a worker responds with an error, or that it is full
-	defaultServiceTime = time.Second            // of a job whose expected work is unknown
-	// defaultJobDelay is how long after the endpoint list a job comes, if the expectation gives no delay: the
-	// first health checks have ended.
+	healthCheckLatency = time.Millisecond       // of a reachable worker
+	connectTimeout     = 250 * time.Millisecond // of an attempt at an unreachable worker
+	errorLatency       = 5 * time.Millisecond   // until a worker responds with an error or that it is full
+	defaultServiceTime = time.Second            // of a job without expected work
+	// defaultJobDelay is the delay from the endpoint list to the job if the expectation sets none. It is long
+	// enough for the first health checks to end.
 	defaultJobDelay = 200 * time.Millisecond
 )
 
-// requestID is the ID of each simulation's job.
+// requestID is the ID of the job in every simulation.
 const requestID = "expectation"
 
-// simulation is one node with its workers and one job. It is used by one goroutine.
+// simulation simulates a node with its workers and one job. It is not safe for concurrent use.
 type simulation struct {
 	suite     *Suite
 	clock     virtualClock
 	broker    *broker.Broker
-	endpoints map[string]*stubEndpoint // by worker
-	attempts  []*stubEndpoint          // where they went, in order
-	response  *broker.Response         // nil: there is none yet
+	endpoints map[string]*stubEndpoint // by worker name
+	attempts  []*stubEndpoint          // endpoints of the attempts, in order
+	response  *broker.Response         // nil: not received yet
 }
 
 var discardLogger = func() *logrus.Logger {
@@ -45,7 +45,7 @@
 	return log
 }()
 
-// newSimulation returns the simulation of an expectation just before its job comes.
+// newSimulation returns the simulation of an expectation, advanced to the time at which its job is submitted.
 func (s *Suite) newSimulation(e *Expectation, seed uint64) (*simulation, error) {
 	sim := &simulation{suite: s, clock: virtualClock{now: startTime}, endpoints: map[string]*stubEndpoint{}}
 	var err error
@@ -66,7 +66,7 @@
 	if delay == 0 {
 		delay = defaultJobDelay
 	}
-	// An event at the moment of the job comes before it.
+	// Events at the same time as the job run before it.
 	sim.clock.runUntil(startTime+delay, func() bool { return false })
 	return sim, nil
 }
@@ -74,7 +74,7 @@
 func (sim *simulation) applyEvent(v Event) {
 	endpoint := sim.endpoints[v.Worker]
 	if endpoint == nil {
-		return // not in this worker set
+		return // the worker is not in this worker set
 	}
 	if v.Reachable != nil {
 		endpoint.reachable = *v.Reachable
@@ -92,7 +92,7 @@
 	}
 }
 
-// run submits the job and goes on until its response or, if that is all that counts, its first attempt.
+// run submits the job and advances the clock until its response or, with firstAttemptOnly, its first attempt.
 func (sim *simulation) run(j *Job, d routing.Decision, firstAttemptOnly bool) error {
 	request := sim.suite.brokerRequest(j, d)
 	if err := sim.broker.Submit(request, sim); err != nil {
@@ -107,7 +107,7 @@
 // Respond implements broker.Client.
 func (sim *simulation) Respond(r broker.Response) { sim.response = &r }
 
-// brokerRequest is the job as the broker takes it.
+// brokerRequest converts a job and its routing decision to the broker's request.
 func (s *Suite) brokerRequest(j *Job, d routing.Decision) broker.Request {
 	timeout := time.Duration(j.Timeout)
 	if timeout == 0 {
@@ -126,7 +126,7 @@
 	}
 }
 
-// stubEndpoint stands for a worker.
+// stubEndpoint simulates a worker.
 type stubEndpoint struct {
 	sim         *simulation
 	worker      *Worker
@@ -168,7 +168,7 @@
 	return defaultServiceTime
 }
 
-// stubAttempt is an attempt that goes on when it is abandoned.
+// stubAttempt is a running attempt. Abandoning it has no effect: it still ends at its planned time.
 type stubAttempt struct{}
 
 // Abandon implements broker.RunningAttempt.
@@ -188,7 +188,7 @@
 	})
 }
 
-// entry is the worker's entry in the endpoint list.
+// entry returns the worker's entry in the endpoint list.
 func (e *stubEndpoint) entry() broker.ListEntry {
 	w, names := e.worker, &e.sim.suite.knownNames
 	entry := broker.ListEntry{
--- a/internal/verify/expect/simulation_test.go
+++ b/internal/verify/expect/simulation_test.go
@@ -11,15 +11,15 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// slowStart is how long after its start a worker of the deployment warms up, without being sent any of the
-// jobs of these tests.
+// slowStart is the slow-start window of the deployed settings. The jobs of these tests may not be sent to a
+// worker within it.
 const slowStart = 24 * time.Second
 
-// drawnCase is a rule, workers and events that were drawn.
+// drawnCase is a randomly generated rule with workers and events.
 type drawnCase struct {
 	suite       Suite
 	expectation Expectation
-	draining    map[string]bool // workers that drain before the job comes
+	draining    map[string]bool // workers that begin draining before the job
 }
 
 func drawCase(t *rapid.T, s *Suite) drawnCase {
@@ -48,7 +48,7 @@
 		w.Name = fmt.Sprint("w", i)
 		workers = append(workers, &w)
 		if rapid.IntRange(0, 3).Draw(t, "drains") == 0 {
-			// The list has it at 1 s, and the job comes at 3 s: nothing new may go there.
+			// The endpoint list says so at 1 s and the job follows at 3 s, so it may not be sent there.
 			c.draining[w.Name] = true
 			c.expectation.Events = append(c.expectation.Events,
 				Event{At: duration(time.Second), Worker: w.Name, Lifecycle: LifecycleDraining})
@@ -61,7 +61,9 @@
 	return c
 }
 
-// Whatever the rules, no attempt goes where the broker or the balancer forbid it, nor outside the pools.
+// Routing rules can't lift restrictions of the broker or the balancer: no attempt goes to a draining worker,
+// to a worker in slow start without a budget, outside the rule's pools or, if a keyed job may have run,
+// outside its cell.
 func TestNoRuleLiftsARestriction(t *testing.T) {
 	s := loadDeployed(t)
 	jobs := []string{"dialysis-muscat", "book-muscat", "quote-muscat"}
@@ -83,26 +85,26 @@
 	})
 }
 
-// checkAttempts checks where a job's attempts went.
+// checkAttempts checks the endpoints of a job's attempts.
 func checkAttempts(t *rapid.T, c drawnCase, d routing.Decision, sim *simulation) {
 	byKey := c.suite.settings.Classes[d.Class].Idempotency == balancer.IdempotentByKey
-	cell, mayHaveRun := 0, false // where an attempt may have run
+	cell, mayHaveRun := 0, false // cell of an attempt that may have run
 	for n, endpoint := range sim.attempts {
 		entry, w := endpoint.entry(), endpoint.worker
 		worker := balancer.Worker{Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, Labels: entry.Labels}
 		switch {
 		case endpoint.state != balancer.Ready || c.draining[w.Name]:
-			t.Fatalf("attempt %d goes to a worker that drains", n)
+			t.Fatalf("attempt %d goes to a draining worker", n)
 		case w.Age > 0 && time.Duration(w.Age) < slowStart:
 			t.Fatalf("attempt %d goes to a worker in slow start without a budget", n)
 		case d.Route.Tier(&worker) < 0:
 			t.Fatalf("attempt %d goes outside the pools", n)
 		case n > 0 && d.MaxAttempts > 0 && n >= d.MaxAttempts:
-			t.Fatalf("%d attempts of %d", n+1, d.MaxAttempts)
+			t.Fatalf("attempt %d, at most %d are allowed", n+1, d.MaxAttempts)
 		case mayHaveRun && byKey && w.Cell != cell:
-			t.Fatalf("attempt %d of a job with a key, which may have run, leaves its cell", n)
+			t.Fatalf("attempt %d of a keyed job that may have run goes to another cell", n)
 		}
-		if endpoint.reachable && endpoint.jobResponse == RespondError { // unreachable: it has not run
+		if endpoint.reachable && endpoint.jobResponse == RespondError { // unreachable: it did not run
 			cell, mayHaveRun = w.Cell, true
 		}
 	}
--- a/internal/verify/expect/suite.go
+++ b/internal/verify/expect/suite.go
@@ -12,23 +12,24 @@
 	"moorstack/internal/tomlfile"
 )
 
-// Suite is a file of expectations with everything that it refers to.
+// Suite is a file of expectations together with the settings and rules that it refers to.
 type Suite struct {
 	File
 	Path       string
 	raw        []byte
 	settings   balancer.Settings
 	knownNames routing.KnownNames
-	table      *routing.Table // nil: there are no rules
+	table      *routing.Table // nil: the file names no rules
 	rules      *routing.File
-	// By name; a file without worker sets has one of all its workers, whose name is empty.
+	// The maps are indexed by name. The worker set with the empty name holds all workers.
 	workers    map[string]*Worker
 	workerSets map[string][]*Worker
 	jobs       map[string]*Job
 }
 
-// Load reads a file of expectations and everything that it refers to. readFile reads the file of rules. An
-// error in the file is a *tomlfile.Error; one in the rules is routing.Problems.
+// Load parses a file of expectations, whose content is raw, and reads the files that it refers to; readFile
+// reads the rules file. An error in the file of expectations is a *tomlfile.Error, one in the rules is a
+// routing.Problems.
 func Load(path string, raw []byte, readFile func(string) ([]byte, error)) (*Suite, error) {
 	s := &Suite{Path: path, raw: raw, workers: map[string]*Worker{}, workerSets: map[string][]*Worker{},
 		jobs: map[string]*Job{}}
@@ -36,11 +37,11 @@
 		return nil, err
 	}
 	if s.Version != fileVersion {
-		return nil, tomlfile.ErrorAt(path, raw, "version", "%d is not 1, the only version that there is",
+		return nil, tomlfile.ErrorAt(path, raw, "version", "unsupported version %d, expected 1",
 			s.Version)
 	}
 	if s.Platform == "" {
-		return nil, tomlfile.ErrorAt(path, raw, "platform", "it must name the deployment's file")
+		return nil, tomlfile.ErrorAt(path, raw, "platform", "the path of the platform file is missing")
 	}
 	if err := s.loadPlatform(); err != nil {
 		return nil, err
@@ -53,7 +54,8 @@
 	return s, s.resolveNames()
 }
 
-// relativePath resolves a path that is relative to the file of expectations.
+// relativePath resolves a path relative to the folder of the file of expectations. Absolute paths stay as
+// they are.
 func (s *Suite) relativePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -92,7 +94,7 @@
 	return err
 }
 
-// ApplyDocument replaces the deployment's classes and tenants by those of a group's document.
+// ApplyDocument replaces the classes and tenants of the platform file by those of a group's document.
 func (s *Suite) ApplyDocument(doc *clusterstate.Document) error {
 	settings, err := doc.ApplyTo(s.settings)
 	if err != nil {
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// errorAt is an error in the nth element of an array.
+// errorAt returns an error with the position of the nth table of an array of tables.
 func (s *Suite) errorAt(array string, n int, format string, args ...any) error {
 	return &tomlfile.Error{
 		Path:    s.Path,
--- a/internal/verify/expect/trace.go
+++ b/internal/verify/expect/trace.go
@@ -9,7 +9,7 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// Explain describes how the candidates for a job are narrowed down in a worker set.
+// Explain describes how the candidates for a job are narrowed down within a worker set.
 func (s *Suite) Explain(job, workerSet string) ([]string, error) {
 	j := s.jobs[job]
 	if j == nil {
@@ -21,17 +21,17 @@
 	return s.trace(&Expectation{Job: job, WorkerSet: workerSet}, j, s.decide(j)), nil
 }
 
-// trace describes how the candidates for a job are narrowed down, stage by stage.
+// trace describes how the rules and the broker narrow down the candidates for a job, step by step.
 func (s *Suite) trace(e *Expectation, j *Job, d routing.Decision) []string {
 	var lines []string
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	if d.Rule == nil {
-		add("rules: none matches")
+		add("rules: no rule matches")
 	} else {
-		add("rules: rule %d (%s) at %v decides", d.Rule.Number, d.Rule.Name, d.Rule.Position)
+		add("rules: rule %d (%s) at %v matches", d.Rule.Number, d.Rule.Name, d.Rule.Position)
 	}
 	if d.RejectReason != "" {
-		add("refused by the rule: %s", d.RejectReason)
+		add("rejected by the rule: %s", d.RejectReason)
 		return lines
 	}
 	if d.Class < 0 {
@@ -50,15 +50,15 @@
 	}
 	for tier := range tiers {
 		candidates, excluded := sim.candidates(e, s.brokerRequest(j, d), tier)
-		add("choice %d, %s: left %s", tier+1, pools[tier], formatNames(candidates))
+		add("tier %d, %s: candidates %s", tier+1, pools[tier], formatNames(candidates))
 		for _, reason := range slices.Sorted(maps.Keys(excluded)) {
-			add("  out, %s: %s", reason, formatNames(excluded[reason]))
+			add("  excluded, %s: %s", reason, formatNames(excluded[reason]))
 		}
 	}
 	return lines
 }
 
-// candidates returns the workers of a tier that may have a job, and the others by the reason against them.
+// candidates returns the workers of a tier that may receive a job, and the excluded workers by reason.
 func (sim *simulation) candidates(e *Expectation, request broker.Request, tier int) (candidates []string,
 	excluded map[string][]string) {
 	verdicts := sim.broker.Explain(request, tier)
@@ -67,7 +67,7 @@
 		v, known := verdicts[worker.Name]
 		reason := v.Reason
 		if !known {
-			reason = "it is gone"
+			reason = "it has been removed"
 		}
 		if reason == "" {
 			candidates = append(candidates, worker.Name)
--- a/internal/verify/pagecheck/doc.go
+++ b/internal/verify/pagecheck/doc.go
@@ -1,4 +1,5 @@
-// Package pagecheck holds the tests that keep the pages for readers of the code true: every file, package,
-// identifier and command that docs/architecture.md and docs/glossary.md name exists, every package stands in
-// the architecture page, and every exported identifier has a doc comment. It has no code of its own.
+// Package pagecheck holds tests that keep the developer documentation in step with the code: every file,
+// package, identifier and command named in docs/architecture.md and docs/glossary.md exists,
+// docs/architecture.md names every package, and every exported identifier has a doc comment. The package
+// contains only tests.
 package pagecheck
--- a/internal/verify/pagecheck/pages_test.go
+++ b/internal/verify/pagecheck/pages_test.go
@@ -8,25 +8,26 @@
 	"testing"
 )
 
-// readerPages are the pages that introduce the code to a newcomer.
+// readerPages are the pages that introduce new readers to the code.
 var readerPages = []string{"docs/architecture.md", "docs/glossary.md"}
 
-// commandList is the frozen list of all commands, with their flags.
+// commandList is the golden file with all commands and their flags.
 const commandList = "cmd/moorstack/testdata/commands.txt"
 
 var (
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
-	// repositoryPath is a path from the repository's root.
+	// repositoryPath matches a path relative to the repository's root.
 	repositoryPath = regexp.MustCompile(`^(internal|cmd|balancer|docs|deploy|experiments|journal|\.ci)(/|$)`)
-	// goIdentifier is a package's name with an identifier, or a type's with a member: broker.Broker.Submit.
+	// goIdentifier matches a package name with an identifier or with a type and its member, such as
+	// broker.Broker.Submit.
 	goIdentifier = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
 	goFile       = regexp.MustCompile(`^[\w/.-]+\.(go|md|toml|txt|proto)$`)
 )
 
-// finding is a name in a page that names nothing.
+// finding is a name in a page that refers to nothing that exists.
 type finding struct{ page, name, problem string }
 
-// checkPage returns the names in a page that name nothing.
+// checkPage returns the names in a page that refer to nothing that exists.
 func checkPage(page, text string, packages map[string]*goPackage, commands string) (findings []finding) {
 	byName := map[string][]*goPackage{}
 	for _, p := range packages {
@@ -46,10 +47,10 @@
 		return checkCommand(name, commands)
 	case repositoryPath.MatchString(name):
 		if _, err := os.Stat(filepath.Join(root, filepath.FromSlash(name))); err != nil {
-			return "no such file or folder"
+			return "the file or folder does not exist"
 		}
 	case goFile.MatchString(name):
-		return "a file is named by its path from the repository's root"
+		return "a file must be named by its path from the repository's root"
 	default:
 		if parts := goIdentifier.FindStringSubmatch(name); parts != nil {
 			return checkIdentifier(byName[parts[1]], parts[1], parts[2])
@@ -67,10 +68,11 @@
 			return ""
 		}
 	}
-	return "package " + name + " declares no such identifier"
+	return "package " + name + " does not declare it"
 }
 
-// checkCommand looks for the command's words, up to the first argument or flag, in the list of commands.
+// checkCommand checks that the list of commands contains the command's words up to the first argument or
+// flag.
 func checkCommand(name, commands string) string {
 	words := strings.Fields(name)
 	for end := 1; end < len(words); end++ {
@@ -82,7 +84,7 @@
 	if strings.Contains(commands, "command "+strings.Join(words, " ")+"\n") {
 		return ""
 	}
-	return "no such command in " + commandList
+	return "the command is not in " + commandList
 }
 
 func TestPagesNameWhatExists(t *testing.T) {
--- a/internal/verify/pagecheck/source_test.go
+++ b/internal/verify/pagecheck/source_test.go
@@ -10,21 +10,21 @@
 	"testing"
 )
 
-// root is the repository's top folder, as seen from this one.
+// root is the path of the repository's root relative to this folder.
 const root = "../../.."
 
-// goPackage is what a folder of Go files declares, tests left out.
+// goPackage lists what the Go files of a folder declare, except tests.
 type goPackage struct {
-	folder string // from the repository's root, with slashes
+	folder string // relative to the repository's root, with slashes
 	name   string
 	// declared holds Name for each top-level identifier, and Type.Member for each method, field and method of
 	// an interface.
 	declared map[string]bool
-	// undocumented are the positions of exported identifiers without a doc comment.
+	// undocumented lists the exported identifiers without a doc comment, with their positions.
 	undocumented []string
 }
 
-// loadPackages parses all packages of the repository, by folder.
+// loadPackages parses all packages of the repository and returns them by folder.
 func loadPackages(t *testing.T) map[string]*goPackage {
 	t.Helper()
 	packages := map[string]*goPackage{}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// collector notes what one file declares.
+// collector adds the declarations of one file to its package.
 type collector struct {
 	pkg       *goPackage
 	files     *token.FileSet
@@ -92,7 +92,7 @@
 		c.pkg.declared[d.Name.Name] = true
 	}
 	if receiver == "" || ast.IsExported(receiver) {
-		c.needsDoc(d.Name, d.Doc)
+		c.checkDoc(d.Name, d.Doc)
 	}
 }
 
@@ -100,12 +100,12 @@
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
 		c.pkg.declared[s.Name.Name] = true
-		c.needsDoc(s.Name, d.Doc, s.Doc)
+		c.checkDoc(s.Name, d.Doc, s.Doc)
 		c.members(s)
 	case *ast.ValueSpec:
 		for _, name := range s.Names {
 			c.pkg.declared[name.Name] = true
-			c.needsDoc(name, d.Doc, s.Doc, s.Comment)
+			c.checkDoc(name, d.Doc, s.Doc, s.Comment)
 		}
 	}
 }
@@ -127,8 +127,8 @@
 	}
 }
 
-// needsDoc notes an exported identifier that none of the comments documents.
-func (c collector) needsDoc(name *ast.Ident, comments ...*ast.CommentGroup) {
+// checkDoc records an exported identifier if all of its comments are empty.
+func (c collector) checkDoc(name *ast.Ident, comments ...*ast.CommentGroup) {
 	if c.generated || !name.IsExported() {
 		return
 	}
