--- a/internal/frozen/decisions_test.go
+++ b/internal/frozen/decisions_test.go
@@ -16,9 +16,9 @@
 func TestDecisionsAreTheSameToTheBit(t *testing.T) {
 	var out strings.Builder
 	for _, c := range []struct {
-		name string
-		set  balancer.Settings
-		opts traceOptions
+		name     string
+		settings balancer.Settings
+		opts     traceOptions
 	}{
 		{"mixed", mixedSettings(), traceOptions{arrivals: 900, interval: 9 * time.Millisecond, workers: 9,
 			mixedWorkers: true}},
@@ -33,7 +33,7 @@
 		{"plain", plainSettings(), traceOptions{arrivals: 1200, interval: 5 * time.Millisecond, workers: 4}},
 	} {
 		for _, seed := range []uint64{1, 2, 77} {
-			tr := newTrace(t, c.set, c.opts, seed)
+			tr := newTrace(t, c.settings, c.opts, seed)
 			tr.run()
 			fmt.Fprintf(&out, "trace %s seed %d\n", c.name, seed)
 			for _, line := range tr.firstLines {
--- a/internal/frozen/log_entries_test.go
+++ b/internal/frozen/log_entries_test.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/schema"
 )
 
-// taskCommand is a short alias.
+// taskCommand is an alias that keeps the entries below short.
 type taskCommand = leasedtask.Command
 
 // leaseEntries adds entries by which leases begin, are transferred, are released and expire.
--- a/internal/frozen/trace_actions_test.go
+++ b/internal/frozen/trace_actions_test.go
@@ -36,7 +36,7 @@
 	if tr.now+took > q.deadline {
 		result, took = balancer.TimedOut, max(q.deadline-tr.now, time.Microsecond)
 	}
-	if tr.set.ReportsStart && result != balancer.WorkerFull && result != balancer.ConnectFailed &&
+	if tr.settings.ReportsStart && result != balancer.WorkerFull && result != balancer.ConnectFailed &&
 		!w.unresponsive {
 		tr.schedule(took/4, func() { tr.progress(id, n, a, true, 0) })
 		tr.schedule(took/2, func() { tr.progress(id, n, a, false, 0.5) })
@@ -71,7 +71,7 @@
 		q.completed = true
 	}
 	report := balancer.NoLoadReport
-	if !tr.set.LoadReportsByCheck && tr.rng.IntN(3) > 0 {
+	if !tr.settings.LoadReportsByCheck && tr.rng.IntN(3) > 0 {
 		report = tr.report(a.to)
 	}
 	tr.bal.AttemptEnded(tr.now, balancer.AttemptOutcome{ID: id, Attempt: n, Worker: a.to, Result: result,
--- a/internal/frozen/trace_test.go
+++ b/internal/frozen/trace_test.go
@@ -29,7 +29,7 @@
 type trace struct {
 	t          *testing.T
 	bal        *balancer.Balancer
-	set        balancer.Settings
+	settings   balancer.Settings
 	opts       traceOptions
 	rng        *rand.Rand
 	now        time.Duration
@@ -71,12 +71,12 @@
 
 const maxFirstLines = 80 // number of a trace's actions that are kept as text
 
-func newTrace(t *testing.T, set balancer.Settings, opts traceOptions, seed uint64) *trace {
+func newTrace(t *testing.T, settings balancer.Settings, opts traceOptions, seed uint64) *trace {
 	t.Helper()
-	tr := &trace{t: t, set: set, opts: opts, rng: rand.New(rand.NewPCG(seed, 40)), now: time.Hour,
+	tr := &trace{t: t, settings: settings, opts: opts, rng: rand.New(rand.NewPCG(seed, 40)), now: time.Hour,
 		requests: map[balancer.RequestID]*traceRequest{}, workers: map[balancer.WorkerID]*traceWorker{},
 		digest: sha256.New(), counts: map[string]int{}}
-	bal, err := balancer.New(set, seed*1000+7, tr)
+	bal, err := balancer.New(settings, seed*1000+7, tr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 		tr.list = append(tr.list, tr.newWorker(i+1, 0))
 	}
 	at := time.Duration(0)
-	if tr.set.ListOnRequest {
+	if tr.settings.ListOnRequest {
 		tr.schedule(0, func() { tr.bal.UpdateWorkers(tr.now, balancer.ListUnavailable, nil) })
 		at = 30 * time.Millisecond
 	}
@@ -152,7 +152,7 @@
 		w.Zone, w.Kind, w.Cell = id%2, id/2%2, id/3
 		w.Size = 2 + float64(id%5)
 	} else {
-		w.Kind = id % tr.set.WorkerKinds
+		w.Kind = id % tr.settings.WorkerKinds
 	}
 	if tr.opts.routed {
 		w.Labels = []string{fmt.Sprint("tier", id%3)}
@@ -166,8 +166,9 @@
 
 func (tr *trace) arrive(n int) {
 	id := balancer.RequestID(fmt.Sprint("r", n))
-	r := balancer.Request{ID: id, Class: tr.rng.IntN(len(tr.set.Classes)), Slots: float64(1 + tr.rng.IntN(2))}
-	r.Timeout = tr.set.Classes[r.Class].Timeout
+	r := balancer.Request{ID: id, Class: tr.rng.IntN(len(tr.settings.Classes)),
+		Slots: float64(1 + tr.rng.IntN(2))}
+	r.Timeout = tr.settings.Classes[r.Class].Timeout
 	if tr.rng.IntN(10) == 0 {
 		r.Timeout /= 3
 		r.IsRetry = true
@@ -175,8 +176,8 @@
 	if tr.rng.IntN(3) > 0 {
 		r.ExpectedWork = tr.randomDuration(40 * time.Millisecond)
 	}
-	if len(tr.set.Tenants) > 0 {
-		r.Tenant = min(tr.rng.IntN(5), len(tr.set.Tenants)-1)
+	if len(tr.settings.Tenants) > 0 {
+		r.Tenant = min(tr.rng.IntN(5), len(tr.settings.Tenants)-1)
 	}
 	if tr.opts.routed {
 		r.Route = tierRoute{spills: tr.rng.IntN(2) == 0}
@@ -260,7 +261,7 @@
 func (tr *trace) replaceBalancer() {
 	raw := tr.recordLearned()
 	inFlight := tr.bal.InFlight()
-	next, err := balancer.New(tr.set, 99, tr)
+	next, err := balancer.New(tr.settings, 99, tr)
 	if err != nil {
 		tr.t.Fatal(err)
 	}
@@ -297,10 +298,10 @@
 
 // reconfigure changes the balancer's settings.
 func (tr *trace) reconfigure() {
-	set := tr.set
-	set.Classes = append([]balancer.Class(nil), set.Classes...)
-	set.Classes[0].PriorityWeight *= 1.5
-	set.Classes[0].LatencyObjective *= 2
-	tr.record("configure %v", tr.bal.CanConfigure(set) == nil)
-	tr.bal.Configure(set)
+	settings := tr.settings
+	settings.Classes = append([]balancer.Class(nil), settings.Classes...)
+	settings.Classes[0].PriorityWeight *= 1.5
+	settings.Classes[0].LatencyObjective *= 2
+	tr.record("configure %v", tr.bal.CanConfigure(settings) == nil)
+	tr.bal.Configure(settings)
 }
--- a/internal/verify/compat/balancer_test.go
+++ b/internal/verify/compat/balancer_test.go
@@ -74,9 +74,9 @@
 		}
 	}
 	dir := t.TempDir()
-	today := program{path: filepath.Join(dir, "today")}
-	buildProgram(t, root, "", today.path)
-	programs := []program{today}
+	current := program{path: filepath.Join(dir, "current")}
+	buildProgram(t, root, "", current.path)
+	programs := []program{current}
 	for lacks, commit := range earlierModules {
 		p := program{lacks, filepath.Join(dir, commit)}
 		buildProgram(t, root, commit, p.path)
@@ -86,7 +86,7 @@
 		file := writeScenario(t, root, dir, name)
 		runs := runPrograms(t, programs, file, seeds)
 		for _, p := range programs[1:] {
-			compareRuns(t, name, p, runs[today.name], runs[p.name])
+			compareRuns(t, name, p, runs[current.name], runs[p.name])
 		}
 	}
 }
@@ -191,12 +191,12 @@
 }
 
 // compareRuns compares the runs of the current module with those of an earlier one, paired by seed.
-func compareRuns(t *testing.T, scenario string, earlier program, today, before scenarioRuns) {
+func compareRuns(t *testing.T, scenario string, earlier program, current, before scenarioRuns) {
 	t.Helper()
-	seeds := len(today.scores)
+	seeds := len(current.scores)
 	mean, square, better := 0.0, 0.0, 0
 	for seed := range seeds {
-		d := today.scores[seed] - before.scores[seed]
+		d := current.scores[seed] - before.scores[seed]
 		mean, square = mean+d/float64(seeds), square+d*d
 		if d > 0 {
 			better++
--- a/internal/verify/expect/expect_test.go
+++ b/internal/verify/expect/expect_test.go
@@ -117,11 +117,12 @@
 		{`there is no job "x"`, `job = "dialysis-seeb"`, `job = "x"`},
 		{`there is no roster "x"`, `roster = "no-seeb"`, `roster = "x"`},
 		{`can't be decided`, "within = 0.01", "within = 0.00001, share = 0.5"},
-		{`it can't fail`, "tried_at_most = 2\nserved = false", ""},
+		{`the expectation states no condition, so it can't fail`, "tried_at_most = 2\nserved = false", ""},
 		{`there is no rule "dialysis-sib"`, `rule = "dialysis-seeb"`, `rule = "dialysis-sib"`},
 		{`the rules have no pool "fast"`, `pool = "quick"`, `pool = "fast"`},
 		{`goes_too: this key is not known here`, "goes_to", "goes_too"},
-		{`SERVING, DRAINING or DELETED, got "PAUSED"`, `lifecycle = "DELETED"`, `lifecycle = "PAUSED"`},
+		{`lifecycle must be SERVING, DRAINING or DELETED, got "PAUSED"`, `lifecycle = "DELETED"`,
+			`lifecycle = "PAUSED"`},
 		{`the name "s1" is empty or in use`, `name = "s2"`, `name = "s1"`},
 	} {
 		changed := strings.ReplaceAll(text, c.replace, c.by)
