--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -16,10 +16,12 @@
 func (b *Balancer) admits(now time.Duration, q *request, w *worker) bool {
 	wait := b.expectedWait(now, w)
 	if q.overQuota && b.waitingShare > slowWeight {
-		return false // requests over quota would fill every gap, and others would wait or be rejected
+		// Otherwise requests over quota would use every slot that becomes free, and other requests would wait
+		// or be rejected.
+		return false
 	}
 	if recent := b.decayedRecentWait(now); (now - w.lastWaitAt).Seconds() > recent {
-		// A dispatcher among many sends to each worker too rarely to know its queue.
+		// One of many dispatchers sends to each worker too rarely to know its queue.
 		wait = max(wait, recent)
 	}
 	slack := b.waitSlack(now, q.Class, w)
@@ -27,8 +29,8 @@
 	rates := b.classValueRates()
 	rate, notAbove := rates[q.Class], 1.0
 	if limit < 0 && wait+b.expectedRunTime(q)*b.relativeRunTime(now, w) < (q.deadline-now).Seconds() {
-		// A request that a failing worker has lost is late by then, and failing it has no value. It is ranked
-		// by the value of a late response, and so yields to all requests that are not late.
+		// A request that was lost by a failing worker is late when it is retried, and failing it has no
+		// value. It is ranked by the value of a late response, that is, below all requests that are not late.
 		limit, rate = slack, rate*q.class.LateShare
 	}
 	if q.overQuota {
@@ -86,7 +88,8 @@
 func (b *Balancer) expectedWait(now time.Duration, w *worker) float64 {
 	slots := b.slotsOf(w)
 	if b.settings.ReportsStart && b.kindSlots[w.Kind] < 1 {
-		// Slots that are never reported count as one, and with that all requests would be rejected.
+		// Workers whose slots are never reported count as having one slot. Estimated from that, the wait
+		// would cause all requests to be rejected.
 		return b.observedWait(now, w)
 	}
 	return max(0, b.slotsInUse(now, w)+1-slots) / slots * b.meanRunTime * b.relativeRunTime(now, w)
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A dispatcher counts only its own requests in flight, so a wait of one of them must count as the load of
-// others.
+// A dispatcher sees only its own requests in flight. If one of them waits at a worker, the requests of others
+// must be occupying its slots, and must count as load.
 func TestObservedWaitsCountAsLoad(t *testing.T) {
 	r := newRecorderWithStartReports(t, 2)
 	r.serveEach(0, 20, idempotentClass, 50*time.Millisecond, NoLoadReport)
@@ -147,7 +147,7 @@
 		r.submit(q)
 		return r.requests[q.ID].final
 	}
-	for range 200 { // the first tenant sends five times its quota, the second half of its own
+	for range 200 { // the first tenant sends five times its quota, the second half its quota
 		for i := range 10 {
 			if got := send(i / 9); got != "" {
 				t.Fatalf("final response %q although nothing waits, want it sent", got)
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -69,7 +69,7 @@
 	IsRetry      bool          // the client marked it as a retry
 
 	Route       Route // nil: any worker
-	MaxAttempts int   // limit below the class's; 0: none
+	MaxAttempts int   // a limit lower than the class's; 0: none
 }
 
 // Result is how an attempt or a health check ended.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -9,33 +9,33 @@
 // docs/measurements.md has the figures.
 const (
 	// fastWeight is the weight of a new success, failure or health check in its moving average. slowWeight is
-	// the weight of values with a far larger variance: running times and load reports in responses. A quarter
-	// of slowWeight is the weight in a worker's own and its kind's run-time factors.
+	// the weight of values with a far larger variance: running times and load reports in responses. The
+	// run-time factors of workers and of kinds use a quarter of slowWeight.
 	fastWeight, slowWeight = 0.3, 0.08
-	// fullPriorSeconds is the weight of a kind's average rate relative to what its full workers have
-	// finished, in seconds of full workers; see kindRate.
+	// fullPriorSeconds is the weight of a kind's average rate in kindRate: once its full workers have been
+	// observed for this many seconds, their rate and the average rate count equally.
 	fullPriorSeconds = 4
-	// nearlyFullShare is the share of its slots that may be free at a worker that counts as full.
+	// nearlyFullShare is the largest share of free slots with which a worker counts as full.
 	nearlyFullShare = 0.25
 	// maxRunTimeFactor caps a single running time, as a multiple of the expected one.
 	maxRunTimeFactor = 4
 	// ejectionScore is the failure score from which a worker is ejected. Half of it is enough for
 	// non-idempotent requests, because a failure loses them.
 	ejectionScore = 0.25
-	// waitDrainRate is the number of seconds by which an observed wait shrinks each second. Scores of
-	// simulations are flat from 2 to 8.
+	// waitDrainRate is the number of seconds by which an observed wait shrinks each second.
 	waitDrainRate = 2
-	// minWaitShare is the least wait that counts as one, as a share of the mean running time.
+	// minWaitShare is the shortest delay that counts as a wait, as a share of the mean running time.
 	minWaitShare = 0.25
-	// unresponsiveIntervals is the number of progress reports that a worker misses before it is unresponsive.
+	// unresponsiveIntervals is the number of missed progress reports after which a worker counts as
+	// unresponsive.
 	unresponsiveIntervals = 3
-	// ringStepLoad is the load, in requests, that each step on the ring between a dispatcher and a worker
-	// counts for.
+	// ringStepLoad is the load, in requests, that is added to a worker's load for each step on the ring
+	// between the dispatcher and the worker.
 	ringStepLoad = 0.25
-	// crossZoneLoad is the load that being in another zone counts for, as a multiple of its cost.
+	// crossZoneLoad is the load that is added for a worker in another zone, as a multiple of Costs.CrossZone.
 	crossZoneLoad = 10
-	// maxCrossZoneLoad bounds that load: a half-full worker of this zone is no better than an idle one of
-	// another zone.
+	// maxCrossZoneLoad bounds that load, so that a half-full worker of this zone is not preferred to an idle
+	// one of another zone.
 	maxCrossZoneLoad = 0.5
 	// minQuotaBurst is the least number of requests that a tenant's token bucket holds.
 	minQuotaBurst = 5
@@ -44,21 +44,20 @@
 	// checkWaitDivisor limits how long a request waits for load reports: its latency objective divided by
 	// this.
 	checkWaitDivisor = 16
-	// listSpreadThreshold is the number of dispatchers from which their calls for the list are spread over
-	// time.
+	// listSpreadThreshold is the least number of dispatchers whose calls for the list are spread over time.
 	listSpreadThreshold = 8
 	// firstListSpreadDivisor sets the period over which first calls for the list are spread: the least
 	// timeout of a class divided by this.
 	firstListSpreadDivisor = 16
-	// firstListWaitDivisor limits how long requests wait for the first list: the least timeout of a class,
-	// and the request's own, divided by this.
+	// firstListWaitDivisor limits how long a request waits for the first list: at most its timeout divided by
+	// this after its arrival, and at most the least timeout of a class divided by this after the start.
 	firstListWaitDivisor = 2
 	// maxListBackoff is the longest wait before the list is requested again. A state that discovery reports
 	// after a long outage counts as known 6 s after the outage ends, so the list must be requested before
 	// that.
 	maxListBackoff = 4 * time.Second
-	// staleReportTimeouts is the age, in least timeouts of a class, from which load reports are too old to
-	// estimate a queue.
+	// staleReportTimeouts is the age from which load reports are too old to estimate a queue, as a multiple
+	// of the least timeout of a class.
 	staleReportTimeouts = 2
 	// epsilon prevents division by zero.
 	epsilon = 1e-9
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -332,8 +332,8 @@
 	}
 }
 
-// With many dispatchers, each sees counts of zero and would send to every worker too rarely. Each must prefer
-// a few workers of its own, and these must differ between dispatchers.
+// With many dispatchers, each sees counts of zero and would send to every worker too rarely. Each dispatcher
+// must prefer a few workers, and different dispatchers must prefer different ones.
 func TestHomesSpreadDispatchers(t *testing.T) {
 	countByWorker := func(index int) map[WorkerID]int {
 		set := testSettings()
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -49,8 +49,8 @@
 	expected := max(b.expectedRunTime(q), epsilon)
 	ran = min(ran, maxRunTimeFactor*expected)
 	sample := ran / expected * b.warmUpFactor(now, w)
-	// Each kind has a factor of its own, because a dispatcher sends to each of many workers too rarely to
-	// learn it worker by worker. The lower bound keeps running times of zero from making a factor zero.
+	// Each kind has its own factor: if there are many workers, a dispatcher sends to each one too rarely to
+	// learn a factor for each worker. The lower bound keeps running times of zero from making a factor zero.
 	kind := &b.kindRunTimeFactors[w.Kind]
 	*kind = max(slowWeight, *kind+slowWeight/4*(sample/w.runTimeFactor-*kind))
 	w.runTimeFactor = max(slowWeight, w.runTimeFactor+slowWeight/4*(sample / *kind - w.runTimeFactor))
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// LearnedState is what a balancer has learned, for the process that replaces its own in a hot restart. It
-// contains no requests. It is encoded as JSON with the names of the tags and with pairs as arrays; processes
-// of other versions read and write it. Times are by the sender's clock.
+// LearnedState is what a balancer has learned. In a hot restart it is passed to the new process. It contains
+// no requests. It is encoded as JSON with the names of the tags and with pairs as arrays; processes of other
+// versions read and write it. Times are by the sender's clock.
 type LearnedState struct {
 	KindLoads          [][2]float64              `json:"Loads"`   // by worker kind: work, seconds
-	FullKindLoads      [][2]float64              `json:"Full"`    // at full workers; old versions: none
+	FullKindLoads      [][2]float64              `json:"Full"`    // at full workers; not set by old versions
 	ClassTallies       [][2]float64              `json:"Tallies"` // by class: offered, served in time
 	KindSlots          []float64                 `json:"Slots"`
 	KindRunTimeFactors []float64                 `json:"Paces"`
@@ -15,7 +15,7 @@
 	MeanRunTime        float64                   `json:"Mean"`  // seconds
 	HintRatio          float64                   `json:"Ratio"`
 	Arrivals           float64                   `json:"Arrived"`
-	ArrivedWork        float64                   `json:"Efforts"` // of Arrivals; old versions: none
+	ArrivedWork        float64                   `json:"Efforts"` // of Arrivals; not set by old versions
 	ObservedSeconds    float64                   `json:"Watched"`
 	RecentWait         float64                   `json:"Wait"`  // seconds
 	WaitingShare       float64                   `json:"Crowd"` // 0 to 1
@@ -40,7 +40,7 @@
 	FailureScore      float64       `json:"Ill"`  // 0 to 1
 	LastWaitAt        time.Duration `json:"WaitT"`
 	FailureScoreAt    time.Duration `json:"IllT"`
-	StartedAt         time.Duration `json:"Since"` // of the process that SlowStartSent was sent to
+	StartedAt         time.Duration `json:"Since"` // start of the process that SlowStartSent was sent to
 	SlowStartSent     []SentWork    `json:"Sent"`
 	NeedsTrialRequest bool          `json:"Owed"`
 }
--- a/balancer/list_updates.go
+++ b/balancer/list_updates.go
@@ -8,8 +8,8 @@
 
 // firstListDelay returns the wait before the list is requested at the start. After a release, most
 // dispatchers start at once. Discovery serves calls in order, including those that it has rejected in the
-// meantime, so it falls further behind for as long as the callers retry soon. The delay depends on the
-// dispatcher's index, so that no two call at the same time.
+// meantime, so it falls further behind while the callers retry quickly. The delay depends on the dispatcher's
+// index, so that no two call at the same time.
 func (b *Balancer) firstListDelay() time.Duration {
 	if b.settings.DispatcherCount < listSpreadThreshold {
 		return 0
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -96,12 +96,12 @@
 	WorstWindow float64
 	WorstClass  float64
 	WorstTenant float64
-	OnTime      float64 // by class and 5 s; in full if few responses miss the latency objective
+	OnTime      float64 // for each class and 5 s; in full if few responses miss the latency objective
 	// AllowedMissShare is not a weight but the share of responses that may miss the objective.
 	AllowedMissShare float64
 }
 
-// Costs are deducted from the score for one unit of each item.
+// Costs holds, for each item, the amount that one unit of it deducts from the score.
 type Costs struct {
 	CrossZone   float64 // an attempt at a worker in another zone
 	WastedWork  float64
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -68,8 +68,8 @@
 	return 2*math.Sqrt(requests) + 2
 }
 
-// timeSlot says how a dispatcher uses its part of a worker's slow-start budget: one in this many overload
-// windows is its own, and in it the dispatcher may use the given share of its budget for all of them.
+// timeSlot describes how a dispatcher uses its part of a worker's slow-start budget: in one of every windows
+// overload windows it may use the share usedShare of its budget for all of these windows.
 type timeSlot struct {
 	windows   int
 	usedShare float64
@@ -86,9 +86,9 @@
 	if budget <= 0 {
 		return timeSlot{}, false
 	}
-	// Any window can overlap two time slots, in addition to what all other dispatchers use without slots. A
-	// dispatcher whose budget is never large enough without slots uses only them, and two slots may use its
-	// entire budget.
+	// Any window can overlap the time slots of two dispatchers, and contains what all the others send without
+	// slots. A dispatcher whose budget without slots is too small for a mean request sends only in its slots,
+	// so two slots together may use the entire budget.
 	n := float64(b.settings.DispatcherCount)
 	unslottedShare := (1 + 1/max(n, 2)) / 2
 	slottedShare := (1 - unslottedShare*(n-2)/n) / 2
@@ -158,9 +158,9 @@
 // expectedWork returns the expected work of a request, in slot seconds.
 func (b *Balancer) expectedWork(q *request) float64 { return b.expectedRunTime(q) * q.slotsNeeded() }
 
-// hintedWork returns expectedWork in the unit of the hints. Running times include waits, so measured by them
-// requests during an overload would seem to be more work than the same requests after it, and a budget from
-// that time would be too large.
+// hintedWork returns expectedWork in the unit of the hints. Running times include waits. If work were derived
+// from them, requests would seem to be more work during an overload than after it, and a budget learned
+// during an overload would be too large.
 func (b *Balancer) hintedWork(q *request) float64 {
 	return b.expectedWork(q) / max(b.hintRatio, epsilon)
 }
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -29,7 +29,7 @@
 }
 
 // A release may replace all workers of a kind. A dispatcher that has observed only warm workers of another
-// kind must send some requests to the new ones, within the rule, before they are warm.
+// kind must send some requests to the new ones, within the slow-start budget, before they are warm.
 func TestWarmingKindWithoutRecordUsesLeastOther(t *testing.T) {
 	set := testSettings()
 	set.WorkerKinds = 2
@@ -42,7 +42,7 @@
 	submitSteadily(r, 0, 400, 31*time.Millisecond, NoLoadReport)
 	newWorkers := []Worker{{ID: 10, State: Ready, StartedAt: r.now, Size: 1},
 		{ID: 11, State: Ready, StartedAt: r.now, Size: 1}}
-	r.updateWorkers(ListFull, append(warm[:2:2], newWorkers...)...) // two of kind 0, never seen, replace two
+	r.updateWorkers(ListFull, append(warm[:2:2], newWorkers...)...) // two of the new kind 0 replace two
 	r.workers[10].capacity, r.workers[11].capacity = 1, 1
 	// 5 s is half of the slow-start window, so no worker of kind 0 becomes warm in that time.
 	if got := submitSteadily(r, 400, 160, 31*time.Millisecond, NoLoadReport); got[10]+got[11] == 0 {
@@ -51,7 +51,7 @@
 }
 
 // If warm workers are rarely full, a warming worker's budget follows from what warm ones finished while
-// nearly full, and not only from the little that they finish on average. The budget is kept.
+// nearly full, and not only from the little that they finish on average. The budget is not exceeded.
 func TestSlowStartBudgetByFullWorkers(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.updateWorkers(ListFull, readyWorkers(4)...)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -99,7 +99,7 @@
 	sentAt    time.Duration
 	startedAt time.Duration // when the worker reported its start; 0: not started
 	ended     bool
-	neverRan  bool // proven
+	neverRan  bool // it is proven that the request did not run
 }
 
 // mayHaveRun reports whether the request may have run in this attempt.
@@ -148,7 +148,7 @@
 type quotaBucket struct {
 	tokens    float64 // requests
 	updatedAt time.Duration
-	offered   float64 // recent requests
+	offered   float64 // requests submitted recently, decayed
 }
 
 // kindLoad is the observed load of warm workers of one kind: over all their time, and over the time in which
--- a/internal/cluster/calendar/next.go
+++ b/internal/cluster/calendar/next.go
@@ -166,8 +166,9 @@
 		(r.rules.LeapDay == NextDay || r.rules.ShortMonth == NextDay)
 }
 
-// matchDay reports whether the recurrence occurs on a date and returns the date as the expression specifies
-// it: the date itself, or a day that its month or the previous month does not have.
+// matchDay reports whether the recurrence occurs on a date. It also returns the date that the expression
+// specifies. That is the date itself, unless a rule moved the occurrence to it from a day that its month or
+// the previous month does not have.
 func (r *Recurrence) matchDay(d date) (matchedDate, bool) {
 	if r.intervalSeconds > 0 {
 		return matchedDate{date: d}, true
--- a/internal/cluster/calendar/recurrence.go
+++ b/internal/cluster/calendar/recurrence.go
@@ -26,7 +26,7 @@
 	seconds, minutes, hours, daysOfMonth, months, daysOfWeek cronField
 
 	includesLastDay bool  // the days include the month's last day
-	intervalSeconds int64 // 0: the fields apply
+	intervalSeconds int64 // 0: no interval, the fields apply
 	zone            *Zone
 	rules           Rules
 }
@@ -101,7 +101,7 @@
 // Zone returns the recurrence's time zone.
 func (r *Recurrence) Zone() *Zone { return r.zone }
 
-// Adjustment describes how the rules adjusted an occurrence.
+// Adjustment describes how the recurrence's rules changed an occurrence, if they did.
 type Adjustment uint8
 
 // The adjustments.
--- a/internal/cluster/clusterstate/sessions.go
+++ b/internal/cluster/clusterstate/sessions.go
@@ -44,8 +44,7 @@
 	}
 }
 
-// PopExpiredSessions returns the sessions that are guaranteed to have ended, and that earlier calls did not
-// return.
+// PopExpiredSessions returns the sessions that have certainly ended, and that earlier calls did not return.
 func (s *State) PopExpiredSessions() []placement.Session {
 	list := s.expiredSessions
 	s.expiredSessions = nil
@@ -95,9 +94,9 @@
 	return decided.ChangeID
 }
 
-// expireSessions releases everything that belongs to sessions that are guaranteed to have ended, because
-// their lease has expired or the process that held them has been replaced. The argument before is the session
-// of the command's member before the command was applied.
+// expireSessions releases everything that belongs to sessions that have certainly ended, because their lease
+// has expired or the process that held them has been replaced. The argument before is the session of the
+// command's member before the command was applied.
 //
 // A session that an operator has set aside is not released yet: its instance may act until its lease expires,
 // so its leased tasks are reassigned only then.
--- a/internal/cluster/clusterstate/sessions_test.go
+++ b/internal/cluster/clusterstate/sessions_test.go
@@ -7,8 +7,8 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// A session is guaranteed to have ended if its lease has expired or its process has been replaced. The
-// instance of a session that is set aside may still act.
+// A session has certainly ended if its lease has expired or its process has been replaced. The instance of a
+// session that is set aside may still act.
 func TestOnlyCertainlyEndedSessionsExpire(t *testing.T) {
 	s := newState(t, Rules{}, sampleDocument(5))
 	open := func(incarnation uint64) rollout.Command {
--- a/internal/cluster/consensus/apply.go
+++ b/internal/cluster/consensus/apply.go
@@ -102,7 +102,7 @@
 // applyCommand applies a command of a replicated state machine.
 func (i *Instance) applyCommand(e *schema.Change) {
 	c, ok := i.state.DecodeCommand(e)
-	// As in applyRolloutCommand, a decision of a deposed leader is void.
+	// As in applyRolloutCommand, a decision of a deposed leader has no effect.
 	if !ok || c.LeaderDecision && c.Term != i.appliedTerm {
 		return
 	}
--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -21,9 +21,9 @@
 
 // Limits and timeouts. The first four configure the Raft library.
 const (
-	maxMessageBytes          = 1 << 20 // of entries in one MsgApp
-	maxCommittedBytes        = 4 << 20 // of entries applied per Ready
-	maxUncommittedBytes      = 8 << 20 // of entries; beyond this the leader drops proposals
+	maxMessageBytes          = 1 << 20 // size of the entries in one MsgApp
+	maxCommittedBytes        = 4 << 20 // size of the entries applied per Ready
+	maxUncommittedBytes      = 8 << 20 // size of uncommitted entries; beyond this the leader drops proposals
 	maxInflightMessages      = 64      // unacknowledged MsgApps per follower
 	maxTrackedMembers        = 1024    // in maps filled from received messages
 	maxPromotionLag          = 16      // entries by which a learner may lag when it is promoted to voter
@@ -35,7 +35,7 @@
 // Config configures an Instance. Numeric fields that are zero have defaults.
 type Config struct {
 	Rules               clusterstate.Rules
-	ElectionTicks       int    // election timeout: from this to twice as many; default 10
+	ElectionTicks       int    // the election timeout is drawn from 1 to 2 times this; default 10
 	HeartbeatTicks      int    // default 1
 	RequestTimeoutTicks int    // after which an undecided request fails; default 50
 	SnapshotCount       uint64 // entries applied between snapshots; default 200
--- a/internal/cluster/consensus/instance.go
+++ b/internal/cluster/consensus/instance.go
@@ -62,7 +62,7 @@
 	if err := i.replica.start(); err != nil {
 		return err
 	}
-	i.sessions.evaluate() // emits the initial permit, which tells the fronts why they may not admit jobs yet
+	i.sessions.evaluate() // emits the initial permit, with the reason why the fronts may not admit jobs yet
 	return nil
 }
 
--- a/internal/cluster/consensus/members.go
+++ b/internal/cluster/consensus/members.go
@@ -28,7 +28,8 @@
 // observe records that a message of a member arrived.
 func (t *memberTracker) observe(member, tick uint64) { t.lastSeen[member] = tick }
 
-// active reports whether a member is this instance or sent a message within the last ticks, given by within.
+// active reports whether a member is this instance or has sent a message within the given number of ticks
+// before now.
 func (t *memberTracker) active(member, now, within uint64) bool {
 	at, ok := t.lastSeen[member]
 	return member == t.self || ok && now-at <= within
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -13,7 +13,7 @@
 
 // Ready holds the records that must be persisted before Advance.
 type Ready struct {
-	Records []store.Record // in this order
+	Records []store.Record // to be persisted in this order
 	Sync    bool           // the records must be durable before Advance
 }
 
--- a/internal/cluster/consensus/requests.go
+++ b/internal/cluster/consensus/requests.go
@@ -67,7 +67,7 @@
 	outcomes []entryOutcome // of the entries applied since the last evaluate
 }
 
-// entryOutcome is the outcome of the entry with a change or command of a given id.
+// entryOutcome is the outcome of an applied entry, which the id of its change or command identifies.
 type entryOutcome struct {
 	entryID string
 	outcome clusterstate.Outcome
--- a/internal/cluster/consensus/runner.go
+++ b/internal/cluster/consensus/runner.go
@@ -73,7 +73,7 @@
 
 	mu       sync.Mutex
 	watchers map[chan struct{}]bool
-	dropped  atomic.Uint64 // messages; see Counters
+	dropped  atomic.Uint64 // number of messages; see Counters
 	rejected atomic.Uint64
 }
 
--- a/internal/cluster/leasedtask/assigner.go
+++ b/internal/cluster/leasedtask/assigner.go
@@ -74,8 +74,8 @@
 	return true
 }
 
-// Evaluate returns the commands that must be proposed now, in this term. They are void in the log of another
-// leader.
+// Evaluate returns the commands that must be proposed now, in this term. They have no effect in the log of
+// another leader.
 func (a *Assigner) Evaluate(s *State, v ClusterView) []Command {
 	a.leaseDuration = v.Lease
 	e := evaluation{Assigner: a, state: s, view: v, specs: map[string]Spec{}, settled: true}
@@ -151,7 +151,7 @@
 }
 
 // transferFromDeparting asks a departing holder to release the task if another member is eligible. An
-// operator's transfer is a command of its own.
+// operator's transfer is a separate command.
 func (e *evaluation) transferFromDeparting(t *Task) {
 	k := slices.IndexFunc(e.view.Members, func(m Member) bool {
 		return m.Session.Member == t.Holder.Member
--- a/internal/cluster/leasedtask/command.go
+++ b/internal/cluster/leasedtask/command.go
@@ -28,7 +28,7 @@
 }
 
 // LeaderDecision reports whether commands of this kind are decisions of the leader of a term. Such a command
-// is void in the log of another leader.
+// has no effect in the log of another leader.
 func (k Kind) LeaderDecision() bool { return k == DeclareTasks || k == Assign || k == Expire }
 
 // Command is an entry of the replicated log.
--- a/internal/cluster/leasedtask/modelcheck_test.go
+++ b/internal/cluster/leasedtask/modelcheck_test.go
@@ -144,7 +144,7 @@
 	if m.newLeaders < m.limits.newLeaders {
 		t.add(m, "new leader", func(next *model) {
 			next.newLeaders++
-			next.proposed = nil // void in the log of the new leader
+			next.proposed = nil // without effect in the log of the new leader
 			next.assigner = NewAssigner(next.now, next.assigner.term+1)
 			for i := range next.instances {
 				// The new leader can't know which leases its predecessor granted.
--- a/internal/cluster/leasedtask/participant.go
+++ b/internal/cluster/leasedtask/participant.go
@@ -9,8 +9,8 @@
 	"moorstack/internal/schema"
 )
 
-// maxMembers bounds the members whose labels are remembered. Beyond it all labels are dropped, and the next
-// reports bring them again.
+// maxMembers bounds the members whose labels are remembered. If there are more, all labels are dropped, and
+// the members' next reports supply them again.
 const maxMembers = 1024
 
 // participant is one instance's side of the leased tasks: which tasks it holds and, while it is the leader,
@@ -63,8 +63,8 @@
 	p.memberLabels[member] = r.Labels
 }
 
-// FillGrant sets the log index up to which a member must have applied the log before a lease granted now
-// counts for tasks. Index 0 means that the lease does not count for tasks.
+// FillGrant sets the index of the log entry that the member must have applied before the lease counts for
+// tasks. Index 0 means that the lease does not count for tasks.
 func (p *participant) FillGrant(v replicated.InstanceView, member uint64, g *schema.SessionGrant) {
 	if p.assigner.CanGrant(member, v.StateMachine.(*StateMachine).State) {
 		g.Index = v.AppliedIndex
--- a/internal/cluster/leasedtask/policy.go
+++ b/internal/cluster/leasedtask/policy.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Section is the section of the agreed document that configures the tasks.
+// Section is the name of the section of the group's document that configures the tasks.
 const Section = "duties"
 
 // The names of the tasks. They appear in the log and in operators' commands.
 const (
-	BackupTask         = "backup" // writes backups of the agreed state
+	BackupTask         = "backup" // writes backups of the replicated state
 	EndpointListTask   = "list"   // watches discovery and relays the endpoint list to the other instances
 	RollingRestartTask = "roll"   // restarts the instances one after another; its note is the plan
 	// DrillTaskFormat is the name of a drill: a task that performs an empty action many times a second, for
--- a/internal/cluster/membership/convergence_test.go
+++ b/internal/cluster/membership/convergence_test.go
@@ -12,7 +12,7 @@
 func seedCount(t *testing.T, n int) uint64 {
 	t.Helper()
 	if v, err := strconv.Atoi(os.Getenv("STORIES")); err == nil {
-		n = v // allows a longer search than a normal test run has time for
+		n = v // for a longer search than a normal test run allows
 	}
 	if testing.Short() {
 		n /= 4
--- a/internal/cluster/membership/policy.go
+++ b/internal/cluster/membership/policy.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/cluster/replicated"
 )
 
-// Section is the name of the configuration document's section that makes instances probe each other.
+// Section is the name of the section of the group's document that makes instances probe each other.
 const Section = "membership"
 
 // The bounds of the section's "probe" key.
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -5,7 +5,7 @@
 // Bounds on received messages. Messages and updates that exceed them are rejected as invalid.
 const (
 	maxUpdates         = 20_000  // per message
-	maxIncarnationJump = 1 << 20 // above the known incarnation of the member
+	maxIncarnationJump = 1 << 20 // most by which an update may exceed the known incarnation
 )
 
 // Receive processes a message and returns the messages to send. from is the sender according to its
--- a/internal/cluster/membership/simulation_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -57,8 +57,8 @@
 	return last
 }
 
-// maxPause is the longest stall that must not get a member declared failed: half of the shortest suspicion,
-// which leaves the other half to learn of the suspicion and refute it.
+// maxPause is the longest stall after which a member must not be declared failed. It is half of the shortest
+// suspicion; during the other half the member learns of the suspicion and refutes it.
 func maxPause(p Policy) time.Duration { return p.suspicionTimeout(1, 1<<20) / 2 }
 
 // detectionBound is the time within which, with high probability, all of n members learn of a failure: two
--- a/internal/cluster/placement/doc.go
+++ b/internal/cluster/placement/doc.go
@@ -1,5 +1,5 @@
 // Package placement decides which instance of a group owns which key, which workers an instance uses, and
-// which workers a quorum of instances ejects. Placement is a pure function of the agreed state: every
+// which workers a quorum of instances ejects. Placement is a pure function of the replicated state: every
 // instance that has applied the same log computes the same owners, and nothing is stored per key.
 //
 // A View is the set of instances that may own anything, with a number that grows with every change of the
--- a/internal/cluster/placement/policy.go
+++ b/internal/cluster/placement/policy.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Section is the section of the agreed document that configures how instances share workers.
+// Section is the name of the section of the group's document that configures how instances share workers.
 const Section = "workers"
 
 // Bounds of the value of the key "subset", in workers.
--- a/internal/cluster/placement/view.go
+++ b/internal/cluster/placement/view.go
@@ -42,9 +42,9 @@
 // ViewNumber returns the number of the view of a group whose newest session has the given epoch and that has
 // the given count of open sessions.
 //
-// A separate number would be one more value to agree on and to carry through snapshots, so the number is
-// derived. It grows with every change: a new session has a new epoch, which only grows, and while the epoch
-// stays the same sessions can only close, so that the count only shrinks.
+// The number is derived, because a separate one would be another value to agree on and to store in snapshots.
+// It grows with every change: a new session has a new epoch, which only grows, and while the epoch stays the
+// same sessions can only close, so that the count only shrinks.
 func ViewNumber(epoch uint64, open int) uint64 {
 	return epoch<<epochShift | uint64(math.MaxUint16-min(open, math.MaxUint16))
 }
--- a/internal/cluster/ratelimit/authority.go
+++ b/internal/cluster/ratelimit/authority.go
@@ -11,7 +11,7 @@
 // shardOwnership records whether an authority owns a shard, and what determines when it may lend from it.
 type shardOwnership struct {
 	owned bool // by this session
-	// previousLeaseEnds is when the leases of all known earlier owners have definitely expired.
+	// previousLeaseEnds is when the leases of all known earlier owners have certainly expired.
 	previousLeaseEnds time.Duration
 	// For an owned shard: the view in which it was acquired, and its owner in the view before that.
 	sinceView     uint64
@@ -78,7 +78,7 @@
 // the longest time for which an earlier owner may act on an older view.
 //
 // An earlier owner may have lent the whole bucket just before it lost the shard, and may continue to lend
-// until its lease has definitely expired. So a new owner lends only once the last such grant has definitely
+// until its lease has certainly expired. So a new owner lends only once the last such grant has certainly
 // expired. An owner that is known to have ended has no lease to wait for.
 func (a *Authority) SetView(now time.Duration, t *placement.Table, self placement.Session,
 	lease time.Duration, skipped bool) {
@@ -132,7 +132,7 @@
 }
 
 // lendableFrom returns the time from which tokens of a shard may be lent. Unless the outstanding tokens are
-// known, that is when the last grant of an earlier owner has definitely expired. It may have been made at the
+// known, that is when the last grant of an earlier owner has certainly expired. It may have been made at the
 // very end of that owner's lease.
 func (a *Authority) lendableFrom(shard int) time.Duration {
 	ownership := &a.shards[shard]
--- a/internal/cluster/ratelimit/faults_test.go
+++ b/internal/cluster/ratelimit/faults_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// expireLater removes an instance from the view when its lease has definitely expired, unless the instance
-// has become reachable or renewed the lease by then.
+// expireLater removes an instance from the view when its lease has certainly expired, unless the instance has
+// become reachable or renewed the lease by then.
 func (s *simulation) expireLater(n *simNode) {
 	session, wait := n.session, rollout.ExpiryWait(s.lease)
 	s.after(wait, func() {
--- a/internal/cluster/ratelimit/ledger.go
+++ b/internal/cluster/ratelimit/ledger.go
@@ -35,7 +35,7 @@
 	refilledAt time.Duration
 	borrowers  map[placement.Session]*borrower
 	// inherited is the number of tokens lent by earlier owners that may be outstanding. All of them have
-	// definitely expired after inheritedUntil.
+	// certainly expired after inheritedUntil.
 	inherited      int
 	inheritedUntil time.Duration
 }
@@ -59,7 +59,7 @@
 		l.inherited = 0
 	}
 	for session, b := range l.borrowers {
-		// A silent front may use its tokens until they have definitely expired. It may also have used them
+		// A silent front may use its tokens until they have certainly expired. It may also have used them
 		// already, so expired tokens do not return to the bucket, which refills only at its rate.
 		if now-b.answeredAt > p.grantExpiryWait() {
 			if b.outstanding > 0 {
--- a/internal/cluster/ratelimit/messages.go
+++ b/internal/cluster/ratelimit/messages.go
@@ -38,9 +38,9 @@
 
 // Transfer is sent by the previous owner of some shards to the next one. It states that the sender no longer
 // lends from these shards, and contains their state. Without it the next owner waits until all tokens that
-// may be outstanding have definitely expired.
+// may be outstanding have certainly expired.
 type Transfer struct {
-	View           uint64                   // in which the shards moved to the next owner
+	View           uint64                   // number of the view in which the shards moved to the next owner
 	Shards         map[int]TransferredShard // by shard
 	Buckets        []BucketState            // all buckets of the shards that have a ledger
 	From           placement.Session        // the previous owner
@@ -56,7 +56,7 @@
 // DrainConfirmation is sent by a front to each owner in a view. It states that from this view on the front
 // accepts no grants of earlier owners, and lists the tokens of theirs that it still holds. With the
 // confirmations of all fronts in the view, an owner knows all outstanding tokens and need not wait until they
-// have definitely expired.
+// have certainly expired.
 type DrainConfirmation struct {
 	View    uint64
 	Total   int           // number of buckets in all messages of this confirmation
@@ -65,11 +65,11 @@
 
 // Limits on transfers and drain confirmations.
 const (
-	transferSends = 3 // a transfer may be lost, or arrive before the receiver has its view
+	transferSends = 3 // repeated, as one may be lost or arrive before the receiver has its view
 	// maxTransferBuckets is the maximum number of buckets in a transfer. Shards that exceed it are left out,
-	// and the next owner waits until their tokens have definitely expired.
+	// and the next owner waits until their tokens have certainly expired.
 	maxTransferBuckets = 2000
 
-	confirmationSends      = 5    // a confirmation may be lost, or arrive before the receiver has its view
+	confirmationSends      = 5    // repeated, as one may be lost or arrive before the receiver has its view
 	maxConfirmationBuckets = 2000 // per message of a confirmation
 )
--- a/internal/cluster/ratelimit/model_test.go
+++ b/internal/cluster/ratelimit/model_test.go
@@ -20,7 +20,7 @@
 // model is a group of two or three instances with one account, limited to four jobs per second with a burst
 // of two. Grants and leases last one second. Time advances in steps of 250 ms. At any time an instance may
 // apply the next view, renew its lease (if it has applied all views, as its leader has), tick once per step,
-// admit a job, crash and restart, be set aside, expire once its lease has definitely expired, and get a new
+// admit a job, crash and restart, be set aside, expire once its lease has certainly expired, and get a new
 // session. Messages between two instances arrive in order unless they are lost, late or duplicated. The first
 // instance owns the account, or the second if the first is not in the view.
 type model struct {
--- a/internal/cluster/ratelimit/parse.go
+++ b/internal/cluster/ratelimit/parse.go
@@ -39,17 +39,17 @@
 
 // policyParser accumulates a policy and the problems found in the section.
 //
-// The problems become part of the group's agreed state. Their texts and their order must be the same on every
-// instance and in every version of the program that the group runs.
+// The problems become part of the group's replicated state. Their texts and their order must be the same on
+// every instance and in every version of the program that the group runs.
 type policyParser struct {
 	policy   Policy
 	classes  []string // classes of the document
 	problems []string
 }
 
-// ParsePolicy parses the section's values; classes are the names of the document's classes. The problems tell
-// the operator who proposed the values what is invalid; there are none if all values are valid. Without any
-// values, nothing is limited.
+// ParsePolicy parses the section's values; classes are the names of the document's classes. The problems
+// describe the invalid values to the operator who proposed them; there are none if all values are valid.
+// Without any values, nothing is limited.
 func ParsePolicy(values map[string]string, classes []string) (p Policy, problems []string) {
 	parser := policyParser{classes: classes, policy: Policy{
 		AccountHeader: AccountIsTenant,
--- a/internal/cluster/ratelimit/policy.go
+++ b/internal/cluster/ratelimit/policy.go
@@ -8,7 +8,7 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// Section is the name of the section of the agreed document that configures rate limits.
+// Section is the name of the section of the group's document that configures rate limits.
 const Section = "ratelimit"
 
 // AccountIsTenant is the value of Policy.AccountHeader that makes each job's tenant its account.
@@ -80,7 +80,7 @@
 	return l.Rate * (1 - l.FloorShare), l.Burst - float64(p.MaxFronts)*p.floorBurst(l)
 }
 
-// grantExpiryWait returns how long after a grant was sent its tokens have definitely expired, at any rates of
+// grantExpiryWait returns how long after a grant was sent its tokens have certainly expired, at any rates of
 // the authority's and the front's clocks within the bounds of package rollout.
 func (p *Policy) grantExpiryWait() time.Duration { return rollout.ExpiryWait(p.GrantDuration) }
 
--- a/internal/cluster/ratelimit/revocation.go
+++ b/internal/cluster/ratelimit/revocation.go
@@ -54,10 +54,10 @@
 // revocation collects the fronts' drain confirmations at an authority.
 type revocation struct {
 	members  []placement.Member
-	complete map[placement.Session]confirmation // each front's newest of which all messages arrived
+	complete map[placement.Session]confirmation // each front's newest one that has arrived completely
 	partial  map[placement.Session]confirmation
 	// departedLeaseEnds is when the leases of all members that left the view, and may still be running, have
-	// definitely expired.
+	// certainly expired.
 	departedLeaseEnds time.Duration
 }
 
--- a/internal/cluster/ratelimit/revocation_test.go
+++ b/internal/cluster/ratelimit/revocation_test.go
@@ -36,13 +36,13 @@
 }
 
 // ownerFailover is a group of three in which the first member has lent all tokens to the front of the third
-// and has ended. In the second view, the second member owns the account.
+// member and has ended. In the second view, the second member owns the account.
 type ownerFailover struct {
 	sessions                []placement.Session
 	firstTable, secondTable *placement.Table
 	policy                  Policy
 	owner                   *Authority // of the second member
-	limiter                 *Limiter   // of the third
+	limiter                 *Limiter   // of the third member
 	now                     time.Duration
 }
 
@@ -115,7 +115,7 @@
 	if at := r.owner.lendableFrom(placement.ShardOf(testAccount)); at > r.now {
 		t.Fatalf("the new owner waits for another %v although all fronts have confirmed", at-r.now)
 	}
-	// The whole burst is outstanding until it has definitely expired.
+	// The whole burst is outstanding until it has certainly expired.
 	for at := r.now; at < r.now+2*time.Second; at += 100 * time.Millisecond {
 		r.owner.ReceiveRequest(at, self, TokenRequest{Key: testKey, Seq: uint64(at), Wanted: 9, SentAt: at})
 		for _, g := range r.owner.Tick(at)[self] {
--- a/internal/cluster/ratelimit/simulation_test.go
+++ b/internal/cluster/ratelimit/simulation_test.go
@@ -410,7 +410,8 @@
 	for _, before := range rates {
 		for _, front := range rates {
 			for _, after := range rates {
-				// The lease was requested just before the shard changed owners, the last grant at its end.
+				// The lease was requested just before the shard changed owners, and the last grant was made
+				// at the end of the lease.
 				expiresAt := realTime(lease, before) + realTime(p.GrantDuration, front)
 				a, self := NewAuthority(), placement.Session{Member: 1, Epoch: 1}
 				a.Configure(0, p)
--- a/internal/cluster/ratelimit/transfer_test.go
+++ b/internal/cluster/ratelimit/transfer_test.go
@@ -8,8 +8,8 @@
 	"moorstack/internal/cluster/placement"
 )
 
-// The tokens that an owner has lent count as outstanding at the next owner until they have definitely
-// expired. A transfer in another view, or from a session that was not the owner, changes nothing.
+// The tokens that an owner has lent count as outstanding at the next owner until they have certainly expired.
+// A transfer in another view, or from a session that was not the owner, changes nothing.
 func TestTransferCountsOutstandingTokens(t *testing.T) {
 	p, _ := ParsePolicy(map[string]string{"account.a": "20/s burst=10", "account": "X", "tick": "50ms",
 		"term": "300ms"}, nil)
--- a/internal/cluster/ratelimit/utilisation_test.go
+++ b/internal/cluster/ratelimit/utilisation_test.go
@@ -70,8 +70,8 @@
 	return float64(len(admitted)) / maxAdmitted, ticks
 }
 
-// ticksAfterMoves returns, for each full second, how many ticks later the first run of ten intervals between
-// admissions starts that has at least nine tenths of the rate.
+// ticksAfterMoves returns, for each full second, the number of ticks until jobs are admitted at nine tenths
+// of the rate or more for ten successive intervals between admissions.
 func ticksAfterMoves(admitted []time.Duration, tick time.Duration) (ticks []float64) {
 	for moved := measureFrom + time.Second; moved < measureUntil-time.Second; moved += time.Second {
 		first, _ := slices.BinarySearch(admitted, moved)
--- a/internal/cluster/replicated/participant.go
+++ b/internal/cluster/replicated/participant.go
@@ -71,11 +71,11 @@
 	EligibleOwners() []placement.Member
 	// Departing reports whether a member has announced that it is shutting down.
 	Departing(member uint64) bool
-	// Expired reports whether a member's session was set aside and its lease is guaranteed to have expired.
-	// Only the leader knows this.
+	// Expired reports whether a member's session was set aside and its lease has certainly expired. Only the
+	// leader knows this.
 	Expired(member uint64) bool
-	// ExpiredSessions lists the sessions that were set aside and whose leases are guaranteed to have expired.
-	// Only the leader knows this.
+	// ExpiredSessions lists the sessions that were set aside and whose leases have certainly expired. Only
+	// the leader knows this.
 	ExpiredSessions() []placement.Session
 }
 
--- a/internal/cluster/replicated/state_machine.go
+++ b/internal/cluster/replicated/state_machine.go
@@ -62,8 +62,8 @@
 	Decode(e *schema.Change) (Command, bool)
 	// SetOwners sets the members that may be owners by placement. It is called after each entry.
 	SetOwners(members []placement.Member)
-	// SessionsExpired releases everything that belongs to sessions that are guaranteed to have ended. atMS is
-	// the leader's wall clock in Unix milliseconds.
+	// SessionsExpired releases everything that belongs to sessions that have certainly ended. atMS is the
+	// leader's wall clock in Unix milliseconds.
 	SessionsExpired(expired func(placement.Session) bool, reason string, atMS int64)
 	// Snapshot returns all fields of the state, including empty ones: Restore gets only fields named here.
 	Snapshot() []SnapshotField
--- a/internal/cluster/rollingrestart/model_test.go
+++ b/internal/cluster/rollingrestart/model_test.go
@@ -156,7 +156,7 @@
 	if !x.Up {
 		t.add(m, name+" is started", 1, func(next *model) {
 			next.lastIncarnation++
-			// Its disk has the plan that it had read.
+			// Its disk still has the plan that it read before it went down.
 			next.instances[k] = modelInstance{Incarnation: next.lastIncarnation,
 				Session: next.lastIncarnation, Up: true, Exits: x.Exits, ReadRevision: x.ReadRevision}
 		})
--- a/internal/cluster/rollingrestart/operations_test.go
+++ b/internal/cluster/rollingrestart/operations_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// startWith returns a call of Start with changed options.
+	// startWith returns a function that calls Start with changed options.
 	startWith := func(change func(*Options)) func() (Plan, error) {
 		return func() (Plan, error) {
 			o := options
--- a/internal/cluster/rollingrestart/plan.go
+++ b/internal/cluster/rollingrestart/plan.go
@@ -51,7 +51,7 @@
 const (
 	Rolling Status = "rolling"
 	Stopped Status = "stopped" // by an operator: no further instance is restarted
-	Halted  Status = "halted"  // by the controller, for Plan.HaltReason
+	Halted  Status = "halted"  // by the controller; Plan.HaltReason has the reason
 	Done    Status = "done"
 )
 
--- a/internal/cluster/rollout/command.go
+++ b/internal/cluster/rollout/command.go
@@ -12,7 +12,7 @@
 const (
 	None            Kind = iota
 	OpenSession          // Member may admit jobs, in a session with a new epoch
-	ExpireSessions       // the leases of Sessions are guaranteed to have expired
+	ExpireSessions       // the leases of Sessions have certainly expired
 	CloseAdmission       // all of Sessions have staged the change; admission is closed
 	Commit               // all of Sessions have stopped admitting; the change comes into force
 	ReopenAdmission      // admit jobs under the old configuration, then retry the change
--- a/internal/cluster/rollout/doc.go
+++ b/internal/cluster/rollout/doc.go
@@ -16,9 +16,9 @@
 //   - The change is committed, and all instances admit jobs again under the new configuration; or it is
 //     withdrawn, and all continue under the old one.
 //
-// The leader waits for an instance that does not respond until its lease is guaranteed to have expired. The
-// package guarantees that no instance admits a job under a configuration after another instance has admitted
-// one under a later configuration.
+// The leader waits for an instance that does not respond until its lease has certainly expired. The package
+// guarantees that no instance admits a job under a configuration after another instance has admitted one
+// under a later configuration.
 //
 // The types are not safe for concurrent use: each value must be used by one goroutine only.
 package rollout
--- a/internal/cluster/rollout/leader.go
+++ b/internal/cluster/rollout/leader.go
@@ -31,8 +31,8 @@
 	reportedAt time.Duration
 	reported   bool
 	unhandled  bool // the report has not been checked for a session request yet
-	// leaseExpiresAt is when the granted lease is guaranteed to have expired, on the leader's clock; 0 if
-	// this leader has granted none.
+	// leaseExpiresAt is the time, on the leader's clock, by which the granted lease has certainly expired; 0
+	// if this leader has granted none.
 	leaseExpiresAt time.Duration
 	expiringEpoch  uint64        // of the session that this leader has proposed to expire
 	epoch          uint64        // of the session that was last seen
@@ -44,7 +44,7 @@
 	kind         Kind
 	member       uint64
 	incarnation  uint64
-	epoch        uint64 // of the session; for a pending change, the state's LastEpoch
+	epoch        uint64 // of the session; for a command on the pending change, the state's LastEpoch
 	change       string
 	attempt      int
 	openSessions int
@@ -93,15 +93,15 @@
 	return g
 }
 
-// leaseExpiry returns when a member's lease is guaranteed to have expired. If this leader has granted the
-// member no lease, a previous leader may have granted one, at the latest when this term began. The holder of
-// a session that was just opened has not requested a lease yet, so the wait for it starts then.
+// leaseExpiry returns when a member's lease has certainly expired. If this leader has granted the member no
+// lease, a previous leader may have granted one, at the latest when this term began. The holder of a session
+// that was just opened has not requested a lease yet, so the wait for it starts then.
 func (l *Leader) leaseExpiry(m *memberState, p Policy) time.Duration {
 	wait := ExpiryWait(p.Lease)
 	return max(m.leaseExpiresAt, l.startedAt+wait, m.epochSeenAt+wait)
 }
 
-// LeaseExpired reports whether a member's lease is guaranteed to have expired, regardless of its session.
+// LeaseExpired reports whether a member's lease has certainly expired, regardless of its session.
 func (l *Leader) LeaseExpired(now time.Duration, member uint64, p Policy) bool {
 	return now >= l.leaseExpiry(l.member(member), p)
 }
@@ -112,7 +112,7 @@
 	return m.reported && now-m.reportedAt <= within
 }
 
-// sessionExpired reports whether a session can be closed because its lease is guaranteed to have expired.
+// sessionExpired reports whether a session can be closed because its lease has certainly expired.
 func (l *Leader) sessionExpired(now time.Duration, session Session, p Policy) bool {
 	if p.WhenIsolated == KeepServing || session.Unleased && !l.member(session.Member).reported {
 		return false
@@ -178,8 +178,8 @@
 	return commands
 }
 
-// expireSessions returns the command that closes the sessions whose leases are guaranteed to have expired;
-// nil if there are none.
+// expireSessions returns the command that closes the sessions whose leases have certainly expired; nil if
+// there are none.
 func (l *Leader) expireSessions(now time.Duration, s *State, p Policy) []Command {
 	var expired []SessionID
 	for _, session := range s.List() {
--- a/internal/cluster/rollout/model_test.go
+++ b/internal/cluster/rollout/model_test.go
@@ -21,7 +21,7 @@
 	instanceStep = 3 * time.Second // the same step on the instances' clocks
 	// tooSlowStep is a step on clocks whose rate is below the allowed minimum.
 	tooSlowStep = 2500 * time.Millisecond
-	// maxIsolation is long enough for a lease to be guaranteed to expire, and for two attempts at a change.
+	// maxIsolation is long enough for a lease to have certainly expired, and for two attempts at a change.
 	maxIsolation = 7 * leaderStep
 )
 
--- a/internal/cluster/rollout/pending.go
+++ b/internal/cluster/rollout/pending.go
@@ -86,7 +86,7 @@
 }
 
 // AwaitedMembers returns the instances that the pending change is waiting for, by name, with the time after
-// which their leases are guaranteed to have expired.
+// which their leases have certainly expired.
 func (l *Leader) AwaitedMembers(now time.Duration, s *State, p Policy) map[string]time.Duration {
 	if s.Pending == nil {
 		return nil
--- a/internal/cluster/rollout/policy.go
+++ b/internal/cluster/rollout/policy.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Section is the name of the document section that contains the Policy.
+// Section is the name of the section of the group's document that contains the Policy.
 const Section = "rollout"
 
 // IsolationMode determines what instances do while they are isolated from the leader.
@@ -123,7 +123,7 @@
 )
 
 // ExpiryWait returns how long the leader must wait, on its own clock, after it has granted a lease, until the
-// lease is guaranteed to have expired at all rates of the leader's and the holder's clocks within the bounds.
+// lease has certainly expired at all rates of the leader's and the holder's clocks within the bounds.
 func ExpiryWait(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*fastestClockRate/slowestClockRate*roundingMargin) + time.Millisecond
 }
--- a/internal/cluster/schedule/modelcheck_test.go
+++ b/internal/cluster/schedule/modelcheck_test.go
@@ -59,7 +59,7 @@
 	recurrence *calendar.Recurrence
 	log        []modelEntry
 	inFlight   []Command
-	instances  [3]modelInstance // 0: a replica that has always applied the whole log
+	instances  [3]modelInstance // index 0: a replica that has always applied the whole log
 	epochs     uint64
 	now        int64
 	starts     [4]int // by firing number, of all processes
--- a/internal/cluster/schedule/policy.go
+++ b/internal/cluster/schedule/policy.go
@@ -13,7 +13,7 @@
 	"moorstack/internal/cluster/calendar"
 )
 
-// Section is the name of the section of the replicated document that declares the triggers.
+// Section is the name of the section of the group's document that declares the triggers.
 const Section = "schedule"
 
 // triggerKeyPrefix precedes the trigger's name in a key that declares a trigger.
--- a/internal/cluster/schedule/scheduler_intents.go
+++ b/internal/cluster/schedule/scheduler_intents.go
@@ -9,7 +9,7 @@
 
 // Limits of one evaluation.
 const (
-	// maxOccurrencesPerCommand is the number of occurrences from which on a command is full. A command may
+	// maxOccurrencesPerCommand is the number of occurrences at which a command counts as full. A command may
 	// exceed it, since a shard is never split between commands.
 	maxOccurrencesPerCommand    = 500
 	maxOccurrencesPerEvaluation = 20_000
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// sendSnapshot sends a snapshot in a call of its own, so that heartbeats don't wait behind it.
+// sendSnapshot sends a snapshot in a separate call, so that heartbeats don't wait behind it.
 func (l *link) sendSnapshot(m *pb.Message) {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
--- a/internal/cluster/weights/weights.go
+++ b/internal/cluster/weights/weights.go
@@ -20,7 +20,7 @@
 	"moorstack/internal/schema"
 )
 
-// Section is the section of the agreed document that sets weights.
+// Section is the name of the section of the group's document that sets weights.
 const Section = "placement"
 
 const (
