--- a/internal/cluster/rollingrestart/operations.go
+++ b/internal/cluster/rollingrestart/operations.go
@@ -131,8 +131,8 @@
 	return p, nil
 }
 
-// Undo returns a plan that restarts the instances that were already restarted once more, the last one first,
-// so that they can be started with their previous program. The other instances are skipped.
+// Undo returns a plan that restarts again each instance that was already restarted, the last one first, so
+// that whoever starts it can start its previous program. The other instances are skipped.
 func Undo(p Plan) (Plan, error) {
 	if p.Status == "" || p.Undo {
 		return p, fmt.Errorf("nothing to undo: %s", p.Progress())
