--- a/cmd/moorstack-lab/paper.go
+++ b/cmd/moorstack-lab/paper.go
@@ -99,8 +99,8 @@
 				r := &rows[i]
 				halfinWhitt := 1 - 1/math.Sqrt(float64(r.N))
 				load := map[string]float64{"0.7": 0.7, "0.9": 0.9, "1-1/sqrt(N)": halfinWhitt}[r.Load]
-				// The queues start empty. With one or two draws it takes some hundred service times
-				// until they are in steady state.
+				// The queues start empty. With one or two draws it takes a few hundred service
+				// times until they are in steady state.
 				least := 200 * r.N
 				if r.D <= 2 {
 					least = 2000 * r.N
--- a/cmd/moorstack/cluster_roll.go
+++ b/cmd/moorstack/cluster_roll.go
@@ -13,7 +13,7 @@
 )
 
 // The defaults for how many instances a rolling restart takes out at once, and how long each may stay out.
-// The requests to stop, resume and undo have always carried these two values as well.
+// The requests to stop, resume and undo carry these two values as well, as in all earlier versions.
 const (
 	rollDefaultOut    = 1
 	rollDefaultWithin = 5 * time.Minute
--- a/cmd/moorstack/config_file.go
+++ b/cmd/moorstack/config_file.go
@@ -32,7 +32,7 @@
 	return &configFile{rev.Revision, *d}, nil
 }
 
-// newestRevision requests the newest revision.
+// newestRevision, in place of a revision's number, requests the newest one.
 const newestRevision uint64 = 0
 
 // fetchConfig reads a revision from the group.
--- a/cmd/moorstack/config_outcome.go
+++ b/cmd/moorstack/config_outcome.go
@@ -12,7 +12,7 @@
 
 // proposeOutcome is the outcome of a proposal.
 type proposeOutcome struct {
-	id     string // the change's
+	id     string // the change's ID
 	base   uint64 // the revision that the change is based on
 	dryRun bool
 	reply  *schema.ProposeReply
--- a/cmd/moorstack/emulate.go
+++ b/cmd/moorstack/emulate.go
@@ -17,12 +17,12 @@
 		Use:   "run FILE",
 		Short: "Run a scenario and print the outcomes of its jobs",
 		Long: `run runs the scenario in FILE: modelled workers, discovery, clients and faults around nodes
-that consist of the real core and decisions. The same seed always gives the same run.
+that run the real broker and balancer. The same seed always gives the same run.
 
-Every run is checked against the rules: one final answer in time, repeats only as the class
-allows, no new jobs to a drained worker after 1 s, no cold worker overloaded. The command
-exits with 1 if a rule is broken, with 2 if the file is wrong. docs/emulator.md says what is
-modelled and what is not.`,
+Every run is checked against the rules: one final response in time, further attempts only as
+the class allows, no new jobs to a draining worker after 1 s, no worker overloaded in slow
+start. The command exits with 1 if a rule is broken, and with 2 if the file is invalid.
+docs/emulator.md says what is modelled and what is not.`,
 		Example: `  moorstack emulate run experiments/small.toml
   moorstack emulate run experiments/small.toml --seed 7 --seconds`,
 		Args: cobra.ExactArgs(1),
--- a/cmd/moorstack/emulate_storm.go
+++ b/cmd/moorstack/emulate_storm.go
@@ -28,7 +28,7 @@
 				return err
 			}
 			if f.seeds < 1 || f.most < 1 {
-				return errors.New("--seeds and --most must be above 0")
+				return errors.New("--seeds and --most must be at least 1")
 			}
 			r, err := f.run(scenario)
 			if err != nil {
--- a/cmd/moorstack/expect.go
+++ b/cmd/moorstack/expect.go
@@ -27,10 +27,10 @@
 		Short: "Check where jobs would go, without traffic",
 		Long: `expect checks the expectations that operators keep next to their routing rules: that a given
 kind of job goes to certain workers, never goes to others, is rejected for a given reason, or
-falls back to a given pool. It runs the real rules, core and decisions in virtual time against
+falls back to a given pool. It runs the real routing, broker and balancer in virtual time against
 stub workers, and opens no socket. docs/operators/expectations.md shows how to write them.
 
-It exits with 0 if all expectations hold, 1 if some fail, 2 if the files are wrong. A failure
+It exits with 0 if all expectations hold, 1 if some fail, 2 if a file is invalid. A failure
 names the expectation, the rule that decided, and why each worker was excluded.`,
 		Example: `  moorstack expect deploy/expectations/sunday.toml
   moorstack expect sunday.toml --run dialysis --output junit
--- a/cmd/moorstack/prove_cluster.go
+++ b/cmd/moorstack/prove_cluster.go
@@ -170,7 +170,7 @@
 // auditTimeout is the time limit of a run beyond twice the duration of its faults.
 const auditTimeout = 5 * time.Minute
 
-// options returns the options of a run in a directory.
+// options returns the options that the flags select, for a run whose files are in dir.
 func (f *faultRunFlags) options(program, dir string,
 	faults []faultinjection.Fault) (o faultinjection.RunOptions, err error) {
 	o = faultinjection.RunOptions{
--- a/cmd/moorstack/prove_cluster_table.go
+++ b/cmd/moorstack/prove_cluster_table.go
@@ -58,7 +58,7 @@
 	return t
 }
 
-// quantile returns the smallest of the values that is not less than a share q of them; 0 if there are none.
+// quantile returns the q-quantile of the values, one of them, or 0 if there are none.
 func quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/cmd/moorstack/prove_config.go
+++ b/cmd/moorstack/prove_config.go
@@ -85,8 +85,8 @@
 	ChangesRejected int                 `json:"refused"`
 	ChangesUnknown  int                 `json:"unknown"`
 	Reads           int                 `json:"reads"`
-	JobsAdmitted    int                 `json:"admitted"` // jobs
-	TaskActions     int                 `json:"acts"`     // by holders of leased tasks
+	JobsAdmitted    int                 `json:"admitted"` // by all instances
+	TaskActions     int                 `json:"acts"`     // actions of the holders of leased tasks
 	TaskTransfers   int                 `json:"hand_overs"`
 	Faults          map[string]int      `json:"faults"`
 	Violating       []simulation.Result `json:"broken,omitempty"`
--- a/cmd/moorstack/remote.go
+++ b/cmd/moorstack/remote.go
@@ -48,14 +48,14 @@
 	return r.stream(ctx, f)
 }
 
-// callWithTimeout is call with the given time limit.
+// callWithTimeout is like call, with the given time limit.
 func (r *controlFlags) callWithTimeout(ctx context.Context, timeout time.Duration, f controlCall) error {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	return r.stream(ctx, f)
 }
 
-// stream is call without a time limit.
+// stream is like call, without a time limit of its own.
 func (r *controlFlags) stream(ctx context.Context, f controlCall) error {
 	target, err := r.resolve()
 	if err != nil {
--- a/cmd/moorstack/root.go
+++ b/cmd/moorstack/root.go
@@ -44,7 +44,7 @@
 			if err != nil {
 				return err
 			}
-			// The node has always logged the error that ends it, instead of printing it.
+			// A node logs the error that ends it instead of printing it, as in all earlier versions.
 			if err := servePlatform(log, faktoryFile); err != nil {
 				log.WithError(err).Fatal("node stopped with an error")
 			}
--- a/cmd/moorstack/serve.go
+++ b/cmd/moorstack/serve.go
@@ -15,7 +15,7 @@
 // reexec replaces this process with the program that is now installed under its name, with the same
 // arguments and environment.
 func reexec() error {
-	// os.Executable would not do: if the program's file was replaced while it ran, /proc does not name the
+	// os.Executable can't be used: if the program's file was replaced while it ran, /proc does not name the
 	// new file.
 	path, err := exec.LookPath(os.Args[0])
 	if err == nil {
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -30,7 +30,7 @@
 		if err := it.Err(); err != nil {
 			return nil, fmt.Errorf("not JSON: %w", err)
 		}
-		return nil, errors.New("no event name")
+		return nil, errors.New("the object is empty, want an event's name and fields")
 	}
 	kind, ok := eventKinds[string(it.Key())]
 	if !ok {
--- a/cmd/simadapter/server.go
+++ b/cmd/simadapter/server.go
@@ -52,7 +52,7 @@
 func (s *server) deliver(ev *event) error {
 	d := s.dispatchers[string(ev.dispatcher)]
 	if d == nil {
-		return fmt.Errorf("instance %q was never started", ev.dispatcher)
+		return fmt.Errorf("dispatcher %q was never started", ev.dispatcher)
 	}
 	defer func() {
 		if p := recover(); p != nil {
@@ -111,7 +111,7 @@
 
 func (s *server) updateWorkers(d *dispatcher, ev *event) error {
 	if ev.form < 0 || ev.form >= len(listUpdateKinds) {
-		return fmt.Errorf("unknown form %d", ev.form)
+		return fmt.Errorf("unknown form %d of a list update, want 0 to 3", ev.form)
 	}
 	kind := listUpdateKinds[ev.form]
 	if kind == balancer.ListUnavailable {
@@ -120,7 +120,7 @@
 	}
 	list, ok := s.lists[ev.slot]
 	if !ok || !ev.present.has(slotField) {
-		return fmt.Errorf("no list in slot %d", ev.slot)
+		return fmt.Errorf("no list in slot %d; an earlier event must set it", ev.slot)
 	}
 	d.balancer.UpdateWorkers(s.now, kind, list)
 	return nil
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// startNotice is the sort of a progress report which says that a request has started to run.
+// startNotice is the value of the field "sort" in a progress report that a request has started to run.
 const startNotice = 1
 
 func (s *server) attemptProgressed(d *dispatcher, ev *event) error {
@@ -209,7 +209,7 @@
 func parseResult(number int) (balancer.Result, error) {
 	result, ok := results[number]
 	if !ok {
-		return 0, fmt.Errorf("unknown result %d", number)
+		return 0, fmt.Errorf("unknown result %d, want one of 10, 20 and so on to 80", number)
 	}
 	return result, nil
 }
--- a/internal/frontend/faktory/config.go
+++ b/internal/frontend/faktory/config.go
@@ -72,7 +72,7 @@
 		c.ReservationTimeout > 0 && c.MinReservationTimeout > 0
 }
 
-// AdaptSettings returns a node's settings adapted to this frontend. Its endpoint list consists of the
+// AdaptSettings returns a node's settings adapted to this front. Its endpoint list consists of the
 // workers that have a session with this node: no discovery service has to be polled, no other node sends
 // jobs to them, and their load can be read here at no cost. They have none of the platform's machine kinds.
 // A worker fetches only the jobs that it has capacity for, and so needs no slow start.
--- a/internal/frontend/faktory/conn.go
+++ b/internal/frontend/faktory/conn.go
@@ -88,7 +88,7 @@
 	c.OnClose(c.conn, nil)
 }
 
-// OnConnect implements eventloop.Handler. It is never called, since this frontend dials no connections.
+// OnConnect implements eventloop.Handler. It is never called, since this front dials no connections.
 func (c *conn) OnConnect(*eventloop.Conn) {}
 
 // OnClose implements eventloop.Handler. Either side may have closed the connection.
--- a/internal/frontend/faktory/front.go
+++ b/internal/frontend/faktory/front.go
@@ -19,7 +19,8 @@
 	unreadResponseWait = 3 * time.Second
 )
 
-// Front is the Faktory frontend. Its methods must be called on the event loop's goroutine.
+// Front accepts producers and workers that use the Faktory work protocol. Its methods must be
+// called on the event loop's goroutine.
 type Front struct {
 	loop         *eventloop.Loop
 	broker       *broker.Broker
--- a/internal/frontend/faktory/job.go
+++ b/internal/frontend/faktory/job.go
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("BUSY %s; retry after %.3f s", r.reason, r.retryAfter.Seconds())
 }
 
-// defaultRetryAfter is the retry time of rejections that this frontend makes, and the minimum of those by
+// defaultRetryAfter is the retry time of rejections that this front makes, and the minimum of those by
 // routing rules.
 const defaultRetryAfter = time.Second
 
--- a/internal/frontend/faktory/request.go
+++ b/internal/frontend/faktory/request.go
@@ -19,7 +19,7 @@
 	maxJobSlots   = 1e6
 )
 
-// jobBody holds the fields of a job that this frontend reads.
+// jobBody holds the fields of a job that this front reads.
 type jobBody struct {
 	JID        string          `json:"jid"`
 	Type       string          `json:"jobtype"`
--- a/internal/frontend/faktory/request_test.go
+++ b/internal/frontend/faktory/request_test.go
@@ -11,7 +11,7 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// parse parses a job with a frontend that has one class and two tenants.
+// parse parses a job with a front that has one class and two tenants.
 func parse(t *testing.T, text string) (broker.Request, *job, error) {
 	t.Helper()
 	f := &Front{
@@ -47,7 +47,7 @@
 	}
 }
 
-// The producer gets an error that names the fault of its job. These texts are part of the protocol.
+// The producer gets an error that says what is wrong with its job. These texts are part of the protocol.
 func TestInvalidJobIsNamed(t *testing.T) {
 	const head = `{"jid": "12345678", "jobtype": "Mail", "args": []`
 	for _, c := range []struct{ job, want string }{
--- a/internal/frontend/platform/client.go
+++ b/internal/frontend/platform/client.go
@@ -35,10 +35,10 @@
 	callBackForwarded  bool // a call-back was forwarded to the other process, which has not confirmed it yet
 	closeAfterResponse bool
 	continueSent       bool // a 100 response has been sent for the request being read
-	isWorker           bool // a call-back has come on this connection
+	isWorker           bool // a call-back has arrived on this connection
 
 	openedAt    time.Duration
-	sentMessage bool // a complete message has come on this connection
+	sentMessage bool // a complete message has arrived on this connection
 }
 
 var _ eventloop.Handler = (*client)(nil)
@@ -281,7 +281,7 @@
 		!c.isWorker && c.conn.HasUnreadInput()
 }
 
-// expectsRequest reports whether a request may be on its way: part of one has come, or the connection was
+// expectsRequest reports whether a request may be on its way: part of one has arrived, or the connection was
 // just opened and has not carried one yet.
 func (c *client) expectsRequest(now time.Duration) bool {
 	justOpened := !c.sentMessage && now < c.openedAt+drain.HealthCheckGrace
--- a/internal/frontend/platform/config.go
+++ b/internal/frontend/platform/config.go
@@ -36,7 +36,7 @@
 	MemoryMB int64   `json:"memory_mb"` // MiB
 	Sockets  int     `json:"sockets"`
 
-	ReservedDescriptors int `json:"-"` // descriptors reserved for another frontend
+	ReservedDescriptors int `json:"-"` // descriptors reserved for another front
 }
 
 // ReadConfig reads the file that BALANCER_CONFIG names and validates it. BALANCER_NAME, BALANCER_LISTEN,
--- a/internal/frontend/platform/discovery_call.go
+++ b/internal/frontend/platform/discovery_call.go
@@ -68,9 +68,9 @@
 	c.timer = d.front.loop.After(timeout, c.timedOut)
 }
 
-// timedOut fails a call that timed out; a watch that was accepted is reopened at once instead. The node soon
-// counts as notified of changes that a silent watch misses. The broker's backoff before it requests another
-// watch is meant for an outage of discovery and is too long here.
+// timedOut handles a timeout: it reopens an accepted watch at once, and fails any other call. A failed watch
+// would wait for the broker's backoff, which is meant for an outage of discovery and too long for a silent
+// watch: the node soon counts as notified of the changes that the watch misses.
 func (c *discoveryCall) timedOut() {
 	d := c.discovery
 	if !c.isWatch() || !c.parser.HeadComplete() {
@@ -86,7 +86,7 @@
 // OnConnect implements eventloop.Handler. The request has been queued by startCall.
 func (c *discoveryCall) OnConnect(*eventloop.Conn) {}
 
-// OnData implements eventloop.Handler. It reads what has come of the response.
+// OnData implements eventloop.Handler. It reads the part of the response that has arrived.
 func (c *discoveryCall) OnData(*eventloop.Conn) {
 	headWasComplete := c.parser.HeadComplete()
 	complete, err := c.parser.Feed(c.conn.Input())
--- a/internal/frontend/platform/doc.go
+++ b/internal/frontend/platform/doc.go
@@ -1,4 +1,4 @@
-// Package platform is the frontend for the platform's protocol, which runs over HTTP/1.1: client requests,
+// Package platform is the front for the platform's protocol, which runs over HTTP/1.1: client requests,
 // attempts at workers, the call-backs by which workers report the end of an attempt, health checks, and the
 // endpoint list from discovery.
 //
--- a/internal/frontend/platform/front.go
+++ b/internal/frontend/platform/front.go
@@ -12,7 +12,7 @@
 	"moorstack/internal/proxy/routing"
 )
 
-// Front is the platform's frontend. It accepts client connections and owns the connections to workers and to
+// Front is the platform's front. It accepts client connections and owns the connections to workers and to
 // discovery.
 type Front struct {
 	loop     *eventloop.Loop
--- a/internal/frontend/platform/peer_process.go
+++ b/internal/frontend/platform/peer_process.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// unlinkedPeerTimeout is how long a process with which this one has no link may share the address. The
+	// unlinkedPeerTimeout is how long another process may share the address without a link to this one. The
 	// platform ends that process about 10 s after this one's start.
 	unlinkedPeerTimeout = 10 * time.Second
 
@@ -20,7 +20,7 @@
 	forwardTimeout = time.Second
 )
 
-// PeerProcess is the other process of this node during a hot restart.
+// PeerProcess is the other process of this node during a hot restart: its parent or its child.
 type PeerProcess interface {
 	// ForwardCallBack forwards a call-back. CallBackHandled is called with the same number once the other
 	// process has handled it.
--- a/internal/frontend/platform/shutdown_test.go
+++ b/internal/frontend/platform/shutdown_test.go
@@ -40,14 +40,14 @@
 	return e
 }
 
-// onLoop runs f on the event loop, in one iteration, and waits for it.
+// onLoop runs f on the event loop, in one turn, and waits for it.
 func (e *shutdownTest) onLoop(f func()) {
 	done := make(chan struct{})
 	e.front.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// lastIteration runs in one iteration of the event loop: the end of the last request, then between, and then
+// lastIteration runs in one turn of the event loop: the end of the last request, then between, and then
 // awaitDrained.
 func (e *shutdownTest) lastIteration(partialGrace time.Duration, between func()) {
 	e.onLoop(func() {
@@ -107,7 +107,7 @@
 		"X-Timeout: 1u\r\nContent-Length: 1\r\n\r\nx", id)
 }
 
-// A request that comes in the iteration of the event loop in which the shutdown would complete still gets a
+// A request that arrives in the turn of the event loop in which the shutdown would complete still gets a
 // response.
 func TestRequestsInLastTurnAreAnswered(t *testing.T) {
 	for name, partialGrace := range map[string]time.Duration{"within the grace": partialRequestGrace,
--- a/internal/netio/eventloop/conn_test.go
+++ b/internal/netio/eventloop/conn_test.go
@@ -124,7 +124,7 @@
 	for processing := false; !processing; runOn(loop, func() { processing = e.processing }) {
 		time.Sleep(time.Millisecond)
 	}
-	pipelined := bytes.Repeat([]byte("x"), 2500) // would need a buffer of 4,096 bytes
+	pipelined := bytes.Repeat([]byte("x"), 2500) // needs a buffer of 4,096 bytes, above MaxBufferBytes
 	if _, err := c.Write(append(pipelined, '\n')); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/netio/eventloop/errno.go
+++ b/internal/netio/eventloop/errno.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// retryDelay is the pause before a system call is retried that failed because the kernel was temporarily out
-// of a resource. Events are level-triggered, so without the pause the loop would spin.
+// retryDelay is the pause before the retry of a system call that failed because the kernel was temporarily
+// out of a resource. Events are level-triggered, so without the pause the loop would spin.
 const retryDelay = 20 * time.Millisecond
 
 // isRetryable reports whether a call had no effect and may be repeated at the next event.
--- a/internal/netio/http1/parser.go
+++ b/internal/netio/http1/parser.go
@@ -9,7 +9,7 @@
 // The limits of a message. A message that exceeds them causes a ProtocolError.
 const (
 	maxHeadBytes      = 16 << 10
-	maxBodyBytes      = 64 << 10 // without the chunked framing; streamed bodies have no limit
+	maxBodyBytes      = 64 << 10 // not counting the chunked framing; streamed bodies have no limit
 	maxChunkLineBytes = 256      // for a line of the chunked framing: a chunk size with extensions
 	maxFieldLines     = 100      // in the head, and again in the trailer
 )
@@ -19,9 +19,9 @@
 
 const (
 	parsingHead      parseState = iota
-	parsingBody                 // remaining bytes left
+	parsingBody                 // in a body; Parser.remaining bytes of it are missing
 	parsingChunkSize            // at a chunk's size line
-	parsingChunk                // remaining bytes of the chunk left
+	parsingChunk                // in a chunk; Parser.remaining bytes of it are missing
 	parsingChunkEnd             // at the line ending after a chunk
 	parsingTrailer
 	parsingToEOF // the body ends with the connection
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/proxy/broker"
 )
 
-// Retry-After of a rejection: a change is applied soon, replacing a lost leader takes about one lease.
+// Retry-After of rejections: a change is applied soon, and replacing a lost leader takes about one lease.
 const (
 	retryAfterChange    = 50 * time.Millisecond
 	retryAfterLeaseLoss = time.Second
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -30,7 +30,7 @@
 	} `toml:"front"`
 
 	Peers struct {
-		Listen string `toml:"listen"` // where this instance listens for others
+		Listen string `toml:"listen"` // where this instance listens for other instances
 		// Address at which others reach this instance, if it differs from Listen, as behind a forwarder or
 		// from another network.
 		Advertise string `toml:"advertise"`
@@ -55,7 +55,7 @@
 	// Test has settings for tests only: see TestClocksEnv.
 	Test struct {
 		Clock string `toml:"clock"` // file of a wall clock that a test sets
-		Zones string `toml:"zones"` // used for all zones, so that the zone rules differ from those of others
+		Zones string `toml:"zones"` // used for all zones, so that the zone rules differ from other instances
 	} `toml:"test"`
 
 	Control struct {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -42,7 +42,7 @@
 type parentProcess struct {
 	socketPath   hotrestart.SocketPath
 	inheritance  *hotrestart.Inheritance // nil: the parent passes no state on
-	parentServes bool                    // the parent serves on, and this process serves on a separate socket
+	parentServes bool                    // the parent still serves; this process has a separate socket
 }
 
 // joinParent looks for a process to take over from. If there is none, this process serves alone. If the
--- a/internal/node/listfollower.go
+++ b/internal/node/listfollower.go
@@ -152,7 +152,7 @@
 		}
 	}); loopErr != nil {
 		f.subscriber.Invalidate()
-		return loopErr // the function posted to the loop may still write err
+		return loopErr // err can't be read: the function posted to the loop may still write it
 	}
 	if err != nil {
 		f.subscriber.Invalidate()
--- a/internal/node/listrelay.go
+++ b/internal/node/listrelay.go
@@ -135,7 +135,7 @@
 	var err error
 	// The list is read and the subscription registered in one turn, so that no change in between is missed.
 	if loopErr := s.env.onLoop(ctx, func() { first, err = s.register(sub) }); loopErr != nil {
-		// The function posted to the loop may still write first and err.
+		// first and err can't be read: the function posted to the loop may still write them.
 		return nil, listrelay.EndpointListUpdate{}, loopErr
 	}
 	return sub, first, err
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -165,7 +165,7 @@
 // publish makes the member states readable by other goroutines, and passes the suspicions to the leased tasks
 // if the states have changed.
 func (m *membershipDriver) publish() {
-	// Most messages change nothing, and the states need not be copied on the loop.
+	// Most messages change nothing: the loop must not spend time on copying the same states again.
 	if m.detector != nil && m.published && m.version == m.detector.Version() {
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,11 +47,11 @@
 	brokers []frontBroker
 	drain   func(done func())
 
-	memoryLimit int64       // the garbage collector's, in bytes, while no second process shares the node
+	memoryLimit int64       // of the garbage collector, in bytes, while this is the node's only process
 	hotRestart  *hotRestart // nil: hot restart is off
 }
 
-// frontBroker is a front's broker, with the functions that pass the node's configuration to the two.
+// frontBroker is a front's broker, with the functions that pass the node's configuration to both.
 type frontBroker struct {
 	*broker.Broker
 	front string         // the front's name
--- a/internal/node/outliers.go
+++ b/internal/node/outliers.go
@@ -85,8 +85,8 @@
 }
 
 func (o *outlierDriver) setView(v consensus.ClusterView) {
-	// This is called at every lease renewal, and building the placement table takes thousands of hashes on
-	// the loop.
+	// This is called at every lease renewal, and usually nothing has changed. Building the placement table
+	// would take thousands of hashes on the loop.
 	if len(v.Views) == 0 && v.Session == o.session {
 		return
 	}
--- a/internal/node/ratelimit.go
+++ b/internal/node/ratelimit.go
@@ -38,7 +38,7 @@
 	authority        *ratelimit.Authority
 	table            *placement.Table
 	view             consensus.ClusterView
-	session          placement.Session // this instance's, as of the table
+	session          placement.Session // this instance's session in the table's view
 	timer            *eventloop.Timer
 	rejected         atomic.Uint64
 	recentRejections rejections
--- a/internal/node/selfrestart.go
+++ b/internal/node/selfrestart.go
@@ -58,8 +58,8 @@
 func (s *selfRestart) mergeSignals(external <-chan os.Signal) <-chan os.Signal {
 	go func() {
 		for sig := range external {
-			// Whoever orders the process to end waits for that, and does not expect another process in its
-			// place.
+			// The sender of a signal that ends the process waits for the end, and expects no other process
+			// in its place.
 			if sig != syscall.SIGHUP {
 				s.stopOrdered.Store(true)
 			}
--- a/internal/node/slowstart.go
+++ b/internal/node/slowstart.go
@@ -85,7 +85,8 @@
 		now := consensus.BootTime()
 		s.view = v
 		for _, view := range v.Views {
-			// Others may act on the previous view until their leases expire, by clocks of other rates.
+			// Other instances may act on the previous view until their leases expire, by clocks that may
+			// run slower.
 			s.partitions.SetView(now, view, v.Session, rollout.ExpiryWait(v.LeaseDuration))
 		}
 		s.update()
--- a/internal/operate/backups/backups_test.go
+++ b/internal/operate/backups/backups_test.go
@@ -29,8 +29,8 @@
 		Content: []byte(content), Retain: 3, LeaseValid: func() bool { return true }}
 }
 
-// In one directory from its creation on: stale writers are rejected, files are verified, and the oldest
-// backups are removed.
+// A directory is created and written to several times: stale writers are rejected, files are verified, and
+// the oldest backups are removed.
 func TestWritesAreFencedVerifiedAndPruned(t *testing.T) {
 	d := newDir(t)
 	first, err := d.Write(request(7, 1, "complete 1"))
--- a/internal/operate/controlapi/host.go
+++ b/internal/operate/controlapi/host.go
@@ -44,6 +44,6 @@
 type MemberState struct {
 	State          string
 	Duration       time.Duration // time since the state changed
-	SuspectedBy    []uint64      // member numbers
-	UnreachableFor time.Duration // how long this instance's probes have had no answer; 0: they have one
+	SuspectedBy    []uint64      // IDs of the members that suspect it
+	UnreachableFor time.Duration // for how long its probes were not answered; 0: the last one was
 }
--- a/internal/operate/controlapi/status.go
+++ b/internal/operate/controlapi/status.go
@@ -52,7 +52,7 @@
 	return out, nil
 }
 
-// describeHalt fills in that consensus has stopped or halted, and the reason, if it has.
+// describeHalt fills in whether consensus has stopped or halted, and why.
 func (s *Server) describeHalt(out *schema.StatusReply, st consensus.Status) {
 	runner := s.host.Runner()
 	select {
--- a/internal/proxy/broker/endpoint.go
+++ b/internal/proxy/broker/endpoint.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-// UpdateEndpoints applies a watch event or a full endpoint list.
+// UpdateEndpoints applies a full endpoint list or a delta of it.
 func (b *Broker) UpdateEndpoints(kind balancer.ListUpdateKind, entries []ListEntry) {
 	named := map[balancer.WorkerID]bool{}
 	workers := make([]balancer.Worker, 0, len(entries))
--- a/internal/proxy/broker/process_state.go
+++ b/internal/proxy/broker/process_state.go
@@ -72,7 +72,7 @@
 	return ids
 }
 
-// OutstandingAttempt is an attempt in flight.
+// OutstandingAttempt is an attempt in flight, with the endpoint that runs it.
 type OutstandingAttempt struct {
 	Endpoint string
 	Running  RunningAttempt
--- a/internal/proxy/hotrestart/message.go
+++ b/internal/proxy/hotrestart/message.go
@@ -61,12 +61,12 @@
 	EndedAt   time.Duration `json:"ended,omitempty"` // when it ended; 0: it has not ended
 }
 
-// MigratedRequest is an open request that moves to the child. Workers have accepted all its attempts.
+// MigratedRequest is an open request that migrates to the child. Workers have accepted all its attempts.
 type MigratedRequest struct {
 	ID        string        `json:"id"`
 	Class     int           `json:"class"` // the class's number
 	Deadline  time.Duration `json:"until"` // by the sender's clock
-	Timeout   time.Duration `json:"left"`  // from sending this until the deadline; 0: not given
+	Timeout   time.Duration `json:"left"`  // time left until the deadline when it is sent; 0: not given
 	Endpoints []string      `json:"hops"`  // the endpoints that have accepted it
 }
 
--- a/internal/proxy/hotrestart/state.go
+++ b/internal/proxy/hotrestart/state.go
@@ -17,9 +17,9 @@
 type State struct {
 	Generation          int64                 `json:"generation"` // of the endpoint list
 	Instances           json.RawMessage       `json:"instances"`  // the endpoint list, in discovery's format
-	DiscoveryAddress    string                `json:"discovery"`  // the one in use, after reloads
-	ConfiguredDiscovery string                `json:"written"`    // the one last read from the file
-	KnownEndpoints      []string              `json:"known"`      // all that have ever been listed
+	DiscoveryAddress    string                `json:"discovery"`  // the address in use, after reloads
+	ConfiguredDiscovery string                `json:"written"`    // the address last read from the file
+	KnownEndpoints      []string              `json:"known"`      // names of all that were ever listed
 	Maintenance         []Maintenance         `json:"bans"`
 	Balancer            balancer.LearnedState `json:"module"`
 
--- a/internal/proxy/routing/enumerate.go
+++ b/internal/proxy/routing/enumerate.go
@@ -52,15 +52,15 @@
 
 // jobSpace holds the values of each property that the enumerated jobs can have.
 type jobSpace struct {
-	names                                        KnownNames
-	frontends, hosts, paths, queues, types, keys valueSet
-	work                                         []time.Duration
-	headers                                      map[string]valueSet
-	headerNames                                  []string
+	names                                     KnownNames
+	fronts, hosts, paths, queues, types, keys valueSet
+	work                                      []time.Duration
+	headers                                   map[string]valueSet
+	headerNames                               []string
 }
 
 // valueSet is a list of distinct values. An empty value means that a job does not have the property; it comes
-// first, except in jobSpace.frontends, which has none.
+// first, except in jobSpace.fronts, which has none.
 type valueSet []string
 
 func (v *valueSet) add(s string) {
@@ -70,7 +70,7 @@
 }
 
 func newJobSpace(names KnownNames) *jobSpace {
-	return &jobSpace{names: names, frontends: valueSet{FrontHTTP, FrontFaktory}, hosts: valueSet{""},
+	return &jobSpace{names: names, fronts: valueSet{FrontHTTP, FrontFaktory}, hosts: valueSet{""},
 		paths: valueSet{""}, queues: valueSet{""}, types: valueSet{""}, keys: valueSet{""},
 		work: []time.Duration{0}, headers: map[string]valueSet{}}
 }
@@ -116,7 +116,7 @@
 
 // sizes returns the number of values of each property, in the order in which job uses them.
 func (s *jobSpace) sizes() []int {
-	sizes := []int{len(s.frontends), len(s.names.Classes) + 1, len(s.names.Tenants) + 1, len(s.hosts),
+	sizes := []int{len(s.fronts), len(s.names.Classes) + 1, len(s.names.Tenants) + 1, len(s.hosts),
 		len(s.paths), len(s.queues), len(s.types), len(s.keys), len(s.work)}
 	for _, h := range s.headerNames {
 		sizes = append(sizes, len(s.headers[h]))
@@ -130,7 +130,7 @@
 	for i, h := range s.headerNames {
 		headers[h] = s.headers[h][idx[9+i]]
 	}
-	return &Job{Front: s.frontends[idx[0]], Class: idx[1] - 1, Tenant: idx[2] - 1, Host: s.hosts[idx[3]],
+	return &Job{Front: s.fronts[idx[0]], Class: idx[1] - 1, Tenant: idx[2] - 1, Host: s.hosts[idx[3]],
 		Path: s.paths[idx[4]], Queue: s.queues[idx[5]], JobType: s.types[idx[6]], RouteKey: s.keys[idx[7]],
 		ExpectedWork: s.work[idx[8]], ID: "job", headers: headers,
 		Header: func(name string) string { return headers[name] }}
--- a/internal/proxy/settings/balancer.go
+++ b/internal/proxy/settings/balancer.go
@@ -79,10 +79,10 @@
 	}
 	var ok bool
 	if out.Idempotency, ok = idempotencies[c.Effect]; !ok {
-		return out, fmt.Errorf("unknown effect %q", c.Effect)
+		return out, fmt.Errorf("unknown effect %q, want retryable, dedup or fragile", c.Effect)
 	}
 	if out.KeyScope, ok = keyScopes[c.KeyScope]; !ok {
-		return out, fmt.Errorf("unknown key_scope %q", c.KeyScope)
+		return out, fmt.Errorf("unknown key_scope %q, want all, zone, cell or an empty text", c.KeyScope)
 	}
 	if c.ObjectiveStretch != nil {
 		out.ObjectiveStretch = *c.ObjectiveStretch
--- a/internal/proxy/settings/load_report.go
+++ b/internal/proxy/settings/load_report.go
@@ -11,7 +11,7 @@
 }
 
 // Set sets the field of a load report that belongs to a name on the wire. Values that the balancer does not
-// use are ignored. The simulator and the workers use the same names: a real worker has sent the report
+// use are ignored. The simulator and the workers use the same names. A worker's report looks like
 // "TEXT pending=0, served_ps=0, svc_ms=0, x0=7.255".
 func (f LoadReportFields) Set(r *balancer.LoadReport, name string, v float64) {
 	switch name {
--- a/internal/proxy/settings/params.go
+++ b/internal/proxy/settings/params.go
@@ -18,8 +18,8 @@
 	Rules           Rules    `json:"contract"`
 	Extra           Extra    `json:"extra"`
 	MinEventGap     int64    `json:"granularity"`
-	Kinds           []string `json:"kinds"` // their names
-	Zones           []string `json:"zones"` // their names
+	Kinds           []string `json:"kinds"` // names of the kinds of workers, by number
+	Zones           []string `json:"zones"` // names of the zones, by number
 	Limits          Limits   `json:"limits"`
 	ListMode        string   `json:"membership_mode"` // "on_request": the endpoint list must be requested
 	OverQuotaWeight float64  `json:"over_share_worth"`
--- a/internal/proxy/settings/settings_test.go
+++ b/internal/proxy/settings/settings_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// A class's own aim_stretch takes precedence over class_stretch, and a class without a kind goes to any
-// worker.
+// A class's own aim_stretch takes precedence over class_stretch. Requests of a class without a kind
+// may go to any worker.
 func TestClassesByExtras(t *testing.T) {
 	set, err := mustParse(t, `{"classes":[{"name":"a","effect":"retryable","aim_stretch":3},`+
 		`{"name":"b","effect":"dedup","key_scope":"zone"},{"name":"c","effect":"fragile"}],`+
--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// lock is a lock held by a process.
+// lock is a process's lock on a file.
 type lock struct {
 	fs          *FS
 	path        string
--- a/internal/storage/store/check.go
+++ b/internal/storage/store/check.go
@@ -5,14 +5,14 @@
 	"path/filepath"
 )
 
-// CheckReport is the result of Check.
+// CheckReport describes the content of a store that Check has found intact.
 type CheckReport struct {
 	Dir           string `json:"dir"`
 	Format        int    `json:"format"`
 	Snapshot      string `json:"snapshot,omitempty"` // the name of the snapshot's file
 	SnapshotBytes int    `json:"snapshot_bytes"`     // the length of the snapshot's payload
 	Segments      int    `json:"segments"`
-	Records       int    `json:"records"` // after the snapshot
+	Records       int    `json:"records"` // number of records after the snapshot
 	SyncMarkers   int    `json:"seals"`
 	NextSeq       uint64 `json:"next_record"`
 	Bytes         int64  `json:"bytes"`               // the length of all valid data
--- a/internal/storage/store/format.go
+++ b/internal/storage/store/format.go
@@ -65,7 +65,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Record is a record of the log.
+// Record is an entry of the log: the caller's data with a kind and a sequence number.
 type Record struct {
 	Seq  uint64 // assigned by the store
 	Kind uint8  // defined by the caller; at least 1
--- a/internal/storage/store/scan.go
+++ b/internal/storage/store/scan.go
@@ -34,7 +34,7 @@
 type TornTail struct {
 	File   string
 	Offset int64 // in bytes, from the file's start
-	Bytes  int64 // the length of the tail
+	Bytes  int64 // number of bytes from Offset to the end of the file
 	Reason string
 }
 
@@ -52,7 +52,7 @@
 	snapshotPath string
 	segments     []segment
 	nextSeq      uint64 // the sequence number of the next record
-	records      int    // after the snapshot
+	records      int    // number of records after the snapshot
 	bytes        int64
 	syncMarkers  int
 	tornTail     *TornTail
--- a/internal/verify/emulate/list_client.go
+++ b/internal/verify/emulate/list_client.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// refreshPolicy returns the policy by which the production frontend refreshes the list.
+// refreshPolicy returns the policy by which the production front refreshes the list.
 func (c *listClient) refreshPolicy() discovery.RefreshPolicy {
 	set := &c.node.world.settings
 	return discovery.RefreshPolicy{
@@ -45,7 +45,7 @@
 	}
 }
 
-// start opens the watch and starts polling if the list is pushed by a local agent, as the production frontend
+// start opens the watch and starts polling if the list is pushed by a local agent, as the production front
 // does.
 func (c *listClient) start() {
 	if !c.refreshPolicy().LocalAgent {
--- a/internal/verify/emulate/loopback/discovery.go
+++ b/internal/verify/emulate/loopback/discovery.go
@@ -34,7 +34,7 @@
 	StartedAtMS int64     `json:"startedAtMs"`
 }
 
-// listUpdate is the complete list if Reset is set, and otherwise a watch event.
+// listUpdate is the complete list if Reset is set, and otherwise a delta of it.
 type listUpdate struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
--- a/internal/verify/emulate/result.go
+++ b/internal/verify/emulate/result.go
@@ -57,7 +57,7 @@
 	ListEntries  int      `json:"list_lines"` // received by nodes
 	Rejections   int      `json:"refusals"`   // of single submissions, even if a retry was served
 	Retries      int      `json:"retries"`    // by clients
-	Events       uint64   `json:"events"`     // of the clock
+	Events       uint64   `json:"events"`     // events that the clock has run
 	EarnedShare  float64  `json:"worth"`      // earned weight of all classes as a share of the offered weight
 	Violations   []string `json:"violations,omitempty"`
 }
--- a/internal/verify/experiment/experiment_test.go
+++ b/internal/verify/experiment/experiment_test.go
@@ -132,7 +132,7 @@
 	if !bytes.Equal(readTables(t, uninterrupted), readTables(t, resumed)) {
 		t.Error("the interruption changed the tables")
 	}
-	// Results of a plan that has changed are not mixed with its own.
+	// Results from before a change of the plan must not be mixed with later ones.
 	changed := readPlan(t, strings.Replace(plan, "seeds = 3", "seeds = 4", 1))
 	if _, err := Run(t.Context(), changed, Options{Dir: resumed, Workers: 1}); err == nil {
 		t.Error("a changed plan was accepted with the results of the old one")
