--- a/internal/frontend/platform/adoption_test.go
+++ b/internal/frontend/platform/adoption_test.go
@@ -28,10 +28,10 @@
 				f.loop.Post(func() { f.handleCallBack(callBack) })
 			})
 			if got := readStatus(t, done); got != http.StatusOK {
-				t.Errorf("the request that is done in time got status %d", got)
+				t.Errorf("the request that is done in time got status %d, want 200", got)
 			}
 			if got := readStatus(t, late); got != http.StatusBadGateway {
-				t.Errorf("the request that is not done got status %d", got)
+				t.Errorf("the request that is not done got status %d, want 502", got)
 			}
 			took := time.Since(began)
 			if took < timeout-100*time.Millisecond || took > timeout+500*time.Millisecond {
--- a/internal/netio/eventloop/conn_test.go
+++ b/internal/netio/eventloop/conn_test.go
@@ -99,7 +99,7 @@
 	t.Helper()
 	var got [3]byte
 	if _, err := io.ReadFull(c, got[:]); err != nil || string(got[:]) != "ok\n" {
-		t.Fatalf("%s: %q, %v", what, got, err)
+		t.Fatalf("%s: got %q and error %v, want ok", what, got, err)
 	}
 }
 
@@ -270,6 +270,6 @@
 	loop.At(loop.Now(), countUnread) // safe: the loop's goroutine is blocked
 	close(unblock)
 	if n := <-unread; n > 0 {
-		t.Errorf("%d messages were unread when the timer ran", n)
+		t.Errorf("%d messages were unread when the timer ran, want none", n)
 	}
 }
--- a/internal/netio/eventloop/syscall_faults_test.go
+++ b/internal/netio/eventloop/syscall_faults_test.go
@@ -54,7 +54,7 @@
 			fmt.Fprintf(c, " of %d\npipelined\n", j)
 			for range 2 {
 				if line, err := in.ReadString('\n'); err != nil || line != "ok\n" {
-					t.Fatalf("client %d, line %d: %q, %v", i, j, line, err)
+					t.Fatalf("client %d, line %d: got %q and error %v, want ok", i, j, line, err)
 				}
 			}
 		}
@@ -95,7 +95,7 @@
 				system.SetScript(faultnet.FailSometimes(call, err))
 				requireExchanges(t, address)
 				if after := awaitClosed(t, system); after > before {
-					t.Errorf("%d descriptors, %d before", after, before)
+					t.Errorf("%d descriptors are open, want at most the %d from before", after, before)
 				}
 			})
 		}
@@ -158,7 +158,7 @@
 			return openDescriptors(t)
 		}
 		if time.Since(began) > 5*time.Second {
-			t.Fatalf("%d connections are still open", open)
+			t.Fatalf("%d connections are still open after 5 s, want none", open)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 			fmt.Fprintln(c, "while")
 			time.Sleep(10 * retryDelay)
 			if n := system.CallCount(faultnet.EpollWait); n > 200 {
-				t.Errorf("epoll_wait was called %d times in %v", n, 10*retryDelay)
+				t.Errorf("epoll_wait was called %d times in %v, want at most 200", n, 10*retryDelay)
 			}
 			if n := system.CallCount(call); n == 0 {
 				t.Error("the call was not made at all")
@@ -269,7 +269,7 @@
 			var err error
 			runOn(loop, func() { _, err = loop.Dial(address, &dialHandler{}) })
 			if err == nil || !strings.Contains(err.Error(), fault.Error()) {
-				t.Errorf("%s fails with %v: %v", call, fault, err)
+				t.Errorf("%s fails with %v: Dial returned %v, want that error", call, fault, err)
 			}
 			if after := openDescriptors(t); after != before {
 				t.Errorf("%s fails with %v: %d descriptors, %d before", call, fault, after, before)
@@ -280,13 +280,13 @@
 	d := &dialHandler{make(chan error, 1), make(chan error, 1)}
 	runOn(loop, func() {
 		if _, err := loop.Dial(address, d); err != nil {
-			t.Errorf("interrupted: %v", err)
+			t.Errorf("interrupted: Dial returned %v, want no error", err)
 		}
 	})
 	select {
 	case <-d.connected:
 	case err := <-d.closed:
-		t.Errorf("interrupted: %v", err)
+		t.Errorf("interrupted: the connection was closed with %v, want it established", err)
 	case <-time.After(5 * time.Second):
 		t.Error("interrupted: the connection was not established within 5 s")
 	}
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -25,10 +25,10 @@
 	} {
 		a := &admission{permit: c.permit, running: c.running}
 		if got := a.rejectionReason(); got != c.reason {
-			t.Errorf("%s: reason %q", c.name, got)
+			t.Errorf("%s: got reason %q", c.name, got)
 		}
 		if got := a.retryAfter(); got != c.after {
-			t.Errorf("%s: retry after %v", c.name, got)
+			t.Errorf("%s: got retry after %v", c.name, got)
 		}
 	}
 }
@@ -42,6 +42,7 @@
 	a.setRunning(1)
 	if want := []string{"run 1", "run 2", "open 2"}; a.running != 2 ||
 		!slices.Equal(auditEvents(t, path), want) {
-		t.Errorf("running %d, audit %q", a.running, auditEvents(t, path))
+		t.Errorf("got running revision %d and audit events %q, want 2 and run 1, run 2, open 2",
+			a.running, auditEvents(t, path))
 	}
 }
--- a/internal/node/backups.go
+++ b/internal/node/backups.go
@@ -74,7 +74,7 @@
 	}
 	note, err := json.Marshal(written)
 	if err != nil {
-		return fmt.Errorf("encode the note of backup %s: %w", written.File, err)
+		return fmt.Errorf("encoding the note of backup %s: %w", written.File, err)
 	}
 	if r.updateNote(ctx, lease, note) {
 		b.log.WithField("path", written.File).Info("backup written")
--- a/internal/node/configurator_test.go
+++ b/internal/node/configurator_test.go
@@ -12,7 +12,7 @@
 		sendNewest(ch, clusterstate.Revision{Number: n})
 	}
 	if got := <-ch; got.Number != 2 || len(ch) != 0 {
-		t.Errorf("got revision %d, and %d more", got.Number, len(ch))
+		t.Errorf("got revision %d and %d more, want 2 and no more", got.Number, len(ch))
 	}
 }
 
--- a/internal/node/drivers_test.go
+++ b/internal/node/drivers_test.go
@@ -81,7 +81,7 @@
 	set.ClusterChanged(consensus.ClusterView{})
 	want := []string{"a prepare", "b prepare", "a apply", "b apply", "a cluster changed", "b cluster changed"}
 	if !slices.Equal(calls, want) {
-		t.Errorf("calls %q", calls)
+		t.Errorf("got calls %q, want each step of a before that of b", calls)
 	}
 }
 
@@ -91,6 +91,6 @@
 	set := driverSet{&fakeDriver{"a", nil, &calls}, &fakeDriver{"b", first, &calls},
 		&fakeDriver{"c", second, &calls}}
 	if err := set.Supports(nil); !errors.Is(err, first) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want the first driver's", err)
 	}
 }
--- a/internal/node/explainroute_test.go
+++ b/internal/node/explainroute_test.go
@@ -37,12 +37,12 @@
 			switch {
 			case c.err != "":
 				if err == nil || !strings.Contains(err.Error(), c.err) {
-					t.Errorf("got %v, want %q", err, c.err)
+					t.Errorf("got error %v, want one with %q", err, c.err)
 				}
 			case err != nil:
 				t.Error(err)
 			case job.Front != c.front || job.Class != c.class:
-				t.Errorf("front %q, class %d", job.Front, job.Class)
+				t.Errorf("got front %q and class %d", job.Front, job.Class)
 			}
 		})
 	}
--- a/internal/node/leasedtasks_test.go
+++ b/internal/node/leasedtasks_test.go
@@ -19,7 +19,7 @@
 	lease.ReleaseReason = "transferred"
 	r.renew(lease)
 	if reason := r.end(); reason != "transferred" || !stopped {
-		t.Errorf("reason %q, stopped %v", reason, stopped)
+		t.Errorf("got release reason %q and stopped %v, want transferred and true", reason, stopped)
 	}
 	lease.ReleaseReason = ""
 	r.renew(lease)
@@ -43,17 +43,17 @@
 func TestRepeatEndsWithErrorOrContext(t *testing.T) {
 	failed := errors.New("failed")
 	if err := repeat(t.Context(), time.Millisecond, func() error { return failed }); !errors.Is(err, failed) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want the step's error", err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	if err := repeat(ctx, time.Millisecond, func() error { stop(); return failed }); err != nil {
-		t.Errorf("got %v after the context's end", err)
+		t.Errorf("got error %v after the context's end, want none", err)
 	}
 }
 
 func TestBackupNote(t *testing.T) {
 	if last, err := lastBackup(nil); err != nil || !last.Period.IsZero() {
-		t.Errorf("no note: %v, %v", last, err)
+		t.Errorf("without a note: got backup %v and error %v, want neither", last, err)
 	}
 	if _, err := lastBackup([]byte("{")); err == nil {
 		t.Error("a truncated note was accepted")
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -22,7 +22,7 @@
 	got := decodeMembership(&schema.MembershipMessage{Kind: 256 + 1,
 		Words: []*schema.MembershipRumour{{State: 256}}})
 	if got.Kind != maxEnum || got.Updates[0].State != maxEnum {
-		t.Errorf("kind %d, state %d", got.Kind, got.Updates[0].State)
+		t.Errorf("got kind %d and state %d, want maxEnum for both", got.Kind, got.Updates[0].State)
 	}
 }
 
@@ -46,11 +46,11 @@
 		{"unreachable", states(alive), states(unreachable), false},
 	} {
 		if got := sameStates(c.a, c.b); got != c.same {
-			t.Errorf("%s: same is %v", c.name, got)
+			t.Errorf("%s: got %v, want the opposite", c.name, got)
 		}
 	}
 	if got := suspected(map[uint64]membership.MemberState{1: alive, 2: suspect}); !reflect.DeepEqual(got,
 		map[uint64]bool{2: true}) {
-		t.Errorf("suspected: %v", got)
+		t.Errorf("got suspected members %v, want only 2", got)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,7 +101,7 @@
 	}
 	if cfg.AdminAddress != "" {
 		if _, err := adminproto.Listen(loop, cfg.AdminAddress, adminCommands{n}); err != nil {
-			return nil, fmt.Errorf("listen on admin_addr: %w", err)
+			return nil, fmt.Errorf("listening on admin_addr: %w", err)
 		}
 	}
 	o.Log.WithField("address", cfg.ListenAddress).Info("serving")
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -199,7 +199,7 @@
 func (i *Instance) startServices(certificates *keys.Reloader) error {
 	l, err := net.Listen("tcp", i.cfg.Peers.Listen)
 	if err != nil {
-		return fmt.Errorf("listen on peers.listen: %w", err)
+		return fmt.Errorf("listening on peers.listen: %w", err)
 	}
 	server := i.env.network.Server()
 	i.onStop("the peer service", func() error { server.Stop(); _ = l.Close(); return nil })
--- a/internal/node/preview_test.go
+++ b/internal/node/preview_test.go
@@ -29,7 +29,8 @@
 	if len(lines) != maxPreviewNames+2 || !strings.HasPrefix(lines[0], "account a000: ") ||
 		lines[maxPreviewNames] != "and 2 more accounts" ||
 		!strings.HasPrefix(lines[maxPreviewNames+1], "any other account: ") {
-		t.Errorf("%d lines: %q", len(lines), lines)
+		t.Errorf("got %d lines %q, want 50 accounts, the number of the others, and any other account",
+			len(lines), lines)
 	}
 }
 
@@ -43,11 +44,11 @@
 	}
 	if len(lines) != 3 || !strings.HasPrefix(lines[0], "zone rules here: zones = ") ||
 		!strings.HasPrefix(lines[1], "daily (UTC): ") || lines[2] != "idle: paused" {
-		t.Fatalf("%q", lines)
+		t.Fatalf("got lines %q, want the zone rules, daily, and idle as paused", lines)
 	}
 	next := strings.Fields(strings.TrimPrefix(lines[1], "daily (UTC): "))
 	if len(next) != previewOccurrences || !strings.Contains(next[0], "03-02T06:30") {
-		t.Errorf("next occurrences: %q", next)
+		t.Errorf("got next occurrences %q, want five from 03-02T06:30 on", next)
 	}
 }
 
@@ -57,14 +58,15 @@
 	}
 	view := placement.View{Number: 1, Members: []placement.Member{member(1, "a"), member(2, "b")}}
 	if lines := previewOwners(documentWith(weights.Section, nil), view); len(lines) != 0 {
-		t.Errorf("without a change: %q", lines)
+		t.Errorf("without a change: got lines %q, want none", lines)
 	}
 	lines := previewOwners(documentWith(weights.Section,
 		map[string]string{"weight.a": "3", "weight.x": "2"}), view)
 	if len(lines) != 4 || lines[0] != "weight.x: no instance of that name has a session now" ||
 		!strings.HasPrefix(lines[1], "a owns ") || !strings.HasPrefix(lines[2], "b owns ") ||
 		!strings.HasSuffix(lines[3], " of them change hands") {
-		t.Errorf("%q", lines)
+		t.Errorf("got lines %q, want weight.x without a session, the shares of a and b, and the change",
+			lines)
 	}
 	if view.Members[0].Weight != 0 {
 		t.Error("the current view was modified")
--- a/internal/node/ratelimit_test.go
+++ b/internal/node/ratelimit_test.go
@@ -21,7 +21,8 @@
 	r.add(worst)
 	most, sum := r.summary()
 	if most != worst || sum != maxRejectedAccounts+1 || len(r.byKey) != maxRejectedAccounts {
-		t.Errorf("most %v, sum %d, accounts %d", most, sum, len(r.byKey))
+		t.Errorf("got top bucket %v, a total of %d and %d accounts, want the worst, all and the limit",
+			most, sum, len(r.byKey))
 	}
 }
 
--- a/internal/node/selfrestart_test.go
+++ b/internal/node/selfrestart_test.go
@@ -52,7 +52,7 @@
 				want = 1
 			}
 			if len(signals) != want || s.shouldRestart() != c.wantRestart {
-				t.Errorf("%d signals, want %d; restarts %v", len(signals), want, s.shouldRestart())
+				t.Errorf("got %d signals, want %d; got restart %v", len(signals), want, s.shouldRestart())
 			}
 		})
 	}
--- a/internal/operate/adminproto/command_test.go
+++ b/internal/operate/adminproto/command_test.go
@@ -45,7 +45,7 @@
 		h := &recorder{}
 		got := string(HandleLine(nil, []byte(c.line), h))
 		if !strings.HasPrefix(got, c.reply) || strings.Join(h.calls, ",") != c.calls {
-			t.Errorf("%q: called %q and replied %q", c.line, h.calls, got)
+			t.Errorf("%q: got calls %q and reply %q", c.line, h.calls, got)
 		}
 		if !strings.HasSuffix(got, "\n") {
 			t.Errorf("%q: the reply %q has no end", c.line, got)
@@ -56,6 +56,6 @@
 func TestErrorWithLineBreakStaysOneLine(t *testing.T) {
 	h := &recorder{err: errors.New("two\nlines")}
 	if got := string(HandleLine(nil, []byte("status"), h)); got != "NAK two lines\n" {
-		t.Errorf("got %q", got)
+		t.Errorf("got reply %q, want the error on one line", got)
 	}
 }
--- a/internal/operate/adminproto/server_test.go
+++ b/internal/operate/adminproto/server_test.go
@@ -101,6 +101,6 @@
 		connect(t, address)
 	}
 	if got := exchange(t, connect(t, address), "status\n"); got != "ACK status\n" {
-		t.Errorf("got %q with %d silent connections", got, maxConnections)
+		t.Errorf("got reply %q with %d silent connections, want ACK status", got, maxConnections)
 	}
 }
--- a/internal/operate/controlapi/backup_test.go
+++ b/internal/operate/controlapi/backup_test.go
@@ -13,7 +13,7 @@
 	encoded := EncodeBackup("c1", []clusterstate.Revision{{Number: 7, Document: document}})
 	b, err := DecodeBackup(encoded)
 	if err != nil || b.Cluster != "c1" || len(b.Revisions) != 1 || b.Revisions[0].Number != 7 {
-		t.Fatalf("%+v: %v", b, err)
+		t.Fatalf("got %+v and error %v, want revision 7 of group c1", b, err)
 	}
 	flipped := func(at int) []byte {
 		out := append([]byte{}, encoded...)
@@ -28,7 +28,7 @@
 		"configuration": EncodeBackup("c1", nil),
 	} {
 		if _, err := DecodeBackup(content); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
 	for size := range backupBodyAt {
--- a/internal/operate/controlapi/server_test.go
+++ b/internal/operate/controlapi/server_test.go
@@ -66,13 +66,13 @@
 		t.Fatal(err)
 	}
 	if info.Mode().Perm() != 0o600 {
-		t.Errorf("the socket's mode is %v", info.Mode())
+		t.Errorf("the socket's mode is %v, want 0600", info.Mode())
 	}
 	ctx, cancel := WithCallTimeout(t.Context())
 	defer cancel()
 	_, err = client.ExplainRoute(ctx, &schema.ExplainRouteRequest{})
 	if status.Code(err) != codes.InvalidArgument || status.Convert(err).Message() != errNoClass.Error() {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want InvalidArgument with errNoClass", err)
 	}
 }
 
@@ -129,11 +129,13 @@
 			hook.Reset()
 			err := s.authorize(c.ctx, full)
 			if (err == nil) != want || err != nil && status.Code(err) != codes.PermissionDenied {
-				t.Errorf("%s: %s: %v", name, full, err)
+				t.Errorf("%s calls %s: got error %v, want none if allowed, else PermissionDenied",
+					name, full, err)
 			}
 			if rejected := hook.LastEntry(); (rejected == nil) != want ||
 				rejected != nil && rejected.Level != logrus.WarnLevel {
-				t.Errorf("%s: %s: logged %v", name, full, rejected)
+				t.Errorf("%s calls %s: logged %v, want a warning only for a rejected call",
+					name, full, rejected)
 			}
 		}
 	}
@@ -148,11 +150,11 @@
 		codes.Unavailable:        consensus.ErrHalted,
 	} {
 		if got := statusError(err); status.Code(got) != want {
-			t.Errorf("%v: %v", err, got)
+			t.Errorf("error %v: got status %v, want the code of its kind", err, got)
 		}
 	}
 	if got := statusError(context.DeadlineExceeded); status.Code(got) != codes.DeadlineExceeded {
-		t.Errorf("%v", got)
+		t.Errorf("got status %v, want DeadlineExceeded", got)
 	}
 }
 
@@ -177,7 +179,7 @@
 		t.Fatal(err)
 	}
 	if second, err := NewChangeID(); err != nil || first == second || len(first) != 2*idBytes {
-		t.Errorf("%q and %q: %v", first, second, err)
+		t.Errorf("got IDs %q and %q and error %v, want two different ones", first, second, err)
 	}
 }
 
@@ -187,6 +189,6 @@
 	defer cancel()
 	deadline, ok := ctx.Deadline()
 	if !ok || time.Until(deadline) <= callTimeout {
-		t.Errorf("the deadline of the command is %v", deadline)
+		t.Errorf("the deadline of the command is %v, want it later than callTimeout", deadline)
 	}
 }
--- a/internal/operate/keys/keys_test.go
+++ b/internal/operate/keys/keys_test.go
@@ -154,7 +154,7 @@
 	}
 	c, err := p.Certificate()
 	if err != nil || c.NotAfter.After(now.Add(time.Hour+time.Second)) {
-		t.Errorf("the certificate is valid for longer than its CA: %v %v", c.NotAfter, err)
+		t.Errorf("the certificate is valid until %v, error %v; want not longer than its CA", c.NotAfter, err)
 	}
 	if _, err := p.Issue("n2", RoleInstance, now, time.Hour); err == nil {
 		t.Error("an instance's certificate was used to issue another one")
@@ -167,6 +167,6 @@
 		t.Error("existing files were replaced without replace")
 	}
 	if info, err := os.Stat(filepath.Join(dir, "n1.key")); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("the key's mode is %v, %v", info.Mode(), err)
+		t.Errorf("the key's file is %v, error %v; want mode 0600", info.Mode(), err)
 	}
 }
--- a/internal/proxy/broker/broker_test.go
+++ b/internal/proxy/broker/broker_test.go
@@ -364,7 +364,8 @@
 	c := f.submit("r")
 	deadline, list := f.OutstandingAttempts("r")
 	if deadline != f.clock.now+10*time.Second || len(list) != 1 || f.InFlight()[list[0].Endpoint] != 1 {
-		t.Fatalf("deadline %v, attempts %v, in flight %v", deadline, list, f.InFlight())
+		t.Fatalf("got deadline %v, attempts %v and in flight %v, want 10s from now and one attempt",
+			deadline, list, f.InFlight())
 	}
 	f.Migrate("r")
 	if n := f.endpoints["a"].abandoned + f.endpoints["b"].abandoned; n != 0 || f.PendingCount() != 0 {
--- a/internal/proxy/broker/maintenance_test.go
+++ b/internal/proxy/broker/maintenance_test.go
@@ -37,7 +37,7 @@
 	} {
 		c.before()
 		if got := m.apply("a", c.listed); got.State != c.state || got.StartedAt != c.startedAt {
-			t.Errorf("%s: %+v", c.name, got)
+			t.Errorf("%s: got %+v, want another state or start time", c.name, got)
 		}
 	}
 }
@@ -48,6 +48,6 @@
 		m.addKnownName(time.Duration(i).String())
 	}
 	if len(m.knownNames) != maxKnownNames {
-		t.Errorf("%d names are remembered", len(m.knownNames))
+		t.Errorf("%d names are remembered, want maxKnownNames", len(m.knownNames))
 	}
 }
--- a/internal/proxy/hotrestart/machine_test.go
+++ b/internal/proxy/hotrestart/machine_test.go
@@ -67,7 +67,8 @@
 			c.m.Step(e)
 		}
 		if got := c.m.Step(c.last); !slices.Equal(got, c.want) || c.m.Phase() != Alone || !c.m.Ready(0) {
-			t.Errorf("%s: got effects %v and phase %v", c.name, got, c.m.Phase())
+			t.Errorf("%s: got effects %v and phase %v, want restored limits and the phase Alone",
+				c.name, got, c.m.Phase())
 		}
 	}
 }
@@ -77,7 +78,7 @@
 	line := m.Append(nil)
 	if got, err := ParseMessage(line[:len(line)-1]); err != nil || got.State.KnownEndpoints[0] != "a\nb" ||
 		slices.Contains(line[:len(line)-1], '\n') {
-		t.Errorf("%q: %v", line, err)
+		t.Errorf("%q was not parsed unchanged from one line, error %v", line, err)
 	}
 	for _, bad := range []string{"", "{", `{"t":"hello","v":2}`, `{"t":"state","v":1}`, `{"t":"ban"}`} {
 		if _, err := ParseMessage([]byte(bad)); err == nil {
--- a/internal/proxy/routing/compile_test.go
+++ b/internal/proxy/routing/compile_test.go
@@ -42,7 +42,7 @@
 		"[[rule]]\nname = \"none\"\nmatch = { host = [\"a.org\", \"*.b.org\"], class = [\"book\"] }\n")
 	want := "r.toml:5: rule 2 (none): can never match: rule 1 (all) matches all its jobs"
 	if err != nil || len(warnings) != 1 || !strings.Contains(warnings[0].Error(), want) {
-		t.Errorf("%v %v", warnings, err)
+		t.Errorf("got warnings %v and error %v, want one that rule 2 can never match", warnings, err)
 	}
 }
 
@@ -56,6 +56,6 @@
 		t.Fatal(err)
 	}
 	if _, w, err := Compile(f, KnownNames{}); err != nil || len(w) > 0 {
-		t.Errorf("%v %v", w, err)
+		t.Errorf("got warnings %v and error %v, want neither", w, err)
 	}
 }
--- a/internal/verify/emulate/fault_test.go
+++ b/internal/verify/emulate/fault_test.go
@@ -54,7 +54,8 @@
 		}
 		r, err := RunScenario(sc)
 		if err != nil || len(r.Violations) > 0 || r.EarnedShare < 0.3 {
-			t.Errorf("seed %d: error %v, result %+v", seed, err, r)
+			t.Errorf("seed %d: error %v, result %+v; want no violations and an earned share of at least 0.3",
+				seed, err, r)
 		}
 	}
 }
--- a/internal/verify/emulate/invariants_test.go
+++ b/internal/verify/emulate/invariants_test.go
@@ -58,7 +58,8 @@
 		}
 		w.invariants.checkEnd()
 		if violated := len(w.invariants.violations) > 0; !k.collapsed || violated != knewStart {
-			t.Errorf("start known %v: collapsed %v, violation %v", knewStart, k.collapsed, violated)
+			t.Errorf("start known %v: collapsed %v, violation %v; want a collapse, and a violation if known",
+				knewStart, k.collapsed, violated)
 		}
 	}
 }
--- a/internal/verify/emulate/loopback/platform_test.go
+++ b/internal/verify/emulate/loopback/platform_test.go
@@ -28,7 +28,7 @@
 	node := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		var e event
 		if err := json.NewDecoder(r.Body).Decode(&e); err != nil || r.URL.Path != "/v1/job-events" {
-			t.Errorf("%s %s: %v", r.Method, r.URL.Path, err)
+			t.Errorf("got %s %s with error %v, want a call-back to /v1/job-events", r.Method, r.URL.Path, err)
 		}
 		events <- e
 	}))
@@ -133,7 +133,7 @@
 		return listUpdate{}
 	}
 	if u := receive(); !u.Reset || len(u.Instances) != 2 || u.Instances[1].Lifecycle != serving {
-		t.Errorf("initial list: %+v", u)
+		t.Errorf("initial list: got %+v, want two serving workers", u)
 	}
 	send(t, w, http.MethodPost, "/", "j1", "size=1000")
 	if err := p.CrashWorker(1); err != nil {
@@ -143,14 +143,14 @@
 		t.Errorf("want a call-back that j1 is lost, got %+v", e)
 	}
 	if u := receive(); u.Reset || len(u.Instances) != 1 || u.Instances[0].Lifecycle != deleted {
-		t.Errorf("update after the crash: %+v", u)
+		t.Errorf("update after the crash: got %+v, want one deleted worker", u)
 	}
 	if err := p.RestartWorker(1); err != nil {
 		t.Fatal(err)
 	}
 	u := receive()
 	if len(u.Instances) != 1 || u.Instances[0].Lifecycle != serving || u.Instances[0].StartedAtMS == 0 {
-		t.Errorf("update after the restart: %+v", u)
+		t.Errorf("update after the restart: got %+v, want one serving worker with a start time", u)
 	}
 	if p.CrashWorker(2) == nil || p.RestartWorker(-1) == nil {
 		t.Error("crashing or restarting a worker that does not exist did not fail")
--- a/internal/verify/experiment/experiment_test.go
+++ b/internal/verify/experiment/experiment_test.go
@@ -171,7 +171,7 @@
 	}
 	for _, d := range same {
 		if d.Significant || d.Change.Mean != 0 {
-			t.Errorf("difference between a table and itself: %+v", d)
+			t.Errorf("difference between a table and itself: got %+v, want 0 and not significant", d)
 		}
 	}
 	b := append([]Row(nil), a...)
--- a/internal/verify/load/search_test.go
+++ b/internal/verify/load/search_test.go
@@ -24,7 +24,8 @@
 			}
 			want := math.Min(limit, MaxRate)
 			if got := s.Sustained(); got > want || got < want/1.06 || steps > maxSteps {
-				t.Errorf("limit %v, search from %v: found %v in %d steps", limit, from, got, steps)
+				t.Errorf("limit %v, search from %v: found %v in %d steps, want the limit or just below",
+					limit, from, got, steps)
 			}
 		}
 	}
@@ -50,10 +51,10 @@
 	objective := Objective{P99: 5 * time.Second, MaxErrorShare: 0.02}
 	got, err := FindMaxRate(t.Context(), o, objective, 0.2, func(s Step) { steps = append(steps, s) })
 	if err != nil || got < 50 || got > 400 {
-		t.Errorf("found rate %v, error %v, steps %+v", got, err, steps)
+		t.Errorf("found rate %v, error %v, steps %+v; want a rate from 50 to 400", got, err, steps)
 	}
 	if len(steps) < 3 || !steps[0].Sustained || steps[len(steps)-1].P99 <= 0 {
-		t.Errorf("steps: %+v", steps)
+		t.Errorf("got steps %+v, want three or more, the first sustained, the last with a latency", steps)
 	}
 }
 
