--- a/internal/proxy/hotrestart/link_test.go
+++ b/internal/proxy/hotrestart/link_test.go
@@ -55,7 +55,7 @@
 		}
 		unix.Close(fds[1])
 		if strings.Join(got, ",") != "take,calla\nb,begun" || closed != 1 {
-			t.Errorf("in pieces of %d bytes: got messages %q and %d calls of onClose, want 3 messages, 1 call",
+			t.Errorf("in pieces of %d bytes: got messages %q and %d calls of onClose, want 3 and 1",
 				size, got, closed)
 		}
 	}
--- a/internal/storage/store/append.go
+++ b/internal/storage/store/append.go
@@ -20,7 +20,8 @@
 	s.buffer = s.buffer[:0]
 	for i, r := range records {
 		if r.Kind == kindSyncMarker || len(r.Data) > maxRecordBytes {
-			return 0, fmt.Errorf("store: invalid record of kind %d with %d bytes, want kind 1 or above, up to 64 MiB",
+			return 0, fmt.Errorf(
+				"store: invalid record of kind %d with %d bytes, want a kind above 0 and at most 64 MiB",
 				r.Kind, len(r.Data))
 		}
 		s.buffer = appendRecord(s.buffer, first+uint64(i), r.Kind, r.Data)
