--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -149,7 +149,7 @@
 		return
 	}
 	if l != h.link {
-		l.Close() // it has sent no hello
+		l.Close() // the process at the other end has not sent its hello
 		return
 	}
 	switch m.Type {
--- a/internal/storage/store/scan.go
+++ b/internal/storage/store/scan.go
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// readSegment reads one segment.
+// readSegment verifies one segment and reads its records.
 func (s *scanner) readSegment(name string, last bool) error {
 	path := filepath.Join(s.dir, name)
 	b, err := s.fs.ReadFile(path)
--- a/internal/storage/store/segment.go
+++ b/internal/storage/store/segment.go
@@ -10,7 +10,7 @@
 type segment struct {
 	path     string
 	firstSeq uint64 // of its first record
-	nextSeq  uint64 // as found by the scan: the number of the record after its last one
+	nextSeq  uint64 // as found by the scan: the sequence number after its last record
 	bytes    int64  // as found by the scan: the length of its valid part
 }
 
--- a/internal/verify/experiment/journal.go
+++ b/internal/verify/experiment/journal.go
@@ -15,7 +15,7 @@
 
 // finishedRun is an entry of the journal.
 type finishedRun struct {
-	Hash       string      `json:"hash"` // of the plan
+	Hash       string      `json:"hash"` // Plan.Hash
 	Run        int         `json:"run"`
 	Rows       []Row       `json:"rows"`
 	Seconds    []SecondRow `json:"seconds"`
--- a/internal/verify/experiment/stats.go
+++ b/internal/verify/experiment/stats.go
@@ -42,7 +42,7 @@
 // Summary summarizes the runs of a combination for a class, a team or all classes together.
 type Summary struct {
 	Factors     string   `json:"factors"`
-	Scope       string   `json:"of"` // as Row.Scope
+	Scope       string   `json:"of"` // see Row.Scope
 	Name        string   `json:"name"`
 	EarnedShare Estimate `json:"earned"`
 	InTime      Estimate `json:"in_time"` // share of the jobs that arrived
@@ -104,7 +104,7 @@
 // Difference is the difference of a metric between two tables, paired by seed.
 type Difference struct {
 	Factors     string   `json:"factors"`
-	Scope       string   `json:"of"` // as Row.Scope
+	Scope       string   `json:"of"` // see Row.Scope
 	Name        string   `json:"name"`
 	Metric      string   `json:"metric"`
 	A           float64  `json:"a"`
