--- a/internal/netio/eventloop/conn_test.go
+++ b/internal/netio/eventloop/conn_test.go
@@ -99,7 +99,7 @@
 	t.Helper()
 	var got [3]byte
 	if _, err := io.ReadFull(c, got[:]); err != nil || string(got[:]) != "ok\n" {
-		t.Fatalf("%s: %q, %v", what, got, err)
+		t.Fatalf("%s: got %q and error %v, want ok", what, got, err)
 	}
 }
 
@@ -124,7 +124,7 @@
 	for processing := false; !processing; runOn(loop, func() { processing = e.processing }) {
 		time.Sleep(time.Millisecond)
 	}
-	pipelined := bytes.Repeat([]byte("x"), 2500) // would need a buffer of 4,096 bytes
+	pipelined := bytes.Repeat([]byte("x"), 2500) // needs a buffer of 4,096 bytes, above MaxBufferBytes
 	if _, err := c.Write(append(pipelined, '\n')); err != nil {
 		t.Fatal(err)
 	}
@@ -270,6 +270,6 @@
 	loop.At(loop.Now(), countUnread) // safe: the loop's goroutine is blocked
 	close(unblock)
 	if n := <-unread; n > 0 {
-		t.Errorf("%d messages were unread when the timer ran", n)
+		t.Errorf("%d messages were unread when the timer ran, want none", n)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,11 +47,11 @@
 	brokers []frontBroker
 	drain   func(done func())
 
-	memoryLimit int64       // the garbage collector's, in bytes, while no second process shares the node
+	memoryLimit int64       // of the garbage collector, in bytes, while this is the node's only process
 	hotRestart  *hotRestart // nil: hot restart is off
 }
 
-// frontBroker is a front's broker, with the functions that pass the node's configuration to the two.
+// frontBroker is a front's broker, with the functions that pass the node's configuration to both.
 type frontBroker struct {
 	*broker.Broker
 	front string         // the front's name
@@ -101,7 +101,7 @@
 	}
 	if cfg.AdminAddress != "" {
 		if _, err := adminproto.Listen(loop, cfg.AdminAddress, adminCommands{n}); err != nil {
-			return nil, fmt.Errorf("listen on admin_addr: %w", err)
+			return nil, fmt.Errorf("listening on admin_addr: %w", err)
 		}
 	}
 	o.Log.WithField("address", cfg.ListenAddress).Info("serving")
