--- a/cmd/moorstack/admin_fixture_test.go
+++ b/cmd/moorstack/admin_fixture_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// adminFixture is a node with a second address, and what is around it.
+// adminFixture is a node with an admin address, its discovery and its workers.
 type adminFixture struct {
 	*nodeFixture
 	admin string
@@ -19,7 +19,7 @@
 	admin := freeAddress(t)
 	t.Setenv("BALANCER_ADMIN_ADDR", admin)
 	o := &adminFixture{startNode(t, workers, handle), admin}
-	eventually(t, "the second address answers, which is opened last", func() bool {
+	eventually(t, "the admin address, which is opened last, accepts connections", func() bool {
 		c, err := net.Dial("tcp", admin)
 		if err == nil {
 			c.Close()
@@ -29,7 +29,8 @@
 	return o
 }
 
-// adminCall makes a call in the given pieces and returns all that came, which is owed in a second.
+// adminCall sends a call to the admin address in the given pieces and returns the whole reply, which must
+// arrive within one second.
 func adminCall(t *testing.T, admin string, pieces ...string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", admin)
@@ -51,11 +52,11 @@
 func (o *adminFixture) expectReply(answer string, pieces ...string) {
 	o.t.Helper()
 	if got := adminCall(o.t, o.admin, pieces...); !strings.HasPrefix(got, answer) {
-		o.t.Fatalf("%q was answered %q, want %q", pieces, got, answer)
+		o.t.Fatalf("call %q: reply %q, want prefix %q", pieces, got, answer)
 	}
 }
 
-// nodeMetrics are the metrics at the second address.
+// nodeMetrics holds the reply to "stats" at the admin address.
 type nodeMetrics struct {
 	Results map[string]struct{ Succeeded, Declined, Aborted int }
 
@@ -66,7 +67,7 @@
 	o.t.Helper()
 	text, ok := strings.CutSuffix(adminCall(o.t, o.admin, "stats\n"), "\n--\n")
 	if err := json.Unmarshal([]byte(text), &s); err != nil || !ok {
-		o.t.Fatalf("the metrics read %q: %v", text, err)
+		o.t.Fatalf("invalid metrics %q: %v", text, err)
 	}
 	return s
 }
--- a/cmd/moorstack/admin_test.go
+++ b/cmd/moorstack/admin_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// Calls are answered however they come, beside callers that send nothing, and what is no
-// call changes nothing.
+// Admin calls are answered however their bytes are split, and while other callers send incomplete calls.
+// Invalid calls change nothing.
 func TestAdminCallsAreAnsweredHoweverTheyArrive(t *testing.T) {
 	o := startNodeWithAdmin(t, 1, completeJob)
-	for range 20 { // more than there is room for
+	for range 20 { // more connections than the admin address keeps
 		c, err := net.Dial("tcp", o.admin)
 		check(t, err)
 		defer c.Close()
@@ -24,7 +24,7 @@
 	o.expectReply("ACK", "status\n")
 	o.expectReply("ACK", "status\r\n")
 	o.expectReply("ACK", strings.Split("status\r\n", "")...)
-	o.expectReply("ACK", "status\nmaint-on s-0000\nstandby\n") // one line to a connection
+	o.expectReply("ACK", "status\nmaint-on s-0000\nstandby\n") // only a connection's first line is read
 	o.expectReply("NAK", "\n")
 	o.expectReply("NAK", "what\n")
 	o.expectReply("NAK", "maint-on\n")
@@ -34,19 +34,19 @@
 	o.expectReply("NAK", "standby \x00\n")
 	o.expectReply("NAK", strings.Repeat("x", 2000))
 	if s := o.metrics(); s.Ejected != 0 || s.Discovered != 1 {
-		t.Errorf("a call that was no call has changed something: %+v", s)
+		t.Errorf("an invalid call changed the metrics: %+v", s)
 	}
 	o.dial().send("GET /_health HTTP/1.1\r\n\r\n").expectResponse(200, "")
 }
 
-// The command makes the same calls, prints the reply and ends with its exit code.
+// The command "call" sends the same calls, prints the reply and exits with the matching code.
 func TestCallCommandPrintsReplyAndExitCode(t *testing.T) {
 	o := startNodeWithAdmin(t, 1, completeJob)
 	o.dial().send(jobRequest("a", "quote", "4000m", "x")).expectResponse(200, "")
 	for _, c := range []struct {
-		args []string
-		code int
-		says string
+		args   []string
+		code   int
+		output string
 	}{
 		{[]string{o.admin, "status"}, 0, "ACK status\n"},
 		{[]string{o.admin, "maint-on", o.workers[0].name}, 0, "ACK maint-on s-0000\n"},
@@ -59,8 +59,8 @@
 	} {
 		cmd := exec.Command(program, append([]string{"call"}, c.args...)...)
 		out, _ := cmd.CombinedOutput()
-		if code := cmd.ProcessState.ExitCode(); code != c.code || !strings.Contains(string(out), c.says) {
-			t.Errorf("call %q ended with %d and printed %q", c.args, code, out)
+		if code := cmd.ProcessState.ExitCode(); code != c.code || !strings.Contains(string(out), c.output) {
+			t.Errorf("call %q: exit code %d, output %q", c.args, code, out)
 		}
 	}
 }
@@ -89,14 +89,14 @@
 	held := o.dial().send(jobRequest("held", "book", "4000m", "x"))
 	leaves := o.dial().send(jobRequest("leaves", "quote", "4000m", "x"))
 	finish := <-hold
-	eventually(t, "the jobs are out", func() bool { return o.metrics().Forwards == 8 })
+	eventually(t, "all jobs are forwarded", func() bool { return o.metrics().Forwards == 8 })
 	if s := o.metrics(); s.Outstanding != 2 || s.Discovered != 2 {
-		t.Errorf("with two jobs open: %+v", s)
+		t.Errorf("metrics with two jobs in flight: %+v", s)
 	}
 	leaves.Close()
 	finish()
 	held.expectResponse(200, "late")
-	eventually(t, "nothing is open", func() bool { return o.metrics().Outstanding == 0 })
+	eventually(t, "no job is in flight", func() bool { return o.metrics().Outstanding == 0 })
 	for _, h := range o.workers {
 		o.expectReply("ACK", "maint-on "+h.name+"\n")
 	}
@@ -105,25 +105,25 @@
 	q, b := s.Results["quote"], s.Results["book"]
 	if q.Succeeded != 5 || q.Declined+q.Aborted != 0 || b.Succeeded != 1 || b.Declined != 1 ||
 		b.Aborted != 1 || s.Left != 1 || s.Ejected != 2 || s.Forwards != o.callCount("POST") {
-		t.Errorf("the workers got %d attempts; the metrics: %+v", o.callCount("POST"), s)
+		t.Errorf("the workers received %d attempts; metrics: %+v", o.callCount("POST"), s)
 	}
 }
 
-// Maintenance lasts whatever the endpoint list contains, until the call that ends it.
+// A worker stays in maintenance through updates of the endpoint list, until an operator ends the maintenance.
 func TestMaintenanceOutlivesEndpointListUpdates(t *testing.T) {
 	o := startNodeWithAdmin(t, 2, completeJob)
 	watch := <-o.watches
-	out, other := o.workers[0], o.workers[1]
+	maintained, other := o.workers[0], o.workers[1]
 	n := 0
-	jobs := func(want int) {
+	sendJobs := func(want int) {
 		t.Helper()
-		before := out.callCount()
+		before := maintained.callCount()
 		for range 10 {
 			n++
 			o.dial().send(jobRequest(fmt.Sprint("m", n), "book", "4000m", "x")).expectResponse(200, "")
 		}
-		if got := out.callCount() - before; (got > 0) != (want > 0) {
-			t.Errorf("it got %d of 10 jobs", got)
+		if got := maintained.callCount() - before; (got > 0) != (want > 0) {
+			t.Errorf("the worker got %d of 10 jobs", got)
 		}
 	}
 	update := func(reset bool, lines ...string) {
@@ -131,33 +131,34 @@
 		watch.lines <- fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, 41+n, reset,
 			strings.Join(lines, ","))
 	}
-	jobs(1)
-	o.expectReply("ACK", "maint-on "+out.name+"\n")
-	o.expectReply("ACK", "maint-on "+out.name+"\n")
-	jobs(0)
-	update(false, out.instanceJSON("SERVING"))
-	update(false, out.instanceJSON("DRAINING"))
-	update(false, out.instanceJSON("DELETED"))
-	eventually(t, "it is off the endpoint list", func() bool { return o.metrics().Discovered == 1 })
-	update(true, other.instanceJSON("SERVING"), out.instanceJSON("SERVING"))
-	eventually(t, "it is back on the endpoint list", func() bool { return o.metrics().Discovered == 2 })
+	sendJobs(1)
+	o.expectReply("ACK", "maint-on "+maintained.name+"\n")
+	o.expectReply("ACK", "maint-on "+maintained.name+"\n")
+	sendJobs(0)
+	update(false, maintained.instanceJSON("SERVING"))
+	update(false, maintained.instanceJSON("DRAINING"))
+	update(false, maintained.instanceJSON("DELETED"))
+	eventually(t, "the worker is off the endpoint list", func() bool { return o.metrics().Discovered == 1 })
+	update(true, other.instanceJSON("SERVING"), maintained.instanceJSON("SERVING"))
+	eventually(t, "the worker is back on the endpoint list",
+		func() bool { return o.metrics().Discovered == 2 })
 	if s := o.metrics(); s.Ejected != 1 {
-		t.Errorf("under maintenance: %+v", s)
+		t.Errorf("metrics with a worker in maintenance: %+v", s)
 	}
-	jobs(0)
-	o.expectReply("ACK", "maint-off "+out.name+"\n")
-	jobs(1)
-	o.expectReply("ACK", "maint-off "+out.name+"\n")
-	update(false, out.instanceJSON("DELETED"))
-	eventually(t, "it is off the endpoint list", func() bool { return o.metrics().Discovered == 1 })
-	o.expectReply("ACK", "maint-on "+out.name+"\n") // it was listed once
-	update(false, out.instanceJSON("SERVING"))
-	eventually(t, "it is back on the endpoint list", func() bool { return o.metrics().Ejected == 1 })
-	jobs(0)
+	sendJobs(0)
+	o.expectReply("ACK", "maint-off "+maintained.name+"\n")
+	sendJobs(1)
+	o.expectReply("ACK", "maint-off "+maintained.name+"\n")
+	update(false, maintained.instanceJSON("DELETED"))
+	eventually(t, "the worker is off the endpoint list", func() bool { return o.metrics().Discovered == 1 })
+	o.expectReply("ACK", "maint-on "+maintained.name+"\n") // accepted, as the worker was listed before
+	update(false, maintained.instanceJSON("SERVING"))
+	eventually(t, "the worker is back on the endpoint list", func() bool { return o.metrics().Ejected == 1 })
+	sendJobs(0)
 }
 
-// A node on standby closes its clients' connections, answers the requests that it has, and serves again
-// at a call.
+// A node on standby closes its clients' connections and answers the requests in flight; the call "active"
+// makes it serve again.
 func TestStandbyDrainsClientsAndActiveServesAgain(t *testing.T) {
 	hold := make(chan func(), 1)
 	o := startNodeWithAdmin(t, 1, func(n int, s workerCall, rw http.ResponseWriter) {
@@ -181,17 +182,17 @@
 	o.expectReply("ACK", "standby\n")
 	o.expectReply("NAK", "status\n")
 	o.dial().send(health).expectResponse(503, "")
-	idle.send(jobRequest("b", "quote", "4000m", "x")).expectResponse(200, "") // it is taken as ever at first
+	idle.send(jobRequest("b", "quote", "4000m", "x")).expectResponse(200, "") // still accepted at first
 	if _, err := idle.r.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection of a client stays: %v", err)
+		t.Errorf("read from a client's idle connection: got %v, want EOF", err)
 	}
 	if resp := o.dial().send(jobRequest("c", "quote", "4000m", "x")).expectResponse(200, ""); !resp.Close {
-		t.Error("an answer while clients are sent away keeps the connection")
+		t.Error("a response on standby does not close the connection")
 	}
 	worker.send(event).expectResponse(204, "")
 	finish()
 	if resp := long.expectResponse(200, "ok"); !resp.Close {
-		t.Error("the answer to a job taken before keeps the connection")
+		t.Error("the response to a job accepted before standby does not close the connection")
 	}
 
 	o.expectReply("ACK", "active\n")
@@ -206,7 +207,7 @@
 	c.send(jobRequest("long", "quote", "4000m", "x"))
 	finish = <-hold
 	check(t, o.cmd.Process.Signal(syscall.SIGTERM))
-	eventually(t, "it is to end", func() bool {
+	eventually(t, "the node rejects status calls during its shutdown", func() bool {
 		return strings.HasPrefix(adminCall(t, o.admin, "status\n"), "NAK")
 	})
 	o.expectReply("ACK", "standby\n")
--- a/cmd/moorstack/client_test.go
+++ b/cmd/moorstack/client_test.go
@@ -38,7 +38,7 @@
 	return c
 }
 
-// readResponse reads a response.
+// readResponse reads one response and its body.
 func (c *client) readResponse() (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
@@ -52,7 +52,7 @@
 	c.t.Helper()
 	resp, got := c.readResponse()
 	if resp.StatusCode != status || body != "" && got != body {
-		c.t.Fatalf("answer %d %q, want %d %q", resp.StatusCode, got, status, body)
+		c.t.Fatalf("response %d %q, want %d %q", resp.StatusCode, got, status, body)
 	}
 	return resp
 }
--- a/cmd/moorstack/cluster_page_test.go
+++ b/cmd/moorstack/cluster_page_test.go
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// pageBlock is the indented block of a page that contains a text, without the indent.
-func pageBlock(t *testing.T, page, holds string) string {
+// pageBlock returns the indented block of a page that contains a text, with the indentation removed.
+func pageBlock(t *testing.T, page, contains string) string {
 	t.Helper()
 	raw, err := os.ReadFile(page)
 	check(t, err)
 	for _, b := range strings.Split(string(raw), "\n\n") {
-		if strings.HasPrefix(b, "    ") && strings.Contains(b, holds) {
+		if strings.HasPrefix(b, "    ") && strings.Contains(b, contains) {
 			return strings.ReplaceAll("\n"+b, "\n    ", "\n")[1:] + "\n"
 		}
 	}
-	t.Fatalf("%s has no block with %q", page, holds)
+	t.Fatalf("%s has no block with %q", page, contains)
 	return ""
 }
 
-// withHost gives the ports that a text names on loopback another loopback address, so that the page's
-// commands meet no other process of this machine.
+// withHost replaces 127.0.0.1 by another loopback address, so that the ports in the page's commands don't
+// conflict with those of other processes on this machine.
 func withHost(text, host string) string { return strings.ReplaceAll(text, "127.0.0.1", host) }
 
-// The page's commands, as they stand there but for the address, make a group of three.
+// The commands of the operators' page, unchanged except for the address, create a group of three.
 func TestCommandsOfTheClusterPage(t *testing.T) {
 	t.Parallel()
 	host := net.IPv4(127, 77, byte(os.Getpid()>>8), byte(os.Getpid())).String()
@@ -50,7 +50,7 @@
 
 	page := "../../docs/operators/cluster.md"
 	script := "set -eu\nPATH=$PWD/bin:$PATH\n" + withHost(pageBlock(t, page, "keys new-ca"), host)
-	// The page starts its instances in the background and goes on; here they are ended too.
+	// The page leaves its instances running in the background; their process IDs are recorded to kill them.
 	script = strings.ReplaceAll(script, ".log &", ".log & echo $! >> pids")
 	script = strings.Replace(script, "moorstack cluster init",
 		"for s in 1 2 3; do while [ ! -S data/n$s/control.sock ]; do sleep 0.05; done; "+
@@ -61,33 +61,34 @@
 			_ = exec.Command("kill", "-9", pid).Run()
 		}
 	})
-	run := func(what, script string) string {
+	run := func(step, script string) string {
 		t.Helper()
 		cmd := exec.Command("timeout", "60", "sh", "-c", script)
 		cmd.Dir = dir
-		cmd.WaitDelay = time.Second // the instances hold the output open
+		cmd.WaitDelay = time.Second // the background instances keep the output pipe open
 		out, err := cmd.CombinedOutput()
 		if err != nil && !errors.Is(err, exec.ErrWaitDelay) {
 			logs, _ := exec.Command("sh", "-c", "tail -n 3 "+dir+"/demo/*.log").CombinedOutput()
-			t.Fatalf("%s: %v\n%s\n%s", what, err, out, logs)
+			t.Fatalf("%s: %v\n%s\n%s", step, err, out, logs)
 		}
 		return string(out)
 	}
-	// at init and at the end
-	if out := run("three instances from nothing", script); strings.Count(out, ", voter") != 1+3 {
-		t.Fatalf("the page's commands make no group of three: %s", out)
+	// The status is printed after init, with one voter, and at the end, with three.
+	if out := run("create three instances", script); strings.Count(out, ", voter") != 1+3 {
+		t.Fatalf("the page's commands do not create a group of three: %s", out)
 	}
 	change := strings.ReplaceAll(pageBlock(t, page, "config propose config.toml --dry-run"),
 		"$EDITOR config.toml", "sed -i 's/worth = 5.0/worth = 6.0/' config.toml")
-	out := run("a change", "set -eu\nPATH=$PWD/bin:$PATH\ncd demo\n"+change)
-	for _, say := range []string{"worth 5 -> 6", "in force as revision 2", "in force as revision 3"} {
-		if !strings.Contains(out, say) {
-			t.Errorf("the page's change does not print %q: %s", say, out)
+	out := run("change the configuration", "set -eu\nPATH=$PWD/bin:$PATH\ncd demo\n"+change)
+	for _, want := range []string{"worth 5 -> 6", "in force as revision 2", "in force as revision 3"} {
+		if !strings.Contains(out, want) {
+			t.Errorf("the output of the page's change lacks %q: %s", want, out)
 		}
 	}
 }
 
-// A start that fails half-way stops what had started, prints why, and leaves nothing behind.
+// A start that fails partway stops what it has started, prints the reason, and releases its directory and
+// addresses.
 func TestStartThatFailsHalfWay(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -109,16 +110,17 @@
 		out, code := g.run("serve", "--config", "x.toml")
 		if code != exitFailed || strings.Contains(out, "panic") ||
 			!strings.Contains(out, "address already in use") {
-			t.Errorf("%s is taken: exit %d: %s", name, code, out)
+			t.Errorf("%s is in use: exit %d: %s", name, code, out)
 		}
 	}
-	// A second address of the platform file, which instances share, is not opened.
+	// An admin address in the platform file, which instances share, is not opened; front.admin must differ
+	// from front.listen.
 	check(t, os.WriteFile(filepath.Join(g.dir, "x.toml"),
 		[]byte(strings.Replace(string(text), "[front]\n", "[front]\nadmin = \""+field("front",
 			"listen")+"\"\n", 1)),
 		0o600))
 	g.expect(exitFailed, "x.toml:4: front.admin", "serve", "--config", "x.toml")
-	g.start("n1") // and its directory and addresses are free
+	g.start("n1") // its directory and addresses are free again
 }
 
 func TestUnknownCommandsAreRejected(t *testing.T) {
--- a/cmd/moorstack/cluster_test.go
+++ b/cmd/moorstack/cluster_test.go
@@ -16,45 +16,47 @@
 	g.form("n1", "n2", "n3")
 	g.checkProposals()
 
-	// The leader is killed; the others go on. It comes back and has what it missed.
-	lead := g.leader("n1", "n2", "n3")
-	others := map[string][]string{"n1": {"n2", "n3"}, "n2": {"n1", "n3"}, "n3": {"n1", "n2"}}[lead]
-	g.kill(lead, syscall.SIGKILL)
+	// The leader is killed, and the other two accept a change. Restarted, it catches up.
+	leader := g.leader("n1", "n2", "n3")
+	others := map[string][]string{"n1": {"n2", "n3"}, "n2": {"n1", "n3"}, "n3": {"n1", "n2"}}[leader]
+	g.kill(leader, syscall.SIGKILL)
 	g.leader(others...)
 	g.edit("c.toml", others[0], "worth = 7.0", "worth = 8.0")
 	g.must("config", "propose", "c.toml", "--config", others[1]+".toml")
-	g.start(lead)
-	g.waitRevision(lead, "3")
+	g.start(leader)
+	g.waitRevision(leader, "3")
 
-	// One that is alone keeps what was agreed on, reports that it is cut off, and rejects at once.
-	g.must("cluster", "backup", "all.backup", "--config", lead+".toml")
+	// An instance without a majority keeps the agreed configuration, reports that it is cut off, and rejects
+	// changes at once.
+	g.must("cluster", "backup", "all.backup", "--config", leader+".toml")
 	g.kill(others[0], syscall.SIGKILL)
 	g.kill(others[1], syscall.SIGKILL)
-	eventually(t, "it knows that it is cut off", func() bool {
-		out, code := g.run("cluster", "status", "--config", lead+".toml")
+	eventually(t, "the last instance reports that it is cut off", func() bool {
+		out, code := g.run("cluster", "status", "--config", leader+".toml")
 		return code == exitNoLeader && strings.Contains(out, "CUT OFF") &&
 			strings.Contains(out, "running   revision 3")
 	})
 	began := time.Now()
-	g.expect(exitNoLeader, "cut off", "config", "propose", "c.toml", "--base", "3", "--config", lead+".toml")
+	g.expect(exitNoLeader, "cut off", "config", "propose", "c.toml", "--base", "3", "--config",
+		leader+".toml")
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("the rejection took %v", took)
+		t.Errorf("the rejection took %v, want at most 2s", took)
 	}
-	g.expect(0, "revision = 3", "config", "get", "--local", "--config", lead+".toml")
-	g.expect(0, "is cut off", "config", "get", "--local", "--config", lead+".toml")
+	g.expect(0, "revision = 3", "config", "get", "--local", "--config", leader+".toml")
+	g.expect(0, "is cut off", "config", "get", "--local", "--config", leader+".toml")
 
-	// A new group from the backup counts on.
+	// A new group from the backup continues the numbering of revisions.
 	g.start("m1")
 	g.expect(0, "agreed    revision 4", "cluster", "init", "--from", "all.backup", "--config", "m1.toml")
 	check(t, os.WriteFile(filepath.Join(g.dir, "broken.backup"), bytes.Repeat([]byte("MOORBACK"), 9), 0o600))
 	g.expect(exitInvalid, "backup has format", "cluster", "restore", "broken.backup", "--config", "m1.toml")
-	g.kill(lead, syscall.SIGTERM)
-	g.expect(0, "verdict    whole", "store", "check", "d-"+lead+"/agreement")
+	g.kill(leader, syscall.SIGTERM)
+	g.expect(0, "verdict    whole", "store", "check", "d-"+leader+"/agreement")
 }
 
-// checkProposals checks that a change through one instance is in force at another; that a stale one, an
-// invalid one and one that can't be made live are rejected with a reason, and that the same again is not
-// a second change.
+// checkProposals checks that a change proposed at one instance comes into force at another, that a stale
+// change, an invalid one and one that can't be applied to running instances are rejected with a reason, and
+// that proposing a change again under the same ID does not apply it twice.
 func (g *group) checkProposals() {
 	g.t.Helper()
 	g.edit("c.toml", "n2", "worth = 5.0", "worth = 7.0")
@@ -80,7 +82,7 @@
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
-	// An older revision comes back as a new one with the same content.
+	// A rollback creates a new revision with the content of an older one.
 	g.edit("c.toml", "n1", "worth = 5.0", "worth = 6.0")
 	g.must("config", "propose", "c.toml", "--config", "n1.toml")
 	g.expect(0, "in force as revision 3", "config", "rollback", "1", "--config", "n2.toml")
@@ -88,7 +90,7 @@
 		t.Errorf("revision 3 differs from 1: %s", out)
 	}
 	g.expect(exitFailed, "revision 9 is not kept", "config", "rollback", "9", "--config", "n2.toml")
-	// A wiped instance is a new one: it has no vote under its old name.
+	// An instance whose data was deleted is a new one: it does not get back the vote of its old name.
 	g.kill("n3", syscall.SIGKILL)
 	check(t, os.RemoveAll(filepath.Join(g.dir, "d-n3")))
 	g.start("n3")
@@ -97,14 +99,14 @@
 		"n1.toml")
 	g.must("cluster", "remove", "n3", "--config", "n2.toml")
 	g.must("cluster", "add", "n3", g.peerAddress["n3"], "--promote", "--config", "n2.toml")
-	// A fourth takes the vote of the second in one change, which then is out for ever.
+	// n4 replaces n2 as a voter in one change; n2 can never be added again.
 	g.start("n4")
 	g.must("cluster", "add", "n4", g.peerAddress["n4"], "--config", "n1.toml")
 	eventually(t, "n4 catches up", func() bool {
 		_, code := g.run("cluster", "replace", "n2", "n4", "--config", "n1.toml")
 		return code == 0
 	})
-	eventually(t, "n2 knows that it is removed", func() bool {
+	eventually(t, "n2 reports that it was removed", func() bool {
 		out, _ := g.run("cluster", "status", "--config", "n2.toml")
 		return strings.Contains(out, "role      removed")
 	})
@@ -113,9 +115,9 @@
 	g.must("cluster", "transfer", "n4", "--config", "n1.toml")
 	g.expect(0, "role      leader", "cluster", "status", "--config", "n4.toml")
 	g.must("cluster", "snapshot", "--config", "n1.toml")
-	// Removing so many that no majority is reachable is rejected.
+	// A removal after which no majority could be reached is rejected.
 	g.kill("n3", syscall.SIGKILL)
-	g.eventuallySays("NOT HEARD OF", "cluster", "status", "--config", "n4.toml")
+	g.eventuallyPrints("NOT HEARD OF", "cluster", "status", "--config", "n4.toml")
 	g.expect(exitFailed, "no majority", "cluster", "remove", "n1", "--config", "n4.toml")
 	g.must("cluster", "remove", "n3", "--config", "n4.toml")
 }
@@ -130,38 +132,40 @@
 		return []string{"--address", g.controlAddress["n1"], "--instance", "n1", "--ca", ca,
 			"--cert", "keys/" + who + ".crt", "--key", "keys/" + who + ".key"}
 	}
-	with := func(args []string, more ...string) []string { return append(more, args...) }
+	withFlags := func(args []string, more ...string) []string { return append(more, args...) }
 	g.edit("c.toml", "n1", "worth = 5.0", "worth = 7.0")
-	g.expect(0, "revision = 1", with(remote("keys/ca.crt", "desk"), "config", "get")...)
+	g.expect(0, "revision = 1", withFlags(remote("keys/ca.crt", "desk"), "config", "get")...)
 	g.expect(exitDenied, "is for operators",
-		with(remote("keys/ca.crt", "desk"), "config", "propose", "c.toml")...)
+		withFlags(remote("keys/ca.crt", "desk"), "config", "propose", "c.toml")...)
 	g.expect(exitDenied, "is for operators",
-		with(remote("keys/ca.crt", "desk"), "cluster", "remove", "n2")...)
-	g.expect(0, "in force as revision 2", with(remote("keys/ca.crt", "op"), "config", "propose", "c.toml")...)
-	g.expect(0, "2         ", with(remote("keys/ca.crt", "op"), "config", "history")...)
+		withFlags(remote("keys/ca.crt", "desk"), "cluster", "remove", "n2")...)
+	g.expect(0, "in force as revision 2",
+		withFlags(remote("keys/ca.crt", "op"), "config", "propose", "c.toml")...)
+	g.expect(0, "2         ", withFlags(remote("keys/ca.crt", "op"), "config", "history")...)
 	g.expect(exitFailed, "",
-		with(remote("keys/ca.crt", "n2"), "config", "get")...) // an instance is no operator
+		withFlags(remote("keys/ca.crt", "n2"), "config", "get")...) // not an operator's certificate
 
-	// A foreign authority's certificates open nothing.
+	// Certificates of another certificate authority are rejected.
 	g.must("keys", "new-ca", "--dir", "foreign")
 	g.must("keys", "issue", "op2", "--role", "operator", "--dir", "foreign", "--out", "keys")
-	g.expect(exitUsage, "not of the authority", with(remote("keys/ca.crt", "op2"), "config", "get")...)
-	g.expect(exitFailed, "", with(remote("foreign/ca.crt", "op2"), "config", "get")...)
+	g.expect(exitUsage, "not of the authority", withFlags(remote("keys/ca.crt", "op2"), "config", "get")...)
+	g.expect(exitFailed, "", withFlags(remote("foreign/ca.crt", "op2"), "config", "get")...)
 
-	// Keys are rotated while the instances run, also the authority: both are trusted first.
-	old, err := os.ReadFile(filepath.Join(g.dir, "keys", "ca.crt"))
+	// Certificates and their authority are rotated while the instances run: at first both authorities are
+	// trusted.
+	oldCA, err := os.ReadFile(filepath.Join(g.dir, "keys", "ca.crt"))
 	check(t, err)
-	fresh, err := os.ReadFile(filepath.Join(g.dir, "foreign", "ca.crt"))
+	newCA, err := os.ReadFile(filepath.Join(g.dir, "foreign", "ca.crt"))
 	check(t, err)
-	check(t, os.WriteFile(filepath.Join(g.dir, "keys", "ca.crt"), append(old, fresh...), 0o600))
-	// The files are read again at a handshake, a second after the last time at the soonest.
+	check(t, os.WriteFile(filepath.Join(g.dir, "keys", "ca.crt"), append(oldCA, newCA...), 0o600))
+	// The files are reread at a handshake, but at most once a second.
 	time.Sleep(1200 * time.Millisecond)
 	g.must("keys", "issue", "n1", "--dir", "foreign", "--out", "keys", "--replace")
 	time.Sleep(1200 * time.Millisecond)
-	g.expect(0, "revision = 2", with(remote("foreign/ca.crt", "op2"), "config", "get")...)
+	g.expect(0, "revision = 2", withFlags(remote("foreign/ca.crt", "op2"), "config", "get")...)
 	g.kill("n2", syscall.SIGTERM)
-	g.start("n2") // a new connection, on which n1 shows its new certificate
-	eventually(t, "n2 is back", func() bool {
+	g.start("n2") // opens a new connection, on which n1 presents its new certificate
+	eventually(t, "n2 answers status calls", func() bool {
 		_, code := g.run("cluster", "status", "--config", "n2.toml")
 		return code == 0
 	})
@@ -170,12 +174,12 @@
 	if !strings.Contains(g.logOf("n1"), "certificates reloaded") {
 		t.Error("n1 does not log that its certificates were reloaded")
 	}
-	// A certificate that has expired, and files that are no keys, change nothing.
+	// An invalid certificate file changes nothing: the previous certificate stays in use.
 	check(t, os.WriteFile(filepath.Join(g.dir, "keys", "n1.crt"), []byte("nothing"), 0o600))
 	time.Sleep(1200 * time.Millisecond)
-	g.expect(0, "revision = 3", with(remote("foreign/ca.crt", "op2"), "config", "get")...)
+	g.expect(0, "revision = 3", withFlags(remote("foreign/ca.crt", "op2"), "config", "get")...)
 	if !strings.Contains(g.logOf("n1"), "certificates not reloaded") {
-		t.Error("n1 does not log that its new files are not valid")
+		t.Error("n1 does not log that its new certificate file is invalid")
 	}
 }
 
@@ -185,7 +189,7 @@
 	g.start("n1")
 	text, err := os.ReadFile(filepath.Join(g.dir, "n1.toml"))
 	check(t, err)
-	for say, change := range map[string][]string{
+	for want, change := range map[string][]string{
 		"x.toml:7: peers.listn: this key is not known here": {"[peers]\nlisten", "[peers]\nlistn"},
 		"x.toml:8: peers.tick":                              {`"20ms"`, `"1h"`},
 		"x.toml:1: name":                                    {`"n1"`, `"N 1"`},
@@ -196,11 +200,11 @@
 	} {
 		changed := strings.Replace(string(text), change[0], change[1], 1)
 		check(t, os.WriteFile(filepath.Join(g.dir, "x.toml"), []byte(changed), 0o600))
-		if out, code := g.run("serve", "--config", "x.toml"); code == 0 || !strings.Contains(out, say) {
-			t.Errorf("want %q: exit %d: %s", say, code, out)
+		if out, code := g.run("serve", "--config", "x.toml"); code == 0 || !strings.Contains(out, want) {
+			t.Errorf("want %q: exit %d: %s", want, code, out)
 		}
 	}
-	// A store that is damaged stops the start and names the place.
+	// A damaged store prevents the start, and the error names the position of the damage.
 	g.must("cluster", "init", "--config", "n1.toml")
 	g.kill("n1", syscall.SIGTERM)
 	logs, err := filepath.Glob(filepath.Join(g.dir, "d-n1/agreement/*.log"))
--- a/cmd/moorstack/discovery_stub_test.go
+++ b/cmd/moorstack/discovery_stub_test.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// discoveryStub stands for discovery: it counts the watches, and sends each the list and its changes.
+// discoveryStub is a discovery server that counts its watches and sends each the endpoint list and its
+// changes.
 type discoveryStub struct {
 	*httptest.Server
 	mu       sync.Mutex
-	lines    []string // a line each; the first is generation 1
+	lines    []string // one update per line; the first is generation 1
 	watchers map[chan struct{}]bool
 	calls    int
 	failing  bool
@@ -75,7 +76,7 @@
 	return len(c.watchers)
 }
 
-// add has the list name a worker more.
+// add adds a worker to the endpoint list and notifies the watches.
 func (c *discoveryStub) add(id, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// setFailing has each call fail, or not.
+// setFailing sets whether calls are answered with status 500.
 func (c *discoveryStub) setFailing(failing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/moorstack/earlier_program_test.go
+++ b/cmd/moorstack/earlier_program_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// beforePresentNames is the last commit before identifiers and packages got their present names.
-const beforePresentNames = "ed6dd0a"
+// commitBeforeRenaming is the last commit before identifiers and packages were renamed.
+const commitBeforeRenaming = "ed6dd0a"
 
-// earlierPrograms are commits whose program an instance of now has to share a group with.
+// earlierPrograms lists commits whose program must work in one group with the current one.
 var earlierPrograms = []struct{ name, commit string }{
-	// The last one whose program knows rates over all fronts and nothing of triggers: state format 4.
+	// The last commit with rates across all fronts and without triggers: state format 4.
 	{"before triggers", "337f08d"},
-	// The last one before identifiers and packages got their present names: the same state format.
-	{"before the present names", beforePresentNames},
+	// The last commit before identifiers and packages were renamed: the same state format.
+	{"before renaming", commitBeforeRenaming},
 }
 
-// mixedGroupFaults has the instances renewed one after another, and n1 rolled back once in between.
+// mixedGroupFaults upgrades the instances one after another and rolls n1 back once in between.
 const mixedGroupFaults = `500ms renew n1
 1500ms isolate n2
 2500ms heal
@@ -32,9 +32,9 @@
 10s restart n1 200ms
 `
 
-// A group is rolled from an earlier version of the program to this one, and one instance of it back in
-// between, under faults: rates and leased tasks are kept by both together, and triggers begin when all know
-// them.
+// Under faults, a group is upgraded from an earlier version of the program to this one, and one instance is
+// rolled back in between. Both versions together enforce rates and keep leased tasks; triggers start when all
+// instances support them.
 func TestRolledForwardAndBack(t *testing.T) {
 	t.Parallel()
 	root := must(filepath.Abs("../.."))
--- a/cmd/moorstack/endpoint_updates_test.go
+++ b/cmd/moorstack/endpoint_updates_test.go
@@ -10,49 +10,50 @@
 	"time"
 )
 
-// The endpoint list follows the watch: drains, new addresses, ends and silence.
+// The endpoint list follows discovery's watch: draining workers, changed addresses, a watch that ends and one
+// that goes silent.
 func TestEndpointListFollowsTheWatch(t *testing.T) {
 	w := startNode(t, 2, completeJob)
 	watch := <-w.watches
 	if watch.path != "/catalog/members?stream=1&index=41" {
-		t.Errorf("watched by %q", watch.path)
+		t.Errorf("watch request %q", watch.path)
 	}
 	a, b := w.workers[0], w.workers[1]
 	watch.lines <- `{"generation":42,"reset":false,"instances":[` + a.instanceJSON("DRAINING") + "]}"
-	time.Sleep(time.Second) // that much the rules allow
+	time.Sleep(time.Second) // the rules allow one second for an update to be applied
 	for i := range 10 {
 		w.dial().send(jobRequest(fmt.Sprint("d", i), "quote", "3000m", "x")).expectResponse(200, "")
 	}
 	if len(a.received) != 0 {
 		t.Errorf("a draining worker got %d jobs", len(a.received))
 	}
-	moved := strings.Replace(a.instanceJSON("SERVING"), a.name, b.name, 1) // b is now where a was
+	moved := strings.Replace(a.instanceJSON("SERVING"), a.name, b.name, 1) // b now has a's address
 	watch.lines <- `{"generation":43,"reset":true,"instances":[` + moved + "]}"
 	n := 0
 	eventually(t, "the new address is used", func() bool {
-		n++ // these are not answered: whoever works there calls back under another name
+		n++ // not answered: the worker at that address calls back under another name
 		w.dial().send(jobRequest(fmt.Sprint("m", n), "quote", "1000m", "x"))
 		return w.callCount("POST") > 10 && a.callCount() > 0
 	})
 	close(watch.lines)
 	next := <-w.watches
 	if next.path != "/catalog/members?stream=1&index=43" {
-		t.Errorf("watched by %q", next.path)
+		t.Errorf("watch request %q", next.path)
 	}
-	began := time.Now() // and send nothing
+	began := time.Now() // this watch sends nothing
 	select {
 	case <-w.watches:
-		// A beat comes every 2 s; a silent watch counts as lost after 6 s.
+		// A heartbeat is due every 2 s; a silent watch counts as lost after 6 s.
 		if d := time.Since(began); d < 2200*time.Millisecond {
-			t.Errorf("given up after %v", d)
+			t.Errorf("a silent watch was given up after %v", d)
 		}
 	case <-time.After(waitLimit):
-		t.Error("a silent watch is still trusted")
+		t.Error("a silent watch was not given up")
 	}
 }
 
-// SIGHUP: discovery moves to where the file says, though the environment named the old
-// address, and goes on from the last update; what is under way stays. A bad file changes nothing.
+// After SIGHUP the node watches discovery at the address in its file, although the environment names the old
+// one, and continues after the last update; jobs in flight are kept. An invalid file changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
 	w := startNode(t, 2, func(_ int, s workerCall, rw http.ResponseWriter) {
 		rw.WriteHeader(202)
@@ -61,20 +62,21 @@
 	watch := <-w.watches
 	watch.lines <- `{"generation":43,"reset":false,"instances":[]}`
 	c := w.dial().send(jobRequest("a", "book", "4000m", "x"))
-	eventually(t, "the job is out", func() bool { return w.callCount("POST") == 1 })
+	eventually(t, "the job is forwarded", func() bool { return w.callCount("POST") == 1 })
 	moved := httptest.NewServer(http.HandlerFunc(w.serveDiscovery))
 	t.Cleanup(moved.Close)
 	t.Cleanup(moved.CloseClientConnections)
-	before := regexp.MustCompile(`"discovery":"[^"]*"`)
-	to := func(address string) string {
-		return before.ReplaceAllString(w.config, fmt.Sprintf(`"discovery":%q`, address))
+	discoveryField := regexp.MustCompile(`"discovery":"[^"]*"`)
+	configWithDiscovery := func(address string) string {
+		return discoveryField.ReplaceAllString(w.config, fmt.Sprintf(`"discovery":%q`, address))
 	}
-	good := to(strings.TrimPrefix(moved.URL, "http://"))
-	for _, bad := range []string{"{", to("nowhere"), strings.Replace(good, "retryable", "no such", 1)} {
+	good := configWithDiscovery(strings.TrimPrefix(moved.URL, "http://"))
+	for _, bad := range []string{"{", configWithDiscovery("nowhere"),
+		strings.Replace(good, "retryable", "no such", 1)} {
 		w.reload(bad)
 		select {
 		case <-w.watches:
-			t.Fatalf("a bad file was taken: %.40s", bad)
+			t.Fatalf("an invalid file was accepted: %.40s", bad)
 		case <-time.After(200 * time.Millisecond):
 		}
 	}
@@ -82,7 +84,7 @@
 	select {
 	case next := <-w.watches:
 		if next.path != "/catalog/members?stream=1&index=43" {
-			t.Errorf("watched by %q", next.path)
+			t.Errorf("watch request %q", next.path)
 		}
 		next.lines <- `{"generation":44,"reset":true,"instances":[` +
 			w.workers[0].instanceJSON("SERVING") + "]}"
@@ -95,6 +97,6 @@
 		w.dial().send(jobRequest(fmt.Sprint("r", i), "quote", "4000m", "x")).expectResponse(200, "ok")
 	}
 	if w.workers[1].callCount() != n {
-		t.Error("the new address's list is not kept to")
+		t.Error("a worker that is not on the new address's list got jobs")
 	}
 }
--- a/cmd/moorstack/faktory_fixture_test.go
+++ b/cmd/moorstack/faktory_fixture_test.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	secret      = "open sesame"
-	reservation = time.Second // of a reservation
+	secret          = "open sesame"
+	reservationTime = time.Second // how long a fetched job is reserved
 )
 
-// startFaktoryNode starts a node with the second front and gives that front's address.
+// startFaktoryNode starts a node with the Faktory front and returns that front's address.
 func startFaktoryNode(t *testing.T, extra string) (*nodeFixture, string) {
 	addr, file := freeAddress(t), filepath.Join(t.TempDir(), "faktory.toml")
 	check(t, os.WriteFile(file, fmt.Appendf(nil, "listen = %q\npassword = %q\nreserve = %q\n"+
 		"reserve_least = \"100ms\"\n%s\n[classes]\nResize = \"quote\"\n",
-		addr, secret, reservation, extra), 0o600))
+		addr, secret, reservationTime, extra), 0o600))
 	w := startNode(t, 0, completeJob, "-faktory", file)
-	waitListening(t, addr) // it comes after the platform's address
+	waitListening(t, addr) // opened after the platform front's address
 	return w, addr
 }
 
-// faktoryPeer is a producer or a worker.
+// faktoryPeer is the connection of a producer or a worker.
 type faktoryPeer struct {
 	*client
 	wid string
 }
 
-// connectFaktory connects and sends HELLO; with a wid, as a worker.
+// connectFaktory connects and sends HELLO, as a worker if wid is not empty.
 func connectFaktory(t *testing.T, addr, wid string, labels ...string) *faktoryPeer {
 	t.Helper()
 	p := &faktoryPeer{dial(t, addr), wid}
@@ -51,7 +51,7 @@
 	return p
 }
 
-// reply reads a simple string or an error with its sign, or a bulk string's text.
+// reply reads a simple string or an error, including its first character, or the text of a bulk string.
 func (p *faktoryPeer) reply() string {
 	p.t.Helper()
 	line, err := p.r.ReadString('\n')
@@ -76,18 +76,18 @@
 	return p.reply()
 }
 
-// expectReply sends a command, and wants a reply that begins so.
+// expectReply sends a command and checks that the reply starts with want.
 func (p *faktoryPeer) expectReply(line, want string) string {
 	p.t.Helper()
 	got := p.command(line)
 	if !strings.HasPrefix(got, want) {
-		p.t.Fatalf("%.80q is answered %q, want %q", line, got, want)
+		p.t.Fatalf("command %.80q: reply %q, want prefix %q", line, got, want)
 	}
 	return got
 }
 
-func pushCommand(jid, jobType, more string) string {
-	return fmt.Sprintf(`PUSH {"jid":%q,"jobtype":%q,"args":[1,"a"]%s}`, jid, jobType, more)
+func pushCommand(jid, jobType, extraFields string) string {
+	return fmt.Sprintf(`PUSH {"jid":%q,"jobtype":%q,"args":[1,"a"]%s}`, jid, jobType, extraFields)
 }
 
 func (p *faktoryPeer) ack(jid string) { p.t.Helper(); p.expectReply(`ACK {"jid":"`+jid+`"}`, "+OK") }
@@ -104,15 +104,15 @@
 	eventually(p.t, jid+" is "+state, func() bool { return p.state(jid) == state })
 }
 
-// fetch makes the worker an endpoint by a FETCH, whose reply is still to come, and
-// gives the front time to read it: its replies come in order for all.
+// fetch sends a FETCH, which makes the worker an endpoint, and gives the front time to read it. The reply is
+// read later; a connection's replies arrive in the order of its commands.
 func (p *faktoryPeer) fetch(queues string) *faktoryPeer {
 	p.sendLine("FETCH " + queues)
 	time.Sleep(50 * time.Millisecond)
 	return p
 }
 
-// expectJob reads the reply to a FETCH, and repeats it while there is nothing.
+// expectJob reads the reply to a FETCH, which must be the job, and repeats the FETCH while there is no job.
 func (p *faktoryPeer) expectJob(jid string) {
 	p.t.Helper()
 	for range 5 {
@@ -125,5 +125,5 @@
 		}
 		p.sendLine("FETCH default")
 	}
-	p.t.Fatalf("%s is not to be had", jid)
+	p.t.Fatalf("%s was not fetched in 5 attempts", jid)
 }
--- a/cmd/moorstack/faktory_reference_test.go
+++ b/cmd/moorstack/faktory_reference_test.go
@@ -13,19 +13,19 @@
 	"moorstack/internal/frontend/faktory"
 )
 
-// referenceServer is a small Faktory server after the public specification: queues in
-// memory, reservations that end, and no decisions. It shows what a producer and a
-// worker may expect of any server.
+// referenceServer is a small Faktory server written to the public specification: queues in memory,
+// reservations that expire, and no scheduling decisions. It shows what producers and workers may expect of
+// any server.
 type referenceServer struct {
-	mu       sync.Mutex
-	password string
-	term     time.Duration // of a reservation
-	queues   map[string][]*standInJob
-	held     map[string]*standInJob
-	states   map[string]string
+	mu              sync.Mutex
+	password        string
+	reservationTime time.Duration // how long a fetched job is reserved
+	queues          map[string][]*referenceJob
+	held            map[string]*referenceJob
+	states          map[string]string
 }
 
-type standInJob struct {
+type referenceJob struct {
 	JID   string          `json:"jid"`
 	Type  string          `json:"jobtype"`
 	Args  json.RawMessage `json:"args"`
@@ -35,12 +35,12 @@
 	until time.Time
 }
 
-func startReferenceServer(t *testing.T, password string, term time.Duration) string {
+func startReferenceServer(t *testing.T, password string, reservationTime time.Duration) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	check(t, err)
 	t.Cleanup(func() { l.Close() })
-	s := &referenceServer{password: password, term: term, queues: map[string][]*standInJob{},
-		held: map[string]*standInJob{}, states: map[string]string{}}
+	s := &referenceServer{password: password, reservationTime: reservationTime,
+		queues: map[string][]*referenceJob{}, held: map[string]*referenceJob{}, states: map[string]string{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -99,11 +99,11 @@
 	s.expire()
 	switch verb {
 	case "PUSH":
-		j := &standInJob{text: args, Queue: "default"}
+		j := &referenceJob{text: args, Queue: "default"}
 		if json.Unmarshal([]byte(args), j) != nil || len(j.JID) < 8 || j.Type == "" || len(j.Args) == 0 {
 			return "-ERR bad job\r\n"
 		}
-		if s.states[j.JID] == "" { // a jid is one job
+		if s.states[j.JID] == "" { // a repeated jid is the same job
 			s.queues[j.Queue] = append(s.queues[j.Queue], j)
 			s.states[j.JID] = "enqueued"
 		}
@@ -136,7 +136,7 @@
 	return "+OK\r\n"
 }
 
-// expire puts jobs whose reservation has ended back into their queues.
+// expire returns jobs whose reservation has ended to their queues.
 func (s *referenceServer) expire() {
 	for jid, j := range s.held {
 		if time.Now().After(j.until) {
@@ -155,7 +155,7 @@
 			if waiting := s.queues[q]; len(waiting) > 0 {
 				j := waiting[0]
 				s.queues[q] = waiting[1:]
-				j.owner, j.until = wid, time.Now().Add(s.term)
+				j.owner, j.until = wid, time.Now().Add(s.reservationTime)
 				s.held[j.JID], s.states[j.JID] = j, "working"
 				s.mu.Unlock()
 				return fmt.Sprintf("$%d\r\n%s\r\n", len(j.text), j.text)
--- a/cmd/moorstack/faktory_test.go
+++ b/cmd/moorstack/faktory_test.go
@@ -9,11 +9,10 @@
 	"time"
 )
 
-// The same conversations hold with a Faktory server after the specification and
-// with moorstack.
+// The same conversations succeed with a server written to Faktory's specification and with moorstack.
 func TestFaktoryConversationsAgreeWithAReferenceServer(t *testing.T) {
 	servers := map[string]func(t *testing.T) string{
-		"stand-in":  func(t *testing.T) string { return startReferenceServer(t, secret, reservation) },
+		"reference": func(t *testing.T) string { return startReferenceServer(t, secret, reservationTime) },
 		"moorstack": func(t *testing.T) string { _, addr := startFaktoryNode(t, ""); return addr },
 	}
 	for name, start := range servers {
@@ -21,8 +20,8 @@
 			name string
 			talk func(t *testing.T, addr string)
 		}{
-			{"a job's way", converseJobCompletes}, {"a late ACK", converseLateACK},
-			{"the same jid again", conversePushRepeated},
+			{"job lifecycle", converseJobCompletes}, {"a late ACK", converseLateACK},
+			{"repeated jid", conversePushRepeated},
 			{"bad input", converseBadInput}, {"password", conversePassword},
 		} {
 			t.Run(name+"/"+c.name, func(t *testing.T) {
@@ -36,7 +35,7 @@
 func converseJobCompletes(t *testing.T, addr string) {
 	producer, worker := connectFaktory(t, addr, ""), connectFaktory(t, addr, "w1")
 	if s := producer.state("job-0000"); s != "unknown" {
-		t.Errorf("a job nobody pushed is %s", s)
+		t.Errorf("a job that was never pushed is %s, want unknown", s)
 	}
 	worker.fetch("other default")
 	producer.expectReply(pushCommand("job-0001", "Resize", `,"queue":"default"`), "+OK")
@@ -57,12 +56,12 @@
 	}
 	worker.expectReply("END", "+OK")
 	if _, err := worker.r.ReadByte(); err != io.EOF {
-		t.Errorf("after END: %v", err)
+		t.Errorf("read after END: got %v, want EOF", err)
 	}
 }
 
-// A worker that acknowledges after its reservation has ended changes nothing: the
-// job is another's by then, and that one's end is its end.
+// An ACK after the reservation has ended changes nothing: another worker has the job by then, and only that
+// worker's ACK completes it.
 func converseLateACK(t *testing.T, addr string) {
 	producer, slow, other := connectFaktory(t, addr, ""), connectFaktory(
 		t,
@@ -76,7 +75,7 @@
 	other.expectJob("job-late")
 	slow.ack("job-late")
 	if s := producer.state("job-late"); s != "working" {
-		t.Errorf("after the late ACK the job is %s", s)
+		t.Errorf("state after the late ACK: %s", s)
 	}
 	other.ack("job-late")
 	producer.waitState("job-late", "success")
@@ -85,7 +84,7 @@
 	producer.waitState("job-late", "success")
 }
 
-// A producer whose connection breaks pushes the same job again: it is one job.
+// A producer whose connection breaks pushes the same job again: the job runs once.
 func conversePushRepeated(t *testing.T, addr string) {
 	producer, worker := connectFaktory(t, addr, ""), connectFaktory(t, addr, "w1")
 	worker.fetch("default")
@@ -96,7 +95,7 @@
 	producer.expectReply(pushCommand("job-same", "Resize", ""), "+OK")
 	worker.ack("job-same")
 	if got := worker.command("FETCH default"); got != "$-1" {
-		t.Errorf("there is a second job: %q", got)
+		t.Errorf("the repeated push created a second job: %q", got)
 	}
 	producer.expectReply(pushCommand("job-same", "Resize", ""), "+OK")
 }
@@ -122,22 +121,22 @@
 func conversePassword(t *testing.T, addr string) {
 	p := &faktoryPeer{client: dial(t, addr)}
 	if hi := p.reply(); !strings.Contains(hi, `"s":`) {
-		t.Fatalf("greeted by %q", hi)
+		t.Fatalf("greeting %q lacks a salt", hi)
 	}
 	p.expectReply(`HELLO {"v":2,"pwdhash":"beef"}`, "-ERR")
 	if _, err := p.r.ReadByte(); err != io.EOF {
-		t.Errorf("after a wrong password: %v", err)
+		t.Errorf("read after a wrong password: got %v, want EOF", err)
 	}
 }
 
-// What is rejected is answered at once, with the time after which to retry.
+// Rejections are sent at once and name the time after which to retry.
 func TestFaktoryRejectionNamesRetryAfter(t *testing.T) {
 	_, addr := startFaktoryNode(t, "line_bytes = 1000\nbytes = 400")
 	p := connectFaktory(t, addr, "")
 	began := time.Now()
 	got := p.expectReply(pushCommand("job-0001", "Resize", ""), "-ERR BUSY")
 	if !strings.Contains(got, "retry after 0.") || time.Since(began) > time.Second {
-		t.Errorf("after %v: %q", time.Since(began), got)
+		t.Errorf("rejected after %v with %q", time.Since(began), got)
 	}
 	for _, more := range []string{`,"custom":{"deadline":-1}`, `,"custom":{"deadline":"x"}`,
 		`,"reserve_for":0`, `,"custom":{"tenant":"mars"}`, `,"custom":{"cost":-1}`,
@@ -147,11 +146,11 @@
 	p.expectReply(pushCommand("job-0001", "Unknown", ""), "-ERR")
 	p.expectReply("FETCH default", "-ERR")
 	p.expectReply(`BEAT {"wid":"nobody"}`, "-ERR")
-	w := connectFaktory(t, addr, "w").fetch("default") // the refused job may come again
+	w := connectFaktory(t, addr, "w").fetch("default") // the rejected job may be pushed again
 	p.expectReply(pushCommand("job-0001", "Resize", ""), "+OK")
 	w.expectJob("job-0001")
 	large := fmt.Sprintf(`,"custom":{"note":%q}`, strings.Repeat("x", 200))
-	p.expectReply(pushCommand("job-0002", "Resize", large), "+OK") // there is room for one
+	p.expectReply(pushCommand("job-0002", "Resize", large), "+OK") // the limit of bytes admits one such job
 	p.expectReply(pushCommand("job-0003", "Resize", large), "-ERR BUSY")
 	w.ack("job-0001")
 	w.sendLine("FETCH default")
@@ -161,11 +160,11 @@
 	p.expectReply(pushCommand("job-0003", "Resize", `,"args":[2]`), "-ERR")
 	p.expectReply(strings.Repeat("x", 2000), "-ERR")
 	if _, err := p.r.ReadByte(); err != io.EOF {
-		t.Errorf("after an endless line: %v", err)
+		t.Errorf("read after an overlong line: got %v, want EOF", err)
 	}
 }
 
-// Connections that send nothing, or half a HELLO, are closed in time, and keep nobody out.
+// Connections that send nothing or an incomplete HELLO are closed in time and don't block other clients.
 func TestFaktoryIdleConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	w, addr := startFaktoryNode(t, "connections = 20")
@@ -175,22 +174,23 @@
 		p := &faktoryPeer{client: dial(t, addr)}
 		p.reply()
 		if _, err := p.send(text).r.ReadByte(); err != io.EOF || time.Since(began) > 3*time.Second {
-			t.Errorf("after %q: %v after %v", text, err, time.Since(began))
+			t.Errorf("connection that sent %q: read ended with %v after %v, want EOF within 3s", text, err,
+				time.Since(began))
 		}
 		began = time.Now()
 	}
-	crowd := &nodeFixture{t: t, addr: addr}
-	crowd.openConnections(60, "HELLO {")
+	idleClients := &nodeFixture{t: t, addr: addr}
+	idleClients.openConnections(60, "HELLO {")
 	p := connectFaktory(t, addr, "")
-	crowd.openConnections(60, "")
+	idleClients.openConnections(60, "")
 	worker.fetch("default") // a worker's connection is never shed
 	p.expectReply(pushCommand("job-0001", "Resize", ""), "+OK")
 	worker.expectJob("job-0001")
 	w.dial().send("GET /_health HTTP/1.1\r\n\r\n").expectResponse(503, "")
 }
 
-// On a small node the Faktory file's limits give way to the node's: its workers, which are
-// never shed, and its crowd leave the platform's front its descriptors.
+// On a small node the limits in the Faktory file are reduced to the node's: Faktory workers, whose
+// connections are never shed, and idle clients leave enough file descriptors for the platform front.
 func TestFaktoryLimitsFitASmallNode(t *testing.T) {
 	t.Setenv("SOCKETS", "64")
 	t.Setenv("FILES", "64")
@@ -202,32 +202,32 @@
 	began := time.Now()
 	w.dial().send("GET /_health HTTP/1.1\r\n\r\n").expectResponse(503, "")
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("beside Faktory's crowd the platform's front took %v", took)
+		t.Errorf("with idle Faktory clients, the platform front took %v to answer, want at most 1s", took)
 	}
 }
 
-// A job's deadline ends it, whether or not a worker has it.
+// A job fails at its deadline, whether or not a worker has fetched it.
 func TestFaktoryDeadlineEndsAJob(t *testing.T) {
 	_, addr := startFaktoryNode(t, "")
 	p, w := connectFaktory(t, addr, ""), connectFaktory(t, addr, "w1").fetch("default")
 	p.expectReply(pushCommand("job-0001", "Resize", `,"reserve_for":30,"custom":{"deadline":0.3}`), "+OK")
 	w.expectJob("job-0001")
-	p.expectReply(pushCommand("job-0002", "book", `,"custom":{"deadline":0.3}`), "+OK") // it waits at w1
+	p.expectReply(pushCommand("job-0002", "book", `,"custom":{"deadline":0.3}`), "+OK") // queued at w1
 	began := time.Now()
 	p.waitState("job-0001", "failed")
 	p.waitState("job-0002", "failed")
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("ended after %v", took)
+		t.Errorf("the jobs failed after %v, want at most 3s", took)
 	}
 	w.ack("job-0001")
 	if s := p.state("job-0001"); s != "failed" {
-		t.Errorf("after the late ACK the job is %s", s)
+		t.Errorf("state after the late ACK: %s", s)
 	}
 	w.expectReply("FETCH default", "$-1")
 	p.expectReply(pushCommand("job-0002", "book", ""), "-ERR")
 }
 
-// A keyed job that may have run is not repeated at a worker of another pod, one that
+// When a worker is lost, a keyed job that may have run is not retried at a worker of another pod; a job that
 // was not fetched is.
 func TestFaktoryJobOfALostWorker(t *testing.T) {
 	_, addr := startFaktoryNode(t, "")
@@ -242,7 +242,7 @@
 	b.expectJob("job-0002")
 	b.ack("job-0002")
 	p.waitState("job-0002", "success")
-	// Workers of one pod drop each other's repeats.
+	// Workers of one pod deduplicate each other's jobs, so the job is retried at the other one.
 	c, d := connectFaktory(t, addr, "c", "pod:3"), connectFaktory(t, addr, "d", "pod:3")
 	b.expectReply("END", "+OK")
 	c.fetch("default")
@@ -277,7 +277,7 @@
 	a.ack("job-0001")
 	p.waitState("job-0001", "success")
 	a.expectReply("FETCH default", "$-1")
-	// A node that ends lets what it has taken end, and its producers look it up.
+	// A node that shuts down lets accepted jobs complete, and producers can still query their state.
 	p.expectReply(pushCommand("job-0003", "Resize", ""), "+OK")
 	b.expectJob("job-0003")
 	check(t, w.cmd.Process.Signal(syscall.SIGTERM))
@@ -288,7 +288,7 @@
 	check(t, w.cmd.Wait())
 }
 
-// A worker that sends nothing for long is lost, though its connection is open.
+// A worker that sends nothing for longer than the setting silence is lost, although its connection is open.
 func TestFaktorySilentWorkerIsLost(t *testing.T) {
 	_, addr := startFaktoryNode(t, `silence = "500ms"`)
 	p, a := connectFaktory(t, addr, ""), connectFaktory(t, addr, "a").fetch("default")
@@ -297,6 +297,6 @@
 	began := time.Now()
 	p.waitState("job-0001", "failed")
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("lost after %v", took) // else its deadline ends it after 5 s
+		t.Errorf("the job failed after %v, want at most 3s", took) // otherwise its deadline ends it after 5 s
 	}
 }
--- a/cmd/moorstack/frozen_answers_test.go
+++ b/cmd/moorstack/frozen_answers_test.go
@@ -14,8 +14,8 @@
 	"moorstack/internal/schema"
 )
 
-// Operators' scripts call at the second address: each call's line and all of its answer stay, and so do the
-// names of the metrics and what the command makes of them.
+// Operators' scripts use the admin address: the calls, their complete replies, the names of the metrics and
+// the output of the command "call" must not change.
 func TestCallsAreFrozen(t *testing.T) {
 	o := startNodeWithAdmin(t, 2, completeJob)
 	o.dial().send(jobRequest("a", "quote", "4000m", "x")).expectResponse(200, "did x")
@@ -41,20 +41,19 @@
 	blanks  = regexp.MustCompile(` +`)
 )
 
-// withoutNumbers is a text without what differs from run to run: numbers, their units and the columns'
-// widths.
+// withoutNumbers replaces what differs from run to run: numbers with their units, and the widths of columns.
 func withoutNumbers(text string) string {
 	return blanks.ReplaceAllString(numbers.ReplaceAllString(text, "#"), " ")
 }
 
-// What an instance that is a group by itself answers in tables, and the names of its counters, without
-// numbers.
+// The tables that the only instance of a group prints, without their numbers, and the names of its counters
+// must not change.
 func TestAnswersOfCommandsAreFrozen(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1")
 	g.waitAdmitting("n1")
-	g.sections("n1", `[section.duties]
+	g.setSections("n1", `[section.duties]
 drill = "1"
 [section.schedule]
 "trigger.yearly" = "0 0 29 2 * zone=UTC class=trip-quote"
--- a/cmd/moorstack/frozen_exits_test.go
+++ b/cmd/moorstack/frozen_exits_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// Scripts go by the exit code of a command: 0 done, 1 tried and failed, 2 wrong arguments or files.
+// Scripts depend on the exit codes of commands: 0 success, 1 failure, 2 invalid arguments or files.
 func TestExitCodesAreFrozen(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	none := filepath.Join(dir, "none")
+	missing := filepath.Join(dir, "none")
 	for _, name := range []string{"expectations/sunday.toml", "expectations/site.json", "routes.toml"} {
 		raw, err := os.ReadFile(filepath.Join("../../deploy", name))
 		check(t, err)
@@ -33,12 +33,12 @@
 		{"nosuch", 2}, {"cluster nosuch", 2}, {"prove nosuch", 2}, {"--nosuch", 2}, {"version x", 2},
 		{"--log-level loud", 2}, {"--log-format xml", 2}, {"prove config --seeds x", 2},
 		{"call", 2}, {"call 127.0.0.1:1 status --output xml", 2}, {"call 127.0.0.1:1 status", 1},
-		{"serve", 2}, {"serve --config " + none, 2}, {"serve --config " + broken, 2},
-		{"-faktory " + none, 1}, {"-faktory=" + none, 1}, // as the node was started before it had commands
-		{"store check", 2}, {"store check " + none, 1}, {"store check " + dir, 1},
-		{"expect", 2}, {"expect " + none, 2}, {"expect " + broken, 2}, {"expect " + failing, 1},
-		{"emulate run " + none, 2}, {"emulate run " + broken, 2},
-		{"keys issue", 2}, {"duty show", 2}, {"cluster status --socket " + none, 1},
+		{"serve", 2}, {"serve --config " + missing, 2}, {"serve --config " + broken, 2},
+		{"-faktory " + missing, 1}, {"-faktory=" + missing, 1}, // as before there were subcommands
+		{"store check", 2}, {"store check " + missing, 1}, {"store check " + dir, 1},
+		{"expect", 2}, {"expect " + missing, 2}, {"expect " + broken, 2}, {"expect " + failing, 1},
+		{"emulate run " + missing, 2}, {"emulate run " + broken, 2},
+		{"keys issue", 2}, {"duty show", 2}, {"cluster status --socket " + missing, 1},
 		{"cluster status", 2}, {"route explain", 2}, {"config diff a", 2}, {"experiment run", 1},
 	} {
 		cmd := exec.Command(program, strings.Fields(c.args)...)
--- a/cmd/moorstack/frozen_test.go
+++ b/cmd/moorstack/frozen_test.go
@@ -6,7 +6,7 @@
 	"moorstack/internal/frozen/golden"
 )
 
-// Scripts and the operators' pages call the commands as they are: none is removed, and no flag changes its
+// Scripts and the operators' pages depend on the commands: none may be removed, and no flag may change its
 // name, type or default.
 func TestCommandsAreFrozen(t *testing.T) {
 	t.Parallel()
--- a/cmd/moorstack/group_fixture_test.go
+++ b/cmd/moorstack/group_fixture_test.go
@@ -18,23 +18,23 @@
 	"moorstack/internal/verify/faultinjection"
 )
 
-// group is instances as processes, and the commands that an operator has for them.
+// group runs instances as processes, and operators' commands against them.
 type group struct {
 	t              *testing.T
 	dir            string
 	processes      map[string]*exec.Cmd
 	peerAddress    map[string]string
 	controlAddress map[string]string
-	// What starts for the first time has a directory for backups.
+	// Instances that are started for the first time get a directory for backups.
 	backups bool
-	// What starts for the first time starts itself restartsItself when a rolling restart takes it out.
+	// Instances started while this is set restart themselves when a rolling restart takes them out.
 	restartsItself bool
-	// Where fronts find discovery; the platform file's, if empty.
-	discovery    string
-	ownDiscovery map[string]string     // one's own, in its place
-	fronts       map[string]string     // where they listen, if it must be known before
-	admin        map[string]string     // where operators call, if they do
-	links        *faultinjection.Links // between the instances; nil: nothing stands between
+	// Discovery's address for the fronts; if empty, they use the one in the platform file.
+	discovery   string
+	discoveryOf map[string]string     // by instance; overrides discovery
+	fronts      map[string]string     // by instance; the front's address, if needed before the start
+	admin       map[string]string     // by instance; the admin address, if any
+	links       *faultinjection.Links // between the instances; nil: they connect directly
 }
 
 func newGroup(t *testing.T) *group {
@@ -50,7 +50,7 @@
 	return g
 }
 
-// run has the program do a command and gives what it printed and its exit code.
+// run runs a command of the program and returns its output and exit code.
 func (g *group) run(args ...string) (string, int) {
 	cmd := exec.Command(program, args...)
 	cmd.Dir = g.dir
@@ -71,10 +71,10 @@
 	return out
 }
 
-// runOnceLed is run for a command that needs a leader. Exit code 5 means that none is known and that nothing
-// was tried: on a busy machine an election may come between any two commands. It is then run again, for as
-// long as a condition is waited for.
-func (g *group) runOnceLed(args ...string) (out string, code int) {
+// runWithLeader is run for a command that needs a leader. Exit code 5 means that no leader is known and
+// nothing was tried: on a busy machine an election may happen between any two commands. The command is then
+// repeated until it finds a leader or the time limit of eventually has passed.
+func (g *group) runWithLeader(args ...string) (out string, code int) {
 	g.t.Helper()
 	eventually(g.t, fmt.Sprintf("%v finds a leader", args), func() bool {
 		out, code = g.run(args...)
@@ -83,18 +83,18 @@
 	return out, code
 }
 
-// mustOnceLed is must for a command that needs a leader.
-func (g *group) mustOnceLed(args ...string) string {
+// mustWithLeader is must for a command that needs a leader.
+func (g *group) mustWithLeader(args ...string) string {
 	g.t.Helper()
-	out, code := g.runOnceLed(args...)
+	out, code := g.runWithLeader(args...)
 	if code != 0 {
 		g.t.Fatalf("%v: exit %d: %s", args, code, out)
 	}
 	return out
 }
 
-// eventuallySays waits until a command succeeds and prints a text.
-func (g *group) eventuallySays(want string, args ...string) {
+// eventuallyPrints waits until a command succeeds and prints a text.
+func (g *group) eventuallyPrints(want string, args ...string) {
 	g.t.Helper()
 	eventually(g.t, fmt.Sprintf("%v prints %q", args, want), func() bool {
 		out, code := g.run(args...)
@@ -102,21 +102,21 @@
 	})
 }
 
-// documentOf is the newest configuration without its sections.
-func (g *group) documentOf(at string) string {
+// configWithoutSections returns the newest configuration without its sections.
+func (g *group) configWithoutSections(instance string) string {
 	g.t.Helper()
-	text := g.mustOnceLed("config", "get", "--config", at+".toml")
+	text := g.mustWithLeader("config", "get", "--config", instance+".toml")
 	if i := strings.Index(text, "[section"); i >= 0 {
 		text = text[:i]
 	}
 	return text
 }
 
-// expect has a command end with an exit code and print a text.
-func (g *group) expect(code int, say string, args ...string) {
+// expect runs a command and checks its exit code and that it prints a text.
+func (g *group) expect(code int, want string, args ...string) {
 	g.t.Helper()
-	if out, got := g.run(args...); got != code || !strings.Contains(out, say) {
-		g.t.Errorf("%v: exit %d, want %d and %q: %s", args, got, code, say, out)
+	if out, got := g.run(args...); got != code || !strings.Contains(out, want) {
+		g.t.Errorf("%v: exit %d, want %d and %q: %s", args, got, code, want, out)
 	}
 }
 
@@ -126,23 +126,23 @@
 	if g.peerAddress[name] == "" {
 		g.peerAddress[name], g.controlAddress[name] = freeAddress(g.t), freeAddress(g.t)
 		g.must("keys", "issue", name)
-		discovery, front := "", g.fronts[name]
+		frontConfig, front := "", g.fronts[name]
 		if front == "" {
 			front = freeAddress(g.t)
 		}
-		if at := cmp.Or(g.ownDiscovery[name], g.discovery); at != "" {
-			discovery = fmt.Sprintf("discovery = %q\n", at)
+		if at := cmp.Or(g.discoveryOf[name], g.discovery); at != "" {
+			frontConfig = fmt.Sprintf("discovery = %q\n", at)
 		}
 		if at := g.admin[name]; at != "" {
-			discovery += fmt.Sprintf("admin = %q\n", at)
+			frontConfig += fmt.Sprintf("admin = %q\n", at)
 		}
-		listen, between := g.peerAddress[name], ""
+		listen, linkConfig := g.peerAddress[name], ""
 		if g.links != nil {
-			own, err := netip.ParseAddrPort(listen)
+			listenAddr, err := netip.ParseAddrPort(listen)
 			check(g.t, err)
-			g.peerAddress[name], err = g.links.AddForwarder(name, own.Addr(), listen)
+			g.peerAddress[name], err = g.links.AddForwarder(name, listenAddr.Addr(), listen)
 			check(g.t, err)
-			between = fmt.Sprintf("advertise = %q\nfrom = %q\n", g.peerAddress[name], own.Addr())
+			linkConfig = fmt.Sprintf("advertise = %q\nfrom = %q\n", g.peerAddress[name], listenAddr.Addr())
 		}
 		check(g.t, os.WriteFile(file, fmt.Appendf(nil, `name = %q
 data = "d-%[1]s"
@@ -159,7 +159,7 @@
 [control]
 socket = "%[1]s.sock"
 listen = %[4]q
-`, name, front, listen, g.controlAddress[name], discovery, between), 0o600))
+`, name, front, listen, g.controlAddress[name], frontConfig, linkConfig), 0o600))
 	}
 	if g.backups && g.processes[name] == nil {
 		g.append(file, "[duties]\nbackups = \"kept\"\n")
@@ -205,7 +205,7 @@
 	return string(b)
 }
 
-// form makes a group of the instances.
+// form starts instances and makes them voters of one group.
 func (g *group) form(names ...string) {
 	g.t.Helper()
 	for _, name := range names {
@@ -213,19 +213,21 @@
 	}
 	g.must("cluster", "init", "--config", names[0]+".toml")
 	for _, name := range names[1:] {
-		g.mustOnceLed("cluster", "add", name, g.peerAddress[name], "--promote", "--config", names[0]+".toml")
+		g.mustWithLeader("cluster", "add", name, g.peerAddress[name], "--promote", "--config",
+			names[0]+".toml")
 	}
 }
 
 // edit gets the configuration, changes its text and writes it to a file.
-func (g *group) edit(file, at string, change ...string) {
+func (g *group) edit(file, instance string, change ...string) {
 	g.t.Helper()
-	text := strings.NewReplacer(change...).Replace(g.mustOnceLed("config", "get", "--config", at+".toml"))
+	text := strings.NewReplacer(change...).Replace(
+		g.mustWithLeader("config", "get", "--config", instance+".toml"))
 	check(g.t, os.WriteFile(filepath.Join(g.dir, file), []byte(text), 0o600))
 }
 
 func (g *group) leader(names ...string) (leader string) {
-	eventually(g.t, "one leads", func() bool {
+	eventually(g.t, "an instance is the leader", func() bool {
 		for _, name := range names {
 			out, _ := g.run("cluster", "status", "--config", name+".toml")
 			if strings.Contains(out, "role      leader") {
@@ -238,18 +240,19 @@
 	return leader
 }
 
-// propose proposes the configuration with another section, and gives what was said and the exit code.
-func (g *group) propose(at, section string) (string, int) {
+// propose proposes the configuration with a section in place of those that it has, and returns the output and
+// the exit code.
+func (g *group) propose(instance, section string) (string, int) {
 	g.t.Helper()
-	g.write("new.toml", g.documentOf(at)+section)
-	return g.runOnceLed("config", "propose", "new.toml", "--config", at+".toml")
+	g.write("new.toml", g.configWithoutSections(instance)+section)
+	return g.runWithLeader("config", "propose", "new.toml", "--config", instance+".toml")
 }
 
-// sections puts sections into the configuration, in the place of those that it has.
-func (g *group) sections(at, text string) {
+// setSections replaces the sections of the configuration.
+func (g *group) setSections(instance, text string) {
 	g.t.Helper()
-	g.write("sections.toml", g.documentOf(at)+text)
-	g.mustOnceLed("config", "propose", "sections.toml", "--config", at+".toml")
+	g.write("sections.toml", g.configWithoutSections(instance)+text)
+	g.mustWithLeader("config", "propose", "sections.toml", "--config", instance+".toml")
 }
 
 func without(list []string, name string) (rest []string) {
@@ -261,8 +264,8 @@
 	return rest
 }
 
-// sendJob sends a job to an instance's front, of an account where one is named, and gives the answer's code
-// and its headers.
+// sendJob sends a job to an instance's front, for an account if one is given, and returns the response's
+// status, 0 if there is none, and its headers.
 func (g *group) sendJob(name string, account ...string) (int, http.Header) {
 	g.t.Helper()
 	text, err := os.ReadFile(filepath.Join(g.dir, name+".toml"))
@@ -295,25 +298,26 @@
 	}
 }
 
-// rolloutSection has the group go by these rules, as a change like any other.
-func (g *group) rolloutSection(at string, values string) {
+// setRolloutSection replaces the sections of the configuration by a rollout section with these values.
+func (g *group) setRolloutSection(instance string, values string) {
 	g.t.Helper()
-	g.sections(at, "[section.rollout]\n"+values+"\n")
+	g.setSections(instance, "[section.rollout]\n"+values+"\n")
 }
 
-// newTrio is a group of three with such a lease, its leader and the two others.
-func newTrio(t *testing.T, rules string) (g *group, lead string, rest []string) {
+// newGroupOfThree starts a group of three with these rollout settings, and returns it, its leader and the two
+// others.
+func newGroupOfThree(t *testing.T, rules string) (g *group, leader string, rest []string) {
 	t.Helper()
 	g = newGroup(t)
 	g.form("n1", "n2", "n3")
-	g.rolloutSection("n1", rules)
+	g.setRolloutSection("n1", rules)
 	g.waitAdmitting("n1", "n2", "n3")
-	lead = g.leader("n1", "n2", "n3")
-	return g, lead, map[string][]string{"n1": {"n2", "n3"}, "n2": {"n1", "n3"}, "n3": {"n1", "n2"}}[lead]
+	leader = g.leader("n1", "n2", "n3")
+	return g, leader, map[string][]string{"n1": {"n2", "n3"}, "n2": {"n1", "n3"}, "n3": {"n1", "n2"}}[leader]
 }
 
-// stall stops an instance's process until the test ends, or until the function is called.
-func (g *group) stall(name string) (wake func()) {
+// stall suspends an instance's process until the returned function is called or the test ends.
+func (g *group) stall(name string) (resume func()) {
 	g.t.Helper()
 	check(g.t, g.processes[name].Process.Signal(syscall.SIGSTOP))
 	return func() { check(g.t, g.processes[name].Process.Signal(syscall.SIGCONT)) }
@@ -330,9 +334,9 @@
 	}
 }
 
-// startSoleInstance starts the instance n1 with three workers, and discovery, of a node fixture. Front is
-// more lines for the front's part of its file.
-func (g *group) startSoleInstance(front string,
+// startSoleInstance starts the instance n1 with the three workers and the discovery of a node fixture. Its
+// file's front section gets the additional lines frontConfig.
+func (g *group) startSoleInstance(frontConfig string,
 	handle jobHandler) *nodeFixture {
 	g.t.Helper()
 	g.must("keys", "issue", "n1")
@@ -349,12 +353,12 @@
 key = "keys/n1.key"
 [control]
 socket = "n1.sock"
-`, front, freeAddress(g.t)))
+`, frontConfig, freeAddress(g.t)))
 	return startNodeWithFile(g.t, filepath.Join(g.dir, "platform.json"), 3, handle, "serve", "--config",
 		filepath.Join(g.dir, "n1.toml"))
 }
 
-// waitRevision waits until an instance's fronts run a revision.
+// waitRevision waits until an instance runs a revision.
 func (g *group) waitRevision(name, revision string) {
 	g.t.Helper()
 	eventually(g.t, name+" runs revision "+revision, func() bool {
--- a/cmd/moorstack/harness_test.go
+++ b/cmd/moorstack/harness_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// The tests start the program as a process and are its clients, workers and
-// discovery. They wait by polling, with a limit.
+// The tests start the program as a process and act as its clients, workers and discovery. They wait by
+// polling with a time limit.
 
 var program string
 
@@ -31,22 +31,22 @@
 	os.Exit(code)
 }
 
-// Hazard: go test gives a result from its cache though the program has changed, for the tests
-// build it and do not link it. The sources that a test looks at are part of the cache's key; what
-// TestMain looks at is not.
+// The tests build the program but don't link it, so without this test go test would return cached results
+// although the program has changed. Files that a test opens or stats are part of the cache's key; those that
+// TestMain reads are not.
 func TestCacheKnowsTheProgram(t *testing.T) {
-	seen := 0
+	files := 0
 	for _, dir := range []string{"../../balancer", "../../cmd", "../../internal"} {
 		check(t, filepath.WalkDir(dir, func(path string, _ os.DirEntry, err error) error {
 			if err == nil {
-				seen++
+				files++
 				_, err = os.Stat(path)
 			}
 			return err
 		}))
 	}
-	if seen < 100 {
-		t.Errorf("%d sources; are they elsewhere now?", seen)
+	if files < 100 {
+		t.Errorf("found %d sources, want at least 100; have they moved?", files)
 	}
 }
 
@@ -57,12 +57,12 @@
 	within(t, waitLimit, what, ok)
 }
 
-// within is eventually for what takes many jobs, on a machine that is busy.
+// within is eventually with another limit, for conditions that need many jobs on a busy machine.
 func within(t *testing.T, limit time.Duration, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("in vain for %v: %s", limit, what)
+	for deadline := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 	}
 }
@@ -76,13 +76,12 @@
 
 var addresses atomic.Int32
 
-// freeAddress gives a port that is free on a loopback address of its own. Tests that
-// run side by side were seen to be given the same port of 127.0.0.1 one after the
-// other, and to speak to one node.
+// freeAddress returns a free port on a loopback address that no other test uses. On 127.0.0.1, parallel tests
+// got the same port one after the other and connected to the same node.
 //
-// Hazard: a process that another test starts meanwhile holds a copy of the listening socket
-// until it has run exec. Whoever then waits for the node to listen is taken in by the copy,
-// and reset when it goes. With the lock no process is started while the socket is open.
+// The lock keeps processes from being started while the socket is open. Without it, a process that another
+// test starts holds a copy of the listening socket until exec: a test that waits for the node to listen would
+// connect to the copy and be reset when the copy is closed.
 func freeAddress(t *testing.T) string {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/cmd/moorstack/leased_tasks_test.go
+++ b/cmd/moorstack/leased_tasks_test.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// waitHeld waits until an instance holds a leased task with a fencing token above the given.
+// waitHeld waits until an instance holds a leased task with a fencing token above the given one.
 func (g *group) waitHeld(name string, above uint64, at ...string) (d *schema.Duty) {
 	g.t.Helper()
 	eventually(g.t, name+" is held", func() bool {
@@ -46,17 +46,19 @@
 	check(t, os.WriteFile(filepath.Join(g.dir, "bad.toml"), []byte(bad), 0o600))
 	g.expect(exitInvalid, `drill: "many" is not a number from 0 to 100`, "config", "propose", "bad.toml",
 		"--config", "n1.toml")
-	g.sections("n1", "[section.duties]\ndrill = \"2\"\n")
+	g.setSections("n1", "[section.duties]\ndrill = \"2\"\n")
 	first := g.waitHeld("drill-1", 0, all...)
 
-	// By wish: to one that is named, under a greater number.
-	to := without(all, first.Holder)[0]
-	g.expect(0, "drill-1 is handed on to "+to, "duty", "hand-on", "drill-1", to, "--config", "n2.toml")
+	// On request the task moves to a named instance, under a greater fencing token.
+	target := without(all, first.Holder)[0]
+	g.expect(0, "drill-1 is handed on to "+target, "duty", "hand-on", "drill-1", target, "--config",
+		"n2.toml")
 	second := g.waitHeld("drill-1", first.Number, all...)
-	if second.Holder != to {
-		t.Errorf("transferred to %s, and %s holds it", to, second.Holder)
+	if second.Holder != target {
+		t.Errorf("drill-1 was transferred to %s, but %s holds it", target, second.Holder)
 	}
-	g.expect(exitFailed, to+" already holds drill-1", "duty", "hand-on", "drill-1", to, "--config", "n1.toml")
+	g.expect(exitFailed, target+" already holds drill-1", "duty", "hand-on", "drill-1", target, "--config",
+		"n1.toml")
 	g.expect(exitFailed, `there is no duty "drill-9"; drill-1, drill-2 are`, "duty", "hand-on", "drill-9",
 		"--config", "n1.toml")
 	g.expect(exitFailed, `there is no duty "drill-9"; drill-1, drill-2 are`, "duty", "show", "drill-9",
@@ -65,9 +67,9 @@
 		"n1.toml")
 	g.expect(exitUsage, "", "duty", "hand-off", "drill-1", "--config", "n1.toml")
 
-	// Paused, nobody holds it; then somebody does again.
+	// No instance holds a paused task; once it is resumed, one does again.
 	g.expect(0, "drill-1 is paused", "duty", "pause", "drill-1", "--config", "n1.toml")
-	eventually(t, "it is released", func() bool {
+	eventually(t, "drill-1 is released", func() bool {
 		d := g.task("drill-1", all...)
 		return d != nil && d.Holder == ""
 	})
@@ -76,37 +78,38 @@
 	g.expect(0, "drill-1 is resumed", "duty", "resume", "drill-1", "--config", "n1.toml")
 	third := g.waitHeld("drill-1", second.Number, all...)
 
-	// One that shuts down transfers it first; the lease of one that is killed has to expire.
+	// An instance that shuts down transfers the task first; the lease of one that is killed must expire.
 	rest := without(all, third.Holder)
 	g.kill(third.Holder, syscall.SIGTERM)
 	fourth := g.waitHeld("drill-1", third.Number, rest...)
 	if out := g.must("duty", "history", "drill-1", "--config", rest[0]+".toml"); !strings.Contains(out,
 		fmt.Sprintf("%d       %s", third.Number, third.Holder)) || strings.Contains(out,
 		"its session ended") {
-		t.Errorf("shut down, it has not transferred the task: %s", out)
+		t.Errorf("the instance did not transfer the task at its shutdown: %s", out)
 	}
 	g.start(third.Holder)
 	g.waitAdmitting(third.Holder)
 	g.kill(fourth.Holder, syscall.SIGKILL)
 	fifth := g.waitHeld("drill-1", fourth.Number, without(all, fourth.Holder)...)
 	if fifth.Holder == fourth.Holder {
-		t.Errorf("%s is dead and holds drill-1", fifth.Holder)
+		t.Errorf("%s was killed, but still holds drill-1", fifth.Holder)
 	}
 }
 
-// An instance on standby transfers its tasks, and gets none until it serves again; alone it keeps them.
+// An instance on standby transfers its tasks and gets none until it is active again; the only instance of a
+// group keeps them.
 func TestStandbyInstanceTransfersItsTasks(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.admin = map[string]string{"n1": freeAddress(t), "n2": freeAddress(t), "n3": freeAddress(t)}
 	all := []string{"n1", "n2", "n3"}
 	g.form("n1")
-	g.sections("n1", "[section.duties]\ndrill = \"2\"\n")
+	g.setSections("n1", "[section.duties]\ndrill = \"2\"\n")
 	g.waitHeld("drill-1", 0, "n1")
 	g.must("call", g.admin["n1"], "standby")
-	time.Sleep(500 * time.Millisecond) // in which it must not be released
+	time.Sleep(500 * time.Millisecond) // the task must not be released meanwhile
 	if d := g.task("drill-1", "n1"); d == nil || d.Holder != "n1" {
-		t.Errorf("nobody else is there, and it is held by %+v", d)
+		t.Errorf("the only instance must keep drill-1 on standby, got %+v", d)
 	}
 	for _, n := range all[1:] {
 		g.start(n)
@@ -121,18 +124,18 @@
 	g.expect(exitFailed, "n1 is draining or shutting down", "duty", "hand-on", "drill-1", "n1", "--config",
 		"n2.toml")
 	g.must("call", g.admin["n1"], "active")
-	eventually(t, "it may hold tasks again", func() bool {
+	eventually(t, "n1 may hold tasks again", func() bool {
 		_, code := g.run("duty", "hand-on", "drill-1", "n1", "--config", "n2.toml")
 		return code == 0
 	})
-	eventually(t, "it holds it", func() bool {
+	eventually(t, "n1 holds drill-1", func() bool {
 		d := g.task("drill-1", all...)
 		return d != nil && d.Holder == "n1"
 	})
 }
 
-// One backup for each period, through deaths of whoever keeps them; a directory takes nothing under
-// an old number.
+// Backups continue although the instances that write them are killed, one after another; a directory rejects
+// backups of another group, even with a greater fencing token.
 func TestBackupTaskWritesBackups(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -142,30 +145,30 @@
 	g.backups = false // the third has no directory
 	g.start("n3")
 	g.must("cluster", "add", "n3", g.peerAddress["n3"], "--promote", "--config", "n1.toml")
-	g.sections("n1", "[section.duties]\nbackup_every = \"1s\"\nbackup_keep = \"5\"\n")
+	g.setSections("n1", "[section.duties]\nbackup_every = \"1s\"\nbackup_keep = \"5\"\n")
 	dir := backups.Dir{Path: filepath.Join(g.dir, "kept"), Verify: func(b []byte) error {
 		_, err := controlapi.DecodeBackup(b)
 		return err
 	}}
 	for range 3 {
-		d := g.waitHeld(dutyBackup, 0, all...)
+		d := g.waitHeld(backupTask, 0, all...)
 		if d.Holder == "n3" {
-			t.Fatalf("n3 has no directory and keeps the backups")
+			t.Fatalf("n3 has no backup directory, but holds the task")
 		}
 		g.expect(exitFailed, `n3 can't hold backup: n3 lacks the label "backups"`, "duty", "hand-on",
-			dutyBackup,
+			backupTask,
 			"n3", "--config", "n3.toml")
 		g.kill(d.Holder, syscall.SIGKILL)
-		after := g.waitHeld(dutyBackup, d.Number, without(all, d.Holder)...)
-		eventually(t, "it goes on", func() bool {
-			now := g.task(dutyBackup, after.Holder)
+		after := g.waitHeld(backupTask, d.Number, without(all, d.Holder)...)
+		eventually(t, "the new holder writes a backup", func() bool {
+			now := g.task(backupTask, after.Holder)
 			return now != nil && string(now.Note) != "" && string(now.Note) != string(d.Note)
 		})
 		g.start(d.Holder)
 		g.waitAdmitting(d.Holder)
 	}
-	// The note names the backup that is there, and that is complete.
-	d := g.waitHeld(dutyBackup, 0, all...)
+	// The task's note describes the last backup, and all backups that are kept are complete.
+	d := g.waitHeld(backupTask, 0, all...)
 	var kept backups.Result
 	check(t, json.Unmarshal(d.Note, &kept))
 	list, err := dir.List()
@@ -178,11 +181,11 @@
 			t.Errorf("%s: %v, %v", name, err, dir.Verify(b))
 		}
 	}
-	_, err = dir.Write(backups.WriteRequest{Group: "another", Task: dutyBackup, FencingToken: 1 << 60,
+	_, err = dir.Write(backups.WriteRequest{Group: "another", Task: backupTask, FencingToken: 1 << 60,
 		Period: time.Now()})
 	if err == nil || !strings.Contains(err.Error(), "is of the group") {
-		t.Errorf("another group writes: %v", err)
+		t.Errorf("a backup of another group: got error %v, want a rejection", err)
 	}
 }
 
-const dutyBackup = "backup"
+const backupTask = "backup"
--- a/cmd/moorstack/list_relay_test.go
+++ b/cmd/moorstack/list_relay_test.go
@@ -12,18 +12,19 @@
 	"moorstack/internal/verify/faultinjection"
 )
 
-// receivedFromLog is what an instance's log has once another one relays the endpoint list to it.
+// receivedFromLog returns the text that an instance logs once the named instance relays the endpoint list to
+// it.
 func receivedFromLog(name string) string {
 	return `"instance":"` + name + `","level":"info","msg":"endpoint list received from another instance"`
 }
 
-// listRelay is a group of three that polls discovery, and a worker that fails each job.
+// listRelay is a group of three instances that poll a discovery stub, with a worker that fails each job.
 type listRelay struct {
 	*group
 	discovery *discoveryStub
 	all       []string
 	mu        sync.Mutex
-	received  map[string]bool // paths of the jobs that came to the worker
+	received  map[string]bool // paths of the jobs that reached the worker
 }
 
 func newListRelay(t *testing.T) *listRelay {
@@ -34,7 +35,7 @@
 	return r
 }
 
-// addWorker has discovery list a worker.
+// addWorker starts a worker and adds it to discovery's endpoint list.
 func (r *listRelay) addWorker() {
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.mu.Lock()
@@ -46,14 +47,14 @@
 	r.discovery.add("w1", strings.TrimPrefix(worker.URL, "http://"))
 }
 
-// waitWatches waits until so many instances poll discovery.
+// waitWatches waits until n instances poll discovery.
 func (r *listRelay) waitWatches(what string, n int) {
 	r.t.Helper()
 	eventually(r.t, what, func() bool { return r.discovery.watchCount() == n })
 }
 
-// waitWorkerKnown waits until an instance sends jobs to the worker. A busy machine may let a lease expire: a
-// job that is rejected for that is sent again.
+// waitWorkerKnown waits until an instance sends jobs to the worker. On a busy machine a lease may expire; a
+// job that is rejected for this reason is sent again.
 func (r *listRelay) waitWorkerKnown(name string) {
 	r.t.Helper()
 	eventually(r.t, name+" knows the worker", func() bool {
@@ -67,25 +68,25 @@
 	})
 }
 
-// One instance polls discovery for all, and relays the endpoint list. While it is stalled each polls by
-// itself until there is another relay, and goes back.
+// One instance polls discovery for all and relays the endpoint list. While it is stalled, each other instance
+// polls discovery directly until there is a new relay.
 func TestOneInstancePollsDiscoveryForAll(t *testing.T) {
 	t.Parallel()
 	r := newListRelay(t)
 	r.waitWatches("each polls discovery", 3)
-	r.sections("n1", "[section.duties]\nlist = \"on\"\n")
+	r.setSections("n1", "[section.duties]\nlist = \"on\"\n")
 	r.waitWatches("one polls for all", 1)
 	relay := r.waitHeld("list", 0, r.all...)
 	r.addWorker()
 	for _, name := range r.all {
 		r.waitWorkerKnown(name)
 	}
-	// Its process is stalled: the others go on, by themselves and then by another relay.
-	wake := r.stall(relay.Holder)
+	// The relay's process is stalled: the others poll discovery directly until there is a new relay.
+	resume := r.stall(relay.Holder)
 	rest := without(r.all, relay.Holder)
 	next := r.waitHeld("list", relay.Number, rest...)
 	if next.Holder == relay.Holder {
-		t.Fatalf("%s is stalled and relays the list", next.Holder)
+		t.Fatalf("%s is stalled, but still relays the list", next.Holder)
 	}
 	for _, name := range rest {
 		if name != next.Holder {
@@ -94,38 +95,37 @@
 			})
 		}
 	}
-	wake()
+	resume()
 	r.waitWatches("one polls for all again", 1)
 	r.checkWhileDiscoveryFails()
 	r.waitWatches("one polls for all once more", 1)
-	// Off, each polls for itself.
-	r.sections("n1", "[section.duties]\nlist = \"off\"\n")
+	// With the relay off, each instance polls discovery.
+	r.setSections("n1", "[section.duties]\nlist = \"off\"\n")
 	r.waitWatches("each polls discovery again", 3)
 	r.kill("n1", syscall.SIGTERM)
 }
 
-// checkWhileDiscoveryFails checks that, where discovery answers nobody, nobody reports that nothing has
-// changed; and that an instance which has just started, and knows of no worker, does not relay an empty list
-// to the others.
+// checkWhileDiscoveryFails checks that, while discovery fails, no instance reports an unchanged list, and
+// that a restarted instance, which knows no worker, does not relay an empty list to the others.
 func (r *listRelay) checkWhileDiscoveryFails() {
 	r.t.Helper()
 	r.discovery.setFailing(true)
 	r.discovery.CloseClientConnections()
-	eventually(r.t, "each tries by itself", func() bool {
+	eventually(r.t, "the instances poll discovery directly", func() bool {
 		return strings.Count(r.logOf("n1")+r.logOf("n2")+r.logOf("n3"), "polling discovery directly") >= 2
 	})
-	fresh := without(r.all, r.waitHeld("list", 0, r.all...).Holder)[0]
-	r.kill(fresh, syscall.SIGKILL)
-	r.start(fresh)
-	r.waitAdmitting(fresh)
-	eventually(r.t, fresh+" holds the task of the list", func() bool {
-		r.run("duty", "hand-on", "list", fresh, "--config", fresh+".toml")
+	restarted := without(r.all, r.waitHeld("list", 0, r.all...).Holder)[0]
+	r.kill(restarted, syscall.SIGKILL)
+	r.start(restarted)
+	r.waitAdmitting(restarted)
+	eventually(r.t, restarted+" holds the list task", func() bool {
+		r.run("duty", "hand-on", "list", restarted, "--config", restarted+".toml")
 		d := r.task("list", r.all...)
-		return d != nil && d.Holder == fresh
+		return d != nil && d.Holder == restarted
 	})
-	time.Sleep(700 * time.Millisecond) // a heartbeat, and more, in which nothing must be relayed
-	for _, name := range without(r.all, fresh) {
-		r.waitWorkerKnown(name) // discovery fails still
+	time.Sleep(700 * time.Millisecond) // longer than a heartbeat, in which nothing must be relayed
+	for _, name := range without(r.all, restarted) {
+		r.waitWorkerKnown(name) // while discovery still fails
 		if strings.Contains(r.logOf(name), `"generation":0`) {
 			r.t.Errorf("%s got a list from an instance that has none", name)
 		}
@@ -133,8 +133,8 @@
 	r.discovery.setFailing(false)
 }
 
-// A relay that one follower alone does not reach, or that does not reach it, goes on relaying the list;
-// that follower polls by itself meanwhile, and goes back.
+// A relay that cannot reach one follower, or is not reached by it, keeps the task. That follower polls
+// discovery directly meanwhile and then receives the list from the relay again.
 func TestEndpointListWhileItsRelayIsCutFromOne(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -144,17 +144,17 @@
 	g.discovery = c.address()
 	all := []string{"n1", "n2", "n3"}
 	g.form(all...)
-	g.sections("n1", "[section.rollout]\nlease = \"2s\"\n[section.duties]\nlist = \"on\"\n")
+	g.setSections("n1", "[section.rollout]\nlease = \"2s\"\n[section.duties]\nlist = \"on\"\n")
 	eventually(t, "one polls for all", func() bool { return c.watchCount() == 1 })
-	// Neither leads: nothing but the list goes from one to the other.
+	// Neither is the leader, so that only the list is sent between them.
 	others := without(all, g.leader(all...))
 	relay, follower := others[0], others[1]
 	if g.waitHeld("list", 0, all...).Holder != relay {
-		g.mustOnceLed("duty", "hand-on", "list", relay, "--config", "n1.toml")
-		eventually(t, relay+" relays it",
+		g.mustWithLeader("duty", "hand-on", "list", relay, "--config", "n1.toml")
+		eventually(t, relay+" relays the list",
 			func() bool { return g.waitHeld("list", 0, all...).Holder == relay })
 	}
-	hears := func() {
+	waitRelayed := func() {
 		t.Helper()
 		eventually(t, follower+" gets the list from the relay", func() bool {
 			log := g.logOf(follower)
@@ -162,16 +162,17 @@
 				strings.LastIndex(log, "polling discovery directly")
 		})
 	}
-	hears()
+	waitRelayed()
 	before := g.waitHeld("list", 0, all...)
 	for _, way := range [][2]string{{relay, follower}, {follower, relay}} {
 		g.links.Cut(way[0], way[1])
-		within(t, 2*waitLimit, follower+" polls by itself", func() bool { return c.watchCount() == 2 })
+		within(t, 2*waitLimit, follower+" polls discovery directly",
+			func() bool { return c.watchCount() == 2 })
 		g.links.Heal()
-		hears()
+		waitRelayed()
 	}
 	if now := g.waitHeld("list", 0, all...); now.Number != before.Number {
-		t.Errorf("%s held it with fencing token %d, %s does with %d", relay, before.Number, now.Holder,
-			now.Number)
+		t.Errorf("list task: held by %s with fencing token %d before, now by %s with %d", relay,
+			before.Number, now.Holder, now.Number)
 	}
 }
--- a/cmd/moorstack/node_fixture_test.go
+++ b/cmd/moorstack/node_fixture_test.go
@@ -38,50 +38,52 @@
 	`"report":{"how":"pull","names":["pending","x0"]},"blend":{"whole":1},"zones":["z"],` +
 	`"tenants":[{"name":"muscat","share":1}],"worth_by":"work"}`
 
-// nodeFixture is a node and what is around it.
+// nodeFixture is a node with its discovery and workers.
 type nodeFixture struct {
 	t         *testing.T
 	addr      string
 	cmd       *exec.Cmd
 	workers   []*stubWorker
 	mu        sync.Mutex
-	watches   chan *discoveryWatch // that discovery got
-	file      string               // the configuration
-	config    string               // what it holds
-	cancelled chan bool            // where it is set, a DELETE is not answered; closed when the node hangs up
-	firstLine *string              // what a watch begins with; nil: nothing
-	// intercept is called for each request to a worker; true: that was all.
+	watches   chan *discoveryWatch // received by discovery
+	file      string               // the path of the configuration
+	config    string               // the content of file
+	cancelled chan bool            // if set, DELETE is not answered; closed when the node disconnects
+	firstLine *string              // the first line of each watch; nil: none
+	// intercept is called for each request to a worker and returns true if it has handled it.
 	intercept func(http.ResponseWriter, *http.Request) bool
 }
 
 type discoveryWatch struct {
-	lines chan string // what to send; closed: the watch ends
+	lines chan string // sent to the node; closing it ends the watch
 	path  string
 }
 
-// startNode starts workers, discovery and a node. Handle gets the number of the attempt among all.
+// startNode starts workers, discovery and a node. The number that handle gets counts the attempts at all
+// workers.
 func startNode(t *testing.T, workers int, handle jobHandler, args ...string) *nodeFixture {
 	return startNodeWithFile(t, filepath.Join(t.TempDir(), "config.json"), workers, handle, args...)
 }
 
-// unchangedLine is a watch's line when nothing has changed since the list that the node has.
+// unchangedLine is the line of a watch that reports no change of the node's list.
 var unchangedLine = ""
 
-// startNodeWithFirstLine is startNode with what a watch begins with; nil: nothing.
-func startNodeWithFirstLine(t *testing.T, first *string, workers int,
+// startNodeWithFirstLine is startNode with the first line of each watch; nil: none.
+func startNodeWithFirstLine(t *testing.T, firstLine *string, workers int,
 	handle jobHandler) *nodeFixture {
-	return startNodeFixture(t, filepath.Join(t.TempDir(), "config.json"), first, workers, handle)
+	return startNodeFixture(t, filepath.Join(t.TempDir(), "config.json"), firstLine, workers, handle)
 }
 
-// startNodeWithFile is startNode with the platform's file at a path that the arguments may lead to.
+// startNodeWithFile is startNode with the platform file at a given path, to which the arguments may refer.
 func startNodeWithFile(t *testing.T, file string, workers int, handle jobHandler,
 	args ...string) *nodeFixture {
 	return startNodeFixture(t, file, &unchangedLine, workers, handle, args...)
 }
 
-func startNodeFixture(t *testing.T, file string, first *string, workers int,
+func startNodeFixture(t *testing.T, file string, firstLine *string, workers int,
 	handle jobHandler, args ...string) *nodeFixture {
-	w := &nodeFixture{t: t, addr: freeAddress(t), watches: make(chan *discoveryWatch, 16), firstLine: first}
+	w := &nodeFixture{t: t, addr: freeAddress(t), watches: make(chan *discoveryWatch, 16),
+		firstLine: firstLine}
 	known := []string{}
 	for i := range workers {
 		h := &stubWorker{node: w, name: fmt.Sprintf("s-%04d", i), handle: handle}
@@ -116,19 +118,19 @@
 		}
 	})
 	waitListening(t, w.addr)
-	if first != nil && workers > 0 {
-		eventually(t, "the node has its list", w.healthy)
+	if firstLine != nil && workers > 0 {
+		eventually(t, "the node has its endpoint list", w.healthy)
 	}
 	return w
 }
 
-// healthy is whether the node knows a worker and takes requests.
+// healthy reports whether the node knows a worker and accepts requests.
 func (w *nodeFixture) healthy() bool {
 	resp, _ := w.dial().send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").readResponse()
 	return resp.StatusCode == http.StatusOK
 }
 
-// waitListening waits until somebody does at an address.
+// waitListening waits until a process listens at an address.
 func waitListening(t *testing.T, addr string) {
 	t.Helper()
 	eventually(t, "the node listens", func() bool {
@@ -140,7 +142,7 @@
 	})
 }
 
-// reload replaces the configuration and has the node read it.
+// reload replaces the configuration file and sends SIGHUP to the node.
 func (w *nodeFixture) reload(config string) {
 	check(w.t, os.WriteFile(w.file+"~", []byte(config), 0o600))
 	check(w.t, os.Rename(w.file+"~", w.file))
@@ -169,7 +171,7 @@
 	}
 }
 
-// callCount counts the calls of a method that all workers got.
+// callCount counts the calls with a method that all workers received.
 func (w *nodeFixture) callCount(method string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -183,12 +185,12 @@
 	return n
 }
 
-// callBack sends the node a job's state and returns the status it answers with.
+// callBack sends a call-back with a job's state to the node and returns the status of the response, or 0.
 func (w *nodeFixture) callBack(id, from, state, result string) int {
 	body, _ := json.Marshal(map[string]string{"id": id, "from": from, "state": state, "result": result})
-	// Hazard: on a connection that was kept, to a process that has just ended, it would be lost unread.
-	once := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := once.Post("http://"+w.addr+"/v1/job-events", "", strings.NewReader(string(body)))
+	// On a kept connection to a process that has just ended, the call-back would be lost unread.
+	httpClient := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := httpClient.Post("http://"+w.addr+"/v1/job-events", "", strings.NewReader(string(body)))
 	if err != nil {
 		return 0
 	}
@@ -198,7 +200,7 @@
 
 func (w *nodeFixture) dial() *client { return dial(w.t, w.addr) }
 
-// openConnections opens connections, sends something on each and leaves them open.
+// openConnections opens connections, sends a text on each and leaves them open.
 func (w *nodeFixture) openConnections(n int, text string) {
 	for range n {
 		c, err := net.Dial("tcp", w.addr)
--- a/cmd/moorstack/platform_test.go
+++ b/cmd/moorstack/platform_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// What a client sends reaches the worker unchanged, and its result the client,
-// however the input is cut up or run together.
+// A request reaches the worker unchanged, and its result the client, whether the input arrives in pieces or
+// several requests at once.
 func TestRequestAndResultPassUnchanged(t *testing.T) {
 	w := startNode(t, 2, completeJob)
 	chunked := strings.Replace(jobRequest("c", "quote", "4000000u", ""), "Content-Length: 0",
@@ -27,8 +27,8 @@
 		}
 	}
 	c.expectResponse(200, "did abcde")
-	expects := "Expect: 100-continue\r\nContent"
-	c.send(strings.Replace(jobRequest("e", "quote", "4000m", "late"), "Content", expects, 1))
+	expectHeader := "Expect: 100-continue\r\nContent"
+	c.send(strings.Replace(jobRequest("e", "quote", "4000m", "late"), "Content", expectHeader, 1))
 	c.expectResponse(200, "did late")
 	for _, h := range w.workers {
 		for _, s := range h.received {
@@ -41,10 +41,10 @@
 	}
 }
 
-// Bad input is answered and ends at most its own connection.
+// Invalid input is answered with an error and closes at most its own connection.
 func TestBadInputIsAnswered(t *testing.T) {
 	w := startNode(t, 1, completeJob)
-	with := func(old, new string) string {
+	requestWith := func(old, new string) string {
 		return strings.Replace(jobRequest("x", "quote", "400m", "b"), old, new, 1)
 	}
 	long := strings.Repeat("x", 20000)
@@ -53,48 +53,49 @@
 		status   int
 	}{
 		{"no request", "hello\r\n\r\n", 400},
-		{"a binary mess", "\x00\xff\r\n\r\n", 400},
+		{"binary data", "\x00\xff\r\n\r\n", 400},
 		{"bare line end", "POST /api HTTP/1.1\nHost: x\n\n", 400},
-		{"other version", with("HTTP/1.1", "HTTP/2.0"), 400},
-		{"space in a name", with("Host:", "Ho st:"), 400},
-		{"folded line", with("Host: app.svc", "Host: a\r\n b"), 400},
-		{"two lengths", with("Content-Length: 1", "Content-Length: 1\r\nContent-Length: 2"), 400},
-		{"length and chunks", with("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400},
-		{"negative length", with("Content-Length: 1", "Content-Length: -1"), 400},
-		{"bad chunk", with("Content-Length: 1", "Transfer-Encoding: chunked") + "zz\r\n", 400},
+		{"other version", requestWith("HTTP/1.1", "HTTP/2.0"), 400},
+		{"space in a name", requestWith("Host:", "Ho st:"), 400},
+		{"folded line", requestWith("Host: app.svc", "Host: a\r\n b"), 400},
+		{"two lengths", requestWith("Content-Length: 1", "Content-Length: 1\r\nContent-Length: 2"), 400},
+		{"length and chunks", requestWith("Content-Length",
+			"Transfer-Encoding: chunked\r\nContent-Length"), 400},
+		{"negative length", requestWith("Content-Length: 1", "Content-Length: -1"), 400},
+		{"bad chunk", requestWith("Content-Length: 1", "Transfer-Encoding: chunked") + "zz\r\n", 400},
 		{"unknown class", jobRequest("x", "nothing", "400m", "b"), 400},
-		{"unknown tenant", with("muscat", "mars"), 400},
-		{"no id", with("X-Request-ID", "X-Other"), 400},
-		{"id that is no plain text", with("ID: x", "ID: \xc3\xa9"), 400},
-		{"id with a space", with("ID: x", "ID: x y"), 400},
-		{"target that is no plain text", with("/api", "/\xff"), 400},
+		{"unknown tenant", requestWith("muscat", "mars"), 400},
+		{"no id", requestWith("X-Request-ID", "X-Other"), 400},
+		{"id not plain text", requestWith("ID: x", "ID: \xc3\xa9"), 400},
+		{"id with a space", requestWith("ID: x", "ID: x y"), 400},
+		{"target not plain text", requestWith("/api", "/\xff"), 400},
 		{"keyed class without a key",
 			strings.Replace(jobRequest("x", "book", "4m", "b"), "Idem", "Not", 1), 400},
-		{"no timeout", with("X-Timeout", "X-Other"), 400},
+		{"no timeout", requestWith("X-Timeout", "X-Other"), 400},
 		{"timeout without unit", jobRequest("x", "quote", "400", "b"), 400},
 		{"negative timeout", jobRequest("x", "quote", "-4m", "b"), 400},
-		{"endless timeout", jobRequest("x", "quote", "1e999m", "b"), 400},
+		{"infinite timeout", jobRequest("x", "quote", "1e999m", "b"), 400},
 		{"timeout not a number", jobRequest("x", "quote", "NaNm", "b"), 400},
-		{"large body", with("Content-Length: 1", "Content-Length: 65537"), 413},
-		{"large chunk", with("Content-Length: 1\r\n\r\nb",
+		{"large body", requestWith("Content-Length: 1", "Content-Length: 65537"), 413},
+		{"large chunk", requestWith("Content-Length: 1\r\n\r\nb",
 			"Transfer-Encoding: chunked\r\n\r\n10001\r\n"), 413},
-		{"more framing than body", with("Content-Length: 1\r\n\r\nb",
+		{"more framing than body", requestWith("Content-Length: 1\r\n\r\nb",
 			"Transfer-Encoding: chunked\r\n\r\n"+strings.Repeat("1\r\nx\r\n", 50000)), 413},
-		{"large head", with("app.svc", long), 431},
-		{"endless head", "GET /" + long, 431},
-		{"many lines", with("Host", strings.Repeat("A: b\r\n", 200)+"Host"), 431},
+		{"large head", requestWith("app.svc", long), 431},
+		{"unterminated head", "GET /" + long, 431},
+		{"many header lines", requestWith("Host", strings.Repeat("A: b\r\n", 200)+"Host"), 431},
 		{"unknown path", "GET /nowhere HTTP/1.1\r\n\r\n", 404},
-		{"call-back that is no JSON", "POST /v1/job-events HTTP/1.1\r\nContent-Length: 1\r\n\r\n{", 204},
+		{"call-back not JSON", "POST /v1/job-events HTTP/1.1\r\nContent-Length: 1\r\n\r\n{", 204},
 	} {
 		t.Run(c.name, func(t *testing.T) { w.dial().send(c.in).expectResponse(c.status, "") })
 	}
 	w.dial().send("GET /_health HTTP/1.1\r\n\r\n").expectResponse(200, "")
 	if n := w.callCount("POST"); n != 0 {
-		t.Errorf("%d jobs came through", n)
+		t.Errorf("%d jobs reached the worker, want none", n)
 	}
 }
 
-// The protocol's table: what may have run is repeated only where the class allows.
+// Retries follow the protocol's table: a job that may have run is retried only if its class allows it.
 func TestRetriesByClassAndOutcome(t *testing.T) {
 	status := func(code int, notRun string) func(int, workerCall, http.ResponseWriter) {
 		return func(_ int, _ workerCall, rw http.ResponseWriter) {
@@ -134,7 +135,7 @@
 					want = 200
 				}
 				if want != 200 {
-					calls = 1 // the other worker is of another pod
+					calls = 1 // the other worker belongs to another pod
 				}
 				w.dial().send(jobRequest("a", class, "3000m", "x")).expectResponse(want, "")
 				if n := w.callCount("POST"); n != calls {
@@ -145,7 +146,7 @@
 	}
 }
 
-// A job that workers can't use is tried at one, and the others' jobs go on.
+// A job that a worker rejects as invalid is not tried at another one, and other jobs are still served.
 func TestJobRejectedByAWorkerIsNotRetried(t *testing.T) {
 	w := startNode(t, 3, func(_ int, s workerCall, rw http.ResponseWriter) {
 		if s.body == "bad" {
@@ -163,7 +164,7 @@
 	}
 }
 
-// A connection that is refused proves that nothing ran.
+// A refused connection proves that the job did not run, so even a keyed job is retried.
 func TestRefusedConnectionIsRetried(t *testing.T) {
 	w := startNode(t, 2, completeJob)
 	w.workers[0].srv.Close()
@@ -172,7 +173,7 @@
 	}
 }
 
-// A call-back may come before the 202, again, from elsewhere, or for no job at all.
+// A call-back may arrive before the 202, repeatedly, from another worker, or for an unknown job.
 func TestCallBacksEarlyRepeatedAndUnknown(t *testing.T) {
 	codes := make(chan int, 8)
 	w := startNode(t, 1, func(_ int, s workerCall, rw http.ResponseWriter) {
@@ -187,13 +188,13 @@
 	c.expectResponse(200, "right")
 	for range 5 {
 		if code := <-codes; code != 204 {
-			t.Errorf("a call-back got %d", code)
+			t.Errorf("call-back: status %d, want 204", code)
 		}
 	}
 	c.send(jobRequest("b", "quote", "3000m", "x")).expectResponse(200, "right")
 }
 
-// A silent worker: the answer comes when the client's time is up and the job is given up.
+// If a worker never calls back, the response is sent at the client's deadline, and the job is cancelled.
 func TestTimeoutAnswersAndCancels(t *testing.T) {
 	w := startNode(t, 1, func(_ int, _ workerCall, rw http.ResponseWriter) { rw.WriteHeader(202) })
 	w.cancelled = make(chan bool)
@@ -202,19 +203,18 @@
 	if took := time.Since(began); took < 990*time.Millisecond || took > 1500*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
-	eventually(t, "the job is given up", func() bool { return w.callCount("DELETE") == 1 })
+	eventually(t, "the job is cancelled", func() bool { return w.callCount("DELETE") == 1 })
 	if s := w.workers[0].received[1]; s.path != "/jobs/a%2Fb" {
-		t.Errorf("given up by %q", s.path)
+		t.Errorf("cancelled with path %q", s.path)
 	}
 	select {
 	case <-w.cancelled:
 	case <-time.After(waitLimit):
-		t.Error("a worker that does not answer the DELETE keeps its connection for ever")
+		t.Error("the connection to a worker that does not answer the DELETE was not closed")
 	}
 }
 
-// A worker that reads the job and answers nothing, not even that it has accepted it:
-// the attempt ends long before the client's time is.
+// If a worker reads a job and does not even accept it, the attempt ends long before the client's deadline.
 func TestSilentWorkerFailsTheAttempt(t *testing.T) {
 	for class, answer := range map[string]int{"quote": 200, "book": 502} {
 		t.Run(class, func(t *testing.T) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// A client that leaves frees its request's ID; the node goes on.
+// A client that disconnects frees its request's ID, and the node continues to serve.
 func TestDisconnectedClientFreesItsRequestID(t *testing.T) {
 	w := startNode(t, 1, func(n int, s workerCall, rw http.ResponseWriter) {
 		if rw.WriteHeader(202); n > 1 {
@@ -248,7 +248,7 @@
 		}
 	})
 	c := w.dial().send(jobRequest("a", "quote", "1500m", "x"))
-	eventually(t, "the job is out", func() bool { return w.callCount("POST") == 1 })
+	eventually(t, "the job is forwarded", func() bool { return w.callCount("POST") == 1 })
 	w.dial().send(jobRequest("a", "quote", "1500m", "x")).expectResponse(409, "")
 	began := time.Now()
 	c.Close()
@@ -259,31 +259,31 @@
 	w.dial().send(jobRequest("a", "quote", "1500m", "x")).expectResponse(200, "ok")
 }
 
-// Without a worker the node is not healthy, and rejects at once.
+// A node without workers is not healthy and rejects jobs at once.
 func TestNodeWithoutWorkersRejects(t *testing.T) {
 	w := startNode(t, 0, completeJob)
 	w.dial().send("GET /_health HTTP/1.1\r\n\r\n").expectResponse(503, "")
 	began := time.Now()
 	resp := w.dial().send(jobRequest("a", "quote", "4000m", "x")).expectResponse(503, "")
 	if resp.Header.Get("Retry-After") == "" || time.Since(began) > time.Second {
-		t.Errorf("after %v, Retry-After %q", time.Since(began), resp.Header.Get("Retry-After"))
+		t.Errorf("rejected after %v with Retry-After %q", time.Since(began), resp.Header.Get("Retry-After"))
 	}
 }
 
-// SIGTERM: what was taken is finished, new connections are served for a while.
+// After SIGTERM accepted jobs are finished, and new connections are served for a while.
 func TestSIGTERMDrains(t *testing.T) {
 	w := startNode(t, 1, func(_ int, s workerCall, rw http.ResponseWriter) {
 		rw.WriteHeader(202)
 		time.AfterFunc(time.Second, func() { s.worker.node.callBack(s.id, s.worker.name, "done", "ok") })
 	})
 	c := w.dial().send(jobRequest("a", "book", "4000m", "x"))
-	eventually(t, "the job is out", func() bool { return w.callCount("POST") == 1 })
+	eventually(t, "the job is forwarded", func() bool { return w.callCount("POST") == 1 })
 	check(t, w.cmd.Process.Signal(syscall.SIGTERM))
 	time.Sleep(200 * time.Millisecond)
 	late := w.dial().send(jobRequest("b", "book", "4000m", "x"))
 	for _, c := range []*client{c, late} {
 		if resp := c.expectResponse(200, "ok"); !resp.Close {
-			t.Error("the answer does not close the connection")
+			t.Error("the response does not close the connection")
 		}
 	}
 	if err := w.cmd.Wait(); err != nil {
--- a/cmd/moorstack/rate_limits_test.go
+++ b/cmd/moorstack/rate_limits_test.go
@@ -13,15 +13,16 @@
 )
 
 // admittedByRate sends a job of an account to an instance, and reports whether the account's rate had
-// capacity. There are no workers: a job that is admitted is rejected by the module, without naming a rate.
-func (g *group) admittedByRate(name, account string) (admitted bool, after string) {
+// capacity. There are no workers: the balancer rejects a job that is admitted, without naming a rate.
+func (g *group) admittedByRate(name, account string) (admitted bool, retryAfter string) {
 	g.t.Helper()
 	_, h := g.sendJob(name, account)
 	return !strings.Contains(h.Get("X-Refusal"), "has used its rate"), h.Get("Retry-After")
 }
 
-// An account's burst is one over three instances, wherever its calls come in; one that names no account is
-// limited by none. What is invalid is rejected with its key, and changes nothing.
+// An account has one rate and one burst across three instances, no matter which of them receive its jobs; an
+// account without an entry is not limited. An invalid section is rejected with the key in question and
+// changes nothing.
 func TestAccountsHaveOneRateOverAllFronts(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -36,8 +37,8 @@
 			t.Errorf("%s: exit %d: %s", bad, code, out)
 		}
 	}
-	// The floors of one account begin empty, and fill with an hour's rate; the other has none, and its burst
-	// by slices.
+	// The floors of the account "few" start empty and fill at its rate per hour; the account "some" has none,
+	// and gets its burst in slices.
 	out, code := g.propose("n1", `[section.ratelimit]
 account = "X-Account"
 tick = "20ms"
@@ -49,28 +50,28 @@
 		t.Fatal(out)
 	}
 	for _, name := range []string{"n1", "n2", "n3"} {
-		if rated, after := g.admittedByRate(name, "few"); rated || after == "" {
-			t.Errorf("%s: a floor with no time to fill: admitted %v, back after %q", name, rated, after)
+		if ok, retryAfter := g.admittedByRate(name, "few"); ok || retryAfter == "" {
+			t.Errorf("%s: floor without time to fill: admitted %v, Retry-After %q", name, ok, retryAfter)
 		}
-		if rated, _ := g.admittedByRate(name, "unknown"); !rated {
-			t.Errorf("%s: an account that has no line is limited, and there is no default", name)
+		if ok, _ := g.admittedByRate(name, "unknown"); !ok {
+			t.Errorf("%s: an account without an entry is limited, although there is no default", name)
 		}
 	}
 	began, admitted := time.Now(), 0
 	for n := 0; time.Since(began) < 6*time.Second; n++ {
-		if rated, _ := g.admittedByRate([]string{"n1", "n2", "n3"}[n%3], "some"); rated {
+		if ok, _ := g.admittedByRate([]string{"n1", "n2", "n3"}[n%3], "some"); ok {
 			admitted++
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if most := 9 + 2*time.Since(began).Seconds() + 1; float64(admitted) > most || admitted == 0 {
-		t.Errorf("%d jobs in %v, at most %.0f are allowed", admitted, time.Since(began), most)
+	if limit := 9 + 2*time.Since(began).Seconds() + 1; float64(admitted) > limit || admitted == 0 {
+		t.Errorf("%d jobs in %v, at most %.0f are allowed", admitted, time.Since(began), limit)
 	}
 	g.expect(0, "jobs_refused_by_rates", "cluster", "status", "--config", "n1.toml", "--output", "json")
 }
 
-// While one instance learns late of others that come back, parts of cold workers' budgets add up, and so do
-// the slices of accounts: also of some thousands that have no line of their own.
+// While one instance learns late that others have returned, the shares of cold workers' budgets still add up,
+// as do the slices of accounts, including thousands of accounts without an entry.
 func TestQuotasAddUpWhileOneInstanceLags(t *testing.T) {
 	t.Parallel()
 	g := &group{t: t, dir: t.TempDir()}
@@ -82,8 +83,7 @@
 }
 
 // Instances own accounts and triggers by agreed weights: a dry run prints what would change owners, the
-// status
-// what each has; and a weight that is invalid is rejected.
+// status prints what each instance owns, and an invalid weight is rejected.
 func TestWeightsDecideWhatInstancesOwn(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -97,8 +97,8 @@
 			t.Errorf("%s: exit %d: %s", bad, code, out)
 		}
 	}
-	owns := func(at string) (list []int) {
-		out, _ := g.run("cluster", "status", "--config", at+".toml")
+	ownedShares := func(instance string) (list []int) {
+		out, _ := g.run("cluster", "status", "--config", instance+".toml")
 		for _, m := range regexp.MustCompile(`owns (\d+)%`).FindAllStringSubmatch(out, -1) {
 			n, err := strconv.Atoi(m[1])
 			check(t, err)
@@ -106,31 +106,31 @@
 		}
 		return list
 	}
-	near := func(at string, want ...int) {
+	waitShares := func(instance string, want ...int) {
 		t.Helper()
 		var got []int
-		within(t, time.Minute, "shares by weight", func() bool {
-			got = owns(at)
+		within(t, time.Minute, "the shares follow the weights", func() bool {
+			got = ownedShares(instance)
 			return slices.EqualFunc(got, want, func(a, b int) bool { return max(a-b, b-a) <= 4 })
 		})
 	}
-	near("n2", 33, 33, 33)
-	words := steadyLease + "[section.placement]\n\"weight.n1\" = \"3\"\n\"weight.n9\" = \"2\"\n" +
+	waitShares("n2", 33, 33, 33)
+	sections := longLease + "[section.placement]\n\"weight.n1\" = \"3\"\n\"weight.n9\" = \"2\"\n" +
 		"[section.ratelimit]\naccount = \"X-Account\"\n\"account.desk-4\" = \"20/s burst=40 floor=equal\"\n"
-	if out, code := g.propose("n1", words); code != 0 {
+	if out, code := g.propose("n1", sections); code != 0 {
 		t.Fatal(out)
 	}
-	near("n2", 60, 20, 20)
-	g.kill("n1", syscall.SIGKILL) // its number stays: it owns what it did
-	near("n2", 50, 50)
+	waitShares("n2", 60, 20, 20)
+	g.kill("n1", syscall.SIGKILL) // its number is kept, so that after its restart it owns the same
+	waitShares("n2", 50, 50)
 	g.start("n1")
 	g.waitAdmitting("n1")
-	near("n1", 60, 20, 20)
+	waitShares("n1", 60, 20, 20)
 	check(t, os.WriteFile(filepath.Join(g.dir, "even.toml"), []byte(strings.Replace(g.must("config", "get",
 		"--config", "n1.toml"), `"weight.n1" = "3"`, `"weight.n1" = "1"`, 1)), 0o600))
-	// Numbers of instances are drawn, and shares go by them, give or take some percent. And on a busy
-	// machine a session may have ended just now.
-	third := regexp.MustCompile(`n1 owns 3[0-7]% of accounts and triggers`)
+	// Instances' numbers are random, and shares depend on them, so they differ by a few percent. On a busy
+	// machine a session may also just have ended.
+	oneThird := regexp.MustCompile(`n1 owns 3[0-7]% of accounts and triggers`)
 	within(t, time.Minute, "a dry run prints what accounts may send and what changes owners", func() bool {
 		out, _ := g.run("config", "propose", "even.toml", "--dry-run", "--config", "n3.toml")
 		for _, want := range []string{"of them change hands",
@@ -141,6 +141,6 @@
 				return false
 			}
 		}
-		return third.MatchString(out)
+		return oneThird.MatchString(out)
 	})
 }
--- a/cmd/moorstack/rolling_restart_test.go
+++ b/cmd/moorstack/rolling_restart_test.go
@@ -10,7 +10,7 @@
 	"moorstack/internal/cluster/rollingrestart"
 )
 
-// waitRollingRestart waits until a rolling restart has a status, and gives its plan.
+// waitRollingRestart waits until the rolling restart has a status, and returns its plan.
 func (g *group) waitRollingRestart(status rollingrestart.Status, at ...string) (p rollingrestart.Plan) {
 	g.t.Helper()
 	defer func() {
@@ -34,8 +34,8 @@
 	return p
 }
 
-// A rolling restart takes each instance out once: those that restart themselves and one that does not, for
-// which it halts with a reason. It is undone with its controller killed, and done all the same.
+// A rolling restart takes each instance out once. It halts with a reason at an instance that does not restart
+// itself, and its undo completes although its controller is killed.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -45,12 +45,12 @@
 	g.restartsItself = false
 	g.start("n3")
 	g.must("cluster", "add", "n3", g.peerAddress["n3"], "--promote", "--config", "n1.toml")
-	roll := func(code int, say string, args ...string) {
+	roll := func(code int, want string, args ...string) {
 		t.Helper()
-		g.expect(code, say, append([]string{"cluster", "roll", "--config", "n2.toml"}, args...)...)
+		g.expect(code, want, append([]string{"cluster", "roll", "--config", "n2.toml"}, args...)...)
 	}
 	roll(exitFailed, `rolling restarts are disabled: set roll = "on" in the section "duties"`, "start")
-	g.sections("n1", "[section.duties]\nroll = \"on\"\ndrill = \"1\"\n")
+	g.setSections("n1", "[section.duties]\nroll = \"on\"\ndrill = \"1\"\n")
 	g.waitAdmitting(all...)
 	g.waitHeld(leasedtask.RollingRestartTask, 0, all...)
 	roll(exitFailed, `the group has no instance "n7"; its instances are n1, n2, n3`, "start", "--only", "n7")
@@ -58,13 +58,13 @@
 	roll(0, "taken out one after another", "start", "--within", "2s")
 	p := g.waitRollingRestart(rollingrestart.Halted, all...)
 	if !strings.HasPrefix(p.HaltReason, "n3 is not back within 2s: it has no session") {
-		t.Fatalf("it is %s", p.Progress())
+		t.Fatalf("unexpected halt: %s", p.Progress())
 	}
-	g.kill("n3", syscall.SIGTERM) // it has ended: this waits for it
+	g.kill("n3", syscall.SIGTERM) // the process has already exited; this waits for it
 	g.restartsItself = true
 	g.start("n3")
 	g.restartsItself = false
-	eventually(t, "it goes on", func() bool {
+	eventually(t, "the rolling restart resumes", func() bool {
 		_, code := g.run("cluster", "roll", "resume", "--config", "n1.toml")
 		return code == 0
 	})
@@ -75,13 +75,13 @@
 	g.kill(controller, syscall.SIGKILL)
 	g.start(controller)
 	if p := g.waitRollingRestart(rollingrestart.Done, all...); !p.Undo || p.Steps[0].Name != "n3" {
-		t.Errorf("undone in another order: %+v", p)
+		t.Errorf("the undo must start with n3, got %+v", p)
 	}
 	g.waitAdmitting(all...)
 	for _, n := range all {
-		outs := strings.Count(g.logOf(n), "process ends for a rolling restart")
-		if outs > 2 || outs < 1 || n != controller && outs < 2 {
-			t.Errorf("%s was taken out %d times, the controller was %s", n, outs, controller)
+		restarts := strings.Count(g.logOf(n), "process ends for a rolling restart")
+		if restarts > 2 || restarts < 1 || n != controller && restarts < 2 {
+			t.Errorf("%s was taken out %d times, the controller was %s", n, restarts, controller)
 		}
 	}
 }
--- a/cmd/moorstack/rollout_load_test.go
+++ b/cmd/moorstack/rollout_load_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// loadedInstance is an instance that is under load, and counts its jobs' attempts.
+// loadedInstance is an instance under load, with the number of attempts of each job.
 type loadedInstance struct {
 	*group
 	node     *nodeFixture
@@ -17,8 +17,8 @@
 	attempts map[string]int // by request ID
 }
 
-// Changes come into force under load: no request is lost, and what comes after a change has
-// the new terms.
+// Changes come into force under load: no request is lost, and requests after a change follow the new
+// configuration.
 func TestChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	l := &loadedInstance{group: newGroup(t), attempts: map[string]int{}}
@@ -40,7 +40,7 @@
 		clients.Go(func() { l.sendUntil(stop, n) })
 	}
 	if n := l.attemptsOfFailingJob("before"); n < 2 {
-		t.Errorf("a failing job had %d attempts before the change", n)
+		t.Errorf("a failing job had %d attempts before the change, want at least 2", n)
 	}
 	for n := range 20 {
 		change := []string{fmt.Sprintf("worth = %d.0", 5+n), fmt.Sprintf("worth = %d.0", 6+n)}
@@ -52,17 +52,17 @@
 	}
 	l.waitRevision("n1", "21")
 	if n := l.attemptsOfFailingJob("after"); n != 1 {
-		t.Errorf("a failing job had %d attempts after the change to one", n)
+		t.Errorf("a failing job had %d attempts after the change, want 1", n)
 	}
 	close(stop)
 	clients.Wait()
 	check(t, l.node.cmd.Process.Signal(syscall.SIGTERM))
 	if err := l.node.cmd.Wait(); err != nil {
-		t.Errorf("the instance ends with %v", err)
+		t.Errorf("the instance exited with %v", err)
 	}
 }
 
-// sendUntil sends one job after another on a connection.
+// sendUntil sends one job after another on a connection until stop is closed.
 func (l *loadedInstance) sendUntil(stop chan struct{}, client int) {
 	c := l.node.dial()
 	for i := 0; ; i++ {
@@ -72,12 +72,12 @@
 		default:
 		}
 		id := fmt.Sprintf("load-%d-%d", client, i)
-		// Each request has its time: a slow machine must not run a connection's out.
+		// The limit is per request: on a slow machine one for the whole connection would run out.
 		if err := c.SetDeadline(time.Now().Add(2 * waitLimit)); err != nil {
 			l.t.Error(err)
 			return
 		}
-		// A rejection is an answer: the jobs that fail make the workers suspect for a while.
+		// A rejection is a valid response: the failing jobs make the workers suspect for a while.
 		resp, body := c.send(jobRequest(id, "quote", "4000m", id)).readResponse()
 		if resp.StatusCode == 503 {
 			c = l.node.dial()
@@ -88,15 +88,15 @@
 	}
 }
 
-// attemptsOfFailingJob has a job fail at every worker, and counts its attempts.
+// attemptsOfFailingJob sends a job that fails at every worker, and returns the number of its attempts.
 func (l *loadedInstance) attemptsOfFailingJob(id string) int {
 	l.t.Helper()
 	eventually(l.t, "the job is admitted", func() bool {
 		resp, _ := l.node.dial().send(jobRequest(id, "quote", "2000m", "bad")).readResponse()
 		if resp.StatusCode == 200 {
-			l.t.Errorf("%s is served, and every worker has failed it", id)
+			l.t.Errorf("%s is served, although every worker fails it", id)
 		}
-		return resp.Header.Get("X-Refusal") == "" // a slow machine may have let its lease expire
+		return resp.Header.Get("X-Refusal") == "" // on a slow machine the instance's lease may have expired
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/moorstack/rollout_test.go
+++ b/cmd/moorstack/rollout_test.go
@@ -10,50 +10,50 @@
 	"time"
 )
 
-// A change waits for a stalled instance until its lease has expired; resumed, that one admits
-// nothing before it has the new policy.
+// A change waits for a stalled instance until its lease has expired. Once resumed, that instance admits no
+// jobs before it has the new policy.
 func TestChangeWaitsForAStalledInstance(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
-	g.rolloutSection("n1", `lease = "2s"`)
+	g.setRolloutSection("n1", `lease = "2s"`)
 	g.waitAdmitting("n1", "n2", "n3")
-	lead := g.leader("n1", "n2", "n3")
-	stalled := map[string]string{"n1": "n2", "n2": "n3", "n3": "n1"}[lead]
+	leader := g.leader("n1", "n2", "n3")
+	stalled := map[string]string{"n1": "n2", "n2": "n3", "n3": "n1"}[leader]
 	check(t, g.processes[stalled].Process.Signal(syscall.SIGSTOP))
 	time.Sleep(300 * time.Millisecond)
-	g.edit("c.toml", lead, "worth = 5.0", "worth = 6.0")
+	g.edit("c.toml", leader, "worth = 5.0", "worth = 6.0")
 	began := time.Now()
 	g.expect(0, "it takes hold as revision 3", "config", "propose", "c.toml", "--no-wait", "--id", "x",
-		"--config", lead+".toml")
-	if out := g.must("config", "pending", "--config", lead+".toml"); !strings.Contains(out,
+		"--config", leader+".toml")
+	if out := g.must("config", "pending", "--config", leader+".toml"); !strings.Contains(out,
 		"waits for  "+stalled) {
 		t.Errorf("the awaited instance is not printed: %s", out)
 	}
-	// Another change at once is a conflict with a reason, and changes nothing.
-	g.edit("d.toml", lead, "worth = 5.0", "worth = 7.0")
+	// Another change meanwhile is rejected as a conflict, with a reason, and changes nothing.
+	g.edit("d.toml", leader, "worth = 5.0", "worth = 7.0")
 	g.expect(exitConflict, "is taking hold as revision 3", "config", "propose", "d.toml", "--config",
-		lead+".toml")
-	// The same again meets it, and returns when it is in force.
+		leader+".toml")
+	// Proposing the same change again joins the pending one and returns once it is in force.
 	g.expect(0, "in force as revision 3", "config", "propose", "c.toml", "--id", "x", "--config",
-		lead+".toml")
+		leader+".toml")
 	if took := time.Since(began); took < 1500*time.Millisecond {
-		t.Errorf("in force after %v, while the lease of %s lasted", took, stalled)
+		t.Errorf("in force after %v, before the lease of %s expired", took, stalled)
 	}
 	check(t, g.processes[stalled].Process.Signal(syscall.SIGCONT))
 	g.waitAdmitting(stalled)
 	if out := g.must("cluster", "status", "--config", stalled+".toml"); !strings.Contains(out,
 		"running   revision 3") {
-		t.Errorf("resumed: %s", out)
+		t.Errorf("status after resuming: %s", out)
 	}
 	if out := g.must("config", "history", "--config",
 		stalled+".toml"); !regexp.MustCompile(`(?m)^3 .*\d\.\d+s`).MatchString(out) {
-		t.Errorf("the history does not print how long it took: %s", out)
+		t.Errorf("the history does not print how long the change took: %s", out)
 	}
 }
 
-// One that starts alone knows no policy that is in force: it rejects at once, and names the time
-// after which to retry.
+// An instance that starts without its group does not know which policy is in force: it rejects jobs at once
+// and names the time after which to retry.
 func TestInstanceAloneAfterItsStartRejects(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -61,7 +61,7 @@
 	g.waitAdmitting("n1", "n2", "n3")
 	g.kill("n2", syscall.SIGKILL)
 	g.kill("n3", syscall.SIGKILL)
-	eventually(t, "its lease runs out", func() bool {
+	eventually(t, "the lease of n1 expires", func() bool {
 		out, _ := g.run("cluster", "status", "--config", "n1.toml")
 		return strings.Contains(out, "ADMITS    no jobs: its lease has run out")
 	})
@@ -70,14 +70,15 @@
 	g.expect(exitNoLeader, "no jobs: this instance has not heard from its group", "cluster", "status",
 		"--config", "n2.toml")
 	began := time.Now()
-	code, head := g.sendJob("n2")
-	if code != 503 || head.Get("Retry-After") == "" || !strings.Contains(head.Get("X-Refusal"), "not heard") {
-		t.Errorf("answer %d, %v", code, head)
+	code, header := g.sendJob("n2")
+	if code != 503 || header.Get("Retry-After") == "" ||
+		!strings.Contains(header.Get("X-Refusal"), "not heard") {
+		t.Errorf("response %d with headers %v", code, header)
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("rejected after %v", took)
+		t.Errorf("rejected after %v, want at most 1s", took)
 	}
-	g.start("n3") // with it there is a majority
+	g.start("n3") // now there is a majority
 	g.waitAdmitting("n2", "n3")
 }
 
@@ -85,7 +86,7 @@
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2")
-	// The third one's tick is its own, and bears no short lease.
+	// n3 has a longer tick than the others, which does not allow a short lease.
 	g.start("n3")
 	g.kill("n3", syscall.SIGTERM)
 	file := filepath.Join(g.dir, "n3.toml")
@@ -97,7 +98,7 @@
 	g.waitAdmitting("n1", "n2", "n3")
 	text, err = os.ReadFile(filepath.Join(g.dir, "c.toml"))
 	if err == nil {
-		t.Fatalf("there is %s", text)
+		t.Fatalf("c.toml exists already: %s", text)
 	}
 	g.edit("c.toml", "n1")
 	text, err = os.ReadFile(filepath.Join(g.dir, "c.toml"))
@@ -119,36 +120,36 @@
 		"n2.toml")
 }
 
-// Where who is cut off serves on, a change needs the consent of all, or an operator's command.
+// With cut_off = "serve" a change needs the consent of all instances, unless an operator sets one aside.
 func TestInstanceServesOnWhileCutOff(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
-	g.rolloutSection("n1", "cut_off = \"serve\"\nstage_within = \"1500ms\"")
+	g.setRolloutSection("n1", "cut_off = \"serve\"\nstage_within = \"1500ms\"")
 	g.waitAdmitting("n1", "n2", "n3")
 	g.kill("n3", syscall.SIGKILL)
 	g.edit("c.toml", "n1", "worth = 5.0", "worth = 6.0")
 	out, code := g.run("config", "propose", "c.toml", "--config", "n1.toml")
 	if code != exitInvalid || !strings.Contains(out, "no word within 1.5s of n3") {
-		t.Errorf("without n3: exit %d: %s", code, out)
+		t.Errorf("change without n3: exit %d: %s", code, out)
 	}
 	g.expect(exitFailed, `no instance "n9" has a session`, "cluster", "set-aside", "n9", "--config",
 		"n1.toml")
 	g.expect(0, "n3 is set aside", "cluster", "set-aside", "n3", "--config", "n1.toml")
 	g.expect(0, "in force as revision 3", "config", "propose", "c.toml", "--config", "n1.toml")
-	// It comes back through the group, under the new policy.
+	// Once restarted, n3 gets the new policy from the group.
 	g.start("n3")
 	g.waitAdmitting("n3")
 	g.expect(0, "running   revision 3", "cluster", "status", "--config", "n3.toml")
-	// One that is alone and runs serves on.
+	// A running instance that loses its group continues to serve.
 	g.kill("n1", syscall.SIGKILL)
 	g.kill("n2", syscall.SIGKILL)
-	eventually(t, "it is cut off", func() bool {
+	eventually(t, "n3 is cut off", func() bool {
 		_, code := g.run("cluster", "status", "--config", "n3.toml")
 		return code == exitNoLeader
 	})
-	if _, head := g.sendJob("n3"); head.Get("X-Refusal") != "" {
-		t.Errorf("cut off, it rejects: %v", head)
+	if _, header := g.sendJob("n3"); header.Get("X-Refusal") != "" {
+		t.Errorf("n3 rejects jobs while cut off: %v", header)
 	}
 }
 
@@ -156,36 +157,36 @@
 	t.Parallel()
 	g := newGroup(t)
 	g.form("n1", "n2", "n3")
-	g.rolloutSection("n1", `lease = "3s"`)
+	g.setRolloutSection("n1", `lease = "3s"`)
 	g.waitAdmitting("n1", "n2", "n3")
 	g.expect(exitFailed, "no change is pending", "config", "withdraw", "--config", "n1.toml")
-	lead := g.leader("n1", "n2", "n3")
-	stalled := map[string]string{"n1": "n2", "n2": "n3", "n3": "n1"}[lead]
+	leader := g.leader("n1", "n2", "n3")
+	stalled := map[string]string{"n1": "n2", "n2": "n3", "n3": "n1"}[leader]
 	check(t, g.processes[stalled].Process.Signal(syscall.SIGSTOP))
 	defer func() { check(t, g.processes[stalled].Process.Signal(syscall.SIGCONT)) }()
-	g.edit("c.toml", lead, "worth = 5.0", "worth = 6.0")
-	g.must("config", "propose", "c.toml", "--no-wait", "--id", "x", "--config", lead+".toml")
+	g.edit("c.toml", leader, "worth = 5.0", "worth = 6.0")
+	g.must("config", "propose", "c.toml", "--no-wait", "--id", "x", "--config", leader+".toml")
 	g.expect(0, "change x is withdrawn", "config", "withdraw", "x", "--reason", "the wrong file", "--config",
-		lead+".toml")
+		leader+".toml")
 	g.expect(exitInvalid, "withdrawn by socket: the wrong file", "config", "propose", "c.toml", "--id", "x",
-		"--config", lead+".toml")
-	g.expect(0, "no change is pending", "config", "pending", "--config", lead+".toml")
+		"--config", leader+".toml")
+	g.expect(0, "no change is pending", "config", "pending", "--config", leader+".toml")
 }
 
-// Faults of links and processes between real instances, with jobs and changes meanwhile. The
-// verdict is the audit's, and depends on no speed.
+// Faults of links and processes of real instances, under jobs and changes. The audit decides the result,
+// which does not depend on the machine's speed.
 func TestClusterUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
-	for name, story := range map[string]string{
+	for name, faults := range map[string]string{
 		"stalls": "500ms stall n2 900ms\n2s stall leader 1500ms\n4s stall n1 5ms\n" +
 			"4s stall n3 300ms\n5s stall leader 40ms",
 		"cuts": "500ms deaf leader\n2s heal\n2500ms mute leader\n4s heal\n4500ms isolate n2\n5500ms heal\n" +
 			"5600ms cut n1 n3\n5700ms half-open n1 n2\n5800ms reset n2 n3",
 		"crashes": "500ms restart leader 400ms\n2s kill n2\n2s kill n3\n3s start n3\n" +
 			"4s start n2\n4500ms restart leader 50ms",
-		// The leader, and the instance that got the call, die, stall and are cut off at each step of a
-		// change.
+		// The leader, and the instance that received the call, are killed, stalled and cut off at each step
+		// of a change.
 		"steps die": "300ms @proposed restart leader 400ms\n1700ms @staged restart leader 300ms\n" +
 			"3s @ceased restart leader 400ms\n4500ms @switched restart leader 300ms\n" +
 			"6s @switched restart asked 300ms",
@@ -194,26 +195,25 @@
 			"5200ms @switched stall it 900ms\n6700ms @staged:n2 stall n2 300ms",
 		"steps cut": "300ms @proposed deaf leader\n1300ms heal\n1800ms @staged isolate it\n2900ms heal\n" +
 			"3400ms @ceased mute leader\n4500ms heal\n5s @switched isolate it\n6s heal",
-		// Faults at the holder of a leased task, at each step of its work, while the instances are taken out
-		// one after another.
+		// Faults at the holder of a leased task at each step of its work, during a rolling restart.
 		"rolls": "1ms @holds restart it 300ms\n1500ms @gives stall it 900ms\n3s @holds stall it 1s\n" +
 			"4s @acts isolate it\n5s heal\n5100ms @gives restart it 300ms\n6s @out restart it 200ms\n" +
 			"6500ms @out restart conductor 300ms\n7500ms @acts stall conductor 600ms",
 		"disks": "300ms @proposed torn leader 300ms\n1500ms @staged full it 600ms\n" +
 			"3s @ceased full leader 600ms\n4500ms @switched torn it 300ms\n6s @proposed torn asked 200ms",
-		// These two find a lease that counts from its answer, and a front that is open too early.
+		// These two detect a lease that is counted from its response, and a front that opens too early.
 		"late":  "1s delay leader n2 1500ms\n3500ms cut n2 leader\n7500ms heal",
 		"alone": "1s kill n2\n1100ms isolate n2\n3s start n2\n6s heal",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			mine := &group{t: t, dir: t.TempDir()}
-			check(t, os.WriteFile(filepath.Join(mine.dir, "story.txt"), []byte(story), 0o600))
+			sub := &group{t: t, dir: t.TempDir()}
+			check(t, os.WriteFile(filepath.Join(sub.dir, "story.txt"), []byte(faults), 0o600))
 			args := []string{"prove", "cluster", "--story", "story.txt", "--for", "8s", "--rate", "50"}
 			if name == "rolls" {
 				args = append(args, "--rolls", "1")
 			}
-			mine.expect(0, ", 0 violations", args...)
+			sub.expect(0, ", 0 violations", args...)
 		})
 	}
 	check(t, os.WriteFile(filepath.Join(g.dir, "bad.txt"), []byte("1s heal\n2s burn n1"), 0o600))
--- a/cmd/moorstack/routes_test.go
+++ b/cmd/moorstack/routes_test.go
@@ -29,7 +29,7 @@
 spill = "never"
 `
 
-// agreedExpectation is a file of expectations with one on a rejection, for its reason.
+// agreedExpectation is a file with one expectation, which is a rejection with a reason.
 const agreedExpectation = `version = 1
 platform = "platform.json"
 rules = "routes.toml"
@@ -48,14 +48,15 @@
 refused = { reason = "%s" }
 `
 
-// routedInstance is an instance with rules by which jobs are routed.
+// routedInstance is an instance with routing rules.
 type routedInstance struct {
 	*group
 	node    *nodeFixture
-	faktory string // where the Faktory front listens
+	faktory string // the Faktory front's address
 }
 
-// Rules of the instance's own file, read again on SIGHUP; then the group's, which come first.
+// Routing rules are read from the instance's file, again on SIGHUP; the group's rules take precedence over
+// it.
 func TestRoutesAtAnInstance(t *testing.T) {
 	t.Parallel()
 	r := &routedInstance{group: newGroup(t), faktory: freeAddress(t)}
@@ -64,10 +65,11 @@
 	r.node = r.startSoleInstance("faktory = \"faktory.toml\"\nroutes = \"routes.toml\"\n",
 		func(_ int, s workerCall, rw http.ResponseWriter) { acceptJob(s, rw, "done") })
 
-	// One that belongs to no group knows no policy that is in force, and admits nothing.
-	none := r.node.dial().send(jobRequest("r0", "quote", "2000m", "x")).expectResponse(503, "")
-	if none.Header.Get("Retry-After") == "" || !strings.Contains(none.Header.Get("X-Refusal"), "no group") {
-		t.Errorf("without a group rejected with %v", none.Header)
+	// An instance without a group does not know which policy is in force and admits no jobs.
+	rejection := r.node.dial().send(jobRequest("r0", "quote", "2000m", "x")).expectResponse(503, "")
+	if rejection.Header.Get("Retry-After") == "" ||
+		!strings.Contains(rejection.Header.Get("X-Refusal"), "no group") {
+		t.Errorf("rejection without a group has headers %v", rejection.Header)
 	}
 	r.must("cluster", "init", "--config", "n1.toml")
 	eventually(t, "jobs are admitted", func() bool {
@@ -80,28 +82,29 @@
 	r.checkFaktoryRules()
 }
 
-// checkOwnRules checks that the rules of the instance's file decide.
+// checkOwnRules checks that the rules of the instance's file are applied.
 func (r *routedInstance) checkOwnRules() {
 	r.t.Helper()
-	// Rejected by a rule, with the reason and the time after which to retry.
+	// A rejection by a rule has its reason and the time after which to retry.
 	resp := r.node.dial().send(jobRequest("r1", "book", "2000m", "x")).expectResponse(503, "")
 	if resp.Header.Get("Retry-After") != "1.500" || resp.Header.Get("X-Refusal") != "no bookings today" {
-		r.t.Errorf("rejected with %v", resp.Header)
+		r.t.Errorf("rejection by a rule has headers %v", resp.Header)
 	}
-	// Quotes go to the pool of the first worker, whose cell is 1, also those without a class.
+	// Quotes and jobs without a class go to the pool "first", which holds only the first worker, whose cell
+	// is 1.
 	for i := range 20 {
 		class := []string{"quote", ""}[i%2]
 		r.node.dial().send(jobRequest(fmt.Sprint("q", i), class, "2000m", "x")).expectResponse(200, "did x")
 	}
 	workers := r.node.workers
 	if a, b := workers[0].callCount(), workers[1].callCount()+workers[2].callCount(); a < 20 || b > 0 {
-		r.t.Errorf("the pool got %d calls, the others %d", a, b)
+		r.t.Errorf("the pool's worker got %d calls, the others %d", a, b)
 	}
 	out := r.must("route", "explain", "--config", "n1.toml", "--class", "quote", "--host", "app.svc")
 	for _, want := range []string{"rule 2 (quotes)", "routes.toml:13", "first: s-0000",
 		"out: s-0001, the rule puts it elsewhere or nowhere"} {
 		if !strings.Contains(out, want) {
-			r.t.Errorf("explained without %q: %s", want, out)
+			r.t.Errorf("route explain does not print %q: %s", want, out)
 		}
 	}
 }
@@ -111,11 +114,11 @@
 	r.t.Helper()
 	r.write("routes.toml", strings.Replace(sampleRules, `["first"]`, `["frist"]`, 1))
 	check(r.t, r.node.cmd.Process.Signal(syscall.SIGHUP))
-	time.Sleep(100 * time.Millisecond) // in which the old rules must stay
+	time.Sleep(100 * time.Millisecond) // the old rules must stay in force meanwhile
 	r.node.dial().send(jobRequest("r2", "book", "2000m", "x")).expectResponse(503, "")
 	r.write("routes.toml", strings.Replace(sampleRules, `class = ["book"]`, `class = ["quote"]`, 1))
 	check(r.t, r.node.cmd.Process.Signal(syscall.SIGHUP))
-	eventually(r.t, "the rules are read", func() bool {
+	eventually(r.t, "the new rules are in force", func() bool {
 		return strings.Contains(
 			r.must("route", "explain", "--config", "n1.toml", "--class", "quote", "--path", "/api"),
 			"no bookings today")
@@ -123,16 +126,16 @@
 	r.node.dial().send(jobRequest("r3", "book", "2000m", "x")).expectResponse(200, "did x")
 }
 
-// checkAgreedRules checks that the group's rules come first, and a change that breaks an expectation is
-// rejected.
+// checkAgreedRules checks that the group's rules take precedence and that a change that breaks an expectation
+// is rejected.
 func (r *routedInstance) checkAgreedRules() {
 	r.t.Helper()
 	r.write("agreed.toml", strings.Replace(sampleRules, "no bookings today", "the group says no", 1))
 	r.write("wrong.toml", fmt.Sprintf(agreedExpectation, "something else"))
 	r.write("right.toml", fmt.Sprintf(agreedExpectation, "the group says no"))
-	set := []string{"config", "set", "routes", "toml", "agreed.toml", "--config", "n1.toml", "--expect"}
-	r.expect(exitInvalid, "wrong.toml:13: books are refused", append(set, "wrong.toml")...)
-	r.expect(0, "revision 2", append(set, "right.toml")...)
+	setRoutes := []string{"config", "set", "routes", "toml", "agreed.toml", "--config", "n1.toml", "--expect"}
+	r.expect(exitInvalid, "wrong.toml:13: books are refused", append(setRoutes, "wrong.toml")...)
+	r.expect(0, "revision 2", append(setRoutes, "right.toml")...)
 	eventually(r.t, "the group's rules are in force", func() bool {
 		id := fmt.Sprint("g", time.Now().UnixNano())
 		resp, _ := r.node.dial().send(jobRequest(id, "book", "2000m", "x")).readResponse()
@@ -143,7 +146,7 @@
 		"--config", "n1.toml")
 }
 
-// checkFaktoryRules checks that the Faktory front goes by the same rules.
+// checkFaktoryRules checks that the Faktory front applies the same rules.
 func (r *routedInstance) checkFaktoryRules() {
 	r.t.Helper()
 	c := dial(r.t, r.faktory)
@@ -157,10 +160,10 @@
 	line()
 	c.send("PUSH {\"jid\":\"job-0001\",\"jobtype\":\"book\",\"args\":[]}\r\n")
 	if got := line(); strings.Contains(got, "the group says no") {
-		r.t.Errorf("a rule for a path decides a job without one: %q", got)
+		r.t.Errorf("a rule with a path matches a job without one: %q", got)
 	}
 	out := r.must("route", "explain", "--config", "n1.toml", "--front", "faktory", "--class", "quote")
 	if !strings.Contains(out, "any worker") {
-		r.t.Errorf("a rule for a host decides a job without one: %s", out)
+		r.t.Errorf("a rule with a host matches a job without one: %s", out)
 	}
 }
--- a/cmd/moorstack/stub_worker_test.go
+++ b/cmd/moorstack/stub_worker_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// workerCall is a call that a worker got.
+// workerCall is a call that a worker received.
 type workerCall struct {
 	worker                 *stubWorker
 	method, path, body, id string
 	header                 http.Header
 }
 
-// jobHandler answers a job at a stub worker; n is the number of the attempt among all.
+// jobHandler answers a job at a stub worker; n counts the attempts at all workers.
 type jobHandler func(n int, s workerCall, rw http.ResponseWriter)
 
-// stubWorker is a worker whose behaviour a test gives; handle is called for each job.
+// stubWorker is a worker that calls handle for each job.
 type stubWorker struct {
 	node     *nodeFixture
 	name     string
@@ -30,17 +30,17 @@
 }
 
 func (h *stubWorker) instanceJSON(lifecycle string) string {
-	cell := strings.TrimLeft(h.name[2:]+"1", "0") // a pod of its own
+	cell := strings.TrimLeft(h.name[2:]+"1", "0") // a separate pod for each worker
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"z","machineType":"k","cell":%s,`+
 		`"lifecycle":%q,"weight":1,"startedAtMs":0}`, h.name, h.srv.Listener.Addr(), cell, lifecycle)
 }
 
-// connectionKey finds a request's connection in its context.
+// connectionKey is the key of a request's connection in its context.
 type connectionKey struct{}
 
-// connectionOf is the one that a request came on.
+// connectionOf returns the connection that a request arrived on.
 //
-// Hazard: the remote address does not name it: the kernel gives connections to two servers one source port.
+// The remote address does not identify it: the kernel gives connections to two servers the same source port.
 func connectionOf(r *http.Request) net.Conn { return r.Context().Value(connectionKey{}).(net.Conn) }
 
 func (h *stubWorker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
@@ -67,13 +67,13 @@
 	switch {
 	case r.Method == "POST":
 		h.handle(n, s, rw)
-	case h.node.cancelled != nil: // be silent until the node hangs up
+	case h.node.cancelled != nil: // do not answer until the node disconnects
 		<-r.Context().Done()
 		close(h.node.cancelled)
 	}
 }
 
-// callCount counts all calls that the worker got.
+// callCount counts all calls that the worker received.
 func (h *stubWorker) callCount() int {
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
@@ -89,7 +89,7 @@
 	}()
 }
 
-// resetConnection breaks the connection.
+// resetConnection resets the connection instead of sending a response.
 func resetConnection(rw http.ResponseWriter) {
 	c, _, _ := rw.(http.Hijacker).Hijack()
 	_ = c.(*net.TCPConn).SetLinger(0)
--- a/cmd/moorstack/triggers_test.go
+++ b/cmd/moorstack/triggers_test.go
@@ -13,8 +13,8 @@
 	"moorstack/internal/verify/emulate/loopback"
 )
 
-// Triggers are set in the agreed configuration, and seen before and after by the operators' commands.
-// What is invalid is rejected with its key, and changes nothing.
+// Triggers are set in the agreed configuration, and operators' commands show them before and after the
+// change. An invalid section is rejected with the key in question and changes nothing.
 func TestTriggersAreSetAndShownByCommands(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -32,7 +32,7 @@
 			t.Errorf("%s: exit %d: %s", bad, code, out)
 		}
 	}
-	// A zone that nobody knows: each instance looks it up for itself.
+	// An unknown time zone is rejected: each instance looks it up in its own zone rules.
 	out, code := g.propose("n1",
 		"[section.schedule]\n\"trigger.a\" = \"0 6 * * * class=trip-book zone=Mars/Base\"\n")
 	if code == 0 || !strings.Contains(out, "withdrawn") || !strings.Contains(out, "trigger.a") {
@@ -40,12 +40,12 @@
 	}
 	g.expect(exitInvalid, "no zone that the rules here know", "config", "propose", "new.toml", "--dry-run",
 		"--config", "n1.toml")
-	words := `[section.schedule]
+	sections := `[section.schedule]
 zone = "Europe/Berlin"
 "trigger.dialysis-7" = "30 2 * * * class=trip-book fold=both account=clinic-7"
 "trigger.leap" = "0 6 29 2 * class=trip-quote leap=last"
 `
-	if out, code = g.propose("n1", words); code != 0 {
+	if out, code = g.propose("n1", sections); code != 0 {
 		t.Fatal(out)
 	}
 	eventually(t, "the fleet's time is known", func() bool {
@@ -64,7 +64,7 @@
 			t.Errorf("a dry run does not print %q: %s", want, out)
 		}
 	}
-	// A clock that is set by a file is for tests.
+	// A clock that is set by a file is only for tests.
 	file := filepath.Join(g.dir, "n4.toml")
 	text = strings.ReplaceAll(string(must(os.ReadFile(filepath.Join(g.dir, "n1.toml")))), "n1", "n4")
 	check(t, os.WriteFile(file, []byte(text+"[test]\nclock = \"c\"\n"), 0o600))
@@ -72,8 +72,8 @@
 	g.expect(1, "for tests: take the line out", "serve", "--config", "n4.toml")
 }
 
-// Instances that shut down, one after another, release the firings that they have not begun, and complete
-// those that they have: none is of unknown outcome.
+// Instances that shut down one after another release the firings that they have not begun and complete those
+// that they have: no firing's outcome is unknown.
 func TestTriggersWhileInstancesShutDown(t *testing.T) {
 	t.Parallel()
 	g := &group{t: t, dir: t.TempDir()}
@@ -84,13 +84,13 @@
 		"--duties", "0", "--accounts", "0", "--triggers", "9", "--rate", "5")
 }
 
-// The night of a clock change, the 29th of February and the day that a place skipped, in fast time, with
-// kills in the very hour; one clock that is off, by minutes and by an hour; one instance with older zone
-// rules. No occurrence comes twice, is missed, or is repeated where it may not be.
+// The night of a clock change, 29 February and a day that a time zone skipped, at accelerated speed, with
+// kills within that very hour; a clock that is off by minutes and by an hour; and an instance with older zone
+// rules. No occurrence fires twice, is missed, or is retried where that is not allowed.
 func TestTriggersThroughClockChanges(t *testing.T) {
 	for name, c := range map[string]struct {
-		story string
-		args  []string
+		faults string
+		args   []string
 	}{
 		"clocks go back": {"1s kill leader\n1500ms stall n2 900ms\n2s start n1\n2100ms start n2\n" +
 			"2200ms start n3\n3s restart n2 300ms\n4s isolate n1\n5500ms heal",
@@ -110,39 +110,39 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := &group{t: t, dir: t.TempDir()}
-			check(t, os.WriteFile(filepath.Join(g.dir, "story.txt"), []byte(c.story), 0o600))
+			check(t, os.WriteFile(filepath.Join(g.dir, "story.txt"), []byte(c.faults), 0o600))
 			args := append([]string{"prove", "cluster", "--story", "story.txt", "--for", "8s", "--duties",
 				"0",
 				"--accounts", "0", "--triggers", "9", "--rate", "5"}, c.args...)
 			began := time.Now()
 			out, code := g.run(args...)
 			if code != 0 || !strings.Contains(out, ", 0 violations") {
-				t.Errorf("%v, exit %d: %s", time.Since(began), code, out)
+				t.Errorf("after %v: exit %d: %s", time.Since(began), code, out)
 			}
 		})
 	}
 }
 
-// A group made from a backup goes on with the triggers from where it begins: what the old one has fired it
-// fires not again, under whatever number, and from its first occurrence on it leaves none out.
+// A group created from a backup continues the triggers from its own start: it does not fire again what the
+// old group has fired, under any number, and skips no occurrence after its first one.
 func TestTriggersAfterARestore(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	var mu sync.Mutex
-	took := map[string][]string{} // by occurrence: whose workers
+	ranBy := map[string][]string{} // by occurrence: the instances whose workers ran it
 	g.startWithWorkers([]string{"n1", "n2", "m1"}, func(name string) loopback.Options {
 		return loopback.Options{OnJob: func(_, key string) {
 			mu.Lock()
 			defer mu.Unlock()
 			if strings.HasPrefix(key, "each-second@") {
-				took[key] = append(took[key], name)
+				ranBy[key] = append(ranBy[key], name)
 			}
 		}}
 	})
 	count := func(names ...string) (n int) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, by := range took {
+		for _, by := range ranBy {
 			if slices.Contains(names, by[0]) {
 				n++
 			}
@@ -150,40 +150,41 @@
 		return n
 	}
 	g.form("n1", "n2")
-	if out, code := g.propose("n1", steadyLease+"[section.schedule]\nzone = \"Asia/Muscat\"\n"+
+	if out, code := g.propose("n1", longLease+"[section.schedule]\nzone = \"Asia/Muscat\"\n"+
 		"\"trigger.each-second\" = \"* * * * * * class=trip-book\"\n"); code != 0 {
 		t.Fatal(out)
 	}
-	within(t, time.Minute, "the first ones are fired", func() bool { return count("n1", "n2") >= 3 })
+	within(t, time.Minute, "the first occurrences are fired", func() bool { return count("n1", "n2") >= 3 })
 	g.must("cluster", "backup", "all.backup", "--config", "n1.toml")
-	was := count("n1", "n2")
-	within(t, time.Minute, "more are, after the backup", func() bool { return count("n1", "n2") >= was+2 })
+	firedBefore := count("n1", "n2")
+	within(t, time.Minute, "more occurrences are fired after the backup",
+		func() bool { return count("n1", "n2") >= firedBefore+2 })
 	g.kill("n1", syscall.SIGKILL)
 	g.kill("n2", syscall.SIGKILL)
 	g.start("m1")
 	g.must("cluster", "init", "--from", "all.backup", "--config", "m1.toml")
-	within(t, time.Minute, "the new group fires", func() bool { return count("m1") >= 4 })
+	within(t, time.Minute, "the new group fires occurrences", func() bool { return count("m1") >= 4 })
 	g.kill("m1", syscall.SIGKILL)
 	mu.Lock()
 	defer mu.Unlock()
-	var own []time.Time
-	for key, by := range took {
+	var newGroupFired []time.Time
+	for key, by := range ranBy {
 		if len(by) != 1 {
-			t.Errorf("%s was taken by workers of %v", key, by)
+			t.Errorf("%s ran at workers of %v, want one instance", key, by)
 		}
 		if by[0] == "m1" {
-			own = append(own, parseLocalTime(t, strings.TrimPrefix(key, "each-second@")))
+			newGroupFired = append(newGroupFired, parseLocalTime(t, strings.TrimPrefix(key, "each-second@")))
 		}
 	}
-	slices.SortFunc(own, time.Time.Compare)
-	for n := range own[1:] {
-		if d := own[n+1].Sub(own[n]); d != time.Second {
-			t.Errorf("between %v and %v occurrences were missed", own[n], own[n+1])
+	slices.SortFunc(newGroupFired, time.Time.Compare)
+	for n := range newGroupFired[1:] {
+		if d := newGroupFired[n+1].Sub(newGroupFired[n]); d != time.Second {
+			t.Errorf("occurrences between %v and %v were missed", newGroupFired[n], newGroupFired[n+1])
 		}
 	}
 }
 
-// parseLocalTime reads a local time as idempotency keys hold it: without seconds where there are none.
+// parseLocalTime parses the local time in an idempotency key, which has no seconds if they are zero.
 func parseLocalTime(t *testing.T, text string) time.Time {
 	t.Helper()
 	layout := "2006-01-02T15:04:05"
--- a/cmd/moorstack/upgrade_fixture_test.go
+++ b/cmd/moorstack/upgrade_fixture_test.go
@@ -17,21 +17,21 @@
 	"time"
 )
 
-// upgradeFixture is a node that is replaced while clients go on.
+// upgradeFixture is a node whose process is replaced while clients send jobs.
 type upgradeFixture struct {
 	*adminFixture
 	rng            *rand.Rand
-	killed         bool // processes are killed, and what they had is lost
+	killed         bool // processes are killed, and their jobs are lost
 	stop           chan struct{}
 	clientsRunning sync.WaitGroup
 	lastID         atomic.Int64
-	resent         atomic.Int64 // requests that met a connection which was closed unread
-	unanswered     atomic.Int64 // requests without an answer
+	resent         atomic.Int64 // requests that were sent again because their connection was closed unread
+	unanswered     atomic.Int64 // requests without a response
 	served         atomic.Int64
 	wrongResponse  atomic.Value
 }
 
-// startUpgradableNode logs its seed; SEED in the environment repeats a run.
+// startUpgradableNode starts a node and logs its random seed; SEED in the environment repeats a run.
 func startUpgradableNode(t *testing.T, workers int) *upgradeFixture {
 	seed := uint64(time.Now().UnixNano())
 	if s := os.Getenv("SEED"); s != "" {
@@ -39,7 +39,7 @@
 		check(t, err)
 	}
 	t.Logf("SEED=%d", seed)
-	// Longer than a Unix address, as a platform's may be.
+	// The path is too long for a Unix socket address, as a platform's may be.
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 100))
 	check(t, os.Mkdir(dir, 0o700))
 	t.Setenv("TMPDIR", dir)
@@ -49,11 +49,11 @@
 	u.adminFixture = startNodeWithAdmin(t, workers, func(_ int, s workerCall, rw http.ResponseWriter) {
 		rw.WriteHeader(202)
 		mu.Lock()
-		takes := time.Duration(jitter.IntN(250)) * time.Millisecond
+		duration := time.Duration(jitter.IntN(250)) * time.Millisecond
 		mu.Unlock()
 		go func() {
-			time.Sleep(takes)
-			for range 10 { // as the protocol has it
+			time.Sleep(duration)
+			for range 10 { // as the protocol requires
 				status := s.worker.node.callBack(s.id, s.worker.name, "done", "did "+s.body)
 				if status == 204 {
 					return
@@ -75,7 +75,7 @@
 	u.clientsRunning.Wait()
 }
 
-// startClients keep their connections and have one job each at a time.
+// startClients starts clients that keep their connections and send one job at a time each.
 func (u *upgradeFixture) startClients(n int) {
 	for range n {
 		u.clientsRunning.Add(1)
@@ -97,10 +97,11 @@
 	}
 }
 
-// requestJob has one job done on a connection, or on a new one, and returns what may be used again.
+// requestJob sends a job on a connection, or on a new one if c is nil, and returns the connection if it can
+// be used again.
 func (u *upgradeFixture) requestJob(c net.Conn) net.Conn {
 	id := fmt.Sprint("u", u.lastID.Add(1))
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		kept := c != nil
 		if !kept {
 			var err error
@@ -118,10 +119,10 @@
 		}
 		if err != nil {
 			c.Close()
-			if c = nil; kept && try == 0 {
-				u.resent.Add(1) // between requests a node may close a connection
+			if c = nil; kept && attempt == 0 {
+				u.resent.Add(1) // a node may close a connection between requests
 				if u.killed {
-					id += "-again" // the first may have run
+					id += "-again" // the first one may have run
 				}
 				continue
 			}
@@ -149,13 +150,13 @@
 	}
 }
 
-// startProcess starts one more process of the node, with a second address of its own.
+// startProcess starts one more process of the node, with a separate admin address.
 func (u *upgradeFixture) startProcess() (cmd *exec.Cmd, admin string) {
 	u.t.Helper()
 	return u.startProgram(program)
 }
 
-// startProgram is startProcess for a program that may be of an earlier version.
+// startProgram is startProcess with a given program, which may be an earlier version.
 func (u *upgradeFixture) startProgram(path string) (cmd *exec.Cmd, admin string) {
 	u.t.Helper()
 	admin = freeAddress(u.t)
@@ -184,18 +185,18 @@
 	return strings.HasPrefix(string(answer), "ACK")
 }
 
-func (u *upgradeFixture) sleepUpTo(most int) {
-	time.Sleep(time.Duration(u.rng.IntN(most)) * time.Millisecond)
+func (u *upgradeFixture) sleepUpTo(maxMillis int) {
+	time.Sleep(time.Duration(u.rng.IntN(maxMillis)) * time.Millisecond)
 }
 
-// waitServing waits until the clients are served further.
+// waitServing waits until the clients have got more than 50 further responses.
 func (u *upgradeFixture) waitServing(what string) {
 	u.t.Helper()
 	before := u.served.Load()
 	eventually(u.t, what, func() bool { return u.served.Load() > before+50 })
 }
 
-// checkNoJobRanTwice looks at each job that the workers got: none ran twice.
+// checkNoJobRanTwice checks that no job ran twice at the workers and that no client got a wrong response.
 func (u *upgradeFixture) checkNoJobRanTwice() {
 	u.t.Helper()
 	u.mu.Lock()
--- a/cmd/moorstack/upgrade_test.go
+++ b/cmd/moorstack/upgrade_test.go
@@ -17,25 +17,26 @@
 	"time"
 )
 
-// One process takes the other's place under load: every client has its one answer, no
-// connection is refused or reset, no job runs twice, maintenance lasts, and so twice over.
+// One process replaces the other under load, twice: every client gets exactly one response, no connection is
+// refused or reset, no job runs twice, and maintenance is kept.
 func TestUpgradeUnderLoad(t *testing.T) { upgradeUnderLoad(t, program, program) }
 
-// The same, from this program to the one before the present names and back, twice over.
+// Under load, a process of the current program and one of the program before renaming replace each other,
+// twice in each direction.
 func TestUpgradeAcrossVersionsUnderLoad(t *testing.T) {
 	dir := t.TempDir()
-	buildCommit(t, must(filepath.Abs("../..")), beforePresentNames, dir, "older")
+	buildCommit(t, must(filepath.Abs("../..")), commitBeforeRenaming, dir, "older")
 	older := filepath.Join(dir, "older")
 	upgradeUnderLoad(t, older, program, older, program)
 }
 
-// upgradeUnderLoad has a process of each program in turn take the place of the one before.
+// upgradeUnderLoad replaces the node's process under load by one of each program in turn.
 func upgradeUnderLoad(t *testing.T, programs ...string) {
 	t.Helper()
 	u := startUpgradableNode(t, 3)
-	out := u.workers[2]
-	u.expectReply("ACK", "maint-on "+out.name+"\n")
-	banned := out.callCount()
+	maintained := u.workers[2]
+	u.expectReply("ACK", "maint-on "+maintained.name+"\n")
+	callsBefore := maintained.callCount()
 	u.startClients(40)
 	for _, next := range programs {
 		u.sleepUpTo(400)
@@ -50,81 +51,81 @@
 		check(t, old.Wait())
 		u.cmd, u.admin = cmd, admin
 	}
-	u.waitServing("it serves on")
+	u.waitServing("the new process continues to serve")
 	if s := u.metrics(); s.Ejected != 1 || s.Discovered != 3 {
-		t.Errorf("the new process's metrics: %+v", s)
+		t.Errorf("metrics of the new process: %+v", s)
 	}
 	u.stopClients()
-	if u.unanswered.Load() > 0 || out.callCount() != banned {
-		t.Errorf("%d requests were lost, the worker under maintenance got %d", u.unanswered.Load(),
-			out.callCount()-banned)
+	if u.unanswered.Load() > 0 || maintained.callCount() != callsBefore {
+		t.Errorf("%d requests were lost, the worker in maintenance got %d jobs", u.unanswered.Load(),
+			maintained.callCount()-callsBefore)
 	}
 	t.Logf("%d jobs served, %d sent again on a new connection", u.served.Load(), u.resent.Load())
 	u.checkNoJobRanTwice()
 }
 
-// The new process dies at any time before the old one gets SIGTERM: the old one serves on.
+// The new process is killed at a random time before the old one gets SIGTERM: the old one continues to serve.
 func TestUpgradeWhoseNewProcessDies(t *testing.T) {
 	u := startUpgradableNode(t, 2)
 	u.killed = true
 	u.startClients(20)
-	for _, most := range []int{20, 80, 400} {
+	for _, maxMillis := range []int{20, 80, 400} {
 		cmd, _ := u.startProcess()
-		u.sleepUpTo(most)
+		u.sleepUpTo(maxMillis)
 		check(t, cmd.Process.Kill())
 		_ = cmd.Wait()
-		u.waitServing("the old process serves on")
+		u.waitServing("the old process continues to serve")
 		u.expectReply("ACK", "status\n")
 	}
 	cmd, admin := u.startProcess()
-	eventually(t, "a later one is ready", func() bool { return isReady(admin) })
-	check(t, u.cmd.Process.Kill()) // and now the old one dies
+	eventually(t, "a later process is ready", func() bool { return isReady(admin) })
+	check(t, u.cmd.Process.Kill()) // after the new one is ready
 	_ = u.cmd.Wait()
 	u.cmd, u.admin = cmd, admin
-	u.waitServing("the new process serves on")
+	u.waitServing("the new process continues to serve")
 	u.stopClients()
 	u.checkNoJobRanTwice()
 }
 
-// The old process dies at any moment of the hot restart: the new one serves, from whatever
-// it has of the other.
+// The old process is killed at a random time during the hot restart: the new one serves with the state that
+// it has received by then.
 func TestUpgradeWhoseOldProcessDies(t *testing.T) {
 	u := startUpgradableNode(t, 2)
 	u.killed = true
 	u.startClients(20)
-	for _, most := range []int{5, 20, 40, 80} {
+	for _, maxMillis := range []int{5, 20, 40, 80} {
 		cmd, admin := u.startProcess()
-		u.sleepUpTo(most)
+		u.sleepUpTo(maxMillis)
 		check(t, u.cmd.Process.Kill())
 		_ = u.cmd.Wait()
 		u.cmd, u.admin = cmd, admin
 		eventually(t, "the new process is ready", func() bool { return isReady(admin) })
-		u.waitServing("it serves on")
+		u.waitServing("the new process continues to serve")
 	}
 	u.stopClients()
 	u.checkNoJobRanTwice()
 }
 
-// A third process waits until the first two have settled, and then takes over from the
-// second. Hazard: it served at a socket of its own, and call-backs that it accepted were lost.
+// A third process waits until the hot restart between the first two is complete, and then takes over from the
+// second. When it did not wait, it served at a separate socket, and call-backs that it accepted were lost.
 func TestThirdProcessWaitsForAnUpgrade(t *testing.T) {
 	u := startUpgradableNode(t, 2)
 	u.startClients(10)
 	second, admin := u.startProcess()
 	third, other := u.startProcess()
-	eventually(t, "one of them is ready", func() bool {
-		if isReady(other) { // the third may have come first
+	eventually(t, "one of the new processes is ready", func() bool {
+		if isReady(other) { // the third process may have been first
 			second, third, admin, other = third, second, other, admin
 		}
 		return isReady(admin)
 	})
 	check(t, u.cmd.Process.Signal(syscall.SIGTERM))
 	check(t, u.cmd.Wait())
-	eventually(t, "the other is ready", func() bool { return isReady(other) })
+	eventually(t, "the other new process is ready", func() bool { return isReady(other) })
 	check(t, second.Process.Signal(syscall.SIGTERM))
 	check(t, second.Wait())
 	u.cmd, u.admin = third, other
-	u.waitServing("the last one serves on")
+	u.waitServing("the last process continues to serve")
 	u.stopClients()
 	if u.unanswered.Load() > 0 {
 		t.Errorf("%d requests were lost", u.unanswered.Load())
@@ -132,19 +133,19 @@
 	u.checkNoJobRanTwice()
 }
 
-// What lies at the meeting place from before, or speaks otherwise, does not keep a node
-// from starting in bounded time.
+// A socket that is left at the path for upgrades, or a process there that speaks another protocol, does not
+// keep a node from starting in bounded time.
 func TestStartBesideForeignUpgradeSocket(t *testing.T) {
-	for name, stranger := range map[string]func(net.Conn){
-		"silent":   func(net.Conn) {},
-		"half":     func(c net.Conn) { _, _ = io.WriteString(c, `{"t":"state","v":1,"st`) },
-		"another":  func(c net.Conn) { _, _ = io.WriteString(c, `{"t":"state","v":99}`+"\n") },
-		"binary":   func(c net.Conn) { _, _ = io.WriteString(c, "\x00\xff\n") },
-		"hangs up": func(c net.Conn) { c.Close() },
-		"no socket": func(c net.Conn) {
+	for name, foreign := range map[string]func(net.Conn){
+		"silent":          func(net.Conn) {},
+		"incomplete":      func(c net.Conn) { _, _ = io.WriteString(c, `{"t":"state","v":1,"st`) },
+		"another version": func(c net.Conn) { _, _ = io.WriteString(c, `{"t":"state","v":99}`+"\n") },
+		"binary":          func(c net.Conn) { _, _ = io.WriteString(c, "\x00\xff\n") },
+		"disconnects":     func(c net.Conn) { c.Close() },
+		"passes no socket": func(c net.Conn) {
 			_, _ = io.WriteString(c, `{"t":"state","v":1,"state":{"instances":[]}}`+"\n")
 		},
-		"busy for ever": func(c net.Conn) {
+		"always busy": func(c net.Conn) {
 			_, _ = io.WriteString(c, `{"t":"refuse","v":1,"why":"busy"}`+"\n")
 			c.Close()
 		},
@@ -153,14 +154,14 @@
 			dir := t.TempDir()
 			t.Setenv("TMPDIR", dir)
 			o := startNodeWithAdmin(t, 1, completeJob)
-			socks, err := filepath.Glob(filepath.Join(dir, "moorstack-*.sock"))
-			if err != nil || len(socks) != 1 {
-				t.Fatalf("the meeting place: %q, %v", socks, err)
+			sockets, err := filepath.Glob(filepath.Join(dir, "moorstack-*.sock"))
+			if err != nil || len(sockets) != 1 {
+				t.Fatalf("sockets for upgrades: %q, %v, want one", sockets, err)
 			}
 			check(t, o.cmd.Process.Kill()) // its socket stays
 			_ = o.cmd.Wait()
-			check(t, os.Remove(socks[0]))
-			l, err := net.Listen("unix", socks[0])
+			check(t, os.Remove(sockets[0]))
+			l, err := net.Listen("unix", sockets[0])
 			check(t, err)
 			defer l.Close()
 			go func() {
@@ -171,7 +172,7 @@
 					}
 					go func() {
 						_, _ = bufio.NewReader(c).ReadString('\n')
-						stranger(c)
+						foreign(c)
 						_, _ = io.Copy(io.Discard, c)
 					}()
 				}
@@ -181,11 +182,11 @@
 			cmd, admin := u.startProcess()
 			eventually(t, "the node is ready", func() bool { return isReady(admin) })
 			if took := time.Since(began); took > 5800*time.Millisecond {
-				t.Errorf("it took %v, and has 6 s", took)
+				t.Errorf("the start took %v, limit 6s", took)
 			}
-			// Call-backs for the stranger's jobs come here, too.
+			// Call-backs for the other process's jobs arrive here, too.
 			if status := o.callBack("unknown", "s-0000", "done", "x"); status != 503 {
-				t.Errorf("a call-back for who knows whom was answered %d", status)
+				t.Errorf("a call-back for an unknown job was answered %d, want 503", status)
 			}
 			o.dial().send(jobRequest("a", "quote", "4000m", "x")).expectResponse(200, "did x")
 			check(t, cmd.Process.Signal(syscall.SIGTERM))
@@ -194,14 +195,14 @@
 	}
 }
 
-// The new process polls discovery where a reload has sent the old one, whatever the variable
-// of the old one's start names; and ends after what has half come.
+// The new process polls discovery at the address that a reload gave the old one, not at the one in the old
+// one's environment; and the old process ends after answering a request that had arrived in part.
 func TestUpgradeKeepsReloadedDiscovery(t *testing.T) {
 	u := startUpgradableNode(t, 1)
 	<-u.watches
-	var asked atomic.Int64
+	var polls atomic.Int64
 	moved := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+		polls.Add(1)
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
@@ -213,15 +214,15 @@
 	text, err := json.Marshal(config)
 	check(t, err)
 	u.reload(string(text))
-	eventually(t, "the old process has moved", func() bool { return asked.Load() == 1 })
+	eventually(t, "the old process polls the new address", func() bool { return polls.Load() == 1 })
 	request := jobRequest("half", "quote", "4000m", "x")
 	half, sent := u.dial(), 0
-	drip := func() { half.send(request[sent : sent+1]); sent++ }
-	drip()
+	sendByte := func() { half.send(request[sent : sent+1]); sent++ }
+	sendByte()
 	cmd, admin := u.startProcess()
-	eventually(t, "the new process polls there", func() bool { return asked.Load() == 2 })
-	eventually(t, "it is ready", func() bool {
-		drip()
+	eventually(t, "the new process polls the new address", func() bool { return polls.Load() == 2 })
+	eventually(t, "the new process is ready", func() bool {
+		sendByte()
 		time.Sleep(100 * time.Millisecond)
 		return isReady(admin)
 	})
@@ -232,9 +233,9 @@
 	u.cmd = cmd
 }
 
-// While two processes are the node, an id that is open at one does not begin at the other,
-// a call-back finds the process whose attempt it is, whoever accepts it, and an operator's
-// call at one takes effect at both.
+// During an upgrade, a request ID that is in flight at one process is rejected at the other, a call-back that
+// either accepts reaches the process that made the attempt, and an operator's call at one takes effect at
+// both.
 func TestTwoProcessesAreOneNodeDuringAnUpgrade(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
@@ -265,21 +266,20 @@
 	if got := adminCall(t, admin, "maint-on "+o.workers[0].name+"\n"); !strings.HasPrefix(got, "ACK") {
 		t.Fatal(got)
 	}
-	eventually(t, "the old process knows of the maintenance", func() bool { return o.metrics().Ejected == 1 })
+	eventually(t, "the old process applies the maintenance", func() bool { return o.metrics().Ejected == 1 })
 
-	event(o.dial(), atOld, 204) // accepted by the new one
+	event(o.dial(), atOld, 204) // accepted by the new process
 	first.expectResponse(200, "did")
-	event(kept, atNew, 204) // accepted by the old one
+	event(kept, atNew, 204) // accepted by the old process
 	second.expectResponse(200, "did")
-	event(kept, atNew, 204) // a second delivery: nobody knows it any more
+	event(kept, atNew, 204) // repeated for a job that neither process knows any more
 	check(t, o.cmd.Process.Signal(syscall.SIGTERM))
 	check(t, o.cmd.Wait())
 	o.cmd = cmd
 }
 
-// A job that runs for longer than the old process may live goes on at the new one, with its
-// client's connection: its result, its failure and its client's leaving find their way, also
-// over a second upgrade.
+// A job that runs for longer than the old process may take to end continues at the new one, with its client's
+// connection: its result, its failure and its client's disconnect are handled, also after a second upgrade.
 func TestUpgradeMigratesOpenJobs(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	held := make(chan workerCall, 4)
@@ -288,10 +288,10 @@
 		held <- s
 	})
 	u := &upgradeFixture{adminFixture: o}
-	jobs, out := map[string]*client{}, map[string]workerCall{}
+	jobs, calls := map[string]*client{}, map[string]workerCall{}
 	for _, id := range []string{"done", "fails", "leaves", "done-late"} {
 		jobs[id] = o.dial().send(jobRequest(id, "book", "90000m", "x"))
-		out[id] = <-held
+		calls[id] = <-held
 	}
 	replace := func() {
 		t.Helper()
@@ -307,17 +307,17 @@
 	}
 	callBack := func(id, state string) {
 		t.Helper()
-		if status := o.callBack(id, out[id].worker.name, state, "did"); status != 204 {
+		if status := o.callBack(id, calls[id].worker.name, state, "did"); status != 204 {
 			t.Errorf("the call-back of %s was answered %d", id, status)
 		}
 	}
 	replace()
 	if s := o.metrics(); s.Outstanding != 4 {
-		t.Fatalf("the new process's metrics: %+v", s)
+		t.Fatalf("metrics of the new process: %+v", s)
 	}
 	callBack("done", "done")
 	jobs["done"].expectResponse(200, "did")
-	callBack("done", "done") // a second delivery
+	callBack("done", "done") // a repeated call-back
 	callBack("fails", "lost")
 	jobs["fails"].expectResponse(502, "")
 	jobs["leaves"].Close()
@@ -328,7 +328,7 @@
 	callBack("done-late", "done")
 	jobs["done-late"].expectResponse(200, "did")
 	if s := o.metrics(); s.Outstanding != 0 || s.Results["book"].Succeeded != 1 {
-		t.Errorf("the last process's metrics: %+v", s)
+		t.Errorf("metrics of the last process: %+v", s)
 	}
 	if n := o.callCount("POST"); n != 4 {
 		t.Errorf("the workers got %d attempts of 4 jobs", n)
--- a/cmd/moorstack/worker_subsets_test.go
+++ b/cmd/moorstack/worker_subsets_test.go
@@ -14,31 +14,31 @@
 	"moorstack/internal/verify/emulate/loopback"
 )
 
-// steadyLease has sessions last on a machine that is busy: with each that ends, others use the workers.
-const steadyLease = "[section.rollout]\nlease = \"2s\"\n"
+// longLease keeps sessions alive on a busy machine: when one ends, the instances use other workers.
+const longLease = "[section.rollout]\nlease = \"2s\"\n"
 
-// startWithWorkers starts nine workers for each instance, by the same names: their call-backs go to one
-// node. Then it starts the instances.
-func (g *group) startWithWorkers(names []string, of func(name string) loopback.Options) {
-	g.fronts, g.ownDiscovery = map[string]string{}, map[string]string{}
+// startWithWorkers starts nine workers, or as many as the options say, and discovery for each instance,
+// because the workers' call-backs go to one node. The workers' names are the same for all instances.
+func (g *group) startWithWorkers(names []string, options func(name string) loopback.Options) {
+	g.fronts, g.discoveryOf = map[string]string{}, map[string]string{}
 	for _, name := range names {
 		g.fronts[name] = freeAddress(g.t)
-		o := of(name)
+		o := options(name)
 		o.Node, o.Workers, o.Zone, o.Kind, o.Seed = g.fronts[name], cmp.Or(o.Workers, 9), "z", "k", 1
 		o.Spec = emulate.WorkerSpec{Cores: 8, Slots: 64, QueueCapacity: 256, Speed: 1,
 			SlowStartWindow: time.Millisecond, SlowStartMinShare: 1, ReportInterval: 200 * time.Millisecond}
 		s, err := loopback.Start(o)
 		check(g.t, err)
 		g.t.Cleanup(s.Close)
-		g.ownDiscovery[name] = s.DiscoveryAddress()
+		g.discoveryOf[name] = s.DiscoveryAddress()
 	}
 }
 
-// workerUse records which workers take which instances' jobs.
+// workerUse records which workers run which instances' jobs.
 type workerUse struct {
 	*group
 	mu   sync.Mutex
-	used map[string]map[string]bool // by instance: the workers that have taken its jobs
+	used map[string]map[string]bool // by instance: the workers that have run its jobs
 }
 
 func (u *workerUse) onJob(instance string) func(worker, key string) {
@@ -50,19 +50,19 @@
 	}
 }
 
-// reset begins again; the lock is held.
+// reset clears the records; u.mu must be held.
 func (u *workerUse) reset() {
 	for _, set := range u.used {
 		clear(set)
 	}
 }
 
-// waitDisjoint waits until the workers that are used by these instances, each of so many, are all
-// different ones, and gives the instance of each. Which of its own one takes a job is the module's choice,
-// and may pass over one for long: what was observed counts until it can't be.
+// waitDisjoint waits until each of these instances uses size workers that no other one uses, and returns the
+// instance of each worker. The balancer chooses among an instance's workers and may not use one for long, so
+// what was observed is kept until it contradicts the condition.
 func (u *workerUse) waitDisjoint(what string, size int, names ...string) map[string]string {
 	u.t.Helper()
-	by := map[string]string{}
+	instanceOf := map[string]string{}
 	u.mu.Lock()
 	u.reset()
 	u.mu.Unlock()
@@ -74,26 +74,26 @@
 		}
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		clear(by)
-		n, most := 0, 0
+		clear(instanceOf)
+		n, largest := 0, 0
 		for _, name := range names {
 			for w := range u.used[name] {
-				by[w] = name
+				instanceOf[w] = name
 				n++
 			}
-			most = max(most, len(u.used[name]))
+			largest = max(largest, len(u.used[name]))
 		}
-		if most > size || len(by) < n {
+		if largest > size || len(instanceOf) < n {
 			u.reset()
 		}
-		return n == size*len(names) && len(by) == n
+		return n == size*len(names) && len(instanceOf) == n
 	})
-	return by
+	return instanceOf
 }
 
-// Each of three instances uses three of nine workers, and each worker is used by one; when an instance
-// dies the two that are left share them again, and when it comes back it has its own again. Nonsense
-// changes nothing.
+// Each of three instances uses three of nine workers, and each worker is used by one instance. When an
+// instance is killed the other two share the workers again; after its restart each uses the same ones as
+// before. Invalid settings change nothing.
 func TestInstancesUseSubsetsOfTheWorkers(t *testing.T) {
 	t.Parallel()
 	g := &workerUse{group: newGroup(t), used: map[string]map[string]bool{}}
@@ -110,19 +110,19 @@
 		}
 	}
 	if out, code := g.propose("n1",
-		steadyLease+"[section.workers]\nsubset = \"3\"\ncold_parts = \"group\"\n"); code != 0 {
+		longLease+"[section.workers]\nsubset = \"3\"\ncold_parts = \"group\"\n"); code != 0 {
 		t.Fatal(out)
 	}
-	before := g.waitDisjoint("each instance uses three workers of its own", 3, names...)
+	before := g.waitDisjoint("each instance uses three workers that no other uses", 3, names...)
 	if len(before) != 9 {
-		t.Errorf("of nine workers these are used: %v", slices.Sorted(maps.Keys(before)))
+		t.Errorf("used workers: %v, want all nine", slices.Sorted(maps.Keys(before)))
 	}
 	g.kill("n3", syscall.SIGKILL)
 	g.waitDisjoint("two instances use three each", 3, "n1", "n2")
 	g.start("n3")
 	g.waitAdmitting("n3")
-	if after := g.waitDisjoint("the third one is back", 3, names...); !maps.Equal(before, after) {
-		t.Errorf("the same three instances use workers otherwise than before: %v, %v", before, after)
+	if after := g.waitDisjoint("three instances use three each", 3, names...); !maps.Equal(before, after) {
+		t.Errorf("the instances' workers were %v before the restart and are %v after it", before, after)
 	}
 }
 
@@ -154,50 +154,50 @@
 	return n
 }
 
-// A worker at which two of three instances' jobs fail gets nothing from all but the one whose time slot
-// it is to try it; what one alone has observed, or reports, changes nothing for others.
+// A worker at which the jobs of two of three instances fail gets no jobs, except from the instance whose time
+// slot it is to try it; what a single instance observes and reports changes nothing for the others.
 func TestOutlierReportsNeedSeveralInstances(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
 	names := []string{"n1", "n2", "n3"}
-	const sick = "w00004"
+	const failing = "w00004"
 	var mu sync.Mutex
 	fails := map[string]bool{"n3": true}
 	g.startWithWorkers(names, func(name string) loopback.Options {
 		return loopback.Options{FailJob: func(worker string) bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return fails[name] && worker == sick
+			return fails[name] && worker == failing
 		}}
 	})
 	g.form(names...)
-	if out, code := g.propose("n1", steadyLease+"[section.workers]\nwitnesses = \"on\"\n"); code != 0 {
+	if out, code := g.propose("n1", longLease+"[section.workers]\nwitnesses = \"on\"\n"); code != 0 {
 		t.Fatal(out)
 	}
 	for range 5 {
 		g.sendJobsToAll(names)
 		if n := g.excludingInstances(names); n > 0 {
-			t.Fatalf("%d exclude a worker by the report of one", n)
+			t.Fatalf("%d instances exclude a worker that only one has reported", n)
 		}
 	}
 	mu.Lock()
 	fails["n1"], fails["n2"], fails["n3"] = true, true, false
 	mu.Unlock()
-	within(t, time.Minute, "the reports of two are a quorum", func() bool {
+	within(t, time.Minute, "two reports are a quorum", func() bool {
 		g.sendJobsToAll(names)
 		return g.excludingInstances(names) > 0
 	})
 	mu.Lock()
 	clear(fails)
 	mu.Unlock()
-	within(t, time.Minute, "a worker that is well is used again", func() bool {
+	within(t, time.Minute, "a recovered worker is used again", func() bool {
 		g.sendJobsToAll(names)
 		return g.excludingInstances(names) == 0
 	})
 }
 
-// While two instances know the workers' list in different generations, each uses as many of its own as it is
-// to, and every job is served.
+// While instances have different generations of the endpoint list, each uses no more workers than its subset
+// has, and every job is served.
 func TestSubsetsWhileEndpointListsDiffer(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -214,7 +214,7 @@
 			}}
 	})
 	g.form(names...)
-	if out, code := g.propose("n1", steadyLease+"[section.workers]\nsubset = \"3\"\n"); code != 0 {
+	if out, code := g.propose("n1", longLease+"[section.workers]\nsubset = \"3\"\n"); code != 0 {
 		t.Fatal(out)
 	}
 	for _, name := range names {
@@ -222,13 +222,13 @@
 			mu.Lock()
 			clear(used[name])
 			mu.Unlock()
-			// A machine that is busy may have one rejected: it gets a Retry-After.
+			// On a busy machine a job may be rejected, with a Retry-After.
 			for served, n := 0, 0; served < 60; n++ {
-				status, head := g.sendJob(name)
+				status, header := g.sendJob(name)
 				if status == 200 {
 					served++
-				} else if status != 503 || head.Get("Retry-After") == "" || n > 300 {
-					t.Fatalf("%s: job %d is answered %d: %v", name, n, status, head)
+				} else if status != 503 || header.Get("Retry-After") == "" || n > 300 {
+					t.Fatalf("%s: job %d was answered %d with headers %v", name, n, status, header)
 				} else {
 					time.Sleep(50 * time.Millisecond)
 				}
