--- a/internal/cluster/consensus/cluster_view.go
+++ b/internal/cluster/consensus/cluster_view.go
@@ -26,7 +26,7 @@
 	replica      *replica
 	participants *participants
 
-	lease   lease.Clock
+	lease   lease.Tracker
 	views   []placement.View // not emitted yet
 	latest  placement.View
 	skipped bool        // views may have been skipped since the last ClusterView
--- a/internal/cluster/leasedtask/model_test.go
+++ b/internal/cluster/leasedtask/model_test.go
@@ -69,7 +69,7 @@
 	state         *State
 	applied       int
 	epoch         uint64 // of the current incarnation's session
-	clock         lease.Clock
+	clock         lease.Tracker
 	lastRequestAt time.Duration
 	request       *leaseRequest
 	grant         *leaseGrant
