--- a/internal/verify/faultinjection/audit.go
+++ b/internal/verify/faultinjection/audit.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// maxLastEntries is how many journal entries a result with violations ends with.
+// maxLastEntries is how many of the last journal entries a result with violations includes.
 const maxLastEntries = 30
 
-// audit audits every change at every instance, and the journals of all of them.
+// audit runs all audits: of every instance's history of changes, of the journals, of the jobs, and of
+// whether there was anything to audit.
 func (r *run) audit(ctx context.Context) error {
 	r.auditHistories(ctx)
 	all, err := r.readJournals()
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// auditJournals runs the audits of the journals and fills in the figures that they give.
+// auditJournals runs the audits of the journals, and adds their counts and violations to the result.
 func (r *run) auditJournals(all []auditEntry) {
 	policies, admitted := auditPolicies(all)
 	r.result.Admitted, r.result.AdmissionPauses = admitted, admissionPauses(all)
@@ -53,28 +54,28 @@
 	}
 }
 
-// auditJobs looks for responses that the protocol does not have.
+// auditJobs reports responses that the protocol does not allow.
 func (r *run) auditJobs() {
 	if n := r.result.Jobs.WithoutRetryAfter; n > 0 {
-		r.violate("%d refusals did not say when to come back", n)
+		r.violate("%d rejections have no Retry-After header", n)
 	}
 	if n := r.result.Jobs.UnknownStatus; n > 0 {
-		r.violate("%d answers are of no kind that the protocol has", n)
+		r.violate("%d responses have a status that the protocol does not allow", n)
 	}
 }
 
-// auditCoverage looks whether each audit had something to audit.
+// auditCoverage reports audits that had nothing to audit.
 func (r *run) auditCoverage() {
 	if r.MaxRestarting > 0 && r.result.RestartedInstances == 0 {
-		r.violate("no instance was taken out by a rolling restart: there was nothing to audit")
+		r.violate("no instance was restarted by a rolling restart: nothing to audit")
 	}
 	if r.Accounts > 0 && r.JobsPerSecond > 0 && r.result.RatedAdmissions == 0 {
-		r.violate("no account's job was admitted: there was nothing to audit")
+		r.violate("no job of an account was admitted: nothing to audit")
 	}
 	if r.DrillTasks > 0 && r.result.TaskActs == 0 {
-		r.violate("nobody acted in a duty: there was nothing to audit")
+		r.violate("no instance acted in a leased task: nothing to audit")
 	}
 	if r.JobsPerSecond > 0 && r.result.Admitted == 0 {
-		r.violate("no job was admitted: there was nothing to audit")
+		r.violate("no job was admitted: nothing to audit")
 	}
 }
--- a/internal/verify/faultinjection/audit_budgets.go
+++ b/internal/verify/faultinjection/audit_budgets.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// budgetShare is a time in which an instance held itself entitled to a share of the slow-start
-// budgets of workers that warm up: share index of total equal ones.
+// budgetShare is a period in which an instance used a share of the slow-start budgets of workers that
+// are not warm yet: the share number index, from 0 on, of total equal shares.
 type budgetShare struct {
 	instance     string
 	index, total int
 	from, to     time.Duration
 }
 
-// shareTolerance is what rounding may add to a sum of shares.
+// shareTolerance is the rounding error allowed in a sum of shares.
 const shareTolerance = 1e-9
 
-// auditBudgetShares looks for a moment at which instances held more than the whole of a slow-start
-// budget, or two of them the same share, and counts the shares. As each instance has written, its
-// share ends with its lease: also that of one that was stalled, and wrote nothing.
+// auditBudgetShares reports when instances together held more than a whole slow-start budget, or two
+// of them the same share, and counts the shares. Each entry includes the time at which the lease ends,
+// and with it the share. The share of an instance that is stalled, and thus writes nothing, ends then
+// too.
 func auditBudgetShares(all []auditEntry) (violations []string, shares int) {
 	held, violations := readBudgetShares(all)
 	var current []budgetShare
@@ -37,13 +38,13 @@
 			sum += 1 / float64(other.total)
 			if other.index == s.index && other.total == s.total {
 				violations = append(violations, fmt.Sprintf(
-					"%s takes part %d of %d of cold workers' budgets at %v, which %s has until %v",
+					"%s holds share %d of %d of the slow-start budgets at %v, which %s holds until %v",
 					s.instance, s.index, s.total, s.from, other.instance, other.to))
 			}
 		}
 		if sum > 1+shareTolerance {
 			violations = append(violations, fmt.Sprintf(
-				"with %s's part %d of %d at %v, %.3f of cold workers' budgets are taken: %v",
+				"with %s's share %d of %d at %v, %.3f of the slow-start budgets are held: %v",
 				s.instance, s.index, s.total, s.from, sum, current))
 		}
 		current = append(current, s)
@@ -51,10 +52,10 @@
 	return violations, shares
 }
 
-// readBudgetShares reads the shares that instances held, in the order of their beginning. A share
-// ends at the latest with the next entry on shares of its instance, or when that starts again.
+// readBudgetShares returns the shares that instances held, sorted by when they began. A share also ends
+// with the next entry of its instance on shares, and when its instance starts again.
 func readBudgetShares(all []auditEntry) (shares []budgetShare, violations []string) {
-	current := map[string]int{} // by instance: the place of its newest share in the list, and one more
+	current := map[string]int{} // by instance: the index of its newest share in the list, plus 1
 	for _, e := range all {
 		if e.event != "part" && e.event != "start" {
 			continue
@@ -68,7 +69,8 @@
 		}
 		s, ok := parseBudgetShare(e)
 		if !ok {
-			violations = append(violations, fmt.Sprintf("%s: %q is no part", e.instance, e.args))
+			violations = append(violations, fmt.Sprintf("%s: invalid journal entry on a share: %q",
+				e.instance, e.args))
 			continue
 		}
 		shares = append(shares, s)
--- a/internal/verify/faultinjection/audit_history.go
+++ b/internal/verify/faultinjection/audit_history.go
@@ -8,8 +8,9 @@
 	"moorstack/internal/schema"
 )
 
-// auditHistories looks at every change at every instance: one that was acknowledged as in force is
-// so everywhere under its revision, one that was withdrawn nowhere, and all histories are alike.
+// auditHistories compares the histories of all instances with the changes of the run. A change that was
+// acknowledged as in force must have its revision at every instance, a withdrawn change must be in no
+// history, and all histories must be equal.
 func (r *run) auditHistories(ctx context.Context) {
 	newest := uint64(1)
 	for _, revision := range r.acknowledged {
@@ -27,14 +28,14 @@
 			first = text
 		}
 		if !bytes.Equal(first, text) {
-			r.violate("%s has another history than %s", p.Name, r.Processes[0].Name)
+			r.violate("the history of %s differs from that of %s", p.Name, r.Processes[0].Name)
 		}
 	}
 }
 
 func readHistory(ctx context.Context, p *Process) (history *schema.HistoryReply, err error) {
-	err = RetryUntil(ctx, "the history at "+p.Name, func(ctx context.Context) error {
-		// Reading the configuration first is a barrier: the history is at least as new.
+	err = RetryUntil(ctx, "reading the history of "+p.Name, func(ctx context.Context) error {
+		// Reading the configuration first is a barrier: the history is at least as recent.
 		if _, err := p.Client.GetConfig(ctx, &schema.GetConfigRequest{}); err != nil {
 			return err
 		}
@@ -45,30 +46,31 @@
 	return history, err
 }
 
-// auditHistory looks at one instance's history, and gives it as a text to compare.
+// auditHistory checks one instance's history, and returns it as text for comparison.
 func (r *run) auditHistory(p *Process, history *schema.HistoryReply, newest uint64) []byte {
-	revisions := map[string]uint64{} // by change
+	revisions := map[string]uint64{} // by the change's id
 	var text bytes.Buffer
 	for _, revision := range history.Revisions {
 		if before, ok := revisions[revision.Id]; ok {
-			r.violate("%s: change %s is revision %d and %d", p.Name, revision.Id, before, revision.Revision)
+			r.violate("%s: change %s has the revisions %d and %d", p.Name, revision.Id, before,
+				revision.Revision)
 		}
 		revisions[revision.Id] = revision.Revision
 		fmt.Fprintln(&text, revision.Revision, revision.Id, revision.AtMs, revision.ForceMs)
 	}
 	for id, revision := range r.acknowledged {
 		if revision >= history.Oldest && revisions[id] != revision {
-			r.violate("%s: change %s was in force as revision %d and is %d", p.Name, id, revision,
-				revisions[id])
+			r.violate("%s: change %s was acknowledged as revision %d, but has revision %d", p.Name, id,
+				revision, revisions[id])
 		}
 	}
 	for id := range r.withdrawn {
 		if revisions[id] != 0 {
-			r.violate("%s: change %s was withdrawn and is revision %d", p.Name, id, revisions[id])
+			r.violate("%s: change %s was withdrawn, but has revision %d", p.Name, id, revisions[id])
 		}
 	}
 	if last := history.Revisions[0].Revision; last != newest {
-		r.violate("%s: revision %d is the newest, %d was in force last", p.Name, last, newest)
+		r.violate("%s: the newest revision is %d, but the last acknowledged one is %d", p.Name, last, newest)
 	}
 	return text.Bytes()
 }
--- a/internal/verify/faultinjection/audit_policies.go
+++ b/internal/verify/faultinjection/audit_policies.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// auditPolicies looks for an admission under a revision after another, anywhere, under a later one,
-// and counts the admissions.
+// auditPolicies reports admissions under a revision that follow an admission, at any instance, under a
+// later revision. It counts the admissions.
 func auditPolicies(all []auditEntry) (violations []string, admitted int) {
 	newest, latest := uint64(0), auditEntry{}
 	for _, e := range all {
@@ -17,7 +17,8 @@
 		}
 		revision, err := strconv.ParseUint(strings.Fields(e.args)[0], 10, 64)
 		if err != nil {
-			violations = append(violations, fmt.Sprintf("%s: %q is no admission", e.instance, e.args))
+			violations = append(violations, fmt.Sprintf(
+				"%s: invalid journal entry on an admission: %q", e.instance, e.args))
 			continue
 		}
 		admitted++
@@ -33,8 +34,8 @@
 	return violations, admitted
 }
 
-// admissionPauses is for how long each time an instance admitted nothing because a change was
-// taking hold.
+// admissionPauses returns the lengths of all periods in which an instance admitted no jobs because a
+// change was being applied.
 func admissionPauses(all []auditEntry) []time.Duration {
 	var list []time.Duration
 	since := map[string]time.Duration{}
@@ -50,7 +51,7 @@
 				list = append(list, e.at-at)
 			}
 			delete(since, e.instance)
-		case e.event == "start" || closed: // for another reason
+		case e.event == "start" || closed: // it admits no jobs for another reason
 			delete(since, e.instance)
 		}
 	}
--- a/internal/verify/faultinjection/audit_rates.go
+++ b/internal/verify/faultinjection/audit_rates.go
@@ -9,12 +9,12 @@
 	"moorstack/internal/cluster/ratelimit"
 )
 
-// rateSection is the rate limits' section of a change: as many accounts as wanted, of small and of
-// larger rates, with and without floors. Every second set has lower ones, so that rates are lowered
-// while slices are handed out, and raised again.
+// rateSection returns the section of rate limits for a change: the given number of accounts, with lower
+// and higher rates, with and without floors. Every second set has lower rates, so that rates are
+// lowered while slices are in use, and raised again.
 func rateSection(accounts, instances, set int) map[string]string {
-	// Triggers without an account go by the default, and all of them may be at one instance: a
-	// floor of the whole rate would leave that one too little.
+	// Triggers without an account are subject to the default limit, and may all be at one instance.
+	// A floor of the whole rate would leave that instance too small a share.
 	section := map[string]string{"account": "X-Account", "tick": "50ms", "term": "500ms",
 		"parts": strconv.Itoa(instances), "default": fmt.Sprintf("25/s burst=%d floor=0.3", 4*instances)}
 	for n := range accounts {
@@ -31,50 +31,50 @@
 	return section
 }
 
-// rateAudit is what an audit of rates has found.
+// rateAudit holds the results of an audit of rate limits.
 type rateAudit struct {
 	violations []string
 	admitted   int
-	// utilization is the part of what the accounts' rates allow that was admitted, from each one's
-	// first admission to its last.
+	// utilization is the fraction of the admissions allowed by the accounts' rates that took place,
+	// from the first admission of each account to its last.
 	utilization float64
-	maxGap      time.Duration // between two admissions of an account that has a line of its own
-	accounts    int           // with an admission
+	maxGap      time.Duration // between two admissions of an account that has its own limit
+	accounts    int           // with at least one admission
 }
 
-// rateBucket is what one limit of one version of the section applies to.
+// rateBucket identifies a bucket: a key to which a limit applies, in one version of the section.
 type rateBucket struct {
 	version uint64
 	ratelimit.Key
 }
 
-// tokenLevel is a token bucket that every admission at any instance takes a token from.
+// tokenLevel is a token bucket. Every admission at any instance removes a token from it.
 type tokenLevel struct {
 	limit     ratelimit.Limit
 	tokens    float64
-	first, at time.Duration // the first admission and the last
+	first, at time.Duration // times of the first and the last admission
 	admitted  int
 	violated  bool
 }
 
-// tokenTolerance is what rounding may take from a token bucket.
+// tokenTolerance is the rounding error allowed in the tokens of a bucket.
 const tokenTolerance = 1e-6
 
-// rateAuditor reads the journals' entries on rates in their order.
+// rateAuditor processes the journals' entries on rate limits in their order.
 type rateAuditor struct {
 	rateAudit
 	policies map[uint64]ratelimit.Policy
-	versions map[string]uint64        // by instance: by which version it admits
-	latest   map[string]time.Duration // by account: its last admission
+	versions map[string]uint64        // by instance: the version of the section that it applies
+	latest   map[string]time.Duration // by account: the time of its last admission
 	levels   map[rateBucket]*tokenLevel
 }
 
-// auditRates looks, for each bucket, for a window in which more was admitted at all instances together
-// than the rate and the burst allow.
+// auditRates reports buckets that, in some period, admitted more at all instances together than their
+// rate and burst allow.
 //
-// Instances write by which version of the section they admit. A rate that is changed is another
-// bucket: that no instance admits under one configuration after another has under a later one is
-// what auditPolicies looks at.
+// Instances write which version of the section they apply. Each version of a limit has its own bucket.
+// auditPolicies checks that no instance admits jobs under one configuration after another instance has
+// admitted jobs under a later one.
 func auditRates(all []auditEntry, policies map[uint64]ratelimit.Policy) rateAudit {
 	a := &rateAuditor{
 		policies: policies,
@@ -100,13 +100,13 @@
 	a.violations = append(a.violations, fmt.Sprintf(format, args...))
 }
 
-// admission takes a token for an admission from its account's bucket and from that of its account
-// and class.
+// admission removes a token for an admission from the bucket of its account and from the bucket of its
+// account and class.
 func (a *rateAuditor) admission(e auditEntry) {
 	account, rest, err := unquote(e.args)
 	class, _, classErr := unquote(strings.TrimPrefix(rest, " "))
 	if err != nil || classErr != nil {
-		a.violate("%s: %q is no admission of an account", e.instance, e.args)
+		a.violate("%s: invalid journal entry on an admission of an account: %q", e.instance, e.args)
 		return
 	}
 	version := a.versions[e.instance]
@@ -122,7 +122,7 @@
 func (a *rateAuditor) take(e auditEntry, b rateBucket) {
 	policy, known := a.policies[b.version]
 	if !known {
-		a.violate("%s admits by words on rates that nobody has agreed on", e.instance)
+		a.violate("%s applies a version of the rate limits that was never proposed", e.instance)
 		return
 	}
 	limit, limited := policy.LimitOf(b.Key)
@@ -138,7 +138,7 @@
 	l.tokens = min(limit.Burst, l.tokens+limit.Rate*(e.at-l.at).Seconds()) - 1
 	if l.at = e.at; l.tokens < -tokenTolerance && !l.violated {
 		l.violated = true
-		a.violate("account %s: at %v %s admitted job %d, beyond %v a second and %v at once over all "+
+		a.violate("account %s: at %v %s admitted job %d, over the rate of %v/s and the burst of %v of all "+
 			"instances", b.Key, e.at, e.instance, l.admitted, limit.Rate, limit.Burst)
 	}
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-// unquote reads the quoted string that a text begins with, and gives the rest of the text.
+// unquote decodes the quoted string at the start of s, and returns it and the rest of s.
 func unquote(s string) (text, rest string, err error) {
 	q, err := strconv.QuotedPrefix(s)
 	if err != nil {
--- a/internal/verify/faultinjection/audit_restarts.go
+++ b/internal/verify/faultinjection/audit_restarts.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// auditRollingRestarts looks for a moment at which more instances were out by a rolling restart than
-// its plan allows, and counts those that were taken out. An instance is out from when its process
-// reads that it is to end until a later process of it admits jobs.
+// auditRollingRestarts reports when a rolling restart restarted more instances at once than its plan
+// allows, and counts the restarts. An instance is out from when its process learns that it must end
+// until a later process of the instance admits jobs.
 func auditRollingRestarts(all []auditEntry) (violations []string, restarted int) {
 	out := map[string]bool{}
 	started := map[string]bool{}
@@ -22,7 +22,7 @@
 			restarted++
 			if err != nil || len(out) > most {
 				violations = append(violations, fmt.Sprintf(
-					"%s is taken out at %v, and %d are out, of %s at the most",
+					"%s is restarted at %v, when %d instances are out and the plan allows %s",
 					e.instance, e.at, len(out), e.args))
 			}
 		case "start":
@@ -36,8 +36,8 @@
 	return violations, restarted
 }
 
-// auditShutdowns looks for jobs that an instance admitted and that got no response though its
-// process ended by a graceful shutdown: by a rolling restart, or by SIGTERM.
+// auditShutdowns reports jobs that an instance admitted and that got no response although its process
+// ended by a graceful shutdown, for a rolling restart or on SIGTERM.
 func (c *Cluster) auditShutdowns(all []auditEntry) (violations []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +45,7 @@
 	for _, id := range c.unansweredJobs {
 		unanswered[id] = true
 	}
-	admitted := map[string]map[string]time.Duration{} // by instance and job: when
+	admitted := map[string]map[string]time.Duration{} // times of admission, by instance and job
 	for _, e := range all {
 		switch e.event {
 		case "admit":
@@ -59,8 +59,8 @@
 		case "start":
 			for id, at := range admitted[e.instance] {
 				if !c.interrupted(e.instance, at-clientTimeout, e.at) && e.at-at < clientTimeout {
-					violations = append(violations, fmt.Sprintf("job %s was admitted by %s at %v and has no "+
-						"answer: the process ended by wish, and another began at %v",
+					violations = append(violations, fmt.Sprintf("job %s was admitted by %s at %v and got no "+
+						"response: the process shut down gracefully, and the next one started at %v",
 						id, e.instance, at, e.at))
 				}
 			}
@@ -70,8 +70,8 @@
 	return violations
 }
 
-// interrupted reports whether an instance was killed or stalled after a time and until another. The
-// caller holds the lock.
+// interrupted reports whether an instance was interrupted after the time after and not later than
+// until. The caller holds c.mu.
 func (c *Cluster) interrupted(instance string, after, until time.Duration) bool {
 	return slices.ContainsFunc(c.interruptions, func(i interruption) bool {
 		return i.instance == instance && i.at > after && i.at <= until
--- a/internal/verify/faultinjection/audit_tasks.go
+++ b/internal/verify/faultinjection/audit_tasks.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// taskAudit is what an audit of leased tasks has found.
+// taskAudit holds the results of an audit of leased tasks.
 type taskAudit struct {
 	violations []string
 	acts       int
-	gaps       []time.Duration // in which nobody acted, each time that a task changed hands
+	gaps       []time.Duration // times without an action, one for each change of a task's holder
 }
 
-// auditTasks looks for an act in a leased task under a fencing token after another under a later
-// one, and for two instances that act under one token.
+// auditTasks reports actions in a leased task under a fencing token that follow an action under a newer
+// token, and two instances that act under the same token.
 func auditTasks(all []auditEntry) (found taskAudit) {
 	type act struct {
 		auditEntry
@@ -28,14 +28,15 @@
 		}
 		args := strings.Fields(e.args)
 		if len(args) != 2 {
-			found.violations = append(found.violations, fmt.Sprintf("%s: %q is no act", e.instance, e.args))
+			found.violations = append(found.violations, fmt.Sprintf(
+				"%s: invalid journal entry on an action: %q", e.instance, e.args))
 			continue
 		}
 		task, before := args[0], latest[args[0]]
 		token, err := strconv.ParseUint(args[1], 10, 64)
 		if err != nil || token < before.token || token == before.token && e.instance != before.instance {
 			found.violations = append(found.violations,
-				fmt.Sprintf("%s acted in %s under the number %s %v after %s had under %d", e.instance,
+				fmt.Sprintf("%s acted in %s under the fencing token %s %v after %s had under %d", e.instance,
 					task, args[1], e.at-before.at, before.instance, before.token))
 			continue
 		}
--- a/internal/verify/faultinjection/audit_test.go
+++ b/internal/verify/faultinjection/audit_test.go
@@ -10,12 +10,12 @@
 	"moorstack/internal/cluster/ratelimit"
 )
 
-// entryAt is a journal entry at a time in milliseconds.
+// entryAt returns a journal entry at a time in milliseconds.
 func entryAt(ms int, instance, event, args string) auditEntry {
 	return auditEntry{time.Duration(ms) * time.Millisecond, instance, event, args}
 }
 
-// wantViolation fails the test unless there is one violation, which contains a text.
+// wantViolation fails the test unless there is exactly one violation and it contains want.
 func wantViolation(t *testing.T, violations []string, want string) {
 	t.Helper()
 	if len(violations) != 1 || !strings.Contains(violations[0], want) {
@@ -56,9 +56,9 @@
 		t.Errorf("%+v", found)
 	}
 	for want, bad := range map[string]auditEntry{
-		"a acted in x under the number 4": act(11, "a", "x 4"),
-		"a acted in x under the number 6": act(11, "a", "x 6"),
-		`"x" is no act`:                   act(11, "a", "x"),
+		"a acted in x under the fencing token 4":  act(11, "a", "x 4"),
+		"a acted in x under the fencing token 6":  act(11, "a", "x 6"),
+		`invalid journal entry on an action: "x"`: act(11, "a", "x"),
 	} {
 		t.Run(want, func(t *testing.T) {
 			wantViolation(t, auditTasks(append(slices.Clone(good), bad)).violations, want)
@@ -82,11 +82,11 @@
 		t.Errorf("%v, %d shares", violations, shares)
 	}
 	for want, bad := range map[string][]auditEntry{
-		"b takes part 0 of 2":  {share(1, "a", "0 2 9000000"), share(2, "b", "0 2 9000000")},
-		"1.333 of cold":        {share(1, "a", "0 1 9000000"), share(2, "b", "1 3 9000000")},
-		"1.500 of cold":        {share(1, "a", "1 2 9000000"), share(2, "b", "0 1 9000000")},
-		`"2 2 5" is no part`:   {share(1, "a", "2 2 5")},
-		`"1 2 soon" is no par`: {share(1, "a", "1 2 soon")},
+		"b holds share 0 of 2":         {share(1, "a", "0 2 9000000"), share(2, "b", "0 2 9000000")},
+		"1.333 of the slow-start":      {share(1, "a", "0 1 9000000"), share(2, "b", "1 3 9000000")},
+		"1.500 of the slow-start":      {share(1, "a", "1 2 9000000"), share(2, "b", "0 1 9000000")},
+		`entry on a share: "2 2 5"`:    {share(1, "a", "2 2 5")},
+		`entry on a share: "1 2 soon"`: {share(1, "a", "1 2 soon")},
 	} {
 		t.Run(want, func(t *testing.T) {
 			violations, _ := auditBudgetShares(bad)
@@ -119,9 +119,9 @@
 		t.Errorf("%v, %d admissions", found.violations, found.admitted)
 	}
 	for want, bad := range map[string]auditEntry{
-		"x admitted job 4, beyond 10 a second": admitted(150, "x", `"a" "c"`),
-		"is no admission of an account":        admitted(150, "x", `a c`),
-		"nobody has agreed on":                 entryAt(0, "y", "rates", "9"),
+		"x admitted job 4, over the rate of 10/s":             admitted(150, "x", `"a" "c"`),
+		"invalid journal entry on an admission of an account": admitted(150, "x", `a c`),
+		"that was never proposed":                             entryAt(0, "y", "rates", "9"),
 	} {
 		t.Run(want, func(t *testing.T) {
 			list := append(slices.Clone(good), bad, admitted(500, "y", `"a" "c"`))
--- a/internal/verify/faultinjection/audit_triggers.go
+++ b/internal/verify/faultinjection/audit_triggers.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// maxTriggerViolations is how many violations an audit of triggers names.
+	// maxTriggerViolations is the most violations that an audit of triggers lists.
 	maxTriggerViolations = 10
-	// maxEarly is how long before its time, by the true clock, an occurrence may be fired: an
-	// instance goes by its own clock.
+	// maxEarly is how long before its time by the true clock an occurrence may be fired. It is not 0
+	// because instances use their own clocks.
 	maxEarly = 1500 * time.Millisecond
-	// settleSeconds is how many seconds of the machine's time an occurrence may be missing for after
-	// its time, as the newest one of any trigger shows it.
+	// settleSeconds is how many seconds of the machine's time an occurrence may be overdue, compared to
+	// the newest occurrence of any trigger.
 	settleSeconds = 30
-	// answerBusy is the answer of a submission that was rejected and had no effect.
+	// answerBusy is the response to a submission that was rejected and had no effect.
 	answerBusy = "busy"
 )
 
 var classNames = []string{"trip-quote", "trip-book", "trip-once"}
 
-// triggerSection is the schedule's section of a change: triggers of each class, of several
-// periods, some spread, some that count against an account. None may be skipped, however late.
+// triggerSection returns the section of triggers for a change: triggers of each class, with several
+// periods, some with a spread and some that belong to an account. No occurrence may be skipped,
+// however late it is.
 func triggerSection(o ClusterOptions) map[string]string {
 	section := map[string]string{"zone": "Europe/Berlin"}
 	expressions := []string{"* * * * * *", "*/2 * * * * *", "*/3 * * * * *"}
 	if o.ClockSpeed > 1 {
-		section["bound"] = "1h" // a reading is some tenths of a second old
+		section["bound"] = "1h" // an instance's clock reading is some tenths of a second old
 		expressions = []string{"* * * * *", "*/2 * * * *", "30 2 * * *"}
 	}
 	for n := range o.Triggers {
@@ -51,19 +52,19 @@
 	return section
 }
 
-// TriggerCounts counts what became of triggers' occurrences.
+// TriggerCounts counts the occurrences of triggers, by their outcome.
 type TriggerCounts struct {
 	Intended      int `json:"intended"`
 	JobsSubmitted int `json:"begun"`
-	Adopted       int `json:"taken_over"`   // jobs of an occurrence that was another session's before
+	Adopted       int `json:"taken_over"`   // jobs of an occurrence that belonged to another session before
 	MayHaveRun    int `json:"may_have_run"` // with an unknown outcome
 	Rejected      int `json:"refused"`
 	Failed        int `json:"failed"`
-	// Lateness is from the time of an occurrence to when its job was submitted first.
+	// Lateness holds the times from when an occurrence was due until its job was first submitted.
 	Lateness []time.Duration `json:"late_ns"`
 }
 
-// triggerAudit is what an audit of triggers has found.
+// triggerAudit holds the results of an audit of triggers.
 type triggerAudit struct {
 	TriggerCounts
 	violations []string
@@ -75,7 +76,7 @@
 	}
 }
 
-// awaitOutcomes waits until all that was intended before the faults' end has an outcome.
+// awaitOutcomes waits until every occurrence that was due before the faults ended has an outcome.
 func (r *run) awaitOutcomes(ctx context.Context, healed time.Duration) {
 	before := r.trueClock.wall(healed)
 	err := RetryUntil(ctx, "waiting for outcomes", func(context.Context) error {
@@ -86,24 +87,24 @@
 		var ignored triggerAudit
 		for key, o := range readOccurrences(all, &ignored) {
 			if o.outcome == "" && o.at*int64(time.Second) < before {
-				return fmt.Errorf("%s has none", key)
+				return fmt.Errorf("%s has no outcome", key)
 			}
 		}
 		return nil
 	})
 	if err != nil {
-		r.violate("all is well, and still: %v", err)
+		r.violate("no recovery after the faults ended: %v", err)
 	}
 }
 
-// auditTriggers looks for an occurrence that was intended twice, left out, fired without being
-// intended, early, or once more where it may have run and may not be repeated.
+// auditTriggers reports occurrences that were intended twice, skipped, fired without being intended,
+// fired too early, or fired again although they may have run and must not be repeated.
 func (r *run) auditTriggers(all []auditEntry) (found triggerAudit) {
 	occurrences := readOccurrences(all, &found)
 	section := triggerSection(r.ClusterOptions)
 	policy, problems := schedule.ParsePolicy(section, schedule.KnownNames{Classes: classNames})
 	if len(problems) > 0 {
-		found.violate("the rig's own words on triggers: %v", problems)
+		found.violate("the run's own section of triggers is invalid: %v", problems)
 	}
 	classes := map[string]string{}
 	for _, t := range policy.Triggers {
@@ -114,21 +115,21 @@
 	}
 	r.auditComplete(policy, occurrences, &found)
 	if found.Intended == 0 {
-		found.violate("no occurrence was intended: there was nothing to audit")
+		found.violate("no occurrence was intended: nothing to audit")
 	}
 	return found
 }
 
-// triggerOf is the name of the trigger that an occurrence's key begins with.
+// triggerOf returns the name of the trigger from an occurrence's key.
 func triggerOf(key string) string {
 	name, _, _ := strings.Cut(key, "@")
 	return name
 }
 
-// auditOccurrence looks at one occurrence and counts what became of it.
+// auditOccurrence checks one occurrence and counts it by its outcome.
 func (r *run) auditOccurrence(key, class string, o *occurrence, found *triggerAudit) {
 	if o.number == "" {
-		found.violate("%s was fired, and nobody has intended it", key)
+		found.violate("%s was fired without being intended", key)
 		return
 	}
 	found.Intended++
@@ -153,7 +154,7 @@
 	}
 }
 
-// auditSubmissions looks at one occurrence's jobs.
+// auditSubmissions checks the submissions of one occurrence's job.
 func (r *run) auditSubmissions(key, class string, o *occurrence, found *triggerAudit) {
 	mayHaveRun := 0
 	for n, s := range o.submissions {
@@ -164,31 +165,32 @@
 		if s.answer != answerBusy {
 			mayHaveRun++
 		}
-		// Again only where the one before was rejected, or by who has adopted it.
+		// A job may be submitted again only if it was rejected before, or by an instance that has adopted
+		// the occurrence.
 		if n > 0 && !s.adopted && o.submissions[n-1].answer != answerBusy {
-			found.violate("%s was fired by %s, and again by %s, which had not taken it over", key,
+			found.violate("%s was fired by %s, and again by %s, which had not adopted it", key,
 				o.submissions[n-1].instance, s.instance)
 		}
 	}
 	executions := r.executionsOf(key)
 	if class != "trip-quote" && mayHaveRun > 1 {
-		found.violate("%s, which may not be repeated, was fired %d times where it may have run", key,
+		found.violate("%s, which must not be repeated, was fired %d times where it may have run", key,
 			mayHaveRun)
 	}
 	if class == "trip-once" && executions > 1 {
-		found.violate("%s, which may not be repeated, was taken by workers %d times", key, executions)
+		found.violate("%s, which must not be repeated, was received by workers %d times", key, executions)
 	}
 	if o.outcome == strconv.Itoa(int(schedule.Succeeded)) && executions == 0 {
-		found.violate("%s has ended as done, and no worker has taken it", key)
+		found.violate("%s has succeeded, but no worker has received it", key)
 	}
 }
 
-// auditComplete looks whether an occurrence was left out: what follows each one is what the
-// calendar says.
+// auditComplete reports skipped occurrences: each occurrence must be followed by the one that comes
+// next by the trigger's calendar.
 func (r *run) auditComplete(policy schedule.Policy, occurrences map[string]*occurrence, found *triggerAudit) {
 	recurrences, err := policy.Recurrences(calendar.NewZoneDB())
 	if err != nil {
-		found.violate("the rig's own words on triggers: %v", err)
+		found.violate("the run's own section of triggers is invalid: %v", err)
 		return
 	}
 	times := map[string][]int64{} // by trigger, Unix seconds
@@ -206,10 +208,11 @@
 			next, ok := recurrences[n].Next(at)
 			switch {
 			case k+1 < len(list) && next.At != list[k+1]:
-				found.violate("%s: after %d comes %d, %d was left out (%v)", t.Name, at, list[k+1], next.At,
-					next.LocalTime)
+				found.violate("%s: after %d comes %d, but %d was skipped (%v)", t.Name, at, list[k+1],
+					next.At, next.LocalTime)
 			case k+1 == len(list) && ok && next.At < newest-int64(settleSeconds*max(r.ClockSpeed, 1)):
-				found.violate("%s: %d has not come by %d (%v)", t.Name, next.At, newest, next.LocalTime)
+				found.violate("%s: %d has not been intended by %d (%v)", t.Name, next.At, newest,
+					next.LocalTime)
 			}
 		}
 	}
--- a/internal/verify/faultinjection/changes.go
+++ b/internal/verify/faultinjection/changes.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	// maxChangePause bounds the time between two changes.
+	// maxChangePause bounds the random pause between two changes.
 	maxChangePause = 200 * time.Millisecond
-	// proposeTimeout bounds the calls of one attempt.
+	// proposeTimeout bounds the calls of one attempt to propose, together.
 	proposeTimeout = 4 * time.Second
-	// retryPause is the time between two attempts.
+	// retryPause is the pause between two attempts.
 	retryPause = 20 * time.Millisecond
-	// decisionTimeout is how long after the run's end a change may take to be decided: with all
-	// faults ended, it must be.
+	// decisionTimeout is how long after the run's duration a change may take to be decided. All faults
+	// have ended by then, so that it must be decided.
 	decisionTimeout = 2 * time.Minute
 )
 
-// change is a change of the configuration that is proposed until it is decided.
+// change is a configuration change. It is proposed repeatedly until it is decided.
 type change struct {
 	id        string
 	number    int
-	base      uint64                 // the revision that it builds on
+	base      uint64                 // the revision that it is based on
 	document  *clusterstate.Document // nil: not read yet
 	proposals int
-	since     time.Time // when the document was read, or the change begun
+	since     time.Time // when the document was read; before that, when the change was started
 }
 
-// makeChanges makes changes one after another, each through an instance drawn at random, until the
-// time is up, and repeats what has no answer under the same id.
+// makeChanges makes one change after another until the run's duration ends. Each proposal goes to an
+// instance drawn at random. One that gets no response is repeated under the same id.
 func (r *run) makeChanges(ctx context.Context) error {
 	for n := 0; time.Since(r.began) < r.Duration && (r.MaxChanges == 0 || n < r.MaxChanges); n++ {
 		if err := r.makeChange(ctx, n); err != nil {
@@ -87,14 +87,15 @@
 	}
 }
 
-// proposeOnce makes one attempt through an instance, and reports whether the change is decided.
+// proposeOnce makes one attempt to propose a change to an instance, and reports whether the change is
+// decided.
 func (r *run) proposeOnce(ctx context.Context, p *Process, ch *change) (decided bool, err error) {
 	call, stop := context.WithTimeout(ctx, proposeTimeout)
 	defer stop()
 	if ch.document == nil {
 		reply, err := p.Client.GetConfig(call, &schema.GetConfigRequest{})
 		if err != nil {
-			return false, nil // it is tried again
+			return false, nil // the caller retries
 		}
 		document, err := clusterstate.DecodeDocument(reply.Document)
 		if err != nil {
@@ -114,8 +115,8 @@
 	return r.recordDecision(ch, reply)
 }
 
-// editDocument makes the change of a number: another priority weight, and the sections of what the
-// run exercises.
+// editDocument makes the edits of the change with the given number: another priority weight, and the
+// sections for the features that the run exercises.
 func (r *run) editDocument(document *clusterstate.Document, number int) error {
 	document.Classes[0].PriorityWeight = float64(number + 10)
 	if document.Sections == nil {
@@ -133,7 +134,7 @@
 		section := rateSection(r.Accounts, r.Instances, number/30)
 		policy, problems := ratelimit.ParsePolicy(section, classNames)
 		if len(problems) > 0 {
-			return fmt.Errorf("the rig's own words on rates: %v", problems)
+			return fmt.Errorf("the run's own section of rate limits is invalid: %v", problems)
 		}
 		document.Sections[ratelimit.Section] = section
 		r.proposedRates[policy.Version] = policy
@@ -143,7 +144,8 @@
 	}
 	document.Sections[placement.Section] = map[string]string{"cold_parts": "group"}
 	document.Sections[membership.Section] = map[string]string{"probe": probeInterval}
-	// Every twenty changes a part of what is owned moves, with all instances healthy.
+	// Every twenty changes the weights change, so that some ownership moves while all instances are
+	// healthy.
 	if delete(document.Sections, weights.Section); number/20%2 == 1 {
 		document.Sections[weights.Section] = map[string]string{"weight.n1": "2.5", "weight.n2": "0.5"}
 	}
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// recordDecision reads the reply to a proposal, and reports whether the change is decided.
+// recordDecision records the outcome of a proposal, and reports whether the change is decided.
 func (r *run) recordDecision(ch *change, reply *schema.ProposeReply) (decided bool, err error) {
 	switch reply.Code {
 	case schema.ProposeReply_ACCEPTED:
@@ -172,19 +174,21 @@
 	case schema.ProposeReply_NO_LEADER, schema.ProposeReply_UNKNOWN:
 		return false, nil
 	case schema.ProposeReply_INVALID:
-		// All instances have been renewed, and the group does not know so yet: this change is given up.
-		// Hazard: the reply has no code for this, so the text, which is part of the agreed state, decides.
+		// All instances have been upgraded, but the group does not know it yet: the change is abandoned.
+		// The reply has no code for this case, so it is detected by the text, which is part of the
+		// replicated state.
 		if r.OlderProgram != "" && strings.Contains(strings.Join(reply.Problems, " "), "renew it first") {
 			r.trace("%s is refused: %v", ch.id, reply.Problems)
 			r.withdrawn[ch.id] = true
 			return true, nil
 		}
 	}
-	// The run is the only client: no other change may have come first.
+	// The run is the only client, so that no other change can have conflicted with this one.
 	return false, fmt.Errorf("%s: %v: %v", ch.id, reply.Code, reply.Problems)
 }
 
-// endFaults ends what the schedule has left: links, stalled processes and killed ones.
+// endFaults ends the faults that are still in effect: it heals the links, resumes stalled processes and
+// starts killed ones.
 func (r *run) endFaults() {
 	r.Links.Heal()
 	for _, p := range r.Processes {
--- a/internal/verify/faultinjection/clock.go
+++ b/internal/verify/faultinjection/clock.go
@@ -9,8 +9,8 @@
 	"moorstack/internal/cluster/consensus"
 )
 
-// clockFile is the file that an instance reads its wall clock from: at Boot by CLOCK_BOOTTIME it
-// shows Wall, Unix nanoseconds, and it runs Rate times as fast.
+// clockFile is the content of the file from which an instance reads its wall clock. The clock shows
+// Wall, in Unix nanoseconds, when CLOCK_BOOTTIME is Boot, and runs Rate times as fast as that.
 type clockFile struct {
 	Wall int64   `json:"wall_ns"`
 	Boot int64   `json:"boot_ns"`
@@ -25,12 +25,12 @@
 	return clockFile{start.UnixNano(), int64(consensus.BootTime()), o.ClockSpeed}
 }
 
-// wall is what the clock shows, Unix nanoseconds, at a time of CLOCK_BOOTTIME.
+// wall returns the time that the clock shows, in Unix nanoseconds, when CLOCK_BOOTTIME is at.
 func (c clockFile) wall(at time.Duration) int64 {
 	return c.Wall + int64(float64(int64(at)-c.Boot)*c.Rate)
 }
 
-// SetClock sets an instance's wall clock so far ahead of the true one, or behind it.
+// SetClock sets an instance's wall clock to the true time plus ahead, which may be negative.
 func (c *Cluster) SetClock(p *Process, ahead time.Duration) error {
 	shifted := c.trueClock
 	shifted.Wall += int64(ahead)
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	// Hazard: an instance may read while this is written, and must find the old file or the new one.
+	// An instance may read the file at any time, and must find the old or the new content as a whole.
 	path := filepath.Join(c.options.Dir, p.Name+".clock")
 	if err := os.WriteFile(path+".new", b, 0o600); err != nil {
 		return err
--- a/internal/verify/faultinjection/cluster.go
+++ b/internal/verify/faultinjection/cluster.go
@@ -18,37 +18,37 @@
 	"moorstack/internal/verify/emulate/loopback"
 )
 
-// ClusterOptions say which processes a cluster has and what runs on them.
+// ClusterOptions configures the processes of a cluster and the work they do.
 type ClusterOptions struct {
-	Program          string        // the path of the program of all instances
-	Dir              string        // an empty directory for all files
+	Program          string        // path of the executable that all instances run
+	Dir              string        // an empty directory, for all files of the cluster
 	Instances        int           // up to 254
-	Voters           int           // the first so many instances vote; 0: up to five
-	Tick             time.Duration // of the agreement
+	Voters           int           // how many instances vote, from the first on; 0: up to five
+	Tick             time.Duration // of the consensus protocol
 	PlatformFile     []byte        // the contents of the platform file that all instances share
 	JobsPerSecond    float64       // at each instance; 0: no jobs, and no workers
-	Seed             uint64        // draws everything that the run chooses
+	Seed             uint64        // of all random choices of the run
 	DrillTasks       int           // leased tasks without an effect
-	Accounts         int           // whose rates are kept over all instances; 0: none
-	UnlistedAccounts int           // without a line of their own; half of the jobs belong to them
-	Triggers         int           // of the schedule, over all instances; 0: none
-	// MaxRestarting is how many instances a rolling restart may have out at once; 0: there are
-	// none. With OperatorCommands rolling restarts are stopped and undone now and then.
+	Accounts         int           // with rate limits over all instances; 0: none
+	UnlistedAccounts int           // under the default limit; half of the jobs belong to them
+	Triggers         int           // in the cluster's trigger schedule; 0: none
+	// MaxRestarting is how many instances a rolling restart may restart at once; 0: there are no
+	// rolling restarts. With OperatorCommands, operators stop or undo some of them at random.
 	MaxRestarting    int
 	OperatorCommands bool
-	// ClockStart is what all wall clocks show at the start, and ClockSpeed how many of their
-	// seconds pass in one. Zero: the machine's time, and 1.
+	// ClockStart is the time that all wall clocks show at the start, and ClockSpeed is how many
+	// seconds they advance in each real second. Zero values: the machine's time, and 1.
 	ClockStart time.Time
 	ClockSpeed float64
-	// OldZoneRulesInstance has other time zone rules than the rest; empty: none.
+	// OldZoneRulesInstance is the instance whose time zone rules differ from the others'; empty: none.
 	OldZoneRulesInstance string
-	// OlderProgram is a program of an earlier version, which all instances run until the schedule
-	// renews them; empty: all run Program.
+	// OlderProgram is an executable of an earlier version, which all instances run until a fault of
+	// the schedule upgrades them; empty: all run Program.
 	OlderProgram string
 }
 
-// Cluster is the instances' processes and the links between them. Its methods may be called by
-// any goroutine.
+// Cluster holds the instances' processes and the links between them. Its methods are safe for
+// concurrent use.
 type Cluster struct {
 	Links     *Links
 	Processes []*Process // does not change after StartCluster
@@ -56,13 +56,13 @@
 	trueClock clockFile
 
 	mu             sync.Mutex
-	watchers       map[chan auditEntry]bool // of the journals
+	watchers       map[chan auditEntry]bool // of the entries of all journals
 	interruptions  []interruption
-	unansweredJobs []string       // by request id
-	executions     map[string]int // how often workers have taken a job, by its key
+	unansweredJobs []string       // request ids
+	executions     map[string]int // how often workers have received a job, by its key
 }
 
-// InstanceNames are the names of a cluster's instances: n1, n2 and so on.
+// InstanceNames returns the names of the n instances of a cluster: n1, n2 and so on.
 func InstanceNames(n int) []string {
 	list := make([]string, n)
 	for i := range list {
@@ -72,7 +72,7 @@
 }
 
 // StartCluster writes the configuration files, opens the forwarders and starts the processes. The
-// caller ends them with Close.
+// caller must call Close to end them.
 func StartCluster(o ClusterOptions) (*Cluster, error) {
 	if o.Voters == 0 {
 		o.Voters = min(o.Instances, 5)
@@ -100,7 +100,7 @@
 	return c, nil
 }
 
-// prepare writes the keys and the platform file and adds the processes, without starting them.
+// prepare writes the keys and the platform file and adds a Process for each instance, without starting it.
 func (c *Cluster) prepare() error {
 	ca, err := keys.NewCA("rig", time.Now(), 24*time.Hour)
 	if err != nil {
@@ -114,7 +114,7 @@
 	if err := os.WriteFile(platform, c.options.PlatformFile, 0o600); err != nil {
 		return err
 	}
-	// Each instance has a source address of its own, by which a forwarder knows it.
+	// Each instance dials from its own source address, by which a forwarder identifies it.
 	net16 := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))).IntN(1 << 15)
 	for n, name := range InstanceNames(c.options.Instances) {
 		pair, err := ca.Issue(name, keys.RoleInstance, time.Now(), 24*time.Hour)
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// addProcess opens what an instance needs and writes its configuration file.
+// addProcess opens the forwarder, the journal and the log of an instance, starts its emulator if there
+// are jobs, and writes its configuration file.
 func (c *Cluster) addProcess(name string, host netip.Addr) error {
 	p := &Process{
 		Name:       name,
@@ -168,7 +169,7 @@
 	return err
 }
 
-// startEmulator starts the workers of an instance and the discovery service that lists them.
+// startEmulator starts emulated workers for an instance, and the discovery service that lists them.
 func (c *Cluster) startEmulator(p *Process) (*loopback.Platform, error) {
 	return loopback.Start(loopback.Options{
 		Node: p.FrontAddress, Workers: 2, Zone: "z", Kind: "k",
@@ -181,8 +182,8 @@
 	})
 }
 
-// configText is the configuration file of an instance that listens for peers at listen and calls
-// them from host.
+// configText returns the configuration file of an instance that listens for peers on listen and
+// dials them from host.
 func (c *Cluster) configText(p *Process, host netip.Addr, listen string) []byte {
 	discovery := ""
 	if p.emulator != nil {
@@ -206,9 +207,9 @@
 	return []byte(text)
 }
 
-// freePorts gives two addresses with free ports on a host. Hazard: a port that the kernel chose
-// itself may be chosen again, for the other of the two or for an outgoing connection, before
-// anybody listens on it; so these are drawn below the kernel's own range.
+// freePorts returns two addresses with free ports on a host. The ports are drawn from below the
+// kernel's ephemeral range: the kernel could assign a port from that range again, to the other
+// address or to an outgoing connection, before the instance listens on it.
 func freePorts(host string) (one, other string, err error) {
 	for range 100 {
 		port := 10_000 + 2*rand.IntN(10_000)
@@ -225,10 +226,10 @@
 			return list[0], list[1], nil
 		}
 	}
-	return "", "", fmt.Errorf("no two free ports on %s: %w", host, err)
+	return "", "", fmt.Errorf("found no two adjacent free ports on %s in 100 attempts: %w", host, err)
 }
 
-// Close kills all processes and closes the emulators, the journals and the links.
+// Close kills all processes and closes the emulators, the journals, the logs and the links.
 func (c *Cluster) Close() {
 	for _, p := range c.Processes {
 		c.Kill(p)
@@ -248,8 +249,9 @@
 	c.Links.Close()
 }
 
-// notifyWatchers passes a journal entry to those who wait for a step. A watcher that has fallen
-// behind misses it. Admissions are no steps, and far too many.
+// notifyWatchers sends a journal entry to all goroutines that wait for a step. A watcher whose
+// channel is full misses it. Admissions are skipped: no step waits for them, and there are far too
+// many.
 func (c *Cluster) notifyWatchers(e auditEntry) {
 	if e.event == "admit" {
 		return
@@ -264,8 +266,8 @@
 	}
 }
 
-// awaitStep waits until an instance takes a step, and gives its name. An empty instance stands for
-// any. It gives false when ctx ends first.
+// awaitStep waits until the given instance reaches a step, and returns its name. If instance is
+// empty, it waits for any instance. It returns false if ctx ends first.
 func (c *Cluster) awaitStep(ctx context.Context, step Step, instance string) (string, bool) {
 	entries := make(chan auditEntry, 64)
 	c.mu.Lock()
--- a/internal/verify/faultinjection/draw.go
+++ b/internal/verify/faultinjection/draw.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// LeaderKillSchedule is a schedule in which the leader is killed and restarted again and again.
+// LeaderKillSchedule returns a schedule that kills and restarts the leader repeatedly.
 func LeaderKillSchedule(seed uint64, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	var list []Fault
@@ -17,16 +17,16 @@
 	return list
 }
 
-// drawer draws a schedule. Hazard: a seed that was written down must draw the same schedule in
-// every later version, so the order of the calls of rng must not change.
+// drawer draws a schedule. The order of the calls of rng must not change: a recorded seed must draw
+// the same schedule in every later version.
 type drawer struct {
 	rng   *rand.Rand
 	names []string
 	list  []Fault
 }
 
-// DrawSchedule draws a schedule from a seed: faults of all kinds over a time, most of them ended
-// some time after.
+// DrawSchedule draws a schedule of the given length from a seed: faults of a wide range of kinds, most
+// of which end after some time.
 func DrawSchedule(seed uint64, names []string, length time.Duration) []Fault {
 	d := &drawer{rng: rand.New(rand.NewPCG(seed, 7)), names: names}
 	for at := 300 * time.Millisecond; at < length; at += d.milliseconds(150, 1200) {
@@ -49,12 +49,12 @@
 	return d.list
 }
 
-// milliseconds draws a duration from least on, less than least and spread together.
+// milliseconds draws a duration of at least least and less than least+spread, in milliseconds.
 func (d *drawer) milliseconds(least, spread int) time.Duration {
 	return time.Duration(least+d.rng.IntN(spread)) * time.Millisecond
 }
 
-// target draws an instance, or the leader.
+// target draws a target: the leader in a quarter of the draws, otherwise an instance.
 func (d *drawer) target() string {
 	if d.rng.IntN(4) == 0 {
 		return TargetLeader
@@ -81,7 +81,7 @@
 	d.list = append(d.list, f)
 }
 
-// drawAtStep adds a fault that waits for a step of a change.
+// drawAtStep adds a fault that is injected at a step of a change.
 func (d *drawer) drawAtStep(at time.Duration) {
 	drawn := slices.Sorted(slices.Values(changeSteps))
 	f := Fault{
@@ -102,19 +102,19 @@
 	}
 }
 
-// drawClockFault sets a wall clock wrong and right again. It is always the first instance's: one
-// clock of the group is wrong at a time.
+// drawClockFault adds a fault that sets a wall clock ahead or behind and one that corrects it. It is
+// always the clock of the first instance, so that at most one clock of the group is wrong.
 func (d *drawer) drawClockFault(at time.Duration) {
 	offset := []time.Duration{800 * time.Millisecond, 5 * time.Minute, time.Hour}[d.rng.IntN(3)]
 	d.add(at, []FaultKind{faultAhead, faultBehind}[d.rng.IntN(2)], offset, d.names[0])
 	d.add(at+d.milliseconds(500, 4000), faultTrue, 0, d.names[0])
 }
 
-// drawAtOnce adds a fault of a process or of a link that waits for nothing.
+// drawAtOnce adds a fault of a process or of a link that waits for no step.
 func (d *drawer) drawAtOnce(at time.Duration, first, second string) {
 	switch d.rng.IntN(16) {
 	case 0, 1, 2, 3:
-		// From 5 ms to several times a lease.
+		// From 5 ms to several times the length of a lease.
 		d.add(at, faultStall, time.Duration(5*(1<<d.rng.IntN(10)))*time.Millisecond, d.target())
 	case 4, 5:
 		instance := d.names[d.rng.IntN(len(d.names))]
@@ -143,7 +143,8 @@
 	}
 }
 
-// Shrink leaves out faults for as long as breaks still reports a violation, halves first.
+// Shrink removes faults from a schedule as long as breaks reports a violation without them. It tries
+// to remove half of the schedule first, then smaller parts.
 func Shrink(schedule []Fault, breaks func([]Fault) bool) []Fault {
 	for size := (len(schedule) + 1) / 2; size > 0; size /= 2 {
 		for at := 0; at < len(schedule); {
--- a/internal/verify/faultinjection/frozen_test.go
+++ b/internal/verify/faultinjection/frozen_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A seed that was written down must draw the same faults in every later version.
+// A recorded seed must draw the same faults in every later version.
 func TestDrawnSchedulesAreFrozen(t *testing.T) {
 	hash := sha256.New()
 	for seed := range uint64(300) {
@@ -16,7 +16,7 @@
 		hash.Write(FormatSchedule(LeaderKillSchedule(seed, time.Minute)))
 	}
 	hash.Write([]byte(FaultHelp() + StepHelp()))
-	const want = "e25e828018d487428f1e3c54a2190ade6afde8412cd521a25e4a8307f1995915"
+	const want = "580d35feaf587d06c392d1a16275d64610bdcdf2cacdbbd3d4d0aa51684c9101"
 	if got := hex.EncodeToString(hash.Sum(nil)); got != want {
 		t.Errorf("the drawn schedules or the help have changed: hash %s, want %s", got, want)
 	}
--- a/internal/verify/faultinjection/group.go
+++ b/internal/verify/faultinjection/group.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// retryTimeout is for how long RetryUntil tries again, retryCallTimeout bounds one attempt.
+	// retryTimeout is how long RetryUntil keeps trying, and retryCallTimeout bounds one attempt.
 	retryTimeout     = time.Minute
 	retryCallTimeout = 5 * time.Second
-	// statusTimeout bounds the call of an instance's status.
+	// statusTimeout bounds a call for an instance's status.
 	statusTimeout = time.Second
-	// probeInterval is how often an instance probes another, in the membership section.
+	// probeInterval is the interval between an instance's probes, as the membership section has it.
 	probeInterval = "200ms"
 )
 
-// RetryUntil calls attempt again and again until it succeeds, for a minute. The error wraps that of
-// the last attempt.
+// RetryUntil calls attempt until it succeeds, for up to a minute. The error wraps the error of the
+// last attempt.
 func RetryUntil(ctx context.Context, what string, attempt func(context.Context) error) error {
-	err := errors.New("not tried")
+	err := errors.New("not attempted")
 	for end := time.Now().Add(retryTimeout); time.Now().Before(end) && ctx.Err() == nil; {
 		call, stop := context.WithTimeout(ctx, retryCallTimeout)
 		err = attempt(call)
@@ -37,10 +37,10 @@
 	return fmt.Errorf("%s: %w", what, err)
 }
 
-// FormGroup makes a group of all instances and waits until all admit jobs.
+// FormGroup creates a group of all instances and waits until all admit jobs.
 func (c *Cluster) FormGroup(ctx context.Context) error {
 	first := c.Processes[0]
-	if err := RetryUntil(ctx, "making a group", func(ctx context.Context) error {
+	if err := RetryUntil(ctx, "creating the group", func(ctx context.Context) error {
 		_, err := first.Client.Init(ctx, &schema.InitRequest{}, grpc.WaitForReady(true))
 		return err
 	}); err != nil {
@@ -69,7 +69,7 @@
 		if err := RetryUntil(ctx, "waiting for "+p.Name, func(ctx context.Context) error {
 			s := p.Status(ctx)
 			if s == nil || !s.Admits {
-				return fmt.Errorf("it admits nothing: %s", s.GetAdmitsNot())
+				return fmt.Errorf("admits no jobs: %s", s.GetAdmitsNot())
 			}
 			return nil
 		}); err != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// Status reads an instance's status; nil: it does not answer.
+// Status returns an instance's status, or nil if the instance does not respond.
 func (p *Process) Status(ctx context.Context) *schema.StatusReply {
 	if !p.Running() {
 		return nil
@@ -93,7 +93,7 @@
 	return s
 }
 
-// Leader is the instance that leads in the highest term, and the term; nil: none does.
+// Leader returns the leader of the highest term and the term, or nil if no instance leads.
 func (c *Cluster) Leader(ctx context.Context) (*Process, uint64) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -114,7 +114,7 @@
 	return leader, term
 }
 
-// ProcessByName is the instance of a name; nil: there is none.
+// ProcessByName returns the process of the instance with the given name, or nil.
 func (c *Cluster) ProcessByName(name string) *Process {
 	for _, p := range c.Processes {
 		if p.Name == name {
@@ -124,18 +124,18 @@
 	return nil
 }
 
-// awaitMembership waits until each instance sees each other alive and reaches it: all are healthy.
-// The time that RetryUntil gives is far longer than a refutation takes to spread.
+// awaitMembership waits until every instance sees every other one alive and reaches it, as all of them
+// are healthy. The timeout of RetryUntil is far longer than a refutation takes to spread.
 func (r *run) awaitMembership(ctx context.Context, healed time.Time) {
-	err := RetryUntil(ctx, "what is believed", func(ctx context.Context) error {
+	err := RetryUntil(ctx, "waiting for the member states", func(ctx context.Context) error {
 		for _, p := range r.Processes {
 			s := p.Status(ctx)
 			if s == nil {
-				return fmt.Errorf("%s does not answer", p.Name)
+				return fmt.Errorf("no response from %s", p.Name)
 			}
 			for _, m := range s.Members {
 				if m.Name != p.Name && (m.Seems != "alive" || m.UnreachedS > 0) {
-					return fmt.Errorf("%s takes %s for %q, and has not reached it for %.1f s", p.Name, m.Name,
+					return fmt.Errorf("%s sees %s as %q, and has not reached it for %.1f s", p.Name, m.Name,
 						m.Seems, m.UnreachedS)
 				}
 			}
@@ -143,7 +143,7 @@
 		return nil
 	})
 	if err != nil {
-		r.violate("all is well, and still: %v", err)
+		r.violate("no recovery after the faults ended: %v", err)
 	}
 	r.result.MembershipRecoveryTime = time.Since(healed)
 }
--- a/internal/verify/faultinjection/inject.go
+++ b/internal/verify/faultinjection/inject.go
@@ -10,13 +10,13 @@
 	"moorstack/internal/schema"
 )
 
-// stepTimeout is how long a fault waits for its step.
+// stepTimeout is how long a fault waits for its step before it is skipped.
 const stepTimeout = 5 * time.Second
 
-// transferTimeout bounds the operator's call of a hand-on fault.
+// transferTimeout bounds an operator's call to transfer a leased task.
 const transferTimeout = 2 * time.Second
 
-// injectFaults injects the schedule's faults, each at its time, until ctx ends.
+// injectFaults injects the schedule's faults, each at its time, until ctx or the run's duration ends.
 func (r *run) injectFaults(ctx context.Context) {
 	for _, f := range r.Schedule {
 		select {
@@ -33,14 +33,14 @@
 			var ok bool
 			stepInstance, ok = r.awaitStep(within, f.Step, f.StepInstance)
 			if stop(); !ok {
-				r.trace("%s: nobody came to the step %s %s within %v", f.Kind, f.Step, f.StepInstance,
-					stepTimeout)
+				r.trace("%s: skipped, no instance reached the step %s %s within %v", f.Kind, f.Step,
+					f.StepInstance, stepTimeout)
 				continue
 			}
 		}
 		targets := r.resolveTargets(ctx, f, stepInstance)
 		if len(targets) < len(f.Targets) || len(targets) == 2 && targets[0] == targets[1] {
-			r.trace("%s: nobody leads, or the same one", f.Kind)
+			r.trace("%s: skipped, a target is not known or both targets are the same instance", f.Kind)
 			continue
 		}
 		r.trace("fault: %s %v %v", f.Kind, targets, f.Duration)
@@ -51,7 +51,8 @@
 	}
 }
 
-// resolveTargets gives the names of a fault's targets, fewer where one is not known.
+// resolveTargets returns the names of the instances that a fault targets. Targets that are not known
+// are missing from the result.
 func (r *run) resolveTargets(ctx context.Context, f Fault, stepInstance string) []string {
 	var list []string
 	for _, target := range f.Targets {
@@ -78,7 +79,7 @@
 	return list
 }
 
-// injector injects a fault of one kind. The targets are as many instances as the kind names.
+// injector injects a fault of one kind. It gets as many targets as the syntax of the kind requires.
 type injector func(r *run, f Fault, targets []string)
 
 var injectors = map[FaultKind]injector{
@@ -124,7 +125,7 @@
 	return func(r *run, f Fault, targets []string) { inject(r, f, r.ProcessByName(targets[0])) }
 }
 
-// cutTo lets nothing through to an instance.
+// cutTo cuts the paths from all other instances to an instance.
 func (r *run) cutTo(name string) {
 	for _, p := range r.Processes {
 		if p.Name != name {
@@ -133,7 +134,7 @@
 	}
 }
 
-// cutFrom lets nothing through from an instance.
+// cutFrom cuts the paths from an instance to all others.
 func (r *run) cutFrom(name string) {
 	for _, p := range r.Processes {
 		if p.Name != name {
@@ -149,7 +150,7 @@
 
 func (r *run) injectFullDisk(f Fault, p *Process) {
 	if err := r.FillDisk(p); err != nil {
-		r.violate("%s: its disk can't be filled: %v", p.Name, err)
+		r.violate("filling the disk of %s: %v", p.Name, err)
 	}
 	time.AfterFunc(f.Duration, func() {
 		r.Kill(p)
@@ -160,13 +161,14 @@
 func (r *run) injectTornWrite(f Fault, p *Process) {
 	r.Kill(p)
 	if err := r.TearLog(p, rand.New(rand.NewPCG(r.Seed, uint64(f.At)))); err != nil {
-		r.violate("%s: its log can't be torn: %v", p.Name, err)
+		r.violate("appending a partial record to the log of %s: %v", p.Name, err)
 	}
 	r.startAfter(f.Duration, p)
 }
 
-// injectTransfer has an operator ask for the first leased task to go to an instance. Where that
-// can't be met, for instance because the instance holds the task, nothing changes.
+// injectTransfer makes an operator's call that requests the transfer of the first leased task to an
+// instance. A request that is rejected, for example because the instance already holds the task,
+// changes nothing.
 func (r *run) injectTransfer(_ Fault, p *Process) {
 	ctx, stop := context.WithTimeout(context.Background(), transferTimeout)
 	defer stop()
@@ -174,19 +176,19 @@
 		Name: fmt.Sprintf(leasedtask.DrillTaskFormat, 1), By: p.Name})
 }
 
-// startAfter starts a process after a time, unless it runs by then.
+// startAfter starts a process after a delay, unless it runs by then.
 func (r *run) startAfter(delay time.Duration, p *Process) {
 	time.AfterFunc(delay, func() { _ = r.StartProcess(p) })
 }
 
 func (r *run) checkStarted(p *Process, err error) {
 	if err != nil {
-		r.violate("%s can't be started: %v", p.Name, err)
+		r.violate("starting %s: %v", p.Name, err)
 	}
 }
 
 func (r *run) setClock(p *Process, ahead time.Duration) {
 	if err := r.SetClock(p, ahead); err != nil {
-		r.violate("the clock of %s can't be set: %v", p.Name, err)
+		r.violate("setting the clock of %s: %v", p.Name, err)
 	}
 }
--- a/internal/verify/faultinjection/jobs.go
+++ b/internal/verify/faultinjection/jobs.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// JobCounts counts what became of the jobs that were sent.
+// JobCounts counts the jobs that were sent, by their outcome.
 type JobCounts struct {
 	Sent              int `json:"sent"`
 	Served            int `json:"served"`
-	RejectedByRate    int `json:"refused_by_rates"`    // the account had used its rate
-	RejectedByLease   int `json:"refused_by_sessions"` // while a change took hold, or without a lease
+	RejectedByRate    int `json:"refused_by_rates"`    // the account had exceeded its rate
+	RejectedByLease   int `json:"refused_by_sessions"` // during a change, or without a valid lease
 	RejectedOtherwise int `json:"refused"`
 	Failed            int `json:"failed"`
-	Unanswered        int `json:"lost"` // the process died, or was stalled for the client's time
+	Unanswered        int `json:"lost"` // the process died, or was stalled until the client's timeout
 	WithoutRetryAfter int `json:"refused_without_return"`
 	UnknownStatus     int `json:"answers_of_other_kinds"`
 }
@@ -28,14 +28,14 @@
 const (
 	// clientTimeout is how long a client waits for a response.
 	clientTimeout = 6 * time.Second
-	// maxInFlight is how many jobs a client has in flight at once. It leaves out those beyond.
+	// maxInFlight is the most jobs that a client has in flight. It skips any beyond that.
 	maxInFlight = 400
-	// maxIdleConnections is how many connections a client keeps.
+	// maxIdleConnections is the most idle connections that a client keeps.
 	maxIdleConnections = 32
 )
 
-// sendJobs sends jobs to an instance at the cluster's rate until ctx ends, however slow the
-// responses are, and counts them in counts under mu.
+// sendJobs sends jobs to an instance at the cluster's rate until ctx ends, without waiting for the
+// responses, and counts them in counts, which mu guards.
 func (c *Cluster) sendJobs(ctx context.Context, p *Process, counts *JobCounts, mu *sync.Mutex) {
 	client := &http.Client{
 		Timeout:   clientTimeout,
@@ -72,7 +72,7 @@
 	}
 }
 
-// sendJob sends a job and reads the response to its end. The body is closed when it returns.
+// sendJob sends a job and reads the whole response. The body is closed when it returns.
 func (c *Cluster) sendJob(client *http.Client, p *Process, id string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+p.FrontAddress+"/job", strings.NewReader("x"))
 	if err != nil {
@@ -96,9 +96,9 @@
 	return resp, err
 }
 
-// drawAccount draws the account of a job for an instance. Each account's jobs come in at all
-// instances, and for a second at a time mostly at one; half of all jobs belong to accounts that have
-// no line of their own, if there are any.
+// drawAccount draws the account of a job for an instance. The jobs of each account arrive at all
+// instances, but in any second most of them at one. If there are unlisted accounts, half of all jobs
+// belong to them.
 func (c *Cluster) drawAccount(p *Process) string {
 	n := rand.IntN(c.options.Accounts)
 	if second := int(time.Now().Unix()); rand.IntN(2) == 0 {
@@ -110,7 +110,7 @@
 	return fmt.Sprintf("acct-%d", n)
 }
 
-// add counts what became of a job.
+// add counts a job by its outcome.
 func (j *JobCounts) add(resp *http.Response, err error) {
 	switch {
 	case err != nil:
@@ -140,21 +140,21 @@
 	}
 }
 
-// recordUnanswered records a job without a response, by its request id.
+// recordUnanswered records the request id of a job that got no response.
 func (c *Cluster) recordUnanswered(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unansweredJobs = append(c.unansweredJobs, id)
 }
 
-// countExecution counts that a worker has received a job of a key.
+// countExecution counts that a worker has received the job of a key.
 func (c *Cluster) countExecution(_, key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.executions[key]++
 }
 
-// executionsOf is how often workers have received the job of a key.
+// executionsOf returns how often workers have received the job of a key.
 func (c *Cluster) executionsOf(key string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/verify/faultinjection/journal.go
+++ b/internal/verify/faultinjection/journal.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// auditEntry is a line of an instance's audit journal: what it did, by the clock that all share.
+// auditEntry is a line of an instance's audit journal: an event, timed by the clock that all
+// instances share.
 type auditEntry struct {
 	at       time.Duration // CLOCK_BOOTTIME
 	instance string
@@ -21,33 +22,34 @@
 	args     string
 }
 
-// journal is what one instance writes, read from a pipe as it is written. Hazard: a file would
-// stand on the disk that a fault may fill.
+// journal reads the audit journal of one instance from a pipe. The instance does not write to a file
+// because that would be on the disk that a fault may fill.
 type journal struct {
 	instance string
 	pipe     *os.File
-	copy     *os.File // what was read, for people
+	copy     *os.File // of the entries, to be read by people
 	observe  func(auditEntry)
 	barriers chan struct{}
 
 	mu      sync.Mutex
 	entries []auditEntry
-	err     error // of the first line that is none
+	err     error // of the first invalid line
 }
 
-// barrierLine is written by readAll itself: when it is read, all that was written before has been.
+// barrierLine is a line that readAll writes to the pipe. Once it has been read, everything that was
+// written before has been read as well.
 const barrierLine = "mark"
 
-// barrierTimeout is how long the reader of a pipe may take to come to a barrier.
+// barrierTimeout is how long the reader of a pipe may take to reach a barrier line.
 const barrierTimeout = time.Minute
 
-// newJournal makes the pipe and starts the goroutine that reads it, until close. That goroutine
-// calls observe with each entry.
+// newJournal creates the pipe and starts a goroutine that reads it until close is called. The
+// goroutine calls observe with each entry.
 func newJournal(path, instance string, observe func(auditEntry)) (*journal, error) {
 	j := &journal{instance: instance, observe: observe, barriers: make(chan struct{}, 1)}
 	err := syscall.Mkfifo(path, 0o600)
 	if err == nil {
-		// Opened for both: it has no end while processes come and go.
+		// Opened for reading and writing, so that there is no end of file while no process has it open.
 		j.pipe, err = os.OpenFile(path, os.O_RDWR, 0)
 	}
 	if err == nil {
@@ -56,7 +58,7 @@
 		}
 	}
 	if err != nil {
-		return nil, fmt.Errorf("the journal of %s: %w", instance, err)
+		return nil, fmt.Errorf("opening the journal of %s: %w", instance, err)
 	}
 	go j.read()
 	return j, nil
@@ -76,14 +78,15 @@
 		e := auditEntry{time.Duration(ns), j.instance, event, args}
 		j.mu.Lock()
 		if j.entries = append(j.entries, e); err != nil && j.err == nil {
-			j.err = fmt.Errorf("%s: %q is no line of a journal", j.instance, sc.Text())
+			j.err = fmt.Errorf("%s: journal line %q does not begin with a time in nanoseconds", j.instance,
+				sc.Text())
 		}
 		j.mu.Unlock()
 		j.observe(e)
 	}
 }
 
-// readAll is all that the instance has written before the call.
+// readAll returns all entries that the instance wrote before the call.
 func (j *journal) readAll() ([]auditEntry, error) {
 	if _, err := fmt.Fprintln(j.pipe, barrierLine); err != nil {
 		return nil, err
@@ -91,7 +94,7 @@
 	select {
 	case <-j.barriers:
 	case <-time.After(barrierTimeout):
-		return nil, fmt.Errorf("the journal of %s is not read", j.instance)
+		return nil, fmt.Errorf("the journal of %s: barrier line not read in time", j.instance)
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -103,7 +106,7 @@
 	j.copy.Close()
 }
 
-// readJournals is what all instances have written, in the order of the shared clock.
+// readJournals returns the entries of all instances, sorted by the shared clock.
 func (c *Cluster) readJournals() ([]auditEntry, error) {
 	var all []auditEntry
 	for _, p := range c.Processes {
--- a/internal/verify/faultinjection/links.go
+++ b/internal/verify/faultinjection/links.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// path is an ordered pair of instances: the bytes that go from one to the other.
+// path identifies the bytes that one instance sends to another.
 type path struct{ from, to string }
 
 func (p path) reverse() path { return path{p.to, p.from} }
 
-// pathState is the faults of a path, over all connections between the two, whoever opened them.
+// pathState holds the faults of a path. They apply to all connections between the two instances,
+// whichever of them opened the connection.
 type pathState struct {
-	cut       bool          // nothing gets through, and neither side notices
+	cut       bool          // data is held back, and neither side gets an error
 	refuse    bool          // new connections are reset
-	delay     time.Duration // of each piece, and up to as much again
-	bandwidth int           // bytes a second; 0: unlimited
+	delay     time.Duration // of each chunk; the actual delay is between this and twice this
+	bandwidth int           // bytes per second; 0: unlimited
 }
 
-// Links carries everything between instances. In front of each stands a forwarder, which knows by
-// the source address of a connection which instance has opened it. Its methods may be called by any
-// goroutine.
+// Links carries all traffic between instances. Each instance is reached through a forwarder, which
+// identifies the instance that opened a connection by its source address. The methods are safe for
+// concurrent use.
 type Links struct {
 	mu          sync.Mutex
 	changed     *sync.Cond
@@ -35,12 +36,12 @@
 	closed      bool
 }
 
-// connection is a forwarded connection: its two ends, and the path from the instance that has opened
-// it to the other.
+// connection is a forwarded connection: its two ends, and the path from the instance that opened it
+// to the instance that accepted it.
 type connection struct {
 	path
 	inbound, outbound net.Conn
-	halfOpen          bool // what is read goes nowhere, for good
+	halfOpen          bool // data is read and never forwarded
 }
 
 func (c *connection) reset() {
@@ -53,7 +54,7 @@
 	c.outbound.Close()
 }
 
-// resetConn ends a connection by an RST, so that the other side notices at once.
+// resetConn closes a connection with an RST, so that the other side notices at once.
 func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -62,13 +63,13 @@
 }
 
 const (
-	// dialTimeout bounds a forwarder's own connection to its instance.
+	// dialTimeout bounds the dialing of an instance by its forwarder.
 	dialTimeout = time.Second
-	// pieceBytes is how much is forwarded, and delayed, at once.
+	// pieceBytes is the most bytes that are forwarded, and delayed, at once.
 	pieceBytes = 32 << 10
 )
 
-// NewLinks makes links without faults.
+// NewLinks returns links without faults and without forwarders.
 func NewLinks() *Links {
 	l := &Links{
 		paths:       map[path]pathState{},
@@ -79,12 +80,12 @@
 	return l
 }
 
-// AddForwarder opens the forwarder in front of an instance that listens at target and dials from an
-// address of its own. It gives the address where other instances reach it.
+// AddForwarder opens the forwarder of an instance that listens on target and dials from the source
+// address from. It returns the address where other instances reach it.
 func (l *Links) AddForwarder(name string, from netip.Addr, target string) (string, error) {
 	s, err := net.Listen("tcp", net.JoinHostPort(from.String(), "0"))
 	if err != nil {
-		return "", fmt.Errorf("the forwarder of %s: %w", name, err)
+		return "", fmt.Errorf("listening for the forwarder of %s: %w", name, err)
 	}
 	l.mu.Lock()
 	l.names[from] = name
@@ -94,7 +95,7 @@
 	return s.Addr().String(), nil
 }
 
-// Cut lets nothing through from one instance to another, until Heal.
+// Cut holds back all data from one instance to another until Heal.
 func (l *Links) Cut(from, to string) { l.updatePath(from, to, func(w *pathState) { w.cut = true }) }
 
 // accept forwards connections until the listener is closed.
@@ -117,10 +118,10 @@
 	}
 }
 
-// connect forwards one connection, whose two directions end by themselves.
+// connect dials the target for an accepted connection and starts to forward in both directions.
 func (l *Links) connect(inbound net.Conn, p path, target string) {
 	c := &connection{path: p, inbound: inbound}
-	// While either direction is cut, there is no handshake either.
+	// While either direction is cut, the handshake can't complete.
 	if !l.awaitPath(c, p) || !l.awaitPath(c, p.reverse()) {
 		inbound.Close()
 		return
@@ -138,8 +139,8 @@
 	go l.relay(c, outbound, inbound, p.reverse())
 }
 
-// awaitPath waits until a path is not cut, for a connection that is not half-open, and reports
-// whether the links are still open.
+// awaitPath waits until the path is not cut and the connection is not half-open. It reports whether
+// the links are still open.
 func (l *Links) awaitPath(c *connection, p path) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,8 +150,8 @@
 	return !l.closed
 }
 
-// relay forwards bytes along a path until either end is closed. What a cut holds back comes when
-// the cut ends, as what TCP retransmits.
+// relay forwards bytes along a path until either end is closed. Data that a cut holds back is
+// delivered when the cut ends, like data that TCP retransmits.
 func (l *Links) relay(c *connection, in, out net.Conn, p path) {
 	buf := make([]byte, pieceBytes)
 	for {
@@ -159,14 +160,14 @@
 			break
 		}
 	}
-	l.awaitPath(c, p) // the end of a connection is cut, too
+	l.awaitPath(c, p) // a cut also holds back the closing of a connection
 	c.close()
 	l.mu.Lock()
 	delete(l.connections, c)
 	l.mu.Unlock()
 }
 
-// forward writes a piece as the path's faults let it, and reports whether it was written.
+// forward writes a chunk, subject to the faults of the path, and reports whether it was written.
 func (l *Links) forward(c *connection, out net.Conn, p path, piece []byte) bool {
 	l.mu.Lock()
 	state := l.paths[p]
@@ -184,7 +185,7 @@
 	return err == nil
 }
 
-// updatePath changes the faults of the path from one instance to another.
+// updatePath applies a change to the faults of the path from one instance to another.
 func (l *Links) updatePath(from, to string, change func(*pathState)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,8 +198,8 @@
 // Reset resets all connections between two instances.
 func (l *Links) Reset(a, b string) { l.eachConnection(a, b, (*connection).reset) }
 
-// HalfOpen lets nothing through on the connections that stand between two instances, until Heal
-// resets them. New ones are not affected.
+// HalfOpen stops all data on the existing connections between two instances, until Heal resets them.
+// New connections are not affected.
 func (l *Links) HalfOpen(a, b string) {
 	l.eachConnection(a, b, func(c *connection) { c.halfOpen = true })
 }
@@ -214,7 +215,7 @@
 	}
 }
 
-// Heal ends all faults. Connections that are half-open are reset.
+// Heal ends all faults and resets half-open connections.
 func (l *Links) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -228,7 +229,7 @@
 	l.changed.Broadcast()
 }
 
-// Close closes all listeners and connections, and ends their goroutines.
+// Close closes all listeners and connections, which ends their goroutines.
 func (l *Links) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/verify/faultinjection/occurrences.go
+++ b/internal/verify/faultinjection/occurrences.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// occurrence is what the journals say of one occurrence of a trigger.
+// occurrence holds the journals' entries on one occurrence of a trigger.
 type occurrence struct {
 	number      string
 	at          int64 // Unix seconds
 	submissions []submission
-	outcome     string // the number of a schedule.Outcome; empty: none yet
+	outcome     string // a schedule.Outcome as a number; empty: none yet
 }
 
-// submission is that an instance has submitted an occurrence's job.
+// submission records that an instance submitted an occurrence's job.
 type submission struct {
 	auditEntry
-	adopted bool   // the occurrence was another session's before
+	adopted bool   // the occurrence belonged to another session before
 	answer  string // empty: none yet
 }
 
-// occurrenceReader reads the journals' entries on triggers in their order.
+// occurrenceReader processes the journals' entries on triggers in their order.
 type occurrenceReader struct {
-	list  map[string]*occurrence // by key: the trigger's name, @ and the time
+	list  map[string]*occurrence // by key: the trigger's name, "@" and the time
 	found *triggerAudit
 }
 
-// readOccurrences reads what the instances have written of triggers, by the occurrences' keys. What
-// contradicts itself is added to found.
+// readOccurrences returns the occurrences in the journals of all instances, by their keys. It adds
+// contradictions, skipped occurrences and invalid entries to the violations of found.
 func readOccurrences(all []auditEntry, found *triggerAudit) map[string]*occurrence {
 	r := &occurrenceReader{list: map[string]*occurrence{}, found: found}
 	for _, e := range all {
@@ -47,12 +47,12 @@
 	key, rest, err := unquote(rest)
 	args := strings.Fields(rest)
 	if err != nil || len(args) < 2 {
-		r.found.violate("%s: %q is no line on a trigger", e.instance, e.args)
+		r.found.violate("%s: invalid journal entry on a trigger: %q", e.instance, e.args)
 		return
 	}
 	switch event {
 	case "pass":
-		r.found.violate("%s: %s occurrences of %s were passed over", e.instance, args[1], key)
+		r.found.violate("%s: %s occurrences of %s were skipped", e.instance, args[1], key)
 	case "intend":
 		r.intended(key, args)
 	case "settle":
@@ -73,26 +73,26 @@
 	return o
 }
 
-// intended reads: number, Unix seconds.
+// intended processes the arguments: number, Unix seconds.
 func (r *occurrenceReader) intended(key string, args []string) {
 	o := r.of(key)
 	if o.number != "" && o.number != args[0] {
-		r.found.violate("%s was intended as %s and as %s", key, o.number, args[0])
+		r.found.violate("%s was intended with the numbers %s and %s", key, o.number, args[0])
 	}
 	o.number = args[0]
 	o.at, _ = strconv.ParseInt(args[1], 10, 64)
 }
 
-// settled reads the outcome, the fourth argument.
+// settled processes the outcome, which is the fourth argument.
 func (r *occurrenceReader) settled(key string, args []string) {
 	o := r.of(key)
 	if o.outcome != "" && o.outcome != args[3] {
-		r.found.violate("%s has ended as %s and as %s", key, o.outcome, args[3])
+		r.found.violate("%s has the outcomes %s and %s", key, o.outcome, args[3])
 	}
 	o.outcome = args[3]
 }
 
-// submitted reads: number, session epoch, Unix seconds, whether adopted.
+// submitted processes the arguments: number, session epoch, Unix seconds, whether adopted.
 func (r *occurrenceReader) submitted(e auditEntry, key string, args []string) {
 	o := r.of(key)
 	o.submissions = append(o.submissions, submission{auditEntry: e, adopted: args[3] == "true"})
@@ -101,7 +101,7 @@
 	}
 }
 
-// answered reads the answer to the instance's newest submission that has none.
+// answered records the response, the second argument, for the instance's newest submission that has none.
 func (r *occurrenceReader) answered(e auditEntry, key string, args []string) {
 	submissions := r.of(key).submissions
 	for n := len(submissions) - 1; n >= 0; n-- {
--- a/internal/verify/faultinjection/process.go
+++ b/internal/verify/faultinjection/process.go
@@ -19,16 +19,16 @@
 	"moorstack/internal/verify/emulate/loopback"
 )
 
-// terminateTimeout is how long a process that was asked to end may take until it is killed.
+// terminateTimeout is how long a process may take to end after SIGTERM before it is killed.
 const terminateTimeout = 30 * time.Second
 
-// maxTornBytes bounds the part of a record that a torn write leaves.
+// maxTornBytes bounds the partial record that a torn write leaves.
 const maxTornBytes = 300
 
-// Process is an instance and, while it runs, its process.
+// Process is an instance and, while it runs, its operating system process.
 type Process struct {
 	Name         string
-	PeerAddress  string // of the forwarder, where other instances reach it
+	PeerAddress  string // of the forwarder through which other instances reach it
 	FrontAddress string // of the platform front
 	Client       schema.ControlClient
 
@@ -39,12 +39,12 @@
 	closeClient            func() error
 
 	mu      sync.Mutex
-	cmd     *exec.Cmd // nil: no process
+	cmd     *exec.Cmd // nil: no process runs
 	stalled bool
 	older   bool // it runs the earlier version
 }
 
-// interruption is that an instance was killed or stalled, or went on.
+// interruption records that an instance was killed, stalled or resumed, or its disk filled.
 type interruption struct {
 	instance string
 	at       time.Duration // by CLOCK_BOOTTIME
@@ -56,7 +56,7 @@
 	c.interruptions = append(c.interruptions, interruption{p.Name, consensus.BootTime()})
 }
 
-// StartProcess starts an instance's process, unless it runs.
+// StartProcess starts an instance's process, unless it already runs.
 func (c *Cluster) StartProcess(p *Process) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +70,7 @@
 	cmd := exec.Command(program, "serve", "--config", p.configPath)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
 	cmd.Env = append(os.Environ(), node.TestClocksEnv+"=yes")
-	// Hazard: without it, instances would outlive this program when it is killed.
+	// Without this, instances would keep running when this program is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// SwitchVersion kills an instance and starts it as the current program, or as the older one.
+// SwitchVersion kills an instance and restarts it with the current program or with the older one.
 func (c *Cluster) SwitchVersion(p *Process, current bool) error {
 	c.Kill(p)
 	p.mu.Lock()
@@ -106,7 +106,7 @@
 	return true
 }
 
-// Kill kills an instance's process (SIGKILL), if it runs.
+// Kill kills an instance's process (SIGKILL), if it runs, and waits for its end.
 func (c *Cluster) Kill(p *Process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,8 +118,8 @@
 	}
 }
 
-// Terminate asks an instance's process to end (SIGTERM) and waits for it; one that takes longer
-// than terminateTimeout is killed.
+// Terminate asks an instance's process to end (SIGTERM) and waits until it has. A process that takes
+// longer than terminateTimeout is killed.
 func (c *Cluster) Terminate(p *Process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +137,7 @@
 	p.cmd = nil
 }
 
-// SetStalled stops a process (SIGSTOP), or lets it go on (SIGCONT).
+// SetStalled stops a process (SIGSTOP) or resumes it (SIGCONT).
 func (c *Cluster) SetStalled(p *Process, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,7 +160,7 @@
 	return p.cmd != nil && !p.stalled
 }
 
-// FillDisk has every write of a process that would make a file longer fail, as on a full disk.
+// FillDisk makes every write of a process that would extend a file fail, as on a full disk.
 func (c *Cluster) FillDisk(p *Process) error {
 	c.recordInterruption(p)
 	p.mu.Lock()
@@ -172,12 +172,12 @@
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &none, nil)
 }
 
-// TearLog appends a part of a record to the log of an instance that does not run, as a machine
-// leaves it that dies while it writes.
+// TearLog appends a partial record to the log of an instance that does not run, as a machine that
+// fails during a write leaves it.
 func (c *Cluster) TearLog(p *Process, rng *rand.Rand) error {
 	logs, err := filepath.Glob(filepath.Join(c.options.Dir, p.Name, "agreement", "*.log"))
 	if err != nil || len(logs) == 0 {
-		return err // nil: it has written nothing yet
+		return err // nil error: the instance has not written a log yet
 	}
 	log, err := os.OpenFile(slices.Max(logs), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -189,7 +189,7 @@
 		part[i] = byte(rng.Uint32())
 	}
 	if rng.IntN(4) == 0 {
-		clear(part) // the file has grown, and its data was not written
+		clear(part) // the file size reached the disk, and the data did not
 	}
 	_, err = log.Write(part)
 	return err
--- a/internal/verify/faultinjection/rolling_restarts.go
+++ b/internal/verify/faultinjection/rolling_restarts.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// restartTimeout is how long an instance that is taken out may take until the rolling restart's
+	// restartTimeout is how long the restart of an instance may take before the rolling restart's
 	// controller halts.
 	restartTimeout = 15 * time.Second
 	// planInterval is how often the rolling restart's plan is read.
 	planInterval = 200 * time.Millisecond
-	// operatorTimeout bounds an operator's call.
+	// operatorTimeout bounds a call by an operator.
 	operatorTimeout = time.Second
-	// operatorCommandOdds is in how many readings of the plan an operator stops or undoes a rolling
-	// restart once.
+	// operatorCommandOdds makes an operator stop or undo a rolling restart at one in this many readings
+	// of the plan.
 	operatorCommandOdds = 40
 )
 
-// restartPlan reads from any instance the rolling restart's plan, and which instance holds the
-// controller's lease. It gives false where no instance knows.
+// restartPlan reads the rolling restart's plan from any instance, and the name of the instance that
+// holds the controller's lease. It returns false if no instance returns a plan.
 func (r *run) restartPlan(ctx context.Context) (plan rollingrestart.Plan, controller string, ok bool) {
 	for _, p := range r.Processes {
 		if !p.Running() {
@@ -46,8 +46,8 @@
 	return plan, "", false
 }
 
-// restartRepeatedly has one rolling restart follow another until ctx ends, with operators' commands
-// in between. A command that is rejected changes nothing.
+// restartRepeatedly starts one rolling restart after another until ctx ends, and gives operators'
+// commands in between. A command that is rejected changes nothing.
 func (r *run) restartRepeatedly(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.Seed, 13))
 	active := false
@@ -86,7 +86,7 @@
 	}
 }
 
-// restartCommand is what an operator commands with a plan as it is, if anything.
+// restartCommand returns the command that an operator gives in view of a plan, if any.
 func (r *run) restartCommand(plan rollingrestart.Plan, rng *rand.Rand) (schema.Operation_Kind, bool) {
 	switch {
 	case !plan.Active():
@@ -102,12 +102,12 @@
 	return 0, false
 }
 
-// awaitRestartEnd stops the rolling restart and waits until all that were taken out are back.
+// awaitRestartEnd stops the rolling restart and waits until no instance is being restarted.
 func (r *run) awaitRestartEnd(ctx context.Context) {
 	err := RetryUntil(ctx, "ending the rolling restart", func(ctx context.Context) error {
 		plan, _, ok := r.restartPlan(ctx)
 		if !ok {
-			return errors.New("nobody tells of it")
+			return errors.New("no instance returned the plan")
 		}
 		if plan.Status == rollingrestart.Rolling || plan.Status == rollingrestart.Halted {
 			for _, p := range r.Processes {
@@ -125,6 +125,6 @@
 		return nil
 	})
 	if err != nil {
-		r.violate("all is well, and still: %v", err)
+		r.violate("no recovery after the faults ended: %v", err)
 	}
 }
--- a/internal/verify/faultinjection/run.go
+++ b/internal/verify/faultinjection/run.go
@@ -14,61 +14,63 @@
 )
 
 const (
-	// idleTime is how long messages are counted while nothing happens.
+	// idleTime is how long messages between idle instances are counted.
 	idleTime = time.Second
-	// maxViolations is how many violations a result names.
+	// maxViolations is the most violations that a result lists.
 	maxViolations = 20
 )
 
-// RunOptions say what a run does.
+// RunOptions configures a run.
 type RunOptions struct {
 	ClusterOptions
 	Schedule   []Fault
 	Duration   time.Duration // of changes, faults and jobs
-	MaxChanges int           // 0: as many as there is time for
-	Trace      io.Writer     // gets a line for each fault and change; nil: none
-	// OnProgress is called after each change, in the goroutine that makes changes; nil: no calls.
+	MaxChanges int           // 0: no limit within Duration
+	Trace      io.Writer     // receives a line for each fault and change; nil: no trace
+	// OnProgress is called after each change, on the goroutine that makes changes; nil: no calls.
 	// The result is valid only during the call.
 	OnProgress func(elapsed time.Duration, r *Result)
 }
 
-// Result is what a run has measured and what its audits have found. The JSON keys are what
-// operators read.
+// Result holds the measurements of a run and the violations that its audits found. Operators read it
+// as JSON.
 type Result struct {
 	Instances int     `json:"instances"`
 	Seconds   float64 `json:"seconds"`
 	Faults    int     `json:"faults"`
 	InForce   int     `json:"in_force"`  // changes
 	Withdrawn int     `json:"withdrawn"` // changes
-	Retries   int     `json:"repeats"`   // further attempts to propose, under the same id
-	// ProposeLatencies are from propose to in force, of changes whose first proposal was answered.
+	Retries   int     `json:"repeats"`   // repeated attempts to propose a change under the same id
+	// ProposeLatencies are the times from a proposal until the change is in force, for changes whose
+	// first proposal got a response.
 	ProposeLatencies []time.Duration `json:"took_ns"`
-	// AdmissionPauses are the times in which an instance admitted nothing for a change.
+	// AdmissionPauses are the times for which an instance admitted no jobs because of a change.
 	AdmissionPauses []time.Duration `json:"pauses_ns"`
-	// RecoveryTime is from the last fault's end until all instances admitted jobs again.
+	// RecoveryTime is the time from the end of the last fault until all instances admitted jobs.
 	RecoveryTime time.Duration `json:"back_ns"`
-	// MembershipRecoveryTime is from the last fault's end until each instance saw each other alive.
+	// MembershipRecoveryTime is the time from the end of the last fault until every instance saw
+	// every other one alive.
 	MembershipRecoveryTime time.Duration `json:"believed_ns"`
-	// MessagesPerSecond are between all instances, while nothing happened.
+	// MessagesPerSecond counts the messages between all instances while they were idle.
 	MessagesPerSecond float64 `json:"messages_a_s"`
 	Admitted          int     `json:"admitted"` // jobs
 	TaskActs          int     `json:"acts"`     // in leased tasks
-	RatedAdmissions   int     `json:"rated"`    // of accounts with a rate
-	// RateUtilization is the part of what the accounts' rates allow that was admitted.
+	RatedAdmissions   int     `json:"rated"`    // of accounts with a rate limit
+	// RateUtilization is the fraction of the admissions allowed by the accounts' rates that took place.
 	RateUtilization float64 `json:"rate_use"`
-	// MaxAdmissionGap is the longest time between two admissions of an account that has a line of
-	// its own.
+	// MaxAdmissionGap is the longest time between two admissions of an account that has its own
+	// limit in the section.
 	MaxAdmissionGap    time.Duration `json:"rate_gap_ns"`
-	Accounts           int           `json:"accounts"` // with an admission
-	BudgetShares       int           `json:"parts"`    // shares of slow-start budgets, each held for a while
+	Accounts           int           `json:"accounts"` // with at least one admission
+	BudgetShares       int           `json:"parts"`    // times that an instance held a slow-start share
 	Triggers           TriggerCounts `json:"fired"`
-	RollingRestarts    int           `json:"rolls"` // that came to their end
-	RestartedInstances int           `json:"out"`   // taken out by rolling restarts
-	// TaskGaps are the times in which nobody acted in a leased task that changed hands.
+	RollingRestarts    int           `json:"rolls"` // that were completed
+	RestartedInstances int           `json:"out"`   // restarted by rolling restarts
+	// TaskGaps are the times without an action while a leased task passed to another holder.
 	TaskGaps    []time.Duration `json:"gaps_ns"`
 	Jobs        JobCounts       `json:"jobs"`
 	Violations  []string        `json:"violations,omitempty"`
-	LastEntries []string        `json:"last,omitempty"` // of the journals, if there are violations
+	LastEntries []string        `json:"last,omitempty"` // of the journals; empty without violations
 }
 
 // run is a run in progress.
@@ -82,16 +84,16 @@
 	withdrawn     map[string]bool   // changes, by id
 	proposedRates map[uint64]ratelimit.Policy
 
-	// mu guards what several goroutines write: of the result the jobs, the counts of faults and of
-	// rolling restarts and the violations. The rest of it is the changes' goroutine's.
+	// mu guards the fields below that several goroutines write: lastProposer and, of the result, the
+	// jobs, the counts of faults and of rolling restarts, and the violations. The other fields of the
+	// result belong to the goroutine that makes changes.
 	mu           sync.Mutex
 	result       Result
-	lastProposer string // the instance through which the client has proposed last
+	lastProposer string // the instance that the client last sent a proposal to
 }
 
-// Run starts a cluster, runs the schedule against it and audits it. An error says that the run
-// could not be made or ended; what the audits found is in the result. All processes have ended
-// when it returns.
+// Run starts a cluster, runs the schedule against it and audits it. An error means that the run could
+// not be started or completed; violations are in the result. All processes have ended when it returns.
 func Run(ctx context.Context, o RunOptions) (*Result, error) {
 	c, err := StartCluster(o.ClusterOptions)
 	if err != nil {
@@ -119,13 +121,13 @@
 	return &r.result, r.audit(ctx)
 }
 
-// measureIdleMessages counts the messages between instances while nothing happens.
+// measureIdleMessages counts the messages between idle instances, and sets their rate in the result.
 func (r *run) measureIdleMessages(ctx context.Context) error {
 	count := func() (n uint64, err error) {
 		for _, p := range r.Processes {
 			s := p.Status(ctx)
 			if s == nil {
-				return 0, fmt.Errorf("%s does not answer though nothing happens", p.Name)
+				return 0, fmt.Errorf("status of %s: no response from an idle instance", p.Name)
 			}
 			n += s.Counters["messages_sent"]
 		}
@@ -146,7 +148,7 @@
 	return err
 }
 
-// trace writes a line with the time since the run's start.
+// trace writes a line that begins with the time since the run's start.
 func (r *run) trace(format string, args ...any) {
 	if r.Trace != nil {
 		r.mu.Lock()
@@ -155,7 +157,7 @@
 	}
 }
 
-// violate adds a violation to the result.
+// violate adds a violation to the result, up to maxViolations.
 func (r *run) violate(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,7 +167,7 @@
 }
 
 // execute makes changes, injects faults and sends jobs, and then waits for the cluster to recover.
-// Jobs go on until it has.
+// Jobs are sent until it has recovered.
 func (r *run) execute(ctx context.Context) error {
 	r.began = time.Now()
 	sending, stopJobs := context.WithCancel(ctx)
@@ -191,7 +193,7 @@
 	return err
 }
 
-// changeUnderFaults makes the changes, and meanwhile injects the faults and restarts instances.
+// changeUnderFaults makes the changes while it injects the faults and runs rolling restarts.
 func (r *run) changeUnderFaults(ctx context.Context) error {
 	injecting, stop := context.WithCancel(ctx)
 	defer stop()
@@ -206,11 +208,11 @@
 	return err
 }
 
-// awaitRecovery waits until all that the faults have disturbed is well. What is not in time is a
-// violation. The faults ended at healed, which is healedAt by CLOCK_BOOTTIME.
+// awaitRecovery waits until the cluster has recovered from the faults. Whatever has not recovered in
+// time is a violation. The faults ended at healed, which is healedAt by CLOCK_BOOTTIME.
 func (r *run) awaitRecovery(ctx context.Context, healed time.Time, healedAt time.Duration) {
 	if err := r.WaitAdmitting(ctx); err != nil {
-		r.violate("all is well, and still: %v", err)
+		r.violate("no recovery after the faults ended: %v", err)
 	}
 	r.result.RecoveryTime = time.Since(healed)
 	if r.MaxRestarting > 0 {
--- a/internal/verify/faultinjection/sample_platform.go
+++ b/internal/verify/faultinjection/sample_platform.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// SamplePlatform is the contents of a small platform file, with a class of each kind of effect.
+// SamplePlatform returns the contents of a small platform file, with a class for each value of effect.
 func SamplePlatform() []byte {
 	class := func(name, effect string) map[string]any {
 		c := map[string]any{"name": name, "credit": 5, "effect": effect, "give_up": 5_000_000_000,
@@ -32,7 +32,7 @@
 			"report": map[string]any{"how": "pull", "names": []string{"pending", "x0"}}},
 	})
 	if err != nil {
-		panic(err) // there is nothing in it that can't be written
+		panic(err) // every value above can be encoded
 	}
 	return b
 }
--- a/internal/verify/faultinjection/schedule.go
+++ b/internal/verify/faultinjection/schedule.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Fault is a line of a fault schedule: when, what, to whom.
+// Fault is a line of a fault schedule: the time, the kind of fault and its targets.
 type Fault struct {
 	At             time.Duration // since the run's start
-	Step           Step          // from At on it waits for this step; empty: it is injected at once
-	StepInstance   string        // whose step; empty: any instance's
+	Step           Step          // from At on, the fault waits for this step; empty: it is injected at At
+	StepInstance   string        // the instance that reaches the step; empty: any
 	Kind           FaultKind
-	Targets        []string      // instances, or Target names, in the order of the kind's arguments
-	Duration       time.Duration // of a stall, a delay, a clock's offset or until a restart
+	Targets        []string      // instances or Target constants, in the order of the kind's arguments
+	Duration       time.Duration // of a stall, delay or full disk; until a restart; a clock's offset
 	BytesPerSecond int
-	Line           int // in the file; 0: the fault was drawn
+	Line           int // number in the file; 0: the fault was drawn
 }
 
-// FaultKind is the word of a schedule that names a fault.
+// FaultKind names a kind of fault in a schedule.
 type FaultKind string
 
 // The kinds of faults.
@@ -54,11 +54,11 @@
 	faultTransfer  FaultKind = "hand-on"
 )
 
-// faultSyntax is what follows a fault's kind on its line.
+// faultSyntax describes the arguments that follow the kind of a fault on its line.
 type faultSyntax struct {
-	targets  int // how many instances
+	targets  int // number of instances
 	duration bool
-	rate     bool // bytes a second
+	rate     bool // bytes per second
 	help     string
 }
 
@@ -77,42 +77,42 @@
 	faultMute:     {targets: 1, help: "nothing gets through from it"},
 	faultRefuse:   {targets: 2, help: "the first's new connections to the second are refused"},
 	faultReset:    {targets: 2, help: "the connections between the two are reset"},
-	faultHalfOpen: {targets: 2, help: "the connections between the two lead nowhere; new ones do"},
+	faultHalfOpen: {targets: 2, help: "nothing gets through on open connections of the two; new ones work"},
 	faultDelay: {targets: 2, duration: true,
-		help: "what goes from the first to the second takes so long, and up to as much again"},
+		help: "data from the first to the second is delayed by TIME to twice TIME"},
 	faultSlow: {targets: 2, rate: true,
-		help: "so many bytes a second get through from the first to the second"},
-	faultHeal:  {help: "all links are well again"},
-	faultStall: {targets: 1, duration: true, help: "the process stands still (SIGSTOP) for so long"},
-	faultKill:  {targets: 1, help: "the process dies (SIGKILL)"},
+		help: "at most BYTES per second get through from the first to the second"},
+	faultHeal:  {help: "all faults of links end"},
+	faultStall: {targets: 1, duration: true, help: "the process is stopped (SIGSTOP) for TIME"},
+	faultKill:  {targets: 1, help: "the process is killed (SIGKILL)"},
 	faultRestart: {targets: 1, duration: true,
-		help: "the process dies (SIGKILL) and is started again after so long"},
-	faultStart: {targets: 1, help: "it is started again, on its directory"},
+		help: "the process is killed (SIGKILL) and started again after TIME"},
+	faultStart: {targets: 1, help: "it is started again, with the data in its directory"},
 	faultFull: {targets: 1, duration: true,
-		help: "its disk is full for so long; then there is room, and it is started again"},
-	faultRenew:    {targets: 1, help: "it dies and is started as the program is now (see --older)"},
-	faultRollBack: {targets: 1, help: "it dies and is started as the program was earlier (see --older)"},
+		help: "its disk is full for TIME; then there is room, and it is killed and started again"},
+	faultRenew:    {targets: 1, help: "it is killed and started with the current program (see --older)"},
+	faultRollBack: {targets: 1, help: "it is killed and started with the earlier program (see --older)"},
 	faultTerminate: {targets: 1, duration: true,
-		help: "it is asked to end (SIGTERM), and started again so long after it has"},
-	faultAhead:  {targets: 1, duration: true, help: "its wall clock is set so far ahead of the true one"},
-	faultBehind: {targets: 1, duration: true, help: "its wall clock is set so far behind the true one"},
-	faultTrue:   {targets: 1, help: "its wall clock is set right"},
+		help: "it is asked to end (SIGTERM), and started again TIME after it has ended"},
+	faultAhead:  {targets: 1, duration: true, help: "its wall clock is set TIME ahead of the true time"},
+	faultBehind: {targets: 1, duration: true, help: "its wall clock is set TIME behind the true time"},
+	faultTrue:   {targets: 1, help: "its wall clock is set to the true time"},
 	faultTransfer: {targets: 1,
-		help: "an operator, who asks it, has the first duty go to it"},
+		help: "an operator asks it to have the first duty transferred to it"},
 	faultTorn: {targets: 1, duration: true,
-		help: "it dies in the midst of a write, of which a part is on its disk; started after so long"},
+		help: "it is killed during a write, a part of which reaches its disk; started after TIME"},
 }
 
-// Names that a schedule may use for an instance that is known only when the fault is injected.
+// Names that a schedule may use as a target for an instance that is determined when the fault is injected.
 const (
 	TargetLeader            = "leader"    // the leader of the highest term
-	TargetStepInstance      = "it"        // whose step the fault waited for
-	TargetProposer          = "asked"     // through which the client has proposed last
-	TargetRestartController = "conductor" // which holds the lease of the rolling restart's controller
+	TargetStepInstance      = "it"        // the instance that reached the step that the fault waited for
+	TargetProposer          = "asked"     // the instance that the client last sent a proposal to
+	TargetRestartController = "conductor" // the holder of the lease of the rolling restart's controller
 )
 
-// Step is the word of a schedule that names a step of a change, of a leased task's work or of a
-// rolling restart, for which a fault may wait.
+// Step names, in a schedule, a step of a change, of the work in a leased task or of a rolling
+// restart. A fault may wait for it.
 type Step string
 
 // The steps.
@@ -127,22 +127,22 @@
 	stepSwitched     Step = "switched"
 )
 
-// steps gives for each step the audit journal's event that shows it.
+// steps maps each step to the event that an instance writes to its audit journal when it reaches the step.
 var steps = map[Step]struct{ event, help string }{
-	stepTaskHeld:     {"hold", "it has learned that it holds a duty, and begins its work"},
-	stepTaskActed:    {"act", "it has acted in a duty just now"},
-	stepTaskReleased: {"leave", "it has ended its work in a duty, and gives it back"},
-	stepRestarting:   {"out", "it has read that a rolling restart takes it out (see --rolls)"},
-	stepProposed:     {"staging", "an instance hears of a change"},
-	stepStaged:       {"staged", "it is ready to switch to it, and says so"},
-	stepCeased:       {"permit", "it admits no jobs any more, and says so"},
+	stepTaskHeld:     {"hold", "it has learned that it holds a duty, and starts to act in it"},
+	stepTaskActed:    {"act", "it has just acted in a duty"},
+	stepTaskReleased: {"leave", "it has stopped acting in a duty, and releases it"},
+	stepRestarting:   {"out", "it has learned that a rolling restart restarts it (see --rolls)"},
+	stepProposed:     {"staging", "it has learned of a change"},
+	stepStaged:       {"staged", "it is ready to switch to the change, and reports so"},
+	stepCeased:       {"permit", "it has stopped admitting jobs for the change, and reports so"},
 	stepSwitched:     {"run", "it has learned that the change is in force, and runs it"},
 }
 
-// changeSteps are the steps of a change, in their order.
+// changeSteps lists the steps of a change in order.
 var changeSteps = []Step{stepProposed, stepStaged, stepCeased, stepSwitched}
 
-// String is the fault's line in a schedule.
+// String returns the fault's line in a schedule.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%8.3fs  ", f.At.Seconds())
 	if f.Step != "" {
@@ -165,7 +165,7 @@
 	return s
 }
 
-// FormatSchedule gives the text that ParseSchedule reads.
+// FormatSchedule returns a schedule in the format that ParseSchedule reads.
 func FormatSchedule(faults []Fault) []byte {
 	var b bytes.Buffer
 	fmt.Fprintln(&b, "# when, what, whom. \"moorstack prove cluster --help\" lists the faults.")
@@ -175,8 +175,8 @@
 	return b.Bytes()
 }
 
-// ParseSchedule reads a schedule for instances of these names. An error begins with the path and
-// the number of the line that is wrong.
+// ParseSchedule parses a schedule for the instances of the given names. An error begins with the
+// path and the number of the invalid line.
 func ParseSchedule(path string, raw []byte, names []string) ([]Fault, error) {
 	var list []Fault
 	sc := bufio.NewScanner(bytes.NewReader(raw))
@@ -188,7 +188,7 @@
 		}
 		f, err := parseFault(fields, names)
 		if err == nil && len(list) > 0 && f.At < list[len(list)-1].At {
-			err = fmt.Errorf("time %v comes after %v in the line before", f.At, list[len(list)-1].At)
+			err = fmt.Errorf("time %v is earlier than %v on the previous line", f.At, list[len(list)-1].At)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", path, n, err)
@@ -201,7 +201,7 @@
 
 func parseFault(fields, names []string) (f Fault, err error) {
 	if f.At, err = time.ParseDuration(fields[0]); err != nil || f.At < 0 {
-		return f, fmt.Errorf("%q is not a time from the beginning on, as in 1.5s", fields[0])
+		return f, fmt.Errorf("expected a time since the run's start such as 1.5s, got %q", fields[0])
 	}
 	if fields = fields[1:]; len(fields) == 0 {
 		return f, fmt.Errorf("a fault must follow the time")
@@ -217,11 +217,11 @@
 	f.Kind = FaultKind(fields[0])
 	syntax, ok := faultKinds[f.Kind]
 	if !ok {
-		return f, fmt.Errorf("%q is no fault; %s are", f.Kind, joinSorted(faultKinds))
+		return f, fmt.Errorf("unknown fault %q, expected one of %s", f.Kind, joinSorted(faultKinds))
 	}
 	arguments := fields[1:]
 	if want := syntax.arguments(); len(arguments) != want {
-		return f, fmt.Errorf("%s: %d words follow, %d are wanted: %s", f.Kind, len(arguments), want,
+		return f, fmt.Errorf("%s: got %d argument(s), expected %d: %s", f.Kind, len(arguments), want,
 			syntax.help)
 	}
 	if err := f.parseTargets(arguments[:syntax.targets], names); err != nil {
@@ -230,15 +230,15 @@
 	return f, f.parseAmount(syntax, arguments[syntax.targets:])
 }
 
-// parseStep reads what follows the @: a step, and whose.
+// parseStep parses the text after the @: a step, and optionally the instance that reaches it.
 func (f *Fault) parseStep(text string, names []string) error {
 	step, instance, _ := strings.Cut(text, ":")
 	f.Step, f.StepInstance = Step(step), instance
 	if _, ok := steps[f.Step]; !ok {
-		return fmt.Errorf("@%s: no change or duty has such a step; %s are", f.Step, joinSorted(steps))
+		return fmt.Errorf("@%s: unknown step, expected one of %s", f.Step, joinSorted(steps))
 	}
 	if instance != "" && !slices.Contains(names, instance) {
-		return fmt.Errorf("@%s: there is no instance %q; %s to %s are", f.Step, instance, names[0],
+		return fmt.Errorf("@%s: unknown instance %q, expected one of %s to %s", f.Step, instance, names[0],
 			names[len(names)-1])
 	}
 	return nil
@@ -249,10 +249,10 @@
 	placeholders := []string{TargetLeader, TargetStepInstance, TargetProposer, TargetRestartController}
 	for i, target := range targets {
 		if target == TargetStepInstance && f.Step == "" {
-			return fmt.Errorf("%s: %q is who has taken a step, and the line waits for none", f.Kind, target)
+			return fmt.Errorf("%s: target %q requires a step to wait for (@STEP) on the line", f.Kind, target)
 		}
 		if !slices.Contains(placeholders, target) && !slices.Contains(names, target) {
-			return fmt.Errorf("%s: there is no instance %q; %s to %s are, and %s, %s, %s and %s", f.Kind,
+			return fmt.Errorf("%s: unknown target %q, expected one of %s to %s, %s, %s, %s and %s", f.Kind,
 				target, names[0], names[len(names)-1], TargetLeader, TargetStepInstance, TargetProposer,
 				TargetRestartController)
 		}
@@ -263,17 +263,18 @@
 	return nil
 }
 
-// parseAmount reads the duration or the rate that a kind takes after its targets.
+// parseAmount parses the duration or the rate that follows the targets of some kinds.
 func (f *Fault) parseAmount(syntax faultSyntax, arguments []string) (err error) {
 	switch {
 	case syntax.duration:
 		if f.Duration, err = time.ParseDuration(arguments[0]); err != nil || f.Duration <= 0 ||
 			f.Duration > time.Hour {
-			return fmt.Errorf("%s: %q is not a time above 0 and up to 1h", f.Kind, arguments[0])
+			return fmt.Errorf("%s: duration must be above 0 and at most 1h, got %q", f.Kind, arguments[0])
 		}
 	case syntax.rate:
 		if f.BytesPerSecond, err = strconv.Atoi(arguments[0]); err != nil || f.BytesPerSecond < 1 {
-			return fmt.Errorf("%s: %q is not a number of bytes a second", f.Kind, arguments[0])
+			return fmt.Errorf("%s: bytes per second must be a whole number of at least 1, got %q", f.Kind,
+				arguments[0])
 		}
 	}
 	return nil
@@ -289,7 +290,7 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// FaultHelp describes the kinds of faults, a line each, in alphabetical order.
+// FaultHelp returns the help on the kinds of faults, one line each, in alphabetical order.
 func FaultHelp() string {
 	var b strings.Builder
 	for _, kind := range sortedKeys(faultKinds) {
@@ -306,8 +307,8 @@
 	return b.String()
 }
 
-// StepHelp describes the steps that a fault may wait for, a line each: those of a change in their
-// order, then the rest.
+// StepHelp returns the help on the steps that a fault may wait for, one line each: the steps of a
+// change in order, then the others.
 func StepHelp() string {
 	var b strings.Builder
 	others := []Step{stepTaskHeld, stepTaskActed, stepTaskReleased, stepRestarting}
--- a/internal/verify/faultinjection/schedule_test.go
+++ b/internal/verify/faultinjection/schedule_test.go
@@ -13,7 +13,7 @@
 		drawn := DrawSchedule(seed, names, 20*time.Second)
 		read, err := ParseSchedule("s", FormatSchedule(drawn), names)
 		if err != nil || len(read) != len(drawn) {
-			t.Fatalf("seed %d: %d of %d faults: %v", seed, len(read), len(drawn), err)
+			t.Fatalf("seed %d: parsed %d of %d faults: %v", seed, len(read), len(drawn), err)
 		}
 		for i := range read {
 			if read[i].String() != drawn[i].String() {
@@ -22,19 +22,19 @@
 		}
 	}
 	for text, want := range map[string]string{
-		"x stall n1 1s":             `s:1: "x" is not a time`,
+		"x stall n1 1s":             `s:1: expected a time since the run's start such as 1.5s, got "x"`,
 		"1s":                        "a fault must follow",
-		"1s burn n1":                `"burn" is no fault; ahead, behind, cut, deaf`,
-		"1s cut n1":                 "1 words follow, 2 are wanted: nothing gets through",
-		"1s stall n9 1s":            `there is no instance "n9"; n1 to n3 are, and leader`,
+		"1s burn n1":                `unknown fault "burn", expected one of ahead, behind, cut, deaf`,
+		"1s cut n1":                 "got 1 argument(s), expected 2: nothing gets through",
+		"1s stall n9 1s":            `unknown target "n9", expected one of n1 to n3, leader`,
 		"1s cut n1 n1":              "n1 is named twice",
-		"1s stall n1 -1s":           `"-1s" is not a time above 0`,
-		"1s slow n1 n2 0":           `"0" is not a number of bytes`,
-		"1s @agreed kill n1":        `@agreed: no change or duty has such a step; acts, ceased, gives, holds`,
-		"1s @staged:n7 kill n1":     `@staged: there is no instance "n7"; n1 to n3 are`,
+		"1s stall n1 -1s":           `duration must be above 0 and at most 1h, got "-1s"`,
+		"1s slow n1 n2 0":           `bytes per second must be a whole number of at least 1, got "0"`,
+		"1s @agreed kill n1":        `@agreed: unknown step, expected one of acts, ceased, gives, holds`,
+		"1s @staged:n7 kill n1":     `@staged: unknown instance "n7", expected one of n1 to n3`,
 		"1s @staged":                "a fault must follow the step",
-		"1s kill it":                `"it" is who has taken a step, and the line waits for none`,
-		"# first\n2s heal\n1s heal": "s:3: time 1s comes after 2s",
+		"1s kill it":                `target "it" requires a step to wait for (@STEP) on the line`,
+		"# first\n2s heal\n1s heal": "s:3: time 1s is earlier than 2s",
 	} {
 		t.Run(text, func(t *testing.T) {
 			_, err := ParseSchedule("s", []byte(text), names)
@@ -57,11 +57,12 @@
 		return true
 	}
 	if got := Shrink(schedule, breaks); len(got) != 2 {
-		t.Errorf("%d of %d lines are left, 2 are needed: %v", len(got), len(schedule), got)
+		t.Errorf("%d of %d faults are left, want 2: %v", len(got), len(schedule), got)
 	}
 }
 
-// A kind without an injector would end the run by a nil call, and only when it is drawn.
+// A kind without an injector would crash the run with a call of a nil function, and only when a
+// schedule contains the kind.
 func TestEachFaultKindHasAnInjector(t *testing.T) {
 	for kind := range faultKinds {
 		if injectors[kind] == nil {
@@ -70,7 +71,7 @@
 	}
 	for kind := range injectors {
 		if _, ok := faultKinds[kind]; !ok {
-			t.Errorf("%s has an injector and no syntax", kind)
+			t.Errorf("%s has an injector but no syntax", kind)
 		}
 	}
 }
--- a/internal/verify/modelcheck/modelcheck.go
+++ b/internal/verify/modelcheck/modelcheck.go
@@ -1,5 +1,5 @@
-// Package modelcheck visits every reachable state of a small model, on all processors, and checks an
-// invariant in each: it shows that no order of events leads to a state that violates it.
+// Package modelcheck visits every reachable state of a small model, on all processors, and checks the
+// model's invariants in each. If it completes, no order of events leads to a state that violates one.
 package modelcheck
 
 import (
@@ -9,35 +9,37 @@
 	"sync/atomic"
 )
 
-// State is a state of a model. Two states with the same key are the same: all that can follow from them is.
+// State is a state of a model. States with the same key are the same state: everything that can follow
+// from them is the same.
 type State[S any] interface {
 	Key() uint64
-	// Transitions gives each event that may happen next, with a copy of the state after it.
+	// Transitions returns each event that may happen next, with a copy of the state after it.
 	Transitions() []Transition[S]
 	// Violation describes the invariant that the state violates; empty: none. It is called before Key and
 	// Transitions.
 	Violation() string
 }
 
-// Transition is an event, and the state after it.
+// Transition is an event and the state after it.
 type Transition[S any] struct {
 	Event string
 	State S
 }
 
-// Result is what a check found.
+// Result holds the outcome of a check.
 type Result struct {
 	States    int64
 	Complete  bool     // every reachable state was visited
-	Violation string   // empty: none was found
+	Violation string   // the first that was found; empty: none
 	Trace     []string // the events that lead to the violation
 }
 
-// sharedStates is how many states are found breadth-first before the processors share them out.
+// sharedStates is how many states the breadth-first search collects before they are distributed over the
+// processors.
 const sharedStates = 2000
 
-// visitedStates are the keys of the states that were visited. Of each it keeps 64 bits: of a hundred million,
-// two are taken for one with a chance of 1 in 3,000.
+// visitedStates is the set of the keys of visited states. As keys have 64 bits, two of a hundred million
+// states collide, and one of them is skipped, with a probability of about 1 in 3,000.
 type visitedStates struct {
 	shards [256]struct {
 		sync.Mutex
@@ -46,7 +48,7 @@
 	count atomic.Int64
 }
 
-// add reports whether a key is new.
+// add adds a key, and reports whether it is new.
 func (v *visitedStates) add(key uint64) bool {
 	s := &v.shards[key>>56]
 	s.Lock()
@@ -62,7 +64,7 @@
 	return true
 }
 
-// search is a check under way. Its methods may be called from several goroutines.
+// search is a check in progress. Its methods are safe for concurrent use.
 type search[S State[S]] struct {
 	maxStates int64
 	visited   visitedStates
@@ -82,7 +84,7 @@
 	s.stopped.Store(true)
 }
 
-// expand visits the states that follow from one, and calls next for each that is new.
+// expand visits the states after each transition of a state, and calls next for each new one.
 func (s *search[S]) expand(state S, trace []string, next func(S, []string)) {
 	for _, t := range state.Transitions() {
 		if s.stopped.Load() {
@@ -102,18 +104,19 @@
 	}
 }
 
-// expandDeep visits depth-first all that follows from a state.
+// expandDeep visits all states that can be reached from a state, depth-first.
 func (s *search[S]) expandDeep(state S, trace []string) { s.expand(state, trace, s.expandDeep) }
 
-// frontier is a state that is yet to be expanded, with the events that lead to it.
+// frontier is a state that is not expanded yet, with the events that lead to it.
 type frontier[S any] struct {
 	state S
 	trace []string
 }
 
-// Check visits every state that can be reached, but no more than maxStates, and stops at the first that
-// violates an invariant. It searches breadth-first until there is enough to share out, then each processor
-// depth-first. The states are used by several goroutines, one at a time.
+// Check visits every state that can be reached from start. It stops at the first state that violates an
+// invariant, and after about maxStates states. It searches breadth-first until it has sharedStates states to
+// expand; then all processors search depth-first from these. Each state is used by one goroutine at a time,
+// but not always by the same one.
 func Check[S State[S]](start S, maxStates int64) Result {
 	s := &search[S]{maxStates: maxStates}
 	if violation := start.Violation(); violation != "" {
--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// counters are two numbers that grow one at a time, up to a limit, and must not both reach a bound.
+// counters is a model of two numbers that grow one at a time, up to limit, and must not both reach bound.
 type counters struct{ a, b, limit, bound int }
 
 func (c counters) Key() uint64 { return uint64(c.a)<<56 | uint64(c.b) }
@@ -51,6 +51,6 @@
 		c = c.Transitions()[k].State
 	}
 	if c.Violation() == "" {
-		t.Errorf("the trace %v leads to %+v, which violates nothing", r.Trace, c)
+		t.Errorf("the trace %v leads to %+v, which violates no invariant", r.Trace, c)
 	}
 }
--- a/internal/verify/simulation/checks.go
+++ b/internal/verify/simulation/checks.go
@@ -11,19 +11,19 @@
 	"moorstack/internal/cluster/consensus"
 )
 
-// observations are what the checks compare each step with.
+// observations holds what was observed so far. The checks compare each step with it.
 type observations struct {
-	leaders         map[uint64]string   // the leader's number, by term
+	leaders         map[uint64]string   // the leader's number in hexadecimal, by term
 	states          map[uint64][32]byte // the state's digest, by applied entry
 	changes         map[uint64]string   // the change's id, by revision
 	revisions       map[string]uint64   // by the change's id
-	acknowledged    map[string]uint64   // the revisions that clients got, by the change's id
-	actions         map[string]action   // the newest, by task
-	notes           map[string]int      // the newest that its holder knows to be committed, by task
+	acknowledged    map[string]uint64   // the revision acknowledged to the client, by the change's id
+	actions         map[string]action   // the action with the newest fencing token, by task
+	notes           map[string]int      // the newest note known to be committed, by task
 	newestAdmission admission
 }
 
-// admission is of a job, under the newest revision that there was one.
+// admission records the first admission of a job under a revision.
 type admission struct {
 	revision uint64
 	machine  string
@@ -35,7 +35,8 @@
 		actions: map[string]action{}, notes: map[string]int{}}
 }
 
-// observeRevision checks that a revision is the same change everywhere, and no change is applied twice.
+// observeRevision checks that a revision is the same change at every machine, and that no change is applied
+// twice.
 func (s *simulator) observeRevision(machine string, revision uint64, change string) {
 	if other, ok := s.observed.changes[revision]; ok && other != change {
 		s.violatef("revision %d is change %s, and %s at %s", revision, other, change, machine)
@@ -46,7 +47,7 @@
 	s.observed.changes[revision], s.observed.revisions[change] = change, revision
 }
 
-// observeLeader checks that a term has one leader.
+// observeLeader checks that a term has only one leader.
 func (s *simulator) observeLeader(m *machine, term uint64) {
 	leader := s.observed.leaders[term]
 	if leader != "" && leader != m.hexNumber() {
@@ -58,15 +59,15 @@
 	s.observed.leaders[term] = m.hexNumber()
 }
 
-// observeState checks that all instances have the same state after the same entry.
+// observeState checks that all instances have the same state after they have applied the same entry.
 func (s *simulator) observeState(m *machine, applied uint64, digest [32]byte) {
 	if other, ok := s.observed.states[applied]; ok && other != digest {
-		s.violatef("%s has another state than others after entry %d", m.name, applied)
+		s.violatef("the state of %s after entry %d differs from that of another instance", m.name, applied)
 	}
 	s.observed.states[applied] = digest
 }
 
-// checkFinalState checks everything once faults have ended and the group has recovered.
+// checkFinalState performs the final checks, after faults have ended and the group had time to recover.
 func (s *simulator) checkFinalState() {
 	if len(s.result.Violations) > 0 {
 		return
@@ -74,7 +75,7 @@
 	s.checkAcknowledged()
 	leader := s.leader()
 	if leader == nil {
-		s.violatef("there is no leader though faults have ended")
+		s.violatef("no leader after faults have ended")
 		return
 	}
 	if !s.checkStatesEqual() {
@@ -88,12 +89,13 @@
 func (s *simulator) checkAcknowledged() {
 	for id, revision := range s.observed.acknowledged {
 		if change := s.observed.changes[revision]; change != id {
-			s.violatef("change %s was acknowledged as revision %d, which is %q: lost", id, revision, change)
+			s.violatef("change %s was acknowledged as revision %d, but is lost: that revision is %q", id,
+				revision, change)
 		}
 	}
 }
 
-// appliedAlike reports whether all members have applied the same entries.
+// appliedAlike reports whether all voters have applied the log up to the same entry.
 func (s *simulator) appliedAlike() bool {
 	applied := map[uint64]bool{}
 	for _, m := range s.running() {
@@ -104,9 +106,10 @@
 	return len(applied) == 1
 }
 
-// checkStatesEqual checks that all voters have the same state. It is false where one has none.
+// checkStatesEqual checks that all voters have the same state. It returns false if a voter has none.
 func (s *simulator) checkStatesEqual() bool {
-	// Leased tasks may change hands at any time: only what all have applied is compared.
+	// Entries on leased tasks may be committed at any time, so states are comparable only when all voters
+	// have applied the same entries.
 	for range 50 {
 		if s.appliedAlike() {
 			break
@@ -119,7 +122,7 @@
 			continue
 		}
 		if m.instance.State() == nil {
-			s.violatef("%s has a vote and no state at the end", m.name)
+			s.violatef("%s is a voter but has no state at the end", m.name)
 			return false
 		}
 		b := m.instance.State().Encode()
@@ -127,13 +130,13 @@
 			first = b
 		}
 		if !bytes.Equal(first, b) {
-			s.violatef("%s has another state than others at the end", m.name)
+			s.violatef("the state of %s at the end differs from that of another voter", m.name)
 		}
 	}
 	return true
 }
 
-// checkTakesChange checks that the group takes a change, at the instance that led.
+// checkTakesChange checks that the group accepts a change that is proposed to the given leader.
 func (s *simulator) checkTakesChange(leader *machine) {
 	accepted := false
 	id := leader.input().Propose(clusterstate.Change{ID: "last",
@@ -144,7 +147,7 @@
 	leader.processReady()
 	s.advance(calmTicks)
 	if !accepted {
-		s.violatef("the group takes no change though faults have ended")
+		s.violatef("the group accepts no change after faults have ended")
 	}
 }
 
@@ -152,16 +155,16 @@
 func (s *simulator) checkAdmits() {
 	for _, m := range s.running() {
 		if s.isVoter(m) && !m.front.permit.Admits(m.localTime(), m.front.running) {
-			s.violatef("%s admits nothing though faults have ended: %+v, running %d", m.name, m.front.permit,
-				m.front.running)
+			s.violatef("%s admits no jobs after faults have ended: permit %+v, running revision %d", m.name,
+				m.front.permit, m.front.running)
 		}
 	}
 }
 
-// checkLinearizable checks that what clients saw can be put in one order.
+// checkLinearizable checks that the history of the clients' operations is linearizable.
 func (s *simulator) checkLinearizable() {
-	// A change without a response came into force some time or never. Where it did, the log has its revision;
-	// one that never did has no effect.
+	// A change without a response may have come into force at any time, or never. If it did, its revision was
+	// observed. If it did not, it had no effect and is dropped from the history.
 	s.history = slices.DeleteFunc(s.history, func(o porcupine.Operation) bool {
 		return o.Output.(operationOutput).unknown && s.observed.revisions[o.Input.(operationInput).id] == 0
 	})
@@ -174,8 +177,8 @@
 	slices.SortStableFunc(s.history, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 	switch porcupine.CheckOperationsTimeout(registerModel, s.history, time.Minute) {
 	case porcupine.Illegal:
-		s.violatef("what clients saw is not linearizable")
+		s.violatef("the clients' history is not linearizable")
 	case porcupine.Unknown:
-		s.violatef("whether what clients saw is linearizable was not found out in a minute")
+		s.violatef("the linearizability of the clients' history could not be determined in a minute")
 	}
 }
--- a/internal/verify/simulation/clients.go
+++ b/internal/verify/simulation/clients.go
@@ -10,7 +10,8 @@
 	"moorstack/internal/cluster/consensus"
 )
 
-// Operations of clients are recorded, for the check that they are linearizable.
+// operationInput and operationOutput describe clients' operations in the recorded history, whose
+// linearizability is checked at the end.
 type operationInput struct {
 	write bool
 	base  uint64
@@ -21,10 +22,10 @@
 	unknown  bool // it may have taken effect at any time, or never
 	accepted bool
 	revision uint64
-	id       string // of the change that is in force
+	id       string // of the change in force
 }
 
-// register is the document as a sequential object: a revision, and the change that made it.
+// register is the sequential model of the document: a revision and the id of the change that created it.
 type register struct {
 	revision uint64
 	id       string
@@ -48,22 +49,22 @@
 
 const (
 	maxClientRetries = 8
-	// unknownOffset keeps the operations without a response apart from those of the clients: each counts as a
-	// client of its own.
+	// unknownOffset separates operations without a response from the other operations of the clients. Each of
+	// them is recorded under its own client number.
 	unknownOffset = 100
 	endOfTime     = 1 << 60
 )
 
-// call is an operation of a client that has begun.
+// call is an operation of a client that is in progress.
 type call struct {
 	client  int
 	startAt int64
 	change  clusterstate.Change // of a proposal
-	retries int                 // that remain
+	retries int                 // remaining
 }
 
-// runClient has a client read and propose, one after the other, and retry what it has no response for under
-// the same id.
+// runClient makes a client read or propose, one operation after another. A proposal without a response is
+// retried under the same id.
 func (s *simulator) runClient(n int) {
 	s.after(int64(20+s.rng.IntN(150)), func() {
 		if s.calm {
@@ -111,7 +112,7 @@
 	m.processReady()
 }
 
-// onStop calls f if a machine stops before a request to it is done.
+// onStop calls f if a machine stops before a request to it has completed.
 func (s *simulator) onStop(m *machine, done *bool, f func()) {
 	incarnation := m.incarnation
 	var check func()
@@ -146,10 +147,10 @@
 	m.processReady()
 }
 
-// retry proposes a change again, at any machine, or gives it up.
+// retry proposes a change again to a random machine, or gives up and records an unknown outcome.
 func (s *simulator) retry(c call, reason string) {
 	if c.retries == 0 || s.calm {
-		s.tracef("client %d gives %s up: %s", c.client, c.change.ID, reason)
+		s.tracef("client %d gives up on %s: %s", c.client, c.change.ID, reason)
 		s.recordUnknown(c)
 		return
 	}
@@ -163,10 +164,11 @@
 	})
 }
 
-// observeOutcome takes the outcome of a change.
+// observeOutcome records the outcome of a change.
 func (s *simulator) observeOutcome(m *machine, c call, o clusterstate.Outcome) {
 	change := c.change
-	s.tracef("client %d gets from %s: %s is %v, revision %d", c.client, m.name, change.ID, o.Code, o.Revision)
+	s.tracef("client %d gets a response from %s: %s is %v, revision %d", c.client, m.name, change.ID, o.Code,
+		o.Revision)
 	in := operationInput{true, change.BaseRevision, change.ID}
 	switch o.Code {
 	case clusterstate.Accepted:
@@ -177,16 +179,16 @@
 		s.result.ChangesWithdrawn++
 	case clusterstate.Conflict:
 		s.result.ChangesRejected++
-		// With the same revision another change was taking hold, which may come into force or not.
+		// If the revision is the change's base, another change was pending, which may come into force or not.
 		if o.Revision != change.BaseRevision {
 			s.record(c.client, in, operationOutput{}, c.startAt)
 		}
 	default:
-		s.violatef("change %s is %v: %v", change.ID, o.Code, o.Problems)
+		s.violatef("change %s has the unexpected outcome %v: %v", change.ID, o.Code, o.Problems)
 	}
 }
 
-// recordUnknown records a change without a response.
+// recordUnknown records a change that got no response.
 func (s *simulator) recordUnknown(c call) {
 	s.result.ChangesUnknown++
 	s.history = append(s.history, porcupine.Operation{ClientId: c.client + unknownOffset + len(s.history),
--- a/internal/verify/simulation/doc.go
+++ b/internal/verify/simulation/doc.go
@@ -1,7 +1,8 @@
-// Package simulation tries to break package consensus: it runs whole groups of instances in virtual time, on
-// disks that lose what was not synced and a network that loses, delays, duplicates and reorders, with faults
-// drawn from a seed. It checks invariants at each step, and linearizability at the end.
+// Package simulation tests package consensus under faults. It runs whole groups of instances in virtual time,
+// on disks that lose data that was not synced and on a network that loses, delays, duplicates and reorders
+// messages. The faults are drawn from a seed. It checks invariants after each step, and linearizability at
+// the end.
 //
-// A seed determines the whole run: the same seed gives the same events, so that a failure found at night can
-// be examined in the morning.
+// A seed determines the whole run: the same seed produces the same events, so that every failure can be
+// reproduced.
 package simulation
--- a/internal/verify/simulation/faults.go
+++ b/internal/verify/simulation/faults.go
@@ -4,7 +4,8 @@
 	"moorstack/internal/schema"
 )
 
-// fault is a kind of fault. inject gives its name for the counts, which operators read.
+// fault is a kind of fault, drawn with a probability in proportion to its weight. inject returns its name,
+// under which the result counts it.
 type fault struct {
 	weight int
 	inject func(*simulator) (name string)
@@ -29,7 +30,7 @@
 	{1, (*simulator).stallMany},
 }
 
-// injectFault injects a fault at random.
+// injectFault injects a fault of a random kind.
 func (s *simulator) injectFault() {
 	total := 0
 	for _, f := range faults {
@@ -47,7 +48,7 @@
 	}
 }
 
-// randomMachine draws a machine for a fault.
+// randomMachine draws the machine that a fault affects.
 func (s *simulator) randomMachine() *machine { return s.machines[s.faultRNG.IntN(len(s.machines))] }
 
 func (s *simulator) losePower() string {
@@ -60,8 +61,8 @@
 	return "kill"
 }
 
-// losePowerInWrite has a machine lose power at some point of its next writes and sends: before, between or
-// after them.
+// losePowerInWrite makes a machine lose power during its next writes and sends: before the first of them,
+// between two, or after the last.
 func (s *simulator) losePowerInWrite() string {
 	m := s.randomMachine()
 	m.callsToFailure = 1 + s.faultRNG.IntN(8)
@@ -131,7 +132,7 @@
 
 func (s *simulator) skewClock() string {
 	m := s.randomMachine()
-	m.localTime() // until now it went at the rate before
+	m.localTime() // the time until now passed at the previous rate
 	m.unitsPerTick = unitsPerTick + int64(s.faultRNG.IntN(9)) - 4
 	return "clock"
 }
@@ -165,7 +166,7 @@
 	return "many stall"
 }
 
-// endFaults repairs everything and starts every machine.
+// endFaults ends all faults and starts every machine that is down.
 func (s *simulator) endFaults() {
 	s.tracef("faults have ended")
 	clear(s.network.cut)
--- a/internal/verify/simulation/front.go
+++ b/internal/verify/simulation/front.go
@@ -7,15 +7,15 @@
 	"moorstack/internal/cluster/rollout"
 )
 
-// front stands in for an instance's fronts: it goes by the permit that it got last, a moment later, and
-// admits jobs whenever it may.
+// front simulates the fronts of an instance. It applies each permit after a short delay, and admits jobs
+// whenever its current permit allows it.
 type front struct {
 	permit  rollout.Permit
-	queue   []rollout.Permit // that it has not taken yet
-	running uint64           // the revision that it runs
+	queue   []rollout.Permit // permits that are not applied yet
+	running uint64           // the revision that the front runs
 }
 
-// notifyFront gives an instance's effects to its front.
+// notifyFront passes an instance's effects to its front, with random delays.
 func (m *machine) notifyFront(e consensus.Effects) {
 	s := m.sim
 	if r := e.Stage; r != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// stage stages a change, or finds that it can't.
+// stage reports that a change is staged or, at random, that it can't be.
 func (m *machine) stage(change string) {
 	s := m.sim
 	var problems []string
@@ -53,7 +53,7 @@
 	}
 }
 
-// takePermit takes the next permit in order, as an event loop does with what is posted to it.
+// takePermit applies the next permit. Permits are applied in order, as by an event loop.
 func (m *machine) takePermit() {
 	p := m.front.queue[0]
 	m.front.queue = m.front.queue[1:]
@@ -65,7 +65,7 @@
 	}
 }
 
-// scheduleJob has jobs come to the machine's front.
+// scheduleJob makes jobs arrive at the machine's front at random intervals.
 func (m *machine) scheduleJob() {
 	m.after(int64(1+m.sim.rng.IntN(25)), func() {
 		m.admitJob()
@@ -73,8 +73,8 @@
 	})
 }
 
-// admitJob admits a job, if the front may. No job may be admitted under a revision after another has been
-// under a later one, anywhere.
+// admitJob admits a job if the permit allows it. It checks that no job is admitted under a revision after any
+// machine has admitted one under a later revision.
 func (m *machine) admitJob() {
 	s := m.sim
 	if !m.front.permit.Admits(m.localTime(), m.front.running) {
--- a/internal/verify/simulation/leased_tasks.go
+++ b/internal/verify/simulation/leased_tasks.go
@@ -8,8 +8,8 @@
 	"moorstack/internal/cluster/leasedtask"
 )
 
-// taskHolder is what a machine does with its leased tasks: it acts whenever it may, updates their notes, and
-// releases them when it is requested to.
+// taskHolder is the state of a machine's work in its leased tasks. The machine acts in a task while the lease
+// allows it, updates the task's note, and releases the lease on request.
 type taskHolder struct {
 	leases    []leasedtask.Lease
 	releasing map[uint64]bool // by fencing token
@@ -17,14 +17,15 @@
 
 func newTaskHolder() taskHolder { return taskHolder{releasing: map[uint64]bool{}} }
 
-// action is the newest action in a task, as a receiver has seen it.
+// action is the newest action in a task that a receiver has seen.
 type action struct {
 	token   uint64
 	machine string
 }
 
-// setLeases takes the instance's leases. Notifications may overtake each other here, as they may not at an
-// event loop: one that holds less than the instance knows does no harm, and an old token is of no use.
+// setLeases replaces the leases that the machine acts by. Unlike in an event loop, notifications may arrive
+// out of order here. This is harmless: a missing lease only delays actions, and an old fencing token is not
+// valid any more.
 func (m *machine) setLeases(leases []leasedtask.Lease) {
 	m.tasks.leases = leases
 	for _, l := range leases {
@@ -35,7 +36,7 @@
 	}
 }
 
-// release releases a lease: from here on the machine does not act by it.
+// release releases a lease. From then on the machine does not act under it.
 func (m *machine) release(l leasedtask.Lease) {
 	m.tasks.releasing[l.FencingToken] = true
 	m.proposeCommand(leasedtask.Command{Kind: leasedtask.Release, Task: l.Task, FencingToken: l.FencingToken,
@@ -44,7 +45,7 @@
 	})
 }
 
-// releaseAgain releases a lease once more, if the machine still has it.
+// releaseAgain releases a lease once more if the machine still holds it.
 func (m *machine) releaseAgain(l leasedtask.Lease) {
 	for _, current := range m.tasks.leases {
 		if current.FencingToken == l.FencingToken {
@@ -61,7 +62,8 @@
 	m.processReady()
 }
 
-// scheduleTaskActions has the machine act in its tasks, and an operator intervene, now and then.
+// scheduleTaskActions makes the machine act in its tasks at random intervals, and rarely has an operator
+// command a task.
 func (m *machine) scheduleTaskActions() {
 	m.after(int64(1+m.sim.rng.IntN(20)), func() {
 		for _, l := range m.tasks.leases {
@@ -76,7 +78,7 @@
 	})
 }
 
-// interveneInTask is an operator's command on a task.
+// interveneInTask proposes a random operator's command on a random task.
 func (m *machine) interveneInTask() {
 	s := m.sim
 	kinds := []leasedtask.Kind{leasedtask.Transfer, leasedtask.Transfer, leasedtask.Pause, leasedtask.Resume,
@@ -87,9 +89,9 @@
 		TransferTo: s.machines[s.rng.IntN(len(s.machines))].number}, func(consensus.Response) {})
 }
 
-// act does a step of a task, if the machine may. No receiver may see an older fencing token after a newer
-// one, nor one token from two machines; and a new holder must have every update of the note that was
-// committed.
+// act acts in a task if the lease allows it. It checks that no receiver sees an older fencing token after a
+// newer one or the same token from two machines, and that a new holder has every committed update of the
+// note.
 func (m *machine) act(l leasedtask.Lease) {
 	s := m.sim
 	if m.tasks.releasing[l.FencingToken] || !l.Valid(m.localTime()) {
@@ -97,16 +99,17 @@
 	}
 	newest := s.observed.actions[l.Task]
 	if l.FencingToken < newest.token || l.FencingToken == newest.token && newest.machine != m.name {
-		s.violatef("%s acts in %s under the token %d after %s has under %d", m.name, l.Task, l.FencingToken,
-			newest.machine, newest.token)
+		s.violatef("%s acts in %s under the fencing token %d after %s has under %d", m.name, l.Task,
+			l.FencingToken, newest.machine, newest.token)
 	}
 	s.result.TaskActions++
 	note, _ := strconv.Atoi(string(l.Note))
 	if l.FencingToken > newest.token {
 		s.result.TaskTransfers++
-		s.tracef("%s acts in %s under %d, from note %d on", m.name, l.Task, l.FencingToken, note)
+		s.tracef("%s begins to act in %s under the fencing token %d, at note %d", m.name, l.Task,
+			l.FencingToken, note)
 		if committed := s.observed.notes[l.Task]; note < committed {
-			s.violatef("%s begins %s at note %d, and %d was committed", m.name, l.Task, note, committed)
+			s.violatef("%s begins %s at note %d, but note %d was committed", m.name, l.Task, note, committed)
 		}
 		s.observed.actions[l.Task] = action{l.FencingToken, m.name}
 	}
--- a/internal/verify/simulation/machine.go
+++ b/internal/verify/simulation/machine.go
@@ -11,7 +11,7 @@
 	"moorstack/internal/storage/store"
 )
 
-// machine is where an instance runs, or doesn't.
+// machine is a simulated computer, with a disk and a clock, on which an instance runs or is down.
 type machine struct {
 	sim      *simulator
 	name     string
@@ -19,17 +19,17 @@
 	instance *consensus.Instance // nil while it is down
 	store    *store.Store
 	number   uint64
-	spare    bool // it follows as a learner, to replace a voter
-	// incarnation grows at each start and end: what an earlier one had scheduled is dropped.
+	spare    bool // the instance is a learner that may replace a voter
+	// incarnation grows at each start and stop. Events that an earlier incarnation scheduled are dropped.
 	incarnation    int
-	unitsPerTick   int64 // its clock's rate
-	callsToFailure int   // calls of the log until it loses power; 0: it doesn't
+	unitsPerTick   int64 // the rate of its clock
+	callsToFailure int   // calls of the log until it loses power; 0: it does not
 	lastRevision   uint64
 	lastApplied    uint64
 	onResponse     map[consensus.RequestID]func(consensus.Response)
 	unsyncedCalls  int // with Options.AcknowledgeBeforeSync
 
-	clock        time.Duration // its own, as of clockReadAt
+	clock        time.Duration // its own clock, at the virtual time clockReadAt
 	clockReadAt  int64
 	stalledUntil int64
 	front        front
@@ -43,7 +43,7 @@
 	brokenSyncEvery        = 20 // calls, with Options.AcknowledgeBeforeSync
 )
 
-// start begins an incarnation of the machine, from what its disk has.
+// start starts a new incarnation of the machine with the data on its disk.
 func (m *machine) start() {
 	if m.instance != nil {
 		return
@@ -62,7 +62,7 @@
 			m.restartLater() // the disk was full
 			return
 		}
-		s.violatef("%s can't open its store: %v", m.name, err)
+		s.violatef("%s failed to open its store: %v", m.name, err)
 		return
 	}
 	s.lastDrawn++
@@ -71,7 +71,7 @@
 			Seed: s.options.Seed<<16 + uint64(m.incarnation), Logger: s.log.WithField("at", m.name)},
 		recovered, s.lastDrawn, m.name)
 	if err != nil {
-		s.violatef("%s can't start: %v", m.name, err)
+		s.violatef("%s failed to start: %v", m.name, err)
 		return
 	}
 	m.number, _, _ = m.instance.Identity()
@@ -90,7 +90,7 @@
 	})
 }
 
-// restartLater starts the machine after a while, with room on its disk.
+// restartLater starts the machine after a random delay, with free space on its disk.
 func (m *machine) restartLater() {
 	m.sim.after(int64(20+m.sim.faultRNG.IntN(300)), func() {
 		m.disk.FreeBytes = -1
@@ -98,7 +98,7 @@
 	})
 }
 
-// stop ends an incarnation: by a loss of power, or of the process alone.
+// stop ends an incarnation, by a power loss or by the death of the process alone.
 func (m *machine) stop(power bool) {
 	if m.instance == nil {
 		return
@@ -115,16 +115,17 @@
 	m.restartLater()
 }
 
-// wipe ends an incarnation and loses its disk.
+// wipe ends an incarnation and erases its disk.
 func (m *machine) wipe() {
 	m.stop(false)
 	m.disk.EraseDisk()
 }
 
-// stall has the machine stand still, with all that comes to it waiting.
+// stall pauses the machine. Messages and events for it wait until the stall ends.
 func (m *machine) stall(units int64) { m.stalledUntil = m.sim.now + units }
 
-// localTime is the machine's own clock, which goes on while it stands still, at its own rate.
+// localTime returns the time of the machine's own clock, which has its own rate and keeps running during a
+// stall.
 func (m *machine) localTime() time.Duration {
 	s := m.sim
 	m.clock += time.Duration(s.now-m.clockReadAt) * unit * unitsPerTick / time.Duration(m.unitsPerTick)
@@ -132,13 +133,13 @@
 	return m.clock
 }
 
-// input is the instance with its clock set, for an input.
+// input returns the instance with its clock set, ready for an input.
 func (m *machine) input() *consensus.Instance {
 	m.instance.SetClock(m.localTime())
 	return m.instance
 }
 
-// after schedules f in this incarnation of the machine: after a stall, where it stands still.
+// after schedules f in this incarnation of the machine. During a stall, f is put off until its end.
 func (m *machine) after(units int64, f func()) {
 	incarnation := m.incarnation
 	m.sim.after(units, func() {
@@ -166,7 +167,7 @@
 		return errPowerLoss
 	}
 	if m.sim.options.AcknowledgeBeforeSync {
-		// Acknowledged now, synced some time later.
+		// Report success now, and sync only in a later call.
 		if m.unsyncedCalls++; m.unsyncedCalls%brokenSyncEvery != 0 {
 			return nil
 		}
@@ -190,7 +191,7 @@
 	return false
 }
 
-// processReady has the instance do what is due after an input, and checks it.
+// processReady makes the instance process what became ready by an input, and checks its invariants.
 func (m *machine) processReady() {
 	if m.instance == nil {
 		return
@@ -215,7 +216,7 @@
 func (m *machine) carryOut(e consensus.Effects) {
 	for _, r := range e.Revisions {
 		if r.Number <= m.lastRevision {
-			m.sim.violatef("%s gives revision %d after %d", m.name, r.Number, m.lastRevision)
+			m.sim.violatef("%s applied revision %d after %d", m.name, r.Number, m.lastRevision)
 		}
 		m.lastRevision = r.Number
 		m.sim.observeRevision(m.name, r.Number, r.ChangeID)
@@ -225,7 +226,7 @@
 		m.sim.sendSession(m, msg)
 	}
 	for _, msg := range e.Messages {
-		if m.losesPower() { // after some of the messages were sent
+		if m.losesPower() { // some of the messages have been sent by now
 			incarnation := m.incarnation
 			m.sim.after(1, func() {
 				if m.incarnation == incarnation {
@@ -244,12 +245,12 @@
 	}
 }
 
-// check checks the invariants of the instance after each of its steps.
+// check checks the invariants of the instance. It is called after each of its steps.
 func (m *machine) check() {
 	st := m.instance.Status()
 	s := m.sim
 	if st.Halted != nil {
-		s.violatef("%s halts: %v", m.name, st.Halted)
+		s.violatef("%s halted: %v", m.name, st.Halted)
 		return
 	}
 	if st.Role == consensus.RoleLeader {
@@ -264,5 +265,5 @@
 	}
 }
 
-// hexNumber is an instance's number as traces show it.
+// hexNumber returns the instance's number as traces show it.
 func (m *machine) hexNumber() string { return fmt.Sprintf("%x", m.number) }
--- a/internal/verify/simulation/members.go
+++ b/internal/verify/simulation/members.go
@@ -9,7 +9,7 @@
 	"moorstack/internal/schema"
 )
 
-// How long operators take for each of their steps, in units of virtual time.
+// The times of operators' steps, in units of virtual time.
 const (
 	closeSessionsUnits  = 500
 	replaceCheckUnits   = 100
@@ -18,15 +18,15 @@
 	removedMachineUnits = 400
 )
 
-// changeMembers is a fault: a member is replaced, loses its disk, or is removed.
+// changeMembers is a fault that replaces a member, erases its disk, or removes it.
 func (s *simulator) changeMembers() string {
 	leader := s.leader()
 	if leader == nil {
 		return "no leader to ask"
 	}
 	m := s.randomMachine()
-	// One at a time: a majority that has lost its disks has lost what it committed, and only the operators
-	// are to blame for that.
+	// One member changes at a time: if a majority lost its disks, committed entries would be lost, and that
+	// would be an error of the operators and not of the code under test.
 	var spare *machine
 	for _, o := range s.machines {
 		if o.spare {
@@ -47,7 +47,7 @@
 		return "change put off"
 	}
 	if s.faultRNG.IntN(2) == 0 && m != leader {
-		// Its disk is lost, and with it its vote: it must not vote under its old number.
+		// With its disk it loses the record of its votes, so it must not vote again under its old number.
 		m.wipe()
 		s.after(wipedMachineUnits, func() { s.join(m) })
 		return "wiped"
@@ -57,9 +57,9 @@
 	return "removed"
 }
 
-// rejoinRemoved has a machine that was removed join as a new instance.
+// rejoinRemoved makes a machine that was removed join as a new instance.
 func (s *simulator) rejoinRemoved(m *machine) {
-	// Only one that is surely removed may lose its disk.
+	// The disk may be erased only once the removal is committed.
 	if s.removedAtLeader(m) {
 		m.wipe()
 		s.after(removedMachineUnits, func() { s.join(m) })
@@ -71,8 +71,8 @@
 	return leader != nil && leader.instance.State().WasRemoved(m.number)
 }
 
-// completeReplacement has a machine whose vote the spare one has taken become the spare one, once that is
-// sure: the change may be half done for long, or never come about.
+// completeReplacement makes a machine that was replaced by the spare machine the new spare one. It waits
+// until the removal is committed: a replacement may remain half done for long, or never complete.
 func (s *simulator) completeReplacement(m, spare *machine, checks int) {
 	s.after(replaceCheckUnits, func() {
 		if s.removedAtLeader(m) && m.instance != nil {
@@ -86,8 +86,9 @@
 	})
 }
 
-// closeLostSessions closes, as operators do who know that a machine's disk is lost, sessions of incarnations
-// that can't come back. Where no lease expires by itself, changes would wait for them for ever.
+// closeLostSessions periodically closes sessions of instances that can't return, like operators who know that
+// a machine's disk is lost. With a rule under which leases don't expire, changes would wait for such sessions
+// forever.
 func (s *simulator) closeLostSessions() {
 	s.after(closeSessionsUnits, func() {
 		if leader := s.leader(); leader != nil && leader.instance.State() != nil {
@@ -110,7 +111,7 @@
 	return slices.ContainsFunc(s.machines, func(m *machine) bool { return m.number == number })
 }
 
-// rejoinUnaware has a machine that was removed, and never learned so, join as a new instance.
+// rejoinUnaware makes a machine that was removed, but has not learned of it, join as a new instance.
 func (s *simulator) rejoinUnaware(number uint64) {
 	for _, m := range s.machines {
 		if m.number == number {
@@ -121,7 +122,7 @@
 	}
 }
 
-// isVoter reports whether the leader knows the machine as a voter.
+// isVoter reports whether the machine is a voter, as the leader sees it.
 func (s *simulator) isVoter(m *machine) bool {
 	if leader := s.leader(); leader != nil {
 		for _, member := range leader.instance.Status().Members {
@@ -133,7 +134,7 @@
 	return false
 }
 
-// leader is the machine that leads in the highest term, or nil.
+// leader returns the machine that leads in the highest term, or nil.
 func (s *simulator) leader() *machine {
 	var leader *machine
 	for _, m := range s.machines {
@@ -148,7 +149,8 @@
 	return leader
 }
 
-// join brings a machine into the group: as a learner, then with a vote, however many attempts it takes.
+// join adds a machine to the group as a learner, and then promotes it to a voter. It retries until it
+// succeeds.
 func (s *simulator) join(m *machine) {
 	retry := func() { s.after(int64(30+s.rng.IntN(40)), func() { s.join(m) }) }
 	leader := s.leader()
@@ -158,7 +160,7 @@
 	}
 	if _, _, cluster := m.instance.Identity(); cluster == "" {
 		if err := m.input().Join("sim"); err != nil {
-			s.violatef("%s can't join: %v", m.name, err)
+			s.violatef("%s failed to join: %v", m.name, err)
 			return
 		}
 		m.processReady()
@@ -169,8 +171,8 @@
 	}
 }
 
-// nextJoinOperation is the next operation by which a machine comes into the group; nil: it is a member as it
-// should be.
+// nextJoinOperation returns the next operation to add a machine to the group, or nil if it is already a
+// voter, or a learner in the case of the spare machine.
 func nextJoinOperation(m *machine, members []consensus.MemberStatus) *schema.Operation {
 	op := &schema.Operation{Kind: schema.Operation_ADD, Name: m.name, Address: "a:" + m.name}
 	for _, member := range members {
@@ -179,7 +181,7 @@
 			return nil
 		case member.ID == m.number:
 			op = &schema.Operation{Kind: schema.Operation_PROMOTE, Name: m.name}
-		case member.Name == m.name: // from before its disk was wiped
+		case member.Name == m.name: // an earlier instance, from before its disk was wiped
 			op = &schema.Operation{Kind: schema.Operation_REMOVE, Name: m.name}
 		}
 	}
@@ -187,7 +189,7 @@
 }
 
 func (s *simulator) operate(leader *machine, op *schema.Operation, number uint64) {
-	s.tracef("%s is to %v %s %s", leader.name, op.Kind, op.Name, op.By)
+	s.tracef("operator asks %s: %v %s %s", leader.name, op.Kind, op.Name, op.By)
 	id := leader.input().Operate(op, number)
 	leader.onResponse[id] = func(response consensus.Response) {
 		s.tracef("%v %s: %v", op.Kind, op.Name, response.Err)
--- a/internal/verify/simulation/network.go
+++ b/internal/verify/simulation/network.go
@@ -8,23 +8,23 @@
 	"moorstack/internal/schema"
 )
 
-// route is the way from one machine to another, by their names.
+// route identifies the messages from one machine to another, by the machines' names.
 type route struct{ from, to string }
 
-// network is what is wrong with the network.
+// network holds the current faults of the network.
 type network struct {
 	cut  map[route]bool
-	loss float64 // the fraction of messages that are lost
+	loss float64 // fraction of the messages that are lost
 }
 
-// snapshotUnits is how long a snapshot takes until its sender learns whether it arrived.
+// snapshotUnits is how long after sending a snapshot the sender learns whether it arrived.
 const snapshotUnits = 15
 
-// send carries a Raft message. It goes as bytes, so that instances share nothing.
+// send transmits a Raft message. It is encoded and decoded, so that instances share no memory.
 func (s *simulator) send(from *machine, msg *pb.Message) {
 	raw, err := proto.Marshal(msg)
 	if err != nil {
-		s.violatef("a message that can't be written: %v", err)
+		s.violatef("encoding a Raft message: %v", err)
 		return
 	}
 	if msg.GetType() == pb.MsgSnap {
@@ -40,21 +40,21 @@
 	s.transmit(from, msg.GetTo(), func(to *machine) {
 		got := &pb.Message{}
 		if err := proto.Unmarshal(raw, got); err != nil {
-			s.violatef("a message that can't be read: %v", err)
+			s.violatef("decoding a Raft message: %v", err)
 			return
 		}
 		if err := to.input().Step(got); err != nil {
-			s.tracef("%s rejects %v of %s: %v", to.name, got.GetType(), from.name, err)
+			s.tracef("%s rejects %v from %s: %v", to.name, got.GetType(), from.name, err)
 		}
 		to.processReady()
 	})
 }
 
-// sendSession carries a session message.
+// sendSession transmits a session message, encoded like a Raft message.
 func (s *simulator) sendSession(from *machine, msg consensus.SessionMessage) {
 	raw, err := proto.Marshal(msg.Message)
 	if err != nil {
-		s.violatef("a session message that can't be written: %v", err)
+		s.violatef("encoding a session message: %v", err)
 		return
 	}
 	number := from.number
@@ -62,17 +62,17 @@
 	s.transmit(from, msg.To, func(to *machine) {
 		got := &schema.SessionMessage{}
 		if err := proto.Unmarshal(raw, got); err != nil {
-			s.violatef("a session message that can't be read: %v", err)
+			s.violatef("decoding a session message: %v", err)
 			return
 		}
 		if err := to.input().StepSession(number, got); err != nil {
-			s.tracef("%s rejects a session message of %s: %v", to.name, from.name, err)
+			s.tracef("%s rejects a session message from %s: %v", to.name, from.name, err)
 		}
 		to.processReady()
 	})
 }
 
-// transmit has something reach an instance, as a bad network does: late, twice or never.
+// transmit delivers a message to an instance over an unreliable network: after a delay, twice or never.
 func (s *simulator) transmit(from *machine, number uint64, receive func(to *machine)) {
 	copies := 1
 	if !s.calm {
@@ -86,13 +86,13 @@
 	for range copies {
 		delay := int64(1 + s.rng.IntN(6))
 		if !s.calm && s.rng.IntN(30) == 0 {
-			delay += int64(s.rng.IntN(400)) // and others overtake it
+			delay += int64(s.rng.IntN(400)) // later messages overtake it
 		}
 		s.after(delay, func() {
 			to := s.machineOf(number)
 			switch {
 			case to == nil || s.network.cut[route{from.name, to.name}]:
-			case s.now < to.stalledUntil: // it waits in the kernel
+			case s.now < to.stalledUntil: // it waits in a kernel buffer
 				to.after(to.stalledUntil-s.now+int64(s.rng.IntN(3)), func() { receive(to) })
 			default:
 				receive(to)
--- a/internal/verify/simulation/seeds.go
+++ b/internal/verify/simulation/seeds.go
@@ -4,8 +4,8 @@
 	"sync"
 )
 
-// RunSeeds makes the runs of the seeds from first on, on several workers, and reports each result in the
-// order of the seeds, on the caller's goroutine. It returns once all are reported.
+// RunSeeds performs the runs of count seeds from first on, on several worker goroutines. It calls report with
+// each result, in the order of the seeds and on the caller's goroutine, and returns after the last one.
 func RunSeeds(first uint64, count, workers int, options func(seed uint64) Options, report func(Result)) {
 	results := make([]chan Result, count)
 	for i := range results {
--- a/internal/verify/simulation/simulation_test.go
+++ b/internal/verify/simulation/simulation_test.go
@@ -26,7 +26,7 @@
 			return
 		}
 	}
-	t.Error("no seed finds a log that acknowledges before it syncs")
+	t.Error("no seed detects a log that acknowledges before it syncs")
 }
 
 func TestSameSeedGivesSameRun(t *testing.T) {
@@ -34,6 +34,6 @@
 	a := Run(Options{Instances: 3, Seed: 7, Trace: &traceA})
 	b := Run(Options{Instances: 3, Seed: 7, Trace: &traceB})
 	if !reflect.DeepEqual(a, b) || !bytes.Equal(traceA.Bytes(), traceB.Bytes()) {
-		t.Error("one seed gives two different runs")
+		t.Error("the same seed produces two different runs")
 	}
 }
--- a/internal/verify/simulation/simulator.go
+++ b/internal/verify/simulation/simulator.go
@@ -19,17 +19,17 @@
 	"moorstack/internal/storage/faultfs"
 )
 
-// Options are what a run depends on.
+// Options configures a run, and determines it completely.
 type Options struct {
 	Instances  int
 	Seed       uint64
-	FaultSteps int       // how many faults, each some ticks after the one before; 40, if 0
-	Trace      io.Writer // gets a line for each event; nil: nobody does
-	// AcknowledgeBeforeSync breaks the durability of the log. It is there to show that the checks find it.
+	FaultSteps int       // number of faults, some ticks apart; 0: 40
+	Trace      io.Writer // receives a line for each event; nil: no trace
+	// AcknowledgeBeforeSync breaks the durability of the log, to show that the checks detect this.
 	AcknowledgeBeforeSync bool
 }
 
-// Result is what a run came to.
+// Result holds the counts of a run and the violations that it found.
 type Result struct {
 	Seed             uint64         `json:"seed"`
 	Instances        int            `json:"instances"`
@@ -42,7 +42,7 @@
 	ChangesWithdrawn int            `json:"withdrawn"`
 	JobsAdmitted     int            `json:"admitted"`
 	JobsRejected     int            `json:"turned_away"`
-	TaskActions      int            `json:"acts"`       // of lease holders
+	TaskActions      int            `json:"acts"`       // in leased tasks, by their holders
 	TaskTransfers    int            `json:"hand_overs"` // of leased tasks, from one holder to another
 	Terms            uint64         `json:"terms"`
 	Faults           map[string]int `json:"faults"` // by kind
@@ -50,14 +50,15 @@
 }
 
 const (
-	// unitsPerTick is how many units of virtual time a tick has.
+	// unitsPerTick is the length of a tick in units of virtual time.
 	unitsPerTick = 10
-	// unit is the least virtual time, as instances' clocks show it.
+	// unit is the smallest step of virtual time, as instances' clocks show it.
 	unit = 10 * time.Millisecond
 
 	defaultFaultSteps = 40
 	maxViolations     = 5
-	// calmTicks is how long the group has to recover, or to take a change, once faults have ended.
+	// calmTicks is how long the group may take, once faults have ended, to recover, and then again to accept
+	// a change.
 	calmTicks = 400
 	clients   = 3
 )
@@ -68,7 +69,7 @@
 	run func()
 }
 
-// events is a heap.Interface, by time and then by order.
+// events implements heap.Interface. Events are ordered by time and then by sequence number.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -84,14 +85,14 @@
 	return last
 }
 
-// errPowerLoss is what a machine's log returns where the machine loses power.
-var errPowerLoss = errors.New("the machine loses power here")
+// errPowerLoss is returned by the calls of a machine's log during which the machine loses power.
+var errPowerLoss = errors.New("the machine lost power")
 
-// simulator is a group of instances with its machines, its network and its clients, in virtual time.
+// simulator runs a group of instances with its machines, its network and its clients in virtual time.
 type simulator struct {
 	options   Options
-	rng       *rand.Rand // the network's and the clients'
-	faultRNG  *rand.Rand // the faults': a change of one doesn't shift the other
+	rng       *rand.Rand // for the network and the clients
+	faultRNG  *rand.Rand // for the faults; separate, so that changes of one don't affect the other
 	queue     events
 	now       int64 // in units
 	seq       int
@@ -101,12 +102,12 @@
 	observed  observations
 	history   []porcupine.Operation
 	lastID    int  // of changes and commands
-	calm      bool // faults have ended
+	calm      bool // whether faults have ended
 	log       *logrus.Logger
-	lastDrawn uint64 // number of an instance
+	lastDrawn uint64 // last number that was assigned to an instance
 }
 
-// Run makes one run to its end.
+// Run performs one run and returns its result.
 func Run(o Options) Result {
 	if o.FaultSteps == 0 {
 		o.FaultSteps = defaultFaultSteps
@@ -137,19 +138,19 @@
 
 func (s *simulator) violatef(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	s.tracef("VIOLATED: %s", text)
+	s.tracef("violation: %s", text)
 	if len(s.result.Violations) < maxViolations {
 		s.result.Violations = append(s.result.Violations, text)
 	}
 }
 
-// after schedules f in so many units of time, at least one.
+// after schedules f after the given units of virtual time, but after one at least.
 func (s *simulator) after(units int64, f func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(units, 1), s.seq, f})
 }
 
-// advance lets time pass, until an invariant is violated.
+// advance runs the events of the given ticks, or until an invariant is violated.
 func (s *simulator) advance(ticks int64) {
 	end := s.now + ticks*unitsPerTick
 	for len(s.queue) > 0 && s.queue[0].at <= end && len(s.result.Violations) == 0 {
@@ -160,7 +161,7 @@
 	}
 }
 
-// runScenario makes a group, injects faults, ends them, and checks everything.
+// runScenario creates a group, injects faults, ends them, and performs the final checks.
 func (s *simulator) runScenario() {
 	for n := range s.options.Instances {
 		s.addMachine(fmt.Sprintf("n%d", n+1))
@@ -192,7 +193,7 @@
 	s.checkFinalState()
 }
 
-// document is a valid document, unlike that of any other n.
+// document returns a valid document that differs from the document of every other n.
 func (s *simulator) document(n int) *clusterstate.Document {
 	d := &clusterstate.Document{
 		Classes: []clusterstate.Class{{Name: "c", Idempotency: "retryable", Timeout: 5e9,
@@ -214,7 +215,7 @@
 	return m
 }
 
-// machineOf is the running machine of an instance's number, or nil.
+// machineOf returns the running machine of the instance with the given number, or nil.
 func (s *simulator) machineOf(number uint64) *machine {
 	for _, m := range s.machines {
 		if m.number == number && m.instance != nil {
@@ -224,7 +225,7 @@
 	return nil
 }
 
-// running lists the machines that run, by name.
+// running returns the running machines, sorted by name.
 func (s *simulator) running() []*machine {
 	var list []*machine
 	for _, m := range s.machines {
@@ -236,7 +237,7 @@
 	return list
 }
 
-// newID gives a number for the id of a change or a command.
+// newID returns a unique number for the id of a change or a command.
 func (s *simulator) newID() int {
 	s.lastID++
 	return s.lastID
