--- a/cmd/moorstack/prove_cluster_table.go
+++ b/cmd/moorstack/prove_cluster_table.go
@@ -34,7 +34,7 @@
 	}
 	t.add(fmt.Sprintf(
 		"%d admissions, %d of accounts (%.0f%% of their rates) and %d acts in duties audited, %d violations",
-		r.Admitted, r.RatedAdmissions, 100*r.RateUtilization, r.TaskActs, len(r.Violations)))
+		r.Admitted, r.RatedAdmissions, 100*r.RateUtilization, r.TaskActions, len(r.Violations)))
 	if r.RatedAdmissions > 0 {
 		t.add(fmt.Sprintf("%d accounts, %v at the most between two admissions of one with a line; "+
 			"%d parts of cold workers' budgets audited",
--- a/internal/verify/faultinjection/audit.go
+++ b/internal/verify/faultinjection/audit.go
@@ -34,7 +34,7 @@
 	policies, admitted := auditPolicies(all)
 	r.result.Admitted, r.result.AdmissionPauses = admitted, admissionPauses(all)
 	tasks := auditTasks(all)
-	r.result.TaskActs, r.result.TaskGaps = tasks.acts, tasks.gaps
+	r.result.TaskActions, r.result.TaskGaps = tasks.actions, tasks.gaps
 	rates := auditRates(all, r.proposedRates)
 	r.result.RatedAdmissions, r.result.RateUtilization = rates.admitted, rates.utilization
 	r.result.MaxAdmissionGap, r.result.Accounts = rates.maxGap, rates.accounts
@@ -72,7 +72,7 @@
 	if r.Accounts > 0 && r.JobsPerSecond > 0 && r.result.RatedAdmissions == 0 {
 		r.violate("no job of an account was admitted: nothing to audit")
 	}
-	if r.DrillTasks > 0 && r.result.TaskActs == 0 {
+	if r.DrillTasks > 0 && r.result.TaskActions == 0 {
 		r.violate("no instance acted in a leased task: nothing to audit")
 	}
 	if r.JobsPerSecond > 0 && r.result.Admitted == 0 {
--- a/internal/verify/faultinjection/audit_rates.go
+++ b/internal/verify/faultinjection/audit_rates.go
@@ -89,7 +89,7 @@
 		case "rates":
 			a.versions[e.instance], _ = strconv.ParseUint(e.args, 10, 64)
 		case "rate":
-			a.admission(e)
+			a.recordAdmission(e)
 		}
 	}
 	a.summarize()
@@ -100,9 +100,9 @@
 	a.violations = append(a.violations, fmt.Sprintf(format, args...))
 }
 
-// admission removes a token for an admission from the bucket of its account and from the bucket of its
-// account and class.
-func (a *rateAuditor) admission(e auditEntry) {
+// recordAdmission removes a token for an admission from the bucket of its account and from the bucket of
+// its account and class.
+func (a *rateAuditor) recordAdmission(e auditEntry) {
 	account, rest, err := unquote(e.args)
 	class, _, classErr := unquote(strings.TrimPrefix(rest, " "))
 	if err != nil || classErr != nil {
@@ -115,11 +115,11 @@
 		a.maxGap = max(a.maxGap, e.at-at)
 	}
 	a.latest[account] = e.at
-	a.take(e, rateBucket{version, ratelimit.Key{Account: account}})
-	a.take(e, rateBucket{version, ratelimit.Key{Account: account, Class: class}})
+	a.takeToken(e, rateBucket{version, ratelimit.Key{Account: account}})
+	a.takeToken(e, rateBucket{version, ratelimit.Key{Account: account, Class: class}})
 }
 
-func (a *rateAuditor) take(e auditEntry, b rateBucket) {
+func (a *rateAuditor) takeToken(e auditEntry, b rateBucket) {
 	policy, known := a.policies[b.version]
 	if !known {
 		a.violate("%s applies a version of the rate limits that was never proposed", e.instance)
--- a/internal/verify/faultinjection/audit_tasks.go
+++ b/internal/verify/faultinjection/audit_tasks.go
@@ -10,7 +10,7 @@
 // taskAudit holds the results of an audit of leased tasks.
 type taskAudit struct {
 	violations []string
-	acts       int
+	actions    int
 	gaps       []time.Duration // times without an action, one for each change of a task's holder
 }
 
@@ -40,7 +40,7 @@
 					task, args[1], e.at-before.at, before.instance, before.token))
 			continue
 		}
-		found.acts++
+		found.actions++
 		if token > before.token && before.token > 0 {
 			found.gaps = append(found.gaps, e.at-before.at)
 		}
--- a/internal/verify/faultinjection/audit_test.go
+++ b/internal/verify/faultinjection/audit_test.go
@@ -51,7 +51,7 @@
 	act := func(ms int, instance, args string) auditEntry { return entryAt(ms, instance, "act", args) }
 	good := []auditEntry{act(1, "a", "x 4"), act(2, "b", "y 5"), act(9, "b", "x 6")}
 	found := auditTasks(good)
-	if len(found.violations) > 0 || found.acts != 3 ||
+	if len(found.violations) > 0 || found.actions != 3 ||
 		!slices.Equal(found.gaps, []time.Duration{8 * time.Millisecond}) {
 		t.Errorf("%+v", found)
 	}
--- a/internal/verify/faultinjection/audit_triggers.go
+++ b/internal/verify/faultinjection/audit_triggers.go
@@ -22,8 +22,8 @@
 	// settleSeconds is how many seconds of the machine's time an occurrence may be overdue, compared to
 	// the newest occurrence of any trigger.
 	settleSeconds = 30
-	// answerBusy is the response to a submission that was rejected and had no effect.
-	answerBusy = "busy"
+	// responseBusy is the response to a submission that was rejected and had no effect.
+	responseBusy = "busy"
 )
 
 var classNames = []string{"trip-quote", "trip-book", "trip-once"}
@@ -162,12 +162,12 @@
 		if early > maxEarly && r.ClockSpeed <= 1 {
 			found.violate("%s was fired %v early by %s", key, early, s.instance)
 		}
-		if s.answer != answerBusy {
+		if s.response != responseBusy {
 			mayHaveRun++
 		}
 		// A job may be submitted again only if it was rejected before, or by an instance that has adopted
 		// the occurrence.
-		if n > 0 && !s.adopted && o.submissions[n-1].answer != answerBusy {
+		if n > 0 && !s.adopted && o.submissions[n-1].response != responseBusy {
 			found.violate("%s was fired by %s, and again by %s, which had not adopted it", key,
 				o.submissions[n-1].instance, s.instance)
 		}
--- a/internal/verify/faultinjection/cluster.go
+++ b/internal/verify/faultinjection/cluster.go
@@ -115,7 +115,7 @@
 		return err
 	}
 	// Each instance dials from its own source address, by which a forwarder identifies it.
-	net16 := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))).IntN(1 << 15)
+	networkBits := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))).IntN(1 << 15)
 	for n, name := range InstanceNames(c.options.Instances) {
 		pair, err := ca.Issue(name, keys.RoleInstance, time.Now(), 24*time.Hour)
 		if err != nil {
@@ -124,7 +124,7 @@
 		if err := pair.Write(keyDir, name, false); err != nil {
 			return err
 		}
-		host := netip.AddrFrom4([4]byte{127, byte(64 + net16>>9&63), byte(net16), byte(n + 1)})
+		host := netip.AddrFrom4([4]byte{127, byte(64 + networkBits>>9&63), byte(networkBits), byte(n + 1)})
 		if err := c.addProcess(name, host); err != nil {
 			return err
 		}
@@ -284,7 +284,7 @@
 			return "", false
 		case e := <-entries:
 			if e.event == steps[step].event && (instance == "" || e.instance == instance) &&
-				(step != stepCeased || strings.Contains(e.args, "taking hold")) {
+				(step != stepAdmissionClosed || strings.Contains(e.args, "taking hold")) {
 				return e.instance, true
 			}
 		}
--- a/internal/verify/faultinjection/draw.go
+++ b/internal/verify/faultinjection/draw.go
@@ -90,7 +90,7 @@
 		Targets:  []string{[]string{TargetLeader, TargetStepInstance, TargetProposer}[d.rng.IntN(3)]},
 		Duration: time.Duration(5*(1<<d.rng.IntN(9))) * time.Millisecond,
 	}
-	f.Kind = []FaultKind{faultStall, faultRestart, faultRestart, faultTorn, faultFull, faultIsolate,
+	f.Kind = []FaultKind{faultStall, faultRestart, faultRestart, faultTornWrite, faultFullDisk, faultIsolate,
 		faultDeaf, faultMute, faultTransfer}[d.rng.IntN(9)]
 	if !faultKinds[f.Kind].duration {
 		f.Duration = 0
@@ -106,8 +106,8 @@
 // always the clock of the first instance, so that at most one clock of the group is wrong.
 func (d *drawer) drawClockFault(at time.Duration) {
 	offset := []time.Duration{800 * time.Millisecond, 5 * time.Minute, time.Hour}[d.rng.IntN(3)]
-	d.add(at, []FaultKind{faultAhead, faultBehind}[d.rng.IntN(2)], offset, d.names[0])
-	d.add(at+d.milliseconds(500, 4000), faultTrue, 0, d.names[0])
+	d.add(at, []FaultKind{faultClockAhead, faultClockBehind}[d.rng.IntN(2)], offset, d.names[0])
+	d.add(at+d.milliseconds(500, 4000), faultClockCorrect, 0, d.names[0])
 }
 
 // drawAtOnce adds a fault of a process or of a link that waits for no step.
--- a/internal/verify/faultinjection/inject.go
+++ b/internal/verify/faultinjection/inject.go
@@ -98,14 +98,14 @@
 	faultSlow: func(r *run, f Fault, targets []string) {
 		r.Links.updatePath(targets[0], targets[1], func(s *pathState) { s.bandwidth = f.BytesPerSecond })
 	},
-	faultHeal:    func(r *run, _ Fault, _ []string) { r.Links.Heal() },
-	faultStall:   onProcess((*run).injectStall),
-	faultKill:    onProcess(func(r *run, _ Fault, p *Process) { r.Kill(p) }),
-	faultRestart: onProcess(func(r *run, f Fault, p *Process) { r.Kill(p); r.startAfter(f.Duration, p) }),
-	faultStart:   onProcess(func(r *run, _ Fault, p *Process) { r.checkStarted(p, r.StartProcess(p)) }),
-	faultFull:    onProcess((*run).injectFullDisk),
-	faultTorn:    onProcess((*run).injectTornWrite),
-	faultRenew: onProcess(func(r *run, _ Fault, p *Process) {
+	faultHeal:      func(r *run, _ Fault, _ []string) { r.Links.Heal() },
+	faultStall:     onProcess((*run).injectStall),
+	faultKill:      onProcess(func(r *run, _ Fault, p *Process) { r.Kill(p) }),
+	faultRestart:   onProcess(func(r *run, f Fault, p *Process) { r.Kill(p); r.startAfter(f.Duration, p) }),
+	faultStart:     onProcess(func(r *run, _ Fault, p *Process) { r.checkStarted(p, r.StartProcess(p)) }),
+	faultFullDisk:  onProcess((*run).injectFullDisk),
+	faultTornWrite: onProcess((*run).injectTornWrite),
+	faultUpgrade: onProcess(func(r *run, _ Fault, p *Process) {
 		r.checkStarted(p, r.SwitchVersion(p, true))
 	}),
 	faultRollBack: onProcess(func(r *run, _ Fault, p *Process) {
@@ -115,10 +115,10 @@
 		r.Terminate(p)
 		r.startAfter(f.Duration, p)
 	}),
-	faultAhead:    onProcess(func(r *run, f Fault, p *Process) { r.setClock(p, f.Duration) }),
-	faultBehind:   onProcess(func(r *run, f Fault, p *Process) { r.setClock(p, -f.Duration) }),
-	faultTrue:     onProcess(func(r *run, _ Fault, p *Process) { r.setClock(p, 0) }),
-	faultTransfer: onProcess((*run).injectTransfer),
+	faultClockAhead:   onProcess(func(r *run, f Fault, p *Process) { r.setClock(p, f.Duration) }),
+	faultClockBehind:  onProcess(func(r *run, f Fault, p *Process) { r.setClock(p, -f.Duration) }),
+	faultClockCorrect: onProcess(func(r *run, _ Fault, p *Process) { r.setClock(p, 0) }),
+	faultTransfer:     onProcess((*run).injectTransfer),
 }
 
 func onProcess(inject func(r *run, f Fault, p *Process)) injector {
--- a/internal/verify/faultinjection/links.go
+++ b/internal/verify/faultinjection/links.go
@@ -65,8 +65,8 @@
 const (
 	// dialTimeout bounds the dialing of an instance by its forwarder.
 	dialTimeout = time.Second
-	// pieceBytes is the most bytes that are forwarded, and delayed, at once.
-	pieceBytes = 32 << 10
+	// chunkBytes is the most bytes that are forwarded, and delayed, at once.
+	chunkBytes = 32 << 10
 )
 
 // NewLinks returns links without faults and without forwarders.
@@ -153,7 +153,7 @@
 // relay forwards bytes along a path until either end is closed. Data that a cut holds back is
 // delivered when the cut ends, like data that TCP retransmits.
 func (l *Links) relay(c *connection, in, out net.Conn, p path) {
-	buf := make([]byte, pieceBytes)
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 && !l.forward(c, out, p, buf[:n]) || err != nil {
@@ -168,7 +168,7 @@
 }
 
 // forward writes a chunk, subject to the faults of the path, and reports whether it was written.
-func (l *Links) forward(c *connection, out net.Conn, p path, piece []byte) bool {
+func (l *Links) forward(c *connection, out net.Conn, p path, chunk []byte) bool {
 	l.mu.Lock()
 	state := l.paths[p]
 	l.mu.Unlock()
@@ -176,12 +176,12 @@
 		time.Sleep(state.delay + rand.N(state.delay))
 	}
 	if state.bandwidth > 0 {
-		time.Sleep(time.Duration(len(piece)) * time.Second / time.Duration(state.bandwidth))
+		time.Sleep(time.Duration(len(chunk)) * time.Second / time.Duration(state.bandwidth))
 	}
 	if !l.awaitPath(c, p) {
 		return false
 	}
-	_, err := out.Write(piece)
+	_, err := out.Write(chunk)
 	return err == nil
 }
 
--- a/internal/verify/faultinjection/occurrences.go
+++ b/internal/verify/faultinjection/occurrences.go
@@ -16,8 +16,8 @@
 // submission records that an instance submitted an occurrence's job.
 type submission struct {
 	auditEntry
-	adopted bool   // the occurrence belonged to another session before
-	answer  string // empty: none yet
+	adopted  bool   // the occurrence belonged to another session before
+	response string // empty: none yet
 }
 
 // occurrenceReader processes the journals' entries on triggers in their order.
@@ -54,17 +54,17 @@
 	case "pass":
 		r.found.violate("%s: %s occurrences of %s were skipped", e.instance, args[1], key)
 	case "intend":
-		r.intended(key, args)
+		r.readIntent(key, args)
 	case "settle":
-		r.settled(key, args)
+		r.readOutcome(key, args)
 	case "fire":
-		r.submitted(e, key, args)
+		r.readSubmission(e, key, args)
 	case "answer":
-		r.answered(e, key, args)
+		r.readResponse(e, key, args)
 	}
 }
 
-func (r *occurrenceReader) of(key string) *occurrence {
+func (r *occurrenceReader) occurrence(key string) *occurrence {
 	o := r.list[key]
 	if o == nil {
 		o = &occurrence{}
@@ -73,9 +73,9 @@
 	return o
 }
 
-// intended processes the arguments: number, Unix seconds.
-func (r *occurrenceReader) intended(key string, args []string) {
-	o := r.of(key)
+// readIntent processes the arguments: number, Unix seconds.
+func (r *occurrenceReader) readIntent(key string, args []string) {
+	o := r.occurrence(key)
 	if o.number != "" && o.number != args[0] {
 		r.found.violate("%s was intended with the numbers %s and %s", key, o.number, args[0])
 	}
@@ -83,30 +83,31 @@
 	o.at, _ = strconv.ParseInt(args[1], 10, 64)
 }
 
-// settled processes the outcome, which is the fourth argument.
-func (r *occurrenceReader) settled(key string, args []string) {
-	o := r.of(key)
+// readOutcome processes the outcome, which is the fourth argument.
+func (r *occurrenceReader) readOutcome(key string, args []string) {
+	o := r.occurrence(key)
 	if o.outcome != "" && o.outcome != args[3] {
 		r.found.violate("%s has the outcomes %s and %s", key, o.outcome, args[3])
 	}
 	o.outcome = args[3]
 }
 
-// submitted processes the arguments: number, session epoch, Unix seconds, whether adopted.
-func (r *occurrenceReader) submitted(e auditEntry, key string, args []string) {
-	o := r.of(key)
+// readSubmission processes the arguments: number, session epoch, Unix seconds, whether adopted.
+func (r *occurrenceReader) readSubmission(e auditEntry, key string, args []string) {
+	o := r.occurrence(key)
 	o.submissions = append(o.submissions, submission{auditEntry: e, adopted: args[3] == "true"})
 	if at, _ := strconv.ParseInt(args[2], 10, 64); o.at == 0 {
 		o.at = at
 	}
 }
 
-// answered records the response, the second argument, for the instance's newest submission that has none.
-func (r *occurrenceReader) answered(e auditEntry, key string, args []string) {
-	submissions := r.of(key).submissions
+// readResponse records the response, which is the second argument, for the instance's newest submission
+// without one.
+func (r *occurrenceReader) readResponse(e auditEntry, key string, args []string) {
+	submissions := r.occurrence(key).submissions
 	for n := len(submissions) - 1; n >= 0; n-- {
-		if submissions[n].instance == e.instance && submissions[n].answer == "" {
-			submissions[n].answer = args[1]
+		if submissions[n].instance == e.instance && submissions[n].response == "" {
+			submissions[n].response = args[1]
 			return
 		}
 	}
--- a/internal/verify/faultinjection/run.go
+++ b/internal/verify/faultinjection/run.go
@@ -54,7 +54,7 @@
 	// MessagesPerSecond counts the messages between all instances while they were idle.
 	MessagesPerSecond float64 `json:"messages_a_s"`
 	Admitted          int     `json:"admitted"` // jobs
-	TaskActs          int     `json:"acts"`     // in leased tasks
+	TaskActions       int     `json:"acts"`     // in leased tasks
 	RatedAdmissions   int     `json:"rated"`    // of accounts with a rate limit
 	// RateUtilization is the fraction of the admissions allowed by the accounts' rates that took place.
 	RateUtilization float64 `json:"rate_use"`
@@ -80,8 +80,8 @@
 	began time.Time
 	rng   *rand.Rand // of the goroutine that makes changes
 
-	acknowledged  map[string]uint64 // revisions of changes that were answered as in force, by id
-	withdrawn     map[string]bool   // changes, by id
+	acknowledged  map[string]uint64 // revisions of changes acknowledged as in force, by the change's id
+	withdrawn     map[string]bool   // by the change's id
 	proposedRates map[uint64]ratelimit.Policy
 
 	// mu guards the fields below that several goroutines write: lastProposer and, of the result, the
--- a/internal/verify/faultinjection/schedule.go
+++ b/internal/verify/faultinjection/schedule.go
@@ -29,29 +29,29 @@
 
 // The kinds of faults.
 const (
-	faultCut       FaultKind = "cut"
-	faultIsolate   FaultKind = "isolate"
-	faultDeaf      FaultKind = "deaf"
-	faultMute      FaultKind = "mute"
-	faultRefuse    FaultKind = "refuse"
-	faultReset     FaultKind = "reset"
-	faultHalfOpen  FaultKind = "half-open"
-	faultDelay     FaultKind = "delay"
-	faultSlow      FaultKind = "slow"
-	faultHeal      FaultKind = "heal"
-	faultStall     FaultKind = "stall"
-	faultKill      FaultKind = "kill"
-	faultRestart   FaultKind = "restart"
-	faultStart     FaultKind = "start"
-	faultFull      FaultKind = "full"
-	faultTorn      FaultKind = "torn"
-	faultRenew     FaultKind = "renew"
-	faultRollBack  FaultKind = "roll-back"
-	faultTerminate FaultKind = "leave"
-	faultAhead     FaultKind = "ahead"
-	faultBehind    FaultKind = "behind"
-	faultTrue      FaultKind = "true"
-	faultTransfer  FaultKind = "hand-on"
+	faultCut          FaultKind = "cut"
+	faultIsolate      FaultKind = "isolate"
+	faultDeaf         FaultKind = "deaf"
+	faultMute         FaultKind = "mute"
+	faultRefuse       FaultKind = "refuse"
+	faultReset        FaultKind = "reset"
+	faultHalfOpen     FaultKind = "half-open"
+	faultDelay        FaultKind = "delay"
+	faultSlow         FaultKind = "slow"
+	faultHeal         FaultKind = "heal"
+	faultStall        FaultKind = "stall"
+	faultKill         FaultKind = "kill"
+	faultRestart      FaultKind = "restart"
+	faultStart        FaultKind = "start"
+	faultFullDisk     FaultKind = "full"
+	faultTornWrite    FaultKind = "torn"
+	faultUpgrade      FaultKind = "renew"
+	faultRollBack     FaultKind = "roll-back"
+	faultTerminate    FaultKind = "leave"
+	faultClockAhead   FaultKind = "ahead"
+	faultClockBehind  FaultKind = "behind"
+	faultClockCorrect FaultKind = "true"
+	faultTransfer     FaultKind = "hand-on"
 )
 
 // faultSyntax describes the arguments that follow the kind of a fault on its line.
@@ -88,18 +88,20 @@
 	faultRestart: {targets: 1, duration: true,
 		help: "the process is killed (SIGKILL) and started again after TIME"},
 	faultStart: {targets: 1, help: "it is started again, with the data in its directory"},
-	faultFull: {targets: 1, duration: true,
+	faultFullDisk: {targets: 1, duration: true,
 		help: "its disk is full for TIME; then there is room, and it is killed and started again"},
-	faultRenew:    {targets: 1, help: "it is killed and started with the current program (see --older)"},
+	faultUpgrade:  {targets: 1, help: "it is killed and started with the current program (see --older)"},
 	faultRollBack: {targets: 1, help: "it is killed and started with the earlier program (see --older)"},
 	faultTerminate: {targets: 1, duration: true,
 		help: "it is asked to end (SIGTERM), and started again TIME after it has ended"},
-	faultAhead:  {targets: 1, duration: true, help: "its wall clock is set TIME ahead of the true time"},
-	faultBehind: {targets: 1, duration: true, help: "its wall clock is set TIME behind the true time"},
-	faultTrue:   {targets: 1, help: "its wall clock is set to the true time"},
+	faultClockAhead: {targets: 1, duration: true,
+		help: "its wall clock is set TIME ahead of the true time"},
+	faultClockBehind: {targets: 1, duration: true,
+		help: "its wall clock is set TIME behind the true time"},
+	faultClockCorrect: {targets: 1, help: "its wall clock is set to the true time"},
 	faultTransfer: {targets: 1,
 		help: "an operator asks it to have the first duty transferred to it"},
-	faultTorn: {targets: 1, duration: true,
+	faultTornWrite: {targets: 1, duration: true,
 		help: "it is killed during a write, a part of which reaches its disk; started after TIME"},
 }
 
@@ -117,30 +119,30 @@
 
 // The steps.
 const (
-	stepTaskHeld     Step = "holds"
-	stepTaskActed    Step = "acts"
-	stepTaskReleased Step = "gives"
-	stepRestarting   Step = "out"
-	stepProposed     Step = "proposed"
-	stepStaged       Step = "staged"
-	stepCeased       Step = "ceased"
-	stepSwitched     Step = "switched"
+	stepTaskHeld        Step = "holds"
+	stepTaskActed       Step = "acts"
+	stepTaskReleased    Step = "gives"
+	stepRestarting      Step = "out"
+	stepProposed        Step = "proposed"
+	stepStaged          Step = "staged"
+	stepAdmissionClosed Step = "ceased"
+	stepSwitched        Step = "switched"
 )
 
 // steps maps each step to the event that an instance writes to its audit journal when it reaches the step.
 var steps = map[Step]struct{ event, help string }{
-	stepTaskHeld:     {"hold", "it has learned that it holds a duty, and starts to act in it"},
-	stepTaskActed:    {"act", "it has just acted in a duty"},
-	stepTaskReleased: {"leave", "it has stopped acting in a duty, and releases it"},
-	stepRestarting:   {"out", "it has learned that a rolling restart restarts it (see --rolls)"},
-	stepProposed:     {"staging", "it has learned of a change"},
-	stepStaged:       {"staged", "it is ready to switch to the change, and reports so"},
-	stepCeased:       {"permit", "it has stopped admitting jobs for the change, and reports so"},
-	stepSwitched:     {"run", "it has learned that the change is in force, and runs it"},
+	stepTaskHeld:        {"hold", "it has learned that it holds a duty, and starts to act in it"},
+	stepTaskActed:       {"act", "it has just acted in a duty"},
+	stepTaskReleased:    {"leave", "it has stopped acting in a duty, and releases it"},
+	stepRestarting:      {"out", "it has learned that a rolling restart restarts it (see --rolls)"},
+	stepProposed:        {"staging", "it has learned of a change"},
+	stepStaged:          {"staged", "it is ready to switch to the change, and reports so"},
+	stepAdmissionClosed: {"permit", "it has stopped admitting jobs for the change, and reports so"},
+	stepSwitched:        {"run", "it has learned that the change is in force, and runs it"},
 }
 
 // changeSteps lists the steps of a change in order.
-var changeSteps = []Step{stepProposed, stepStaged, stepCeased, stepSwitched}
+var changeSteps = []Step{stepProposed, stepStaged, stepAdmissionClosed, stepSwitched}
 
 // String returns the fault's line in a schedule.
 func (f Fault) String() string {
@@ -217,7 +219,7 @@
 	f.Kind = FaultKind(fields[0])
 	syntax, ok := faultKinds[f.Kind]
 	if !ok {
-		return f, fmt.Errorf("unknown fault %q, expected one of %s", f.Kind, joinSorted(faultKinds))
+		return f, fmt.Errorf("%q is no fault, expected one of %s", f.Kind, joinSorted(faultKinds))
 	}
 	arguments := fields[1:]
 	if want := syntax.arguments(); len(arguments) != want {
--- a/internal/verify/faultinjection/schedule_test.go
+++ b/internal/verify/faultinjection/schedule_test.go
@@ -24,7 +24,7 @@
 	for text, want := range map[string]string{
 		"x stall n1 1s":             `s:1: expected a time since the run's start such as 1.5s, got "x"`,
 		"1s":                        "a fault must follow",
-		"1s burn n1":                `unknown fault "burn", expected one of ahead, behind, cut, deaf`,
+		"1s burn n1":                `"burn" is no fault, expected one of ahead, behind, cut, deaf`,
 		"1s cut n1":                 "got 1 argument(s), expected 2: nothing gets through",
 		"1s stall n9 1s":            `unknown target "n9", expected one of n1 to n3, leader`,
 		"1s cut n1 n1":              "n1 is named twice",
--- a/internal/verify/modelcheck/modelcheck.go
+++ b/internal/verify/modelcheck/modelcheck.go
@@ -107,8 +107,8 @@
 // expandDeep visits all states that can be reached from a state, depth-first.
 func (s *search[S]) expandDeep(state S, trace []string) { s.expand(state, trace, s.expandDeep) }
 
-// frontier is a state that is not expanded yet, with the events that lead to it.
-type frontier[S any] struct {
+// unexpanded is a state that is not expanded yet, with the events that lead to it.
+type unexpanded[S any] struct {
 	state S
 	trace []string
 }
@@ -122,20 +122,20 @@
 	if violation := start.Violation(); violation != "" {
 		return Result{States: 1, Violation: violation}
 	}
-	open := []frontier[S]{{start, nil}}
+	open := []unexpanded[S]{{start, nil}}
 	s.visited.add(start.Key())
 	for len(open) > 0 && len(open) < sharedStates && !s.stopped.Load() {
 		f := open[0]
 		open = open[1:]
 		s.expand(f.state, f.trace, func(next S, trace []string) {
-			open = append(open, frontier[S]{next, slices.Clone(trace)})
+			open = append(open, unexpanded[S]{next, slices.Clone(trace)})
 		})
 	}
 	var wg sync.WaitGroup
-	var taken atomic.Int64
+	var claimed atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
-			for k := taken.Add(1) - 1; k < int64(len(open)); k = taken.Add(1) - 1 {
+			for k := claimed.Add(1) - 1; k < int64(len(open)); k = claimed.Add(1) - 1 {
 				s.expandDeep(open[k].state, slices.Clip(open[k].trace))
 			}
 		})
--- a/internal/verify/simulation/checks.go
+++ b/internal/verify/simulation/checks.go
@@ -81,7 +81,7 @@
 	if !s.checkStatesEqual() {
 		return
 	}
-	s.checkTakesChange(leader)
+	s.checkAcceptsChange(leader)
 	s.checkAdmits()
 	s.checkLinearizable()
 }
@@ -95,8 +95,8 @@
 	}
 }
 
-// appliedAlike reports whether all voters have applied the log up to the same entry.
-func (s *simulator) appliedAlike() bool {
+// votersAppliedSameEntry reports whether all voters have applied the log up to the same entry.
+func (s *simulator) votersAppliedSameEntry() bool {
 	applied := map[uint64]bool{}
 	for _, m := range s.running() {
 		if s.isVoter(m) {
@@ -111,7 +111,7 @@
 	// Entries on leased tasks may be committed at any time, so states are comparable only when all voters
 	// have applied the same entries.
 	for range 50 {
-		if s.appliedAlike() {
+		if s.votersAppliedSameEntry() {
 			break
 		}
 		s.advance(1)
@@ -136,8 +136,8 @@
 	return true
 }
 
-// checkTakesChange checks that the group accepts a change that is proposed to the given leader.
-func (s *simulator) checkTakesChange(leader *machine) {
+// checkAcceptsChange checks that the group accepts a change that is proposed to the given leader.
+func (s *simulator) checkAcceptsChange(leader *machine) {
 	accepted := false
 	id := leader.input().Propose(clusterstate.Change{ID: "last",
 		BaseRevision: leader.instance.State().CurrentRevision().Number, Document: s.document(1 << 20)}, false)
@@ -145,7 +145,7 @@
 		accepted = response.Err == nil && response.Outcome.Code == clusterstate.Accepted
 	}
 	leader.processReady()
-	s.advance(calmTicks)
+	s.advance(recoveryTicks)
 	if !accepted {
 		s.violatef("the group accepts no change after faults have ended")
 	}
--- a/internal/verify/simulation/clients.go
+++ b/internal/verify/simulation/clients.go
@@ -52,7 +52,7 @@
 	// unknownOffset separates operations without a response from the other operations of the clients. Each of
 	// them is recorded under its own client number.
 	unknownOffset = 100
-	endOfTime     = 1 << 60
+	maxReturnTime = 1 << 60
 )
 
 // call is an operation of a client that is in progress.
@@ -67,7 +67,7 @@
 // retried under the same id.
 func (s *simulator) runClient(n int) {
 	s.after(int64(20+s.rng.IntN(150)), func() {
-		if s.calm {
+		if s.faultsEnded {
 			return
 		}
 		running := s.running()
@@ -149,13 +149,13 @@
 
 // retry proposes a change again to a random machine, or gives up and records an unknown outcome.
 func (s *simulator) retry(c call, reason string) {
-	if c.retries == 0 || s.calm {
+	if c.retries == 0 || s.faultsEnded {
 		s.tracef("client %d gives up on %s: %s", c.client, c.change.ID, reason)
 		s.recordUnknown(c)
 		return
 	}
 	s.after(int64(10+s.rng.IntN(60)), func() {
-		if running := s.running(); len(running) > 0 && !s.calm {
+		if running := s.running(); len(running) > 0 && !s.faultsEnded {
 			c.retries--
 			s.propose(running[s.rng.IntN(len(running))], c)
 		} else {
@@ -193,7 +193,7 @@
 	s.result.ChangesUnknown++
 	s.history = append(s.history, porcupine.Operation{ClientId: c.client + unknownOffset + len(s.history),
 		Input: operationInput{true, c.change.BaseRevision, c.change.ID}, Call: c.startAt,
-		Output: operationOutput{unknown: true}, Return: endOfTime})
+		Output: operationOutput{unknown: true}, Return: maxReturnTime})
 	s.runClient(c.client)
 }
 
--- a/internal/verify/simulation/front.go
+++ b/internal/verify/simulation/front.go
@@ -31,7 +31,7 @@
 	}
 	if e.Permit != nil {
 		m.front.queue = append(m.front.queue, *e.Permit)
-		m.after(int64(1+s.rng.IntN(3)), m.takePermit)
+		m.after(int64(1+s.rng.IntN(3)), m.applyPermit)
 	}
 }
 
@@ -39,7 +39,7 @@
 func (m *machine) stage(change string) {
 	s := m.sim
 	var problems []string
-	if s.options.FaultSteps > 1 && !s.calm && s.rng.IntN(25) == 0 {
+	if s.options.FaultSteps > 1 && !s.faultsEnded && s.rng.IntN(25) == 0 {
 		problems = []string{"its own files disagree here"}
 	}
 	m.input().ReportStaged(change, problems)
@@ -53,8 +53,8 @@
 	}
 }
 
-// takePermit applies the next permit. Permits are applied in order, as by an event loop.
-func (m *machine) takePermit() {
+// applyPermit applies the next permit. Permits are applied in order, as by an event loop.
+func (m *machine) applyPermit() {
 	p := m.front.queue[0]
 	m.front.queue = m.front.queue[1:]
 	if m.front.permit = p; !p.Open && p.Change != "" {
--- a/internal/verify/simulation/leased_tasks.go
+++ b/internal/verify/simulation/leased_tasks.go
@@ -69,8 +69,8 @@
 		for _, l := range m.tasks.leases {
 			m.act(l)
 		}
-		if s := m.sim; !s.calm && s.rng.IntN(300) == 0 {
-			m.interveneInTask()
+		if s := m.sim; !s.faultsEnded && s.rng.IntN(300) == 0 {
+			m.proposeOperatorCommand()
 		}
 		if m.instance != nil {
 			m.scheduleTaskActions()
@@ -78,8 +78,8 @@
 	})
 }
 
-// interveneInTask proposes a random operator's command on a random task.
-func (m *machine) interveneInTask() {
+// proposeOperatorCommand proposes a random operator's command on a random task.
+func (m *machine) proposeOperatorCommand() {
 	s := m.sim
 	kinds := []leasedtask.Kind{leasedtask.Transfer, leasedtask.Transfer, leasedtask.Pause, leasedtask.Resume,
 		leasedtask.Resume}
@@ -113,7 +113,7 @@
 		}
 		s.observed.actions[l.Task] = action{l.FencingToken, m.name}
 	}
-	if !s.calm && s.rng.IntN(40) == 0 {
+	if !s.faultsEnded && s.rng.IntN(40) == 0 {
 		m.updateNote(l, note+1)
 	}
 }
--- a/internal/verify/simulation/machine.go
+++ b/internal/verify/simulation/machine.go
@@ -40,7 +40,7 @@
 	snapshotCount          = 25
 	snapshotCatchUpEntries = 5
 	segmentBytes           = 20_000
-	brokenSyncEvery        = 20 // calls, with Options.AcknowledgeBeforeSync
+	callsPerBrokenSync     = 20 // calls, with Options.AcknowledgeBeforeSync
 )
 
 // start starts a new incarnation of the machine with the data on its disk.
@@ -65,11 +65,11 @@
 		s.violatef("%s failed to open its store: %v", m.name, err)
 		return
 	}
-	s.lastDrawn++
+	s.lastInstanceNumber++
 	m.instance, err = consensus.New(
 		consensus.Config{SnapshotCount: snapshotCount, SnapshotCatchUpEntries: snapshotCatchUpEntries,
 			Seed: s.options.Seed<<16 + uint64(m.incarnation), Logger: s.log.WithField("at", m.name)},
-		recovered, s.lastDrawn, m.name)
+		recovered, s.lastInstanceNumber, m.name)
 	if err != nil {
 		s.violatef("%s failed to start: %v", m.name, err)
 		return
@@ -168,7 +168,7 @@
 	}
 	if m.sim.options.AcknowledgeBeforeSync {
 		// Report success now, and sync only in a later call.
-		if m.unsyncedCalls++; m.unsyncedCalls%brokenSyncEvery != 0 {
+		if m.unsyncedCalls++; m.unsyncedCalls%callsPerBrokenSync != 0 {
 			return nil
 		}
 	}
@@ -199,7 +199,7 @@
 	incarnation := m.incarnation
 	err := consensus.ProcessReady(m.instance, m, m.localTime, func(e consensus.Effects) {
 		if m.incarnation == incarnation {
-			m.carryOut(e)
+			m.applyEffects(e)
 		}
 	})
 	if m.incarnation != incarnation {
@@ -213,7 +213,7 @@
 	m.check()
 }
 
-func (m *machine) carryOut(e consensus.Effects) {
+func (m *machine) applyEffects(e consensus.Effects) {
 	for _, r := range e.Revisions {
 		if r.Number <= m.lastRevision {
 			m.sim.violatef("%s applied revision %d after %d", m.name, r.Number, m.lastRevision)
--- a/internal/verify/simulation/members.go
+++ b/internal/verify/simulation/members.go
@@ -93,8 +93,8 @@
 	s.after(closeSessionsUnits, func() {
 		if leader := s.leader(); leader != nil && leader.instance.State() != nil {
 			for _, session := range leader.instance.State().Rollout().List() {
-				if s.calm && leader.instance.State().WasRemoved(session.Member) {
-					s.rejoinUnaware(session.Member)
+				if s.faultsEnded && leader.instance.State().WasRemoved(session.Member) {
+					s.rejoinUninformed(session.Member)
 				}
 				if session.Open && !s.hasMachine(session.Member) {
 					leader.input().ProposeRolloutCommand(rollout.Command{Kind: rollout.SetAside,
@@ -111,8 +111,8 @@
 	return slices.ContainsFunc(s.machines, func(m *machine) bool { return m.number == number })
 }
 
-// rejoinUnaware makes a machine that was removed, but has not learned of it, join as a new instance.
-func (s *simulator) rejoinUnaware(number uint64) {
+// rejoinUninformed makes a machine that was removed, but has not learned of it, join as a new instance.
+func (s *simulator) rejoinUninformed(number uint64) {
 	for _, m := range s.machines {
 		if m.number == number {
 			m.wipe()
--- a/internal/verify/simulation/network.go
+++ b/internal/verify/simulation/network.go
@@ -75,7 +75,7 @@
 // transmit delivers a message to an instance over an unreliable network: after a delay, twice or never.
 func (s *simulator) transmit(from *machine, number uint64, receive func(to *machine)) {
 	copies := 1
-	if !s.calm {
+	if !s.faultsEnded {
 		if s.rng.Float64() < s.network.loss {
 			return
 		}
@@ -85,7 +85,7 @@
 	}
 	for range copies {
 		delay := int64(1 + s.rng.IntN(6))
-		if !s.calm && s.rng.IntN(30) == 0 {
+		if !s.faultsEnded && s.rng.IntN(30) == 0 {
 			delay += int64(s.rng.IntN(400)) // later messages overtake it
 		}
 		s.after(delay, func() {
--- a/internal/verify/simulation/simulator.go
+++ b/internal/verify/simulation/simulator.go
@@ -57,10 +57,10 @@
 
 	defaultFaultSteps = 40
 	maxViolations     = 5
-	// calmTicks is how long the group may take, once faults have ended, to recover, and then again to accept
-	// a change.
-	calmTicks = 400
-	clients   = 3
+	// recoveryTicks is how long the group may take, once faults have ended, to recover, and then again to
+	// accept a change.
+	recoveryTicks = 400
+	clientCount   = 3
 )
 
 type event struct {
@@ -90,21 +90,21 @@
 
 // simulator runs a group of instances with its machines, its network and its clients in virtual time.
 type simulator struct {
-	options   Options
-	rng       *rand.Rand // for the network and the clients
-	faultRNG  *rand.Rand // for the faults; separate, so that changes of one don't affect the other
-	queue     events
-	now       int64 // in units
-	seq       int
-	machines  []*machine
-	network   network
-	result    Result
-	observed  observations
-	history   []porcupine.Operation
-	lastID    int  // of changes and commands
-	calm      bool // whether faults have ended
-	log       *logrus.Logger
-	lastDrawn uint64 // last number that was assigned to an instance
+	options            Options
+	rng                *rand.Rand // for the network and the clients
+	faultRNG           *rand.Rand // for the faults; separate, so that changes of one don't affect the other
+	queue              events
+	now                int64 // in units
+	seq                int
+	machines           []*machine
+	network            network
+	result             Result
+	observed           observations
+	history            []porcupine.Operation
+	lastID             int  // of changes and commands
+	faultsEnded        bool // whether faults have ended
+	log                *logrus.Logger
+	lastInstanceNumber uint64 // last number that was assigned to an instance
 }
 
 // Run performs one run and returns its result.
@@ -114,7 +114,7 @@
 	}
 	s := &simulator{options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)),
 		faultRNG: rand.New(rand.NewPCG(o.Seed, 2)), network: network{cut: map[route]bool{}},
-		observed: newObservations(), log: logrus.New(), lastDrawn: 100}
+		observed: newObservations(), log: logrus.New(), lastInstanceNumber: 100}
 	s.log.SetOutput(io.Discard)
 	if o.Trace != nil {
 		s.log.SetOutput(o.Trace)
@@ -176,7 +176,7 @@
 	for _, m := range s.machines[1:] {
 		s.join(m)
 	}
-	for n := range clients {
+	for n := range clientCount {
 		s.runClient(n)
 	}
 	s.closeLostSessions()
@@ -188,8 +188,8 @@
 		}
 	}
 	s.endFaults()
-	s.calm = true
-	s.advance(calmTicks)
+	s.faultsEnded = true
+	s.advance(recoveryTicks)
 	s.checkFinalState()
 }
 
