--- a/internal/verify/faultinjection/changes.go
+++ b/internal/verify/faultinjection/changes.go
@@ -40,7 +40,7 @@
 	since     time.Time // when the document was read; before that, when the change was started
 }
 
-// makeChanges makes one change after another until the run's duration ends. Each proposal goes to an
+// makeChanges makes one change after another until the run's duration ends. Each proposal is sent to an
 // instance drawn at random. One that gets no response is repeated under the same id.
 func (r *run) makeChanges(ctx context.Context) error {
 	for n := 0; time.Since(r.began) < r.Duration && (r.MaxChanges == 0 || n < r.MaxChanges); n++ {
--- a/internal/verify/faultinjection/links.go
+++ b/internal/verify/faultinjection/links.go
@@ -15,7 +15,7 @@
 func (p path) reverse() path { return path{p.to, p.from} }
 
 // pathState holds the faults of a path. They apply to all connections between the two instances,
-// whichever of them opened the connection.
+// regardless of which one opened it.
 type pathState struct {
 	cut       bool          // data is held back, and neither side gets an error
 	refuse    bool          // new connections are reset
--- a/internal/verify/simulation/machine.go
+++ b/internal/verify/simulation/machine.go
@@ -139,7 +139,7 @@
 	return m.instance
 }
 
-// after schedules f in this incarnation of the machine. During a stall, f is put off until its end.
+// after schedules f in this incarnation of the machine. During a stall, f waits until its end.
 func (m *machine) after(units int64, f func()) {
 	incarnation := m.incarnation
 	m.sim.after(units, func() {
@@ -191,7 +191,8 @@
 	return false
 }
 
-// processReady makes the instance process what became ready by an input, and checks its invariants.
+// processReady makes the instance process the output that is ready after an input, and checks its
+// invariants.
 func (m *machine) processReady() {
 	if m.instance == nil {
 		return
