--- a/cmd/moorstack/cluster_test.go
+++ b/cmd/moorstack/cluster_test.go
@@ -148,7 +148,8 @@
 	// Certificates of another certificate authority are rejected.
 	g.must("keys", "new-ca", "--dir", "foreign")
 	g.must("keys", "issue", "op2", "--role", "operator", "--dir", "foreign", "--out", "keys")
-	g.expect(exitUsage, "not of the authority", withFlags(remote("keys/ca.crt", "op2"), "config", "get")...)
+	g.expect(exitUsage, "was not issued by a CA in keys/ca.crt",
+		withFlags(remote("keys/ca.crt", "op2"), "config", "get")...)
 	g.expect(exitFailed, "", withFlags(remote("foreign/ca.crt", "op2"), "config", "get")...)
 
 	// Certificates and their authority are rotated while the instances run: at first both authorities are
