--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// The constants of the decisions. Where the comment gives no reason, the value follows from simulation runs;
-// docs/measurements.md has the figures.
+// The constants of the decisions.
 const (
 	// fastWeight is the weight of a new success, failure or health check in its moving average. slowWeight is
 	// the weight of values with a far larger variance: running times and load reports in responses. The
--- a/internal/verify/expect/run.go
+++ b/internal/verify/expect/run.go
@@ -74,7 +74,7 @@
 	case d.RejectReason != "":
 		r.checkRuleRejection(e, d)
 	case d.Class < 0:
-		// The frontend responds with a client error, not with a retryable rejection, and the broker never
+		// The front responds with a client error, not with a retryable rejection, and the broker never
 		// receives the job.
 		if e.Served == nil || *e.Served || e.Rejected != nil {
 			r.failf("the job names no class, and no rule sets one")
@@ -110,12 +110,12 @@
 
 // routingJob converts a job to the form that the routing rules match.
 func (s *Suite) routingJob(j *Job) *routing.Job {
-	frontend := j.Front
-	if frontend == "" {
-		frontend = routing.FrontHTTP
+	front := j.Front
+	if front == "" {
+		front = routing.FrontHTTP
 	}
 	return &routing.Job{
-		Front:        frontend,
+		Front:        front,
 		Class:        slices.Index(s.knownNames.Classes, j.Class),
 		Tenant:       slices.Index(s.knownNames.Tenants, j.Tenant),
 		Host:         j.Host,
