--- a/cmd/moorstack/connections_test.go
+++ b/cmd/moorstack/connections_test.go
@@ -57,7 +57,7 @@
 	}
 	c.send(jobRequest("c", "quote", "3000m", "x")).
 		expectResponse(200, "did x")
-	// It was idle meanwhile, but its client has sent a valid request, so it is still open.
+	// The connection c was idle meanwhile, but the node keeps it, because c has sent a valid request before.
 }
 
 // A client that sends slowly but steadily is served, on its first request and on a later one.
@@ -81,8 +81,8 @@
 	w := startNode(t, 1, completeJob)
 	large := strings.Repeat("x", 60<<10)
 	w.openConnections(750, strings.TrimSuffix(jobRequest("h", "quote", "3000m", large), "x"))
-	// While the other connections' bytes still arrive, this one may be evicted first, before it is read; a
-	// client then retries on a new connection.
+	// While the bytes of the other connections are still arriving, the node may close this connection before
+	// it reads the request. The client then retries on a new connection.
 	eventually(t, "a large job is served", func() bool {
 		c := w.dial()
 		if _, err := io.WriteString(c, jobRequest("a", "quote", "3000m", large)); err != nil {
--- a/cmd/moorstack/endpoint_updates_test.go
+++ b/cmd/moorstack/endpoint_updates_test.go
@@ -20,7 +20,7 @@
 	}
 	a, b := w.workers[0], w.workers[1]
 	watch.lines <- `{"generation":42,"reset":false,"instances":[` + a.instanceJSON("DRAINING") + "]}"
-	time.Sleep(time.Second) // the rules allow one second for an update to be applied
+	time.Sleep(time.Second) // a node may take one second to apply an update
 	for i := range 10 {
 		w.dial().send(jobRequest(fmt.Sprint("d", i), "quote", "3000m", "x")).expectResponse(200, "")
 	}
@@ -31,7 +31,7 @@
 	watch.lines <- `{"generation":43,"reset":true,"instances":[` + moved + "]}"
 	n := 0
 	eventually(t, "the new address is used", func() bool {
-		n++ // not answered: the worker at that address calls back under another name
+		n++ // gets no response: a receives the job and calls back under its own name instead of b's
 		w.dial().send(jobRequest(fmt.Sprint("m", n), "quote", "1000m", "x"))
 		return w.callCount("POST") > 10 && a.callCount() > 0
 	})
--- a/cmd/moorstack/faktory_test.go
+++ b/cmd/moorstack/faktory_test.go
@@ -150,7 +150,7 @@
 	p.expectReply(pushCommand("job-0001", "Resize", ""), "+OK")
 	w.expectJob("job-0001")
 	large := fmt.Sprintf(`,"custom":{"note":%q}`, strings.Repeat("x", 200))
-	p.expectReply(pushCommand("job-0002", "Resize", large), "+OK") // the limit of bytes admits one such job
+	p.expectReply(pushCommand("job-0002", "Resize", large), "+OK") // the byte limit has room for one such job
 	p.expectReply(pushCommand("job-0003", "Resize", large), "-ERR BUSY")
 	w.ack("job-0001")
 	w.sendLine("FETCH default")
@@ -253,7 +253,8 @@
 	d.expectJob("job-0003")
 }
 
-// A worker that declares itself quiet gets nothing new, and releases what it has not fetched.
+// A worker that declares itself quiet gets no new jobs, and jobs that it has not fetched go to another
+// worker.
 func TestFaktoryQuietWorkerGetsNothingNew(t *testing.T) {
 	w, addr := startFaktoryNode(t, "")
 	p, a := connectFaktory(t, addr, ""), connectFaktory(t, addr, "a")
--- a/cmd/moorstack/frozen_exits_test.go
+++ b/cmd/moorstack/frozen_exits_test.go
@@ -34,7 +34,7 @@
 		{"--log-level loud", 2}, {"--log-format xml", 2}, {"prove config --seeds x", 2},
 		{"call", 2}, {"call 127.0.0.1:1 status --output xml", 2}, {"call 127.0.0.1:1 status", 1},
 		{"serve", 2}, {"serve --config " + missing, 2}, {"serve --config " + broken, 2},
-		{"-faktory " + missing, 1}, {"-faktory=" + missing, 1}, // as before there were subcommands
+		{"-faktory " + missing, 1}, {"-faktory=" + missing, 1}, // from before there were subcommands
 		{"store check", 2}, {"store check " + missing, 1}, {"store check " + dir, 1},
 		{"expect", 2}, {"expect " + missing, 2}, {"expect " + broken, 2}, {"expect " + failing, 1},
 		{"emulate run " + missing, 2}, {"emulate run " + broken, 2},
--- a/cmd/moorstack/leased_tasks_test.go
+++ b/cmd/moorstack/leased_tasks_test.go
@@ -142,7 +142,7 @@
 	all := []string{"n1", "n2", "n3"}
 	g.backups = true
 	g.form(all[:2]...)
-	g.backups = false // the third has no directory
+	g.backups = false // n3 gets no directory for backups
 	g.start("n3")
 	g.must("cluster", "add", "n3", g.peerAddress["n3"], "--promote", "--config", "n1.toml")
 	g.setSections("n1", "[section.duties]\nbackup_every = \"1s\"\nbackup_keep = \"5\"\n")
--- a/cmd/moorstack/list_relay_test.go
+++ b/cmd/moorstack/list_relay_test.go
@@ -75,7 +75,7 @@
 	r := newListRelay(t)
 	r.waitWatches("each polls discovery", 3)
 	r.setSections("n1", "[section.duties]\nlist = \"on\"\n")
-	r.waitWatches("one polls for all", 1)
+	r.waitWatches("one instance polls for all", 1)
 	relay := r.waitHeld("list", 0, r.all...)
 	r.addWorker()
 	for _, name := range r.all {
@@ -96,9 +96,9 @@
 		}
 	}
 	resume()
-	r.waitWatches("one polls for all again", 1)
+	r.waitWatches("one instance polls for all again", 1)
 	r.checkWhileDiscoveryFails()
-	r.waitWatches("one polls for all once more", 1)
+	r.waitWatches("one instance polls for all once more", 1)
 	// With the relay off, each instance polls discovery.
 	r.setSections("n1", "[section.duties]\nlist = \"off\"\n")
 	r.waitWatches("each polls discovery again", 3)
@@ -145,7 +145,7 @@
 	all := []string{"n1", "n2", "n3"}
 	g.form(all...)
 	g.setSections("n1", "[section.rollout]\nlease = \"2s\"\n[section.duties]\nlist = \"on\"\n")
-	eventually(t, "one polls for all", func() bool { return c.watchCount() == 1 })
+	eventually(t, "one instance polls for all", func() bool { return c.watchCount() == 1 })
 	// Neither is the leader, so that only the list is sent between them.
 	others := without(all, g.leader(all...))
 	relay, follower := others[0], others[1]
--- a/cmd/moorstack/node_fixture_test.go
+++ b/cmd/moorstack/node_fixture_test.go
@@ -188,7 +188,7 @@
 // callBack sends a call-back with a job's state to the node and returns the status of the response, or 0.
 func (w *nodeFixture) callBack(id, from, state, result string) int {
 	body, _ := json.Marshal(map[string]string{"id": id, "from": from, "state": state, "result": result})
-	// On a kept connection to a process that has just ended, the call-back would be lost unread.
+	// A call-back on a keep-alive connection to a process that has just ended would be lost.
 	httpClient := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := httpClient.Post("http://"+w.addr+"/v1/job-events", "", strings.NewReader(string(body)))
 	if err != nil {
--- a/cmd/moorstack/platform_test.go
+++ b/cmd/moorstack/platform_test.go
@@ -158,7 +158,7 @@
 	for i, class := range []string{"quote", "book"} {
 		w.dial().send(jobRequest(fmt.Sprint("bad", i), class, "3000m", "bad")).expectResponse(502, "")
 		if n := w.callCount("POST"); n != 2*i+1 {
-			t.Errorf("after the bad %s job %d attempts, want %d", class, n, 2*i+1)
+			t.Errorf("after the invalid %s job: %d attempts, want %d", class, n, 2*i+1)
 		}
 		w.dial().send(jobRequest(fmt.Sprint("good", i), class, "3000m", "x")).expectResponse(200, "did x")
 	}
--- a/cmd/moorstack/rate_limits_test.go
+++ b/cmd/moorstack/rate_limits_test.go
@@ -70,8 +70,9 @@
 	g.expect(0, "jobs_refused_by_rates", "cluster", "status", "--config", "n1.toml", "--output", "json")
 }
 
-// While one instance learns late that others have returned, the shares of cold workers' budgets still add up,
-// as do the slices of accounts, including thousands of accounts without an entry.
+// While one instance learns late that others have returned, the instances' shares of a slow-start budget do
+// not exceed the whole budget, and their slices of an account's rate do not exceed the rate. This includes
+// thousands of accounts without an entry.
 func TestQuotasAddUpWhileOneInstanceLags(t *testing.T) {
 	t.Parallel()
 	g := &group{t: t, dir: t.TempDir()}
@@ -121,15 +122,15 @@
 		t.Fatal(out)
 	}
 	waitShares("n2", 60, 20, 20)
-	g.kill("n1", syscall.SIGKILL) // its number is kept, so that after its restart it owns the same
+	g.kill("n1", syscall.SIGKILL) // keeps its member number, and so owns the same after its restart
 	waitShares("n2", 50, 50)
 	g.start("n1")
 	g.waitAdmitting("n1")
 	waitShares("n1", 60, 20, 20)
 	check(t, os.WriteFile(filepath.Join(g.dir, "even.toml"), []byte(strings.Replace(g.must("config", "get",
 		"--config", "n1.toml"), `"weight.n1" = "3"`, `"weight.n1" = "1"`, 1)), 0o600))
-	// Instances' numbers are random, and shares depend on them, so they differ by a few percent. On a busy
-	// machine a session may also just have ended.
+	// The instances' member numbers are random, and what an instance owns depends on them, so the shares
+	// differ by a few percent. On a busy machine a session may also just have ended.
 	oneThird := regexp.MustCompile(`n1 owns 3[0-7]% of accounts and triggers`)
 	within(t, time.Minute, "a dry run prints what accounts may send and what changes owners", func() bool {
 		out, _ := g.run("config", "propose", "even.toml", "--dry-run", "--config", "n3.toml")
--- a/cmd/moorstack/rollout_members_test.go
+++ b/cmd/moorstack/rollout_members_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// A rollback while another change is taking hold is rejected as a conflict; after that change it succeeds.
+// A rollback while another change is pending is rejected as a conflict. Once that change is in force, it
+// succeeds.
 func TestRollbackWhileAChangeTakesHold(t *testing.T) {
 	t.Parallel()
 	g, leader, rest := newGroupOfThree(t, `lease = "1500ms"`)
@@ -64,8 +65,8 @@
 	}
 }
 
-// The majority is lost for good. With a lease the remaining instance stops serving, with cut_off = "serve" it
-// continues. Either way nothing can change until a new group is created from a backup, which continues the
+// The majority is lost permanently. With a lease the remaining instance stops serving, with cut_off = "serve"
+// it continues. Either way nothing can change until a new group is created from a backup, which continues the
 // numbering of revisions.
 func TestGroupAfterALostMajority(t *testing.T) {
 	t.Parallel()
--- a/cmd/moorstack/rollout_test.go
+++ b/cmd/moorstack/rollout_test.go
@@ -201,7 +201,8 @@
 			"6500ms @out restart conductor 300ms\n7500ms @acts stall conductor 600ms",
 		"disks": "300ms @proposed torn leader 300ms\n1500ms @staged full it 600ms\n" +
 			"3s @ceased full leader 600ms\n4500ms @switched torn it 300ms\n6s @proposed torn asked 200ms",
-		// These two detect a lease that is counted from its response, and a front that opens too early.
+		// "late" detects an instance that counts its lease from the response instead of from its request, and
+		// "alone" a front that admits jobs too early after its instance's restart.
 		"late":  "1s delay leader n2 1500ms\n3500ms cut n2 leader\n7500ms heal",
 		"alone": "1s kill n2\n1100ms isolate n2\n3s start n2\n6s heal",
 	} {
--- a/cmd/moorstack/triggers_test.go
+++ b/cmd/moorstack/triggers_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// A group created from a backup continues the triggers from its own start: it does not fire again what the
-// old group has fired, under any number, and skips no occurrence after its first one.
+// A group created from a backup continues the triggers from its own start: it does not repeat an occurrence
+// that the old group has fired, not even under another number, and skips no occurrence after its first one.
 func TestTriggersAfterARestore(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
--- a/cmd/moorstack/upgrade_fixture_test.go
+++ b/cmd/moorstack/upgrade_fixture_test.go
@@ -53,7 +53,7 @@
 		mu.Unlock()
 		go func() {
 			time.Sleep(duration)
-			for range 10 { // as the protocol requires
+			for range 10 { // the protocol requires workers to repeat call-backs
 				status := s.worker.node.callBack(s.id, s.worker.name, "done", "did "+s.body)
 				if status == 204 {
 					return
--- a/cmd/moorstack/worker_subsets_test.go
+++ b/cmd/moorstack/worker_subsets_test.go
@@ -14,7 +14,7 @@
 	"moorstack/internal/verify/emulate/loopback"
 )
 
-// longLease keeps sessions alive on a busy machine: when one ends, the instances use other workers.
+// longLease keeps sessions from ending on a busy machine: when one ends, the other instances change workers.
 const longLease = "[section.rollout]\nlease = \"2s\"\n"
 
 // startWithWorkers starts nine workers, or as many as the options say, and discovery for each instance,
@@ -154,8 +154,9 @@
 	return n
 }
 
-// A worker at which the jobs of two of three instances fail gets no jobs, except from the instance whose time
-// slot it is to try it; what a single instance observes and reports changes nothing for the others.
+// A worker at which the jobs of two of three instances fail gets no jobs, except from one instance at a time
+// that tries it in its time slot. What only a single instance observes and reports does not affect the
+// others.
 func TestOutlierReportsNeedSeveralInstances(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t)
@@ -218,7 +219,7 @@
 		t.Fatal(out)
 	}
 	for _, name := range names {
-		within(t, time.Minute, name+" uses three", func() bool {
+		within(t, time.Minute, name+" uses three workers", func() bool {
 			mu.Lock()
 			clear(used[name])
 			mu.Unlock()
--- a/internal/frozen/encoded/sinks_test.go
+++ b/internal/frozen/encoded/sinks_test.go
@@ -62,8 +62,8 @@
 	return roots
 }
 
-// addCalls adds the types that the calls within a declaration pass to sinks to roots. If a call passes on a
-// parameter of the declared function, it adds that parameter to sinks.
+// addCalls examines the calls within a declaration. It appends the type of each argument for a sink to roots.
+// If such an argument is itself a parameter of the declared function, it adds that parameter to sinks.
 func (c *checkedPackage) addCalls(d ast.Decl, sinks map[sink]string, roots []root) []root {
 	params := map[types.Object]sink{}
 	if f, ok := d.(*ast.FuncDecl); ok {
--- a/internal/frozen/state_test.go
+++ b/internal/frozen/state_test.go
@@ -170,8 +170,8 @@
 
 var withdrawal = rollout.Command{Kind: rollout.Withdraw, Change: "c8"}
 
-// A flipped bit in a store is an error that names the file and the offset. The last record of a log, a seal
-// that was not synced, is not covered: a damaged one is no loss.
+// A flipped bit in a store is an error that names the file and the offset. The test leaves out the last
+// record of a log: it is a seal that was not synced, so no data is lost if it is damaged.
 func TestFlippedByteIsNamed(t *testing.T) {
 	for _, name := range []string{"log.txt", "snapshot.txt"} {
 		good := decodeFiles(t, name)
--- a/internal/verify/compat/balancer_test.go
+++ b/internal/verify/compat/balancer_test.go
@@ -168,8 +168,8 @@
 	return byName
 }
 
-// runScenario runs a program on a scenario. It returns the score, which is the fraction of the total priority
-// weight of all jobs that the program earned, and whether it violated a rule.
+// runScenario runs a program on a scenario. It returns whether the program violated a rule, and its score:
+// the priority weight that the program was credited with, as a fraction of the total weight of all jobs.
 func runScenario(path, file string, seed int) (score float64, violated bool, err error) {
 	out, err := exec.Command(path, "emulate", "run", file, "--seed", fmt.Sprint(seed), "--output",
 		"json").Output()
--- a/internal/verify/compat/placement_test.go
+++ b/internal/verify/compat/placement_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// placementDraws is the number of draws over which a placer is measured.
+// placementDraws is the number of draws of instance IDs that measurePlacer evaluates.
 const placementDraws = 5
 
 // measurePlacer returns the largest number of shards that an instance owns in any draw, relative to the mean,
--- a/internal/verify/faultinjection/audit_restarts.go
+++ b/internal/verify/faultinjection/audit_restarts.go
@@ -70,8 +70,8 @@
 	return violations
 }
 
-// interrupted reports whether an instance was interrupted after the time after and not later than
-// until. The caller holds c.mu.
+// interrupted reports whether an instance was interrupted later than after and no later than until. The
+// caller holds c.mu.
 func (c *Cluster) interrupted(instance string, after, until time.Duration) bool {
 	return slices.ContainsFunc(c.interruptions, func(i interruption) bool {
 		return i.instance == instance && i.at > after && i.at <= until
--- a/internal/verify/faultinjection/audit_triggers.go
+++ b/internal/verify/faultinjection/audit_triggers.go
@@ -19,8 +19,8 @@
 	// maxEarly is how long before its time by the true clock an occurrence may be fired. It is not 0
 	// because instances use their own clocks.
 	maxEarly = 1500 * time.Millisecond
-	// settleSeconds is how many seconds of the machine's time an occurrence may be overdue, compared to
-	// the newest occurrence of any trigger.
+	// settleSeconds is how much older than the newest occurrence of any trigger an occurrence may be without
+	// having been intended, in seconds of the machine's time.
 	settleSeconds = 30
 	// responseBusy is the response to a submission that was rejected and had no effect.
 	responseBusy = "busy"
--- a/internal/verify/faultinjection/group.go
+++ b/internal/verify/faultinjection/group.go
@@ -124,8 +124,9 @@
 	return nil
 }
 
-// awaitMembership waits until every instance sees every other one alive and reaches it, as all of them
-// are healthy. The timeout of RetryUntil is far longer than a refutation takes to spread.
+// awaitMembership waits until every instance sees all others as alive and reaches them. A timeout is a
+// violation: all instances are healthy, and the timeout of RetryUntil is far longer than a refutation takes
+// to spread.
 func (r *run) awaitMembership(ctx context.Context, healed time.Time) {
 	err := RetryUntil(ctx, "waiting for the member states", func(ctx context.Context) error {
 		for _, p := range r.Processes {
--- a/internal/verify/faultinjection/run.go
+++ b/internal/verify/faultinjection/run.go
@@ -208,8 +208,8 @@
 	return err
 }
 
-// awaitRecovery waits until the cluster has recovered from the faults. Whatever has not recovered in
-// time is a violation. The faults ended at healed, which is healedAt by CLOCK_BOOTTIME.
+// awaitRecovery waits until the cluster has recovered from the faults. Anything that has not
+// recovered in time is a violation. The faults ended at healed, which is healedAt by CLOCK_BOOTTIME.
 func (r *run) awaitRecovery(ctx context.Context, healed time.Time, healedAt time.Duration) {
 	if err := r.WaitAdmitting(ctx); err != nil {
 		r.violate("no recovery after the faults ended: %v", err)
--- a/internal/verify/faultinjection/schedule.go
+++ b/internal/verify/faultinjection/schedule.go
@@ -117,7 +117,7 @@
 // restart. A fault may wait for it.
 type Step string
 
-// The steps.
+// The steps that a fault may wait for.
 const (
 	stepTaskHeld        Step = "holds"
 	stepTaskActed       Step = "acts"
--- a/internal/verify/simulation/clients.go
+++ b/internal/verify/simulation/clients.go
@@ -55,12 +55,12 @@
 	maxReturnTime = 1 << 60
 )
 
-// call is an operation of a client that is in progress.
+// call is a client's proposal that is in progress.
 type call struct {
 	client  int
 	startAt int64
-	change  clusterstate.Change // of a proposal
-	retries int                 // remaining
+	change  clusterstate.Change // the proposed change
+	retries int                 // how many more times the proposal may be repeated
 }
 
 // runClient makes a client read or propose, one operation after another. A proposal without a response is
--- a/internal/verify/simulation/members.go
+++ b/internal/verify/simulation/members.go
@@ -9,7 +9,7 @@
 	"moorstack/internal/schema"
 )
 
-// The times of operators' steps, in units of virtual time.
+// How long operators wait between steps, in units of virtual time, and how often they check a replacement.
 const (
 	closeSessionsUnits  = 500
 	replaceCheckUnits   = 100
